--- /dev/null
+++ b/tests/sim/digest.c
@@ -0,0 +1,64 @@
+#include "sim/digest.h"
+#include "transport/hint_frame.h"
+#include <stdio.h>
+#include <string.h>
+
+struct SimDigest {
+  GChecksum *sum;
+  guint64 effects;
+};
+
+SimDigest *
+sim_digest_new (void)
+{
+  SimDigest *digest = g_new0 (SimDigest, 1);
+  digest->sum = g_checksum_new (G_CHECKSUM_SHA256);
+  return digest;
+}
+
+static void
+add_bytes (SimDigest *digest, const void *bytes, gsize len)
+{
+  guint64 length = len;
+  g_checksum_update (digest->sum, (const guchar *)&length, sizeof length);
+  g_checksum_update (digest->sum, bytes, (gssize)len);
+}
+
+static void
+add_text (SimDigest *digest, const char *text)
+{
+  add_bytes (digest, text ? text : "", text ? strlen (text) : 0);
+}
+
+void
+sim_digest_add (SimDigest *digest, double now, int node, const HrEffect *effect)
+{
+  digest->effects++;
+  g_autofree char *head =
+      g_strdup_printf ("%.6f c%d %d %" G_GUINT64_FORMAT " %d %d %d %d %d %.6f", now, node,
+                       effect->kind, effect->id, effect->status, effect->retry_after, effect->plain,
+                       effect->target, effect->method, effect->timeout_s);
+  add_text (digest, head);
+  add_text (digest, effect->addr);
+  add_text (digest, effect->path);
+  add_text (digest, effect->body);
+  guint8 frame[HR_MAX_FRAME];
+  if (effect->kind == HR_E_HINT)
+    add_bytes (digest, frame, hr_hint_pack (effect->hint, frame));
+}
+
+void
+sim_digest_finish (SimDigest *digest)
+{
+  static gboolean began;
+  const char *path = g_getenv ("HR_SIM_DIGESTS");
+  FILE *file = path ? fopen (path, began ? "a" : "w") : NULL;
+  if (file) {
+    began = TRUE;
+    fprintf (file, "%" G_GUINT64_FORMAT " %s\n", digest->effects,
+             g_checksum_get_string (digest->sum));
+    fclose (file);
+  }
+  g_checksum_free (digest->sum);
+  g_free (digest);
+}
--- a/tests/sim/world.c
+++ b/tests/sim/world.c
@@ -201,6 +201,8 @@
   sim_log_node = i;
   /* Clocks of different machines drift, and the time of day wanders. */
   hr_core_step (n->core, w->now * (1 + 0.0002 * i) + 100 * i, 1e9 + w->now + 0.05 * i, batch, out);
+  for (guint k = 0; k < out->len; k++)
+    sim_digest_add (w->digest, w->now, i, out->pdata[k]);
   judge_launches (w, i, n->epoch_read, out);
   n->epoch_acting = n->epoch_read;
   n->epoch_read = n->epoch_sent;
@@ -370,6 +372,7 @@
   w->lease_s = 14;
   w->cancel_s = 36;
   w->rand = g_rand_new_with_seed (seed);
+  w->digest = sim_digest_new ();
   w->events = g_sequence_new (g_free);
   w->broken = g_ptr_array_new_with_free_func (g_free);
   w->loss = 0.002;
@@ -439,5 +442,6 @@
   g_sequence_free (w->events);
   g_ptr_array_unref (w->broken);
   g_rand_free (w->rand);
+  sim_digest_finish (w->digest);
   g_free (w);
 }
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -3,6 +3,7 @@
  * same seed plays the same day. Every rule of the protocol is checked. */
 #pragma once
 #include "coordination/core.h"
+#include "sim/digest.h"
 #include "sim/troubles.h"
 #include <jansson.h>
 
@@ -160,6 +161,7 @@
 struct World {
   double now;
   GRand *rand;
+  SimDigest *digest;
   GSequence *events;
   guint64 seq;
   const WControllers *controllers; /* NULL: cores in this process */
