--- a/src/bookkeeping/absence.c
+++ b/src/bookkeeping/absence.c
@@ -140,7 +140,7 @@
     deaf += deaf_now (c, m);
   }
   if (deaf > 2 && deaf > c->pol.silent_share * up) {
-    hr_leader_abdicate (c, "what this node answers reaches few workers");
+    hr_leadership_resign (c, "what this node answers reaches few workers");
     return;
   }
   /* When many fall silent at once it is more likely us than them. Their reports come spread
--- a/src/bookkeeping/apply.c
+++ b/src/bookkeeping/apply.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 static void
-applied_map (HrCore *c, const json_t *v, guint64 stamp)
+apply_leader_record (HrCore *c, const json_t *v, guint64 stamp)
 {
   guint64 baton = 0;
   const char *o = hr_json_str (v, "o"), *inc = hr_json_str (v, "i");
@@ -21,7 +21,7 @@
 }
 
 static void
-applied_leader (HrCore *c, const json_t *v, guint64 stamp)
+apply_leader_lock (HrCore *c, const json_t *v, guint64 stamp)
 {
   g_clear_pointer (&c->leader_label, g_free);
   g_clear_pointer (&c->leader_inc, g_free);
@@ -181,9 +181,9 @@
 {
   if (strcmp (key, "h/map") == 0) {
     if (v && stamp > c->map_stamp)
-      applied_map (c, v, stamp);
+      apply_leader_record (c, v, stamp);
   } else if (strcmp (key, "h/leader") == 0)
-    applied_leader (c, v, stamp);
+    apply_leader_lock (c, v, stamp);
   else if (strcmp (key, "h/types") == 0) {
     c->types_stamp = v ? stamp : 0;
     if (v && !c->types)
--- a/src/bookkeeping/follow.c
+++ b/src/bookkeeping/follow.c
@@ -58,7 +58,7 @@
     epoch = MAX (epoch, stamp);
   }
   c->applied = MAX (c->applied, epoch);
-  hr_leader_map_read (c);
+  hr_leadership_record_read (c);
   return TRUE;
 }
 
@@ -178,7 +178,7 @@
     c->synced_once = TRUE;
   }
   if (status == 410)
-    hr_leader_begin_anew (c, "the changes since the last reading are gone");
+    hr_leadership_reset (c, "the changes since the last reading are gone");
   if (status == 429) { /* there are too many of us just now: the next reading serves them */
     for (guint i = 0; i < c->waiters_now->len; i++) {
       HrWaiter *w = &g_array_index (c->waiters_now, HrWaiter, i);
--- a/src/coordination/core.c
+++ b/src/coordination/core.c
@@ -292,7 +292,7 @@
 static void
 tick (HrCore *c)
 {
-  hr_leader_tick (c);
+  hr_leadership_tick (c);
   hr_absence_tick (c);
   hr_fleet_tick (c);
   hr_garbage_tick (c);
@@ -342,7 +342,7 @@
       result (c, cmd);
       break;
     case HR_C_HINT:
-      hr_leader_hint (c, cmd->hint);
+      hr_membership_status_received (c, cmd->hint);
       break;
     case HR_C_TICK:
       tick (c);
--- a/src/coordination/fleet.c
+++ b/src/coordination/fleet.c
@@ -152,7 +152,7 @@
     c->types_at = c->now;
     hr_call (c, HR_TO_CLOUD, NULL, HR_GET, g_strdup ("/machine_types"), NULL, 5, on_types, NULL);
   }
-  if (!c->leads || !hr_leader_may_answer (c))
+  if (!c->leads || !hr_leadership_may_answer (c))
     return;
   hr_machine_list_tick (c);
   give_up_boots (c);
--- a/src/coordination/leader.c
+++ b/src/coordination/leader.c
@@ -11,7 +11,7 @@
 #define HINT_SOON_S 0.2
 
 static gboolean
-peer_fresh (const HrCore *c, const HrPeerView *p)
+peer_is_fresh (const HrCore *c, const HrPeerView *p)
 {
   return c->now - p->at < 3.5;
 }
@@ -19,12 +19,12 @@
 /* A node that hears no other cannot tell an outage from a cut of its own. It takes it
  * for a cut: not ready, so that users go elsewhere, and soon silent to workers. */
 gboolean
-hr_leader_outage_for_all (const HrCore *c)
+hr_membership_store_outage_for_all (const HrCore *c)
 {
   gboolean heard = c->set->members->len == 0;
   for (guint i = 0; i < c->peers->len; i++) {
     const HrPeerView *p = &g_array_index (c->peers, HrPeerView, i);
-    if (!peer_fresh (c, p))
+    if (!peer_is_fresh (c, p))
       continue;
     heard = TRUE;
     if (p->hint.store_served)
@@ -37,7 +37,7 @@
  * the owner: each of the other members said so, after it had heard our clock. With none,
  * there is nobody who could. */
 static double
-attested_at (const HrCore *c)
+attested_until (const HrCore *c)
 {
   double t = c->now;
   if (!c->synced_once)
@@ -61,16 +61,16 @@
  * alike stops sooner: another leads by then, and while its workers still hear us they do
  * not look for that one. */
 gboolean
-hr_leader_may_answer (const HrCore *c)
+hr_leadership_may_answer (const HrCore *c)
 {
   double hold = c->pol.hold_s;
-  if (!hr_leader_outage_for_all (c))
+  if (!hr_membership_store_outage_for_all (c))
     hold = MIN (hold, c->pol.alone_s);
-  return c->leads && c->now - MAX (c->confirmed_at, attested_at (c)) <= hold;
+  return c->leads && c->now - MAX (c->confirmed_at, attested_until (c)) <= hold;
 }
 
 static void
-become (HrCore *c)
+begin_term (HrCore *c)
 {
   c->leads = TRUE;
   c->led_at = c->now;
@@ -79,11 +79,11 @@
   c->list_at = 0;
   c->rent_at = c->now;
   c->counters.terms++;
-  hr_tasks_take_over (c);
+  hr_failover_take_over (c);
 }
 
 void
-hr_leader_step_down (HrCore *c, const char *why)
+hr_leadership_step_down (HrCore *c, const char *why)
 {
   if (c->leads)
     g_message ("this node no longer leads: %s; token=%" G_GUINT64_FORMAT " reading_age=%.2f", why,
@@ -97,41 +97,41 @@
 
 /* After every reading: does the map name this very process? */
 void
-hr_leader_map_read (HrCore *c)
+hr_leadership_record_read (HrCore *c)
 {
   gboolean mine =
       c->map_stamp && g_strcmp0 (c->map_inc, c->incarnation) == 0 && c->baton > c->fenced;
   if (mine && !c->leads)
-    become (c);
+    begin_term (c);
   else if (!mine && c->leads)
-    hr_leader_step_down (c, "the map names another owner");
+    hr_leadership_step_down (c, "the map names another owner");
 }
 
 static char *
-owner_text (HrCore *c, guint64 baton)
+leader_record_text (HrCore *c, guint64 baton)
 {
   return hr_json_take_text (
       json_pack ("{sIssss}", "b", (json_int_t)baton, "o", c->set->label, "i", c->incarnation));
 }
 
 static void
-on_read_after (HrCore *c, gboolean ok, gpointer data)
+on_reread (HrCore *c, gboolean ok, gpointer data)
 {
   c->electing = c->raising = FALSE;
 }
 
 static void
-on_taken (HrCore *c, int status, json_t *body, double sent, gpointer data)
+on_leader_record_written (HrCore *c, int status, json_t *body, double sent, gpointer data)
 {
   if (status == 400)
     c->claim = 0;
   c->elect_at = c->now + g_rand_double_range (c->rand, 0.3, 0.8);
   /* Won, lost or unknown: the next reading says who owns the map. */
-  hr_follow_read (c, on_read_after, NULL);
+  hr_follow_read (c, on_reread, NULL);
 }
 
 static void
-on_claim (HrCore *c, int status, json_t *body, double sent, gpointer data)
+on_lock_lease_granted (HrCore *c, int status, json_t *body, double sent, gpointer data)
 {
   c->claim_asked = 0;
   guint64 claim;
@@ -143,7 +143,7 @@
 }
 
 static void
-on_touch (HrCore *c, int status, json_t *body, double sent, gpointer data)
+on_lock_lease_renewed (HrCore *c, int status, json_t *body, double sent, gpointer data)
 {
   c->touching = FALSE;
   if (status == 200)
@@ -155,48 +155,48 @@
 /* The owner of the map is there and only lost its key, in a cut of us all perhaps. It
  * takes the key again at once; to change owners would cost time and proofs. */
 static gboolean
-owner_comes_back (const HrCore *c)
+incumbent_returns (const HrCore *c)
 {
   if (c->leads || c->now - c->leaderless_at > 2)
     return FALSE;
   for (guint i = 0; i < c->peers->len; i++) {
     const HrPeerView *p = &g_array_index (c->peers, HrPeerView, i);
-    if (peer_fresh (c, p) && p->hint.leads && g_strcmp0 (p->hint.incarnation, c->map_inc) == 0)
+    if (peer_is_fresh (c, p) && p->hint.leads && g_strcmp0 (p->hint.incarnation, c->map_inc) == 0)
       return p->hint.store_served || c->now - c->served_since < 2;
   }
   return FALSE;
 }
 
 static void
-consider_standing (HrCore *c)
+consider_election (HrCore *c)
 {
   /* A key of our own label and another incarnation is of a process that ended. */
   gboolean ours_of_old = c->leader_stamp && g_strcmp0 (c->leader_label, c->set->label) == 0 &&
                          g_strcmp0 (c->leader_inc, c->incarnation) != 0;
   if ((c->leader_stamp && !ours_of_old) || c->electing || c->now < c->elect_at ||
       c->now < c->abstain_until || c->now - c->confirmed_at > 2 || !c->types ||
-      owner_comes_back (c))
+      incumbent_returns (c))
     return;
   if (!c->claim) {
     if (!c->claim_asked) {
       c->claim_asked = c->now;
       hr_call (c, HR_TO_STORE, NULL, HR_POST, g_strdup ("/leases"),
                g_strdup_printf ("{\"life_ms\":%d}", (int)(c->pol.leader_lease_s * 1000)), 2,
-               on_claim, NULL);
+               on_lock_lease_granted, NULL);
     }
     return;
   }
   c->electing = TRUE;
   json_t *when =
       hr_cond (hr_cond (json_array (), "h/leader", c->leader_stamp), "h/map", c->map_stamp);
-  json_t *writes = hr_set (json_array (), "h/leader", owner_text (c, 0), c->claim);
-  hr_set (writes, "h/map", owner_text (c, MAX (c->baton, c->fenced) + 1), 0);
-  hr_commit (c, HR_TXN_USER, when, writes, 2, 2, on_taken, NULL);
+  json_t *writes = hr_set (json_array (), "h/leader", leader_record_text (c, 0), c->claim);
+  hr_set (writes, "h/map", leader_record_text (c, MAX (c->baton, c->fenced) + 1), 0);
+  hr_commit (c, HR_TXN_USER, when, writes, 2, 2, on_leader_record_written, NULL);
 }
 
 /* A new token makes every order sent with an older one void wherever it is seen. */
 void
-hr_leader_raise (HrCore *c, const char *why)
+hr_leadership_raise_token (HrCore *c, const char *why)
 {
   if (!c->raise_wanted)
     g_info ("the baton is to be raised: %s", why);
@@ -204,7 +204,7 @@
 }
 
 static void
-consider_raising (HrCore *c)
+consider_token_raise (HrCore *c)
 {
   if (!c->raise_wanted || c->raising || c->electing || c->now - c->raised_at < 3 || c->store_down)
     return;
@@ -212,12 +212,12 @@
   c->raising = TRUE;
   c->raised_at = c->now;
   json_t *when = hr_cond (json_array (), "h/map", c->map_stamp);
-  json_t *writes = hr_set (json_array (), "h/map", owner_text (c, c->baton + 1), 0);
-  hr_commit (c, HR_TXN_USER, when, writes, 1, 2, on_taken, NULL);
+  json_t *writes = hr_set (json_array (), "h/map", leader_record_text (c, c->baton + 1), 0);
+  hr_commit (c, HR_TXN_USER, when, writes, 1, 2, on_leader_record_written, NULL);
 }
 
 static guint
-contacts (HrCore *c)
+count_contacts (HrCore *c)
 {
   if (c->now - c->contact_at >= CONTACT_WINDOW) {
     c->contact_last = c->now - c->contact_at < 2 * CONTACT_WINDOW ? c->contact_count : 0;
@@ -228,15 +228,15 @@
 }
 
 static gboolean
-could_lead (const HrCore *c, const HrPeerView *p)
+is_candidate (const HrCore *c, const HrPeerView *p)
 {
-  return peer_fresh (c, p) && p->hint.store_served;
+  return peer_is_fresh (c, p) && p->hint.store_served;
 }
 
 /* A leader that hears no worker while others do stands back, early enough for the workers to
  * find the next one within their leases. */
 static void
-consider_abdicating (HrCore *c)
+consider_resigning (HrCore *c)
 {
   guint up = 0, heard = 0, elsewhere = 0;
   for (guint i = 0; i < c->fleet->len; i++) {
@@ -246,23 +246,24 @@
   }
   for (guint i = 0; i < c->peers->len; i++) {
     HrPeerView *p = &g_array_index (c->peers, HrPeerView, i);
-    if (could_lead (c, p))
+    if (is_candidate (c, p))
       elsewhere = MAX (elsewhere, p->hint.contacts);
   }
   /* After a cut of us all, workers may try the others first. */
   double since = MAX (c->led_at, c->served_since);
   if (up >= 2 && !heard && elsewhere >= 2 && c->now - since >= 2 * CONTACT_WINDOW)
-    hr_leader_abdicate (c, "no worker reaches this node, others are reached");
+    hr_leadership_resign (c, "no worker reaches this node, others are reached");
 }
 
 /* No order of ours counts any more, and the key is free at once. */
 static void
-give_back (HrCore *c)
+release_lock (HrCore *c)
 {
   c->fenced = c->baton;
   if (c->claim)
     hr_call (c, HR_TO_STORE, NULL, HR_DELETE,
-             g_strdup_printf ("/leases/%" G_GUINT64_FORMAT, c->claim), NULL, 2, on_touch, NULL);
+             g_strdup_printf ("/leases/%" G_GUINT64_FORMAT, c->claim), NULL, 2,
+             on_lock_lease_renewed, NULL);
   c->claim = 0;
 }
 
@@ -270,28 +271,28 @@
  * The map names it all the same; under the same token a late launch would count, of a task that
  * has been placed elsewhere since. So it leads again only by a new map. */
 void
-hr_leader_begin_anew (HrCore *c, const char *why)
+hr_leadership_reset (HrCore *c, const char *why)
 {
   if (c->leads)
-    give_back (c);
-  hr_leader_step_down (c, why);
+    release_lock (c);
+  hr_leadership_step_down (c, why);
 }
 
 void
-hr_leader_abdicate (HrCore *c, const char *why)
+hr_leadership_resign (HrCore *c, const char *why)
 {
   gboolean other = FALSE;
   for (guint i = 0; i < c->peers->len; i++)
-    other |= could_lead (c, &g_array_index (c->peers, HrPeerView, i));
+    other |= is_candidate (c, &g_array_index (c->peers, HrPeerView, i));
   if (!other)
     return; /* better a poor leader than none */
   c->abstain_until = c->now + 15;
-  give_back (c);
-  hr_leader_step_down (c, why);
+  release_lock (c);
+  hr_leadership_step_down (c, why);
 }
 
 static void
-tell (HrCore *c)
+broadcast_status (HrCore *c)
 {
   c->hint_at = c->now;
   c->hint_soon = FALSE;
@@ -304,7 +305,7 @@
   h->map_stamp = c->map_stamp;
   h->store_served = c->synced_once && c->now - c->confirmed_at < 2.5;
   h->leads = c->leads;
-  h->contacts = contacts (c);
+  h->contacts = count_contacts (c);
   h->clock = c->now;
   h->synced = c->synced_once;
   h->withdrawn = c->withdrawn;
@@ -326,7 +327,7 @@
  * of no newer owner and of no withdrawal that we have neither read nor been told. Whether the state
  * service serves it does not matter: what it decides or reads later is in what it states later. */
 static void
-note_statement (HrCore *c, HrPeerView *p)
+note_attestation (HrCore *c, HrPeerView *p)
 {
   const HrHint *h = &p->hint;
   if (!h->synced || h->baton > c->baton ||
@@ -341,7 +342,7 @@
 }
 
 void
-hr_leader_hint (HrCore *c, const HrHint *h)
+hr_membership_status_received (HrCore *c, const HrHint *h)
 {
   gboolean member = FALSE;
   for (guint i = 0; i < c->set->members->len; i++)
@@ -364,20 +365,20 @@
   p->at = c->now;
   hr_withdrawals_take (c, p);
   hr_withdrawals_answered (c, p);
-  note_statement (c, p);
+  note_attestation (c, p);
   hr_format_heard (c, h);
   /* A member that the state service serves has read a newer map, and we, who
    * think we own it, have not: whoever is refused steps down at once. */
   if (c->leads && h->store_served && h->baton > c->baton && c->now - c->confirmed_at > 1.5) {
     c->fenced = c->baton;
-    hr_leader_step_down (c, "a member has read a newer map");
+    hr_leadership_step_down (c, "a member has read a newer map");
   }
 }
 
 void
-hr_leader_tick (HrCore *c)
+hr_leadership_tick (HrCore *c)
 {
-  contacts (c);
+  count_contacts (c);
   if (c->claim && c->now - c->claim_touched > c->pol.leader_lease_s && !c->leads && !c->electing)
     c->claim = 0; /* not kept alive while there is nothing to hold */
   if (c->claim && (c->leads || c->electing) && !c->touching &&
@@ -386,15 +387,15 @@
     c->claim_tried = c->now;
     hr_call (c, HR_TO_STORE, NULL, HR_POST,
              g_strdup_printf ("/leases/%" G_GUINT64_FORMAT "/touch", c->claim), NULL,
-             c->pol.leader_lease_s / 4, on_touch, NULL);
+             c->pol.leader_lease_s / 4, on_lock_lease_renewed, NULL);
   }
   if (c->sync == HR_SYNC_FOLLOWING) {
-    consider_standing (c);
+    consider_election (c);
     if (c->leads) {
-      consider_raising (c);
-      consider_abdicating (c);
+      consider_token_raise (c);
+      consider_resigning (c);
     }
   }
   if (c->now - c->hint_at >= (c->hint_soon ? HINT_SOON_S : HINT_S))
-    tell (c);
+    broadcast_status (c);
 }
--- a/src/coordination/metrics.c
+++ b/src/coordination/metrics.c
@@ -26,7 +26,7 @@
 {
   append_gauge (text, "leads", "1 while this node leads", c->leads);
   append_gauge (text, "may_answer", "1 while it may renew workers' leases",
-                hr_leader_may_answer (c));
+                hr_leadership_may_answer (c));
   append_gauge (text, "token", "fencing token of the map that it has read", (double)c->baton);
   append_gauge (text, "epoch", "revision up to which it has read the ledger", (double)c->applied);
   append_gauge (text, "state_served", "1 while the state service answers it", hr_follow_served (c));
--- a/src/coordination/rentals.c
+++ b/src/coordination/rentals.c
@@ -125,7 +125,7 @@
 
 /* The zone with capacity that holds the fewest of our machines, those asked for in this
  * round (by zone) included. The controllers' own zone takes twice its share: behind a cut
- * of it, its workers still hear the owner (hr_leader_may_answer). */
+ * of it, its workers still hear the owner (hr_leadership_may_answer). */
 static guint32
 best_zone (HrCore *c, const HrType *t, gboolean spot, const guint *asked)
 {
--- a/src/coordination/state.h
+++ b/src/coordination/state.h
@@ -230,18 +230,18 @@
 void hr_urgency_withdrawn (HrCore *c, const GPtrArray *jobs);
 
 /* leader.c */
-void hr_leader_tick (HrCore *c);
-void hr_leader_map_read (HrCore *c);
-void hr_leader_step_down (HrCore *c, const char *why);
+void hr_leadership_tick (HrCore *c);
+void hr_leadership_record_read (HrCore *c);
+void hr_leadership_step_down (HrCore *c, const char *why);
 /* The ledger has to be read anew from the start. */
-void hr_leader_begin_anew (HrCore *c, const char *why);
+void hr_leadership_reset (HrCore *c, const char *why);
 /* Gives the leader's key back and leaves it to others for a while. */
-void hr_leader_abdicate (HrCore *c, const char *why);
-void hr_leader_hint (HrCore *c, const HrHint *h);
-gboolean hr_leader_may_answer (const HrCore *c);
+void hr_leadership_resign (HrCore *c, const char *why);
+void hr_membership_status_received (HrCore *c, const HrHint *h);
+gboolean hr_leadership_may_answer (const HrCore *c);
 /* As far as other members say, the state service answers none of us. */
-gboolean hr_leader_outage_for_all (const HrCore *c);
-void hr_leader_raise (HrCore *c, const char *why);
+gboolean hr_membership_store_outage_for_all (const HrCore *c);
+void hr_leadership_raise_token (HrCore *c, const char *why);
 
 /* admission.c: why a job can never run here; NULL when it can. The machine types are known. */
 char *hr_admission_refusal (HrCore *c, const HrJobSpec *s);
@@ -291,7 +291,7 @@
 void hr_job_open (HrCore *c, HrJob *j);
 
 /* takeover.c */
-void hr_tasks_take_over (HrCore *c);
+void hr_failover_take_over (HrCore *c);
 
 /* fleet.c */
 void hr_fleet_add (HrCore *c, HrMachine *m);
--- a/src/coordination/takeover.c
+++ b/src/coordination/takeover.c
@@ -118,7 +118,7 @@
 
 /* A new owner: what the records say is what may be out there. */
 void
-hr_tasks_take_over (HrCore *c)
+hr_failover_take_over (HrCore *c)
 {
   for (guint i = 0; i < c->machines->len; i++)
     forget_machine (c, c->machines->pdata[i]);
--- a/src/coordination/urgency.c
+++ b/src/coordination/urgency.c
@@ -44,7 +44,7 @@
 
 /* Takes over what one that needs the job asks for. Did anything change? */
 static gboolean
-take_over (HrCore *c, HrJob *j, const HrJob *dependent)
+take_over_urgency (HrCore *c, HrJob *j, const HrJob *dependent)
 {
   double latest = dependent->deadline - dependent->spec.estimate;
   HrRank rank = MIN (j->rank, dependent->rank);
@@ -151,7 +151,7 @@
   gboolean any = FALSE;
   for (guint i = 0; i < j->nawaits; i++) {
     HrJob *awaited = j->awaits[i];
-    if (!counts (awaited) || !take_over (c, awaited, j))
+    if (!counts (awaited) || !take_over_urgency (c, awaited, j))
       continue;
     any = TRUE;
     if (changed)
--- a/src/coordination/users.c
+++ b/src/coordination/users.c
@@ -204,7 +204,7 @@
 {
   if (!c->types || !c->synced_once)
     hr_refuse (c, cmd->id, 503, 1, "still reading the ledger and the machine types");
-  else if (!hr_follow_served (c) && !hr_leader_outage_for_all (c))
+  else if (!hr_follow_served (c) && !hr_membership_store_outage_for_all (c))
     hr_refuse (c, cmd->id, 503, 1, "the state service does not answer this node");
   else
     hr_reply (c, cmd->id, 200, json_pack ("{sb}", "ready", 1), 0);
--- a/src/coordination/workers.c
+++ b/src/coordination/workers.c
@@ -61,7 +61,8 @@
     if (hr_absence_may_clear (c, m, j ? j->idx : HR_NONE, it->task, it->attempt))
       hr_orders_clear (c, m, orders, it->job, it->task, it->attempt);
     else if (++*kept >= MAX_KEPT)
-      hr_leader_raise (c, "a worker holds many ended attempts that cannot be cleared yet");
+      hr_leadership_raise_token (c,
+                                 "a worker holds many ended attempts that cannot be cleared yet");
     return;
   }
   /* It takes room until it is gone. */
@@ -128,7 +129,7 @@
     if (proof)
       hr_task_gone (c, j, ref.task, HR_X_NONE, "its worker's report lacks it");
     else if (m->do_lost)
-      hr_leader_raise (c, "an order to a worker got no answer");
+      hr_leadership_raise_token (c, "an order to a worker got no answer");
   }
 }
 
@@ -287,7 +288,7 @@
     return;
   }
   c->contact_count++;
-  if (!hr_leader_may_answer (c)) {
+  if (!hr_leadership_may_answer (c)) {
     c->counters.reports_refused_not_entitled++;
     hr_renewal_log_refusal (c, NULL, c->leads ? "reading_too_old" : "not_leader");
     send_elsewhere (c, cmd);
