--- a/src/bookkeeping/absence.c
+++ b/src/bookkeeping/absence.c
@@ -17,14 +17,14 @@
  * again and again. So there is a bound: the worker's lease has to end by `cancel_s` after the user
  * was told, which was after the last reading that did not show the withdrawal. */
 gboolean
-hr_absence_withdrawn_may_start (const HrCore *c, const HrMachine *m)
+hr_absence_cancelled_may_start (const HrCore *c, const HrMachine *m)
 {
   gboolean on_its_way = m->do_lost || m->do_out, served = hr_follow_served (c);
   for (guint i = 0; on_its_way && i < m->tasks->len; i++) {
     HrRef r = g_array_index (m->tasks, HrRef, i);
     const HrJob *j = c->jobs->pdata[r.job];
     const HrTask *t = &j->tasks[r.task];
-    if (j->stance == HR_WITHDRAWN && t->state == HR_T_BOUND && t->session == m->session &&
+    if (j->state == HR_JOB_CANCELLED && t->state == HR_T_BOUND && t->session == m->session &&
         t->shown == HR_NOT_SHOWN &&
         ((!served && m->do_lost) || c->now - j->withdrawn_since > c->pol.hold_s))
       return TRUE;
--- a/src/bookkeeping/apply.c
+++ b/src/bookkeeping/apply.c
@@ -71,12 +71,12 @@
   gboolean fresh = !j->known;
   j->known = TRUE;
   j->stamp = stamp;
-  if (r.stance == HR_WITHDRAWN)
-    hr_withdrawals_note (c, j, stamp);
+  if (r.state == HR_JOB_CANCELLED)
+    hr_cancellation_log_append (c, j, stamp);
   g_free (j->tag);
   j->tag = g_steal_pointer (&r.tag);
   if (r.tombstone) {
-    j->stance = r.stance;
+    j->state = r.state;
     j->told = FALSE;
     j->ntasks = r.ntasks;
     j->nrdone = r.ndone;
@@ -111,14 +111,14 @@
     j->pages[0].stamp = stamp;
   /* A reading may be older than what a member told; a withdrawal is final all the same. */
   gboolean was_told = j->told;
-  j->told = was_told && r.stance == HR_QUEUED;
-  HrStance before = j->stance;
-  j->stance = j->told ? HR_WITHDRAWN : r.stance; /* a derived withdrawal is derived again */
+  j->told = was_told && r.state == HR_JOB_QUEUED;
+  HrJobState before = j->state;
+  j->state = j->told ? HR_JOB_CANCELLED : r.state; /* a derived withdrawal is derived again */
   hr_dependencies_read (c, j, (const char *const *)awaits);
   hr_job_open (c, j);
-  gboolean withdrawn = r.stance == HR_WITHDRAWN || j->told;
-  if (c->leads && withdrawn && (before != HR_WITHDRAWN || was_told))
-    hr_job_withdrawn (c, j);
+  gboolean cancelled = r.state == HR_JOB_CANCELLED || j->told;
+  if (c->leads && cancelled && (before != HR_JOB_CANCELLED || was_told))
+    hr_job_cancelled (c, j);
   c->plan_dirty = TRUE;
   return TRUE;
 }
--- a/src/bookkeeping/bookkeeping.h
+++ b/src/bookkeeping/bookkeeping.h
@@ -88,7 +88,7 @@
 double hr_absence_lease (const HrCore *c);
 gboolean hr_absence_lease_over (const HrCore *c, const HrMachine *m);
 gboolean hr_absence_orders_settled (const HrMachine *m);
-gboolean hr_absence_withdrawn_may_start (const HrCore *c, const HrMachine *m);
+gboolean hr_absence_cancelled_may_start (const HrCore *c, const HrMachine *m);
 void hr_absence_note_direct (HrMachine *m, guint32 job, guint32 task, guint32 try, guint64 token);
 gboolean hr_absence_may_clear (const HrCore *c, HrMachine *m, guint32 job, guint32 task,
                                guint32 try);
--- a/src/bookkeeping/dependencies.c
+++ b/src/bookkeeping/dependencies.c
@@ -17,7 +17,7 @@
 static gboolean
 final (const HrJob *j)
 {
-  return j->known && j->stance != HR_QUEUED && !j->told;
+  return j->known && j->state != HR_JOB_QUEUED && !j->told;
 }
 
 static void
@@ -45,7 +45,7 @@
 {
   for (guint i = 0; i < j->nawaits; i++) {
     HrJob *awaited = j->awaits[i];
-    if (final (awaited) && awaited->stance == HR_WITHDRAWN)
+    if (final (awaited) && awaited->state == HR_JOB_CANCELLED)
       return awaited->withdrawn_with ? awaited->withdrawn_with : awaited;
   }
   return NULL;
@@ -59,13 +59,13 @@
 }
 
 static void
-derive_withdrawn (HrCore *c, HrJob *j, HrJob *root)
+derive_cancelled (HrCore *c, HrJob *j, HrJob *root)
 {
-  j->stance = HR_WITHDRAWN;
+  j->state = HR_JOB_CANCELLED;
   j->withdrawn_with = root;
   g_debug ("%s is withdrawn with %s", j->id, root->id);
   if (c->leads && j->nlive)
-    hr_job_withdrawn (c, j); /* it cannot have a task; should it, that is stopped */
+    hr_job_cancelled (c, j); /* it cannot have a task; should it, that is stopped */
   else
     note_for_tombstone (c, j);
 }
@@ -82,37 +82,37 @@
 hr_dependencies_final (HrCore *c, HrJob *j)
 {
   g_autoptr (GPtrArray) todo = g_ptr_array_new ();
-  g_autoptr (GPtrArray) withdrawn = g_ptr_array_new ();
+  g_autoptr (GPtrArray) cancelled = g_ptr_array_new ();
   g_ptr_array_add (todo, j);
   while (todo->len) {
     HrJob *over = g_ptr_array_steal_index_fast (todo, todo->len - 1);
     g_autoptr (GPtrArray) dependents = g_steal_pointer (&over->dependents);
-    if (over->stance == HR_WITHDRAWN)
-      g_ptr_array_add (withdrawn, over);
+    if (over->state == HR_JOB_CANCELLED)
+      g_ptr_array_add (cancelled, over);
     for (guint i = 0; dependents && i < dependents->len; i++) {
       HrJob *d = dependents->pdata[i];
-      if (d->stance != HR_QUEUED)
+      if (d->state != HR_JOB_QUEUED)
         continue;
-      if (over->stance == HR_WITHDRAWN) {
-        derive_withdrawn (c, d, over->withdrawn_with ? over->withdrawn_with : over);
+      if (over->state == HR_JOB_CANCELLED) {
+        derive_cancelled (c, d, over->withdrawn_with ? over->withdrawn_with : over);
         g_ptr_array_add (todo, d);
       } else if (!hr_job_waits (d))
         become_ready (c, d);
     }
   }
-  hr_urgency_withdrawn (c, withdrawn);
+  hr_urgency_withdrawn (c, cancelled);
 }
 
 void
 hr_dependencies_read (HrCore *c, HrJob *j, const char *const *ids)
 {
   name_awaited (c, j, ids);
-  HrJob *root = j->stance == HR_QUEUED ? cancelled_before (j) : NULL;
+  HrJob *root = j->state == HR_JOB_QUEUED ? cancelled_before (j) : NULL;
   if (root)
-    derive_withdrawn (c, j, root);
-  else if (j->stance == HR_WITHDRAWN && hr_job_waits (j))
+    derive_cancelled (c, j, root);
+  else if (j->state == HR_JOB_CANCELLED && hr_job_waits (j))
     note_for_tombstone (c, j); /* it never was in the list of open jobs */
-  if (j->stance == HR_WITHDRAWN && !j->told)
+  if (j->state == HR_JOB_CANCELLED && !j->told)
     hr_dependencies_final (c, j);
   hr_urgency_read (c, j);
 }
@@ -149,7 +149,7 @@
 {
   for (guint i = 0; ids && ids[i]; i++) {
     const HrJob *j = hr_job_find (c, ids[i]);
-    if (j && j->known && j->stance == HR_QUEUED && j->spec.shape == HR_SERVICE)
+    if (j && j->known && j->state == HR_JOB_QUEUED && j->spec.shape == HR_SERVICE)
       return ids[i];
   }
   return NULL;
@@ -158,16 +158,16 @@
 char *
 hr_dependencies_reason (const HrJob *j)
 {
-  if (j->stance == HR_WITHDRAWN && j->withdrawn_with)
+  if (j->state == HR_JOB_CANCELLED && j->withdrawn_with)
     return g_strdup_printf ("withdrawn with %s, which it awaits, directly or through others, and "
                             "which its user withdrew",
                             j->withdrawn_with->id);
-  if (j->stance != HR_QUEUED || !hr_job_waits (j))
+  if (j->state != HR_JOB_QUEUED || !hr_job_waits (j))
     return NULL;
   guint n = 0;
   g_autoptr (GString) names = g_string_new (NULL);
   for (guint i = 0; i < j->nawaits; i++) {
-    if (j->awaits[i]->stance == HR_DONE)
+    if (j->awaits[i]->state == HR_JOB_DONE)
       continue;
     if (++n <= NAMED_IN_REASON)
       g_string_append_printf (names, "%s%s", n > 1 ? ", " : "", j->awaits[i]->id);
--- a/src/bookkeeping/follow.c
+++ b/src/bookkeeping/follow.c
@@ -132,7 +132,7 @@
       hr_job_shrink (j);
       j->stamp = 0;
       j->nlive = j->nrdone = j->ndone = 0;
-      j->known = j->stance != HR_QUEUED; /* a final answer, once given, stays */
+      j->known = j->state != HR_JOB_QUEUED; /* a final answer, once given, stays */
       j->listed = FALSE;
     }
   }
--- a/src/bookkeeping/layout.c
+++ b/src/bookkeeping/layout.c
@@ -47,7 +47,7 @@
   without.ntasks = 0;
   without.per_page = 0;
   g_autofree char *text =
-      hr_record_main (&without, c->names, &c->machine_ids, HR_QUEUED, HR_LONGEST_TAG, FALSE);
+      hr_record_main (&without, c->names, &c->machine_ids, HR_JOB_QUEUED, HR_LONGEST_TAG, FALSE);
   return strlen (text);
 }
 
@@ -87,7 +87,7 @@
   gsize most = hr_layout_planned_bytes (c);
   if (!j->per_page) {
     g_autofree char *text =
-        hr_record_main (j, c->names, &c->machine_ids, j->stance, HR_LONGEST_TAG, FALSE);
+        hr_record_main (j, c->names, &c->machine_ids, j->state, HR_LONGEST_TAG, FALSE);
     return strlen (text) > most;
   }
   if (PAGE_BYTES_AROUND + (gsize)j->per_page * task_bytes (c) <= most)
--- a/src/bookkeeping/ledger.c
+++ b/src/bookkeeping/ledger.c
@@ -96,15 +96,15 @@
     }
   }
   if (final) {
-    if (j->stance == HR_QUEUED) {
-      j->stance = HR_DONE;
+    if (j->state == HR_JOB_QUEUED) {
+      j->state = HR_JOB_DONE;
       g_info ("%s is done", j->id);
     }
     j->shrunk = TRUE;
     hr_garbage_job (c, j);
     hr_job_shrink (j);
     hr_dependencies_final (c, j);
-  } else if (j->stance == HR_QUEUED && j->nrdone == j->ntasks)
+  } else if (j->state == HR_JOB_QUEUED && j->nrdone == j->ntasks)
     mark_page (c, j, j->pages);
   c->plan_dirty = TRUE;
 }
@@ -122,7 +122,7 @@
     if (!t->inflight)
       continue;
     t->inflight = 0;
-    if (t->state == HR_T_ASSIGNING && j->stance != HR_QUEUED)
+    if (t->state == HR_T_ASSIGNING && j->state != HR_JOB_QUEUED)
       hr_task_unassign (c, j, i);
   }
   mark_page (c, j, p); /* what is still meant is written anew */
@@ -164,7 +164,7 @@
 {
   if (c->now >= j->write_at)
     return FALSE;
-  return j->stance == HR_QUEUED ? j->ndone < j->ntasks : j->nlive > 0;
+  return j->state == HR_JOB_QUEUED ? j->ndone < j->ntasks : j->nlive > 0;
 }
 
 static void
@@ -266,20 +266,20 @@
   for (guint32 i = from; i < to; i++) {
     HrTask *t = &j->tasks[i];
     /* A job that waits for others has no task: the last guard, here and before launches. */
-    gboolean assign = t->state == HR_T_ASSIGNING && j->stance == HR_QUEUED && !hr_job_waits (j);
+    gboolean assign = t->state == HR_T_ASSIGNING && j->state == HR_JOB_QUEUED && !hr_job_waits (j);
     t->inflight = assign || (t->state == HR_T_DONE && !t->rdone);
     launch |= assign;
     change |= t->inflight;
   }
   /* The last ending and the tombstone are one write where the tasks stand inline. */
-  gboolean done = j->stance == HR_QUEUED && (j->per_page ? j->nrdone : j->ndone) == j->ntasks &&
+  gboolean done = j->state == HR_JOB_QUEUED && (j->per_page ? j->nrdone : j->ndone) == j->ntasks &&
                   (!j->per_page || n == 0);
-  gboolean gone = j->stance != HR_QUEUED && j->nlive == 0 && !j->shrunk && n == 0;
+  gboolean gone = j->state != HR_JOB_QUEUED && j->nlive == 0 && !j->shrunk && n == 0;
   if (!change && !done && !gone)
     return;
   g_autofree char *tag = hr_new_tag (c);
-  char *text = done || gone   ? hr_record_tombstone (j, done ? HR_DONE : j->stance, tag)
-               : !j->per_page ? hr_record_main (j, c->names, &c->machine_ids, j->stance, tag, TRUE)
+  char *text = done || gone   ? hr_record_tombstone (j, done ? HR_JOB_DONE : j->state, tag)
+               : !j->per_page ? hr_record_main (j, c->names, &c->machine_ids, j->state, tag, TRUE)
                               : hr_record_page (j, n, &c->machine_ids, tag, TRUE);
   gsize bytes = strlen (text);
   if (bytes > hr_layout_most_bytes (c) && !done && !gone) {
@@ -296,7 +296,7 @@
   w->when = json_array ();
   w->writes = json_array ();
   /* Those that await the job start once its end is recorded. */
-  gboolean awaited = j->dependents && j->stance == HR_QUEUED && j->ndone == j->ntasks;
+  gboolean awaited = j->dependents && j->state == HR_JOB_QUEUED && j->ndone == j->ntasks;
   w->kind = launch || awaited ? HR_TXN_LAUNCH : HR_TXN_BOOKS;
   p->tag = g_strdup (w->tag);
   p->final = done || gone;
--- a/src/bookkeeping/record.c
+++ b/src/bookkeeping/record.c
@@ -65,10 +65,10 @@
 }
 
 char *
-hr_record_main (const HrJob *j, const HrNames *names, const HrIntern *machines, HrStance stance,
+hr_record_main (const HrJob *j, const HrNames *names, const HrIntern *machines, HrJobState state,
                 const char *tag, gboolean pending)
 {
-  json_t *o = json_pack ("{sssisfsiso}", "w", tag, "s", (int)stance, "t", j->submitted, "q",
+  json_t *o = json_pack ("{sssisfsiso}", "w", tag, "s", (int)state, "t", j->submitted, "q",
                          (int)j->per_page, "j", hr_jobspec_pack (&j->spec, names));
   if (!j->per_page)
     json_object_set_new (o, "x", pack_tasks (j, 0, j->ntasks, machines, pending));
@@ -93,17 +93,17 @@
   }
   HrJob job = {.submitted = submitted, .awaits = named, .nawaits = n};
   hr_job_set_spec (&job, spec, per_page);
-  char *text = hr_record_main (&job, names, NULL, HR_QUEUED, tag, FALSE);
+  char *text = hr_record_main (&job, names, NULL, HR_JOB_QUEUED, tag, FALSE);
   hr_job_shrink (&job);
   return text;
 }
 
 char *
-hr_record_tombstone (const HrJob *j, HrStance stance, const char *tag)
+hr_record_tombstone (const HrJob *j, HrJobState state, const char *tag)
 {
-  json_t *o = json_pack ("{sssisisi}", "w", tag, "s", (int)stance, "n", (int)j->ntasks, "d",
-                         (int)(stance == HR_DONE ? j->ntasks : j->nrdone));
-  if (stance == HR_WITHDRAWN && j->withdrawn_with)
+  json_t *o = json_pack ("{sssisisi}", "w", tag, "s", (int)state, "n", (int)j->ntasks, "d",
+                         (int)(state == HR_JOB_DONE ? j->ntasks : j->nrdone));
+  if (state == HR_JOB_CANCELLED && j->withdrawn_with)
     json_object_set_new (o, "c", json_string (j->withdrawn_with->id));
   pack_extra (o, j);
   return hr_json_take_text (o);
@@ -130,9 +130,9 @@
   guint64 n, d = 0;
   memset (r, 0, sizeof *r);
   const char *tag = hr_json_str (v, "w");
-  if (!tag || !hr_json_count (v, "s", HR_WITHDRAWN, &n))
+  if (!tag || !hr_json_count (v, "s", HR_JOB_CANCELLED, &n))
     return FALSE;
-  r->stance = n;
+  r->state = n;
   const json_t *spec = json_object_get (v, "j");
   if (!spec) {
     if (!hr_json_count (v, "n", HR_MAX_TASKS, &n) || !hr_json_count (v, "d", HR_MAX_TASKS, &d))
--- a/src/bookkeeping/record.h
+++ b/src/bookkeeping/record.h
@@ -11,7 +11,7 @@
 
 typedef struct {
   char *tag;
-  HrStance stance;
+  HrJobState state;
   double submitted;
   guint per_page;
   gboolean resplit; /* pages stand under h/u */
@@ -32,8 +32,8 @@
                        double submitted, guint per_page, const char *tag);
 /* The main record. pending: with the placements and endings under way. */
 char *hr_record_main (const HrJob *j, const HrNames *names, const HrIntern *machines,
-                      HrStance stance, const char *tag, gboolean pending);
-char *hr_record_tombstone (const HrJob *j, HrStance stance, const char *tag);
+                      HrJobState state, const char *tag, gboolean pending);
+char *hr_record_tombstone (const HrJob *j, HrJobState state, const char *tag);
 char *hr_record_page (const HrJob *j, guint page, const HrIntern *machines, const char *tag,
                       gboolean pending);
 /* Tasks from `first` on, as a page of `n` would hold them. */
--- a/src/bookkeeping/split.c
+++ b/src/bookkeeping/split.c
@@ -243,7 +243,7 @@
   after.resplit = TRUE;
   g_autofree char *key = hr_job_key (j);
   hr_set (s->writes, key,
-          hr_record_main (&after, c->names, &c->machine_ids, j->stance, s->tag, FALSE), 0);
+          hr_record_main (&after, c->names, &c->machine_ids, j->state, s->tag, FALSE), 0);
   s->last = TRUE;
 }
 
--- a/src/bookkeeping/tables.c
+++ b/src/bookkeeping/tables.c
@@ -53,7 +53,7 @@
 hr_job_waits (const HrJob *j)
 {
   for (guint i = 0; i < j->nawaits; i++)
-    if (j->awaits[i]->stance != HR_DONE)
+    if (j->awaits[i]->state != HR_JOB_DONE)
       return TRUE;
   return FALSE;
 }
--- a/src/bookkeeping/tables.h
+++ b/src/bookkeeping/tables.h
@@ -4,7 +4,7 @@
 #include "protocol/jobspec.h"
 #include "protocol/worker.h"
 
-typedef enum { HR_QUEUED, HR_DONE, HR_WITHDRAWN } HrStance;
+typedef enum { HR_JOB_QUEUED, HR_JOB_DONE, HR_JOB_CANCELLED } HrJobState;
 
 typedef enum {
   HR_T_IDLE,      /* on no machine, as far as any proof goes */
@@ -52,7 +52,7 @@
   guint32 idx;
   const char *id;
   gboolean known; /* the record has been read or written */
-  HrStance stance;
+  HrJobState state;
   HrJobSpec spec;
   guint64 stamp;                 /* of the main record */
   char *tag;                     /* writer's tag of the main record */
--- a/src/client/hoprock.c
+++ b/src/client/hoprock.c
@@ -56,7 +56,7 @@
 }
 
 static void
-print_state (const Options *o, const HrJobState *s)
+print_state (const Options *o, const HrJobStatus *s)
 {
   if (o->json) {
     json_t *line = json_pack ("{sssssIsI}", "id", s->id, "state", s->state, "done",
@@ -73,11 +73,11 @@
 
 /* Reads and prints the state; returns the exit code. */
 static int
-show (const Options *o, const HrAnswer *a, HrJobState *s)
+show (const Options *o, const HrAnswer *a, HrJobStatus *s)
 {
   gsize size;
   const char *text = hr_answer_text (a, &size);
-  if ((a->status != 200 && a->status != 201) || !hr_job_state_read (text, size, s))
+  if ((a->status != 200 && a->status != 201) || !hr_job_status_read (text, size, s))
     return explain (a);
   print_state (o, s);
   return 0;
@@ -87,7 +87,7 @@
 ask_and_show (const Options *o, HrClient *c, const char *method, const char *path, guint answer_s)
 {
   g_auto (HrAnswer) a = hr_client_ask (c, method, path, NULL, answer_s);
-  g_auto (HrJobState) s = {0};
+  g_auto (HrJobStatus) s = {0};
   return show (o, &a, &s);
 }
 
@@ -126,7 +126,7 @@
   if (!id)
     return wrong_use ("the job has no valid id: `job-` and letters, digits, - _ .");
   g_auto (HrAnswer) a = hr_client_ask (c, "POST", HR_JOBS_PATH, body, SUBMIT_ANSWER_S);
-  g_auto (HrJobState) s = {0};
+  g_auto (HrJobStatus) s = {0};
   int code = show (o, &a, &s);
   if (code == 0 || code == EXIT_GAVE_UP) /* without an answer it may have been accepted */
     hr_history_add (id);
@@ -142,18 +142,18 @@
   g_autofree char *last = NULL;
   for (;;) {
     g_auto (HrAnswer) a = hr_client_ask (c, "GET", path, NULL, POLL_ANSWER_S);
-    g_auto (HrJobState) s = {0};
+    g_auto (HrJobStatus) s = {0};
     gsize size;
     const char *text = hr_answer_text (&a, &size);
     g_autofree char *now = g_strndup (text ? text : "", size);
-    if (a.status != 200 || !hr_job_state_read (text, size, &s))
+    if (a.status != 200 || !hr_job_status_read (text, size, &s))
       return explain (&a);
     if (g_strcmp0 (now, last) != 0)
       print_state (o, &s);
     g_free (last);
     last = g_steal_pointer (&now);
-    if (hr_job_state_final (&s))
-      return hr_job_state_withdrawn (&s) ? EXIT_CANCELLED : 0;
+    if (hr_job_status_is_final (&s))
+      return hr_job_status_is_cancelled (&s) ? EXIT_CANCELLED : 0;
     g_usleep ((gulong)WATCH_EVERY_S * G_USEC_PER_SEC);
   }
 }
--- a/src/coordination/claims.c
+++ b/src/coordination/claims.c
@@ -52,7 +52,7 @@
   for (guint i = 0; i < c->open->len; i++) {
     HrJob *j = c->jobs->pdata[g_array_index (c->open, guint32, i)];
     const HrJobSpec *s = &j->spec;
-    if (j->stance != HR_QUEUED || s->shape != HR_SERVICE || !j->tasks)
+    if (j->state != HR_JOB_QUEUED || s->shape != HR_SERVICE || !j->tasks)
       continue;
     guint left = MIN (j->ntasks - j->nlive, hr_limits_grant (c, j));
     for (guint k = 0; k < c->fleet->len && left; k++) {
--- a/src/coordination/command.c
+++ b/src/coordination/command.c
@@ -2,7 +2,7 @@
 #include <string.h>
 
 gboolean
-hr_named_add (HrNamedWithdrawals *n, const char *id)
+hr_named_cancellations_add (HrNamedCancellations *n, const char *id)
 {
   gsize size = strlen (id) + 1;
   if (size > sizeof n->ids - n->bytes)
@@ -14,7 +14,7 @@
 }
 
 const char *
-hr_named_next (const HrNamedWithdrawals *n, const char *id)
+hr_named_cancellations_next (const HrNamedCancellations *n, const char *id)
 {
   const char *next = id ? id + strlen (id) + 1 : n->ids;
   return next < n->ids + n->bytes ? next : NULL;
--- a/src/coordination/command.h
+++ b/src/coordination/command.h
@@ -9,7 +9,7 @@
 #define HR_MAX_OVERSIZED 4
 #define HR_JOB_ID_MOST 100
 /* Room for the job ids that one hint names. With it the largest hint still fits a frame. */
-#define HR_NAMED_BYTES 960
+#define HR_NAMED_CANCELLATIONS_BYTES 960
 
 /* The clock of a member, as its last hint told it: for that member alone to read. */
 typedef struct {
@@ -24,10 +24,10 @@
 typedef struct {
   gboolean stated; /* FALSE: the hint of a version that has no such log */
   guint64 dropped, begins, first, ends;
-  guint count;              /* of the ids named, from position `first` on */
-  guint bytes;              /* used of `ids` */
-  char ids[HR_NAMED_BYTES]; /* one after the other, each with its terminating NUL */
-} HrNamedWithdrawals;
+  guint count;                            /* of the ids named, from position `first` on */
+  guint bytes;                            /* used of `ids` */
+  char ids[HR_NAMED_CANCELLATIONS_BYTES]; /* one after the other, each with its terminating NUL */
+} HrNamedCancellations;
 
 /* What members tell one another about once a second. Hints, on which no rule rests, but
  * for one statement: by the time it was made, its sender and the processes before it had
@@ -42,7 +42,7 @@
   gboolean synced; /* has read the whole ledger once; without that, `withdrawn` says nothing */
   guint64 withdrawn;
   guint64 applied; /* revision up to which the sender has read the ledger */
-  HrNamedWithdrawals named;
+  HrNamedCancellations named;
   HrEcho echoes[HR_MAX_ECHOES];
   guint nechoes;
   guint32 format; /* of records, that the sender reads and writes; 0: it says nothing */
@@ -80,9 +80,9 @@
 } HrEffect;
 
 /* Adds a job's id to those named; FALSE when there is no room. */
-gboolean hr_named_add (HrNamedWithdrawals *n, const char *id);
+gboolean hr_named_cancellations_add (HrNamedCancellations *n, const char *id);
 /* The first id named, or the one after `id`; NULL after the last. */
-const char *hr_named_next (const HrNamedWithdrawals *n, const char *id);
+const char *hr_named_cancellations_next (const HrNamedCancellations *n, const char *id);
 
 /* As it stands in a request line. */
 HrMethod hr_method_of (const char *name);
--- a/src/coordination/core.c
+++ b/src/coordination/core.c
@@ -102,7 +102,7 @@
 {
   guint32 i = hr_intern_find (&c->job_ids, id);
   HrJob *j = i == HR_NONE ? NULL : c->jobs->pdata[i];
-  return j && j->record_unreadable && !(j->known && j->stance != HR_QUEUED);
+  return j && j->record_unreadable && !(j->known && j->state != HR_JOB_QUEUED);
 }
 
 HrJob *
@@ -193,7 +193,7 @@
   c->waiters = g_array_new (FALSE, TRUE, sizeof (HrWaiter));
   c->waiters_now = g_array_new (FALSE, TRUE, sizeof (HrWaiter));
   c->peers = g_array_new (FALSE, TRUE, sizeof (HrPeerView));
-  c->withdrawals = g_array_new (FALSE, FALSE, sizeof (HrWithdrawal));
+  c->withdrawals = g_array_new (FALSE, FALSE, sizeof (HrCancellation));
   hr_intern_init (&c->job_ids);
   hr_intern_init (&c->machine_ids);
   c->jobs = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_job_free);
--- a/src/coordination/dispatch.c
+++ b/src/coordination/dispatch.c
@@ -256,7 +256,7 @@
   g_autoptr (GPtrArray) services = g_ptr_array_new ();
   for (guint i = 0; i < c->open->len; i++) {
     HrJob *j = c->jobs->pdata[g_array_index (c->open, guint32, i)];
-    if (j->stance != HR_QUEUED || !j->tasks)
+    if (j->state != HR_JOB_QUEUED || !j->tasks)
       continue;
     if (j->spec.shape == HR_SERVICE && j->nlive < j->ntasks)
       g_ptr_array_add (services, j);
--- a/src/coordination/held_back.c
+++ b/src/coordination/held_back.c
@@ -17,7 +17,7 @@
 static gboolean
 waits (HrCore *c, const HrJob *j)
 {
-  return j->stance == HR_QUEUED && j->tasks && j->spec.shape == HR_BATCH &&
+  return j->state == HR_JOB_QUEUED && j->tasks && j->spec.shape == HR_BATCH &&
          j->nlive + j->ndone < j->ntasks && c->now >= j->retry_at && hr_team_allows (c, j, 1);
 }
 
--- a/src/coordination/leader.c
+++ b/src/coordination/leader.c
@@ -311,7 +311,7 @@
   h->withdrawn = c->withdrawn;
   hr_format_tell (c, h);
   h->applied = c->applied;
-  hr_withdrawals_name (c, h);
+  hr_cancellation_log_fill_status (c, h);
   for (guint i = 0; i < MIN (c->peers->len, HR_MAX_ECHOES); i++) {
     const HrPeerView *p = &g_array_index (c->peers, HrPeerView, i);
     HrEcho *o = &h->echoes[h->nechoes++];
@@ -331,7 +331,7 @@
 {
   const HrHint *h = &p->hint;
   if (!h->synced || h->baton > c->baton ||
-      (h->withdrawn > c->applied && !hr_withdrawals_all_taken (c, p)))
+      (h->withdrawn > c->applied && !hr_cancellation_log_all_taken (c, p)))
     return;
   for (guint i = 0; i < h->nechoes; i++) {
     const HrEcho *e = &h->echoes[i];
@@ -363,8 +363,8 @@
     p->taken = 0; /* positions count anew in each process */
   p->hint = *h;
   p->at = c->now;
-  hr_withdrawals_take (c, p);
-  hr_withdrawals_answered (c, p);
+  hr_cancellation_log_take_named (c, p);
+  hr_cancellation_log_acknowledged (c, p);
   note_attestation (c, p);
   hr_format_heard (c, h);
   /* A member that the state service serves has read a newer map, and we, who
--- a/src/coordination/limits.c
+++ b/src/coordination/limits.c
@@ -50,7 +50,7 @@
     if (j->unreadable && c->now < j->retry_at)
       n = j->ntasks - j->ndone;
     hr_amount_add (&u->used, hr_amount_of (&j->spec, n));
-    if (j->stance != HR_QUEUED || !j->tasks || !u->limited)
+    if (j->state != HR_JOB_QUEUED || !j->tasks || !u->limited)
       continue;
     for (guint32 k = 0; k < j->ntasks && j->nlive; k++)
       if (j->tasks[k].state == HR_T_BOUND && j->tasks[k].kill)
@@ -73,7 +73,7 @@
 static gboolean
 waits (const HrCore *c, const HrJob *j)
 {
-  return j->stance == HR_QUEUED && j->tasks && !j->gang_over && hr_limits_idle (j) &&
+  return j->state == HR_JOB_QUEUED && j->tasks && !j->gang_over && hr_limits_idle (j) &&
          c->now >= j->retry_at;
 }
 
@@ -130,7 +130,7 @@
 release_at (HrCore *c, HrJob *j, const HrTask *t)
 {
   HrMachine *m = c->machines->pdata[t->machine];
-  if (t->state == HR_T_BOUND && (t->kill || j->stance != HR_QUEUED))
+  if (t->state == HR_T_BOUND && (t->kill || j->state != HR_JOB_QUEUED))
     return c->now + (hr_reachable (c, m) ? t->grace + STOP_AND_START_S : hr_absence_lease (c));
   return hr_running_end (c, j, t, m);
 }
--- a/src/coordination/limits_room.c
+++ b/src/coordination/limits_room.c
@@ -19,7 +19,7 @@
 {
   const HrTask *t = &victim->tasks[task];
   return victim->spec.team == j->spec.team && hr_job_rank (victim) > hr_job_rank (j) &&
-         victim->stance == HR_QUEUED && !victim->gang_over && t->state == HR_T_BOUND && !t->kill;
+         victim->state == HR_JOB_QUEUED && !victim->gang_over && t->state == HR_T_BOUND && !t->kill;
 }
 
 static int
--- a/src/coordination/metrics.c
+++ b/src/coordination/metrics.c
@@ -37,21 +37,21 @@
 static void
 append_work (const HrCore *c, GString *text)
 {
-  guint queued = 0, bound = 0, withdrawn = 0;
+  guint queued = 0, bound = 0, cancelled = 0;
   for (guint i = 0; i < c->open->len; i++) {
     const HrJob *j = c->jobs->pdata[g_array_index (c->open, guint32, i)];
-    queued += j->stance == HR_QUEUED;
+    queued += j->state == HR_JOB_QUEUED;
     for (guint32 k = 0; j->tasks && k < j->ntasks; k++) {
       gboolean there = j->tasks[k].state == HR_T_BOUND;
       bound += there;
-      withdrawn += there && j->stance == HR_WITHDRAWN;
+      cancelled += there && j->state == HR_JOB_CANCELLED;
     }
   }
   append_gauge (text, "jobs_known", "jobs whose records it has read", c->jobs->len);
   append_gauge (text, "jobs_queued", "jobs that are not final and wait for none", queued);
   append_gauge (text, "tasks_bound", "tasks recorded on machines, as the leader knows", bound);
   append_gauge (text, "tasks_withdrawn", "of these, tasks of withdrawn jobs that are to go",
-                withdrawn);
+                cancelled);
 }
 
 static void
--- a/src/coordination/orders.c
+++ b/src/coordination/orders.c
@@ -12,7 +12,7 @@
 {
   /* What an earlier owner recorded is not launched: it may have ended and made
    * place for others since. It is seen on its machine, or proven gone. */
-  return j->stance == HR_QUEUED && !hr_job_waits (j) && !t->kill && !t->inherited &&
+  return j->state == HR_JOB_QUEUED && !hr_job_waits (j) && !t->kill && !t->inherited &&
          (j->spec.shape != HR_GANG ||
           (!j->gang_over && hr_gang_ready (j) && !hr_gang_holds_back (c, j, t)));
 }
@@ -38,7 +38,7 @@
 static const char *
 stop_reason (const HrJob *j)
 {
-  return j->stance == HR_WITHDRAWN ? "withdrawn" : j->gang_over ? "gang_over" : "wanted";
+  return j->state == HR_JOB_CANCELLED ? "withdrawn" : j->gang_over ? "gang_over" : "wanted";
 }
 
 static void
--- a/src/coordination/planner.c
+++ b/src/coordination/planner.c
@@ -10,7 +10,7 @@
 stands (HrCore *c, HrMachine *m, HrRef r)
 {
   HrJob *j = hr_job_of (c, r);
-  return j->tasks && j->stance == HR_QUEUED && j->tasks[r.task].state == HR_T_IDLE &&
+  return j->tasks && j->state == HR_JOB_QUEUED && j->tasks[r.task].state == HR_T_IDLE &&
          !j->gang_over && hr_allowed (c, j, m) && hr_zone_ok (c, j, m);
 }
 
@@ -67,7 +67,7 @@
     i++;
     if (!j->parted || (j->part != HR_NONE && j->part >= c->nparts))
       hr_part_choose (c, j);
-    if (j->stance == HR_QUEUED && j->spec.shape != HR_SERVICE && !j->gang_over &&
+    if (j->state == HR_JOB_QUEUED && j->spec.shape != HR_SERVICE && !j->gang_over &&
         j->retry_at <= c->now && hr_team_allows (c, j, 1) && j->nlive + j->ndone < j->ntasks) {
       g_ptr_array_add (fresh, j);
       guint left = j->ntasks - j->nlive - j->ndone - j->planned;
--- a/src/coordination/renewal.c
+++ b/src/coordination/renewal.c
@@ -9,7 +9,7 @@
 static gboolean
 is_over (const HrJob *j)
 {
-  return j->told || (j->known && j->stance != HR_QUEUED);
+  return j->told || (j->known && j->state != HR_JOB_QUEUED);
 }
 
 static const HrJob *
@@ -120,7 +120,7 @@
 hr_renewal_answer (HrCore *c, HrCommand *cmd, HrMachine *m, const HrReport *r, HrRenewalKind kind,
                    json_t *orders)
 {
-  if (hr_absence_withdrawn_may_start (c, m)) {
+  if (hr_absence_cancelled_may_start (c, m)) {
     withhold (c, cmd, m, orders, "order_may_come");
     return;
   }
--- a/src/coordination/rent.c
+++ b/src/coordination/rent.c
@@ -241,7 +241,7 @@
   for (guint i = 0; i < c->open->len; i++) {
     HrJob *j = c->jobs->pdata[g_array_index (c->open, guint32, i)];
     gint left = (gint)j->ntasks - (gint)(j->nlive + j->ndone + j->planned);
-    if (j->stance != HR_QUEUED || j->spec.shape == HR_SERVICE || j->gang_over || left <= 0 ||
+    if (j->state != HR_JOB_QUEUED || j->spec.shape == HR_SERVICE || j->gang_over || left <= 0 ||
         j->retry_at > c->now || !hr_team_allows (c, j, 1) || beyond_fleet (c, j))
       continue;
     /* No machine is rented for what the limit holds back; what stands in lists has its part
@@ -259,7 +259,7 @@
 projected_end (HrCore *c, HrJob *j)
 {
   double end = c->now;
-  if (j->stance != HR_QUEUED || !j->tasks || j->nlive + j->ndone < j->ntasks)
+  if (j->state != HR_JOB_QUEUED || !j->tasks || j->nlive + j->ndone < j->ntasks)
     return INFINITY;
   for (guint32 i = 0; i < j->ntasks && isfinite (end); i++) {
     const HrTask *t = &j->tasks[i];
@@ -280,7 +280,7 @@
   gboolean first = TRUE;
   for (guint i = 0; i < j->nawaits; i++) {
     const HrJob *a = j->awaits[i];
-    if (a->stance == HR_DONE)
+    if (a->state == HR_JOB_DONE)
       continue;
     if (!a->listed || a->ends_at > horizon || (first && a != by))
       return 0;
@@ -324,7 +324,7 @@
     for (guint k = 0; j->ends_at <= horizon && k < j->dependents->len; k++) {
       HrJob *d = j->dependents->pdata[k];
       HrCursor at = {0};
-      guint left = d->stance == HR_QUEUED && d->tasks ? tasks_ahead (c, d, j, horizon) : 0;
+      guint left = d->state == HR_JOB_QUEUED && d->tasks ? tasks_ahead (c, d, j, horizon) : 0;
       guint use = MIN (left, kept[d->spec.klass]);
       kept[d->spec.klass] -= use;
       for (guint n = MIN (left - use, AHEAD_MOST); n > 0 && hr_team_allows (c, d, 1); n--)
--- a/src/coordination/requests.h
+++ b/src/coordination/requests.h
@@ -2,7 +2,7 @@
 #pragma once
 #include "coordination/state.h"
 
-typedef enum { HR_REQUEST_POLL, HR_REQUEST_SUBMIT, HR_REQUEST_ABORT } HrRequestKind;
+typedef enum { HR_REQUEST_POLL, HR_REQUEST_SUBMIT, HR_REQUEST_CANCEL } HrRequestKind;
 typedef struct {
   guint64 reply_id; /* of the command that it came with */
   HrRequestKind kind;
--- a/src/coordination/state.h
+++ b/src/coordination/state.h
@@ -70,7 +70,7 @@
 typedef struct {
   guint32 job;
   guint64 stamp;
-} HrWithdrawal;
+} HrCancellation;
 
 /* What a limit of a team is about. */
 typedef struct {
@@ -118,7 +118,7 @@
   guint64 withdrawn; /* stamp of the latest withdrawal that we have read or confirmed */
 
   /* The log of withdrawals (withdrawals.c). */
-  GArray *withdrawals;         /* HrWithdrawal, in the order in which we learnt of them */
+  GArray *withdrawals;         /* HrCancellation, in the order in which we learnt of them */
   guint64 withdrawals_begin;   /* position of the first one kept */
   guint64 withdrawals_dropped; /* stamp up to which some may have been dropped */
 
@@ -247,11 +247,11 @@
 char *hr_admission_refusal (HrCore *c, const HrJobSpec *s);
 
 /* withdrawals.c: naming withdrawals to a leader that cannot read them */
-void hr_withdrawals_note (HrCore *c, const HrJob *j, guint64 stamp);
-void hr_withdrawals_name (HrCore *c, HrHint *h);
-void hr_withdrawals_take (HrCore *c, HrPeerView *p);
-gboolean hr_withdrawals_all_taken (const HrCore *c, const HrPeerView *p);
-void hr_withdrawals_answered (HrCore *c, const HrPeerView *p);
+void hr_cancellation_log_append (HrCore *c, const HrJob *j, guint64 stamp);
+void hr_cancellation_log_fill_status (HrCore *c, HrHint *h);
+void hr_cancellation_log_take_named (HrCore *c, HrPeerView *p);
+gboolean hr_cancellation_log_all_taken (const HrCore *c, const HrPeerView *p);
+void hr_cancellation_log_acknowledged (HrCore *c, const HrPeerView *p);
 
 /* users.c */
 void hr_users_request (HrCore *c, HrCommand *cmd);
@@ -280,7 +280,7 @@
 /* A gang completes together: one is done, so all of that attempt (any: of all attempts) are, also
  * those whose machine went before it could say so. */
 void hr_gang_done (HrCore *c, HrJob *j, guint32 attempt, gboolean any);
-void hr_job_withdrawn (HrCore *c, HrJob *j);
+void hr_job_cancelled (HrCore *c, HrJob *j);
 guint32 hr_job_next_try (const HrJob *j);
 /* Tasks that are recorded on machines. The job has its tasks. */
 guint hr_job_bound_tasks (const HrJob *j);
--- a/src/coordination/submissions.c
+++ b/src/coordination/submissions.c
@@ -59,7 +59,7 @@
     HrJob *j = hr_job_get (c, request->id);
     if (!j->known) {
       j->known = TRUE;
-      j->stance = j->told ? HR_WITHDRAWN : HR_QUEUED;
+      j->state = j->told ? HR_JOB_CANCELLED : HR_JOB_QUEUED;
       j->stamp = epoch;
       j->submitted = request->asked;
       g_free (j->tag);
--- a/src/coordination/takeover.c
+++ b/src/coordination/takeover.c
@@ -89,10 +89,10 @@
    * owner renewed; whatever reports to us is told to stop what we do not know. */
   j->retry_at = j->unreadable ? c->led_at + c->pol.hold_s + hr_absence_lease (c) : 0;
   gboolean mixed = take_over_tasks (c, j);
-  if (j->spec.shape == HR_GANG && j->ndone && j->stance == HR_QUEUED)
+  if (j->spec.shape == HR_GANG && j->ndone && j->state == HR_JOB_QUEUED)
     hr_gang_done (c, j, 0, TRUE); /* a large gang's ending was being recorded page by page */
-  if (j->stance == HR_WITHDRAWN)
-    hr_job_withdrawn (c, j);
+  if (j->state == HR_JOB_CANCELLED)
+    hr_job_cancelled (c, j);
   else if (mixed && j->nlive) /* parts of different attempts: begin again with a new one */
     hr_gang_end (c, j, 0);
   if (j->ndone == j->ntasks)
@@ -103,17 +103,17 @@
 static void
 log_term (const HrCore *c)
 {
-  guint jobs = 0, bound = 0, withdrawn = 0;
+  guint jobs = 0, bound = 0, cancelled = 0;
   for (guint i = 0; i < c->open->len; i++) {
     const HrJob *j = c->jobs->pdata[g_array_index (c->open, guint32, i)];
     guint n = j->tasks ? hr_job_bound_tasks (j) : 0;
     jobs++;
     bound += n;
-    withdrawn += j->stance == HR_WITHDRAWN ? n : 0;
+    cancelled += j->state == HR_JOB_CANCELLED ? n : 0;
   }
   g_message ("leads: token=%" G_GUINT64_FORMAT " epoch=%" G_GUINT64_FORMAT
              " reading_age=%.2f jobs=%u bound=%u withdrawn_bound=%u",
-             c->baton, c->applied, c->now - c->confirmed_at, jobs, bound, withdrawn);
+             c->baton, c->applied, c->now - c->confirmed_at, jobs, bound, cancelled);
 }
 
 /* A new owner: what the records say is what may be out there. */
--- a/src/coordination/tasks.c
+++ b/src/coordination/tasks.c
@@ -71,7 +71,7 @@
     return;
   j->gang_over = FALSE;
   j->short_since = 0;
-  if (j->stance != HR_QUEUED)
+  if (j->state != HR_JOB_QUEUED)
     hr_ledger_mark (c, j, 0); /* all are gone: the record can shrink */
 }
 
@@ -200,7 +200,7 @@
   if (j->spec.shape == HR_SERVICE)
     c->planned_at = 0; /* a replica is down: plan at once */
   release (c, j, task);
-  if (!gang || j->gang_over || j->stance != HR_QUEUED)
+  if (!gang || j->gang_over || j->state != HR_JOB_QUEUED)
     return;
   if (!replace)
     hr_gang_end (c, j, 0);
@@ -283,7 +283,7 @@
 }
 
 void
-hr_job_withdrawn (HrCore *c, HrJob *j)
+hr_job_cancelled (HrCore *c, HrJob *j)
 {
   g_info ("%s is withdrawn", j->id);
   c->counters.withdrawals++;
--- a/src/coordination/teams.c
+++ b/src/coordination/teams.c
@@ -53,7 +53,7 @@
   for (guint i = 0; i < c->open->len; i++) {
     HrJob *j = c->jobs->pdata[g_array_index (c->open, guint32, i)];
     j->entitled = j->claims = FALSE;
-    if (j->stance == HR_QUEUED && j->tasks)
+    if (j->state == HR_JOB_QUEUED && j->tasks)
       g_ptr_array_add (jobs, j);
   }
   g_ptr_array_sort (jobs, hr_by_submission);
@@ -80,7 +80,7 @@
 {
   for (guint i = 0; c->entitled_waits && i < c->open->len; i++) {
     HrJob *j = c->jobs->pdata[g_array_index (c->open, guint32, i)];
-    if (!j->claims || j->stance != HR_QUEUED || j->spec.shape == HR_SERVICE || j->gang_over ||
+    if (!j->claims || j->state != HR_JOB_QUEUED || j->spec.shape == HR_SERVICE || j->gang_over ||
         c->now < j->retry_at)
       continue;
     for (guint32 k = j->nlive + j->ndone; k < j->ntasks; k++)
--- a/src/coordination/urgency.c
+++ b/src/coordination/urgency.c
@@ -29,7 +29,7 @@
 static gboolean
 counts (const HrJob *j)
 {
-  return j->known && j->tasks && j->stance == HR_QUEUED;
+  return j->known && j->tasks && j->state == HR_JOB_QUEUED;
 }
 
 static void
--- a/src/coordination/users.c
+++ b/src/coordination/users.c
@@ -38,12 +38,12 @@
 static char *
 reason (HrCore *c, HrJob *j)
 {
-  if (j->stance == HR_DONE)
+  if (j->state == HR_JOB_DONE)
     return g_strdup ("all tasks are done");
   char *others = hr_dependencies_reason (j);
   if (others)
     return others;
-  if (j->stance == HR_WITHDRAWN)
+  if (j->state == HR_JOB_CANCELLED)
     return g_strdup ("withdrawn by its user");
   if (!c->leads)
     return g_strdup_printf ("%s plans this job", c->map_owner ? c->map_owner : "no controller yet");
@@ -67,12 +67,12 @@
 void
 hr_request_answer (HrCore *c, HrUserRequest *request, HrJob *j, int status)
 {
-  guint32 running = 0, done = j->stance == HR_DONE ? j->ntasks : j->nrdone;
-  for (guint32 i = 0; j->tasks && i < j->ntasks && j->stance == HR_QUEUED; i++)
+  guint32 running = 0, done = j->state == HR_JOB_DONE ? j->ntasks : j->nrdone;
+  for (guint32 i = 0; j->tasks && i < j->ntasks && j->state == HR_JOB_QUEUED; i++)
     running += !j->tasks[i].rdone &&
                (c->leads ? j->tasks[i].state == HR_T_BOUND && j->tasks[i].shown == HR_W_RUNNING
                          : j->tasks[i].rmachine != HR_NONE);
-  const char *st = j->stance == HR_QUEUED && running ? "running" : stances[j->stance];
+  const char *st = j->state == HR_JOB_QUEUED && running ? "running" : stances[j->state];
   g_autofree char *why = reason (c, j);
   hr_reply (c, request->reply_id, status,
             json_pack ("{sssssisiss}", "name_id", request->id, "stance", st, "done", (int)done,
@@ -95,7 +95,7 @@
          c->wall - request->asked < GIVE_UP_S;
 }
 
-static void send_abort (HrCore *c, HrUserRequest *request);
+static void send_cancel (HrCore *c, HrUserRequest *request);
 
 void
 hr_request_on_read (HrCore *c, gboolean ok, gpointer data)
@@ -123,8 +123,8 @@
       hr_refuse (c, request->reply_id, 404, 0, "no such job was accepted");
       hr_request_free (request);
     }
-  } else if (request->kind == HR_REQUEST_ABORT && j->stance == HR_QUEUED)
-    send_abort (c, request);
+  } else if (request->kind == HR_REQUEST_CANCEL && j->state == HR_JOB_QUEUED)
+    send_cancel (c, request);
   else
     hr_request_answer (c, request, j, 200);
 }
@@ -133,7 +133,7 @@
 hr_request_answer_final (HrCore *c, HrUserRequest *request)
 {
   HrJob *j = hr_job_find (c, request->id);
-  if (!j || j->stance == HR_QUEUED || j->told)
+  if (!j || j->state == HR_JOB_QUEUED || j->told)
     return FALSE;
   hr_request_answer (c, request, j, 200);
   return TRUE;
@@ -151,20 +151,20 @@
 }
 
 static void
-on_abort (HrCore *c, int status, json_t *body, double sent, gpointer data)
+on_cancel (HrCore *c, int status, json_t *body, double sent, gpointer data)
 {
   HrUserRequest *request = data;
   HrJob *j = hr_job_find (c, request->id);
   guint64 epoch;
   if (status == 200 && j && hr_json_count (body, "epoch", G_MAXINT64, &epoch)) {
-    hr_withdrawals_note (c, j, epoch);
-    if (j->stance == HR_QUEUED && epoch > j->stamp) {
-      j->stance = HR_WITHDRAWN;
+    hr_cancellation_log_append (c, j, epoch);
+    if (j->state == HR_JOB_QUEUED && epoch > j->stamp) {
+      j->state = HR_JOB_CANCELLED;
       j->stamp = epoch;
       if (!j->per_page && j->pages)
         j->pages[0].stamp = epoch;
       if (c->leads)
-        hr_job_withdrawn (c, j);
+        hr_job_cancelled (c, j);
       hr_dependencies_final (c, j);
     }
     hr_request_answer (c, request, j, 200);
@@ -179,13 +179,13 @@
 }
 
 static void
-send_abort (HrCore *c, HrUserRequest *request)
+send_cancel (HrCore *c, HrUserRequest *request)
 {
   HrJob *j = hr_job_find (c, request->id);
   g_autofree char *key = hr_job_key (j);
   g_free (request->tag);
   request->tag = hr_new_tag (c);
-  char *text = hr_record_main (j, c->names, &c->machine_ids, HR_WITHDRAWN, request->tag, FALSE);
+  char *text = hr_record_main (j, c->names, &c->machine_ids, HR_JOB_CANCELLED, request->tag, FALSE);
   request->bytes = strlen (text);
   if (request->bytes > hr_layout_most_bytes (c)) {
     g_free (text);
@@ -194,7 +194,7 @@
   }
   json_t *when = hr_cond (json_array (), key, j->stamp);
   json_t *writes = hr_set (json_array (), key, text, 0);
-  hr_commit (c, HR_TXN_USER, when, writes, 1, hr_request_timeout (c, request), on_abort, request);
+  hr_commit (c, HR_TXN_USER, when, writes, 1, hr_request_timeout (c, request), on_cancel, request);
 }
 
 /* ---- the door ---- */
@@ -251,7 +251,7 @@
   }
   HrUserRequest *request = g_new0 (HrUserRequest, 1);
   request->reply_id = cmd->id;
-  request->kind = abort ? HR_REQUEST_ABORT : HR_REQUEST_POLL;
+  request->kind = abort ? HR_REQUEST_CANCEL : HR_REQUEST_POLL;
   request->id = g_steal_pointer (&id);
   request->asked = c->wall;
   if (!hr_request_answer_final (c, request))
--- a/src/coordination/withdrawals.c
+++ b/src/coordination/withdrawals.c
@@ -11,7 +11,7 @@
 
 /* The leader, as it says itself; NULL when none is known that can be told. */
 static const HrPeerView *
-leader_told (const HrCore *c)
+reachable_leader (const HrCore *c)
 {
   const HrPeerView *leader = NULL;
   for (guint i = 0; i < c->peers->len; i++) {
@@ -23,11 +23,11 @@
 }
 
 static void
-drop_first (HrCore *c, guint n)
+drop_oldest (HrCore *c, guint n)
 {
   for (guint i = 0; i < n; i++)
     c->withdrawals_dropped =
-        MAX (c->withdrawals_dropped, g_array_index (c->withdrawals, HrWithdrawal, i).stamp);
+        MAX (c->withdrawals_dropped, g_array_index (c->withdrawals, HrCancellation, i).stamp);
   g_array_remove_range (c->withdrawals, 0, n);
   c->withdrawals_begin += n;
 }
@@ -35,14 +35,14 @@
 /* Drops what the leader has read, from the beginning on. Whoever led at the map that we read,
  * or leads after it, has read the ledger up to that map. */
 static void
-drop_read (HrCore *c, const HrPeerView *leader)
+drop_read_by_leader (HrCore *c, const HrPeerView *leader)
 {
   guint64 read = MAX (c->map_stamp, leader ? leader->hint.applied : 0);
   guint n = 0;
-  while (n < c->withdrawals->len && g_array_index (c->withdrawals, HrWithdrawal, n).stamp <= read)
+  while (n < c->withdrawals->len && g_array_index (c->withdrawals, HrCancellation, n).stamp <= read)
     n++;
   if (n)
-    drop_first (c, n);
+    drop_oldest (c, n);
 }
 
 static guint64
@@ -54,17 +54,17 @@
 /* Notes a withdrawal that we confirmed or read: before its user is told, and before any hint
  * states its stamp. */
 void
-hr_withdrawals_note (HrCore *c, const HrJob *j, guint64 stamp)
+hr_cancellation_log_append (HrCore *c, const HrJob *j, guint64 stamp)
 {
-  const HrPeerView *leader = leader_told (c);
-  HrWithdrawal entry = {j->idx, stamp};
+  const HrPeerView *leader = reachable_leader (c);
+  HrCancellation entry = {j->idx, stamp};
   c->withdrawn = MAX (c->withdrawn, stamp);
   if (leader && stamp <= leader->hint.applied) {
     c->withdrawals_dropped = MAX (c->withdrawals_dropped, stamp);
     return;
   }
   if (c->withdrawals->len == MAX_LOG)
-    drop_first (c, MAX_LOG / 4);
+    drop_oldest (c, MAX_LOG / 4);
   g_array_append_val (c->withdrawals, entry);
   if (leader && !leader->hint.store_served)
     c->hint_soon = TRUE;
@@ -85,11 +85,11 @@
 /* States our log in a hint, and names what of it the leader has neither read nor taken in, as
  * far as there is room. */
 void
-hr_withdrawals_name (HrCore *c, HrHint *h)
+hr_cancellation_log_fill_status (HrCore *c, HrHint *h)
 {
-  const HrPeerView *leader = leader_told (c);
-  HrNamedWithdrawals *n = &h->named;
-  drop_read (c, leader);
+  const HrPeerView *leader = reachable_leader (c);
+  HrNamedCancellations *n = &h->named;
+  drop_read_by_leader (c, leader);
   n->stated = TRUE;
   n->dropped = c->withdrawals_dropped;
   n->begins = n->first = c->withdrawals_begin;
@@ -98,8 +98,8 @@
     return;
   n->first = CLAMP (acknowledged (c, leader), n->begins, n->ends);
   for (guint64 at = n->first; at < n->ends; at++) {
-    const HrWithdrawal *w = &g_array_index (c->withdrawals, HrWithdrawal, at - n->begins);
-    if (!hr_named_add (n, hr_intern_name (&c->job_ids, w->job)))
+    const HrCancellation *w = &g_array_index (c->withdrawals, HrCancellation, at - n->begins);
+    if (!hr_named_cancellations_add (n, hr_intern_name (&c->job_ids, w->job)))
       break;
   }
 }
@@ -107,52 +107,53 @@
 /* A member says that the job is withdrawn: its tasks are stopped as if its record had been
  * read. The record itself is as ever: no write of ours holds on a stamp before we read it. */
 static void
-withdraw_as_told (HrCore *c, const char *id)
+cancel_as_told (HrCore *c, const char *id)
 {
   if (!hr_job_id_valid (id))
     return;
   HrJob *j = hr_job_get (c, id);
-  if (j->stance != HR_QUEUED || j->told)
+  if (j->state != HR_JOB_QUEUED || j->told)
     return;
   j->told = TRUE;
   if (!j->known)
     return; /* should its submission still be read, it is withdrawn already */
   g_info ("%s is withdrawn, as a member says", id);
-  j->stance = HR_WITHDRAWN;
+  j->state = HR_JOB_CANCELLED;
   if (j->tasks)
-    hr_job_withdrawn (c, j);
+    hr_job_cancelled (c, j);
   c->plan_dirty = TRUE;
 }
 
 /* Takes in what a member names, when nothing is missing between that and what was taken in
  * before, but for withdrawals that we have read. */
 void
-hr_withdrawals_take (HrCore *c, HrPeerView *p)
+hr_cancellation_log_take_named (HrCore *c, HrPeerView *p)
 {
-  const HrNamedWithdrawals *n = &p->hint.named;
+  const HrNamedCancellations *n = &p->hint.named;
   if (!c->leads || !n->stated)
     return;
   if (n->dropped <= c->applied)
     p->taken = MAX (p->taken, n->begins);
   if (n->first > p->taken || n->first + n->count <= p->taken)
     return;
-  for (const char *id = hr_named_next (n, NULL); id; id = hr_named_next (n, id))
-    withdraw_as_told (c, id);
+  for (const char *id = hr_named_cancellations_next (n, NULL); id;
+       id = hr_named_cancellations_next (n, id))
+    cancel_as_told (c, id);
   p->taken = n->first + n->count;
   c->hint_soon = TRUE; /* the member goes on from there */
 }
 
 /* Do we know all withdrawals that the member knew of when it made its latest hint? */
 gboolean
-hr_withdrawals_all_taken (const HrCore *c, const HrPeerView *p)
+hr_cancellation_log_all_taken (const HrCore *c, const HrPeerView *p)
 {
-  const HrNamedWithdrawals *n = &p->hint.named;
+  const HrNamedCancellations *n = &p->hint.named;
   return c->leads && n->stated && n->dropped <= c->applied && n->ends <= p->taken;
 }
 
 /* A leader that is not served has taken in a part of our log: the rest follows at once. */
 void
-hr_withdrawals_answered (HrCore *c, const HrPeerView *p)
+hr_cancellation_log_acknowledged (HrCore *c, const HrPeerView *p)
 {
   if (p->hint.leads && p->hint.named.stated && !p->hint.store_served && !c->leads &&
       c->withdrawn > p->hint.applied && acknowledged (c, p) < log_end (c))
--- a/src/coordination/workers.c
+++ b/src/coordination/workers.c
@@ -47,7 +47,7 @@
 static void
 exited (HrCore *c, HrJob *j, const HrWorkItem *it)
 {
-  if (it->cause == HR_X_DONE && j->stance == HR_QUEUED)
+  if (it->cause == HR_X_DONE && j->state == HR_JOB_QUEUED)
     hr_task_done (c, j, it->task);
   else
     hr_task_gone (c, j, it->task, it->cause, hr_exit_name (it->cause));
@@ -72,7 +72,7 @@
     m->foreign_mem += j->spec.mem;
   }
   hr_orders_stop (c, m, orders, it->job, it->task, it->attempt,
-                  j && j->stance == HR_WITHDRAWN ? "withdrawn" : "not_recorded_here");
+                  j && j->state == HR_JOB_CANCELLED ? "withdrawn" : "not_recorded_here");
 }
 
 /* Takes in a worker's task list. full: a report, whose silence about a task counts. */
@@ -124,7 +124,7 @@
         g_hash_table_contains (seen, t))
       continue;
     t->shown = HR_NOT_SHOWN;
-    if (j->stance == HR_QUEUED && !t->kill && !t->inherited && !j->gang_over)
+    if (j->state == HR_JOB_QUEUED && !t->kill && !t->inherited && !j->gang_over)
       continue; /* it is launched (again) where it is recorded */
     if (proof)
       hr_task_gone (c, j, ref.task, HR_X_NONE, "its worker's report lacks it");
--- a/src/protocol/messages.c
+++ b/src/protocol/messages.c
@@ -62,7 +62,7 @@
 }
 
 gboolean
-hr_job_state_read (const char *body, gsize size, HrJobState *out)
+hr_job_status_read (const char *body, gsize size, HrJobStatus *out)
 {
   json_t *o = hr_json_parse (body, size, NULL);
   const char *id = hr_json_str (o, "name_id"), *state = hr_json_str (o, "stance");
@@ -80,7 +80,7 @@
 }
 
 void
-hr_job_state_clear (HrJobState *s)
+hr_job_status_clear (HrJobStatus *s)
 {
   g_free (s->id);
   g_free (s->state);
@@ -88,15 +88,15 @@
 }
 
 gboolean
-hr_job_state_withdrawn (const HrJobState *s)
+hr_job_status_is_cancelled (const HrJobStatus *s)
 {
   return g_str_equal (s->state, "withdrawn");
 }
 
 gboolean
-hr_job_state_final (const HrJobState *s)
+hr_job_status_is_final (const HrJobStatus *s)
 {
-  return hr_job_state_withdrawn (s) || g_str_equal (s->state, "done");
+  return hr_job_status_is_cancelled (s) || g_str_equal (s->state, "done");
 }
 
 char *
--- a/src/transport/hint_frame.c
+++ b/src/transport/hint_frame.c
@@ -2,19 +2,20 @@
 #include "peer.pb-c.h"
 #include <string.h>
 
-/* The shortest job id takes this many bytes of HrNamedWithdrawals.ids. */
+/* The shortest job id takes this many bytes of HrNamedCancellations.ids. */
 #define SHORTEST_ID 6
 
 static void
-pack_withdrawals (const HrNamedWithdrawals *n, Hr__Withdrawals *m, char **jobs)
+pack_cancellations (const HrNamedCancellations *n, Hr__Cancellations *m, char **jobs)
 {
-  hr__withdrawals__init (m);
+  hr__cancellations__init (m);
   m->dropped = n->dropped;
   m->begins = n->begins;
   m->ends = n->ends;
   m->first = n->first;
   m->jobs = jobs;
-  for (const char *id = hr_named_next (n, NULL); id; id = hr_named_next (n, id))
+  for (const char *id = hr_named_cancellations_next (n, NULL); id;
+       id = hr_named_cancellations_next (n, id))
     jobs[m->n_jobs++] = (char *)id;
 }
 
@@ -31,7 +32,7 @@
   m.worker_contacts = h->contacts;
   m.clock = h->clock;
   m.synced = h->synced;
-  m.withdrawn = h->withdrawn;
+  m.latest_cancellation = h->withdrawn;
   m.applied = h->applied;
   Hr__Echo echoes[HR_MAX_ECHOES], *list[HR_MAX_ECHOES];
   for (guint i = 0; i < h->nechoes; i++) {
@@ -44,11 +45,11 @@
   }
   m.n_echoes = h->nechoes;
   m.echoes = list;
-  Hr__Withdrawals withdrawals;
-  char *jobs[HR_NAMED_BYTES / SHORTEST_ID + 1];
+  Hr__Cancellations cancellations;
+  char *jobs[HR_NAMED_CANCELLATIONS_BYTES / SHORTEST_ID + 1];
   if (h->named.stated && h->named.count < G_N_ELEMENTS (jobs)) {
-    pack_withdrawals (&h->named, &withdrawals, jobs);
-    m.withdrawals = &withdrawals;
+    pack_cancellations (&h->named, &cancellations, jobs);
+    m.cancellations = &cancellations;
   }
   m.format = h->format;
   char *oversized[HR_MAX_OVERSIZED];
@@ -62,7 +63,7 @@
 
 /* Of a list that is longer than we keep only the beginning counts. */
 static void
-unpack_withdrawals (HrNamedWithdrawals *n, const Hr__Withdrawals *m)
+unpack_cancellations (HrNamedCancellations *n, const Hr__Cancellations *m)
 {
   n->stated = TRUE;
   n->dropped = m->dropped;
@@ -70,7 +71,7 @@
   n->ends = m->ends;
   n->first = m->first;
   for (gsize i = 0; i < m->n_jobs; i++)
-    if (!hr_named_add (n, m->jobs[i]))
+    if (!hr_named_cancellations_add (n, m->jobs[i]))
       break;
 }
 
@@ -89,7 +90,7 @@
   h->contacts = m->worker_contacts;
   h->clock = m->clock;
   h->synced = m->synced;
-  h->withdrawn = m->withdrawn;
+  h->withdrawn = m->latest_cancellation;
   h->applied = m->applied;
   for (gsize i = 0; i < m->n_echoes && h->nechoes < HR_MAX_ECHOES; i++) {
     HrEcho *e = &h->echoes[h->nechoes++];
@@ -98,8 +99,8 @@
     e->clock = m->echoes[i]->clock;
     e->taken = m->echoes[i]->taken;
   }
-  if (m->withdrawals)
-    unpack_withdrawals (&h->named, m->withdrawals);
+  if (m->cancellations)
+    unpack_cancellations (&h->named, m->cancellations);
   h->format = m->format;
   for (gsize i = 0; i < m->n_oversized && h->noversized < HR_MAX_OVERSIZED; i++)
     if (strlen (m->oversized[i]) <= HR_JOB_ID_MOST)
--- a/tests/script_scene.c
+++ b/tests/script_scene.c
@@ -468,16 +468,16 @@
 }
 
 void
-scene_told (Scene *scene, const char *id, const char *stance, double at)
+scene_told (Scene *scene, const char *id, const char *state, double at)
 {
   const SceneJob *job = g_hash_table_lookup (scene->jobs, id);
   const double *told = g_hash_table_lookup (scene->withdrawn, id);
-  if (g_strcmp0 (stance, "withdrawn") == 0) {
+  if (g_strcmp0 (state, "withdrawn") == 0) {
     if (!told || at < *told)
       g_hash_table_insert (scene->withdrawn, g_strdup (id), g_memdup2 (&at, sizeof at));
   } else if (told && at > *told)
-    broken (scene, "went_back: %s is called %s", id, stance);
-  if (g_strcmp0 (stance, "done") == 0 && job && job->ended < job->tasks)
+    broken (scene, "went_back: %s is called %s", id, state);
+  if (g_strcmp0 (state, "done") == 0 && job && job->ended < job->tasks)
     broken (scene, "not_done: %s is called done, %u of %u tasks are", id, job->ended, job->tasks);
 }
 
@@ -524,10 +524,10 @@
 {
   guint64 request = script_poll (scene->s, node, id);
   wait_status (scene, node, request);
-  const char *stance = script_stance (scene->s, node, request);
-  if (stance)
-    scene_told (scene, id, stance, scene->s->now);
-  return stance;
+  const char *state = script_stance (scene->s, node, request);
+  if (state)
+    scene_told (scene, id, state, scene->s->now);
+  return state;
 }
 
 gboolean
--- a/tests/script_scene.h
+++ b/tests/script_scene.h
@@ -74,7 +74,7 @@
 /* Tells the rules of a job that is about to be submitted. */
 void scene_know (Scene *scene, const char *id, const json_t *body);
 /* A user was told so, then. */
-void scene_told (Scene *scene, const char *id, const char *stance, double at);
+void scene_told (Scene *scene, const char *id, const char *state, double at);
 /* Submits, and waits until it is accepted. body: taken; NULL: script_job of one task. */
 void scene_submit (Scene *scene, int node, const char *id, json_t *body);
 /* Withdraws, and waits until the user is told so. */
--- a/tests/sim/answers.c
+++ b/tests/sim/answers.c
@@ -30,9 +30,9 @@
 
 /* Of what only one can ever be true, no controller may tell both, in whatever order. */
 static void
-check_final (World *w, const SJob *j, gboolean done, gboolean withdrawn)
+check_final (World *w, const SJob *j, gboolean done, gboolean cancelled)
 {
-  if ((done && j->heard_withdrawn) || (withdrawn && j->heard_done))
+  if ((done && j->heard_withdrawn) || (cancelled && j->heard_done))
     w_broken (w, "went_back", "%s is called %s, and was called %s", j->id,
               done ? "done" : "withdrawn", done ? "withdrawn" : "done");
 }
@@ -41,44 +41,44 @@
 answer_check (World *w, const Question *q, int status, json_t *body)
 {
   SJob *j = q->job;
-  const char *stance = json_string_value (json_object_get (body, "stance"));
+  const char *state = json_string_value (json_object_get (body, "stance"));
   const char *id = json_string_value (json_object_get (body, "name_id"));
   w->answers++;
-  if (!stance || g_strcmp0 (id, j->id) != 0) {
+  if (!state || g_strcmp0 (id, j->id) != 0) {
     w_broken (w, "status", "%s: an answer of %d about %s without a state of its own", j->id, status,
               id ? id : "no job");
     return;
   }
   if (!json_object_get (body, "reason"))
     w_broken (w, "reason", "%s: an answer without a reason", j->id);
-  gboolean done = strcmp (stance, "done") == 0, withdrawn = strcmp (stance, "withdrawn") == 0;
+  gboolean done = strcmp (state, "done") == 0, cancelled = strcmp (state, "withdrawn") == 0;
   if (done && (j->shape == HR_SERVICE || !job_all_done (j)))
     w_broken (w, "not_done", "%s is called done", j->id);
-  if (withdrawn && !pipeline_cancel_asked (j))
+  if (cancelled && !pipeline_cancel_asked (j))
     w_broken (w, "went_back", "%s is called withdrawn, nobody asked for that", j->id);
   if ((heard_before (j->heard_done, q) && !done) ||
-      (heard_before (j->heard_withdrawn, q) && !withdrawn))
-    w_broken (w, "went_back", "%s is called %s", j->id, stance);
-  check_final (w, j, done, withdrawn);
-  pipeline_told (w, j, stance, q->sent_at);
+      (heard_before (j->heard_withdrawn, q) && !cancelled))
+    w_broken (w, "went_back", "%s is called %s", j->id, state);
+  check_final (w, j, done, cancelled);
+  pipeline_told (w, j, state, q->sent_at);
   if (status == 201 && heard_before (j->heard_accepted, q))
     w_broken (w, "status", "%s is accepted as new a second time", j->id);
   gboolean first = !j->heard_accepted;
-  gboolean news = first || (done && !j->heard_done) || (withdrawn && !j->heard_withdrawn);
+  gboolean news = first || (done && !j->heard_done) || (cancelled && !j->heard_withdrawn);
   if (first)
     j->heard_accepted = w->answers;
   if (done && !j->told_done) {
     j->heard_done = w->answers;
     j->told_done = w->now;
   }
-  if (withdrawn && !j->told_withdrawn) {
+  if (cancelled && !j->told_withdrawn) {
     j->heard_withdrawn = w->answers;
     j->told_withdrawn = w->now;
     judge_withdrawn (w, j);
   }
   j->ok_at = w->now;
   if (news)
-    troubles_told (w, j, first && !done && !withdrawn);
+    troubles_told (w, j, first && !done && !cancelled);
 }
 
 void
--- a/tests/sim/pipeline.c
+++ b/tests/sim/pipeline.c
@@ -89,16 +89,16 @@
 }
 
 void
-pipeline_told (World *w, SJob *j, const char *stance, double sent)
+pipeline_told (World *w, SJob *j, const char *state, double sent)
 {
-  gboolean over = strcmp (stance, "withdrawn") == 0 || strcmp (stance, "done") == 0;
+  gboolean over = strcmp (state, "withdrawn") == 0 || strcmp (state, "done") == 0;
   double since = orphan_since (j);
   /* Every answer rests on a reading sent after the question: what was told before it shows. The
    * first answer to a submission alone needs none. */
   if (since && since < sent && !over)
     w_broken (w, "orphaned", "%s is called %s %.1f s after one before it was called withdrawn",
-              j->id, stance, sent - since);
-  if (w->shock && !w->calm && strcmp (stance, "withdrawn") == 0 && !j->told_withdrawn &&
+              j->id, state, sent - since);
+  if (w->shock && !w->calm && strcmp (state, "withdrawn") == 0 && !j->told_withdrawn &&
       w->now - w->shocked_at > 20) {
     w->shocked_at = w->now;
     shock (w);
--- a/tests/sim/pipeline.h
+++ b/tests/sim/pipeline.h
@@ -28,4 +28,4 @@
 void pipeline_start (World *w, const SJob *j, guint32 task);
 void pipeline_on_machine (World *w, const SJob *j, guint32 task);
 /* The job's user hears its stance; sent: when he asked. */
-void pipeline_told (World *w, SJob *j, const char *stance, double sent);
+void pipeline_told (World *w, SJob *j, const char *state, double sent);
--- a/tests/soak.c
+++ b/tests/soak.c
@@ -139,12 +139,12 @@
 report (Live *s, guint32 seed, const HrTrouble *day, guint n)
 {
   World *w = s->w;
-  guint withdrawn = 0;
+  guint cancelled = 0;
   for (guint i = 0; i < w->jobs->len; i++)
-    withdrawn += ((SJob *)w->jobs->pdata[i])->told_withdrawn > 0;
+    cancelled += ((SJob *)w->jobs->pdata[i])->told_withdrawn > 0;
   printf ("seed %u: %d controllers, %.0f s, %u jobs, %u withdrawn, %u starts, %u after a "
           "confirmed cancellation, %u terms, %u kills, %u pauses, %u requests: %s\n",
-          seed, w->n, w->now, w->jobs->len, withdrawn, w->starts, w->started_withdrawn,
+          seed, w->n, w->now, w->jobs->len, cancelled, w->starts, w->started_withdrawn,
           w->troubles.leaders, s->kills, s->freezes, s->requests,
           is_void (s)      ? "VOID"
           : w->broken->len ? "BROKEN"
--- a/tests/test_allowance.c
+++ b/tests/test_allowance.c
@@ -111,15 +111,15 @@
       j->abort = script_abort (s, (j->node + 1) % s->n, j->id);
       j->abort_sent = s->now;
     }
-    const char *stance = j->abort ? script_stance (s, (j->node + 1) % s->n, j->abort) : NULL;
-    if (stance) {
+    const char *state = j->abort ? script_stance (s, (j->node + 1) % s->n, j->abort) : NULL;
+    if (state) {
       j->cancelled = s->now;
       st->worst_cancel = MAX (st->worst_cancel, s->now - j->abort_sent);
     } else if (j->abort && script_status (s, (j->node + 1) % s->n, j->abort))
       j->abort = 0;
     if (!j->to_cancel && j->ends && s->now > j->ends) {
-      stance = j->poll ? script_stance (s, (j->node + 2) % s->n, j->poll) : NULL;
-      if (g_strcmp0 (stance, "done") == 0) {
+      state = j->poll ? script_stance (s, (j->node + 2) % s->n, j->poll) : NULL;
+      if (g_strcmp0 (state, "done") == 0) {
         j->told = s->now;
         st->worst_told = MAX (st->worst_told, s->now - j->ends);
       } else
--- a/tests/test_attestation.c
+++ b/tests/test_attestation.c
@@ -58,7 +58,7 @@
 {
   Case k = case_new ();
   knows (k.c1, k.stamp, 1);
-  assert_true (hr_named_add (&k.c1->named, JOB));
+  assert_true (hr_named_cancellations_add (&k.c1->named, JOB));
   assert_int_equal (script_report_for (k.s, 4), 200);
   assert_false (script_runs (k.s, JOB));
   assert_true (script_runs (k.s, OTHER));
@@ -95,15 +95,15 @@
 {
   Case k = case_new ();
   knows (k.c1, k.stamp, 3);
-  hr_named_add (&k.c1->named, JOB);
+  hr_named_cancellations_add (&k.c1->named, JOB);
   assert_int_equal (much_later (k.s), 503);
   assert_false (script_runs (k.s, JOB)); /* what was named is stopped all the same */
   /* The rest follows, from where c0 says that it is. */
   assert_int_equal (k.s->said.echoes[0].taken, 1);
   k.c1->named.first = 1;
   k.c1->named.count = k.c1->named.bytes = 0;
-  hr_named_add (&k.c1->named, "job-c");
-  hr_named_add (&k.c1->named, "job-d");
+  hr_named_cancellations_add (&k.c1->named, "job-c");
+  hr_named_cancellations_add (&k.c1->named, "job-d");
   assert_int_equal (script_report_for (k.s, 4), 200);
   script_free (k.s);
 }
@@ -114,7 +114,7 @@
   Case k = case_new ();
   knows (k.c1, k.stamp, 2);
   k.c1->named.first = 1;
-  hr_named_add (&k.c1->named, "job-c");
+  hr_named_cancellations_add (&k.c1->named, "job-c");
   assert_int_equal (much_later (k.s), 503);
   script_free (k.s);
 }
@@ -127,7 +127,7 @@
   knows (k.c1, k.stamp + 1, 5);
   k.c1->named.dropped = k.stamp;
   k.c1->named.begins = k.c1->named.first = 4;
-  hr_named_add (&k.c1->named, "job-c");
+  hr_named_cancellations_add (&k.c1->named, "job-c");
   assert_int_equal (much_later (k.s), 503);
   script_free (k.s);
 }
@@ -151,9 +151,9 @@
   HrHint before;
   knows (k.c1, k.stamp, 1);
   before = *k.c1;
-  k.c1->named =
-      (HrNamedWithdrawals){.stated = TRUE, .dropped = k.stamp, .begins = 4, .first = 4, .ends = 5};
-  hr_named_add (&k.c1->named, "job-c");
+  k.c1->named = (HrNamedCancellations){
+      .stated = TRUE, .dropped = k.stamp, .begins = 4, .first = 4, .ends = 5};
+  hr_named_cancellations_add (&k.c1->named, "job-c");
   script_run (k.s, 2);
   *k.c1 = before;
   assert_int_equal (much_later (k.s), 503);
@@ -168,7 +168,7 @@
   knows (k.c1, k.stamp, 5);
   k.c1->named.dropped = k.s->said.applied;
   k.c1->named.begins = k.c1->named.first = 4;
-  hr_named_add (&k.c1->named, JOB);
+  hr_named_cancellations_add (&k.c1->named, JOB);
   assert_int_equal (much_later (k.s), 200);
   assert_false (script_runs (k.s, JOB));
   script_free (k.s);
@@ -191,14 +191,14 @@
 {
   Case k = case_new ();
   knows (k.c1, k.stamp, 1);
-  hr_named_add (&k.c1->named, "job-c");
+  hr_named_cancellations_add (&k.c1->named, "job-c");
   assert_int_equal (script_report_for (k.s, 4), 200);
   assert_int_equal (k.s->said.echoes[0].taken, 1);
   g_strlcpy (k.c1->incarnation, "c1-2", sizeof k.c1->incarnation);
   k.c1->named.count = k.c1->named.bytes = 0; /* of its log of one: not named yet */
   assert_int_equal (much_later (k.s), 503);
   assert_true (script_runs (k.s, JOB));
-  hr_named_add (&k.c1->named, JOB);
+  hr_named_cancellations_add (&k.c1->named, JOB);
   assert_int_equal (script_report_for (k.s, 4), 200);
   assert_false (script_runs (k.s, JOB));
   script_free (k.s);
@@ -219,7 +219,7 @@
 {
   Case k = case_new ();
   knows (k.c1, k.stamp, 1);
-  hr_named_add (&k.c1->named, JOB);
+  hr_named_cancellations_add (&k.c1->named, JOB);
   k.c1->baton = k.s->said.baton + 1;
   assert_int_equal (much_later (k.s), 503);
   assert_false (script_runs (k.s, JOB)); /* final, whoever says so */
@@ -233,9 +233,9 @@
   Case k = case_new ();
   knows (k.c1, k.stamp, 1);
   knows (k.c2, k.stamp, 1);
-  hr_named_add (&k.c1->named, JOB);
+  hr_named_cancellations_add (&k.c1->named, JOB);
   assert_int_equal (much_later (k.s), 503);
-  hr_named_add (&k.c2->named, JOB);
+  hr_named_cancellations_add (&k.c2->named, JOB);
   assert_int_equal (script_report_for (k.s, 4), 200);
   script_free (k.s);
 }
@@ -255,8 +255,8 @@
       json_decref (o);
     }
   knows (k.c1, k.stamp, 2);
-  hr_named_add (&k.c1->named, JOB);
-  hr_named_add (&k.c1->named, "job-c");
+  hr_named_cancellations_add (&k.c1->named, JOB);
+  hr_named_cancellations_add (&k.c1->named, "job-c");
   script_report_for (s, 4);
   script_write (s, "h/j/job-c", record);
   s->served = TRUE;
@@ -279,7 +279,7 @@
   s->served = FALSE;
   HrHint *c1 = &s->members[0].hint;
   knows (c1, script_withdraw (s, JOB), 1);
-  hr_named_add (&c1->named, JOB);
+  hr_named_cancellations_add (&c1->named, JOB);
   int status = script_report_for (s, 10);
   assert_int_equal (status, 503);
   s->session++; /* its lease is over */
--- a/tests/test_fixtures.c
+++ b/tests/test_fixtures.c
@@ -90,10 +90,10 @@
 write_main (Read *r)
 {
   if (!r->record.tombstone)
-    return hr_record_main (r->job, &r->names, &r->machines, r->record.stance, r->record.tag, FALSE);
+    return hr_record_main (r->job, &r->names, &r->machines, r->record.state, r->record.tag, FALSE);
   r->job->ntasks = r->record.ntasks;
   r->job->nrdone = r->record.ndone;
-  return hr_record_tombstone (r->job, r->record.stance, r->record.tag);
+  return hr_record_tombstone (r->job, r->record.state, r->record.tag);
 }
 
 /* The page as the job's other records lay it out. */
@@ -168,7 +168,7 @@
   read_main (&r, text);
   g_autofree char *back = write_main (&r);
   assert_string_equal (back, text);
-  g_autofree char *end = hr_record_tombstone (r.job, HR_WITHDRAWN, "1-1.9");
+  g_autofree char *end = hr_record_tombstone (r.job, HR_JOB_CANCELLED, "1-1.9");
   assert_string_equal (end, "{\"w\":\"1-1.9\",\"s\":2,\"n\":1,\"d\":0,"
                             "\"later\":{\"deep\":[1,2.5,null]},\"z\":\"y\"}");
   read_clear (&r);
--- a/tests/test_hint_frame.c
+++ b/tests/test_hint_frame.c
@@ -35,11 +35,11 @@
   h->format = G_MAXUINT32;
   for (; h->noversized < HR_MAX_OVERSIZED; h->noversized++)
     fill (h->oversized[h->noversized], sizeof h->oversized[0]);
-  HrNamedWithdrawals *n = &h->named;
+  HrNamedCancellations *n = &h->named;
   n->stated = TRUE;
   n->dropped = n->begins = n->first = n->ends = G_MAXUINT64;
   g_autofree char *id = g_strnfill (id_len, 'x');
-  while (hr_named_add (n, id))
+  while (hr_named_cancellations_add (n, id))
     ;
 }
 
@@ -94,12 +94,12 @@
     ids[i][i == JOBS - 1 ? 5 : 100] = 0; /* the last one would fit */
     jobs[i] = ids[i];
   }
-  Hr__Withdrawals w = HR__WITHDRAWALS__INIT;
+  Hr__Cancellations w = HR__CANCELLATIONS__INIT;
   w.jobs = jobs;
   w.n_jobs = w.ends = JOBS;
   Hr__Hint m = HR__HINT__INIT;
   m.label = m.incarnation = "c1";
-  m.withdrawals = &w;
+  m.cancellations = &w;
   assert_true (hr__hint__get_packed_size (&m) <= sizeof frame);
   gsize len = hr__hint__pack (&m, frame);
   HrHint got = {0};
--- a/tests/test_pipelines.c
+++ b/tests/test_pipelines.c
@@ -34,15 +34,15 @@
   users_probe (w);
   faults_init (w, faults, 20, CALM_AT);
   world_run (w, DAY_ENDS);
-  guint withdrawn = 0, done = 0;
+  guint cancelled = 0, done = 0;
   for (guint i = 0; i < w->jobs->len; i++) {
     const SJob *j = w->jobs->pdata[i];
-    withdrawn += j->told_withdrawn && !j->asked_cancel;
+    cancelled += j->told_withdrawn && !j->asked_cancel;
     done += j->told_done && j->awaits->len;
   }
   /* A day on which nothing was taken along, or nothing came after another, shows nothing. */
-  if (withdrawn < 4 || done < 20)
-    w_broken (w, "day", "%u jobs were taken along, %u are done after others", withdrawn, done);
+  if (cancelled < 4 || done < 20)
+    w_broken (w, "day", "%u jobs were taken along, %u are done after others", cancelled, done);
   pipelines_verdict (w);
   if (w->limits_fall > 0 && store_large (w))
     w_broken (w, "large", "%u records are too large", store_large (w));
--- a/tests/test_record.c
+++ b/tests/test_record.c
@@ -76,12 +76,12 @@
         t->rtry = g_rand_int_range (r, 1, 9);
       }
     }
-    g_autofree char *main = hr_record_main (j, &names, &machines, HR_WITHDRAWN, "w.1", FALSE);
+    g_autofree char *main = hr_record_main (j, &names, &machines, HR_JOB_CANCELLED, "w.1", FALSE);
     assert_true (strlen (main) <= 4096);
     json_t *v = json_loads (main, 0, NULL);
     HrRecord rec;
     assert_true (hr_record_read (v, &names, &rec));
-    assert_int_equal (rec.stance, HR_WITHDRAWN);
+    assert_int_equal (rec.state, HR_JOB_CANCELLED);
     assert_string_equal (rec.tag, "w.1");
     assert_same_spec (&rec.spec, &s);
     hr_job_set_spec (k, &rec.spec, rec.per_page);
@@ -125,11 +125,11 @@
   HrJob *both[] = {&first, &second};
   HrJob *j = g_new0 (HrJob, 1);
   hr_job_set_spec (j, &s, 0);
-  g_autofree char *plain = hr_record_main (j, &names, &machines, HR_QUEUED, "w.1", FALSE);
+  g_autofree char *plain = hr_record_main (j, &names, &machines, HR_JOB_QUEUED, "w.1", FALSE);
   assert_null (strstr (plain, "\"a\":"));
   j->awaits = g_memdup2 (both, sizeof both);
   j->nawaits = 2;
-  g_autofree char *main = hr_record_main (j, &names, &machines, HR_QUEUED, "w.1", FALSE);
+  g_autofree char *main = hr_record_main (j, &names, &machines, HR_JOB_QUEUED, "w.1", FALSE);
   json_t *v = json_loads (main, 0, NULL);
   HrRecord rec;
   assert_true (hr_record_read (v, &names, &rec));
@@ -142,10 +142,10 @@
   json_object_del (v, "a");
   g_autofree char *rest = hr_json_take_text (v);
   assert_string_equal (rest, plain);
-  g_autofree char *own = hr_record_tombstone (j, HR_WITHDRAWN, "w.2");
+  g_autofree char *own = hr_record_tombstone (j, HR_JOB_CANCELLED, "w.2");
   assert_null (strstr (own, "\"c\":"));
   j->withdrawn_with = &first;
-  g_autofree char *derived = hr_record_tombstone (j, HR_WITHDRAWN, "w.2");
+  g_autofree char *derived = hr_record_tombstone (j, HR_JOB_CANCELLED, "w.2");
   v = json_loads (derived, 0, NULL);
   assert_true (hr_record_read (v, &names, &rec));
   assert_true (rec.tombstone && !rec.awaits);
--- a/tests/test_split.c
+++ b/tests/test_split.c
@@ -13,7 +13,7 @@
 
 /* Six tasks on machines of long names: more than 1 KiB, and two tasks a page. */
 static char *
-record (int stance)
+record (int state)
 {
   g_autoptr (GString) tasks = g_string_new (NULL);
   g_autofree char *name = g_strnfill (400, 'm');
@@ -22,7 +22,7 @@
   return g_strdup_printf ("{\"w\":\"other.1\",\"s\":%d,\"t\":1.0,\"q\":0,\"j\":[\"k\",\"crew\","
                           "\"i\",0,2,6,1.0,0.0,1.0,1.0,null,39.0,0.0,0.0,null,false,false,true,"
                           "88.0],\"x\":[%s]}",
-                          stance, tasks->str);
+                          state, tasks->str);
 }
 
 static gboolean
@@ -57,13 +57,13 @@
 a_withdrawal_between_steps (void **state)
 {
   Ledger *l = ledger_new ();
-  g_autofree char *queued = record (0), *withdrawn = record (2);
+  g_autofree char *queued = record (0), *cancelled = record (2);
   l->epoch++;
   ledger_set (l, MAIN, queued);
   LoneNode *n = node_new (l, NEXT);
   until_staged (n);
   l->epoch++;
-  ledger_set (l, MAIN, withdrawn);
+  ledger_set (l, MAIN, cancelled);
   node_run (n, 10);
   assert_non_null (strstr (ledger_job (l, JOB), "\"s\":2"));
   assert_true (split (l)); /* and the record is split all the same */
--- a/tests/test_windows.c
+++ b/tests/test_windows.c
@@ -126,11 +126,11 @@
       i++;
       continue;
     }
-    const char *stance = r ? hr_json_str (r->body, "stance") : NULL;
+    const char *state = r ? hr_json_str (r->body, "stance") : NULL;
     if (r && a->submission && (r->status == 201 || r->status == 200))
       g_ptr_array_add (d->accepted, g_strdup (a->id));
-    if (stance && r->status < 300)
-      scene_told (d->scene, a->id, stance, r->at);
+    if (state && r->status < 300)
+      scene_told (d->scene, a->id, state, r->at);
     g_ptr_array_remove_index (d->asked, i);
   }
 }
@@ -336,12 +336,12 @@
 ended_well (Day *d, const char *id, guint seed)
 {
   const SceneJob *job = g_hash_table_lookup (d->scene->jobs, id);
-  const char *stance = scene_stance (d->scene, pick (d, NODES), id);
+  const char *state = scene_stance (d->scene, pick (d, NODES), id);
   gboolean cancelled = g_hash_table_contains (d->cancelled, id);
-  if (g_strcmp0 (stance, "done") == 0 || (cancelled && g_strcmp0 (stance, "withdrawn") == 0))
+  if (g_strcmp0 (state, "done") == 0 || (cancelled && g_strcmp0 (state, "withdrawn") == 0))
     return TRUE;
   print_message ("seed %u: %s ends as %s, %u of %u tasks done\n", seed, id,
-                 stance ? stance : "unknown", job->ended, job->tasks);
+                 state ? state : "unknown", job->ended, job->tasks);
   return FALSE;
 }
 
--- a/tests/test_withdrawals.c
+++ b/tests/test_withdrawals.c
@@ -27,8 +27,9 @@
 static gboolean
 names (const Script *s, const char *id)
 {
-  const HrNamedWithdrawals *n = &s->said.named;
-  for (const char *k = hr_named_next (n, NULL); k; k = hr_named_next (n, k))
+  const HrNamedCancellations *n = &s->said.named;
+  for (const char *k = hr_named_cancellations_next (n, NULL); k;
+       k = hr_named_cancellations_next (n, k))
     if (strcmp (k, id) == 0)
       return TRUE;
   return FALSE;
@@ -118,7 +119,7 @@
     first = first ? first : s->epoch;
   }
   script_run (s, 3);
-  const HrNamedWithdrawals *n = &s->said.named;
+  const HrNamedCancellations *n = &s->said.named;
   assert_true (n->ends - n->begins <= 1024);
   assert_int_equal (s->said.withdrawn, s->epoch);
   assert_int_equal (s->epoch - n->dropped, n->ends - n->begins);
@@ -205,9 +206,10 @@
   guint64 begins = s->said.named.begins;
   assert_int_equal (s->said.named.ends - begins, JOBS);
   for (int part = 0; s->said.named.count && part < 20; part++) {
-    const HrNamedWithdrawals *n = &s->said.named;
+    const HrNamedCancellations *n = &s->said.named;
     assert_true (n->count < JOBS);
-    for (const char *k = hr_named_next (n, NULL); k; k = hr_named_next (n, k))
+    for (const char *k = hr_named_cancellations_next (n, NULL); k;
+         k = hr_named_cancellations_next (n, k))
       g_hash_table_add (told, g_strdup (k));
     acknowledge (leader, n->first + n->count);
     script_hint (s, leader);
--- a/tests/test_writes.c
+++ b/tests/test_writes.c
@@ -32,10 +32,10 @@
 }
 
 static void
-assert_told (Meeting *m, const char *id, const char *stance)
+assert_told (Meeting *m, const char *id, const char *state)
 {
   for (int i = 0; i < m->s->n; i++)
-    assert_string_equal (script_asked (m->s, i, id), stance);
+    assert_string_equal (script_asked (m->s, i, id), state);
 }
 
 /* The leader's key lapses and the other takes over. Its own calls are held, so that it does not
