--- a/src/bookkeeping/apply.c
+++ b/src/bookkeeping/apply.c
@@ -1,6 +1,6 @@
 /* One change of the ledger, as read, goes into the tables. */
 #include "coordination/state.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <string.h>
 
 static void
--- a/src/bookkeeping/bookkeeping.h
+++ b/src/bookkeeping/bookkeeping.h
@@ -35,8 +35,8 @@
 /* bookkeeping/format.c: which records every member understands */
 void hr_format_read (HrCore *c, const json_t *value, guint64 stamp);
 void hr_format_tick (HrCore *c);
-void hr_format_tell (const HrCore *c, HrHint *h);
-void hr_format_heard (HrCore *c, const HrHint *h);
+void hr_format_tell (const HrCore *c, HrPeerStatus *h);
+void hr_format_heard (HrCore *c, const HrPeerStatus *h);
 /* The job's record is too large to be withdrawn: the leader is to split it first. */
 void hr_format_oversized (HrCore *c, HrJob *j);
 
--- a/src/bookkeeping/follow.c
+++ b/src/bookkeeping/follow.c
@@ -2,7 +2,7 @@
  * /changes with no wait: it brings every change up to its epoch, so whoever
  * asked before it was sent gets an answer as new as any that was given. */
 #include "coordination/state.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <string.h>
 
 #define PREFIX "h/"
--- a/src/bookkeeping/format.c
+++ b/src/bookkeeping/format.c
@@ -2,7 +2,7 @@
  * other member has stated the newer one, the leader records that in the ledger, and from then
  * on nobody is left who would misread a record of that format (docs/upgrades.md). */
 #include "coordination/state.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <string.h>
 
 #define FORMAT_KEY "h/format"
@@ -48,7 +48,7 @@
     const char *label = g_array_index (c->set->members, HrMember, i).label;
     guint stated = 0;
     for (guint k = 0; k < c->peers->len; k++) {
-      const HrHint *h = &g_array_index (c->peers, HrPeerView, k).hint;
+      const HrPeerStatus *h = &g_array_index (c->peers, HrPeer, k).status;
       if (g_str_equal (h->label, label))
         stated = h->format;
     }
@@ -83,17 +83,17 @@
 /* ---- what members tell one another ---- */
 
 void
-hr_format_tell (const HrCore *c, HrHint *h)
+hr_format_tell (const HrCore *c, HrPeerStatus *h)
 {
   h->format = c->speaks;
-  h->noversized = c->noversized;
+  h->n_oversized = c->noversized;
   memcpy (h->oversized, c->oversized, sizeof h->oversized);
 }
 
 void
-hr_format_heard (HrCore *c, const HrHint *h)
+hr_format_heard (HrCore *c, const HrPeerStatus *h)
 {
-  for (guint i = 0; c->leads && c->speaks && i < h->noversized; i++) {
+  for (guint i = 0; c->leads && c->speaks && i < h->n_oversized; i++) {
     HrJob *j = hr_job_find (c, h->oversized[i]);
     if (j && hr_split_possible (c, j) && hr_layout_oversized (c, j))
       hr_split_want (c, j, TRUE);
--- a/src/bookkeeping/garbage.c
+++ b/src/bookkeeping/garbage.c
@@ -2,7 +2,7 @@
  * Every follower notes them, so that whoever leads tidies up after a predecessor; they go
  * a few at a time, when the store's allowance has nothing more urgent. */
 #include "coordination/state.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 
 #define AT_A_TIME 4 /* of the changes that a transaction may hold */
 
--- a/src/bookkeeping/ledger.c
+++ b/src/bookkeeping/ledger.c
@@ -1,7 +1,7 @@
 /* Writing the ledger. One write at a time per record; every write by the owner
  * holds on the record's stamp and on the map's, which fences old owners. */
 #include "coordination/state.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <string.h>
 
 #define WRITE_TIMEOUT 2.0
--- a/src/bookkeeping/record.c
+++ b/src/bookkeeping/record.c
@@ -1,5 +1,5 @@
 #include "bookkeeping/record.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <string.h>
 
 static json_t *
--- a/src/bookkeeping/split.c
+++ b/src/bookkeeping/split.c
@@ -7,7 +7,7 @@
  * change by another node, or another leader, makes the rest of the steps fail
  * (docs/upgrades.md). Where it fits, all of this is one transaction. */
 #include "coordination/state.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <string.h>
 
 #define SPLIT_TIMEOUT_S 2.0
--- a/src/bookkeeping/transactions.c
+++ b/src/bookkeeping/transactions.c
@@ -1,7 +1,7 @@
 /* Transactions on their way to the state service: queued by kind, sent within this node's share of
  * the allowance for changes. */
 #include "coordination/state.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 
 #define MAX_WRITES_OUT 8
 
--- a/src/client/hoprock.c
+++ b/src/client/hoprock.c
@@ -1,7 +1,7 @@
 /* hoprock: the users' command line. docs/man/hoprock.1 says all of it. */
 #include "client/history.h"
 #include "client/requests.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include "protocol/messages.h"
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/coordination/command.c
+++ b/src/coordination/command.c
@@ -34,8 +34,8 @@
 {
   HrCommand *c = g_new0 (HrCommand, 1);
   c->kind = kind;
-  if (kind == HR_C_HINT)
-    c->hint = g_new0 (HrHint, 1);
+  if (kind == HR_COMMAND_PEER_STATUS)
+    c->peer_status = g_new0 (HrPeerStatus, 1);
   return c;
 }
 
@@ -44,7 +44,7 @@
 {
   g_free (c->path);
   g_clear_pointer (&c->body, g_bytes_unref);
-  g_free (c->hint);
+  g_free (c->peer_status);
   g_free (c);
 }
 
@@ -54,6 +54,6 @@
   g_free (e->body);
   g_free (e->addr);
   g_free (e->path);
-  g_free (e->hint);
+  g_free (e->peer_status);
   g_free (e);
 }
--- a/src/coordination/command.h
+++ b/src/coordination/command.h
@@ -15,15 +15,16 @@
 typedef struct {
   char label[64], incarnation[40];
   double clock;
-  guint64 taken; /* position up to which the teller, who leads, has taken in that member's log */
+  guint64 cancellations_taken; /* position up to which the teller, who leads, has taken in that
+                                  member's log */
 } HrEcho;
 
 /* A part of a member's log of withdrawals, in which it notes each one that it confirms or reads,
  * in that order. Positions count from 0 in each process. What was dropped from the log's
  * beginning has stamps up to `dropped`. */
 typedef struct {
-  gboolean stated; /* FALSE: the hint of a version that has no such log */
-  guint64 dropped, begins, first, ends;
+  gboolean is_stated; /* FALSE: the hint of a version that has no such log */
+  guint64 dropped_revision, log_begin, first_position, log_end;
   guint count;                            /* of the ids named, from position `first` on */
   guint bytes;                            /* used of `ids` */
   char ids[HR_NAMED_CANCELLATIONS_BYTES]; /* one after the other, each with its terminating NUL */
@@ -35,35 +36,40 @@
  * not in its log. It is at least as new as the echoed clocks. */
 typedef struct {
   char label[64], incarnation[40];
-  guint64 baton, map_stamp;
-  gboolean store_served, leads;
-  guint32 contacts;
+  guint64 fencing_token, leader_record_revision;
+  gboolean store_served, is_leader;
+  guint32 worker_contacts;
   double clock;
   gboolean synced; /* has read the whole ledger once; without that, `withdrawn` says nothing */
-  guint64 withdrawn;
-  guint64 applied; /* revision up to which the sender has read the ledger */
-  HrNamedCancellations named;
+  guint64 latest_cancellation;
+  guint64 applied_revision; /* revision up to which the sender has read the ledger */
+  HrNamedCancellations cancellations;
   HrEcho echoes[HR_MAX_ECHOES];
-  guint nechoes;
+  guint n_echoes;
   guint32 format; /* of records, that the sender reads and writes; 0: it says nothing */
   /* Jobs that it could not withdraw, since their records are too large to be written. */
   char oversized[HR_MAX_OVERSIZED][HR_JOB_ID_MOST + 1];
-  guint noversized;
-} HrHint;
+  guint n_oversized;
+} HrPeerStatus;
 
-typedef enum { HR_C_REQUEST, HR_C_RESULT, HR_C_HINT, HR_C_TICK } HrCommandKind;
+typedef enum {
+  HR_COMMAND_REQUEST,
+  HR_COMMAND_RESULT,
+  HR_COMMAND_PEER_STATUS,
+  HR_COMMAND_TICK
+} HrCommandKind;
 typedef struct {
   HrCommandKind kind;
   guint64 id; /* of the request, or of the call that this is the result of */
   HrMethod method;
   char *path;
   GBytes *body;
-  gboolean too_large; /* request: the body passed the limit and was not kept */
-  int status;         /* result: HTTP status, 0 when no answer came */
-  HrHint *hint;       /* of HR_C_HINT; else NULL: most commands are none */
+  gboolean too_large;        /* request: the body passed the limit and was not kept */
+  int status;                /* result: HTTP status, 0 when no answer came */
+  HrPeerStatus *peer_status; /* of HR_COMMAND_PEER_STATUS; else NULL: most commands are none */
 } HrCommand;
 
-typedef enum { HR_E_REPLY, HR_E_CALL, HR_E_HINT } HrEffectKind;
+typedef enum { HR_EFFECT_REPLY, HR_EFFECT_CALL, HR_EFFECT_PEER_STATUS } HrEffectKind;
 typedef struct {
   HrEffectKind kind;
   guint64 id;
@@ -76,7 +82,7 @@
   HrMethod method;
   char *path;
   double timeout_s;
-  HrHint *hint; /* of HR_E_HINT; else NULL */
+  HrPeerStatus *peer_status; /* of HR_EFFECT_PEER_STATUS; else NULL */
 } HrEffect;
 
 /* Adds a job's id to those named; FALSE when there is no room. */
--- a/src/coordination/core.c
+++ b/src/coordination/core.c
@@ -1,6 +1,6 @@
 #include "coordination/limits.h"
 #include "coordination/metrics.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <gio/gio.h>
 #include <string.h>
 
@@ -28,7 +28,7 @@
 hr_call (HrCore *c, HrTarget target, const char *addr, HrMethod method, char *path, char *body,
          double timeout, HrResultFn fn, gpointer data)
 {
-  HrEffect *e = effect (c, HR_E_CALL);
+  HrEffect *e = effect (c, HR_EFFECT_CALL);
   e->id = ++c->next_call;
   e->target = target;
   e->addr = g_strdup (addr);
@@ -46,7 +46,7 @@
 void
 hr_reply (HrCore *c, guint64 id, int status, json_t *body, int retry_after)
 {
-  HrEffect *e = effect (c, HR_E_REPLY);
+  HrEffect *e = effect (c, HR_EFFECT_REPLY);
   e->id = id;
   e->status = status;
   e->retry_after = retry_after;
@@ -56,7 +56,7 @@
 void
 hr_reply_text (HrCore *c, guint64 id, char *text)
 {
-  HrEffect *e = effect (c, HR_E_REPLY);
+  HrEffect *e = effect (c, HR_EFFECT_REPLY);
   e->id = id;
   e->status = 200;
   e->plain = TRUE;
@@ -192,7 +192,7 @@
   c->calls = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
   c->waiters = g_array_new (FALSE, TRUE, sizeof (HrWaiter));
   c->waiters_now = g_array_new (FALSE, TRUE, sizeof (HrWaiter));
-  c->peers = g_array_new (FALSE, TRUE, sizeof (HrPeerView));
+  c->peers = g_array_new (FALSE, TRUE, sizeof (HrPeer));
   c->withdrawals = g_array_new (FALSE, FALSE, sizeof (HrCancellation));
   hr_intern_init (&c->job_ids);
   hr_intern_init (&c->machine_ids);
@@ -330,7 +330,7 @@
   for (guint i = 0; i < commands->len; i++) {
     HrCommand *cmd = commands->pdata[i];
     switch (cmd->kind) {
-    case HR_C_REQUEST:
+    case HR_COMMAND_REQUEST:
       if (g_strcmp0 (cmd->path, "/hello") == 0)
         hr_workers_hello (c, cmd);
       else if (g_strcmp0 (cmd->path, HR_METRICS_PATH) == 0 && cmd->method == HR_GET)
@@ -338,13 +338,13 @@
       else
         hr_users_request (c, cmd);
       break;
-    case HR_C_RESULT:
+    case HR_COMMAND_RESULT:
       result (c, cmd);
       break;
-    case HR_C_HINT:
-      hr_membership_status_received (c, cmd->hint);
+    case HR_COMMAND_PEER_STATUS:
+      hr_membership_status_received (c, cmd->peer_status);
       break;
-    case HR_C_TICK:
+    case HR_COMMAND_TICK:
       tick (c);
       break;
     }
--- a/src/coordination/fleet.c
+++ b/src/coordination/fleet.c
@@ -1,6 +1,6 @@
 /* The fleet: which machines there are, their types, and returning them. */
 #include "coordination/state.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <string.h>
 
 gboolean
--- a/src/coordination/leader.c
+++ b/src/coordination/leader.c
@@ -2,18 +2,18 @@
  * service; whoever creates it writes the map in the same transaction, with a
  * higher token (baton). Ownership is what the map says, nothing else. */
 #include "coordination/state.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <string.h>
 
 #define CONTACT_WINDOW 6.0
 /* Between hints, and while there is news for a member that the state service does not serve. */
-#define HINT_S 1.0
-#define HINT_SOON_S 0.2
+#define STATUS_INTERVAL_S 1.0
+#define STATUS_SOON_INTERVAL_S 0.2
 
 static gboolean
-peer_is_fresh (const HrCore *c, const HrPeerView *p)
+peer_is_fresh (const HrCore *c, const HrPeer *p)
 {
-  return c->now - p->at < 3.5;
+  return c->now - p->received_at < 3.5;
 }
 
 /* A node that hears no other cannot tell an outage from a cut of its own. It takes it
@@ -23,11 +23,11 @@
 {
   gboolean heard = c->set->members->len == 0;
   for (guint i = 0; i < c->peers->len; i++) {
-    const HrPeerView *p = &g_array_index (c->peers, HrPeerView, i);
+    const HrPeer *p = &g_array_index (c->peers, HrPeer, i);
     if (!peer_is_fresh (c, p))
       continue;
     heard = TRUE;
-    if (p->hint.store_served)
+    if (p->status.store_served)
       return FALSE;
   }
   return heard;
@@ -46,9 +46,9 @@
     const char *label = g_array_index (c->set->members, HrMember, i).label;
     double said = 0;
     for (guint k = 0; k < c->peers->len; k++) {
-      const HrPeerView *p = &g_array_index (c->peers, HrPeerView, k);
-      if (g_str_equal (p->hint.label, label))
-        said = p->attested;
+      const HrPeer *p = &g_array_index (c->peers, HrPeer, k);
+      if (g_str_equal (p->status.label, label))
+        said = p->attested_at;
     }
     t = MIN (t, said);
   }
@@ -160,9 +160,10 @@
   if (c->leads || c->now - c->leaderless_at > 2)
     return FALSE;
   for (guint i = 0; i < c->peers->len; i++) {
-    const HrPeerView *p = &g_array_index (c->peers, HrPeerView, i);
-    if (peer_is_fresh (c, p) && p->hint.leads && g_strcmp0 (p->hint.incarnation, c->map_inc) == 0)
-      return p->hint.store_served || c->now - c->served_since < 2;
+    const HrPeer *p = &g_array_index (c->peers, HrPeer, i);
+    if (peer_is_fresh (c, p) && p->status.is_leader &&
+        g_strcmp0 (p->status.incarnation, c->map_inc) == 0)
+      return p->status.store_served || c->now - c->served_since < 2;
   }
   return FALSE;
 }
@@ -228,9 +229,9 @@
 }
 
 static gboolean
-is_candidate (const HrCore *c, const HrPeerView *p)
+is_candidate (const HrCore *c, const HrPeer *p)
 {
-  return peer_is_fresh (c, p) && p->hint.store_served;
+  return peer_is_fresh (c, p) && p->status.store_served;
 }
 
 /* A leader that hears no worker while others do stands back, early enough for the workers to
@@ -245,9 +246,9 @@
     heard += m->state == HR_M_UP && c->now - m->heard_at < c->pol.overdue_s;
   }
   for (guint i = 0; i < c->peers->len; i++) {
-    HrPeerView *p = &g_array_index (c->peers, HrPeerView, i);
+    HrPeer *p = &g_array_index (c->peers, HrPeer, i);
     if (is_candidate (c, p))
-      elsewhere = MAX (elsewhere, p->hint.contacts);
+      elsewhere = MAX (elsewhere, p->status.worker_contacts);
   }
   /* After a cut of us all, workers may try the others first. */
   double since = MAX (c->led_at, c->served_since);
@@ -283,7 +284,7 @@
 {
   gboolean other = FALSE;
   for (guint i = 0; i < c->peers->len; i++)
-    other |= is_candidate (c, &g_array_index (c->peers, HrPeerView, i));
+    other |= is_candidate (c, &g_array_index (c->peers, HrPeer, i));
   if (!other)
     return; /* better a poor leader than none */
   c->abstain_until = c->now + 15;
@@ -297,28 +298,28 @@
   c->hint_at = c->now;
   c->hint_soon = FALSE;
   HrEffect *e = g_new0 (HrEffect, 1);
-  e->kind = HR_E_HINT;
-  HrHint *h = e->hint = g_new0 (HrHint, 1);
+  e->kind = HR_EFFECT_PEER_STATUS;
+  HrPeerStatus *h = e->peer_status = g_new0 (HrPeerStatus, 1);
   g_strlcpy (h->label, c->set->label, sizeof h->label);
   g_strlcpy (h->incarnation, c->incarnation, sizeof h->incarnation);
-  h->baton = c->baton;
-  h->map_stamp = c->map_stamp;
+  h->fencing_token = c->baton;
+  h->leader_record_revision = c->map_stamp;
   h->store_served = c->synced_once && c->now - c->confirmed_at < 2.5;
-  h->leads = c->leads;
-  h->contacts = count_contacts (c);
+  h->is_leader = c->leads;
+  h->worker_contacts = count_contacts (c);
   h->clock = c->now;
   h->synced = c->synced_once;
-  h->withdrawn = c->withdrawn;
+  h->latest_cancellation = c->withdrawn;
   hr_format_tell (c, h);
-  h->applied = c->applied;
+  h->applied_revision = c->applied;
   hr_cancellation_log_fill_status (c, h);
   for (guint i = 0; i < MIN (c->peers->len, HR_MAX_ECHOES); i++) {
-    const HrPeerView *p = &g_array_index (c->peers, HrPeerView, i);
-    HrEcho *o = &h->echoes[h->nechoes++];
-    g_strlcpy (o->label, p->hint.label, sizeof o->label);
-    g_strlcpy (o->incarnation, p->hint.incarnation, sizeof o->incarnation);
-    o->clock = p->hint.clock;
-    o->taken = p->taken;
+    const HrPeer *p = &g_array_index (c->peers, HrPeer, i);
+    HrEcho *o = &h->echoes[h->n_echoes++];
+    g_strlcpy (o->label, p->status.label, sizeof o->label);
+    g_strlcpy (o->incarnation, p->status.incarnation, sizeof o->incarnation);
+    o->clock = p->status.clock;
+    o->cancellations_taken = p->cancellations_taken;
   }
   g_ptr_array_add (c->out, e);
 }
@@ -327,22 +328,22 @@
  * of no newer owner and of no withdrawal that we have neither read nor been told. Whether the state
  * service serves it does not matter: what it decides or reads later is in what it states later. */
 static void
-note_attestation (HrCore *c, HrPeerView *p)
+note_attestation (HrCore *c, HrPeer *p)
 {
-  const HrHint *h = &p->hint;
-  if (!h->synced || h->baton > c->baton ||
-      (h->withdrawn > c->applied && !hr_cancellation_log_all_taken (c, p)))
+  const HrPeerStatus *h = &p->status;
+  if (!h->synced || h->fencing_token > c->baton ||
+      (h->latest_cancellation > c->applied && !hr_cancellation_log_all_taken (c, p)))
     return;
-  for (guint i = 0; i < h->nechoes; i++) {
+  for (guint i = 0; i < h->n_echoes; i++) {
     const HrEcho *e = &h->echoes[i];
     if (g_str_equal (e->label, c->set->label) && g_str_equal (e->incarnation, c->incarnation) &&
         e->clock <= c->now)
-      p->attested = MAX (p->attested, e->clock);
+      p->attested_at = MAX (p->attested_at, e->clock);
   }
 }
 
 void
-hr_membership_status_received (HrCore *c, const HrHint *h)
+hr_membership_status_received (HrCore *c, const HrPeerStatus *h)
 {
   gboolean member = FALSE;
   for (guint i = 0; i < c->set->members->len; i++)
@@ -351,25 +352,26 @@
     g_info ("a hint from %s, which is no member; dropped", h->label);
     return;
   }
-  HrPeerView *p = NULL;
+  HrPeer *p = NULL;
   for (guint i = 0; i < c->peers->len && !p; i++)
-    if (g_str_equal (g_array_index (c->peers, HrPeerView, i).hint.label, h->label))
-      p = &g_array_index (c->peers, HrPeerView, i);
+    if (g_str_equal (g_array_index (c->peers, HrPeer, i).status.label, h->label))
+      p = &g_array_index (c->peers, HrPeer, i);
   if (!p) {
     g_array_set_size (c->peers, c->peers->len + 1);
-    p = &g_array_index (c->peers, HrPeerView, c->peers->len - 1);
+    p = &g_array_index (c->peers, HrPeer, c->peers->len - 1);
   }
-  if (strcmp (p->hint.incarnation, h->incarnation) != 0)
-    p->taken = 0; /* positions count anew in each process */
-  p->hint = *h;
-  p->at = c->now;
+  if (strcmp (p->status.incarnation, h->incarnation) != 0)
+    p->cancellations_taken = 0; /* positions count anew in each process */
+  p->status = *h;
+  p->received_at = c->now;
   hr_cancellation_log_take_named (c, p);
   hr_cancellation_log_acknowledged (c, p);
   note_attestation (c, p);
   hr_format_heard (c, h);
   /* A member that the state service serves has read a newer map, and we, who
    * think we own it, have not: whoever is refused steps down at once. */
-  if (c->leads && h->store_served && h->baton > c->baton && c->now - c->confirmed_at > 1.5) {
+  if (c->leads && h->store_served && h->fencing_token > c->baton &&
+      c->now - c->confirmed_at > 1.5) {
     c->fenced = c->baton;
     hr_leadership_step_down (c, "a member has read a newer map");
   }
@@ -396,6 +398,6 @@
       consider_resigning (c);
     }
   }
-  if (c->now - c->hint_at >= (c->hint_soon ? HINT_SOON_S : HINT_S))
+  if (c->now - c->hint_at >= (c->hint_soon ? STATUS_SOON_INTERVAL_S : STATUS_INTERVAL_S))
     broadcast_status (c);
 }
--- a/src/coordination/machine_list.c
+++ b/src/coordination/machine_list.c
@@ -1,7 +1,7 @@
 /* The cloud's list of machines, read page by page again and again. It lags, and is weak evidence.
  */
 #include "coordination/state.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 
 static void on_list (HrCore *c, int status, json_t *body, double sent, gpointer data);
 
--- a/src/coordination/orders.c
+++ b/src/coordination/orders.c
@@ -1,5 +1,5 @@
 #include "coordination/orders.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <string.h>
 
 /* Seconds after which a direct stop is sent once more. */
--- a/src/coordination/rentals.c
+++ b/src/coordination/rentals.c
@@ -1,6 +1,6 @@
 /* Renting machines: each request under a name of its own, repeated until it has a clear answer. */
 #include "coordination/state.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <string.h>
 
 /* Where the cloud had no capacity it is asked again after so many seconds. */
--- a/src/coordination/state.h
+++ b/src/coordination/state.h
@@ -60,16 +60,17 @@
 } HrWant;
 
 typedef struct {
-  HrHint hint;
-  double at;
-  double attested; /* by our clock: what it stated was so then; see attested_at in leader.c */
-  guint64 taken;   /* of this process of it: position up to which we took in its withdrawals */
-} HrPeerView;
+  HrPeerStatus status;
+  double received_at;
+  double attested_at; /* by our clock: what it stated was so then; see attested_at in leader.c */
+  guint64 cancellations_taken; /* of this process of it: position up to which we took in its
+                                  withdrawals */
+} HrPeer;
 
 /* A withdrawal that this node confirmed to its user, or read. */
 typedef struct {
   guint32 job;
-  guint64 stamp;
+  guint64 revision;
 } HrCancellation;
 
 /* What a limit of a team is about. */
@@ -145,7 +146,7 @@
   gsize name_longest;
   GArray *to_split;          /* guint32: jobs whose records are too large, the most urgent first */
   guint nsplits, split_scan; /* under way; how far c->open was searched for large records */
-  char oversized[HR_MAX_OVERSIZED][HR_JOB_ID_MOST + 1]; /* see HrHint */
+  char oversized[HR_MAX_OVERSIZED][HR_JOB_ID_MOST + 1]; /* see HrPeerStatus */
   guint noversized;
 
   /* The map and the leader's key. */
@@ -157,7 +158,7 @@
   guint64 led_baton; /* of our first map as leader */
   double led_at, elect_at, abstain_until, raised_at, leaderless_at;
   gboolean raise_wanted;
-  GArray *peers; /* HrPeerView */
+  GArray *peers; /* HrPeer */
   double hint_at;
   gboolean hint_soon; /* there is news for a member that the state service does not serve */
   GArray *contacts;   /* times of workers' reports, a ring */
@@ -237,7 +238,7 @@
 void hr_leadership_reset (HrCore *c, const char *why);
 /* Gives the leader's key back and leaves it to others for a while. */
 void hr_leadership_resign (HrCore *c, const char *why);
-void hr_membership_status_received (HrCore *c, const HrHint *h);
+void hr_membership_status_received (HrCore *c, const HrPeerStatus *h);
 gboolean hr_leadership_may_answer (const HrCore *c);
 /* As far as other members say, the state service answers none of us. */
 gboolean hr_membership_store_outage_for_all (const HrCore *c);
@@ -248,10 +249,10 @@
 
 /* withdrawals.c: naming withdrawals to a leader that cannot read them */
 void hr_cancellation_log_append (HrCore *c, const HrJob *j, guint64 stamp);
-void hr_cancellation_log_fill_status (HrCore *c, HrHint *h);
-void hr_cancellation_log_take_named (HrCore *c, HrPeerView *p);
-gboolean hr_cancellation_log_all_taken (const HrCore *c, const HrPeerView *p);
-void hr_cancellation_log_acknowledged (HrCore *c, const HrPeerView *p);
+void hr_cancellation_log_fill_status (HrCore *c, HrPeerStatus *h);
+void hr_cancellation_log_take_named (HrCore *c, HrPeer *p);
+gboolean hr_cancellation_log_all_taken (const HrCore *c, const HrPeer *p);
+void hr_cancellation_log_acknowledged (HrCore *c, const HrPeer *p);
 
 /* users.c */
 void hr_users_request (HrCore *c, HrCommand *cmd);
--- a/src/coordination/submissions.c
+++ b/src/coordination/submissions.c
@@ -1,6 +1,6 @@
 /* Submissions: accepted when the first record of the job is written, or found. */
 #include "coordination/requests.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <string.h>
 
 /* A job that was accepted stays so whatever its repeated submission says, and a repetition is
--- a/src/coordination/users.c
+++ b/src/coordination/users.c
@@ -1,6 +1,6 @@
 /* What users ask: polls, cancellations, readiness; submissions are in submissions.c. */
 #include "coordination/requests.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <string.h>
 
 #define MAX_TRIES 6
--- a/src/coordination/withdrawals.c
+++ b/src/coordination/withdrawals.c
@@ -10,13 +10,14 @@
 #define MAX_LOG 1024
 
 /* The leader, as it says itself; NULL when none is known that can be told. */
-static const HrPeerView *
+static const HrPeer *
 reachable_leader (const HrCore *c)
 {
-  const HrPeerView *leader = NULL;
+  const HrPeer *leader = NULL;
   for (guint i = 0; i < c->peers->len; i++) {
-    const HrPeerView *p = &g_array_index (c->peers, HrPeerView, i);
-    if (p->hint.leads && p->hint.named.stated && (!leader || p->hint.baton > leader->hint.baton))
+    const HrPeer *p = &g_array_index (c->peers, HrPeer, i);
+    if (p->status.is_leader && p->status.cancellations.is_stated &&
+        (!leader || p->status.fencing_token > leader->status.fencing_token))
       leader = p;
   }
   return leader;
@@ -27,7 +28,7 @@
 {
   for (guint i = 0; i < n; i++)
     c->withdrawals_dropped =
-        MAX (c->withdrawals_dropped, g_array_index (c->withdrawals, HrCancellation, i).stamp);
+        MAX (c->withdrawals_dropped, g_array_index (c->withdrawals, HrCancellation, i).revision);
   g_array_remove_range (c->withdrawals, 0, n);
   c->withdrawals_begin += n;
 }
@@ -35,11 +36,12 @@
 /* Drops what the leader has read, from the beginning on. Whoever led at the map that we read,
  * or leads after it, has read the ledger up to that map. */
 static void
-drop_read_by_leader (HrCore *c, const HrPeerView *leader)
+drop_read_by_leader (HrCore *c, const HrPeer *leader)
 {
-  guint64 read = MAX (c->map_stamp, leader ? leader->hint.applied : 0);
+  guint64 read = MAX (c->map_stamp, leader ? leader->status.applied_revision : 0);
   guint n = 0;
-  while (n < c->withdrawals->len && g_array_index (c->withdrawals, HrCancellation, n).stamp <= read)
+  while (n < c->withdrawals->len &&
+         g_array_index (c->withdrawals, HrCancellation, n).revision <= read)
     n++;
   if (n)
     drop_oldest (c, n);
@@ -56,28 +58,28 @@
 void
 hr_cancellation_log_append (HrCore *c, const HrJob *j, guint64 stamp)
 {
-  const HrPeerView *leader = reachable_leader (c);
+  const HrPeer *leader = reachable_leader (c);
   HrCancellation entry = {j->idx, stamp};
   c->withdrawn = MAX (c->withdrawn, stamp);
-  if (leader && stamp <= leader->hint.applied) {
+  if (leader && stamp <= leader->status.applied_revision) {
     c->withdrawals_dropped = MAX (c->withdrawals_dropped, stamp);
     return;
   }
   if (c->withdrawals->len == MAX_LOG)
     drop_oldest (c, MAX_LOG / 4);
   g_array_append_val (c->withdrawals, entry);
-  if (leader && !leader->hint.store_served)
+  if (leader && !leader->status.store_served)
     c->hint_soon = TRUE;
 }
 
 /* Position up to which the leader has taken in the log of this process. */
 static guint64
-acknowledged (const HrCore *c, const HrPeerView *leader)
+acknowledged (const HrCore *c, const HrPeer *leader)
 {
-  for (guint i = 0; i < leader->hint.nechoes; i++) {
-    const HrEcho *e = &leader->hint.echoes[i];
+  for (guint i = 0; i < leader->status.n_echoes; i++) {
+    const HrEcho *e = &leader->status.echoes[i];
     if (g_str_equal (e->label, c->set->label) && g_str_equal (e->incarnation, c->incarnation))
-      return e->taken;
+      return e->cancellations_taken;
   }
   return 0;
 }
@@ -85,20 +87,20 @@
 /* States our log in a hint, and names what of it the leader has neither read nor taken in, as
  * far as there is room. */
 void
-hr_cancellation_log_fill_status (HrCore *c, HrHint *h)
+hr_cancellation_log_fill_status (HrCore *c, HrPeerStatus *h)
 {
-  const HrPeerView *leader = reachable_leader (c);
-  HrNamedCancellations *n = &h->named;
+  const HrPeer *leader = reachable_leader (c);
+  HrNamedCancellations *n = &h->cancellations;
   drop_read_by_leader (c, leader);
-  n->stated = TRUE;
-  n->dropped = c->withdrawals_dropped;
-  n->begins = n->first = c->withdrawals_begin;
-  n->ends = log_end (c);
+  n->is_stated = TRUE;
+  n->dropped_revision = c->withdrawals_dropped;
+  n->log_begin = n->first_position = c->withdrawals_begin;
+  n->log_end = log_end (c);
   if (!leader || c->leads)
     return;
-  n->first = CLAMP (acknowledged (c, leader), n->begins, n->ends);
-  for (guint64 at = n->first; at < n->ends; at++) {
-    const HrCancellation *w = &g_array_index (c->withdrawals, HrCancellation, at - n->begins);
+  n->first_position = CLAMP (acknowledged (c, leader), n->log_begin, n->log_end);
+  for (guint64 at = n->first_position; at < n->log_end; at++) {
+    const HrCancellation *w = &g_array_index (c->withdrawals, HrCancellation, at - n->log_begin);
     if (!hr_named_cancellations_add (n, hr_intern_name (&c->job_ids, w->job)))
       break;
   }
@@ -127,35 +129,37 @@
 /* Takes in what a member names, when nothing is missing between that and what was taken in
  * before, but for withdrawals that we have read. */
 void
-hr_cancellation_log_take_named (HrCore *c, HrPeerView *p)
+hr_cancellation_log_take_named (HrCore *c, HrPeer *p)
 {
-  const HrNamedCancellations *n = &p->hint.named;
-  if (!c->leads || !n->stated)
+  const HrNamedCancellations *n = &p->status.cancellations;
+  if (!c->leads || !n->is_stated)
     return;
-  if (n->dropped <= c->applied)
-    p->taken = MAX (p->taken, n->begins);
-  if (n->first > p->taken || n->first + n->count <= p->taken)
+  if (n->dropped_revision <= c->applied)
+    p->cancellations_taken = MAX (p->cancellations_taken, n->log_begin);
+  if (n->first_position > p->cancellations_taken ||
+      n->first_position + n->count <= p->cancellations_taken)
     return;
   for (const char *id = hr_named_cancellations_next (n, NULL); id;
        id = hr_named_cancellations_next (n, id))
     cancel_as_told (c, id);
-  p->taken = n->first + n->count;
+  p->cancellations_taken = n->first_position + n->count;
   c->hint_soon = TRUE; /* the member goes on from there */
 }
 
 /* Do we know all withdrawals that the member knew of when it made its latest hint? */
 gboolean
-hr_cancellation_log_all_taken (const HrCore *c, const HrPeerView *p)
+hr_cancellation_log_all_taken (const HrCore *c, const HrPeer *p)
 {
-  const HrNamedCancellations *n = &p->hint.named;
-  return c->leads && n->stated && n->dropped <= c->applied && n->ends <= p->taken;
+  const HrNamedCancellations *n = &p->status.cancellations;
+  return c->leads && n->is_stated && n->dropped_revision <= c->applied &&
+         n->log_end <= p->cancellations_taken;
 }
 
 /* A leader that is not served has taken in a part of our log: the rest follows at once. */
 void
-hr_cancellation_log_acknowledged (HrCore *c, const HrPeerView *p)
+hr_cancellation_log_acknowledged (HrCore *c, const HrPeer *p)
 {
-  if (p->hint.leads && p->hint.named.stated && !p->hint.store_served && !c->leads &&
-      c->withdrawn > p->hint.applied && acknowledged (c, p) < log_end (c))
+  if (p->status.is_leader && p->status.cancellations.is_stated && !p->status.store_served &&
+      !c->leads && c->withdrawn > p->status.applied_revision && acknowledged (c, p) < log_end (c))
     c->hint_soon = TRUE;
 }
--- a/src/coordination/workers.c
+++ b/src/coordination/workers.c
@@ -1,7 +1,7 @@
 /* Reports of workers and the orders they get. */
 #include "coordination/orders.h"
 #include "coordination/renewal.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <string.h>
 
 /* Ended attempts that a worker may hold before the baton is raised to clear them. */
--- a/src/emulator/balancer.c
+++ b/src/emulator/balancer.c
@@ -1,6 +1,6 @@
 #include "emulator/balancer.h"
 #include "emulator/control.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <string.h>
 
 #define PROBE_EVERY_S 1.0
--- a/src/emulator/control.c
+++ b/src/emulator/control.c
@@ -1,5 +1,5 @@
 #include "emulator/control.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <string.h>
 
 static void
--- a/src/emulator/main.c
+++ b/src/emulator/main.c
@@ -3,7 +3,7 @@
  */
 #include "emulator/balancer.h"
 #include "emulator/control.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <glib-unix.h>
 #include <signal.h>
 #include <stdio.h>
--- a/src/emulator/wire.c
+++ b/src/emulator/wire.c
@@ -57,7 +57,7 @@
   }
   GUri *uri = soup_server_message_get_uri (msg);
   const char *q = g_uri_get_query (uri);
-  HrEffect e = {.kind = HR_E_CALL, .id = ++s->calls, .target = l->target};
+  HrEffect e = {.kind = HR_EFFECT_CALL, .id = ++s->calls, .target = l->target};
   e.method = hr_method_of (soup_server_message_get_method (msg));
   e.path = g_strconcat (path, q ? "?" : NULL, q, NULL);
   e.addr = l->address;
@@ -170,7 +170,7 @@
     no_answer (s, a->node, a->id);
     return;
   }
-  HrEffect e = {.kind = HR_E_REPLY, .id = a->id, .status = soup_message_get_status (msg)};
+  HrEffect e = {.kind = HR_EFFECT_REPLY, .id = a->id, .status = soup_message_get_status (msg)};
   e.body = g_strndup (g_bytes_get_data (bytes, NULL), g_bytes_get_size (bytes));
   if (s->w->nodes[a->node].up)
     node_perform (s->w, a->node, &e);
@@ -196,9 +196,9 @@
 live_push (World *w, int node, HrCommand *cmd)
 {
   Live *s = w->controllers_data;
-  if (cmd->kind == HR_C_REQUEST)
+  if (cmd->kind == HR_COMMAND_REQUEST)
     ask (s, node, cmd);
-  else if (cmd->kind == HR_C_RESULT)
+  else if (cmd->kind == HR_COMMAND_RESULT)
     answer_call (s, cmd);
   hr_command_free (cmd);
 }
--- a/src/hoprockd.c
+++ b/src/hoprockd.c
@@ -51,12 +51,12 @@
     HrEffect *e = effects->pdata[i];
     if (e->plain)
       add_process_metrics (e);
-    if (e->kind == HR_E_REPLY)
+    if (e->kind == HR_EFFECT_REPLY)
       hr_http_server_reply (d->server, e);
-    else if (e->kind == HR_E_CALL)
+    else if (e->kind == HR_EFFECT_CALL)
       hr_http_client_call (d->client, e);
     else
-      hr_peers_tell (d->peers, e->hint);
+      hr_peers_tell (d->peers, e->peer_status);
   }
   hr_http_server_flush (d->server);
   return G_SOURCE_REMOVE;
@@ -76,7 +76,7 @@
 static gboolean
 on_tick (gpointer data)
 {
-  sink (hr_command_new (HR_C_TICK), data);
+  sink (hr_command_new (HR_COMMAND_TICK), data);
   return G_SOURCE_CONTINUE;
 }
 
--- a/src/protocol/cloud.c
+++ b/src/protocol/cloud.c
@@ -1,5 +1,5 @@
 #include "protocol/cloud.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 
 static void
 type_clear (gpointer p)
--- a/src/protocol/jobspec.c
+++ b/src/protocol/jobspec.c
@@ -1,5 +1,5 @@
 #include "protocol/jobspec.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <math.h>
 #include <string.h>
 
--- a/src/protocol/jsonx.c
+++ b/src/protocol/json_util.c
@@ -1,4 +1,4 @@
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <math.h>
 
 gboolean
--- a/src/protocol/messages.c
+++ b/src/protocol/messages.c
@@ -1,5 +1,5 @@
 #include "protocol/messages.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <string.h>
 
 /* Of an answer that is not JSON so much is shown. */
--- a/src/protocol/settings.c
+++ b/src/protocol/settings.c
@@ -1,5 +1,5 @@
 #include "protocol/settings.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <gio/gio.h>
 #include <string.h>
 
--- a/src/protocol/worker.c
+++ b/src/protocol/worker.c
@@ -1,6 +1,6 @@
 #include "protocol/worker.h"
 #include "protocol/jobspec.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <string.h>
 
 static const char *const states[] = {"fetching", "gathering", "running", "flushing", "exited"};
--- a/src/transport/http_client.c
+++ b/src/transport/http_client.c
@@ -30,7 +30,7 @@
 static void
 give_result (Call *call, guint status, GBytes *body)
 {
-  HrCommand *c = hr_command_new (HR_C_RESULT);
+  HrCommand *c = hr_command_new (HR_COMMAND_RESULT);
   c->id = call->id;
   c->status = status;
   c->body = body;
@@ -117,7 +117,7 @@
   call->id = e->id;
   call->msg = soup_message_new (methods[e->method], uri);
   if (!call->msg) { /* an address that makes no sense, from a worker's report perhaps */
-    HrCommand *r = hr_command_new (HR_C_RESULT);
+    HrCommand *r = hr_command_new (HR_COMMAND_RESULT);
     r->id = e->id;
     g_free (call);
     c->sink (r, c->data);
--- a/src/transport/http_server.c
+++ b/src/transport/http_server.c
@@ -137,7 +137,7 @@
     return MHD_queue_response (conn, r->status, r->response);
   if (r->id)
     return MHD_YES;
-  HrCommand *c = hr_command_new (HR_C_REQUEST);
+  HrCommand *c = hr_command_new (HR_COMMAND_REQUEST);
   c->id = r->id = ++s->next;
   c->method = hr_method_of (method);
   c->path = g_utf8_make_valid (url, -1);
--- a/src/transport/peer.c
+++ b/src/transport/peer.c
@@ -1,5 +1,5 @@
 #include "transport/peer.h"
-#include "transport/hint_frame.h"
+#include "transport/peer_status_frame.h"
 #include <gio/gio.h>
 #include <string.h>
 
@@ -39,8 +39,8 @@
 static void
 deliver (Reader *r, gsize len)
 {
-  HrCommand *c = hr_command_new (HR_C_HINT);
-  if (!hr_hint_unpack (c->hint, r->body, len)) {
+  HrCommand *c = hr_command_new (HR_COMMAND_PEER_STATUS);
+  if (!hr_peer_status_unpack (c->peer_status, r->body, len)) {
     g_info ("a peer sent a frame that is no hint; dropped");
     hr_command_free (c);
     return;
@@ -129,10 +129,10 @@
 }
 
 void
-hr_peers_tell (HrPeers *p, const HrHint *h)
+hr_peers_tell (HrPeers *p, const HrPeerStatus *h)
 {
   guint8 frame[HR_MAX_FRAME];
-  gsize len = hr_hint_pack (h, frame);
+  gsize len = hr_peer_status_pack (h, frame);
   if (!len)
     return;
   for (guint i = 0; i < p->links->len; i++) {
--- a/src/transport/peer.h
+++ b/src/transport/peer.h
@@ -6,5 +6,5 @@
 typedef struct HrPeers HrPeers;
 
 HrPeers *hr_peers_new (const HrSettings *s, HrCommandSink sink, gpointer data, GError **error);
-void hr_peers_tell (HrPeers *p, const HrHint *h);
+void hr_peers_tell (HrPeers *p, const HrPeerStatus *h);
 void hr_peers_free (HrPeers *p);
--- a/tests/bench_core.c
+++ b/tests/bench_core.c
@@ -2,7 +2,7 @@
  * grown deployment: bench_core [MACHINES [JOBS]]. No test: it prints figures.
  * The stand-ins answer at once, so only the owner's own work is measured. */
 #include "coordination/core.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -41,7 +41,7 @@
 static void
 answer (Bench *b, guint64 id, int status, char *text)
 {
-  HrCommand *c = hr_command_new (HR_C_RESULT);
+  HrCommand *c = hr_command_new (HR_COMMAND_RESULT);
   c->id = id;
   c->status = status;
   c->body = g_bytes_new_take (text, strlen (text));
@@ -151,9 +151,9 @@
     f->n += first ? 1 : commands->len;
     for (guint i = 0; i < out->len; i++) {
       HrEffect *e = out->pdata[i];
-      if (e->kind == HR_E_CALL)
+      if (e->kind == HR_EFFECT_CALL)
         call (b, e);
-      else if (e->kind == HR_E_REPLY && machine && e->status == 200 && first)
+      else if (e->kind == HR_EFFECT_REPLY && machine && e->status == 200 && first)
         obey (b, machine, e->body);
     }
     g_ptr_array_set_size (commands, 0);
@@ -168,7 +168,7 @@
 request (Bench *b, HrMethod m, const char *path, char *body, int figure, const char *machine)
 {
   g_autoptr (GPtrArray) q = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_command_free);
-  HrCommand *c = hr_command_new (HR_C_REQUEST);
+  HrCommand *c = hr_command_new (HR_COMMAND_REQUEST);
   static guint64 id;
   c->id = ++id;
   c->method = m;
@@ -183,7 +183,7 @@
 {
   g_autoptr (GPtrArray) q = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_command_free);
   b->now += dt;
-  g_ptr_array_add (q, hr_command_new (HR_C_TICK));
+  g_ptr_array_add (q, hr_command_new (HR_COMMAND_TICK));
   step (b, q, dt > 0.1 ? F_PASS : F_TICK, NULL);
 }
 
--- a/tests/script.c
+++ b/tests/script.c
@@ -1,5 +1,5 @@
 #include "script.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <string.h>
 
 #define TICK_S 0.05
@@ -46,10 +46,10 @@
 take_effect (Script *s, int node, HrEffect *e)
 {
   ScriptNode *n = &s->nodes[node];
-  if (e->kind == HR_E_HINT) {
-    n->hint = *e->hint;
+  if (e->kind == HR_EFFECT_PEER_STATUS) {
+    n->hint = *e->peer_status;
     n->hinted = TRUE;
-  } else if (e->kind == HR_E_REPLY) {
+  } else if (e->kind == HR_EFFECT_REPLY) {
     ScriptReply *r = g_new0 (ScriptReply, 1);
     r->status = e->status;
     r->retry_after = e->retry_after;
@@ -121,7 +121,7 @@
 give_result (Script *s, ScriptCall *call, int status, const char *body)
 {
   guint at;
-  HrCommand *cmd = hr_command_new (HR_C_RESULT);
+  HrCommand *cmd = hr_command_new (HR_COMMAND_RESULT);
   cmd->id = call->id;
   cmd->status = status;
   if (body)
@@ -249,8 +249,8 @@
     for (int to = 0; to < s->n && s->hints; to++) {
       if (to == from)
         continue;
-      HrCommand *cmd = hr_command_new (HR_C_HINT);
-      *cmd->hint = s->nodes[from].hint;
+      HrCommand *cmd = hr_command_new (HR_COMMAND_PEER_STATUS);
+      *cmd->peer_status = s->nodes[from].hint;
       script_step (s, to, cmd);
     }
   }
@@ -261,7 +261,7 @@
 {
   s->now += seconds;
   for (int i = 0; i < s->n; i++)
-    script_step (s, i, hr_command_new (HR_C_TICK));
+    script_step (s, i, hr_command_new (HR_COMMAND_TICK));
   tell_hints (s);
 }
 
@@ -295,7 +295,7 @@
 guint64
 script_request (Script *s, int node, HrMethod method, const char *path, const char *body)
 {
-  HrCommand *cmd = hr_command_new (HR_C_REQUEST);
+  HrCommand *cmd = hr_command_new (HR_COMMAND_REQUEST);
   guint64 id = cmd->id = ++s->next_request;
   cmd->method = method;
   cmd->path = g_strdup (path);
--- a/tests/script.h
+++ b/tests/script.h
@@ -49,9 +49,9 @@
   HrCore *core; /* NULL: no process runs */
   HrNames names;
   HrSettings *set;
-  guint process;   /* counts them */
-  gboolean served; /* by the state service; else it answers 503 to this node alone */
-  HrHint hint;     /* the latest one that it sent */
+  guint process;     /* counts them */
+  gboolean served;   /* by the state service; else it answers 503 to this node alone */
+  HrPeerStatus hint; /* the latest one that it sent */
   gboolean hinted;
   GHashTable *replies; /* request id -> ScriptReply */
 } ScriptNode;
--- a/tests/script_scene.c
+++ b/tests/script_scene.c
@@ -1,5 +1,5 @@
 #include "script_scene.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
--- a/tests/script_store.c
+++ b/tests/script_store.c
@@ -1,7 +1,7 @@
 /* The state service of tests/script.h, which carries out one request when it is told to; and a
  * cloud that has no more machines than the test made. */
 #include "script.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <string.h>
 
 typedef struct {
--- a/tests/script_user.c
+++ b/tests/script_user.c
@@ -1,6 +1,6 @@
 /* What the users of tests/script.h ask. */
 #include "script.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <string.h>
 
 json_t *
--- a/tests/script_worker.c
+++ b/tests/script_worker.c
@@ -1,6 +1,6 @@
 /* The workers of tests/script.h. */
 #include "script.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <string.h>
 
 void
--- a/tests/scripted.c
+++ b/tests/scripted.c
@@ -1,11 +1,11 @@
 #include "scripted.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <string.h>
 
 static void
 answer (Script *s, guint64 id, int status, char *text)
 {
-  HrCommand *c = hr_command_new (HR_C_RESULT);
+  HrCommand *c = hr_command_new (HR_COMMAND_RESULT);
   c->id = id;
   c->status = status;
   if (text)
@@ -194,10 +194,10 @@
 static void
 perform (Script *s, const HrEffect *e)
 {
-  if (e->kind == HR_E_HINT) {
-    s->said = *e->hint;
+  if (e->kind == HR_EFFECT_PEER_STATUS) {
+    s->said = *e->peer_status;
     s->hint_at = s->now;
-  } else if (e->kind == HR_E_REPLY) {
+  } else if (e->kind == HR_EFFECT_REPLY) {
     s->status = e->status;
     g_free (s->answer);
     s->answer = g_strdup (e->body);
@@ -225,10 +225,10 @@
 }
 
 void
-script_hint (Script *s, HrHint *h)
+script_hint (Script *s, HrPeerStatus *h)
 {
-  HrCommand *c = hr_command_new (HR_C_HINT);
-  *c->hint = *h;
+  HrCommand *c = hr_command_new (HR_COMMAND_PEER_STATUS);
+  *c->peer_status = *h;
   step (s, c);
 }
 
@@ -242,7 +242,7 @@
       continue;
     m->hint.clock = s->now;
     if (!m->echo_stays) {
-      m->hint.nechoes = 1;
+      m->hint.n_echoes = 1;
       g_strlcpy (m->hint.echoes[0].label, "c0", sizeof m->hint.echoes[0].label);
       g_strlcpy (m->hint.echoes[0].incarnation, "c0-1", sizeof m->hint.echoes[0].incarnation);
       m->hint.echoes[0].clock = s->said.clock;
@@ -258,7 +258,7 @@
     s->now += 0.1;
     if (s->now - s->said_at >= 1)
       speak (s);
-    step (s, hr_command_new (HR_C_TICK));
+    step (s, hr_command_new (HR_COMMAND_TICK));
   }
 }
 
@@ -266,7 +266,7 @@
 request (Script *s, HrMethod method, const char *path, char *body)
 {
   static guint64 id;
-  HrCommand *c = hr_command_new (HR_C_REQUEST);
+  HrCommand *c = hr_command_new (HR_COMMAND_REQUEST);
   c->id = ++id;
   c->method = method;
   c->path = g_strdup (path);
@@ -371,10 +371,10 @@
   }
   for (guint i = 0; i < SCRIPTED_MEMBERS; i++) {
     ScriptedMember *m = &s->members[i];
-    m->speaks = m->hint.synced = m->hint.named.stated = TRUE;
+    m->speaks = m->hint.synced = m->hint.cancellations.is_stated = TRUE;
     g_snprintf (m->hint.label, sizeof m->hint.label, "c%u", i + 1);
     g_snprintf (m->hint.incarnation, sizeof m->hint.incarnation, "c%u-1", i + 1);
-    m->hint.baton = 1;
+    m->hint.fencing_token = 1;
   }
   s->core = hr_core_new (s->set, &s->pol, &s->names, "c0-1", 1);
   script_run (s, 5);
--- a/tests/scripted.h
+++ b/tests/scripted.h
@@ -11,7 +11,7 @@
 typedef struct {
   gboolean speaks;
   gboolean echo_stays; /* echoes the clock that it echoed last, as a late copy does */
-  HrHint hint;
+  HrPeerStatus hint;
 } ScriptedMember;
 
 typedef struct {
@@ -29,10 +29,10 @@
   GPtrArray *log; /* JSON texts of changes */
   GPtrArray *inbox;
   ScriptedMember members[SCRIPTED_MEMBERS];
-  double said_at; /* the members last spoke */
-  HrHint said;    /* the latest hint of c0 */
-  double hint_at; /* its time */
-  GHashTable *on; /* "job/task" -> attempt: what the worker has */
+  double said_at;    /* the members last spoke */
+  HrPeerStatus said; /* the latest hint of c0 */
+  double hint_at;    /* its time */
+  GHashTable *on;    /* "job/task" -> attempt: what the worker has */
   guint tally, session;
   guint64 token; /* the highest that the worker has seen */
   guint lost_launches;
@@ -57,7 +57,7 @@
 /* The same again and again for so long; returns the status of the last one. */
 int script_report_for (Script *s, double seconds);
 /* c0 gets this hint, with its own clock echoed. */
-void script_hint (Script *s, HrHint *h);
+void script_hint (Script *s, HrPeerStatus *h);
 /* Somebody else changes the ledger. */
 void script_write (Script *s, const char *key, const char *value);
 /* Somebody else withdraws the job; its stamp is returned. */
--- a/tests/sim/adopt.c
+++ b/tests/sim/adopt.c
@@ -1,6 +1,6 @@
 /* Jobs of users outside this process: the stand-ins learn of them as they are submitted. */
 #include "sim/world.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 
 #define SHORTEST_S 1.0
 #define IMAGES 1000
--- a/tests/sim/cloud.c
+++ b/tests/sim/cloud.c
@@ -1,6 +1,6 @@
 /* A stand-in for the cloud: rentals by name, late lists, boots that fail. */
 #include "sim/world.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <string.h>
 
 #define LAG 3.0
--- a/tests/sim/digest.c
+++ b/tests/sim/digest.c
@@ -1,5 +1,5 @@
 #include "sim/digest.h"
-#include "transport/hint_frame.h"
+#include "transport/peer_status_frame.h"
 #include <stdio.h>
 #include <string.h>
 
@@ -43,8 +43,8 @@
   add_text (digest, effect->path);
   add_text (digest, effect->body);
   guint8 frame[HR_MAX_FRAME];
-  if (effect->kind == HR_E_HINT)
-    add_bytes (digest, frame, hr_hint_pack (effect->hint, frame));
+  if (effect->kind == HR_EFFECT_PEER_STATUS)
+    add_bytes (digest, frame, hr_peer_status_pack (effect->peer_status, frame));
 }
 
 void
--- a/tests/sim/lone_node.c
+++ b/tests/sim/lone_node.c
@@ -1,5 +1,5 @@
 #include "sim/lone_node.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -161,7 +161,7 @@
 static void
 result (LoneNode *n, guint64 id, int status, char *text)
 {
-  HrCommand *cmd = hr_command_new (HR_C_RESULT);
+  HrCommand *cmd = hr_command_new (HR_COMMAND_RESULT);
   cmd->id = id;
   cmd->status = status;
   cmd->body = g_bytes_new_take (text, strlen (text));
@@ -196,13 +196,13 @@
   g_autoptr (GPtrArray) batch = n->inbox;
   g_autoptr (GPtrArray) out = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_effect_free);
   n->inbox = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_command_free);
-  g_ptr_array_add (batch, hr_command_new (HR_C_TICK));
+  g_ptr_array_add (batch, hr_command_new (HR_COMMAND_TICK));
   hr_core_step (n->core, n->now, 1e9 + n->now, batch, out);
   for (guint i = 0; i < out->len; i++) {
     const HrEffect *e = out->pdata[i];
-    if (e->kind == HR_E_CALL)
+    if (e->kind == HR_EFFECT_CALL)
       call (n, e);
-    else if (e->kind == HR_E_REPLY) {
+    else if (e->kind == HR_EFFECT_REPLY) {
       g_hash_table_insert (n->answers, g_memdup2 (&e->id, sizeof e->id),
                            GINT_TO_POINTER (e->status));
       json_decref (n->body);
@@ -222,7 +222,7 @@
 int
 node_ask (LoneNode *n, HrMethod method, const char *path, char *body)
 {
-  HrCommand *cmd = hr_command_new (HR_C_REQUEST);
+  HrCommand *cmd = hr_command_new (HR_COMMAND_REQUEST);
   guint64 id = ++n->next;
   gpointer status = NULL;
   cmd->id = id;
--- a/tests/sim/messages.c
+++ b/tests/sim/messages.c
@@ -56,7 +56,7 @@
     if (r->node >= 0) {
       Node *n = &w->nodes[r->node];
       if (n->up && n->gen == r->gen) {
-        HrCommand *c = hr_command_new (HR_C_RESULT);
+        HrCommand *c = hr_command_new (HR_COMMAND_RESULT);
         c->id = r->call;
         c->status = a->status;
         if (r->target == HR_TO_STORE && a->status == 200)
@@ -171,7 +171,7 @@
     if (!n->up)
       w_answer (w, r, 0, NULL); /* refused */
     else {
-      HrCommand *c = hr_command_new (HR_C_REQUEST);
+      HrCommand *c = hr_command_new (HR_COMMAND_REQUEST);
       c->id = ++n->next;
       c->method = r->method;
       c->path = g_strdup (r->path);
--- a/tests/sim/odd.c
+++ b/tests/sim/odd.c
@@ -5,7 +5,7 @@
  * may be recorded of them: each one carries a mark, which no key and no value of the state stand-in
  * may hold. */
 #include "sim/world.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <string.h>
 
 #define ROUND_S 1.5
--- a/tests/sim/pipeline.c
+++ b/tests/sim/pipeline.c
@@ -1,5 +1,5 @@
 #include "sim/pipeline.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <string.h>
 
 #define MOST_STEPS 6
--- a/tests/sim/store.c
+++ b/tests/sim/store.c
@@ -1,6 +1,6 @@
 /* A stand-in for the state service. */
 #include "sim/world.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include "bookkeeping/tables.h"
 #include <stdlib.h>
 #include <string.h>
--- a/tests/sim/user.c
+++ b/tests/sim/user.c
@@ -1,6 +1,6 @@
 /* Users: what they ask, and the jobs of a usual day. */
 #include "sim/pipeline.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <string.h>
 
 SJob *
--- a/tests/sim/worker.c
+++ b/tests/sim/worker.c
@@ -1,6 +1,6 @@
 /* A stand-in for the workers: reports, tokens, leases, tasks and gangs. */
 #include "sim/world.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <string.h>
 
 #define GANG_WAIT 30.0
--- a/tests/sim/world.c
+++ b/tests/sim/world.c
@@ -72,7 +72,7 @@
 
 typedef struct {
   int to;
-  HrHint hint;
+  HrPeerStatus hint;
 } Hint;
 
 static void
@@ -80,8 +80,8 @@
 {
   Hint *h = p;
   if (w->nodes[h->to].up) {
-    HrCommand *c = hr_command_new (HR_C_HINT);
-    *c->hint = h->hint;
+    HrCommand *c = hr_command_new (HR_COMMAND_PEER_STATUS);
+    *c->peer_status = h->hint;
     node_push (w, h->to, c);
   }
   g_free (h);
@@ -91,7 +91,7 @@
 node_perform (World *w, int i, HrEffect *e)
 {
   Node *n = &w->nodes[i];
-  if (e->kind == HR_E_REPLY) {
+  if (e->kind == HR_EFFECT_REPLY) {
     Req *r = g_hash_table_lookup (n->open, &e->id);
     if (r) {
       if (e->status >= 500 && e->status != 503)
@@ -116,7 +116,7 @@
       w_answer (w, r, e->status, g_strdup (e->body));
       g_hash_table_remove (n->open, &e->id);
     }
-  } else if (e->kind == HR_E_CALL) {
+  } else if (e->kind == HR_EFFECT_CALL) {
     if (e->target == HR_TO_WORKER)
       node_check_launches (w, i, e->body);
     Req *r = g_new0 (Req, 1);
@@ -137,7 +137,7 @@
     for (int k = 0; k < w->n; k++)
       if (k != i && n->cut_peers <= w->now && w->nodes[k].cut_peers <= w->now) {
         Hint *h = g_new (Hint, 1);
-        *h = (Hint){k, *e->hint};
+        *h = (Hint){k, *e->peer_status};
         w_at (w, w->now + net_delay (w), deliver_hint, h);
       }
 }
@@ -229,7 +229,7 @@
     w_at (w, w->nodes[i].frozen, node_tick, p);
     return;
   }
-  node_push (w, i, hr_command_new (HR_C_TICK));
+  node_push (w, i, hr_command_new (HR_COMMAND_TICK));
   w_at (w, w->now + 0.1, node_tick, p);
 }
 
--- a/tests/test_allowance.c
+++ b/tests/test_allowance.c
@@ -1,7 +1,7 @@
 /* Users where the state service allows few writes, is slow, or is away (script.h): what they are
  * told, and how soon. docs/meetings.md says which guard each test fails without. */
 #include "script.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
--- a/tests/test_attestation.c
+++ b/tests/test_attestation.c
@@ -15,7 +15,7 @@
 typedef struct {
   Script *s;
   guint64 stamp; /* of the withdrawal */
-  HrHint *c1, *c2;
+  HrPeerStatus *c1, *c2;
 } Case;
 
 static Case
@@ -23,7 +23,7 @@
 {
   Case k = {.s = script_new ("c0")};
   Script *s = k.s;
-  assert_true (s->said.leads);
+  assert_true (s->said.is_leader);
   script_report_for (s, 6);
   script_submit (s, JOB);
   script_submit (s, OTHER);
@@ -38,10 +38,10 @@
 
 /* The member's log holds `ends` withdrawals, the first of which is named. */
 static void
-knows (HrHint *h, guint64 stamp, guint64 ends)
+knows (HrPeerStatus *h, guint64 stamp, guint64 ends)
 {
-  h->withdrawn = stamp;
-  h->named.ends = ends;
+  h->latest_cancellation = stamp;
+  h->cancellations.log_end = ends;
 }
 
 /* Longer than hold_s: on its own reading c0 would be silent by then. */
@@ -58,7 +58,7 @@
 {
   Case k = case_new ();
   knows (k.c1, k.stamp, 1);
-  assert_true (hr_named_cancellations_add (&k.c1->named, JOB));
+  assert_true (hr_named_cancellations_add (&k.c1->cancellations, JOB));
   assert_int_equal (script_report_for (k.s, 4), 200);
   assert_false (script_runs (k.s, JOB));
   assert_true (script_runs (k.s, OTHER));
@@ -85,7 +85,7 @@
 {
   Case k = case_new ();
   knows (k.c1, k.stamp, 0);
-  k.c1->named.stated = FALSE;
+  k.c1->cancellations.is_stated = FALSE;
   assert_int_equal (much_later (k.s), 503);
   script_free (k.s);
 }
@@ -95,15 +95,15 @@
 {
   Case k = case_new ();
   knows (k.c1, k.stamp, 3);
-  hr_named_cancellations_add (&k.c1->named, JOB);
+  hr_named_cancellations_add (&k.c1->cancellations, JOB);
   assert_int_equal (much_later (k.s), 503);
   assert_false (script_runs (k.s, JOB)); /* what was named is stopped all the same */
   /* The rest follows, from where c0 says that it is. */
-  assert_int_equal (k.s->said.echoes[0].taken, 1);
-  k.c1->named.first = 1;
-  k.c1->named.count = k.c1->named.bytes = 0;
-  hr_named_cancellations_add (&k.c1->named, "job-c");
-  hr_named_cancellations_add (&k.c1->named, "job-d");
+  assert_int_equal (k.s->said.echoes[0].cancellations_taken, 1);
+  k.c1->cancellations.first_position = 1;
+  k.c1->cancellations.count = k.c1->cancellations.bytes = 0;
+  hr_named_cancellations_add (&k.c1->cancellations, "job-c");
+  hr_named_cancellations_add (&k.c1->cancellations, "job-d");
   assert_int_equal (script_report_for (k.s, 4), 200);
   script_free (k.s);
 }
@@ -113,8 +113,8 @@
 {
   Case k = case_new ();
   knows (k.c1, k.stamp, 2);
-  k.c1->named.first = 1;
-  hr_named_cancellations_add (&k.c1->named, "job-c");
+  k.c1->cancellations.first_position = 1;
+  hr_named_cancellations_add (&k.c1->cancellations, "job-c");
   assert_int_equal (much_later (k.s), 503);
   script_free (k.s);
 }
@@ -125,9 +125,9 @@
 {
   Case k = case_new ();
   knows (k.c1, k.stamp + 1, 5);
-  k.c1->named.dropped = k.stamp;
-  k.c1->named.begins = k.c1->named.first = 4;
-  hr_named_cancellations_add (&k.c1->named, "job-c");
+  k.c1->cancellations.dropped_revision = k.stamp;
+  k.c1->cancellations.log_begin = k.c1->cancellations.first_position = 4;
+  hr_named_cancellations_add (&k.c1->cancellations, "job-c");
   assert_int_equal (much_later (k.s), 503);
   script_free (k.s);
 }
@@ -138,7 +138,7 @@
 {
   Case k = case_new ();
   knows (k.c1, k.stamp, 0);
-  k.c1->named.dropped = k.stamp;
+  k.c1->cancellations.dropped_revision = k.stamp;
   assert_int_equal (much_later (k.s), 503);
   script_free (k.s);
 }
@@ -148,12 +148,15 @@
 late_copies_after_some_were_dropped (void **state)
 {
   Case k = case_new ();
-  HrHint before;
+  HrPeerStatus before;
   knows (k.c1, k.stamp, 1);
   before = *k.c1;
-  k.c1->named = (HrNamedCancellations){
-      .stated = TRUE, .dropped = k.stamp, .begins = 4, .first = 4, .ends = 5};
-  hr_named_cancellations_add (&k.c1->named, "job-c");
+  k.c1->cancellations = (HrNamedCancellations){.is_stated = TRUE,
+                                               .dropped_revision = k.stamp,
+                                               .log_begin = 4,
+                                               .first_position = 4,
+                                               .log_end = 5};
+  hr_named_cancellations_add (&k.c1->cancellations, "job-c");
   script_run (k.s, 2);
   *k.c1 = before;
   assert_int_equal (much_later (k.s), 503);
@@ -166,9 +169,9 @@
 {
   Case k = case_new ();
   knows (k.c1, k.stamp, 5);
-  k.c1->named.dropped = k.s->said.applied;
-  k.c1->named.begins = k.c1->named.first = 4;
-  hr_named_cancellations_add (&k.c1->named, JOB);
+  k.c1->cancellations.dropped_revision = k.s->said.applied_revision;
+  k.c1->cancellations.log_begin = k.c1->cancellations.first_position = 4;
+  hr_named_cancellations_add (&k.c1->cancellations, JOB);
   assert_int_equal (much_later (k.s), 200);
   assert_false (script_runs (k.s, JOB));
   script_free (k.s);
@@ -191,14 +194,14 @@
 {
   Case k = case_new ();
   knows (k.c1, k.stamp, 1);
-  hr_named_cancellations_add (&k.c1->named, "job-c");
+  hr_named_cancellations_add (&k.c1->cancellations, "job-c");
   assert_int_equal (script_report_for (k.s, 4), 200);
-  assert_int_equal (k.s->said.echoes[0].taken, 1);
+  assert_int_equal (k.s->said.echoes[0].cancellations_taken, 1);
   g_strlcpy (k.c1->incarnation, "c1-2", sizeof k.c1->incarnation);
-  k.c1->named.count = k.c1->named.bytes = 0; /* of its log of one: not named yet */
+  k.c1->cancellations.count = k.c1->cancellations.bytes = 0; /* of its log of one: not named yet */
   assert_int_equal (much_later (k.s), 503);
   assert_true (script_runs (k.s, JOB));
-  hr_named_cancellations_add (&k.c1->named, JOB);
+  hr_named_cancellations_add (&k.c1->cancellations, JOB);
   assert_int_equal (script_report_for (k.s, 4), 200);
   assert_false (script_runs (k.s, JOB));
   script_free (k.s);
@@ -219,8 +222,8 @@
 {
   Case k = case_new ();
   knows (k.c1, k.stamp, 1);
-  hr_named_cancellations_add (&k.c1->named, JOB);
-  k.c1->baton = k.s->said.baton + 1;
+  hr_named_cancellations_add (&k.c1->cancellations, JOB);
+  k.c1->fencing_token = k.s->said.fencing_token + 1;
   assert_int_equal (much_later (k.s), 503);
   assert_false (script_runs (k.s, JOB)); /* final, whoever says so */
   script_free (k.s);
@@ -233,9 +236,9 @@
   Case k = case_new ();
   knows (k.c1, k.stamp, 1);
   knows (k.c2, k.stamp, 1);
-  hr_named_cancellations_add (&k.c1->named, JOB);
+  hr_named_cancellations_add (&k.c1->cancellations, JOB);
   assert_int_equal (much_later (k.s), 503);
-  hr_named_cancellations_add (&k.c2->named, JOB);
+  hr_named_cancellations_add (&k.c2->cancellations, JOB);
   assert_int_equal (script_report_for (k.s, 4), 200);
   script_free (k.s);
 }
@@ -255,8 +258,8 @@
       json_decref (o);
     }
   knows (k.c1, k.stamp, 2);
-  hr_named_cancellations_add (&k.c1->named, JOB);
-  hr_named_cancellations_add (&k.c1->named, "job-c");
+  hr_named_cancellations_add (&k.c1->cancellations, JOB);
+  hr_named_cancellations_add (&k.c1->cancellations, "job-c");
   script_report_for (s, 4);
   script_write (s, "h/j/job-c", record);
   s->served = TRUE;
@@ -277,9 +280,9 @@
   script_run (s, 4);
   assert_true (s->lost_launches > 0);
   s->served = FALSE;
-  HrHint *c1 = &s->members[0].hint;
+  HrPeerStatus *c1 = &s->members[0].hint;
   knows (c1, script_withdraw (s, JOB), 1);
-  hr_named_cancellations_add (&c1->named, JOB);
+  hr_named_cancellations_add (&c1->cancellations, JOB);
   int status = script_report_for (s, 10);
   assert_int_equal (status, 503);
   s->session++; /* its lease is over */
--- a/tests/test_awaits.c
+++ b/tests/test_awaits.c
@@ -1,7 +1,7 @@
 /* Jobs that await others, at nodes whose state service is played: what is refused and why, and
  * what is derived from the records alone, in any order of reading. */
 #include "sim/lone_node.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
--- a/tests/test_fixtures.c
+++ b/tests/test_fixtures.c
@@ -1,7 +1,7 @@
 /* What the commits ecb9b3c and 764e988 wrote is read, and written back byte for byte
  * (tests/fixtures). */
 #include "bookkeeping/record.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include "sim/world.h"
 #include "transport/peer.h"
 #include <gio/gio.h>
@@ -245,7 +245,7 @@
 typedef struct {
   GMainLoop *loop;
   HrPeers *peers;
-  HrHint hint;
+  HrPeerStatus hint;
   gboolean heard;
   GString *sent;
   guint8 part[4096];
@@ -256,7 +256,7 @@
 on_hint (HrCommand *c, gpointer p)
 {
   Wire *wire = p;
-  wire->hint = *c->hint;
+  wire->hint = *c->peer_status;
   wire->heard = TRUE;
   hr_command_free (c);
   g_main_loop_quit (wire->loop);
@@ -305,16 +305,16 @@
 #define FIRST_PORT 18431
 
 static void
-check_hint (const HrHint *hint, guint format)
+check_hint (const HrPeerStatus *status, guint format)
 {
-  assert_string_equal (hint->label, "c1");
-  assert_int_equal (hint->baton, 7);
-  assert_int_equal (hint->withdrawn, 4100);
-  assert_int_equal (hint->nechoes, 2);
-  assert_int_equal (hint->format, format);
-  assert_int_equal (hint->noversized, format ? 1 : 0);
-  assert_int_equal (hint->named.stated, format > 0);
-  assert_int_equal (hint->named.count, format ? 2 : 0);
+  assert_string_equal (status->label, "c1");
+  assert_int_equal (status->fencing_token, 7);
+  assert_int_equal (status->latest_cancellation, 4100);
+  assert_int_equal (status->n_echoes, 2);
+  assert_int_equal (status->format, format);
+  assert_int_equal (status->n_oversized, format ? 1 : 0);
+  assert_int_equal (status->cancellations.is_stated, format > 0);
+  assert_int_equal (status->cancellations.count, format ? 2 : 0);
 }
 
 /* format: that the sender stated; 0: it knew none. */
--- a/tests/test_follow.c
+++ b/tests/test_follow.c
@@ -1,7 +1,7 @@
 /* A record that is split while a node reads the whole ledger: what the node then answers. The
  * state service is played by hand, answer by answer. */
 #include "coordination/core.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -71,9 +71,9 @@
 {
   for (guint i = 0; i < r->out->len; i++) {
     HrEffect *e = r->out->pdata[i];
-    if (e->kind != HR_E_CALL || !g_str_has_prefix (e->path, path))
+    if (e->kind != HR_EFFECT_CALL || !g_str_has_prefix (e->path, path))
       continue;
-    HrCommand *c = hr_command_new (HR_C_RESULT);
+    HrCommand *c = hr_command_new (HR_COMMAND_RESULT);
     c->id = e->id;
     c->status = 200;
     c->body = g_bytes_new (body, strlen (body));
@@ -88,7 +88,7 @@
 static int
 done (Rig *r, const char *changes)
 {
-  HrCommand *c = hr_command_new (HR_C_REQUEST);
+  HrCommand *c = hr_command_new (HR_COMMAND_REQUEST);
   c->id = 77;
   c->method = HR_GET;
   c->path = g_strdup ("/v1/jobs/" JOB);
@@ -96,13 +96,13 @@
   step (r, c);
   for (guint i = 0; i < r->out->len; i++) { /* the watch stays open */
     HrEffect *e = r->out->pdata[i];
-    if (e->kind == HR_E_CALL && strstr (e->path, "hold_ms=10000"))
+    if (e->kind == HR_EFFECT_CALL && strstr (e->path, "hold_ms=10000"))
       g_ptr_array_remove_index (r->out, i--);
   }
   answer (r, "/changes", changes);
   for (guint i = 0; i < r->out->len; i++) {
     HrEffect *e = r->out->pdata[i];
-    if (e->kind != HR_E_REPLY || e->id != 77)
+    if (e->kind != HR_EFFECT_REPLY || e->id != 77)
       continue;
     json_t *o = json_loads (e->body, 0, NULL);
     int n = e->status == 200 ? json_integer_value (json_object_get (o, "done")) : -1;
@@ -122,7 +122,7 @@
 begin (Rig *r)
 {
   rig_init (r);
-  step (r, hr_command_new (HR_C_TICK));
+  step (r, hr_command_new (HR_COMMAND_TICK));
 }
 
 /* The main record is read before the split, and the old pages are deleted before the reading
@@ -213,7 +213,7 @@
   Rig r;
   rig_init (&r);
   hr_core_speak (r.core, 0);
-  step (&r, hr_command_new (HR_C_TICK));
+  step (&r, hr_command_new (HR_COMMAND_TICK));
   answer (&r, "/kv?", ROWS (ROW ("h/j/" JOB, MAIN ("0", ",\"x\":[1,1,0]"), "10"), "false", "20"));
   assert_int_equal (done (&r, LOG (SET ("h/u/" JOB "/2/0", PAGE ("[1,1]"), "21") "," SET (
                                        "h/u/" JOB "/2/1", PAGE ("[0]"),
@@ -238,7 +238,7 @@
             "false", "20"),
       name, name, name);
   answer (&r, "/kv?", rows);
-  HrCommand *c = hr_command_new (HR_C_REQUEST);
+  HrCommand *c = hr_command_new (HR_COMMAND_REQUEST);
   c->id = 78;
   c->method = HR_POST;
   c->path = g_strdup ("/v1/jobs/" JOB "/abort");
@@ -246,22 +246,22 @@
   step (&r, c);
   for (guint i = 0; i < r.out->len; i++) { /* the watch stays open */
     HrEffect *e = r.out->pdata[i];
-    if (e->kind == HR_E_CALL && strstr (e->path, "hold_ms=10000"))
+    if (e->kind == HR_EFFECT_CALL && strstr (e->path, "hold_ms=10000"))
       g_ptr_array_remove_index (r.out, i--);
   }
   answer (&r, "/changes", LOG ("", "20"));
-  step (&r, hr_command_new (HR_C_TICK));
+  step (&r, hr_command_new (HR_COMMAND_TICK));
   int status = 0, retry_after = 0;
   guint named = 0;
   for (guint i = 0; i < r.out->len; i++) {
     HrEffect *e = r.out->pdata[i];
-    assert_false (e->kind == HR_E_CALL && g_str_has_prefix (e->path, "/commit"));
-    if (e->kind == HR_E_REPLY && e->id == 78) {
+    assert_false (e->kind == HR_EFFECT_CALL && g_str_has_prefix (e->path, "/commit"));
+    if (e->kind == HR_EFFECT_REPLY && e->id == 78) {
       status = e->status;
       retry_after = e->retry_after;
     }
-    named += e->kind == HR_E_HINT && e->hint->noversized == 1 &&
-             strcmp (e->hint->oversized[0], JOB) == 0;
+    named += e->kind == HR_EFFECT_PEER_STATUS && e->peer_status->n_oversized == 1 &&
+             strcmp (e->peer_status->oversized[0], JOB) == 0;
   }
   assert_int_equal (status, 503);
   assert_int_equal (retry_after, 1);
--- a/tests/test_ledger.c
+++ b/tests/test_ledger.c
@@ -2,7 +2,7 @@
  * message (script.h). docs/meetings.md says which meeting each test brings about and which guard
  * it fails without. */
 #include "script.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
--- a/tests/test_hint_frame.c
+++ b/tests/test_peer_status_frame.c
@@ -1,5 +1,5 @@
 /* The form of hints between controllers: sizes, and what other versions send. */
-#include "transport/hint_frame.h"
+#include "transport/peer_status_frame.h"
 #include "peer.pb-c.h"
 #include <setjmp.h>
 #include <stdarg.h>
@@ -16,28 +16,29 @@
 
 /* All that a hint can hold, with ids of so many bytes. */
 static void
-largest (HrHint *h, guint id_len)
+largest (HrPeerStatus *h, guint id_len)
 {
   memset (h, 0, sizeof *h);
   fill (h->label, sizeof h->label);
   fill (h->incarnation, sizeof h->incarnation);
-  h->baton = h->map_stamp = h->withdrawn = h->applied = G_MAXUINT64;
-  h->contacts = G_MAXUINT32;
-  h->store_served = h->leads = h->synced = TRUE;
+  h->fencing_token = h->leader_record_revision = h->latest_cancellation = h->applied_revision =
+      G_MAXUINT64;
+  h->worker_contacts = G_MAXUINT32;
+  h->store_served = h->is_leader = h->synced = TRUE;
   h->clock = 1e9;
-  for (h->nechoes = 0; h->nechoes < HR_MAX_ECHOES; h->nechoes++) {
-    HrEcho *e = &h->echoes[h->nechoes];
+  for (h->n_echoes = 0; h->n_echoes < HR_MAX_ECHOES; h->n_echoes++) {
+    HrEcho *e = &h->echoes[h->n_echoes];
     fill (e->label, sizeof e->label);
     fill (e->incarnation, sizeof e->incarnation);
     e->clock = 1e9;
-    e->taken = G_MAXUINT64;
+    e->cancellations_taken = G_MAXUINT64;
   }
   h->format = G_MAXUINT32;
-  for (; h->noversized < HR_MAX_OVERSIZED; h->noversized++)
-    fill (h->oversized[h->noversized], sizeof h->oversized[0]);
-  HrNamedCancellations *n = &h->named;
-  n->stated = TRUE;
-  n->dropped = n->begins = n->first = n->ends = G_MAXUINT64;
+  for (; h->n_oversized < HR_MAX_OVERSIZED; h->n_oversized++)
+    fill (h->oversized[h->n_oversized], sizeof h->oversized[0]);
+  HrNamedCancellations *n = &h->cancellations;
+  n->is_stated = TRUE;
+  n->dropped_revision = n->log_begin = n->first_position = n->log_end = G_MAXUINT64;
   g_autofree char *id = g_strnfill (id_len, 'x');
   while (hr_named_cancellations_add (n, id))
     ;
@@ -49,18 +50,19 @@
 {
   static const guint lengths[] = {5, 10, 100};
   for (guint i = 0; i < G_N_ELEMENTS (lengths); i++) {
-    HrHint h, got = {0};
+    HrPeerStatus h, got = {0};
     guint8 frame[HR_MAX_FRAME];
     largest (&h, lengths[i]);
-    gsize len = hr_hint_pack (&h, frame);
+    gsize len = hr_peer_status_pack (&h, frame);
     assert_true (len > 0 && len <= HR_MAX_FRAME);
-    assert_true (hr_hint_unpack (&got, frame, len));
-    assert_memory_equal (&got.named, &h.named, sizeof h.named);
+    assert_true (hr_peer_status_unpack (&got, frame, len));
+    assert_memory_equal (&got.cancellations, &h.cancellations, sizeof h.cancellations);
     assert_memory_equal (got.echoes, h.echoes, sizeof h.echoes);
-    assert_true (got.applied == h.applied && got.withdrawn == h.withdrawn);
-    assert_true (got.format == h.format && got.noversized == h.noversized);
+    assert_true (got.applied_revision == h.applied_revision &&
+                 got.latest_cancellation == h.latest_cancellation);
+    assert_true (got.format == h.format && got.n_oversized == h.n_oversized);
     assert_memory_equal (got.oversized, h.oversized, sizeof h.oversized);
-    assert_true (got.leads && got.synced && got.store_served && got.nechoes == h.nechoes);
+    assert_true (got.is_leader && got.synced && got.store_served && got.n_echoes == h.n_echoes);
   }
 }
 
@@ -68,18 +70,18 @@
 static void
 a_hint_without_a_log (void **state)
 {
-  HrHint h = {.label = "c1", .withdrawn = 7, .synced = TRUE}, got = {0};
+  HrPeerStatus h = {.label = "c1", .latest_cancellation = 7, .synced = TRUE}, got = {0};
   guint8 frame[HR_MAX_FRAME];
-  gsize len = hr_hint_pack (&h, frame);
-  assert_true (hr_hint_unpack (&got, frame, len));
-  assert_false (got.named.stated);
-  assert_int_equal (got.withdrawn, 7);
-  h.named.stated = TRUE; /* and an empty one comes as such */
+  gsize len = hr_peer_status_pack (&h, frame);
+  assert_true (hr_peer_status_unpack (&got, frame, len));
+  assert_false (got.cancellations.is_stated);
+  assert_int_equal (got.latest_cancellation, 7);
+  h.cancellations.is_stated = TRUE; /* and an empty one comes as such */
   memset (&got, 0, sizeof got);
-  len = hr_hint_pack (&h, frame);
-  assert_true (hr_hint_unpack (&got, frame, len));
-  assert_true (got.named.stated);
-  assert_int_equal (got.named.count, 0);
+  len = hr_peer_status_pack (&h, frame);
+  assert_true (hr_peer_status_unpack (&got, frame, len));
+  assert_true (got.cancellations.is_stated);
+  assert_int_equal (got.cancellations.count, 0);
 }
 
 /* Of a list longer than we keep the beginning counts: nothing in its middle may be missing. */
@@ -96,24 +98,25 @@
   }
   Hr__Cancellations w = HR__CANCELLATIONS__INIT;
   w.jobs = jobs;
-  w.n_jobs = w.ends = JOBS;
-  Hr__Hint m = HR__HINT__INIT;
+  w.n_jobs = w.log_end = JOBS;
+  Hr__PeerStatus m = HR__PEER_STATUS__INIT;
   m.label = m.incarnation = "c1";
   m.cancellations = &w;
-  assert_true (hr__hint__get_packed_size (&m) <= sizeof frame);
-  gsize len = hr__hint__pack (&m, frame);
-  HrHint got = {0};
-  assert_true (hr_hint_unpack (&got, frame, len));
-  assert_true (got.named.count < JOBS && got.named.count == got.named.bytes / 101);
-  assert_int_equal (got.named.ends, JOBS);
+  assert_true (hr__peer_status__get_packed_size (&m) <= sizeof frame);
+  gsize len = hr__peer_status__pack (&m, frame);
+  HrPeerStatus got = {0};
+  assert_true (hr_peer_status_unpack (&got, frame, len));
+  assert_true (got.cancellations.count < JOBS &&
+               got.cancellations.count == got.cancellations.bytes / 101);
+  assert_int_equal (got.cancellations.log_end, JOBS);
 }
 
 static void
 what_is_no_hint_is_dropped (void **state)
 {
   const guint8 text[] = "GET / HTTP/1.1\r\n\r\n";
-  HrHint got = {0};
-  assert_false (hr_hint_unpack (&got, text, sizeof text));
+  HrPeerStatus got = {0};
+  assert_false (hr_peer_status_unpack (&got, text, sizeof text));
 }
 
 int
--- a/tests/test_protocol.c
+++ b/tests/test_protocol.c
@@ -1,6 +1,6 @@
 /* What comes in from users, workers, the cloud and the platform. */
 #include "protocol/cloud.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include "protocol/settings.h"
 #include "protocol/worker.h"
 #include <math.h>
--- a/tests/test_readiness.c
+++ b/tests/test_readiness.c
@@ -1,7 +1,7 @@
 /* Jobs that await others, at a node whose state service is played: when they get work, what guards
  * that, and what those before them get from them. */
 #include "sim/lone_node.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <math.h>
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/test_record.c
+++ b/tests/test_record.c
@@ -1,6 +1,6 @@
 /* Records of the ledger: what is written is what is read, whatever the job. */
 #include "bookkeeping/record.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
--- a/tests/test_renewals.c
+++ b/tests/test_renewals.c
@@ -3,7 +3,7 @@
 #include "script_scene.h"
 #include "coordination/invariant.h"
 #include "coordination/renewal.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
--- a/tests/test_requests.c
+++ b/tests/test_requests.c
@@ -1,7 +1,7 @@
 /* Odd requests of users: the status, the body, and that nothing is recorded. The table "Bad input"
  * of docs/meetings.md has a line for each group. */
 #include "script.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -182,7 +182,7 @@
   assert_int_equal (submit_text (s, deep), 400);
   assert_int_equal (submit_text (s, many), 400);
   /* One that passes the limit reaches the core without its body. */
-  HrCommand *cmd = hr_command_new (HR_C_REQUEST);
+  HrCommand *cmd = hr_command_new (HR_COMMAND_REQUEST);
   cmd->id = ++s->next_request;
   cmd->method = HR_POST;
   cmd->path = g_strdup (HR_JOBS_PATH);
--- a/tests/test_transport.c
+++ b/tests/test_transport.c
@@ -22,7 +22,7 @@
 sink (HrCommand *c, gpointer data)
 {
   Probe *p = data;
-  if (c->kind == HR_C_RESULT) {
+  if (c->kind == HR_COMMAND_RESULT) {
     p->status = c->status;
     if (p->results < G_N_ELEMENTS (p->result_at))
       p->result_at[p->results] = g_get_monotonic_time () / 1e6;
@@ -44,7 +44,7 @@
     return;
   for (guint i = 0; i < p->queue->len; i++) {
     HrCommand *c = p->queue->pdata[i];
-    HrEffect e = {.kind = HR_E_REPLY, .id = c->id, .status = 200, .body = "{\"ok\":true}"};
+    HrEffect e = {.kind = HR_EFFECT_REPLY, .id = c->id, .status = 200, .body = "{\"ok\":true}"};
     if (c->too_large)
       e.status = 400;
     if (strcmp (c->path, "/busy") == 0) {
@@ -210,7 +210,7 @@
   p.hold = FALSE;
   spin (&p, 0.05);
   /* An id that is no longer known. */
-  HrEffect e = {.kind = HR_E_REPLY, .id = 1, .status = 200, .body = "{}"};
+  HrEffect e = {.kind = HR_EFFECT_REPLY, .id = 1, .status = 200, .body = "{}"};
   hr_http_server_reply (p.server, &e);
   stop (&p);
 }
@@ -252,7 +252,7 @@
 send_call (HrHttpClient *c, double timeout)
 {
   static guint64 id;
-  HrEffect e = {.kind = HR_E_CALL,
+  HrEffect e = {.kind = HR_EFFECT_CALL,
                 .id = ++id,
                 .target = HR_TO_STORE,
                 .method = HR_GET,
--- a/tests/test_windows.c
+++ b/tests/test_windows.c
@@ -3,7 +3,7 @@
  * is checked at every event; once all is well again every job has to run. test_windows [FROM TO]
  * another range of seeds */
 #include "script_scene.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
--- a/tests/test_withdrawals.c
+++ b/tests/test_withdrawals.c
@@ -11,15 +11,15 @@
 
 /* c1 leads, the state service refuses it, and c0 is served. */
 static Script *
-member_new (HrHint **leader)
+member_new (HrPeerStatus **leader)
 {
   Script *s = script_new ("c1");
-  assert_false (s->said.leads);
+  assert_false (s->said.is_leader);
   script_submit (s, JOB);
   script_run (s, 2);
   *leader = &s->members[0].hint;
-  (*leader)->leads = TRUE;
-  (*leader)->applied = s->epoch;
+  (*leader)->is_leader = TRUE;
+  (*leader)->applied_revision = s->epoch;
   script_run (s, 2);
   return s;
 }
@@ -27,7 +27,7 @@
 static gboolean
 names (const Script *s, const char *id)
 {
-  const HrNamedCancellations *n = &s->said.named;
+  const HrNamedCancellations *n = &s->said.cancellations;
   for (const char *k = hr_named_cancellations_next (n, NULL); k;
        k = hr_named_cancellations_next (n, k))
     if (strcmp (k, id) == 0)
@@ -37,26 +37,26 @@
 
 /* In the leader's next hints: how much of c0's log it has. */
 static void
-acknowledge (HrHint *leader, guint64 taken)
+acknowledge (HrPeerStatus *leader, guint64 taken)
 {
-  leader->echoes[0].taken = taken;
+  leader->echoes[0].cancellations_taken = taken;
 }
 
 static void
 a_confirmed_withdrawal_is_named_at_once (void **state)
 {
-  HrHint *leader;
+  HrPeerStatus *leader;
   Script *s = member_new (&leader);
-  assert_true (s->said.named.stated);
-  assert_int_equal (s->said.named.count, 0);
+  assert_true (s->said.cancellations.is_stated);
+  assert_int_equal (s->said.cancellations.count, 0);
   assert_int_equal (script_ask (s, HR_POST, "/v1/jobs/" JOB "/abort", NULL), 200);
   double told = s->now;
   while (!names (s, JOB) && s->now < told + 2)
     script_run (s, 0.1);
   assert_true (names (s, JOB));
   assert_true (s->now < told + 0.45);
-  assert_int_equal (s->said.named.ends - s->said.named.begins, 1);
-  assert_int_equal (s->said.withdrawn, s->epoch);
+  assert_int_equal (s->said.cancellations.log_end - s->said.cancellations.log_begin, 1);
+  assert_int_equal (s->said.latest_cancellation, s->epoch);
   script_free (s);
 }
 
@@ -65,27 +65,27 @@
 static void
 it_is_named_until_it_is_known (void **state)
 {
-  HrHint *leader;
+  HrPeerStatus *leader;
   Script *s = member_new (&leader);
   script_ask (s, HR_POST, "/v1/jobs/" JOB "/abort", NULL);
   guint64 stamp = s->epoch;
   script_run (s, 10);
   assert_true (names (s, JOB));
-  guint64 end = s->said.named.ends;
+  guint64 end = s->said.cancellations.log_end;
   acknowledge (leader, end);
   script_run (s, 3);
-  assert_int_equal (s->said.named.count, 0);
-  assert_int_equal (s->said.named.first, end);
-  assert_true (s->said.named.dropped < stamp);
+  assert_int_equal (s->said.cancellations.count, 0);
+  assert_int_equal (s->said.cancellations.first_position, end);
+  assert_true (s->said.cancellations.dropped_revision < stamp);
   g_strlcpy (leader->incarnation, "c1-2", sizeof leader->incarnation);
   acknowledge (leader, 0);
   script_run (s, 3);
   assert_true (names (s, JOB));
-  leader->applied = stamp;
+  leader->applied_revision = stamp;
   script_run (s, 3);
-  assert_int_equal (s->said.named.count, 0);
-  assert_int_equal (s->said.named.begins, end);
-  assert_int_equal (s->said.named.dropped, stamp);
+  assert_int_equal (s->said.cancellations.count, 0);
+  assert_int_equal (s->said.cancellations.log_begin, end);
+  assert_int_equal (s->said.cancellations.dropped_revision, stamp);
   script_free (s);
 }
 
@@ -93,7 +93,7 @@
 static void
 an_echo_of_an_earlier_process (void **state)
 {
-  HrHint *leader;
+  HrPeerStatus *leader;
   Script *s = member_new (&leader);
   s->members[0].echo_stays = TRUE;
   g_strlcpy (leader->echoes[0].incarnation, "c0-0", sizeof leader->echoes[0].incarnation);
@@ -110,7 +110,7 @@
 a_log_that_grew_too_long (void **state)
 {
   enum { JOBS = 1200 };
-  HrHint *leader;
+  HrPeerStatus *leader;
   Script *s = member_new (&leader);
   guint64 first = 0;
   for (int i = 0; i < JOBS; i++) {
@@ -119,11 +119,11 @@
     first = first ? first : s->epoch;
   }
   script_run (s, 3);
-  const HrNamedCancellations *n = &s->said.named;
-  assert_true (n->ends - n->begins <= 1024);
-  assert_int_equal (s->said.withdrawn, s->epoch);
-  assert_int_equal (s->epoch - n->dropped, n->ends - n->begins);
-  assert_true (n->dropped > first);
+  const HrNamedCancellations *n = &s->said.cancellations;
+  assert_true (n->log_end - n->log_begin <= 1024);
+  assert_int_equal (s->said.latest_cancellation, s->epoch);
+  assert_int_equal (s->epoch - n->dropped_revision, n->log_end - n->log_begin);
+  assert_true (n->dropped_revision > first);
   script_free (s);
 }
 
@@ -132,15 +132,15 @@
 static void
 a_write_whose_answer_was_lost (void **state)
 {
-  HrHint *leader;
+  HrPeerStatus *leader;
   Script *s = member_new (&leader);
-  guint64 before = s->said.withdrawn, epoch = s->epoch;
+  guint64 before = s->said.latest_cancellation, epoch = s->epoch;
   s->loses_writes = s->out_after_loss = TRUE;
   assert_int_equal (script_ask (s, HR_POST, "/v1/jobs/" JOB "/abort", NULL), 503);
   assert_int_equal (s->epoch, epoch + 1);
   assert_false (s->served);
   script_run (s, 5);
-  assert_int_equal (s->said.withdrawn, before);
+  assert_int_equal (s->said.latest_cancellation, before);
   assert_false (names (s, JOB));
   assert_int_equal (script_ask (s, HR_POST, "/v1/jobs/" JOB "/abort", NULL), 503);
   s->loses_writes = FALSE;
@@ -150,7 +150,7 @@
   assert_non_null (strstr (s->answer, "\"withdrawn\""));
   script_run (s, 0.5);
   assert_true (names (s, JOB));
-  assert_int_equal (s->said.withdrawn, epoch + 1);
+  assert_int_equal (s->said.latest_cancellation, epoch + 1);
   script_free (s);
 }
 
@@ -158,7 +158,7 @@
 static void
 a_write_that_is_read_before_its_user_is_told (void **state)
 {
-  HrHint *leader;
+  HrPeerStatus *leader;
   Script *s = member_new (&leader);
   s->loses_writes = TRUE;
   guint64 epoch = s->epoch;
@@ -167,7 +167,7 @@
   assert_int_equal (s->epoch, epoch + 1);
   script_run (s, 1.2);
   assert_true (names (s, JOB));
-  assert_int_equal (s->said.withdrawn, epoch + 1);
+  assert_int_equal (s->said.latest_cancellation, epoch + 1);
   script_free (s);
 }
 
@@ -175,7 +175,7 @@
 static void
 a_withdrawal_that_was_read_is_named (void **state)
 {
-  HrHint *leader;
+  HrPeerStatus *leader;
   Script *s = member_new (&leader);
   script_withdraw (s, JOB);
   script_run (s, 3);
@@ -188,13 +188,13 @@
 a_long_list_goes_in_parts (void **state)
 {
   enum { JOBS = 300 };
-  HrHint *leader;
+  HrPeerStatus *leader;
   Script *s = member_new (&leader);
   g_autoptr (GHashTable) told = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   for (int i = 0; i < JOBS; i++) {
     g_autofree char *id = g_strdup_printf ("job-%06d", i);
     script_submit (s, id);
-    leader->applied = s->epoch;
+    leader->applied_revision = s->epoch;
   }
   script_run (s, 2);
   for (int i = 0; i < JOBS; i++) {
@@ -203,15 +203,15 @@
   }
   script_run (s, 3);
   double from = s->now;
-  guint64 begins = s->said.named.begins;
-  assert_int_equal (s->said.named.ends - begins, JOBS);
-  for (int part = 0; s->said.named.count && part < 20; part++) {
-    const HrNamedCancellations *n = &s->said.named;
+  guint64 begins = s->said.cancellations.log_begin;
+  assert_int_equal (s->said.cancellations.log_end - begins, JOBS);
+  for (int part = 0; s->said.cancellations.count && part < 20; part++) {
+    const HrNamedCancellations *n = &s->said.cancellations;
     assert_true (n->count < JOBS);
     for (const char *k = hr_named_cancellations_next (n, NULL); k;
          k = hr_named_cancellations_next (n, k))
       g_hash_table_add (told, g_strdup (k));
-    acknowledge (leader, n->first + n->count);
+    acknowledge (leader, n->first_position + n->count);
     script_hint (s, leader);
     script_run (s, 0.3);
   }
@@ -224,15 +224,15 @@
 static void
 nothing_is_named_to_an_older_version (void **state)
 {
-  HrHint *leader;
+  HrPeerStatus *leader;
   Script *s = member_new (&leader);
-  leader->named.stated = FALSE;
-  leader->applied = 0;
+  leader->cancellations.is_stated = FALSE;
+  leader->applied_revision = 0;
   script_run (s, 2);
   script_ask (s, HR_POST, "/v1/jobs/" JOB "/abort", NULL);
   script_run (s, 3);
-  assert_int_equal (s->said.named.count, 0);
-  assert_int_equal (s->said.withdrawn, s->epoch);
+  assert_int_equal (s->said.cancellations.count, 0);
+  assert_int_equal (s->said.latest_cancellation, s->epoch);
   script_free (s);
 }
 
--- a/tests/test_workers.c
+++ b/tests/test_workers.c
@@ -2,7 +2,7 @@
  * docs/meetings.md says which meeting each test brings about, and without which guard it
  * fails. */
 #include "script_scene.h"
-#include "protocol/jsonx.h"
+#include "protocol/json_util.h"
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -477,11 +477,11 @@
   running (scene, m1, "job-a");
   s->outage = TRUE;
   scene_run (scene, 5);
-  HrHint copy = s->nodes[1].hint;
+  HrPeerStatus copy = s->nodes[1].hint;
   script_end (s, 1);
   for (int i = 0; i < s->pol.hold_s + 2; i++) {
-    HrCommand *cmd = hr_command_new (HR_C_HINT);
-    *cmd->hint = copy;
+    HrCommand *cmd = hr_command_new (HR_COMMAND_PEER_STATUS);
+    *cmd->peer_status = copy;
     script_step (s, 0, cmd);
     scene_run (scene, 1);
   }
