--- a/src/bookkeeping/absence.c
+++ b/src/bookkeeping/absence.c
@@ -19,7 +19,7 @@
 gboolean
 hr_absence_cancelled_may_start (const HrCore *c, const HrMachine *m)
 {
-  gboolean on_its_way = m->do_lost || m->do_out, served = hr_follow_served (c);
+  gboolean on_its_way = m->do_lost || m->do_out, served = hr_replica_is_served (c);
   for (guint i = 0; on_its_way && i < m->tasks->len; i++) {
     HrRef r = g_array_index (m->tasks, HrRef, i);
     const HrJob *j = c->jobs->pdata[r.job];
@@ -157,14 +157,14 @@
     if (m->state == HR_M_UP && deaf_now (c, m))
       hr_fleet_delete (c, m, "it reports, but what it is told does not reach it");
     if (m->state == HR_M_UP && c->now - last_heard (c, m) > c->pol.overdue_s && unlisted (c, m) &&
-        hr_follow_served (c))
+        hr_replica_is_served (c))
       hr_fleet_delete (c, m, "its worker is silent, and the cloud no longer lists it");
     if (m->state != HR_M_UP || c->now - last_heard (c, m) <= c->pol.silent_s)
       continue;
     if (hr_absence_lease_over (c, m) && m->tasks->len)
       hr_absence_sessions (c, m, G_MAXUINT32, "its lease is surely over");
     /* Past its lease a machine holds nothing that deleting it could cost. */
-    if ((!us || hr_absence_lease_over (c, m)) && !early && hr_follow_served (c))
+    if ((!us || hr_absence_lease_over (c, m)) && !early && hr_replica_is_served (c))
       hr_fleet_delete (c, m, "its worker is silent");
   }
 }
--- a/src/bookkeeping/bookkeeping.h
+++ b/src/bookkeeping/bookkeeping.h
@@ -5,69 +5,71 @@
 #include "coordination/state.h"
 
 /* bookkeeping/follow.c: the ledger, as read */
-void hr_follow_tick (HrCore *c);
-void hr_follow_reset (HrCore *c);
-void hr_follow_read (HrCore *c, HrReadFn fn, gpointer data);
+void hr_replica_tick (HrCore *c);
+void hr_replica_reset (HrCore *c);
+void hr_replica_read (HrCore *c, HrReadCallback fn, gpointer data);
 /* The state service has answered this node of late. */
-gboolean hr_follow_served (const HrCore *c);
+gboolean hr_replica_is_served (const HrCore *c);
 
 /* bookkeeping/apply.c: one change; v: its value, NULL where the key was deleted */
-void hr_apply_change (HrCore *c, const char *key, const json_t *v, guint64 stamp);
-gboolean hr_follow_job (HrCore *c, HrJob *j, const json_t *value, guint64 stamp);
+void hr_replica_apply_change (HrCore *c, const char *key, const json_t *v, guint64 revision);
+gboolean hr_replica_apply_job (HrCore *c, HrJob *j, const json_t *value, guint64 revision);
 
 /* bookkeeping/transactions.c: what is written, within the allowance; users first */
 void hr_transactions_send (HrCore *c);
-char *hr_job_key (const HrJob *j);
-char *hr_page_key (const HrJob *j, guint page);
-char *hr_page_key_of (const HrJob *j, guint per_page, guint page); /* of a record that was split */
-void hr_commit (HrCore *c, HrTxnKind kind, json_t *when, json_t *writes, guint changes,
-                double timeout, HrResultFn fn, gpointer data);
-json_t *hr_cond (json_t *when, const char *path, guint64 stamp);
-json_t *hr_set (json_t *writes, const char *path, char *value_text, guint64 claim);
+char *hr_job_record_key (const HrJob *j);
+char *hr_record_page_key (const HrJob *j, guint page);
+char *hr_record_page_key_of (const HrJob *j, guint tasks_per_page,
+                             guint page); /* of a record that was split */
+void hr_transaction_submit (HrCore *c, HrTransactionKind kind, json_t *when, json_t *writes,
+                            guint changes, double timeout, HrResultCallback fn, gpointer data);
+json_t *hr_transaction_require (json_t *when, const char *path, guint64 revision);
+json_t *hr_transaction_put (json_t *writes, const char *path, char *value_text, guint64 claim);
 
 /* bookkeeping/ledger.c: the ledger, as written */
-void hr_ledger_tick (HrCore *c);
-void hr_ledger_mark (HrCore *c, HrJob *j, guint32 task);
-void hr_ledger_seen (HrCore *c, HrJob *j, HrPage *p, guint64 stamp);
+void hr_record_writer_tick (HrCore *c);
+void hr_record_writer_mark (HrCore *c, HrJob *j, guint32 task);
+void hr_record_writer_confirmed (HrCore *c, HrJob *j, HrRecordPage *p, guint64 revision);
 /* Not written again before a while, longer each time. */
-void hr_ledger_hold_back (HrCore *c, HrJob *j);
+void hr_record_writer_back_off (HrCore *c, HrJob *j);
 
 /* bookkeeping/format.c: which records every member understands */
-void hr_format_read (HrCore *c, const json_t *value, guint64 stamp);
-void hr_format_tick (HrCore *c);
-void hr_format_tell (const HrCore *c, HrPeerStatus *h);
-void hr_format_heard (HrCore *c, const HrPeerStatus *h);
+void hr_record_format_read (HrCore *c, const json_t *value, guint64 revision);
+void hr_record_format_tick (HrCore *c);
+void hr_record_format_fill_status (const HrCore *c, HrPeerStatus *h);
+void hr_record_format_status_received (HrCore *c, const HrPeerStatus *h);
 /* The job's record is too large to be withdrawn: the leader is to split it first. */
-void hr_format_oversized (HrCore *c, HrJob *j);
+void hr_record_format_note_oversized (HrCore *c, HrJob *j);
 
 /* bookkeeping/layout.c: how tasks are spread over records; sizes in bytes */
 /* What records are planned for, and what is sent at all. */
-gsize hr_layout_planned_bytes (const HrCore *c);
-gsize hr_layout_most_bytes (const HrCore *c);
+gsize hr_record_layout_planned_bytes (const HrCore *c);
+gsize hr_record_layout_max_bytes (const HrCore *c);
 /* Tasks a page; 0: all tasks stand in the main record. beside: bytes of what else stands there. */
-guint hr_layout_choose (HrCore *c, const HrJobSpec *spec, gsize beside);
-guint hr_layout_page_size (HrCore *c, guint32 tasks);
+guint hr_record_layout_choose (HrCore *c, const HrJobSpec *spec, gsize beside);
+guint hr_record_layout_page_size (HrCore *c, guint32 tasks);
 /* For a record that has become too large. */
-guint hr_layout_smaller (HrCore *c, const HrJob *j);
+guint hr_record_layout_smaller (HrCore *c, const HrJob *j);
 /* Is any record of the job, as it stands in the ledger, beyond what is planned for? */
-gboolean hr_layout_oversized (HrCore *c, const HrJob *j);
+gboolean hr_record_layout_is_oversized (HrCore *c, const HrJob *j);
 
 /* bookkeeping/split.c: records that have become too large */
-gboolean hr_split_possible (const HrCore *c, const HrJob *j);
-void hr_split_want (HrCore *c, HrJob *j, gboolean urgent);
-void hr_split_rescan (HrCore *c);
-void hr_split_reset (HrCore *c);
-void hr_split_scan (HrCore *c);
-void hr_split_tick (HrCore *c);
-HrStagedPage *hr_split_staged (HrJob *j, guint per_page, guint page);
+gboolean hr_record_split_is_possible (const HrCore *c, const HrJob *j);
+void hr_record_split_request (HrCore *c, HrJob *j, gboolean urgent);
+void hr_record_split_rescan (HrCore *c);
+void hr_record_split_reset (HrCore *c);
+void hr_record_split_scan (HrCore *c);
+void hr_record_split_tick (HrCore *c);
+HrStagedPage *hr_record_split_staged_page (HrJob *j, guint tasks_per_page, guint page);
 /* Takes note of a page that no main record names. stamp 0: it is gone. */
-void hr_split_stage (HrJob *j, guint per_page, guint page, guint64 stamp, const json_t *value);
-void hr_split_apply (HrCore *c, HrJob *j, guint per_page, guint64 stamp);
+void hr_record_split_stage_page (HrJob *j, guint tasks_per_page, guint page, guint64 revision,
+                                 const json_t *value);
+void hr_record_split_apply (HrCore *c, HrJob *j, guint tasks_per_page, guint64 revision);
 
 /* bookkeeping/garbage.c: pages of final jobs */
-void hr_garbage_note (HrCore *c, const HrJob *j, guint per_page, guint page);
-void hr_garbage_job (HrCore *c, const HrJob *j);
-void hr_garbage_gone (HrCore *c, const HrJob *j, guint per_page, guint page);
+void hr_garbage_add_page (HrCore *c, const HrJob *j, guint tasks_per_page, guint page);
+void hr_garbage_add_job (HrCore *c, const HrJob *j);
+void hr_garbage_page_deleted (HrCore *c, const HrJob *j, guint tasks_per_page, guint page);
 void hr_garbage_tick (HrCore *c);
 
 /* bookkeeping/dependencies.c: jobs that await others */
--- a/src/bookkeeping/dependencies.c
+++ b/src/bookkeeping/dependencies.c
@@ -121,7 +121,7 @@
 hr_dependencies_tick (HrCore *c)
 {
   /* Only what is left over of the allowance: thousands may have been taken along at once. */
-  if (!c->leads || c->dirty->len || !hr_follow_served (c) ||
+  if (!c->leads || c->dirty->len || !hr_replica_is_served (c) ||
       c->write_bucket.tokens < c->write_bucket.burst * 0.8)
     return;
   for (guint n = 0; n < TOMBSTONES_A_TICK && c->tombstones->len;) {
@@ -130,7 +130,7 @@
     g_array_set_size (c->tombstones, c->tombstones->len - 1);
     if (j->shrunk || !j->pages)
       continue;
-    hr_ledger_mark (c, j, 0);
+    hr_record_writer_mark (c, j, 0);
     n++;
   }
 }
--- a/src/bookkeeping/record.c
+++ b/src/bookkeeping/record.c
@@ -82,7 +82,7 @@
 
 char *
 hr_record_first (const HrJobSpec *spec, const char *const *awaits, const HrNames *names,
-                 double submitted, guint per_page, const char *tag)
+                 double submitted, guint tasks_per_page, const char *tag)
 {
   guint n = awaits ? g_strv_length ((GStrv)awaits) : 0;
   g_autofree HrJob *rows = g_new0 (HrJob, n + 1);
@@ -92,7 +92,7 @@
     named[i] = &rows[i];
   }
   HrJob job = {.submitted = submitted, .awaits = named, .nawaits = n};
-  hr_job_set_spec (&job, spec, per_page);
+  hr_job_set_spec (&job, spec, tasks_per_page);
   char *text = hr_record_main (&job, names, NULL, HR_JOB_QUEUED, tag, FALSE);
   hr_job_shrink (&job);
   return text;
@@ -137,18 +137,18 @@
   if (!spec) {
     if (!hr_json_count (v, "n", HR_MAX_TASKS, &n) || !hr_json_count (v, "d", HR_MAX_TASKS, &d))
       return FALSE;
-    r->tombstone = TRUE;
-    r->ntasks = n;
-    r->ndone = d;
+    r->is_tombstone = TRUE;
+    r->n_tasks = n;
+    r->n_done = d;
     const char *root = hr_json_str (v, "c");
-    r->withdrawn_with = hr_job_id_valid (root) ? root : NULL;
+    r->cancelled_with = hr_job_id_valid (root) ? root : NULL;
   } else {
-    if (!hr_jobspec_unpack (spec, names, &r->spec) || !hr_json_num (v, "t", &r->submitted) ||
+    if (!hr_jobspec_unpack (spec, names, &r->spec) || !hr_json_num (v, "t", &r->submitted_at) ||
         !hr_json_count (v, "q", HR_MAX_TASKS, &n))
       return FALSE;
-    r->per_page = n;
-    r->resplit = n && json_integer_value (json_object_get (v, "u")) == 1;
-    r->ntasks = r->spec.tasks;
+    r->tasks_per_page = n;
+    r->sized_page_keys = n && json_integer_value (json_object_get (v, "u")) == 1;
+    r->n_tasks = r->spec.tasks;
     r->tasks = json_object_get (v, "x");
     /* A job whose awaited ones cannot be read must not start: it makes no sense as a whole. */
     const json_t *awaits = json_object_get (v, "a");
--- a/src/bookkeeping/record.h
+++ b/src/bookkeeping/record.h
@@ -12,16 +12,16 @@
 typedef struct {
   char *tag;
   HrJobState state;
-  double submitted;
-  guint per_page;
-  gboolean resplit; /* pages stand under h/u */
-  gboolean tombstone;
-  guint32 ntasks, ndone;
+  double submitted_at;
+  guint tasks_per_page;
+  gboolean sized_page_keys; /* pages stand under h/u */
+  gboolean is_tombstone;
+  guint32 n_tasks, n_done;
   HrJobSpec spec;
   json_t *extra;              /* members that this version does not know; NULL: none */
   json_t *tasks;              /* borrowed from the value */
   GStrv awaits;               /* ids of the jobs that it awaits, or NULL */
-  const char *withdrawn_with; /* of a tombstone; borrowed from the value; NULL: none */
+  const char *cancelled_with; /* of a tombstone; borrowed from the value; NULL: none */
 } HrRecord;
 
 /* Longer than any writer's tag: with it a main record is at its largest. */
@@ -29,7 +29,7 @@
 
 /* The first main record of a job. awaits: ids, or NULL; submitted: time of day. */
 char *hr_record_first (const HrJobSpec *spec, const char *const *awaits, const HrNames *names,
-                       double submitted, guint per_page, const char *tag);
+                       double submitted, guint tasks_per_page, const char *tag);
 /* The main record. pending: with the placements and endings under way. */
 char *hr_record_main (const HrJob *j, const HrNames *names, const HrIntern *machines,
                       HrJobState state, const char *tag, gboolean pending);
--- a/src/bookkeeping/format.c
+++ b/src/bookkeeping/record_format.c
@@ -10,7 +10,7 @@
 #define FORMAT_TIMEOUT_S 2.0
 
 void
-hr_core_speak (HrCore *c, guint format)
+hr_core_set_supported_format (HrCore *c, guint format)
 {
   c->speaks = format;
   if (format)
@@ -18,11 +18,12 @@
   else
     c->limits = (HrStateLimits){c->set->state_rps, c->set->state_write_rps, c->set->value_kb,
                                 c->set->txn_ops};
-  c->write_bucket = (HrBucket){c->limits.write_rps, c->limits.write_rps, c->limits.write_rps, 0};
+  c->write_bucket =
+      (HrTokenBucket){c->limits.write_rps, c->limits.write_rps, c->limits.write_rps, 0};
 }
 
 void
-hr_format_read (HrCore *c, const json_t *value, guint64 stamp)
+hr_record_format_read (HrCore *c, const json_t *value, guint64 revision)
 {
   guint64 format = 0;
   if (!c->speaks || !value)
@@ -36,8 +37,8 @@
   else if (format > c->format)
     g_message ("records are of format %u from now on", (guint)format);
   c->format = MAX (c->format, format);
-  c->format_stamp = stamp;
-  hr_split_rescan (c);
+  c->format_stamp = revision;
+  hr_record_split_rescan (c);
 }
 
 /* What a member stated holds on: after its upgrade its processes come back new. */
@@ -67,23 +68,24 @@
 }
 
 void
-hr_format_tick (HrCore *c)
+hr_record_format_tick (HrCore *c)
 {
-  if (!c->leads || c->sync != HR_SYNC_FOLLOWING || c->format >= c->speaks || c->format_writing ||
+  if (!c->leads || c->sync != HR_REPLICA_FOLLOWING || c->format >= c->speaks || c->format_writing ||
       c->now < c->format_at || c->store_down || !all_understand (c))
     return;
   c->format_writing = TRUE;
-  json_t *when = hr_cond (json_array (), "h/map", c->map_stamp);
-  hr_cond (when, FORMAT_KEY, c->format_stamp);
-  json_t *writes = hr_set (json_array (), FORMAT_KEY,
-                           hr_json_take_text (json_pack ("{si}", "f", (int)c->speaks)), 0);
-  hr_commit (c, HR_TXN_USER, when, writes, 1, FORMAT_TIMEOUT_S, on_recorded, NULL);
+  json_t *when = hr_transaction_require (json_array (), "h/map", c->map_stamp);
+  hr_transaction_require (when, FORMAT_KEY, c->format_stamp);
+  json_t *writes = hr_transaction_put (
+      json_array (), FORMAT_KEY, hr_json_take_text (json_pack ("{si}", "f", (int)c->speaks)), 0);
+  hr_transaction_submit (c, HR_TRANSACTION_USER, when, writes, 1, FORMAT_TIMEOUT_S, on_recorded,
+                         NULL);
 }
 
 /* ---- what members tell one another ---- */
 
 void
-hr_format_tell (const HrCore *c, HrPeerStatus *h)
+hr_record_format_fill_status (const HrCore *c, HrPeerStatus *h)
 {
   h->format = c->speaks;
   h->n_oversized = c->noversized;
@@ -91,21 +93,21 @@
 }
 
 void
-hr_format_heard (HrCore *c, const HrPeerStatus *h)
+hr_record_format_status_received (HrCore *c, const HrPeerStatus *h)
 {
   for (guint i = 0; c->leads && c->speaks && i < h->n_oversized; i++) {
     HrJob *j = hr_job_find (c, h->oversized[i]);
-    if (j && hr_split_possible (c, j) && hr_layout_oversized (c, j))
-      hr_split_want (c, j, TRUE);
+    if (j && hr_record_split_is_possible (c, j) && hr_record_layout_is_oversized (c, j))
+      hr_record_split_request (c, j, TRUE);
   }
 }
 
 /* Named in the hints until others push it out: saying it again does no harm. */
 void
-hr_format_oversized (HrCore *c, HrJob *j)
+hr_record_format_note_oversized (HrCore *c, HrJob *j)
 {
-  if (hr_split_possible (c, j))
-    hr_split_want (c, j, TRUE);
+  if (hr_record_split_is_possible (c, j))
+    hr_record_split_request (c, j, TRUE);
   for (guint i = 0; i < c->noversized; i++)
     if (g_str_equal (c->oversized[i], j->id))
       return;
--- a/src/bookkeeping/layout.c
+++ b/src/bookkeeping/record_layout.c
@@ -14,18 +14,18 @@
 #define PAGE_BYTES_AROUND 80
 
 gsize
-hr_layout_planned_bytes (const HrCore *c)
+hr_record_layout_planned_bytes (const HrCore *c)
 {
   return c->limits.value_kb * KIB * VALUE_SHARE;
 }
 
 gsize
-hr_layout_most_bytes (const HrCore *c)
+hr_record_layout_max_bytes (const HrCore *c)
 {
   if (!c->speaks)
     return G_MAXSIZE; /* production does not look */
   if (c->format || c->planned_in_force)
-    return hr_layout_planned_bytes (c);
+    return hr_record_layout_planned_bytes (c);
   return c->set->value_kb * KIB;
 }
 
@@ -52,16 +52,16 @@
 }
 
 guint
-hr_layout_page_size (HrCore *c, guint32 tasks)
+hr_record_layout_page_size (HrCore *c, guint32 tasks)
 {
-  double room = (double)hr_layout_planned_bytes (c) - PAGE_BYTES_AROUND;
+  double room = (double)hr_record_layout_planned_bytes (c) - PAGE_BYTES_AROUND;
   guint most = MAX (1, (gint)(room / task_bytes (c)));
   guint pages = (tasks + most - 1) / most;
   return (tasks + pages - 1) / pages; /* pages of equal size: each write is the smaller */
 }
 
 guint
-hr_layout_choose (HrCore *c, const HrJobSpec *spec, gsize beside)
+hr_record_layout_choose (HrCore *c, const HrJobSpec *spec, gsize beside)
 {
   if (!c->speaks) {
     guint per = hr_tasks_per_page (c->limits.value_kb);
@@ -69,22 +69,24 @@
   }
   HrJob j = {.spec = *spec, .submitted = c->wall};
   double inline_bytes = main_bytes (c, &j) + beside + (double)spec->tasks * task_bytes (c);
-  return inline_bytes <= hr_layout_planned_bytes (c) ? 0 : hr_layout_page_size (c, spec->tasks);
+  return inline_bytes <= hr_record_layout_planned_bytes (c)
+             ? 0
+             : hr_record_layout_page_size (c, spec->tasks);
 }
 
 guint
-hr_layout_smaller (HrCore *c, const HrJob *j)
+hr_record_layout_smaller (HrCore *c, const HrJob *j)
 {
-  guint per = hr_layout_page_size (c, j->ntasks);
+  guint per = hr_record_layout_page_size (c, j->ntasks);
   if (!j->per_page || per < j->per_page)
     return per;
   return MAX (1, j->per_page / 2); /* what was measured is larger than what was reckoned */
 }
 
 gboolean
-hr_layout_oversized (HrCore *c, const HrJob *j)
+hr_record_layout_is_oversized (HrCore *c, const HrJob *j)
 {
-  gsize most = hr_layout_planned_bytes (c);
+  gsize most = hr_record_layout_planned_bytes (c);
   if (!j->per_page) {
     g_autofree char *text =
         hr_record_main (j, c->names, &c->machine_ids, j->state, HR_LONGEST_TAG, FALSE);
--- a/src/bookkeeping/split.c
+++ b/src/bookkeeping/record_split.c
@@ -13,7 +13,7 @@
 #define SPLIT_TIMEOUT_S 2.0
 #define SPLITS_AT_ONCE 4
 /* Transactions may hold 64 KiB; the conditions and names take some of it. */
-#define TXN_BYTES_MOST ((gsize)40 * 1024)
+#define MAX_TRANSACTION_BYTES ((gsize)40 * 1024)
 #define TRIES_MOST 4
 /* Of the write allowance, left to others by splits that nobody waits for. */
 #define PROACTIVE_KEEP 0.4
@@ -21,20 +21,20 @@
 
 typedef struct {
   guint32 job;
-  guint gen;
-  guint64 base; /* stamp of the main record whose facts are being written */
-  guint per_page, npages;
-  guint first, end; /* pages of the step under way */
-  gboolean last;    /* and the main record */
+  guint replica_generation;
+  guint64 base_revision; /* stamp of the main record whose facts are being written */
+  guint tasks_per_page, n_pages;
+  guint first_page, end_page;  /* pages of the step under way */
+  gboolean writes_main_record; /* and the main record */
   guint tries;
   char *tag;
-  json_t *when, *writes;
+  json_t *conditions, *writes;
 } Split;
 
 static void next_step (HrCore *c, Split *s);
 
 gboolean
-hr_split_possible (const HrCore *c, const HrJob *j)
+hr_record_split_is_possible (const HrCore *c, const HrJob *j)
 {
   return c->speaks && c->format && c->leads && j->tasks && !j->shrunk && !j->unreadable &&
          j->per_page != 1 && j->ntasks > 1;
@@ -43,62 +43,63 @@
 /* ---- pages that no main record names ---- */
 
 HrStagedPage *
-hr_split_staged (HrJob *j, guint per_page, guint page)
+hr_record_split_staged_page (HrJob *j, guint tasks_per_page, guint page)
 {
   for (guint i = 0; j->staged && i < j->staged->len; i++) {
     HrStagedPage *p = &g_array_index (j->staged, HrStagedPage, i);
-    if (p->per_page == per_page && p->page == page)
+    if (p->tasks_per_page == tasks_per_page && p->page == page)
       return p;
   }
   return NULL;
 }
 
 void
-hr_split_stage (HrJob *j, guint per_page, guint page, guint64 stamp, const json_t *value)
+hr_record_split_stage_page (HrJob *j, guint tasks_per_page, guint page, guint64 revision,
+                            const json_t *value)
 {
-  HrStagedPage *p = hr_split_staged (j, per_page, page);
-  if (p && stamp && stamp < p->stamp)
+  HrStagedPage *p = hr_record_split_staged_page (j, tasks_per_page, page);
+  if (p && revision && revision < p->revision)
     return;
   if (!p) {
-    if (!stamp)
+    if (!revision)
       return;
     if (!j->staged)
       j->staged = g_array_new (FALSE, TRUE, sizeof (HrStagedPage));
     g_array_set_size (j->staged, j->staged->len + 1);
     p = &g_array_index (j->staged, HrStagedPage, j->staged->len - 1);
-    p->per_page = per_page;
+    p->tasks_per_page = tasks_per_page;
     p->page = page;
   }
-  p->stamp = stamp; /* 0: it was deleted */
+  p->revision = revision; /* 0: it was deleted */
   json_decref (p->value);
-  p->value = stamp && value ? json_incref ((json_t *)value) : NULL;
+  p->value = revision && value ? json_incref ((json_t *)value) : NULL;
 }
 
 /* The main record at `stamp` names pages of another size. They hold the facts of the record
  * before it, whatever we have in memory of that: a reading of the whole ledger may have come
  * between. A page that has changed since comes again in the changes that are read next. */
 void
-hr_split_apply (HrCore *c, HrJob *j, guint per_page, guint64 stamp)
+hr_record_split_apply (HrCore *c, HrJob *j, guint tasks_per_page, guint64 revision)
 {
   g_autoptr (GArray) staged = g_steal_pointer (&j->staged);
-  hr_garbage_job (c, j);
+  hr_garbage_add_job (c, j);
   for (guint i = 0; i < j->npages; i++)
-    g_free (j->pages[i].tag);
+    g_free (j->pages[i].write_tag);
   g_free (j->pages);
-  j->per_page = per_page;
+  j->per_page = tasks_per_page;
   j->resplit = TRUE;
-  j->npages = (j->ntasks + per_page - 1) / per_page;
-  j->pages = g_new0 (HrPage, j->npages);
+  j->npages = (j->ntasks + tasks_per_page - 1) / tasks_per_page;
+  j->pages = g_new0 (HrRecordPage, j->npages);
   for (guint32 i = 0; i < j->ntasks; i++)
     j->tasks[i].inflight = 0; /* the write that it was part of held on the earlier record */
   for (guint i = 0; staged && i < staged->len; i++) {
     HrStagedPage *p = &g_array_index (staged, HrStagedPage, i);
-    if (p->per_page != per_page && p->stamp)
-      hr_garbage_note (c, j, p->per_page, p->page);
-    else if (p->page < j->npages && p->stamp <= stamp) {
-      j->pages[p->page].stamp = p->stamp;
+    if (p->tasks_per_page != tasks_per_page && p->revision)
+      hr_garbage_add_page (c, j, p->tasks_per_page, p->page);
+    else if (p->page < j->npages && p->revision <= revision) {
+      j->pages[p->page].revision = p->revision;
       if (!c->leads && p->value &&
-          !hr_record_tasks (j, p->page * per_page, json_object_get (p->value, "x"),
+          !hr_record_tasks (j, p->page * tasks_per_page, json_object_get (p->value, "x"),
                             &c->machine_ids))
         j->unreadable = TRUE;
     }
@@ -112,7 +113,7 @@
 static void
 step_clear (Split *s)
 {
-  g_clear_pointer (&s->when, json_decref);
+  g_clear_pointer (&s->conditions, json_decref);
   g_clear_pointer (&s->writes, json_decref);
 }
 
@@ -129,11 +130,11 @@
 end (HrCore *c, Split *s)
 {
   HrJob *j = c->jobs->pdata[s->job];
-  if (s->gen == c->sync_gen) {
+  if (s->replica_generation == c->sync_gen) {
     c->nsplits--;
     j->splitting = FALSE;
     for (guint i = 0; j->tasks && i < j->npages; i++)
-      hr_ledger_mark (c, j, i * j->per_page);
+      hr_record_writer_mark (c, j, i * j->per_page);
   }
   split_free (s);
 }
@@ -143,7 +144,7 @@
 {
   HrJob *j = c->jobs->pdata[s->job];
   g_warning ("%s: its record is not split yet: %s", j->id, why);
-  hr_ledger_hold_back (c, j);
+  hr_record_writer_back_off (c, j);
   end (c, s);
 }
 
@@ -151,7 +152,7 @@
 begin (HrCore *c, Split *s)
 {
   HrJob *j = c->jobs->pdata[s->job];
-  if (!hr_split_possible (c, j)) {
+  if (!hr_record_split_is_possible (c, j)) {
     end (c, s);
     return;
   }
@@ -159,23 +160,23 @@
     give_up (c, s, "it changes again and again");
     return;
   }
-  s->base = j->stamp;
-  s->per_page = hr_layout_smaller (c, j);
-  s->npages = (j->ntasks + s->per_page - 1) / s->per_page;
-  s->first = s->end = 0;
+  s->base_revision = j->stamp;
+  s->tasks_per_page = hr_record_layout_smaller (c, j);
+  s->n_pages = (j->ntasks + s->tasks_per_page - 1) / s->tasks_per_page;
+  s->first_page = s->end_page = 0;
   next_step (c, s);
 }
 
 static void
-on_fresh (HrCore *c, gboolean ok, gpointer data)
+on_replica_fresh (HrCore *c, gboolean ok, gpointer data)
 {
   Split *s = data;
-  if (s->gen != c->sync_gen) {
+  if (s->replica_generation != c->sync_gen) {
     split_free (s);
     return;
   }
   HrJob *j = c->jobs->pdata[s->job];
-  if (j->resplit && j->per_page == s->per_page)
+  if (j->resplit && j->per_page == s->tasks_per_page)
     end (c, s); /* it was carried out; the answer was lost */
   else
     begin (c, s);
@@ -188,30 +189,30 @@
 {
   Split *s = data;
   HrJob *j = c->jobs->pdata[s->job];
-  guint64 epoch;
-  if (s->gen != c->sync_gen || !j->tasks) {
+  guint64 store_revision;
+  if (s->replica_generation != c->sync_gen || !j->tasks) {
     split_free (s);
     return;
   }
-  if (status == 200 && hr_json_count (body, "epoch", G_MAXINT64, &epoch)) {
-    gboolean known = j->resplit && j->per_page == s->per_page;
-    for (guint i = s->first; i < s->end && !known; i++)
-      hr_split_stage (j, s->per_page, i, epoch, NULL);
-    if (!s->last) {
+  if (status == 200 && hr_json_count (body, "epoch", G_MAXINT64, &store_revision)) {
+    gboolean known = j->resplit && j->per_page == s->tasks_per_page;
+    for (guint i = s->first_page; i < s->end_page && !known; i++)
+      hr_record_split_stage_page (j, s->tasks_per_page, i, store_revision, NULL);
+    if (!s->writes_main_record) {
       next_step (c, s);
       return;
     }
     if (!known) { /* else the changes told it before the answer came */
-      j->stamp = epoch;
+      j->stamp = store_revision;
       g_free (j->tag);
       j->tag = g_strdup (s->tag);
-      hr_split_apply (c, j, s->per_page, epoch);
+      hr_record_split_apply (c, j, s->tasks_per_page, store_revision);
     }
     g_info ("%s: its record is split into %u pages", j->id, j->npages);
     j->write_at = j->write_pause = 0;
     end (c, s);
   } else if (status == 409)
-    hr_follow_read (c, on_fresh, s);
+    hr_replica_read (c, on_replica_fresh, s);
   else if (status == 400)
     give_up (c, s, hr_json_str (body, "error"));
   else
@@ -221,30 +222,32 @@
 static void
 send_step (HrCore *c, Split *s)
 {
-  hr_commit (c, HR_TXN_LAUNCH, json_incref (s->when), json_incref (s->writes),
-             s->end - s->first + s->last, SPLIT_TIMEOUT_S, on_step, s);
+  hr_transaction_submit (
+      c, HR_TRANSACTION_LAUNCH, json_incref (s->conditions), json_incref (s->writes),
+      s->end_page - s->first_page + s->writes_main_record, SPLIT_TIMEOUT_S, on_step, s);
 }
 
 static void
 add_page (HrCore *c, Split *s, HrJob *j, char *text)
 {
-  g_autofree char *key = hr_page_key_of (j, s->per_page, s->end);
-  const HrStagedPage *known = hr_split_staged (j, s->per_page, s->end);
-  hr_cond (s->when, key, known ? known->stamp : 0);
-  hr_set (s->writes, key, text, 0);
-  s->end++;
+  g_autofree char *key = hr_record_page_key_of (j, s->tasks_per_page, s->end_page);
+  const HrStagedPage *known = hr_record_split_staged_page (j, s->tasks_per_page, s->end_page);
+  hr_transaction_require (s->conditions, key, known ? known->revision : 0);
+  hr_transaction_put (s->writes, key, text, 0);
+  s->end_page++;
 }
 
 static void
 add_main (HrCore *c, Split *s, HrJob *j)
 {
   HrJob after = *j;
-  after.per_page = s->per_page;
+  after.per_page = s->tasks_per_page;
   after.resplit = TRUE;
-  g_autofree char *key = hr_job_key (j);
-  hr_set (s->writes, key,
-          hr_record_main (&after, c->names, &c->machine_ids, j->state, s->tag, FALSE), 0);
-  s->last = TRUE;
+  g_autofree char *key = hr_job_record_key (j);
+  hr_transaction_put (s->writes, key,
+                      hr_record_main (&after, c->names, &c->machine_ids, j->state, s->tag, FALSE),
+                      0);
+  s->writes_main_record = TRUE;
 }
 
 static void
@@ -257,24 +260,24 @@
   step_clear (s);
   g_free (s->tag);
   s->tag = hr_new_tag (c);
-  s->when = json_array ();
+  s->conditions = json_array ();
   s->writes = json_array ();
-  s->first = s->end;
-  s->last = FALSE; /* an earlier attempt may have come to its last step */
-  g_autofree char *key = hr_job_key (j);
-  hr_cond (s->when, "h/map", c->map_stamp);
-  hr_cond (s->when, key, s->base);
-  while (s->end < s->npages && s->end - s->first < ops) {
-    char *text =
-        hr_record_page_of (j, s->end * s->per_page, s->per_page, &c->machine_ids, s->tag, FALSE);
+  s->first_page = s->end_page;
+  s->writes_main_record = FALSE; /* an earlier attempt may have come to its last step */
+  g_autofree char *key = hr_job_record_key (j);
+  hr_transaction_require (s->conditions, "h/map", c->map_stamp);
+  hr_transaction_require (s->conditions, key, s->base_revision);
+  while (s->end_page < s->n_pages && s->end_page - s->first_page < ops) {
+    char *text = hr_record_page_of (j, s->end_page * s->tasks_per_page, s->tasks_per_page,
+                                    &c->machine_ids, s->tag, FALSE);
     bytes += strlen (text);
-    if (bytes > TXN_BYTES_MOST && s->end > s->first) {
+    if (bytes > MAX_TRANSACTION_BYTES && s->end_page > s->first_page) {
       g_free (text);
       break;
     }
     add_page (c, s, j, text);
   }
-  if (s->end == s->npages && s->end - s->first < ops)
+  if (s->end_page == s->n_pages && s->end_page - s->first_page < ops)
     add_main (c, s, j);
   send_step (c, s);
 }
@@ -283,13 +286,13 @@
 writing (const HrJob *j)
 {
   for (guint i = 0; i < j->npages; i++)
-    if (j->pages[i].tag)
+    if (j->pages[i].write_tag)
       return TRUE;
   return FALSE;
 }
 
 void
-hr_split_want (HrCore *c, HrJob *j, gboolean urgent)
+hr_record_split_request (HrCore *c, HrJob *j, gboolean urgent)
 {
   if (j->splitting)
     return;
@@ -305,13 +308,13 @@
 }
 
 void
-hr_split_rescan (HrCore *c)
+hr_record_split_rescan (HrCore *c)
 {
   c->split_scan = 0;
 }
 
 void
-hr_split_reset (HrCore *c)
+hr_record_split_reset (HrCore *c)
 {
   c->nsplits = 0;
   g_array_set_size (c->to_split, 0);
@@ -319,20 +322,21 @@
 
 /* Records that are too large already are split ahead of their next write, a few at a time. */
 void
-hr_split_scan (HrCore *c)
+hr_record_split_scan (HrCore *c)
 {
   if (!c->speaks || !c->format || !c->leads ||
       c->write_bucket.tokens < PROACTIVE_KEEP * c->write_bucket.burst)
     return;
   for (guint n = 0; n < SCANNED_AT_ONCE && c->split_scan < c->open->len; n++) {
     HrJob *j = c->jobs->pdata[g_array_index (c->open, guint32, c->split_scan++)];
-    if (hr_split_possible (c, j) && !j->split_wanted && hr_layout_oversized (c, j))
-      hr_split_want (c, j, FALSE);
+    if (hr_record_split_is_possible (c, j) && !j->split_wanted &&
+        hr_record_layout_is_oversized (c, j))
+      hr_record_split_request (c, j, FALSE);
   }
 }
 
 void
-hr_split_tick (HrCore *c)
+hr_record_split_tick (HrCore *c)
 {
   for (guint i = 0; i < c->to_split->len && c->nsplits < SPLITS_AT_ONCE; i++) {
     HrJob *j = c->jobs->pdata[g_array_index (c->to_split, guint32, i)];
@@ -340,14 +344,14 @@
       continue; /* one write at a time; after a failure, later */
     g_array_remove_index (c->to_split, i--);
     j->split_wanted = FALSE;
-    if (!hr_split_possible (c, j)) {
+    if (!hr_record_split_is_possible (c, j)) {
       for (guint p = 0; j->tasks && p < j->npages; p++)
-        hr_ledger_mark (c, j, p * j->per_page); /* what waited for it */
+        hr_record_writer_mark (c, j, p * j->per_page); /* what waited for it */
       continue;
     }
     Split *s = g_new0 (Split, 1);
     s->job = j->idx;
-    s->gen = c->sync_gen;
+    s->replica_generation = c->sync_gen;
     c->nsplits++;
     j->splitting = TRUE;
     begin (c, s);
--- a/src/bookkeeping/ledger.c
+++ b/src/bookkeeping/record_writer.c
@@ -4,17 +4,17 @@
 #include "protocol/json_util.h"
 #include <string.h>
 
-#define WRITE_TIMEOUT 2.0
+#define WRITE_TIMEOUT_S 2.0
 /* What the state service refuses is held back so long, then twice as long each time. */
-#define HOLD_BACK_S 0.5
-#define HOLD_BACK_MOST_S 8.0
+#define BACK_OFF_S 0.5
+#define MAX_BACK_OFF_S 8.0
 
 typedef struct {
   guint32 job, page;
-  guint gen;
+  guint replica_generation;
   char *tag;
-  json_t *when, *writes;
-  HrTxnKind kind;
+  json_t *conditions, *writes;
+  HrTransactionKind kind;
   gsize bytes; /* of the value */
 } Write;
 
@@ -24,23 +24,24 @@
 write_free (Write *w)
 {
   g_free (w->tag);
-  json_decref (w->when);
+  json_decref (w->conditions);
   json_decref (w->writes);
   g_free (w);
 }
 
 /* The page of a write that is still under way, or NULL when it was overtaken. */
-static HrPage *
-page_of (HrCore *c, Write *w)
+static HrRecordPage *
+page_under_write (HrCore *c, Write *w)
 {
   HrJob *j = c->jobs->pdata[w->job];
-  if (w->gen != c->sync_gen || w->page >= j->npages || g_strcmp0 (j->pages[w->page].tag, w->tag))
+  if (w->replica_generation != c->sync_gen || w->page >= j->npages ||
+      g_strcmp0 (j->pages[w->page].write_tag, w->tag))
     return NULL;
   return &j->pages[w->page];
 }
 
 static void
-page_range (const HrJob *j, const HrPage *p, guint32 *from, guint32 *to)
+page_range (const HrJob *j, const HrRecordPage *p, guint32 *from, guint32 *to)
 {
   guint n = p - j->pages;
   *from = j->per_page ? n * j->per_page : 0;
@@ -48,17 +49,17 @@
 }
 
 static void
-mark_page (HrCore *c, HrJob *j, HrPage *p)
+mark_page (HrCore *c, HrJob *j, HrRecordPage *p)
 {
-  if (p->dirty)
+  if (p->is_dirty)
     return;
-  p->dirty = TRUE;
-  HrDirty d = {j->idx, p - j->pages};
+  p->is_dirty = TRUE;
+  HrDirtyPage d = {j->idx, p - j->pages};
   g_array_append_val (c->dirty, d);
 }
 
 void
-hr_ledger_mark (HrCore *c, HrJob *j, guint32 task)
+hr_record_writer_mark (HrCore *c, HrJob *j, guint32 task)
 {
   if (j->pages)
     mark_page (c, j, hr_job_page (j, task));
@@ -66,20 +67,20 @@
 
 /* Our write of this page is in the ledger, at this stamp. */
 void
-hr_ledger_seen (HrCore *c, HrJob *j, HrPage *p, guint64 stamp)
+hr_record_writer_confirmed (HrCore *c, HrJob *j, HrRecordPage *p, guint64 revision)
 {
   guint32 from, to;
   page_range (j, p, &from, &to);
-  gboolean final = p->final;
+  gboolean final = p->write_is_final;
   j->write_at = j->write_pause = 0;
-  p->stamp = stamp;
-  p->final = FALSE;
+  p->revision = revision;
+  p->write_is_final = FALSE;
   if (!j->per_page || final) {
-    j->stamp = stamp;
+    j->stamp = revision;
     g_free (j->tag);
-    j->tag = g_strdup (p->tag);
+    j->tag = g_strdup (p->write_tag);
   }
-  g_clear_pointer (&p->tag, g_free);
+  g_clear_pointer (&p->write_tag, g_free);
   for (guint32 i = from; i < to; i++) {
     HrTask *t = &j->tasks[i];
     if (!t->inflight)
@@ -101,7 +102,7 @@
       g_info ("%s is done", j->id);
     }
     j->shrunk = TRUE;
-    hr_garbage_job (c, j);
+    hr_garbage_add_job (c, j);
     hr_job_shrink (j);
     hr_dependencies_final (c, j);
   } else if (j->state == HR_JOB_QUEUED && j->nrdone == j->ntasks)
@@ -111,12 +112,12 @@
 
 /* What was under way did not happen. */
 static void
-write_lost (HrCore *c, HrJob *j, HrPage *p)
+write_failed (HrCore *c, HrJob *j, HrRecordPage *p)
 {
   guint32 from, to;
   page_range (j, p, &from, &to);
-  g_clear_pointer (&p->tag, g_free);
-  p->final = FALSE;
+  g_clear_pointer (&p->write_tag, g_free);
+  p->write_is_final = FALSE;
   for (guint32 i = from; i < to; i++) {
     HrTask *t = &j->tasks[i];
     if (!t->inflight)
@@ -129,38 +130,38 @@
 }
 
 void
-hr_ledger_hold_back (HrCore *c, HrJob *j)
+hr_record_writer_back_off (HrCore *c, HrJob *j)
 {
-  j->write_pause = CLAMP (2 * j->write_pause, HOLD_BACK_S, HOLD_BACK_MOST_S);
+  j->write_pause = CLAMP (2 * j->write_pause, BACK_OFF_S, MAX_BACK_OFF_S);
   j->write_at = c->now + j->write_pause;
 }
 
 /* What was to be written is larger than the state service takes: it is not sent. Endings wait
  * for the split; assignments wait too, or are given up where none is possible yet. */
 static void
-too_large (HrCore *c, HrJob *j, HrPage *p, guint32 from, guint32 to)
+handle_oversized (HrCore *c, HrJob *j, HrRecordPage *p, guint32 from, guint32 to)
 {
-  gboolean split = hr_split_possible (c, j);
+  gboolean split = hr_record_split_is_possible (c, j);
   for (guint32 i = from; i < to; i++) {
     j->tasks[i].inflight = 0;
     if (!split && j->tasks[i].state == HR_T_ASSIGNING)
       hr_task_unassign (c, j, i);
   }
   if (split) {
-    hr_split_want (c, j, FALSE);
+    hr_record_split_request (c, j, FALSE);
     return; /* the split marks what is still meant */
   }
   if (!j->write_pause)
     g_warning ("%s: its record is too large, and not every member is known to read a split one",
                j->id);
-  hr_ledger_hold_back (c, j);
+  hr_record_writer_back_off (c, j);
   j->retry_at = MAX (j->retry_at, j->write_at);
   mark_page (c, j, p);
 }
 
 /* Tombstones are small: they never wait. */
 static gboolean
-held_back (const HrCore *c, const HrJob *j)
+is_backing_off (const HrCore *c, const HrJob *j)
 {
   if (c->now >= j->write_at)
     return FALSE;
@@ -168,12 +169,12 @@
 }
 
 static void
-on_recheck (HrCore *c, int status, json_t *body, double sent, gpointer data)
+on_record_reread (HrCore *c, int status, json_t *body, double sent, gpointer data)
 {
   Write *w = data;
-  HrPage *p = page_of (c, w);
+  HrRecordPage *p = page_under_write (c, w);
   HrJob *j = c->jobs->pdata[w->job];
-  guint64 stamp = 0;
+  guint64 revision = 0;
   if (p && status != 200 && status != 404) {
     send_write (c, w); /* still unknown: the same write again, it holds on the same stamps */
     return;
@@ -181,38 +182,38 @@
   if (p) {
     const json_t *v = json_object_get (body, "value");
     const char *tag = hr_json_str (v, "w");
-    hr_json_count (body, "stamp", G_MAXINT64, &stamp);
+    hr_json_count (body, "stamp", G_MAXINT64, &revision);
     if (tag && g_str_equal (tag, w->tag))
-      hr_ledger_seen (c, j, p, stamp);
+      hr_record_writer_confirmed (c, j, p, revision);
     else {
-      if (!j->per_page || p->final) {
+      if (!j->per_page || p->write_is_final) {
         if (v)
-          hr_follow_job (c, j, v, stamp);
-      } else if (stamp > p->stamp)
-        p->stamp = stamp;
-      if (page_of (c, w))
-        write_lost (c, j, p);
+          hr_replica_apply_job (c, j, v, revision);
+      } else if (revision > p->revision)
+        p->revision = revision;
+      if (page_under_write (c, w))
+        write_failed (c, j, p);
     }
   }
   write_free (w);
 }
 
 static void
-ask_record (HrCore *c, Write *w)
+reread_record (HrCore *c, Write *w)
 {
   HrJob *j = c->jobs->pdata[w->job];
-  gboolean main = !j->per_page || j->pages[w->page].final;
-  g_autofree char *key = main ? hr_job_key (j) : hr_page_key (j, w->page);
-  hr_call (c, HR_TO_STORE, NULL, HR_GET, g_strconcat ("/kv/", key, NULL), NULL, WRITE_TIMEOUT,
-           on_recheck, w);
+  gboolean main = !j->per_page || j->pages[w->page].write_is_final;
+  g_autofree char *key = main ? hr_job_record_key (j) : hr_record_page_key (j, w->page);
+  hr_call (c, HR_TO_STORE, NULL, HR_GET, g_strconcat ("/kv/", key, NULL), NULL, WRITE_TIMEOUT_S,
+           on_record_reread, w);
 }
 
 static void
-on_fresh (HrCore *c, gboolean ok, gpointer data)
+on_replica_fresh (HrCore *c, gboolean ok, gpointer data)
 {
   Write *w = data;
-  if (page_of (c, w))
-    ask_record (c, w);
+  if (page_under_write (c, w))
+    reread_record (c, w);
   else
     write_free (w);
 }
@@ -221,27 +222,27 @@
 on_written (HrCore *c, int status, json_t *body, double sent, gpointer data)
 {
   Write *w = data;
-  HrPage *p = page_of (c, w);
-  guint64 epoch;
+  HrRecordPage *p = page_under_write (c, w);
+  guint64 store_revision;
   if (!p) {
     write_free (w);
     return;
   }
-  if (status == 200 && hr_json_count (body, "epoch", G_MAXINT64, &epoch)) {
-    hr_ledger_seen (c, c->jobs->pdata[w->job], p, epoch);
+  if (status == 200 && hr_json_count (body, "epoch", G_MAXINT64, &store_revision)) {
+    hr_record_writer_confirmed (c, c->jobs->pdata[w->job], p, store_revision);
     write_free (w);
   } else if (status == 409) {
     /* A 409 may come from our own earlier try whose answer was lost: the record
      * tells. The map may have moved too: read on before judging. */
-    hr_follow_read (c, on_fresh, w);
+    hr_replica_read (c, on_replica_fresh, w);
   } else if (status == 400) {
     g_warning ("%s: the state service refuses the record: %s",
                ((HrJob *)c->jobs->pdata[w->job])->id, hr_json_str (body, "error"));
     if (c->speaks) {
-      c->planned_in_force |= w->bytes > hr_layout_planned_bytes (c);
-      hr_ledger_hold_back (c, c->jobs->pdata[w->job]);
+      c->planned_in_force |= w->bytes > hr_record_layout_planned_bytes (c);
+      hr_record_writer_back_off (c, c->jobs->pdata[w->job]);
     }
-    write_lost (c, c->jobs->pdata[w->job], p);
+    write_failed (c, c->jobs->pdata[w->job], p);
     write_free (w);
   } else
     send_write (c, w); /* unknown, or not carried out: the same write again */
@@ -250,12 +251,12 @@
 static void
 send_write (HrCore *c, Write *w)
 {
-  hr_commit (c, w->kind, json_incref (w->when), json_incref (w->writes), 1, WRITE_TIMEOUT,
-             on_written, w);
+  hr_transaction_submit (c, w->kind, json_incref (w->conditions), json_incref (w->writes), 1,
+                         WRITE_TIMEOUT_S, on_written, w);
 }
 
 static void
-write_page (HrCore *c, HrJob *j, HrPage *p)
+write_page (HrCore *c, HrJob *j, HrRecordPage *p)
 {
   guint32 from, to;
   guint n = p - j->pages;
@@ -282,59 +283,59 @@
                : !j->per_page ? hr_record_main (j, c->names, &c->machine_ids, j->state, tag, TRUE)
                               : hr_record_page (j, n, &c->machine_ids, tag, TRUE);
   gsize bytes = strlen (text);
-  if (bytes > hr_layout_most_bytes (c) && !done && !gone) {
+  if (bytes > hr_record_layout_max_bytes (c) && !done && !gone) {
     g_free (text);
-    too_large (c, j, p, from, to);
+    handle_oversized (c, j, p, from, to);
     return;
   }
   Write *w = g_new0 (Write, 1);
   w->job = j->idx;
   w->page = n;
-  w->gen = c->sync_gen;
+  w->replica_generation = c->sync_gen;
   w->bytes = bytes;
   w->tag = g_steal_pointer (&tag);
-  w->when = json_array ();
+  w->conditions = json_array ();
   w->writes = json_array ();
   /* Those that await the job start once its end is recorded. */
   gboolean awaited = j->dependents && j->state == HR_JOB_QUEUED && j->ndone == j->ntasks;
-  w->kind = launch || awaited ? HR_TXN_LAUNCH : HR_TXN_BOOKS;
-  p->tag = g_strdup (w->tag);
-  p->final = done || gone;
-  g_autofree char *key = hr_job_key (j);
-  hr_cond (w->when, "h/map", c->map_stamp);
-  hr_cond (w->when, key, j->stamp);
-  if (p->final || !j->per_page)
-    hr_set (w->writes, key, text, 0);
+  w->kind = launch || awaited ? HR_TRANSACTION_LAUNCH : HR_TRANSACTION_BOOKKEEPING;
+  p->write_tag = g_strdup (w->tag);
+  p->write_is_final = done || gone;
+  g_autofree char *key = hr_job_record_key (j);
+  hr_transaction_require (w->conditions, "h/map", c->map_stamp);
+  hr_transaction_require (w->conditions, key, j->stamp);
+  if (p->write_is_final || !j->per_page)
+    hr_transaction_put (w->writes, key, text, 0);
   else {
-    g_autofree char *pkey = hr_page_key (j, n);
-    hr_cond (w->when, pkey, p->stamp);
-    hr_set (w->writes, pkey, text, 0);
+    g_autofree char *pkey = hr_record_page_key (j, n);
+    hr_transaction_require (w->conditions, pkey, p->revision);
+    hr_transaction_put (w->writes, pkey, text, 0);
   }
   send_write (c, w);
 }
 
 void
-hr_ledger_tick (HrCore *c)
+hr_record_writer_tick (HrCore *c)
 {
   if (c->leads && c->dirty->len && !c->raising) {
     g_autoptr (GArray) list = c->dirty;
-    c->dirty = g_array_new (FALSE, TRUE, sizeof (HrDirty));
+    c->dirty = g_array_new (FALSE, TRUE, sizeof (HrDirtyPage));
     for (guint i = 0; i < list->len; i++) {
-      HrDirty *d = &g_array_index (list, HrDirty, i);
+      HrDirtyPage *d = &g_array_index (list, HrDirtyPage, i);
       HrJob *j = c->jobs->pdata[d->job];
       if (d->page >= j->npages)
         continue;
-      HrPage *p = &j->pages[d->page];
-      if (p->tag || j->splitting || held_back (c, j)) { /* one write at a time */
+      HrRecordPage *p = &j->pages[d->page];
+      if (p->write_tag || j->splitting || is_backing_off (c, j)) { /* one write at a time */
         g_array_append_val (c->dirty, *d);
         continue;
       }
-      p->dirty = FALSE;
+      p->is_dirty = FALSE;
       write_page (c, j, p);
     }
   }
-  if (c->leads && !c->raising && c->sync == HR_SYNC_FOLLOWING)
-    hr_split_tick (c);
+  if (c->leads && !c->raising && c->sync == HR_REPLICA_FOLLOWING)
+    hr_record_split_tick (c);
   if (!c->store_down || c->now - c->write_pause > 0.5) {
     if (c->store_down)
       c->write_pause = c->now; /* an outage: try on, but gently */
--- a/src/bookkeeping/follow.c
+++ b/src/bookkeeping/replica.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 #define PREFIX "h/"
-#define READ_TIMEOUT 2.0
+#define READ_TIMEOUT_S 2.0
 /* Readings come every second; after a longer gap this node was not served. */
 #define UNSERVED_S 4.0
 /* Who asks waits so long while the service only says that it is busy. */
@@ -15,13 +15,13 @@
 #define LATENCY_KEPT 0.7
 
 gboolean
-hr_follow_served (const HrCore *c)
+hr_replica_is_served (const HrCore *c)
 {
   return c->now - c->confirmed_at <= UNSERVED_S;
 }
 
 static void
-store_answered (HrCore *c, gboolean ok)
+note_store_answer (HrCore *c, gboolean ok)
 {
   if (ok) {
     if (c->store_down)
@@ -36,77 +36,80 @@
 
 /* Applies the changes of a /changes answer, whose `after` was at most c->applied. */
 static gboolean
-apply_log (HrCore *c, const json_t *body)
+apply_changes (HrCore *c, const json_t *body)
 {
-  guint64 epoch;
+  guint64 store_revision;
   json_t *log = json_object_get (body, "log"), *e;
   size_t i;
-  if (!hr_json_count (body, "epoch", G_MAXINT64, &epoch))
+  if (!hr_json_count (body, "epoch", G_MAXINT64, &store_revision))
     return FALSE;
   guint64 from = c->applied;
   json_array_foreach (log, i, e)
   {
     const char *set = hr_json_str (e, "set"), *del = hr_json_str (e, "delete");
-    guint64 stamp;
-    if ((!set && !del) || !hr_json_count (e, "stamp", G_MAXINT64, &stamp)) {
+    guint64 revision;
+    if ((!set && !del) || !hr_json_count (e, "stamp", G_MAXINT64, &revision)) {
       g_info ("a change that makes no sense was dropped");
       continue;
     }
-    if (stamp <= from)
+    if (revision <= from)
       continue; /* the watch and a reading overlap: each change counts once */
-    hr_apply_change (c, set ? set : del, set ? json_object_get (e, "value") : NULL, stamp);
-    epoch = MAX (epoch, stamp);
+    hr_replica_apply_change (c, set ? set : del, set ? json_object_get (e, "value") : NULL,
+                             revision);
+    store_revision = MAX (store_revision, revision);
   }
-  c->applied = MAX (c->applied, epoch);
+  c->applied = MAX (c->applied, store_revision);
   hr_leadership_record_read (c);
   return TRUE;
 }
 
-static void on_page (HrCore *c, int status, json_t *body, double sent, gpointer data);
+static void on_list_page (HrCore *c, int status, json_t *body, double sent, gpointer data);
 
 static void
-ask_page (HrCore *c)
+request_list_page (HrCore *c)
 {
   char *path = c->sync_after
                    ? g_strdup_printf ("/kv?starts=" PREFIX "&after=%s&limit=1000", c->sync_after)
                    : g_strdup ("/kv?starts=" PREFIX "&limit=1000");
-  hr_call (c, HR_TO_STORE, NULL, HR_GET, path, NULL, 5, on_page, GUINT_TO_POINTER (c->sync_gen));
+  hr_call (c, HR_TO_STORE, NULL, HR_GET, path, NULL, 5, on_list_page,
+           GUINT_TO_POINTER (c->sync_gen));
 }
 
 static void
-on_page (HrCore *c, int status, json_t *body, double sent, gpointer data)
+on_list_page (HrCore *c, int status, json_t *body, double sent, gpointer data)
 {
-  guint64 epoch;
+  guint64 store_revision;
   gboolean more = FALSE;
   if (GPOINTER_TO_UINT (data) != c->sync_gen)
     return;
-  if (status != 200 || !hr_json_count (body, "epoch", G_MAXINT64, &epoch)) {
-    store_answered (c, FALSE);
-    c->sync = HR_SYNC_NONE;
+  if (status != 200 || !hr_json_count (body, "epoch", G_MAXINT64, &store_revision)) {
+    note_store_answer (c, FALSE);
+    c->sync = HR_REPLICA_UNREAD;
     c->sync_retry_at = c->now + g_rand_double_range (c->rand, 0.2, 0.6);
     return;
   }
-  store_answered (c, TRUE);
+  note_store_answer (c, TRUE);
   if (!c->sync_after)
-    c->sync_base = epoch; /* changes after the first page's epoch are read again, in order */
+    c->sync_base =
+        store_revision; /* changes after the first page's epoch are read again, in order */
   json_t *rows = json_object_get (body, "rows"), *e;
   size_t i;
   json_array_foreach (rows, i, e)
   {
     const char *path = hr_json_str (e, "path");
-    guint64 stamp;
-    if (!path || !hr_json_count (e, "stamp", G_MAXINT64, &stamp))
+    guint64 revision;
+    if (!path || !hr_json_count (e, "stamp", G_MAXINT64, &revision))
       continue;
-    hr_apply_change (c, path, json_object_get (e, "value"), stamp);
+    hr_replica_apply_change (c, path, json_object_get (e, "value"), revision);
     g_free (c->sync_after);
     c->sync_after = g_strdup (path);
   }
   hr_json_bool (body, "more", &more);
   if (more && json_array_size (rows)) {
-    ask_page (c);
+    request_list_page (c);
     return;
   }
-  c->sync = HR_SYNC_FOLLOWING;
+  c->sync = HR_REPLICA_FOLLOWING;
   c->applied = c->sync_base;
   c->watch_not_before = 0;
   c->read_sent = 0;
@@ -115,15 +118,15 @@
 
 /* Begins again from a full reading; what was known of final jobs stays. */
 void
-hr_follow_reset (HrCore *c)
+hr_replica_reset (HrCore *c)
 {
-  c->sync = HR_SYNC_NONE;
+  c->sync = HR_REPLICA_UNREAD;
   c->sync_gen++;
   c->sync_retry_at = 0;
 }
 
 static void
-start_sync (HrCore *c)
+begin_listing (HrCore *c)
 {
   /* Rows of jobs not final are read anew: an owner's view goes beyond the record. */
   for (guint i = 0; i < c->jobs->len; i++) {
@@ -137,16 +140,16 @@
     }
   }
   g_array_set_size (c->open, 0);
-  hr_split_reset (c);
+  hr_record_split_reset (c);
   c->map_stamp = c->leader_stamp = c->format_stamp = 0;
   g_array_set_size (c->tombstones, 0);
   g_clear_pointer (&c->leader_label, g_free);
   g_clear_pointer (&c->leader_inc, g_free);
   g_clear_pointer (&c->sync_after, g_free);
-  c->sync = HR_SYNC_READING;
+  c->sync = HR_REPLICA_LISTING;
   c->sync_gen++;
   c->watching = c->reading = FALSE;
-  ask_page (c);
+  request_list_page (c);
 }
 
 static void
@@ -155,20 +158,20 @@
   g_autoptr (GArray) now = g_array_copy (list);
   g_array_set_size (list, 0);
   for (guint i = 0; i < now->len; i++) {
-    HrWaiter *w = &g_array_index (now, HrWaiter, i);
-    w->fn (c, ok, w->data);
+    HrReadWaiter *w = &g_array_index (now, HrReadWaiter, i);
+    w->callback (c, ok, w->data);
   }
 }
 
 static void
-on_read (HrCore *c, int status, json_t *body, double sent, gpointer data)
+on_read_answer (HrCore *c, int status, json_t *body, double sent, gpointer data)
 {
   if (GPOINTER_TO_UINT (data) != c->sync_gen)
     return;
   c->reading = FALSE;
-  gboolean ok = status == 200 && apply_log (c, body);
+  gboolean ok = status == 200 && apply_changes (c, body);
   /* 429 says that the service is there, only busy. */
-  store_answered (c, ok || status == 429 || status == 410);
+  note_store_answer (c, ok || status == 429 || status == 410);
   if (ok) {
     hr_histogram_add (&c->reading_latency, c->now - sent);
     if (sent - c->confirmed_at > UNSERVED_S)
@@ -181,7 +184,7 @@
     hr_leadership_reset (c, "the changes since the last reading are gone");
   if (status == 429) { /* there are too many of us just now: the next reading serves them */
     for (guint i = 0; i < c->waiters_now->len; i++) {
-      HrWaiter *w = &g_array_index (c->waiters_now, HrWaiter, i);
+      HrReadWaiter *w = &g_array_index (c->waiters_now, HrReadWaiter, i);
       if (c->now - w->since < BUSY_S) {
         g_array_append_val (c->waiters, *w);
         g_array_remove_index (c->waiters_now, i--);
@@ -192,7 +195,7 @@
 }
 
 static void
-on_watch (HrCore *c, int status, json_t *body, double sent, gpointer data)
+on_watch_answer (HrCore *c, int status, json_t *body, double sent, gpointer data)
 {
   if (GPOINTER_TO_UINT (data) != c->sync_gen)
     return;
@@ -201,16 +204,16 @@
    * use up the service's requests. A quarter of those is theirs. */
   c->watch_not_before = c->now + 4.0 * (c->set->members->len + 1) / c->limits.rps;
   if (status == 200)
-    apply_log (c, body);
+    apply_changes (c, body);
   else
     c->watch_not_before = c->now + g_rand_double_range (c->rand, 0.3, 0.7);
 }
 
 void
-hr_follow_read (HrCore *c, HrReadFn fn, gpointer data)
+hr_replica_read (HrCore *c, HrReadCallback fn, gpointer data)
 {
-  HrWaiter w = {fn, data, c->now};
-  if (c->sync != HR_SYNC_FOLLOWING || c->store_down) {
+  HrReadWaiter w = {fn, data, c->now};
+  if (c->sync != HR_REPLICA_FOLLOWING || c->store_down) {
     fn (c, FALSE, data); /* no reading is to be had now: say so at once */
     return;
   }
@@ -218,15 +221,15 @@
 }
 
 void
-hr_follow_tick (HrCore *c)
+hr_replica_tick (HrCore *c)
 {
-  if (c->sync == HR_SYNC_NONE) {
+  if (c->sync == HR_REPLICA_UNREAD) {
     release_waiters (c, c->waiters_now, FALSE);
     release_waiters (c, c->waiters, FALSE);
     if (c->now >= c->sync_retry_at)
-      start_sync (c);
+      begin_listing (c);
   }
-  if (c->sync != HR_SYNC_FOLLOWING)
+  if (c->sync != HR_REPLICA_FOLLOWING)
     return;
   /* All members together take half of the service's allowance for readings. */
   double gap = c->waiters->len ? 2.0 * (c->set->members->len + 1) / c->limits.rps
@@ -241,7 +244,7 @@
     hr_call (c, HR_TO_STORE, NULL, HR_GET,
              g_strdup_printf ("/changes?starts=" PREFIX "&after=%" G_GUINT64_FORMAT "&hold_ms=0",
                               c->applied),
-             NULL, READ_TIMEOUT, on_read, GUINT_TO_POINTER (c->sync_gen));
+             NULL, READ_TIMEOUT_S, on_read_answer, GUINT_TO_POINTER (c->sync_gen));
   }
   if (!c->watching && c->now >= c->watch_not_before) {
     c->watching = TRUE;
@@ -249,6 +252,6 @@
              g_strdup_printf ("/changes?starts=" PREFIX "&after=%" G_GUINT64_FORMAT
                               "&hold_ms=10000",
                               c->applied),
-             NULL, 14, on_watch, GUINT_TO_POINTER (c->sync_gen));
+             NULL, 14, on_watch_answer, GUINT_TO_POINTER (c->sync_gen));
   }
 }
--- a/src/bookkeeping/apply.c
+++ b/src/bookkeeping/replica_changes.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 static void
-apply_leader_record (HrCore *c, const json_t *v, guint64 stamp)
+apply_leader_record (HrCore *c, const json_t *v, guint64 revision)
 {
   guint64 baton = 0;
   const char *o = hr_json_str (v, "o"), *inc = hr_json_str (v, "i");
@@ -12,7 +12,7 @@
     g_warning ("the map in the state service makes no sense; left as it was");
     return;
   }
-  c->map_stamp = stamp;
+  c->map_stamp = revision;
   c->baton = baton;
   g_free (c->map_owner);
   g_free (c->map_inc);
@@ -21,11 +21,11 @@
 }
 
 static void
-apply_leader_lock (HrCore *c, const json_t *v, guint64 stamp)
+apply_leader_lock (HrCore *c, const json_t *v, guint64 revision)
 {
   g_clear_pointer (&c->leader_label, g_free);
   g_clear_pointer (&c->leader_inc, g_free);
-  c->leader_stamp = v ? stamp : 0;
+  c->leader_stamp = v ? revision : 0;
   if (v) {
     c->leader_label = g_strdup (hr_json_str (v, "o"));
     c->leader_inc = g_strdup (hr_json_str (v, "i"));
@@ -38,7 +38,7 @@
 /* Where tasks of the job were placed its image is cached, soon: whoever leads next knows
  * that only from here, since reports do not tell it. */
 static void
-note_images (HrCore *c, HrJob *j, guint32 from, guint32 n)
+note_cached_images (HrCore *c, HrJob *j, guint32 from, guint32 n)
 {
   for (guint32 i = from; i < MIN (from + n, j->ntasks); i++) {
     guint32 m = j->tasks[i].rmachine;
@@ -49,10 +49,10 @@
 }
 
 gboolean
-hr_follow_job (HrCore *c, HrJob *j, const json_t *v, guint64 stamp)
+hr_replica_apply_job (HrCore *c, HrJob *j, const json_t *v, guint64 revision)
 {
   HrRecord r;
-  if (j->known && stamp <= j->stamp)
+  if (j->known && revision <= j->stamp)
     return TRUE; /* known already: our own write, or a change read twice */
   if (!hr_record_read (v, c->names, &r)) {
     g_warning ("%s: its record makes no sense", j->id);
@@ -62,53 +62,53 @@
   }
   j->record_unreadable = FALSE;
   g_auto (GStrv) awaits = g_steal_pointer (&r.awaits);
-  HrPage *p = j->pages;
-  if (p && p->tag && g_str_equal (p->tag, r.tag)) {
+  HrRecordPage *p = j->pages;
+  if (p && p->write_tag && g_str_equal (p->write_tag, r.tag)) {
     hr_record_clear (&r);
-    hr_ledger_seen (c, j, p, stamp);
+    hr_record_writer_confirmed (c, j, p, revision);
     return TRUE;
   }
   gboolean fresh = !j->known;
   j->known = TRUE;
-  j->stamp = stamp;
+  j->stamp = revision;
   if (r.state == HR_JOB_CANCELLED)
-    hr_cancellation_log_append (c, j, stamp);
+    hr_cancellation_log_append (c, j, revision);
   g_free (j->tag);
   j->tag = g_steal_pointer (&r.tag);
-  if (r.tombstone) {
+  if (r.is_tombstone) {
     j->state = r.state;
     j->told = FALSE;
-    j->ntasks = r.ntasks;
-    j->nrdone = r.ndone;
+    j->ntasks = r.n_tasks;
+    j->nrdone = r.n_done;
     j->shrunk = TRUE;
-    if (r.withdrawn_with)
-      j->withdrawn_with = hr_job_get (c, r.withdrawn_with);
-    hr_garbage_job (c, j);
+    if (r.cancelled_with)
+      j->withdrawn_with = hr_job_get (c, r.cancelled_with);
+    hr_garbage_add_job (c, j);
     if (!c->leads || !j->nlive)
       hr_job_shrink (j);
     hr_dependencies_final (c, j);
     return TRUE;
   }
   if (fresh || !j->tasks) {
-    hr_job_set_spec (j, &r.spec, r.per_page);
-    j->submitted = r.submitted;
-    j->resplit = r.resplit && c->speaks;
-  } else if (c->speaks && r.resplit && r.per_page != j->per_page)
-    hr_split_apply (c, j, r.per_page, stamp);
+    hr_job_set_spec (j, &r.spec, r.tasks_per_page);
+    j->submitted = r.submitted_at;
+    j->resplit = r.sized_page_keys && c->speaks;
+  } else if (c->speaks && r.sized_page_keys && r.tasks_per_page != j->per_page)
+    hr_record_split_apply (c, j, r.tasks_per_page, revision);
   if (c->speaks) {
     json_decref (j->extra);
     j->extra = g_steal_pointer (&r.extra);
   }
   hr_record_clear (&r);
   /* The owner alone changes tasks; what others write leaves them as they were. */
-  if (!r.per_page && r.tasks && (!c->leads || fresh)) {
+  if (!r.tasks_per_page && r.tasks && (!c->leads || fresh)) {
     j->unreadable = !hr_record_tasks (j, 0, r.tasks, &c->machine_ids);
     if (j->unreadable)
       g_warning ("%s: the tasks in its record make no sense", j->id);
-    note_images (c, j, 0, j->ntasks);
+    note_cached_images (c, j, 0, j->ntasks);
   }
-  if (!r.per_page && j->pages)
-    j->pages[0].stamp = stamp;
+  if (!r.tasks_per_page && j->pages)
+    j->pages[0].revision = revision;
   /* A reading may be older than what a member told; a withdrawal is final all the same. */
   gboolean was_told = j->told;
   j->told = was_told && r.state == HR_JOB_QUEUED;
@@ -125,76 +125,77 @@
 
 /* A page of a job that is final, or of a layout that is not, or no longer, in force. */
 static void
-applied_spare_page (HrCore *c, HrJob *j, guint per_page, guint page, const json_t *v, guint64 stamp)
+apply_obsolete_page (HrCore *c, HrJob *j, guint tasks_per_page, guint page, const json_t *v,
+                     guint64 revision)
 {
-  hr_garbage_gone (c, j, per_page, page);
-  if (v && (j->shrunk || !per_page))
-    hr_garbage_note (c, j, per_page, page);
-  else if (!j->shrunk && per_page && j->tasks)
-    hr_split_stage (j, per_page, page, v ? stamp : 0, v);
+  hr_garbage_page_deleted (c, j, tasks_per_page, page);
+  if (v && (j->shrunk || !tasks_per_page))
+    hr_garbage_add_page (c, j, tasks_per_page, page);
+  else if (!j->shrunk && tasks_per_page && j->tasks)
+    hr_record_split_stage_page (j, tasks_per_page, page, v ? revision : 0, v);
 }
 
 /* per_page: of a page under h/u; 0: one under h/t. */
 static void
-applied_page (HrCore *c, HrJob *j, guint per_page, guint64 n, const json_t *v, guint64 stamp)
+apply_page (HrCore *c, HrJob *j, guint tasks_per_page, guint64 n, const json_t *v, guint64 revision)
 {
-  gboolean in_force = j->resplit ? per_page == j->per_page : per_page == 0;
+  gboolean in_force = j->resplit ? tasks_per_page == j->per_page : tasks_per_page == 0;
   if (j->shrunk || (!in_force && c->speaks)) {
-    applied_spare_page (c, j, per_page, n, v, stamp);
+    apply_obsolete_page (c, j, tasks_per_page, n, v, revision);
     return;
   }
   const char *tag = hr_json_str (v, "w");
-  if (!v || !j->tasks || !j->per_page || n >= j->npages || stamp <= j->pages[n].stamp)
+  if (!v || !j->tasks || !j->per_page || n >= j->npages || revision <= j->pages[n].revision)
     return;
-  HrPage *p = &j->pages[n];
-  if (p->tag && tag && g_str_equal (p->tag, tag)) {
-    hr_ledger_seen (c, j, p, stamp);
+  HrRecordPage *p = &j->pages[n];
+  if (p->write_tag && tag && g_str_equal (p->write_tag, tag)) {
+    hr_record_writer_confirmed (c, j, p, revision);
     return;
   }
-  p->stamp = stamp;
+  p->revision = revision;
   if (!c->leads) {
     /* Other pages may be unreadable too: once one was, the job counts as unreadable. */
     if (!hr_record_tasks (j, n * j->per_page, json_object_get (v, "x"), &c->machine_ids)) {
       j->unreadable = TRUE;
       g_warning ("%s: page %u of its record makes no sense", j->id, (guint)n);
     }
-    note_images (c, j, n * j->per_page, j->per_page);
+    note_cached_images (c, j, n * j->per_page, j->per_page);
   }
 }
 
 /* "ID/PAGE", or "ID/SIZE/PAGE" of a page that carries its size. */
 static void
-applied_page_key (HrCore *c, const char *rest, gboolean sized, const json_t *v, guint64 stamp)
+apply_page_key (HrCore *c, const char *rest, gboolean sized, const json_t *v, guint64 revision)
 {
   g_auto (GStrv) parts = g_strsplit (rest, "/", -1);
   if (g_strv_length (parts) != (sized ? 3 : 2))
     return;
   HrJob *j = hr_job_find (c, parts[0]);
-  guint64 per_page = sized ? g_ascii_strtoull (parts[1], NULL, 10) : 0;
+  guint64 tasks_per_page = sized ? g_ascii_strtoull (parts[1], NULL, 10) : 0;
   guint64 n = g_ascii_strtoull (parts[sized ? 2 : 1], NULL, 10);
-  if (j && per_page <= HR_MAX_TASKS && n <= HR_MAX_TASKS && (!sized || per_page))
-    applied_page (c, j, per_page, n, v, stamp);
+  if (j && tasks_per_page <= HR_MAX_TASKS && n <= HR_MAX_TASKS && (!sized || tasks_per_page))
+    apply_page (c, j, tasks_per_page, n, v, revision);
 }
 
 void
-hr_apply_change (HrCore *c, const char *key, const json_t *v, guint64 stamp)
+hr_replica_apply_change (HrCore *c, const char *key, const json_t *v, guint64 revision)
 {
   if (strcmp (key, "h/map") == 0) {
-    if (v && stamp > c->map_stamp)
-      apply_leader_record (c, v, stamp);
+    if (v && revision > c->map_stamp)
+      apply_leader_record (c, v, revision);
   } else if (strcmp (key, "h/leader") == 0)
-    apply_leader_lock (c, v, stamp);
+    apply_leader_lock (c, v, revision);
   else if (strcmp (key, "h/types") == 0) {
-    c->types_stamp = v ? stamp : 0;
+    c->types_stamp = v ? revision : 0;
     if (v && !c->types)
       hr_types_load (c, v);
   } else if (g_str_has_prefix (key, "h/j/")) {
     if (v && hr_job_id_valid (key + 4))
-      hr_follow_job (c, hr_job_get (c, key + 4), v, stamp);
+      hr_replica_apply_job (c, hr_job_get (c, key + 4), v, revision);
   } else if (g_str_has_prefix (key, "h/t/"))
-    applied_page_key (c, key + 4, FALSE, v, stamp);
+    apply_page_key (c, key + 4, FALSE, v, revision);
   else if (c->speaks && g_str_has_prefix (key, "h/u/"))
-    applied_page_key (c, key + 4, TRUE, v, stamp);
+    apply_page_key (c, key + 4, TRUE, v, revision);
   else if (strcmp (key, "h/format") == 0)
-    hr_format_read (c, v, stamp);
+    hr_record_format_read (c, v, revision);
 }
--- a/src/bookkeeping/tables.c
+++ b/src/bookkeeping/tables.c
@@ -19,7 +19,7 @@
 {
   g_clear_pointer (&j->tasks, g_free);
   for (guint i = 0; i < j->npages; i++)
-    g_free (j->pages[i].tag);
+    g_free (j->pages[i].write_tag);
   g_clear_pointer (&j->pages, g_free);
   j->npages = 0;
   for (guint i = 0; j->staged && i < j->staged->len; i++)
@@ -30,17 +30,17 @@
 }
 
 void
-hr_job_set_spec (HrJob *j, const HrJobSpec *s, guint per_page)
+hr_job_set_spec (HrJob *j, const HrJobSpec *s, guint tasks_per_page)
 {
   hr_job_shrink (j);
   j->spec = *s;
   j->rank = s->rank;
   j->ntasks = s->tasks;
-  j->per_page = per_page;
+  j->per_page = tasks_per_page;
   j->resplit = FALSE;
   j->write_at = j->write_pause = 0;
-  j->npages = per_page ? (s->tasks + per_page - 1) / per_page : 1;
-  j->pages = g_new0 (HrPage, j->npages);
+  j->npages = tasks_per_page ? (s->tasks + tasks_per_page - 1) / tasks_per_page : 1;
+  j->pages = g_new0 (HrRecordPage, j->npages);
   j->tasks = g_new0 (HrTask, s->tasks);
   for (guint i = 0; i < s->tasks; i++) {
     j->tasks[i].rmachine = j->tasks[i].machine = HR_NONE;
@@ -64,7 +64,7 @@
   return j->nawaits ? j->ready_since : j->submitted;
 }
 
-HrPage *
+HrRecordPage *
 hr_job_page (HrJob *j, guint32 task)
 {
   return &j->pages[j->per_page ? task / j->per_page : 0];
--- a/src/bookkeeping/tables.h
+++ b/src/bookkeeping/tables.h
@@ -34,16 +34,16 @@
 } HrTask;
 
 typedef struct {
-  guint64 stamp;
-  char *tag;      /* of the write under way, else NULL */
-  gboolean dirty; /* stands in the list of pages to write */
-  gboolean final; /* the write under way is the tombstone */
-} HrPage;
+  guint64 revision;
+  char *write_tag;         /* of the write under way, else NULL */
+  gboolean is_dirty;       /* stands in the list of pages to write */
+  gboolean write_is_final; /* the write under way is the tombstone */
+} HrRecordPage;
 
 /* A page in the ledger that no main record names yet, or no longer: a page of another size. */
 typedef struct {
-  guint per_page, page;
-  guint64 stamp;
+  guint tasks_per_page, page;
+  guint64 revision;
   json_t *value; /* NULL where only its writer needs it */
 } HrStagedPage;
 
@@ -61,7 +61,7 @@
   guint32 ntasks, nrdone, ndone; /* ndone: as meant */
   HrTask *tasks;                 /* NULL once final and shrunk */
   guint per_page;                /* 0: tasks stand in the main record */
-  HrPage *pages;
+  HrRecordPage *pages;
   guint npages;
   gboolean resplit; /* its pages stand under keys that carry their size: h/u in place of h/t */
   GArray *staged;   /* HrStagedPage; NULL: none */
@@ -198,14 +198,14 @@
 
 void hr_job_free (HrJob *j);
 void hr_machine_free (HrMachine *m);
-void hr_job_set_spec (HrJob *j, const HrJobSpec *s, guint per_page);
+void hr_job_set_spec (HrJob *j, const HrJobSpec *s, guint tasks_per_page);
 /* Drops what a final job no longer needs. */
 void hr_job_shrink (HrJob *j);
 /* Is some job that it awaits not recorded as done? One that was not read yet is not. */
 gboolean hr_job_waits (const HrJob *j);
 /* Time of day from which its times other than `due_s` count. */
 double hr_job_since (const HrJob *j);
-HrPage *hr_job_page (HrJob *j, guint32 task);
+HrRecordPage *hr_job_page (HrJob *j, guint32 task);
 /* A placed task takes a machine's name, a session and an attempt: room for long names. */
 #define HR_PLACED_TASK_BYTES 48
 /* How many tasks a record or page of production holds. */
--- a/src/bookkeeping/transactions.c
+++ b/src/bookkeeping/transactions.c
@@ -3,36 +3,36 @@
 #include "coordination/state.h"
 #include "protocol/json_util.h"
 
-#define MAX_WRITES_OUT 8
+#define MAX_TRANSACTIONS_IN_FLIGHT 8
 
 char *
-hr_job_key (const HrJob *j)
+hr_job_record_key (const HrJob *j)
 {
   return g_strconcat ("h/j/", j->id, NULL);
 }
 
 char *
-hr_page_key (const HrJob *j, guint page)
+hr_record_page_key (const HrJob *j, guint page)
 {
-  return hr_page_key_of (j, j->resplit ? j->per_page : 0, page);
+  return hr_record_page_key_of (j, j->resplit ? j->per_page : 0, page);
 }
 
 char *
-hr_page_key_of (const HrJob *j, guint per_page, guint page)
+hr_record_page_key_of (const HrJob *j, guint tasks_per_page, guint page)
 {
-  return per_page ? g_strdup_printf ("h/u/%s/%u/%u", j->id, per_page, page)
-                  : g_strdup_printf ("h/t/%s/%u", j->id, page);
+  return tasks_per_page ? g_strdup_printf ("h/u/%s/%u/%u", j->id, tasks_per_page, page)
+                        : g_strdup_printf ("h/t/%s/%u", j->id, page);
 }
 
 json_t *
-hr_cond (json_t *when, const char *path, guint64 stamp)
+hr_transaction_require (json_t *when, const char *path, guint64 revision)
 {
-  json_array_append_new (when, json_pack ("{sssI}", "path", path, "stamp", (json_int_t)stamp));
+  json_array_append_new (when, json_pack ("{sssI}", "path", path, "stamp", (json_int_t)revision));
   return when;
 }
 
 json_t *
-hr_set (json_t *writes, const char *path, char *value_text, guint64 claim)
+hr_transaction_put (json_t *writes, const char *path, char *value_text, guint64 claim)
 {
   json_t *v = json_loads (value_text, JSON_DECODE_ANY, NULL);
   json_t *o = json_pack ("{ssso}", "set", path, "value", v);
@@ -44,15 +44,15 @@
 }
 
 void
-hr_commit (HrCore *c, HrTxnKind kind, json_t *when, json_t *writes, guint changes, double timeout,
-           HrResultFn fn, gpointer data)
+hr_transaction_submit (HrCore *c, HrTransactionKind kind, json_t *when, json_t *writes,
+                       guint changes, double timeout, HrResultCallback fn, gpointer data)
 {
-  HrTxn *t = g_new0 (HrTxn, 1);
-  t->when = when;
+  HrTransaction *t = g_new0 (HrTransaction, 1);
+  t->conditions = when;
   t->writes = writes;
   t->changes = changes;
-  t->timeout = timeout;
-  t->fn = fn;
+  t->timeout_s = timeout;
+  t->callback = fn;
   t->data = data;
   g_queue_push_tail (&c->txns[kind], t);
 }
@@ -60,7 +60,7 @@
 static void
 on_commit (HrCore *c, int status, json_t *body, double sent, gpointer data)
 {
-  HrTxn *t = data;
+  HrTransaction *t = data;
   c->txns_out--;
   if (status == 429) { /* the allowance is shared: step back a little, out of step */
     c->write_pause = c->now + g_rand_double_range (c->rand, 0.05, 0.15);
@@ -70,8 +70,8 @@
     c->write_bucket.tokens = 0;
     c->write_bucket.at = c->now;
   }
-  t->fn (c, status, body, sent, t->data);
-  json_decref (t->when);
+  t->callback (c, status, body, sent, t->data);
+  json_decref (t->conditions);
   json_decref (t->writes);
   g_free (t);
 }
@@ -79,17 +79,19 @@
 void
 hr_transactions_send (HrCore *c)
 {
-  static const double keep[HR_TXN_KINDS] = {0, 0.05, 0.3};
-  for (int k = 0; k < HR_TXN_KINDS; k++)
-    while (!g_queue_is_empty (&c->txns[k]) && c->txns_out < MAX_WRITES_OUT &&
-           c->now >= (k == HR_TXN_USER ? c->write_pause : MAX (c->write_pause, c->books_pause))) {
-      HrTxn *t = g_queue_peek_head (&c->txns[k]);
-      if (!hr_bucket_take (&c->write_bucket, c->now, t->changes, keep[k] * c->write_bucket.burst))
+  static const double keep[HR_TRANSACTION_KINDS] = {0, 0.05, 0.3};
+  for (int k = 0; k < HR_TRANSACTION_KINDS; k++)
+    while (!g_queue_is_empty (&c->txns[k]) && c->txns_out < MAX_TRANSACTIONS_IN_FLIGHT &&
+           c->now >=
+               (k == HR_TRANSACTION_USER ? c->write_pause : MAX (c->write_pause, c->books_pause))) {
+      HrTransaction *t = g_queue_peek_head (&c->txns[k]);
+      if (!hr_token_bucket_take (&c->write_bucket, c->now, t->changes,
+                                 keep[k] * c->write_bucket.burst))
         break;
       g_queue_pop_head (&c->txns[k]);
       c->txns_out++;
-      json_t *o = json_pack ("{sOsO}", "when", t->when, "writes", t->writes);
+      json_t *o = json_pack ("{sOsO}", "when", t->conditions, "writes", t->writes);
       hr_call (c, HR_TO_STORE, NULL, HR_POST, g_strdup ("/commit"), hr_json_take_text (o),
-               t->timeout, on_commit, t);
+               t->timeout_s, on_commit, t);
     }
 }
--- a/src/coordination/arrivals.c
+++ b/src/coordination/arrivals.c
@@ -40,7 +40,7 @@
     j->ready_since = c->wall;
   hr_urgency_read (c, j);
   /* When a job of which the end of the last awaited one was not seen became ready nobody knows. */
-  gboolean unknown = j->nawaits && (c->sync != HR_SYNC_FOLLOWING || j->state != HR_JOB_QUEUED);
+  gboolean unknown = j->nawaits && (c->sync != HR_REPLICA_FOLLOWING || j->state != HR_JOB_QUEUED);
   if (j->counted || unknown || c->wall - hr_job_since (j) > 30)
     return;
   j->counted = TRUE;
--- a/src/coordination/core.c
+++ b/src/coordination/core.c
@@ -10,7 +10,7 @@
 #define PASS_MOST_S 2.0
 
 typedef struct {
-  HrResultFn fn;
+  HrResultCallback fn;
   gpointer data;
   double sent;
 } Pending;
@@ -26,7 +26,7 @@
 
 void
 hr_call (HrCore *c, HrTarget target, const char *addr, HrMethod method, char *path, char *body,
-         double timeout, HrResultFn fn, gpointer data)
+         double timeout, HrResultCallback fn, gpointer data)
 {
   HrEffect *e = effect (c, HR_EFFECT_CALL);
   e->id = ++c->next_call;
@@ -79,7 +79,7 @@
 
 /* Takes n tokens if more than `keep` stay behind. */
 gboolean
-hr_bucket_take (HrBucket *b, double now, double n, double keep)
+hr_token_bucket_take (HrTokenBucket *b, double now, double n, double keep)
 {
   b->tokens = MIN (b->burst, b->tokens + (now - b->at) * b->rate);
   b->at = now;
@@ -190,8 +190,8 @@
   c->incarnation = g_strdup (incarnation);
   c->rand = g_rand_new_with_seed (seed);
   c->calls = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
-  c->waiters = g_array_new (FALSE, TRUE, sizeof (HrWaiter));
-  c->waiters_now = g_array_new (FALSE, TRUE, sizeof (HrWaiter));
+  c->waiters = g_array_new (FALSE, TRUE, sizeof (HrReadWaiter));
+  c->waiters_now = g_array_new (FALSE, TRUE, sizeof (HrReadWaiter));
   c->peers = g_array_new (FALSE, TRUE, sizeof (HrPeer));
   c->withdrawals = g_array_new (FALSE, FALSE, sizeof (HrCancellation));
   hr_intern_init (&c->job_ids);
@@ -200,8 +200,8 @@
   c->machines = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_machine_free);
   c->open = g_array_new (FALSE, TRUE, sizeof (guint32));
   c->classes = g_array_new (FALSE, TRUE, sizeof (HrClassStat));
-  c->dirty = g_array_new (FALSE, TRUE, sizeof (HrDirty));
-  c->garbage = g_array_new (FALSE, TRUE, sizeof (HrGarbage));
+  c->dirty = g_array_new (FALSE, TRUE, sizeof (HrDirtyPage));
+  c->garbage = g_array_new (FALSE, TRUE, sizeof (HrObsoletePage));
   c->to_split = g_array_new (FALSE, TRUE, sizeof (guint32));
   c->tombstones = g_array_new (FALSE, TRUE, sizeof (guint32));
   c->fleet = g_ptr_array_new ();
@@ -209,19 +209,19 @@
   c->teams = g_array_new (FALSE, TRUE, sizeof (HrTeamUse));
   c->waiting = g_ptr_array_new ();
   c->wants = g_array_new (FALSE, TRUE, sizeof (HrWant));
-  for (int i = 0; i < HR_TXN_KINDS; i++)
+  for (int i = 0; i < HR_TRANSACTION_KINDS; i++)
     g_queue_init (&c->txns[i]);
-  hr_core_speak (c, HR_FORMAT);
+  hr_core_set_supported_format (c, HR_FORMAT);
   g_queue_init (&c->rentals_again);
-  c->cloud_bucket = (HrBucket){set->cloud_rps, set->cloud_rps * 0.8, set->cloud_rps, 0};
+  c->cloud_bucket = (HrTokenBucket){set->cloud_rps, set->cloud_rps * 0.8, set->cloud_rps, 0};
   return c;
 }
 
 static void
 txn_free (gpointer p)
 {
-  HrTxn *t = p;
-  json_decref (t->when);
+  HrTransaction *t = p;
+  json_decref (t->conditions);
   json_decref (t->writes);
   g_free (t);
 }
@@ -230,7 +230,7 @@
 hr_core_free (HrCore *c)
 {
   hr_fleet_clear (c);
-  for (int i = 0; i < HR_TXN_KINDS; i++)
+  for (int i = 0; i < HR_TRANSACTION_KINDS; i++)
     g_queue_clear_full (&c->txns[i], txn_free);
   g_rand_free (c->rand);
   g_hash_table_unref (c->calls);
@@ -296,8 +296,8 @@
   hr_absence_tick (c);
   hr_fleet_tick (c);
   hr_garbage_tick (c);
-  hr_format_tick (c);
-  hr_split_scan (c);
+  hr_record_format_tick (c);
+  hr_record_split_scan (c);
   hr_dependencies_tick (c);
   hr_counters_tick (c);
 }
@@ -359,8 +359,8 @@
     hr_plan (c);
     hr_dispatch (c);
   }
-  hr_follow_tick (c);
-  hr_ledger_tick (c);
+  hr_replica_tick (c);
+  hr_record_writer_tick (c);
   hr_direct_send (c);
   c->out = NULL;
 }
--- a/src/coordination/core.h
+++ b/src/coordination/core.h
@@ -18,7 +18,7 @@
 void hr_core_step_took (HrCore *c, double seconds);
 /* For tests: be as the version that understood this format of records at most; 0: the one
  * before there were formats. Before the first step. */
-void hr_core_speak (HrCore *c, guint format);
+void hr_core_set_supported_format (HrCore *c, guint format);
 /* The newest format of records that this version understands. */
 #define HR_FORMAT 1
 void hr_core_free (HrCore *c);
--- a/src/coordination/dispatch.c
+++ b/src/coordination/dispatch.c
@@ -251,7 +251,7 @@
 {
   /* While nothing can be recorded nothing can start, so nothing is stopped to make room
    * and no machine is idle for want of work. */
-  if (!c->types || !hr_leadership_may_answer (c) || !hr_follow_served (c))
+  if (!c->types || !hr_leadership_may_answer (c) || !hr_replica_is_served (c))
     return;
   g_autoptr (GPtrArray) services = g_ptr_array_new ();
   for (guint i = 0; i < c->open->len; i++) {
--- a/src/coordination/fleet.c
+++ b/src/coordination/fleet.c
@@ -33,9 +33,11 @@
   /* Kept in the ledger, so that a node that starts while the cloud is down can decide. */
   if (c->leads && !c->types_stamp && !c->types_saved) {
     c->types_saved = TRUE;
-    json_t *when = hr_cond (hr_cond (json_array (), "h/types", 0), "h/map", c->map_stamp);
-    json_t *writes = hr_set (json_array (), "h/types", json_dumps (body, JSON_COMPACT), 0);
-    hr_commit (c, HR_TXN_BOOKS, when, writes, 1, 2, on_types_saved, NULL);
+    json_t *when = hr_transaction_require (hr_transaction_require (json_array (), "h/types", 0),
+                                           "h/map", c->map_stamp);
+    json_t *writes =
+        hr_transaction_put (json_array (), "h/types", json_dumps (body, JSON_COMPACT), 0);
+    hr_transaction_submit (c, HR_TRANSACTION_BOOKKEEPING, when, writes, 1, 2, on_types_saved, NULL);
   }
 }
 
@@ -118,7 +120,7 @@
     json_array_append_new (names, json_string (m->name));
     d->machines[d->n++] = m->idx;
   }
-  if (!d->n || !hr_bucket_take (&c->cloud_bucket, c->now, 1, 0)) {
+  if (!d->n || !hr_token_bucket_take (&c->cloud_bucket, c->now, 1, 0)) {
     for (guint i = 0; i < d->n; i++)
       ((HrMachine *)c->machines->pdata[d->machines[i]])->delete_out = FALSE;
     json_decref (names);
@@ -137,7 +139,7 @@
     HrMachine *m = c->fleet->pdata[i];
     const HrType *t = hr_type (c, m);
     /* After a cut of our own: it may be up, and its worker has to find us first. */
-    if (m->state == HR_M_BOOTING && t && hr_follow_served (c) &&
+    if (m->state == HR_M_BOOTING && t && hr_replica_is_served (c) &&
         c->now - m->rented_at > t->boot_s * c->pol.boot_limit &&
         c->now - c->served_since > c->pol.silent_s)
       hr_fleet_delete (c, m, "it does not come up");
--- a/src/coordination/leader.c
+++ b/src/coordination/leader.c
@@ -92,7 +92,7 @@
   c->raise_wanted = FALSE;
   c->raising = FALSE;
   /* Our view goes beyond the record: read everything anew. */
-  hr_follow_reset (c);
+  hr_replica_reset (c);
 }
 
 /* After every reading: does the map name this very process? */
@@ -127,7 +127,7 @@
     c->claim = 0;
   c->elect_at = c->now + g_rand_double_range (c->rand, 0.3, 0.8);
   /* Won, lost or unknown: the next reading says who owns the map. */
-  hr_follow_read (c, on_reread, NULL);
+  hr_replica_read (c, on_reread, NULL);
 }
 
 static void
@@ -188,11 +188,13 @@
     return;
   }
   c->electing = TRUE;
-  json_t *when =
-      hr_cond (hr_cond (json_array (), "h/leader", c->leader_stamp), "h/map", c->map_stamp);
-  json_t *writes = hr_set (json_array (), "h/leader", leader_record_text (c, 0), c->claim);
-  hr_set (writes, "h/map", leader_record_text (c, MAX (c->baton, c->fenced) + 1), 0);
-  hr_commit (c, HR_TXN_USER, when, writes, 2, 2, on_leader_record_written, NULL);
+  json_t *when = hr_transaction_require (
+      hr_transaction_require (json_array (), "h/leader", c->leader_stamp), "h/map", c->map_stamp);
+  json_t *writes =
+      hr_transaction_put (json_array (), "h/leader", leader_record_text (c, 0), c->claim);
+  hr_transaction_put (writes, "h/map", leader_record_text (c, MAX (c->baton, c->fenced) + 1), 0);
+  hr_transaction_submit (c, HR_TRANSACTION_USER, when, writes, 2, 2, on_leader_record_written,
+                         NULL);
 }
 
 /* A new token makes every order sent with an older one void wherever it is seen. */
@@ -212,9 +214,11 @@
   c->raise_wanted = FALSE;
   c->raising = TRUE;
   c->raised_at = c->now;
-  json_t *when = hr_cond (json_array (), "h/map", c->map_stamp);
-  json_t *writes = hr_set (json_array (), "h/map", leader_record_text (c, c->baton + 1), 0);
-  hr_commit (c, HR_TXN_USER, when, writes, 1, 2, on_leader_record_written, NULL);
+  json_t *when = hr_transaction_require (json_array (), "h/map", c->map_stamp);
+  json_t *writes =
+      hr_transaction_put (json_array (), "h/map", leader_record_text (c, c->baton + 1), 0);
+  hr_transaction_submit (c, HR_TRANSACTION_USER, when, writes, 1, 2, on_leader_record_written,
+                         NULL);
 }
 
 static guint
@@ -310,7 +314,7 @@
   h->clock = c->now;
   h->synced = c->synced_once;
   h->latest_cancellation = c->withdrawn;
-  hr_format_tell (c, h);
+  hr_record_format_fill_status (c, h);
   h->applied_revision = c->applied;
   hr_cancellation_log_fill_status (c, h);
   for (guint i = 0; i < MIN (c->peers->len, HR_MAX_ECHOES); i++) {
@@ -367,7 +371,7 @@
   hr_cancellation_log_take_named (c, p);
   hr_cancellation_log_acknowledged (c, p);
   note_attestation (c, p);
-  hr_format_heard (c, h);
+  hr_record_format_status_received (c, h);
   /* A member that the state service serves has read a newer map, and we, who
    * think we own it, have not: whoever is refused steps down at once. */
   if (c->leads && h->store_served && h->fencing_token > c->baton &&
@@ -391,7 +395,7 @@
              g_strdup_printf ("/leases/%" G_GUINT64_FORMAT "/touch", c->claim), NULL,
              c->pol.leader_lease_s / 4, on_lock_lease_renewed, NULL);
   }
-  if (c->sync == HR_SYNC_FOLLOWING) {
+  if (c->sync == HR_REPLICA_FOLLOWING) {
     consider_election (c);
     if (c->leads) {
       consider_token_raise (c);
--- a/src/coordination/machine_list.c
+++ b/src/coordination/machine_list.c
@@ -90,7 +90,8 @@
 hr_machine_list_tick (HrCore *c)
 {
   double gap = c->list_complete ? MAX (4, c->set->list_lag_s) : 1;
-  if (!c->listing && c->now - c->list_at > gap && hr_bucket_take (&c->cloud_bucket, c->now, 1, 1)) {
+  if (!c->listing && c->now - c->list_at > gap &&
+      hr_token_bucket_take (&c->cloud_bucket, c->now, 1, 1)) {
     c->list_at = c->now;
     ask_list (c);
   }
--- a/src/coordination/metrics.c
+++ b/src/coordination/metrics.c
@@ -29,7 +29,8 @@
                 hr_leadership_may_answer (c));
   append_gauge (text, "token", "fencing token of the map that it has read", (double)c->baton);
   append_gauge (text, "epoch", "revision up to which it has read the ledger", (double)c->applied);
-  append_gauge (text, "state_served", "1 while the state service answers it", hr_follow_served (c));
+  append_gauge (text, "state_served", "1 while the state service answers it",
+                hr_replica_is_served (c));
   append_gauge (text, "reading_age_seconds", "age of its last confirmed reading",
                 c->synced_once ? c->now - c->confirmed_at : -1);
 }
--- a/src/coordination/orders.c
+++ b/src/coordination/orders.c
@@ -23,7 +23,7 @@
 static gboolean
 may_launch (const HrCore *c)
 {
-  return hr_follow_served (c) || hr_membership_store_outage_for_all (c);
+  return hr_replica_is_served (c) || hr_membership_store_outage_for_all (c);
 }
 
 /* The order is about to be sent. why: of a stop, else NULL. */
--- a/src/coordination/rentals.c
+++ b/src/coordination/rentals.c
@@ -156,7 +156,7 @@
 {
   while (!g_queue_is_empty (&c->rentals_again) && c->now >= c->rent_at) {
     Rental *r = g_queue_peek_head (&c->rentals_again);
-    if (r->led_at == c->led_at && !hr_bucket_take (&c->cloud_bucket, c->now, 1, 0))
+    if (r->led_at == c->led_at && !hr_token_bucket_take (&c->cloud_bucket, c->now, 1, 0))
       return;
     g_queue_pop_head (&c->rentals_again);
     if (r->led_at == c->led_at)
@@ -181,14 +181,14 @@
    * very first owner has nothing to look for. */
   gboolean looked =
       c->led_baton == 1 || (c->list_complete && c->now - c->led_at > c->set->list_lag_s);
-  if (!looked || c->asks_out || c->now < c->rent_at || !hr_follow_served (c))
+  if (!looked || c->asks_out || c->now < c->rent_at || !hr_replica_is_served (c))
     return;
   g_autofree guint *asked = g_new0 (guint, c->names->zones.names->len + 1);
   for (guint i = 0; i < c->wants->len; i++) {
     HrWant *w = &g_array_index (c->wants, HrWant, i);
     const HrType *t = hr_type_by_name (c, w->type);
     guint share = t ? MAX (1, (w->count + t->zones->len - 1) / t->zones->len) : 0;
-    while (t && w->count && hr_bucket_take (&c->cloud_bucket, c->now, 1, 0)) {
+    while (t && w->count && hr_token_bucket_take (&c->cloud_bucket, c->now, 1, 0)) {
       guint32 z = w->zone == HR_NONE ? best_zone (c, t, w->spot, asked) : w->zone;
       if (z == HR_NONE || hr_fleet_refused (c, w->type, z, w->spot))
         break;
--- a/src/coordination/requests.h
+++ b/src/coordination/requests.h
@@ -25,7 +25,7 @@
 /* Final states never change, so they need no reading; but what a member said is not told to users
  * before its record is read. FALSE: not answered. */
 gboolean hr_request_answer_final (HrCore *c, HrUserRequest *request);
-/* For hr_follow_read: answers from what was read, or goes on with what is left to do. */
+/* For hr_replica_read: answers from what was read, or goes on with what is left to do. */
 void hr_request_on_read (HrCore *c, gboolean ok, gpointer request);
 /* How long its next write waits for an answer, in seconds. */
 double hr_request_timeout (const HrCore *c, const HrUserRequest *request);
--- a/src/coordination/state.h
+++ b/src/coordination/state.h
@@ -10,41 +10,46 @@
 
 /* An answer to one of our calls. status 0: no answer; the call may have been
  * carried out, or may yet be. sent: when the call was made. */
-typedef void (*HrResultFn) (HrCore *c, int status, json_t *body, double sent, gpointer data);
+typedef void (*HrResultCallback) (HrCore *c, int status, json_t *body, double sent, gpointer data);
 
-typedef enum { HR_SYNC_NONE, HR_SYNC_READING, HR_SYNC_FOLLOWING } HrSync;
+typedef enum { HR_REPLICA_UNREAD, HR_REPLICA_LISTING, HR_REPLICA_FOLLOWING } HrReplicaState;
 
 typedef struct {
   double tokens, rate, burst, at;
-} HrBucket;
+} HrTokenBucket;
 
 /* Someone who waits for a reading of the ledger that is newer than his question. */
-typedef void (*HrReadFn) (HrCore *c, gboolean ok, gpointer data);
+typedef void (*HrReadCallback) (HrCore *c, gboolean ok, gpointer data);
 typedef struct {
-  HrReadFn fn;
+  HrReadCallback callback;
   gpointer data;
   double since;
-} HrWaiter;
+} HrReadWaiter;
 
 typedef struct {
-  json_t *when, *writes;
+  json_t *conditions, *writes;
   guint changes;
-  double timeout;
-  HrResultFn fn;
+  double timeout_s;
+  HrResultCallback callback;
   gpointer data;
-} HrTxn;
+} HrTransaction;
 
-typedef enum { HR_TXN_USER, HR_TXN_LAUNCH, HR_TXN_BOOKS, HR_TXN_KINDS } HrTxnKind;
+typedef enum {
+  HR_TRANSACTION_USER,
+  HR_TRANSACTION_LAUNCH,
+  HR_TRANSACTION_BOOKKEEPING,
+  HR_TRANSACTION_KINDS
+} HrTransactionKind;
 
 typedef struct {
   guint32 job, page;
-} HrDirty;
+} HrDirtyPage;
 
 /* A page in the ledger that nobody reads any more. */
 typedef struct {
   guint32 job, page;
-  guint per_page; /* under h/u, of that size; 0: under h/t */
-} HrGarbage;
+  guint tasks_per_page; /* under h/u, of that size; 0: under h/t */
+} HrObsoletePage;
 
 typedef struct {
   guint32 type, zone;
@@ -103,13 +108,13 @@
   guint64 next_call, next_tag;
 
   /* Following the ledger. */
-  HrSync sync;
+  HrReplicaState sync;
   guint sync_gen;
   guint64 applied, sync_base;
   char *sync_after;
   gboolean synced_once, watching, reading;
   double watch_not_before;
-  GArray *waiters, *waiters_now;  /* HrWaiter */
+  GArray *waiters, *waiters_now;  /* HrReadWaiter */
   double read_sent, confirmed_at; /* confirmed_at: when the last good reading was sent */
   double store_latency;           /* s: what readings took of late, the longest ones for longer */
   double served_since;            /* the state service answers us without a gap */
@@ -124,13 +129,13 @@
   guint64 withdrawals_dropped; /* stamp up to which some may have been dropped */
 
   /* Writing to it. */
-  GQueue txns[HR_TXN_KINDS];
-  GArray *dirty;      /* HrDirty: pages with something to record */
-  GArray *garbage;    /* HrGarbage, of final jobs and of layouts left behind */
+  GQueue txns[HR_TRANSACTION_KINDS];
+  GArray *dirty;      /* HrDirtyPage: pages with something to record */
+  GArray *garbage;    /* HrObsoletePage, of final jobs and of layouts left behind */
   GArray *tombstones; /* guint32: withdrawn jobs that still wait; their record may be shortened */
   gboolean tidying;
   double tidy_at;
-  HrBucket write_bucket, cloud_bucket;
+  HrTokenBucket write_bucket, cloud_bucket;
   guint txns_out;
   double write_pause, books_pause;
   HrStateLimits limits; /* that this node plans for */
@@ -206,13 +211,13 @@
 
 /* core.c */
 void hr_call (HrCore *c, HrTarget target, const char *addr, HrMethod method, char *path, char *body,
-              double timeout, HrResultFn fn, gpointer data); /* takes path and body */
+              double timeout, HrResultCallback fn, gpointer data); /* takes path and body */
 void hr_reply (HrCore *c, guint64 id, int status, json_t *body, int retry_after); /* takes body */
 /* Takes the text, which is plain and no JSON. */
 void hr_reply_text (HrCore *c, guint64 id, char *text);
 void hr_refuse (HrCore *c, guint64 id, int status, int retry_after, const char *reason);
 char *hr_new_tag (HrCore *c);
-gboolean hr_bucket_take (HrBucket *b, double now, double n, double keep);
+gboolean hr_token_bucket_take (HrTokenBucket *b, double now, double n, double keep);
 HrJob *hr_job_find (HrCore *c, const char *id);
 HrJob *hr_job_get (HrCore *c, const char *id); /* makes the row when there is none */
 /* Its latest record could not be read, so nothing is known of its present state. */
@@ -248,7 +253,7 @@
 char *hr_admission_refusal (HrCore *c, const HrJobSpec *s);
 
 /* withdrawals.c: naming withdrawals to a leader that cannot read them */
-void hr_cancellation_log_append (HrCore *c, const HrJob *j, guint64 stamp);
+void hr_cancellation_log_append (HrCore *c, const HrJob *j, guint64 revision);
 void hr_cancellation_log_fill_status (HrCore *c, HrPeerStatus *h);
 void hr_cancellation_log_take_named (HrCore *c, HrPeer *p);
 gboolean hr_cancellation_log_all_taken (const HrCore *c, const HrPeer *p);
--- a/src/coordination/submissions.c
+++ b/src/coordination/submissions.c
@@ -12,17 +12,17 @@
   request->refusal = status;
   request->why_not = g_strdup (why);
   if (!hr_request_answer_final (c, request))
-    hr_follow_read (c, hr_request_on_read, request);
+    hr_replica_read (c, hr_request_on_read, request);
 }
 
 static void send_submit (HrCore *c, HrUserRequest *request);
 
 /* The job's first main record. */
 static char *
-first_record (HrCore *c, const HrUserRequest *request, guint per_page, const char *tag)
+first_record (HrCore *c, const HrUserRequest *request, guint tasks_per_page, const char *tag)
 {
   return hr_record_first (&request->spec, (const char *const *)request->awaits, c->names,
-                          request->asked, per_page, tag);
+                          request->asked, tasks_per_page, tag);
 }
 
 /* Where the job's tasks stand. FALSE: what it awaits is more than a value of the state service
@@ -33,9 +33,9 @@
   gsize awaits = 0;
   for (guint i = 0; request->awaits && request->awaits[i]; i++)
     awaits += strlen (request->awaits[i]) + strlen ("\"\",");
-  request->per_page = hr_layout_choose (c, &request->spec, awaits);
+  request->per_page = hr_record_layout_choose (c, &request->spec, awaits);
   g_autofree char *paged = first_record (c, request, 1, HR_LONGEST_TAG);
-  return strlen (paged) <= hr_layout_planned_bytes (c);
+  return strlen (paged) <= hr_record_layout_planned_bytes (c);
 }
 
 /* A reading costs nothing of what may be written, and tells whether an earlier try of the write
@@ -54,28 +54,29 @@
 on_submit (HrCore *c, int status, json_t *body, double sent, gpointer data)
 {
   HrUserRequest *request = data;
-  guint64 epoch;
-  if (status == 200 && hr_json_count (body, "epoch", G_MAXINT64, &epoch)) {
+  guint64 store_revision;
+  if (status == 200 && hr_json_count (body, "epoch", G_MAXINT64, &store_revision)) {
     HrJob *j = hr_job_get (c, request->id);
     if (!j->known) {
       j->known = TRUE;
       j->state = j->told ? HR_JOB_CANCELLED : HR_JOB_QUEUED;
-      j->stamp = epoch;
+      j->stamp = store_revision;
       j->submitted = request->asked;
       g_free (j->tag);
       j->tag = g_strdup (request->tag);
       hr_job_set_spec (j, &request->spec, request->per_page);
       if (!j->per_page)
-        j->pages[0].stamp = epoch;
+        j->pages[0].revision = store_revision;
       hr_dependencies_read (c, j, (const char *const *)request->awaits);
       hr_job_open (c, j);
       c->plan_dirty = TRUE;
     }
     hr_request_answer (c, request, j, 201);
   } else if (status == 409)
-    hr_follow_read (c, hr_request_on_read, request); /* there already: by an earlier try, perhaps */
+    hr_replica_read (c, hr_request_on_read,
+                     request); /* there already: by an earlier try, perhaps */
   else if (hr_request_may_try_again (c, request, status))
-    hr_follow_read (c, on_unsure_read, request); /* lost, or the service is pacing our writes */
+    hr_replica_read (c, on_unsure_read, request); /* lost, or the service is pacing our writes */
   else
     hr_request_refuse_later (c, request, status == 429 ? 429 : 503,
                              status == 429
@@ -89,10 +90,11 @@
   g_autofree char *key = g_strconcat ("h/j/", request->id, NULL);
   if (!request->tag)
     request->tag = hr_new_tag (c);
-  json_t *when = hr_cond (json_array (), key, 0);
-  json_t *writes =
-      hr_set (json_array (), key, first_record (c, request, request->per_page, request->tag), 0);
-  hr_commit (c, HR_TXN_USER, when, writes, 1, hr_request_timeout (c, request), on_submit, request);
+  json_t *when = hr_transaction_require (json_array (), key, 0);
+  json_t *writes = hr_transaction_put (
+      json_array (), key, first_record (c, request, request->per_page, request->tag), 0);
+  hr_transaction_submit (c, HR_TRANSACTION_USER, when, writes, 1, hr_request_timeout (c, request),
+                         on_submit, request);
 }
 
 /* All jobs that it awaits are known. A service among them is never done, so the job could never
@@ -162,7 +164,7 @@
   if (hr_request_answer_final (c, request))
     return;
   if (hr_job_find (c, request->id)) {
-    hr_follow_read (c, hr_request_on_read, request);
+    hr_replica_read (c, hr_request_on_read, request);
     return;
   }
   if (!c->types || !c->synced_once) {
@@ -178,13 +180,13 @@
     refuse_if_new (c, request, 400, "field awaits: more jobs than the job's record can hold");
     return;
   }
-  if (c->store_down || c->sync != HR_SYNC_FOLLOWING) {
+  if (c->store_down || c->sync != HR_REPLICA_FOLLOWING) {
     hr_request_refuse_later (c, request, 503, "the state service does not answer; submit again");
     return;
   }
   /* Known jobs never vanish; what is not known may have been accepted elsewhere just now. */
   if (hr_dependencies_unknown (c, request->awaits))
-    hr_follow_read (c, on_awaits_read, request);
+    hr_replica_read (c, on_awaits_read, request);
   else
     submit_if_possible (c, request);
 }
--- a/src/coordination/takeover.c
+++ b/src/coordination/takeover.c
@@ -96,7 +96,7 @@
   else if (mixed && j->nlive) /* parts of different attempts: begin again with a new one */
     hr_gang_end (c, j, 0);
   if (j->ndone == j->ntasks)
-    hr_ledger_mark (c, j, 0);
+    hr_record_writer_mark (c, j, 0);
 }
 
 /* What this term begins with. */
@@ -126,7 +126,7 @@
    * machines since. What records, reports and the cloud's list name is there. */
   g_ptr_array_set_size (c->fleet, 0);
   g_array_set_size (c->dirty, 0);
-  hr_split_rescan (c);
+  hr_record_split_rescan (c);
   for (guint i = 0; i < c->open->len; i++) {
     HrJob *j = c->jobs->pdata[g_array_index (c->open, guint32, i)];
     if (j->tasks)
--- a/src/coordination/tasks.c
+++ b/src/coordination/tasks.c
@@ -52,7 +52,7 @@
   t->fetch = hr_fetch_time (c, j, m);
   j->nlive++;
   hr_machine_take (m, &j->spec, r);
-  hr_ledger_mark (c, j, task);
+  hr_record_writer_mark (c, j, task);
   g_debug ("%s/%u try %u goes to %s", j->id, task, attempt, m->name);
 }
 
@@ -72,7 +72,7 @@
   j->gang_over = FALSE;
   j->short_since = 0;
   if (j->state != HR_JOB_QUEUED)
-    hr_ledger_mark (c, j, 0); /* all are gone: the record can shrink */
+    hr_record_writer_mark (c, j, 0); /* all are gone: the record can shrink */
 }
 
 void
@@ -236,7 +236,7 @@
     else if (t->state == HR_T_IDLE) {
       t->state = HR_T_DONE;
       j->ndone++;
-      hr_ledger_mark (c, j, i);
+      hr_record_writer_mark (c, j, i);
     }
   }
 }
@@ -256,7 +256,7 @@
   t->state = HR_T_DONE;
   j->ndone++;
   release (c, j, task);
-  hr_ledger_mark (c, j, task);
+  hr_record_writer_mark (c, j, task);
   if (j->spec.shape == HR_GANG)
     hr_gang_done (c, j, t->try, FALSE);
 }
@@ -299,5 +299,5 @@
       hr_task_stop (c, j, i, 0);
   }
   if (!j->nlive)
-    hr_ledger_mark (c, j, 0);
+    hr_record_writer_mark (c, j, 0);
 }
--- a/src/coordination/users.c
+++ b/src/coordination/users.c
@@ -146,7 +146,7 @@
 static void
 split_first (HrCore *c, HrUserRequest *request, HrJob *j)
 {
-  hr_format_oversized (c, j);
+  hr_record_format_note_oversized (c, j);
   hr_request_refuse_later (c, request, 503, "the job's record is being split; ask again");
 }
 
@@ -155,25 +155,25 @@
 {
   HrUserRequest *request = data;
   HrJob *j = hr_job_find (c, request->id);
-  guint64 epoch;
-  if (status == 200 && j && hr_json_count (body, "epoch", G_MAXINT64, &epoch)) {
-    hr_cancellation_log_append (c, j, epoch);
-    if (j->state == HR_JOB_QUEUED && epoch > j->stamp) {
+  guint64 store_revision;
+  if (status == 200 && j && hr_json_count (body, "epoch", G_MAXINT64, &store_revision)) {
+    hr_cancellation_log_append (c, j, store_revision);
+    if (j->state == HR_JOB_QUEUED && store_revision > j->stamp) {
       j->state = HR_JOB_CANCELLED;
-      j->stamp = epoch;
+      j->stamp = store_revision;
       if (!j->per_page && j->pages)
-        j->pages[0].stamp = epoch;
+        j->pages[0].revision = store_revision;
       if (c->leads)
         hr_job_cancelled (c, j);
       hr_dependencies_final (c, j);
     }
     hr_request_answer (c, request, j, 200);
   } else if (status == 400 && c->speaks && j && j->tasks) {
-    c->planned_in_force |= request->bytes > hr_layout_planned_bytes (c);
+    c->planned_in_force |= request->bytes > hr_record_layout_planned_bytes (c);
     split_first (c, request, j);
   } else if (hr_request_may_try_again (c, request, status))
-    hr_follow_read (c, hr_request_on_read,
-                    request); /* the record may have moved on: read, then try again */
+    hr_replica_read (c, hr_request_on_read,
+                     request); /* the record may have moved on: read, then try again */
   else
     hr_request_refuse_later (c, request, 503, "the cancellation is not confirmed; ask again");
 }
@@ -182,19 +182,20 @@
 send_cancel (HrCore *c, HrUserRequest *request)
 {
   HrJob *j = hr_job_find (c, request->id);
-  g_autofree char *key = hr_job_key (j);
+  g_autofree char *key = hr_job_record_key (j);
   g_free (request->tag);
   request->tag = hr_new_tag (c);
   char *text = hr_record_main (j, c->names, &c->machine_ids, HR_JOB_CANCELLED, request->tag, FALSE);
   request->bytes = strlen (text);
-  if (request->bytes > hr_layout_most_bytes (c)) {
+  if (request->bytes > hr_record_layout_max_bytes (c)) {
     g_free (text);
     split_first (c, request, j);
     return;
   }
-  json_t *when = hr_cond (json_array (), key, j->stamp);
-  json_t *writes = hr_set (json_array (), key, text, 0);
-  hr_commit (c, HR_TXN_USER, when, writes, 1, hr_request_timeout (c, request), on_cancel, request);
+  json_t *when = hr_transaction_require (json_array (), key, j->stamp);
+  json_t *writes = hr_transaction_put (json_array (), key, text, 0);
+  hr_transaction_submit (c, HR_TRANSACTION_USER, when, writes, 1, hr_request_timeout (c, request),
+                         on_cancel, request);
 }
 
 /* ---- the door ---- */
@@ -204,7 +205,7 @@
 {
   if (!c->types || !c->synced_once)
     hr_refuse (c, cmd->id, 503, 1, "still reading the ledger and the machine types");
-  else if (!hr_follow_served (c) && !hr_membership_store_outage_for_all (c))
+  else if (!hr_replica_is_served (c) && !hr_membership_store_outage_for_all (c))
     hr_refuse (c, cmd->id, 503, 1, "the state service does not answer this node");
   else
     hr_reply (c, cmd->id, 200, json_pack ("{sb}", "ready", 1), 0);
@@ -255,5 +256,5 @@
   request->id = g_steal_pointer (&id);
   request->asked = c->wall;
   if (!hr_request_answer_final (c, request))
-    hr_follow_read (c, hr_request_on_read, request);
+    hr_replica_read (c, hr_request_on_read, request);
 }
--- a/src/coordination/withdrawals.c
+++ b/src/coordination/withdrawals.c
@@ -56,13 +56,13 @@
 /* Notes a withdrawal that we confirmed or read: before its user is told, and before any hint
  * states its stamp. */
 void
-hr_cancellation_log_append (HrCore *c, const HrJob *j, guint64 stamp)
+hr_cancellation_log_append (HrCore *c, const HrJob *j, guint64 revision)
 {
   const HrPeer *leader = reachable_leader (c);
-  HrCancellation entry = {j->idx, stamp};
-  c->withdrawn = MAX (c->withdrawn, stamp);
-  if (leader && stamp <= leader->status.applied_revision) {
-    c->withdrawals_dropped = MAX (c->withdrawals_dropped, stamp);
+  HrCancellation entry = {j->idx, revision};
+  c->withdrawn = MAX (c->withdrawn, revision);
+  if (leader && revision <= leader->status.applied_revision) {
+    c->withdrawals_dropped = MAX (c->withdrawals_dropped, revision);
     return;
   }
   if (c->withdrawals->len == MAX_LOG)
--- a/src/protocol/settings.c
+++ b/src/protocol/settings.c
@@ -73,7 +73,7 @@
 }
 
 /* Elections change two keys at once. */
-#define TXN_OPS_LEAST 2
+#define MIN_TRANSACTION_OPS 2
 
 static gboolean
 read_planned (HrSettings *s, const json_t *next, GError **e)
@@ -85,7 +85,7 @@
       !announced (next, "facts.state.next.value_kb", "value_kb", &s->planned.value_kb, e) ||
       !announced (next, "facts.state.next.txn_ops", "txn_ops", &ops, e))
     return FALSE;
-  if (ops < TXN_OPS_LEAST)
+  if (ops < MIN_TRANSACTION_OPS)
     return fail (e, "facts.state.next.txn_ops", "at least 2 changes a transaction");
   s->planned.txn_ops = ops;
   return TRUE;
--- a/tests/scripted.c
+++ b/tests/scripted.c
@@ -72,12 +72,12 @@
   if (!holds (s, json_object_get (o, "when"))) {
     answer (s, call->id, 409, g_strdup ("{\"failed\":[],\"epoch\":1}"));
   } else {
-    guint64 epoch = s->epoch + 1;
+    guint64 store_revision = s->epoch + 1;
     json_array_foreach (json_object_get (o, "writes"), i, e)
     {
       g_autofree char *v =
           json_dumps (json_object_get (e, "value"), JSON_COMPACT | JSON_ENCODE_ANY);
-      s->epoch = epoch - 1; /* all changes of a transaction have one stamp */
+      s->epoch = store_revision - 1; /* all changes of a transaction have one stamp */
       script_write (s, hr_json_str (e, "set"), v);
     }
     if (s->loses_writes) {
--- a/tests/sim/judge.c
+++ b/tests/sim/judge.c
@@ -60,11 +60,11 @@
 check_launch (World *w, int node, guint64 known, const char *piece)
 {
   g_autofree char *id = g_strndup (piece, strcspn (piece, "/"));
-  const guint64 *epoch = g_hash_table_lookup (w->withdrawn, id);
-  if (epoch && *epoch <= known)
+  const guint64 *store_revision = g_hash_table_lookup (w->withdrawn, id);
+  if (store_revision && *store_revision <= known)
     w_broken (w, "launch_withdrawn",
               "c%d launches %s, of whose withdrawal it read before (%" G_GUINT64_FORMAT ")", node,
-              piece, *epoch);
+              piece, *store_revision);
 }
 
 void
--- a/tests/sim/lone_node.c
+++ b/tests/sim/lone_node.c
@@ -57,8 +57,8 @@
 static guint64
 stamp_of (const Ledger *l, const char *path)
 {
-  const guint64 *stamp = g_hash_table_lookup (l->stamp, path);
-  return stamp ? *stamp : 0;
+  const guint64 *revision = g_hash_table_lookup (l->stamp, path);
+  return revision ? *revision : 0;
 }
 
 /* The record as it stands, or NULL. */
--- a/tests/sim/messages.c
+++ b/tests/sim/messages.c
@@ -37,10 +37,10 @@
   if (!g_str_has_prefix (r->path, "/changes"))
     return;
   json_t *o = json_loads (body, 0, NULL);
-  guint64 epoch = json_integer_value (json_object_get (o, "epoch"));
-  if (epoch >= n->behind_epoch)
+  guint64 store_revision = json_integer_value (json_object_get (o, "epoch"));
+  if (store_revision >= n->behind_epoch)
     n->behind_at = 0;
-  n->epoch_sent = MAX (n->epoch_sent, epoch);
+  n->epoch_sent = MAX (n->epoch_sent, store_revision);
   Reading reading = {w->now, n->epoch_sent};
   g_array_append_val (n->readings, reading);
   json_decref (o);
--- a/tests/sim/node_checks.c
+++ b/tests/sim/node_checks.c
@@ -152,13 +152,13 @@
   {
     const char *piece = json_string_value (json_object_get (item, "piece"));
     g_autofree char *id = g_strndup (piece, strrchr (piece, '/') - piece);
-    const guint64 *epoch = g_hash_table_lookup (w->withdrawn, id);
+    const guint64 *store_revision = g_hash_table_lookup (w->withdrawn, id);
     guint32 idx;
     SJob *j = job_by_id (w, id, &idx);
     if (strcmp (json_string_value (json_object_get (item, "stance")), "exited") == 0 ||
         stop_named (a, item))
       continue;
-    if (epoch && *epoch <= epoch_known (w, i))
+    if (store_revision && *store_revision <= epoch_known (w, i))
       w_broken (w, "renewal", "c%d renews the lease of %s, and has read that it is withdrawn", i,
                 piece);
     if (j && j->withdrawn_at && w->now - j->withdrawn_at > w->pol.hold_s + 3)
--- a/tests/sim/world.c
+++ b/tests/sim/world.c
@@ -290,7 +290,7 @@
   n->stepping = FALSE;
   n->incarnation = g_strdup_printf ("%d-%u", i, n->gen);
   n->core = hr_core_new (n->set, &w->pol, &n->names, n->incarnation, g_rand_int (w->rand));
-  hr_core_speak (n->core, n->speaks);
+  hr_core_set_supported_format (n->core, n->speaks);
   node_tick (w, GINT_TO_POINTER (i + (int)n->gen * MAX_NODES));
 }
 
--- a/tests/test_attestation.c
+++ b/tests/test_attestation.c
@@ -38,9 +38,9 @@
 
 /* The member's log holds `ends` withdrawals, the first of which is named. */
 static void
-knows (HrPeerStatus *h, guint64 stamp, guint64 ends)
+knows (HrPeerStatus *h, guint64 revision, guint64 ends)
 {
-  h->latest_cancellation = stamp;
+  h->latest_cancellation = revision;
   h->cancellations.log_end = ends;
 }
 
--- a/tests/test_fixtures.c
+++ b/tests/test_fixtures.c
@@ -55,10 +55,10 @@
   json_t *v = json_loads (text, 0, NULL);
   r->job = g_new0 (HrJob, 1);
   assert_true (hr_record_read (v, &r->names, &r->record));
-  if (!r->record.tombstone) {
-    hr_job_set_spec (r->job, &r->record.spec, r->record.per_page);
-    r->job->submitted = r->record.submitted;
-    if (!r->record.per_page)
+  if (!r->record.is_tombstone) {
+    hr_job_set_spec (r->job, &r->record.spec, r->record.tasks_per_page);
+    r->job->submitted = r->record.submitted_at;
+    if (!r->record.tasks_per_page)
       assert_true (hr_record_tasks (r->job, 0, r->record.tasks, &r->machines));
   }
   for (guint i = 0; r->record.awaits && r->record.awaits[i]; i++) {
@@ -66,9 +66,9 @@
     awaits[i] = named_job (r->record.awaits[i]);
     r->job->awaits = awaits;
   }
-  r->job->resplit = r->record.resplit;
-  if (r->record.withdrawn_with)
-    r->job->withdrawn_with = named_job (r->record.withdrawn_with);
+  r->job->resplit = r->record.sized_page_keys;
+  if (r->record.cancelled_with)
+    r->job->withdrawn_with = named_job (r->record.cancelled_with);
   r->job->extra = g_steal_pointer (&r->record.extra);
   json_decref (v);
 }
@@ -89,10 +89,10 @@
 static char *
 write_main (Read *r)
 {
-  if (!r->record.tombstone)
+  if (!r->record.is_tombstone)
     return hr_record_main (r->job, &r->names, &r->machines, r->record.state, r->record.tag, FALSE);
-  r->job->ntasks = r->record.ntasks;
-  r->job->nrdone = r->record.ndone;
+  r->job->ntasks = r->record.n_tasks;
+  r->job->nrdone = r->record.n_done;
   return hr_record_tombstone (r->job, r->record.state, r->record.tag);
 }
 
@@ -140,9 +140,9 @@
         read_main (&r, row[1]);
         g_autofree char *back = write_main (&r);
         assert_string_equal (back, row[1]);
-        tombstones += r.record.tombstone;
+        tombstones += r.record.is_tombstone;
         awaiting += r.job->nawaits > 0;
-        taken_along += r.record.withdrawn_with != NULL;
+        taken_along += r.record.cancelled_with != NULL;
         mains++;
         read_clear (&r);
       } else if (g_str_has_prefix (row[0], "h/t/") || g_str_has_prefix (row[0], "h/u/")) {
--- a/tests/test_readiness.c
+++ b/tests/test_readiness.c
@@ -89,7 +89,7 @@
       assert_true (node_opens (other, "job-2"));
       assert_false (node_opens (other, "job-3"));
       assert_string_equal (node_poll (other, "job-3"), "queued");
-      hr_follow_reset (other->core);
+      hr_replica_reset (other->core);
       node_run (other, 3);
     }
     node_free (other);
@@ -145,7 +145,7 @@
   assert_null (strstr (ledger_job (l, "job-2"), "m-1"));
   ledger_done (l, "job-1");
   node_run (n, 1);
-  hr_ledger_mark (n->core, j, 0);
+  hr_record_writer_mark (n->core, j, 0);
   node_run (n, 1);
   assert_non_null (strstr (ledger_job (l, "job-2"), "m-1"));
   node_free (n);
@@ -217,7 +217,7 @@
   assert_float_equal (second->deadline, last->deadline - 20, 1e-3);
   assert_float_equal (first->deadline, last->deadline - 40, 1e-3);
   assert_true (first->deadline < own);
-  hr_follow_reset (n->core);
+  hr_replica_reset (n->core);
   node_run (n, 3);
   assert_int_equal (first->rank, HR_URGENT);
   assert_float_equal (first->deadline, last->deadline - 40, 1e-3);
@@ -319,7 +319,7 @@
     check_drawn (n, &d, gone);
     /* A later leader derives the same, whatever the order in which it reads. */
     l->backwards = round % 2;
-    hr_follow_reset (n->core);
+    hr_replica_reset (n->core);
     node_run (n, 3);
     check_drawn (n, &d, gone);
     guint cancelled = g_rand_int_range (rand, DRAWN_JOBS / 2, DRAWN_JOBS);
@@ -408,8 +408,8 @@
   for (guint i = 0; i < 4; i++)
     hr_task_done (n->core, hr_job_find (n->core, ids[i / 2]), i % 2);
   node_run (n, 0.1);
-  assert_int_equal (g_queue_get_length (&n->core->txns[HR_TXN_LAUNCH]), 1);
-  assert_int_equal (g_queue_get_length (&n->core->txns[HR_TXN_BOOKS]), 1);
+  assert_int_equal (g_queue_get_length (&n->core->txns[HR_TRANSACTION_LAUNCH]), 1);
+  assert_int_equal (g_queue_get_length (&n->core->txns[HR_TRANSACTION_BOOKKEEPING]), 1);
   node_free (n);
   ledger_free (l);
 }
--- a/tests/test_record.c
+++ b/tests/test_record.c
@@ -84,7 +84,7 @@
     assert_int_equal (rec.state, HR_JOB_CANCELLED);
     assert_string_equal (rec.tag, "w.1");
     assert_same_spec (&rec.spec, &s);
-    hr_job_set_spec (k, &rec.spec, rec.per_page);
+    hr_job_set_spec (k, &rec.spec, rec.tasks_per_page);
     if (!per)
       assert_true (hr_record_tasks (k, 0, rec.tasks, &machines));
     hr_record_clear (&rec);
@@ -148,8 +148,8 @@
   g_autofree char *derived = hr_record_tombstone (j, HR_JOB_CANCELLED, "w.2");
   v = json_loads (derived, 0, NULL);
   assert_true (hr_record_read (v, &names, &rec));
-  assert_true (rec.tombstone && !rec.awaits);
-  assert_string_equal (rec.withdrawn_with, "job-1");
+  assert_true (rec.is_tombstone && !rec.awaits);
+  assert_string_equal (rec.cancelled_with, "job-1");
   hr_record_clear (&rec);
   json_decref (v);
   hr_job_free (j);
--- a/tests/test_follow.c
+++ b/tests/test_replica.c
@@ -212,7 +212,7 @@
 {
   Rig r;
   rig_init (&r);
-  hr_core_speak (r.core, 0);
+  hr_core_set_supported_format (r.core, 0);
   step (&r, hr_command_new (HR_COMMAND_TICK));
   answer (&r, "/kv?", ROWS (ROW ("h/j/" JOB, MAIN ("0", ",\"x\":[1,1,0]"), "10"), "false", "20"));
   assert_int_equal (done (&r, LOG (SET ("h/u/" JOB "/2/0", PAGE ("[1,1]"), "21") "," SET (
--- a/tests/test_requests.c
+++ b/tests/test_requests.c
@@ -261,7 +261,7 @@
   script_hold (s, node, "/changes", NULL);
   script_submit (s, leader, "job-odd", 1);
   script_serve (s);
-  guint64 stamp = script_stamp (s, "h/j/job-odd");
+  guint64 revision = script_stamp (s, "h/j/job-odd");
   guint64 asked[G_N_ELEMENTS (other)];
   for (int round = 0; round < 2; round++) {
     for (guint i = 0; i < G_N_ELEMENTS (other); i++) {
@@ -282,7 +282,7 @@
       assert_string_equal (script_stance (s, node, asked[i]), "queued");
     }
   }
-  assert_int_equal (script_stamp (s, "h/j/job-odd"), stamp);
+  assert_int_equal (script_stamp (s, "h/j/job-odd"), revision);
   script_free (s);
 }
 
@@ -315,7 +315,7 @@
   script_worker_ends (w, "done");
   script_report (s, w, leader);
   script_run (s, 1);
-  guint64 stamp = script_stamp (s, "h/j/job-done");
+  guint64 revision = script_stamp (s, "h/j/job-done");
   for (int i = 0; i < 2; i++) {
     guint64 id = script_abort (s, i, "job-done");
     script_run (s, 0.2);
@@ -328,7 +328,7 @@
     assert_int_equal (status_of (s, i, HR_POST, "/v1/jobs/job-never/abort", NULL), 404);
     assert_int_equal (status_of (s, i, HR_POST, "/v1/jobs/job-never/abort", "{\"x\":1}"), 404);
   }
-  assert_int_equal (script_stamp (s, "h/j/job-done"), stamp);
+  assert_int_equal (script_stamp (s, "h/j/job-done"), revision);
   assert_null (script_value (s, "h/j/job-never"));
   script_free (s);
 }
--- a/tests/test_ledger.c
+++ b/tests/test_store_reads.c
@@ -304,7 +304,7 @@
   assert_int_equal (script_count (s, a, "/commit", "job-a"), 2);
   ScriptCall *one = script_call (s, a, "/commit", "job-a");
   script_carry_out (s, one);
-  guint64 stamp = script_stamp (s, "h/j/job-a");
+  guint64 revision = script_stamp (s, "h/j/job-a");
   script_answer (s, script_call (s, b, "/commit", "job-a"));
   script_run (s, 0.3);
   assert_int_equal (script_status (s, b, third), 200);
@@ -319,7 +319,7 @@
   assert_int_equal (script_status (s, a, first), 0);
   script_answer (s, one);
   assert_int_equal (script_status (s, a, first), 201);
-  assert_int_equal (script_stamp (s, "h/j/job-a"), stamp);
+  assert_int_equal (script_stamp (s, "h/j/job-a"), revision);
   script_free (s);
 }
 
--- a/tests/test_withdrawals.c
+++ b/tests/test_withdrawals.c
@@ -68,7 +68,7 @@
   HrPeerStatus *leader;
   Script *s = member_new (&leader);
   script_ask (s, HR_POST, "/v1/jobs/" JOB "/abort", NULL);
-  guint64 stamp = s->epoch;
+  guint64 revision = s->epoch;
   script_run (s, 10);
   assert_true (names (s, JOB));
   guint64 end = s->said.cancellations.log_end;
@@ -76,16 +76,16 @@
   script_run (s, 3);
   assert_int_equal (s->said.cancellations.count, 0);
   assert_int_equal (s->said.cancellations.first_position, end);
-  assert_true (s->said.cancellations.dropped_revision < stamp);
+  assert_true (s->said.cancellations.dropped_revision < revision);
   g_strlcpy (leader->incarnation, "c1-2", sizeof leader->incarnation);
   acknowledge (leader, 0);
   script_run (s, 3);
   assert_true (names (s, JOB));
-  leader->applied_revision = stamp;
+  leader->applied_revision = revision;
   script_run (s, 3);
   assert_int_equal (s->said.cancellations.count, 0);
   assert_int_equal (s->said.cancellations.log_begin, end);
-  assert_int_equal (s->said.cancellations.dropped_revision, stamp);
+  assert_int_equal (s->said.cancellations.dropped_revision, revision);
   script_free (s);
 }
 
@@ -134,10 +134,10 @@
 {
   HrPeerStatus *leader;
   Script *s = member_new (&leader);
-  guint64 before = s->said.latest_cancellation, epoch = s->epoch;
+  guint64 before = s->said.latest_cancellation, store_revision = s->epoch;
   s->loses_writes = s->out_after_loss = TRUE;
   assert_int_equal (script_ask (s, HR_POST, "/v1/jobs/" JOB "/abort", NULL), 503);
-  assert_int_equal (s->epoch, epoch + 1);
+  assert_int_equal (s->epoch, store_revision + 1);
   assert_false (s->served);
   script_run (s, 5);
   assert_int_equal (s->said.latest_cancellation, before);
@@ -150,7 +150,7 @@
   assert_non_null (strstr (s->answer, "\"withdrawn\""));
   script_run (s, 0.5);
   assert_true (names (s, JOB));
-  assert_int_equal (s->said.latest_cancellation, epoch + 1);
+  assert_int_equal (s->said.latest_cancellation, store_revision + 1);
   script_free (s);
 }
 
@@ -161,13 +161,13 @@
   HrPeerStatus *leader;
   Script *s = member_new (&leader);
   s->loses_writes = TRUE;
-  guint64 epoch = s->epoch;
+  guint64 store_revision = s->epoch;
   assert_int_equal (script_ask (s, HR_POST, "/v1/jobs/" JOB "/abort", NULL), 200);
   assert_non_null (strstr (s->answer, "\"withdrawn\""));
-  assert_int_equal (s->epoch, epoch + 1);
+  assert_int_equal (s->epoch, store_revision + 1);
   script_run (s, 1.2);
   assert_true (names (s, JOB));
-  assert_int_equal (s->said.latest_cancellation, epoch + 1);
+  assert_int_equal (s->said.latest_cancellation, store_revision + 1);
   script_free (s);
 }
 
--- a/tests/test_writes.c
+++ b/tests/test_writes.c
@@ -112,7 +112,7 @@
   script_tick (s, 0.05);
   ScriptCall *write = script_call (s, m.other, "/commit", "job-a");
   script_carry_out (s, write);
-  guint64 stamp = script_stamp (s, "h/j/job-a");
+  guint64 revision = script_stamp (s, "h/j/job-a");
   lose_all (s, m.other, "job-a", id);
   assert_int_equal (script_status (s, m.other, id), 503);
   guint64 abort = script_abort (s, m.leader, "job-a");
@@ -128,7 +128,7 @@
   script_run (s, 0.3);
   assert_int_equal (script_status (s, m.other, id), 200);
   assert_string_equal (script_stance (s, m.other, id), "withdrawn");
-  assert_true (script_stamp (s, "h/j/job-a") > stamp);
+  assert_true (script_stamp (s, "h/j/job-a") > revision);
   script_free (s);
 }
 
@@ -181,14 +181,14 @@
       assert_true (write->timeout < 0.21);
       if (carried_out)
         script_carry_out (s, write);
-      guint64 stamp = script_stamp (s, "h/j/job-a");
+      guint64 revision = script_stamp (s, "h/j/job-a");
       if (!carried_out)
         script_release (s); /* else a look at the record has to be enough */
       ScriptCall *late = script_delay (s, write);
       script_run (s, 0.15);
       assert_string_equal (script_stance (s, node, id), wanted[cancels]);
       if (carried_out && !cancels) /* the leader's tombstone follows a cancellation */
-        assert_int_equal (script_stamp (s, "h/j/job-a"), stamp);
+        assert_int_equal (script_stamp (s, "h/j/job-a"), revision);
       assert_int_equal (script_late (s, late), 409);
       assert_string_equal (script_asked (s, node, "job-a"), wanted[cancels]);
       script_release (s);
@@ -214,7 +214,7 @@
     ScriptCall *write = script_call (s, m.leader, "/commit", "m-000001");
     assert_non_null (write);
     script_carry_out (s, write);
-    guint64 stamp = script_stamp (s, "h/j/job-a");
+    guint64 revision = script_stamp (s, "h/j/job-a");
     script_run (s, 0.5);
     if (by_reading) /* it has read its own tag */
       assert_true (script_worker_has (m.w, "job-a"));
@@ -234,7 +234,7 @@
     script_report (s, m.w, m.leader);
     assert_true (script_worker_has (m.w, "job-a"));
     assert_int_equal (m.w->tasks->len, 1);
-    assert_int_equal (script_stamp (s, "h/j/job-a"), stamp);
+    assert_int_equal (script_stamp (s, "h/j/job-a"), revision);
     script_free (s);
   }
 }
@@ -255,14 +255,14 @@
   for (int i = 0; i < 2; i++) /* done in the leader's memory alone */
     assert_string_not_equal (script_asked (s, i, "job-a"), "done");
   script_carry_out (s, write);
-  guint64 stamp = script_stamp (s, "h/j/job-a");
+  guint64 revision = script_stamp (s, "h/j/job-a");
   assert_string_equal (script_asked (s, m.other, "job-a"), "done");
   assert_string_equal (script_asked (s, m.leader, "job-a"), "done");
   script_lose (s, write);
   script_release (s);
   script_run (s, 1);
   assert_told (&m, "job-a", "done");
-  assert_int_equal (script_stamp (s, "h/j/job-a"), stamp);
+  assert_int_equal (script_stamp (s, "h/j/job-a"), revision);
   script_free (s);
 }
 
@@ -349,10 +349,10 @@
   ScriptCall *write = script_call (s, m.leader, "/commit", "m-000001");
   assert_non_null (write);
   depose_unaware (&m);
-  guint64 stamp = script_stamp (s, "h/j/job-a");
+  guint64 revision = script_stamp (s, "h/j/job-a");
   script_carry_out (s, write);
   assert_int_equal (write->status, 409);
-  assert_int_equal (script_stamp (s, "h/j/job-a"), stamp);
+  assert_int_equal (script_stamp (s, "h/j/job-a"), revision);
   script_free (s);
 }
 
