--- a/src/bookkeeping/absence.c
+++ b/src/bookkeeping/absence.c
@@ -21,11 +21,11 @@
 {
   gboolean on_its_way = m->do_lost || m->do_out, served = hr_replica_is_served (c);
   for (guint i = 0; on_its_way && i < m->tasks->len; i++) {
-    HrRef r = g_array_index (m->tasks, HrRef, i);
+    HrTaskRef r = g_array_index (m->tasks, HrTaskRef, i);
     const HrJob *j = c->jobs->pdata[r.job];
     const HrTask *t = &j->tasks[r.task];
-    if (j->state == HR_JOB_CANCELLED && t->state == HR_T_BOUND && t->session == m->session &&
-        t->shown == HR_NOT_SHOWN &&
+    if (j->state == HR_JOB_CANCELLED && t->state == HR_TASK_BOUND &&
+        t->placement.incarnation == m->incarnation && t->reported_state == HR_NOT_REPORTED &&
         ((!served && m->do_lost) || c->now - j->withdrawn_since > c->pol.hold_s))
       return TRUE;
   }
@@ -33,16 +33,16 @@
 }
 
 void
-hr_absence_note_direct (HrMachine *m, guint32 job, guint32 task, guint32 try, guint64 token)
+hr_absence_note_direct (HrMachine *m, guint32 job, guint32 task, guint32 attempt, guint64 token)
 {
   for (guint i = 0; i < m->direct->len; i++) {
     HrDirectLaunch *d = &g_array_index (m->direct, HrDirectLaunch, i);
-    if (d->job == job && d->task == task && d->try == try) {
+    if (d->job == job && d->task == task && d->attempt == attempt) {
       d->token = token;
       return;
     }
   }
-  HrDirectLaunch d = {job, task, try, token};
+  HrDirectLaunch d = {job, task, attempt, token};
   g_array_append_val (m->direct, d);
 }
 
@@ -50,13 +50,13 @@
  * later, and would start it again; it is void once the worker has seen a newer
  * token than the launch had. Orders in the answer to a report are never late. */
 gboolean
-hr_absence_may_clear (const HrCore *c, HrMachine *m, guint32 job, guint32 task, guint32 try)
+hr_absence_may_clear (const HrCore *c, HrMachine *m, guint32 job, guint32 task, guint32 attempt)
 {
   if (!hr_absence_orders_settled (m) || m->token < c->led_baton)
     return FALSE;
   for (guint i = 0; i < m->direct->len; i++) {
     HrDirectLaunch *d = &g_array_index (m->direct, HrDirectLaunch, i);
-    if (d->job != job || d->task != task || d->try != try)
+    if (d->job != job || d->task != task || d->attempt != attempt)
       continue;
     if (d->token >= m->token)
       return FALSE;
@@ -84,15 +84,16 @@
 }
 
 void
-hr_absence_sessions (HrCore *c, HrMachine *m, guint32 upto, const char *why)
+hr_absence_incarnations (HrCore *c, HrMachine *m, guint32 upto, const char *why)
 {
   g_autoptr (GArray) tasks = g_array_copy (m->tasks);
   for (guint i = 0; i < tasks->len; i++) {
-    HrRef r = g_array_index (tasks, HrRef, i);
+    HrTaskRef r = g_array_index (tasks, HrTaskRef, i);
     HrJob *j = c->jobs->pdata[r.job];
     HrTask *t = j->tasks ? &j->tasks[r.task] : NULL;
-    if (t && t->state == HR_T_BOUND && t->machine == m->idx && t->session <= upto)
-      hr_task_gone (c, j, r.task, HR_X_NONE, why);
+    if (t && t->state == HR_TASK_BOUND && t->placement.machine == m->idx &&
+        t->placement.incarnation <= upto)
+      hr_task_gone (c, j, r.task, HR_EXIT_NONE, why);
   }
 }
 
@@ -108,7 +109,8 @@
 give_up_returned (HrCore *c, HrMachine *m)
 {
   if (m->state == HR_M_DELETING && m->tasks->len && hr_absence_lease_over (c, m))
-    hr_absence_sessions (c, m, G_MAXUINT32, "it is being returned, and its lease is surely over");
+    hr_absence_incarnations (c, m, G_MAXUINT32,
+                             "it is being returned, and its lease is surely over");
 }
 
 static gboolean
@@ -162,7 +164,7 @@
     if (m->state != HR_M_UP || c->now - last_heard (c, m) <= c->pol.silent_s)
       continue;
     if (hr_absence_lease_over (c, m) && m->tasks->len)
-      hr_absence_sessions (c, m, G_MAXUINT32, "its lease is surely over");
+      hr_absence_incarnations (c, m, G_MAXUINT32, "its lease is surely over");
     /* Past its lease a machine holds nothing that deleting it could cost. */
     if ((!us || hr_absence_lease_over (c, m)) && !early && hr_replica_is_served (c))
       hr_fleet_delete (c, m, "its worker is silent");
--- a/src/bookkeeping/bookkeeping.h
+++ b/src/bookkeeping/bookkeeping.h
@@ -91,9 +91,10 @@
 gboolean hr_absence_lease_over (const HrCore *c, const HrMachine *m);
 gboolean hr_absence_orders_settled (const HrMachine *m);
 gboolean hr_absence_cancelled_may_start (const HrCore *c, const HrMachine *m);
-void hr_absence_note_direct (HrMachine *m, guint32 job, guint32 task, guint32 try, guint64 token);
+void hr_absence_note_direct (HrMachine *m, guint32 job, guint32 task, guint32 attempt,
+                             guint64 token);
 gboolean hr_absence_may_clear (const HrCore *c, HrMachine *m, guint32 job, guint32 task,
-                               guint32 try);
+                               guint32 attempt);
 void hr_absence_tick (HrCore *c);
 /* Every task of sessions up to `upto` is gone from the machine. */
-void hr_absence_sessions (HrCore *c, HrMachine *m, guint32 upto, const char *why);
+void hr_absence_incarnations (HrCore *c, HrMachine *m, guint32 upto, const char *why);
--- a/src/bookkeeping/record.c
+++ b/src/bookkeeping/record.c
@@ -8,13 +8,13 @@
   json_t *x = json_array ();
   for (guint32 i = first; i < first + n; i++) {
     const HrTask *t = &j->tasks[i];
-    guint32 m = t->rmachine, s = t->rsession, a = t->rtry;
-    gboolean done = t->rdone;
-    if (pending && t->inflight) {
-      m = t->machine;
-      s = t->session;
-      a = t->try;
-      done = done || t->state == HR_T_DONE;
+    guint32 m = t->recorded.machine, s = t->recorded.incarnation, a = t->recorded.attempt;
+    gboolean done = t->done_recorded;
+    if (pending && t->write_in_flight) {
+      m = t->placement.machine;
+      s = t->placement.incarnation;
+      a = t->placement.attempt;
+      done = done || t->state == HR_TASK_DONE;
     }
     if (done)
       json_array_append_new (x, json_integer (1));
@@ -180,21 +180,21 @@
   {
     HrTask *t = &j->tasks[first + i];
     gboolean done = json_is_integer (e) && json_integer_value (e) == 1;
-    if (done != t->rdone)
+    if (done != t->done_recorded)
       j->nrdone += done ? 1 : -1;
-    t->rdone = done;
+    t->done_recorded = done;
     if (json_is_array (e)) {
       const char *m;
       int s, a;
       if (json_unpack (e, "[sii]", &m, &s, &a) != 0)
         return FALSE;
-      t->rmachine = hr_intern (machines, m);
-      t->rsession = s;
-      t->rtry = a;
+      t->recorded.machine = hr_intern (machines, m);
+      t->recorded.incarnation = s;
+      t->recorded.attempt = a;
     } else if (!json_is_integer (e))
       return FALSE;
     else if (!done)
-      t->rmachine = HR_NONE;
+      t->recorded.machine = HR_NONE;
   }
   return TRUE;
 }
--- a/src/bookkeeping/record_split.c
+++ b/src/bookkeeping/record_split.c
@@ -14,7 +14,7 @@
 #define SPLITS_AT_ONCE 4
 /* Transactions may hold 64 KiB; the conditions and names take some of it. */
 #define MAX_TRANSACTION_BYTES ((gsize)40 * 1024)
-#define TRIES_MOST 4
+#define MAX_ATTEMPTS 4
 /* Of the write allowance, left to others by splits that nobody waits for. */
 #define PROACTIVE_KEEP 0.4
 #define SCANNED_AT_ONCE 8
@@ -26,7 +26,7 @@
   guint tasks_per_page, n_pages;
   guint first_page, end_page;  /* pages of the step under way */
   gboolean writes_main_record; /* and the main record */
-  guint tries;
+  guint attempts;
   char *tag;
   json_t *conditions, *writes;
 } Split;
@@ -91,7 +91,7 @@
   j->npages = (j->ntasks + tasks_per_page - 1) / tasks_per_page;
   j->pages = g_new0 (HrRecordPage, j->npages);
   for (guint32 i = 0; i < j->ntasks; i++)
-    j->tasks[i].inflight = 0; /* the write that it was part of held on the earlier record */
+    j->tasks[i].write_in_flight = 0; /* the write that it was part of held on the earlier record */
   for (guint i = 0; staged && i < staged->len; i++) {
     HrStagedPage *p = &g_array_index (staged, HrStagedPage, i);
     if (p->tasks_per_page != tasks_per_page && p->revision)
@@ -156,7 +156,7 @@
     end (c, s);
     return;
   }
-  if (++s->tries > TRIES_MOST) {
+  if (++s->attempts > MAX_ATTEMPTS) {
     give_up (c, s, "it changes again and again");
     return;
   }
--- a/src/bookkeeping/record_writer.c
+++ b/src/bookkeeping/record_writer.c
@@ -83,16 +83,16 @@
   g_clear_pointer (&p->write_tag, g_free);
   for (guint32 i = from; i < to; i++) {
     HrTask *t = &j->tasks[i];
-    if (!t->inflight)
+    if (!t->write_in_flight)
       continue;
-    t->inflight = 0;
-    if (t->state == HR_T_ASSIGNING) {
-      t->rmachine = t->machine;
-      t->rsession = t->session;
-      t->rtry = t->try;
+    t->write_in_flight = 0;
+    if (t->state == HR_TASK_ASSIGNING) {
+      t->recorded.machine = t->placement.machine;
+      t->recorded.incarnation = t->placement.incarnation;
+      t->recorded.attempt = t->placement.attempt;
       hr_task_bound (c, j, i);
-    } else if (t->state == HR_T_DONE && !t->rdone) {
-      t->rdone = 1;
+    } else if (t->state == HR_TASK_DONE && !t->done_recorded) {
+      t->done_recorded = 1;
       j->nrdone++;
     }
   }
@@ -120,10 +120,10 @@
   p->write_is_final = FALSE;
   for (guint32 i = from; i < to; i++) {
     HrTask *t = &j->tasks[i];
-    if (!t->inflight)
+    if (!t->write_in_flight)
       continue;
-    t->inflight = 0;
-    if (t->state == HR_T_ASSIGNING && j->state != HR_JOB_QUEUED)
+    t->write_in_flight = 0;
+    if (t->state == HR_TASK_ASSIGNING && j->state != HR_JOB_QUEUED)
       hr_task_unassign (c, j, i);
   }
   mark_page (c, j, p); /* what is still meant is written anew */
@@ -143,8 +143,8 @@
 {
   gboolean split = hr_record_split_is_possible (c, j);
   for (guint32 i = from; i < to; i++) {
-    j->tasks[i].inflight = 0;
-    if (!split && j->tasks[i].state == HR_T_ASSIGNING)
+    j->tasks[i].write_in_flight = 0;
+    if (!split && j->tasks[i].state == HR_TASK_ASSIGNING)
       hr_task_unassign (c, j, i);
   }
   if (split) {
@@ -267,10 +267,11 @@
   for (guint32 i = from; i < to; i++) {
     HrTask *t = &j->tasks[i];
     /* A job that waits for others has no task: the last guard, here and before launches. */
-    gboolean assign = t->state == HR_T_ASSIGNING && j->state == HR_JOB_QUEUED && !hr_job_waits (j);
-    t->inflight = assign || (t->state == HR_T_DONE && !t->rdone);
+    gboolean assign =
+        t->state == HR_TASK_ASSIGNING && j->state == HR_JOB_QUEUED && !hr_job_waits (j);
+    t->write_in_flight = assign || (t->state == HR_TASK_DONE && !t->done_recorded);
     launch |= assign;
-    change |= t->inflight;
+    change |= t->write_in_flight;
   }
   /* The last ending and the tombstone are one write where the tasks stand inline. */
   gboolean done = j->state == HR_JOB_QUEUED && (j->per_page ? j->nrdone : j->ndone) == j->ntasks &&
--- a/src/bookkeeping/replica_changes.c
+++ b/src/bookkeeping/replica_changes.c
@@ -41,8 +41,8 @@
 note_cached_images (HrCore *c, HrJob *j, guint32 from, guint32 n)
 {
   for (guint32 i = from; i < MIN (from + n, j->ntasks); i++) {
-    guint32 m = j->tasks[i].rmachine;
-    if (m != HR_NONE && !j->tasks[i].rdone)
+    guint32 m = j->tasks[i].recorded.machine;
+    if (m != HR_NONE && !j->tasks[i].done_recorded)
       hr_machine_touch_image (hr_machine_get (c, hr_intern_name (&c->machine_ids, m)),
                               j->spec.image);
   }
--- a/src/bookkeeping/tables.c
+++ b/src/bookkeeping/tables.c
@@ -43,8 +43,8 @@
   j->pages = g_new0 (HrRecordPage, j->npages);
   j->tasks = g_new0 (HrTask, s->tasks);
   for (guint i = 0; i < s->tasks; i++) {
-    j->tasks[i].rmachine = j->tasks[i].machine = HR_NONE;
-    j->tasks[i].shown = HR_NOT_SHOWN;
+    j->tasks[i].recorded.machine = j->tasks[i].placement.machine = HR_NONE;
+    j->tasks[i].reported_state = HR_NOT_REPORTED;
   }
   j->bad_machine = HR_NONE;
 }
@@ -173,7 +173,7 @@
 }
 
 void
-hr_machine_take (HrMachine *m, const HrJobSpec *s, HrRef r)
+hr_machine_take (HrMachine *m, const HrJobSpec *s, HrTaskRef r)
 {
   g_array_append_val (m->tasks, r);
   m->cpus -= s->cpus;
@@ -183,10 +183,10 @@
 }
 
 void
-hr_machine_give (HrMachine *m, const HrJobSpec *s, HrRef r)
+hr_machine_give (HrMachine *m, const HrJobSpec *s, HrTaskRef r)
 {
   for (guint i = 0; i < m->tasks->len; i++) {
-    HrRef *x = &g_array_index (m->tasks, HrRef, i);
+    HrTaskRef *x = &g_array_index (m->tasks, HrTaskRef, i);
     if (x->job == r.job && x->task == r.task) {
       g_array_remove_index_fast (m->tasks, i);
       m->cpus += s->cpus;
--- a/src/bookkeeping/tables.h
+++ b/src/bookkeeping/tables.h
@@ -7,30 +7,35 @@
 typedef enum { HR_JOB_QUEUED, HR_JOB_DONE, HR_JOB_CANCELLED } HrJobState;
 
 typedef enum {
-  HR_T_IDLE,      /* on no machine, as far as any proof goes */
-  HR_T_ASSIGNING, /* its assignment is being recorded; nothing was sent */
-  HR_T_BOUND,     /* recorded on a machine; may be there */
-  HR_T_DONE,      /* the worker said done; `rdone` once that is recorded */
+  HR_TASK_IDLE,      /* on no machine, as far as any proof goes */
+  HR_TASK_ASSIGNING, /* its assignment is being recorded; nothing was sent */
+  HR_TASK_BOUND,     /* recorded on a machine; may be there */
+  HR_TASK_DONE,      /* the worker said done; `done_recorded` once that is recorded */
 } HrTaskState;
 
-#define HR_NOT_SHOWN 0xff
+#define HR_NOT_REPORTED 0xff
 
+/* An attempt to run a task: on a machine, in an incarnation of its agent. */
 typedef struct {
-  guint32 rmachine, rsession, rtry; /* as recorded */
-  guint32 machine, session, try;    /* as meant: differs while a write is under way */
-  guint32 list;                     /* the machine in whose list it stands, if planned */
-  guint8 state;                     /* HrTaskState */
-  guint8 rdone;
-  guint8 inflight;  /* part of the write that is under way */
-  guint8 shown;     /* HrWorkState on its machine, or HR_NOT_SHOWN */
-  guint8 kill;      /* a stop is wanted */
-  guint8 planned;   /* stands in a machine's list */
-  guint8 inherited; /* read from the record of an earlier owner, not seen since */
-  float grace;      /* of the stop */
-  float fetch;      /* how long its image was expected to take when it was placed */
-  double killed_at; /* last stop order sent */
-  double placed_at; /* bound since */
-  double ran_at;    /* seen running since; 0: not yet */
+  guint32 machine, incarnation, attempt;
+} HrPlacement;
+
+typedef struct {
+  HrPlacement recorded;   /* as in the record */
+  HrPlacement placement;  /* as meant: differs while a write is under way */
+  guint32 listed_on;      /* the machine in whose list it stands, if is_listed */
+  guint8 state;           /* HrTaskState */
+  guint8 done_recorded;   /* its end is in the record */
+  guint8 write_in_flight; /* part of the write that is under way */
+  guint8 reported_state;  /* HrReportedState on its machine, or HR_NOT_REPORTED */
+  guint8 stop_wanted;
+  guint8 is_listed;         /* stands in a machine's list */
+  guint8 from_earlier_term; /* read from an earlier leader's record, not seen since */
+  float stop_grace_s;
+  float expected_fetch_s; /* of its image, as of when it was placed */
+  double stop_sent_at;    /* the last stop order; steady time, s; 0: none */
+  double bound_since;     /* steady time, s */
+  double running_since;   /* first seen running; steady time, s; 0: not yet */
 } HrTask;
 
 typedef struct {
@@ -87,7 +92,7 @@
   double retry_at, pause;
   double rent_at, rent_pause; /* a gang larger than any fleet so far: no machine before then */
   guint errors;
-  HrExit last_error;
+  HrExitCause last_error;
   guint32 bad_machine; /* where it failed last, avoided until */
   double bad_until;
   gboolean counted;  /* its arrival was counted */
@@ -115,11 +120,11 @@
 
 typedef struct {
   guint32 job, task;
-} HrRef;
+} HrTaskRef;
 
 /* An attempt that was launched by a direct call, and the call's token. */
 typedef struct {
-  guint32 job, task, try;
+  guint32 job, task, attempt;
   guint64 token;
 } HrDirectLaunch;
 
@@ -130,7 +135,7 @@
   HrMachineState state;
   guint32 type, zone; /* type: index into the types table; HR_NONE: not known yet */
   gboolean spot;
-  guint32 session;
+  guint32 incarnation;
   guint64 seq, token;
   double seq_at;        /* when the message with that seq came */
   double unreceived_at; /* when a session first showed that; 0: the last one did not */
@@ -153,7 +158,7 @@
   double do_pause;
   gboolean delete_out;                            /* the call for it is under way */
   gboolean deleted;                               /* the cloud confirmed it */
-  GArray *tasks;                                  /* HrRef of tasks assigning or bound */
+  GArray *tasks;                                  /* HrTaskRef of tasks assigning or bound */
   double foreign_cpus, foreign_gpus, foreign_mem; /* taken by what should not be there */
   double cpus, gpus, mem;                         /* free, as meant */
   double claim_cpus, claim_gpus, claim_mem;       /* of that, kept for services */
@@ -166,7 +171,7 @@
   /* Plan */
   guint32 part;     /* by hash of its name */
   guint parts;      /* of how many */
-  GArray *list;     /* HrRef by deadline */
+  GArray *list;     /* HrTaskRef by deadline */
   double tardiness; /* expected, of the list */
   guint late;
   double ready;  /* when the first listed task can start */
@@ -222,5 +227,5 @@
 /* Room for an amount beside what is kept for services. */
 gboolean hr_machine_has_beside_claims (const HrMachine *m, double cpus, double gpus, double mem);
 gboolean hr_machine_fits_beside_claims (const HrMachine *m, const HrJobSpec *s);
-void hr_machine_take (HrMachine *m, const HrJobSpec *s, HrRef r);
-void hr_machine_give (HrMachine *m, const HrJobSpec *s, HrRef r);
+void hr_machine_take (HrMachine *m, const HrJobSpec *s, HrTaskRef r);
+void hr_machine_give (HrMachine *m, const HrJobSpec *s, HrTaskRef r);
--- a/src/client/requests.c
+++ b/src/client/requests.c
@@ -48,8 +48,8 @@
 
 /* One try. *retry_after: seconds that the node asks for; 0: none. */
 static HrAnswer
-try_once (HrClient *c, const char *server, const char *method, const char *path, const char *body,
-          guint answer_s, guint64 *retry_after)
+send_once (HrClient *c, const char *server, const char *method, const char *path, const char *body,
+           guint answer_s, guint64 *retry_after)
 {
   HrAnswer a = {0};
   g_autofree char *uri = g_strconcat ("http://", server, path, NULL);
@@ -97,7 +97,7 @@
   for (guint tries = 1;; tries++) {
     guint64 retry_after;
     const char *server = c->servers[c->at];
-    HrAnswer a = try_once (c, server, method, path, body, answer_s, &retry_after);
+    HrAnswer a = send_once (c, server, method, path, body, answer_s, &retry_after);
     if (is_final (a.status))
       return a;
     guint pause = CLAMP (retry_after, PAUSE_S, RETRY_AFTER_MOST_S);
@@ -114,5 +114,5 @@
 hr_client_ask_node (HrClient *c, const char *server, const char *path, guint answer_s)
 {
   guint64 unused;
-  return try_once (c, server, "GET", path, NULL, answer_s, &unused);
+  return send_once (c, server, "GET", path, NULL, answer_s, &unused);
 }
--- a/src/coordination/claims.c
+++ b/src/coordination/claims.c
@@ -41,7 +41,7 @@
     m->claim_cpus = m->claim_gpus = m->claim_mem = 0;
     m->fixed_cpus = m->fixed_gpus = m->fixed_mem = 0;
     for (guint k = 0; k < m->tasks->len; k++) {
-      const HrJobSpec *s = &hr_job_of (c, g_array_index (m->tasks, HrRef, k))->spec;
+      const HrJobSpec *s = &hr_job_of (c, g_array_index (m->tasks, HrTaskRef, k))->spec;
       if (s->shape != HR_SERVICE)
         continue;
       m->fixed_cpus += s->cpus;
--- a/src/coordination/core.c
+++ b/src/coordination/core.c
@@ -137,9 +137,9 @@
     m->type = m->zone = HR_NONE;
     m->state = HR_M_GONE;
     m->error_job = HR_NONE;
-    m->tasks = g_array_new (FALSE, TRUE, sizeof (HrRef));
+    m->tasks = g_array_new (FALSE, TRUE, sizeof (HrTaskRef));
     m->direct = g_array_new (FALSE, TRUE, sizeof (HrDirectLaunch));
-    m->list = g_array_new (FALSE, TRUE, sizeof (HrRef));
+    m->list = g_array_new (FALSE, TRUE, sizeof (HrTaskRef));
     g_ptr_array_add (c->machines, m);
   }
   return c->machines->pdata[i];
--- a/src/coordination/direct.c
+++ b/src/coordination/direct.c
@@ -9,7 +9,7 @@
 
 typedef struct {
   guint32 machine;
-  guint64 baton, session;
+  guint64 baton, incarnation;
   double led_at;
   gboolean launch;
 } Direct;
@@ -27,7 +27,7 @@
   if (status != 200)
     g_debug ("direct: machine=%s result=%s", m->name, status == 409 ? "refused" : "unanswered");
   if (status != 200 && status != 409) {
-    if (d->launch && m->session == d->session)
+    if (d->launch && m->incarnation == d->incarnation)
       m->do_lost = MAX (m->do_lost, d->baton);
     m->do_pause = c->now + PAUSE_S;
     return;
@@ -62,14 +62,14 @@
     return;
   }
   Direct *d = g_new0 (Direct, 1);
-  *d = (Direct){m->idx, c->baton, m->session, c->led_at, launch};
+  *d = (Direct){m->idx, c->baton, m->incarnation, c->led_at, launch};
   m->do_out++;
   c->counters.direct_calls++;
   g_debug ("direct: machine=%s session=%u token=%" G_GUINT64_FORMAT " stops=%u launches=%u",
-           m->name, m->session, c->baton, hr_orders_count (orders, "kill"),
+           m->name, m->incarnation, c->baton, hr_orders_count (orders, "kill"),
            hr_orders_count (orders, "launch"));
   hr_call (c, HR_TO_WORKER, m->addr, HR_POST, g_strdup ("/do"),
-           hr_orders_text (c->baton, m->session, orders), DIRECT_TIMEOUT_S, on_direct, d);
+           hr_orders_text (c->baton, m->incarnation, orders), DIRECT_TIMEOUT_S, on_direct, d);
 }
 
 void
--- a/src/coordination/dispatch.c
+++ b/src/coordination/dispatch.c
@@ -29,24 +29,24 @@
 static void
 start (HrCore *c, HrJob *j, guint32 task, HrMachine *m, guint32 attempt)
 {
-  if (j->tasks[task].planned) {
+  if (j->tasks[task].is_listed) {
     hr_unplan (j, task);
-    hr_list_remove (c->machines->pdata[j->tasks[task].list], (HrRef){j->idx, task});
+    hr_list_remove (c->machines->pdata[j->tasks[task].listed_on], (HrTaskRef){j->idx, task});
   }
   hr_task_assign (c, j, task, m, attempt);
   hr_limits_started (c, j);
 }
 
 static guint32
-next_try (const HrTask *t)
+next_attempt (const HrTask *t)
 {
-  return MAX (t->try, t->rtry) + 1;
+  return MAX (t->placement.attempt, t->recorded.attempt) + 1;
 }
 
 void
 hr_dispatch_start (HrCore *c, HrJob *j, guint32 task, HrMachine *m)
 {
-  start (c, j, task, m, next_try (&j->tasks[task]));
+  start (c, j, task, m, next_attempt (&j->tasks[task]));
 }
 
 GPtrArray *
@@ -69,13 +69,13 @@
   if (!hr_team_allows (c, j, j->ntasks))
     return FALSE;
   for (guint32 i = 0; i < j->ntasks; i++) {
-    if (!j->tasks[i].planned || j->tasks[i].state != HR_T_IDLE)
+    if (!j->tasks[i].is_listed || j->tasks[i].state != HR_TASK_IDLE)
       return FALSE;
-    on[i] = c->machines->pdata[j->tasks[i].list];
+    on[i] = c->machines->pdata[j->tasks[i].listed_on];
     if (!hr_dispatch_startable (c, j, on[i]))
       return FALSE;
   }
-  guint32 attempt = hr_job_next_try (j);
+  guint32 attempt = hr_job_next_attempt (j);
   for (guint32 i = 0; i < j->ntasks; i++)
     start (c, j, i, on[i], attempt);
   return TRUE;
@@ -90,17 +90,17 @@
   guint32 attempt = 0;
   gboolean whole = TRUE;
   for (guint32 k = 0; k < j->ntasks; k++)
-    if (j->tasks[k].state != HR_T_IDLE)
-      attempt = j->tasks[k].try;
+    if (j->tasks[k].state != HR_TASK_IDLE)
+      attempt = j->tasks[k].placement.attempt;
   for (guint32 k = 0; k < j->ntasks; k++) {
     HrMachine *best = NULL;
-    if (j->tasks[k].state != HR_T_IDLE)
+    if (j->tasks[k].state != HR_TASK_IDLE)
       continue;
     gboolean allowed = hr_team_allows (c, j, 1);
     for (guint i = 0; i < c->fleet->len; i++) {
       HrMachine *m = c->fleet->pdata[i];
       /* Where it was refused, the same attempt would be taken for the refused one. */
-      if (allowed && m->idx != j->tasks[k].machine && hr_dispatch_startable (c, j, m) &&
+      if (allowed && m->idx != j->tasks[k].placement.machine && hr_dispatch_startable (c, j, m) &&
           (!best || hr_fetch_time (c, j, m) < hr_fetch_time (c, j, best)))
         best = m;
     }
@@ -130,7 +130,7 @@
 {
   double blocked = INFINITY;
   for (guint i = 0; i < m->list->len;) {
-    HrRef r = g_array_index (m->list, HrRef, i);
+    HrTaskRef r = g_array_index (m->list, HrTaskRef, i);
     HrJob *j = c->jobs->pdata[r.job];
     gboolean ok =
         hr_dispatch_startable (c, j, m) && (!isfinite (blocked) || may_pass (c, j, m, blocked));
@@ -158,7 +158,7 @@
 by_deadline (gconstpointer a, gconstpointer b, gpointer data)
 {
   HrCore *c = data;
-  const HrRef *x = &((const HrListedTask *)a)->task, *y = &((const HrListedTask *)b)->task;
+  const HrTaskRef *x = &((const HrListedTask *)a)->task, *y = &((const HrListedTask *)b)->task;
   const HrJob *p = c->jobs->pdata[x->job], *q = c->jobs->pdata[y->job];
   if (p->deadline != q->deadline)
     return p->deadline < q->deadline ? -1 : 1;
@@ -193,7 +193,7 @@
   guint32 without = HR_NONE; /* the job whose last task found no room: nor will the next */
   for (guint i = 0; i < all->len; i++) {
     const HrListedTask *l = &g_array_index (all, HrListedTask, i);
-    HrRef r = l->task;
+    HrTaskRef r = l->task;
     HrJob *j = hr_listed_job (c, all, i);
     HrMachine *best = NULL;
     if (r.job == without || !hr_team_allows (c, j, 1))
@@ -234,9 +234,9 @@
     HrRoom *r = &rooms[m->state == HR_M_BOOTING ? (*booting)++ : --up];
     *r = (HrRoom){m, m->cpus, m->gpus, m->mem, FALSE};
     for (guint k = 0; k < m->tasks->len; k++) {
-      HrRef x = g_array_index (m->tasks, HrRef, k);
+      HrTaskRef x = g_array_index (m->tasks, HrTaskRef, k);
       HrJob *j = c->jobs->pdata[x.job];
-      if (j->tasks[x.task].kill) {
+      if (j->tasks[x.task].stop_wanted) {
         r->cpus += j->spec.cpus;
         r->gpus += j->spec.gpus;
         r->mem += j->spec.mem;
@@ -288,7 +288,7 @@
     gboolean room = TRUE;
     guint left = hr_team_allows (c, j, 1) ? hr_limits_grant (c, j) : 0;
     for (guint32 k = 0; k < j->ntasks && left; k++) {
-      if (j->tasks[k].state != HR_T_IDLE || j->retry_at > c->now)
+      if (j->tasks[k].state != HR_TASK_IDLE || j->retry_at > c->now)
         continue;
       left--;
       room = room && hr_preempt (c, j, rooms, FALSE);
--- a/src/coordination/fleet.c
+++ b/src/coordination/fleet.c
@@ -52,11 +52,11 @@
 void
 hr_machine_gone (HrCore *c, HrMachine *m, const char *why)
 {
-  hr_absence_sessions (c, m, G_MAXUINT32, why);
+  hr_absence_incarnations (c, m, G_MAXUINT32, why);
   m->state = HR_M_GONE;
   m->deleted = TRUE;
   for (guint i = 0; i < m->list->len; i++) {
-    HrRef r = g_array_index (m->list, HrRef, i);
+    HrTaskRef r = g_array_index (m->list, HrTaskRef, i);
     HrJob *j = c->jobs->pdata[r.job];
     hr_unplan (j, r.task);
   }
--- a/src/coordination/held_back.c
+++ b/src/coordination/held_back.c
@@ -44,7 +44,7 @@
 {
   guint started = 0;
   for (guint32 k = 0; k < j->ntasks && hr_team_allows (c, j, 1); k++) {
-    if (j->tasks[k].state != HR_T_IDLE)
+    if (j->tasks[k].state != HR_TASK_IDLE)
       continue;
     HrMachine *m = machine_with_room (c, j, rooms, FALSE);
     if (!m)
--- a/src/coordination/limits.c
+++ b/src/coordination/limits.c
@@ -53,7 +53,7 @@
     if (j->state != HR_JOB_QUEUED || !j->tasks || !u->limited)
       continue;
     for (guint32 k = 0; k < j->ntasks && j->nlive; k++)
-      if (j->tasks[k].state == HR_T_BOUND && j->tasks[k].kill)
+      if (j->tasks[k].state == HR_TASK_BOUND && j->tasks[k].stop_wanted)
         hr_amount_add (&u->ending, hr_amount_of (&j->spec, 1));
   }
   for (guint i = 0; i < c->teams->len; i++) {
@@ -129,9 +129,10 @@
 static double
 release_at (HrCore *c, HrJob *j, const HrTask *t)
 {
-  HrMachine *m = c->machines->pdata[t->machine];
-  if (t->state == HR_T_BOUND && (t->kill || j->state != HR_JOB_QUEUED))
-    return c->now + (hr_reachable (c, m) ? t->grace + STOP_AND_START_S : hr_absence_lease (c));
+  HrMachine *m = c->machines->pdata[t->placement.machine];
+  if (t->state == HR_TASK_BOUND && (t->stop_wanted || j->state != HR_JOB_QUEUED))
+    return c->now +
+           (hr_reachable (c, m) ? t->stop_grace_s + STOP_AND_START_S : hr_absence_lease (c));
   return hr_running_end (c, j, t, m);
 }
 
@@ -149,7 +150,7 @@
       continue;
     for (guint32 k = 0; k < j->ntasks && j->nlive; k++) {
       const HrTask *t = &j->tasks[k];
-      if (t->state != HR_T_ASSIGNING && t->state != HR_T_BOUND)
+      if (t->state != HR_TASK_ASSIGNING && t->state != HR_TASK_BOUND)
         continue;
       Release r = {release_at (c, j, t), hr_amount_of (&j->spec, 1)};
       g_array_append_val (releases, r);
--- a/src/coordination/limits_room.c
+++ b/src/coordination/limits_room.c
@@ -19,7 +19,8 @@
 {
   const HrTask *t = &victim->tasks[task];
   return victim->spec.team == j->spec.team && hr_job_rank (victim) > hr_job_rank (j) &&
-         victim->state == HR_JOB_QUEUED && !victim->gang_over && t->state == HR_T_BOUND && !t->kill;
+         victim->state == HR_JOB_QUEUED && !victim->gang_over && t->state == HR_TASK_BOUND &&
+         !t->stop_wanted;
 }
 
 static int
@@ -39,7 +40,7 @@
   for (guint i = 0; i < c->fleet->len; i++) {
     Stoppable s = {c->fleet->pdata[i], 0, 0};
     for (guint k = 0; k < s.m->tasks->len; k++) {
-      HrRef r = g_array_index (s.m->tasks, HrRef, k);
+      HrTaskRef r = g_array_index (s.m->tasks, HrTaskRef, k);
       const HrJob *victim = c->jobs->pdata[r.job];
       if (!may_stop (c, victim, r.task, j))
         continue;
@@ -68,7 +69,7 @@
   for (guint i = 0; i < found->len && !hr_amount_holds (*pool, need); i++) {
     HrMachine *m = g_array_index (found, Stoppable, i).m;
     for (guint k = 0; k < m->tasks->len && !hr_amount_holds (*pool, need);) {
-      HrRef r = g_array_index (m->tasks, HrRef, k);
+      HrTaskRef r = g_array_index (m->tasks, HrTaskRef, k);
       HrJob *victim = c->jobs->pdata[r.job];
       if (!may_stop (c, victim, r.task, j)) {
         k++;
--- a/src/coordination/metrics.c
+++ b/src/coordination/metrics.c
@@ -43,7 +43,7 @@
     const HrJob *j = c->jobs->pdata[g_array_index (c->open, guint32, i)];
     queued += j->state == HR_JOB_QUEUED;
     for (guint32 k = 0; j->tasks && k < j->ntasks; k++) {
-      gboolean there = j->tasks[k].state == HR_T_BOUND;
+      gboolean there = j->tasks[k].state == HR_TASK_BOUND;
       bound += there;
       cancelled += there && j->state == HR_JOB_CANCELLED;
     }
--- a/src/coordination/mtedf.c
+++ b/src/coordination/mtedf.c
@@ -25,7 +25,7 @@
 /* How the whole plan changes when the task joins this list: the others stay as
  * they are, so the difference on this list decides. */
 static HrJudge
-try_list (HrCore *c, HrMachine *m, HrRef r, double *start)
+score_list (HrCore *c, HrMachine *m, HrTaskRef r, double *start)
 {
   guint late = m->late;
   double tard = m->tardiness, ready = m->ready;
@@ -78,7 +78,7 @@
 gboolean
 hr_mtedf_task (HrCore *c, GPtrArray *order, HrJob *j, guint32 task, guint tries)
 {
-  HrRef r = {j->idx, task};
+  HrTaskRef r = {j->idx, task};
   guint best = HR_NONE;
   HrJudge bj = {G_MAXUINT, INFINITY};
   double bs = INFINITY;
@@ -93,7 +93,7 @@
     if (!hr_zone_ok (c, j, m))
       continue;
     double start;
-    HrJudge d = try_list (c, m, r, &start);
+    HrJudge d = score_list (c, m, r, &start);
     if (start > c->now + 1e5)
       continue;
     start += hr_fetch_time (c, j, m);
@@ -149,7 +149,7 @@
   g_autofree gboolean *used = g_new0 (gboolean, order->len + 1);
   for (guint k = 0; k < order->len; k++) {
     HrMachine *m = order->pdata[k];
-    HrRef r = {j->idx, 0};
+    HrTaskRef r = {j->idx, 0};
     start[k] = INFINITY;
     if (!hr_allowed (c, j, m))
       continue;
@@ -157,7 +157,7 @@
     if (!m->tasks->len && !m->list->len && hr_machine_fits_beside_claims (m, &j->spec))
       start[k] = m->ready; /* nothing to project */
     else if (sampled (j, m, tries, order->len) && may_free (c, m, &j->spec))
-      try_list (c, m, r, &start[k]);
+      score_list (c, m, r, &start[k]);
     else
       continue;
     /* Waiting for others to end is less sure than fetching: it counts double. */
@@ -200,7 +200,7 @@
   j->gang_start = common;
   for (guint32 i = 0; i < j->ntasks; i++) {
     HrMachine *m = order->pdata[g_array_index (pick, guint, i)];
-    HrRef r = {j->idx, i};
+    HrTaskRef r = {j->idx, i};
     hr_list_insert (c, m, r);
     hr_project (c, m, NULL);
   }
--- a/src/coordination/orders.c
+++ b/src/coordination/orders.c
@@ -12,7 +12,8 @@
 {
   /* What an earlier owner recorded is not launched: it may have ended and made
    * place for others since. It is seen on its machine, or proven gone. */
-  return j->state == HR_JOB_QUEUED && !hr_job_waits (j) && !t->kill && !t->inherited &&
+  return j->state == HR_JOB_QUEUED && !hr_job_waits (j) && !t->stop_wanted &&
+         !t->from_earlier_term &&
          (j->spec.shape != HR_GANG ||
           (!j->gang_over && hr_gang_ready (j) && !hr_gang_holds_back (c, j, t)));
 }
@@ -32,7 +33,8 @@
            gboolean direct, const char *why)
 {
   g_debug ("%s: task=%s/%u try=%u machine=%s session=%u way=%s%s%s", order, job, task, attempt,
-           m->name, m->session, direct ? "direct" : "answer", why ? " why=" : "", why ? why : "");
+           m->name, m->incarnation, direct ? "direct" : "answer", why ? " why=" : "",
+           why ? why : "");
 }
 
 static const char *
@@ -42,30 +44,30 @@
 }
 
 static void
-append_launch (HrCore *c, HrMachine *m, json_t *orders, HrRef r, gboolean direct)
+append_launch (HrCore *c, HrMachine *m, json_t *orders, HrTaskRef r, gboolean direct)
 {
   HrJob *j = c->jobs->pdata[r.job];
   const HrTask *t = &j->tasks[r.task];
-  hr_order_launch (orders, j->id, r.task, t->try);
+  hr_order_launch (orders, j->id, r.task, t->placement.attempt);
   if (direct)
-    hr_absence_note_direct (m, r.job, r.task, t->try, c->baton);
+    hr_absence_note_direct (m, r.job, r.task, t->placement.attempt, c->baton);
   c->counters.starts++;
-  log_order ("start", j->id, r.task, t->try, m, direct, NULL);
+  log_order ("start", j->id, r.task, t->placement.attempt, m, direct, NULL);
 }
 
 static void
-append_stop (HrCore *c, HrMachine *m, json_t *orders, HrRef r, gboolean direct)
+append_stop (HrCore *c, HrMachine *m, json_t *orders, HrTaskRef r, gboolean direct)
 {
   HrJob *j = c->jobs->pdata[r.job];
   HrTask *t = &j->tasks[r.task];
-  if (!t->killed_at)
-    t->killed_at = c->now;
-  gboolean overdue = c->now - t->killed_at > t->grace + SAVE_OVERDUE_S;
-  if (t->shown == HR_W_FLUSHING && !overdue && t->grace > 0)
+  if (!t->stop_sent_at)
+    t->stop_sent_at = c->now;
+  gboolean overdue = c->now - t->stop_sent_at > t->stop_grace_s + SAVE_OVERDUE_S;
+  if (t->reported_state == HR_REPORTED_SAVING && !overdue && t->stop_grace_s > 0)
     return;
-  hr_order_kill (orders, j->id, r.task, t->try, overdue ? 0 : t->grace);
+  hr_order_kill (orders, j->id, r.task, t->placement.attempt, overdue ? 0 : t->stop_grace_s);
   c->counters.stops++;
-  log_order ("stop", j->id, r.task, t->try, m, direct, stop_reason (j));
+  log_order ("stop", j->id, r.task, t->placement.attempt, m, direct, stop_reason (j));
 }
 
 gboolean
@@ -73,15 +75,15 @@
 {
   gboolean launch = FALSE, may = may_launch (c);
   for (guint i = 0; i < m->tasks->len; i++) {
-    HrRef r = g_array_index (m->tasks, HrRef, i);
+    HrTaskRef r = g_array_index (m->tasks, HrTaskRef, i);
     HrJob *j = c->jobs->pdata[r.job];
     HrTask *t = &j->tasks[r.task];
-    if (t->state != HR_T_BOUND || t->session != m->session)
+    if (t->state != HR_TASK_BOUND || t->placement.incarnation != m->incarnation)
       continue;
-    if (may && t->shown == HR_NOT_SHOWN && launchable (c, j, t)) {
+    if (may && t->reported_state == HR_NOT_REPORTED && launchable (c, j, t)) {
       append_launch (c, m, orders, r, direct);
       launch = TRUE;
-    } else if (t->kill && (!direct || c->now - t->killed_at > STOP_AGAIN_S))
+    } else if (t->stop_wanted && (!direct || c->now - t->stop_sent_at > STOP_AGAIN_S))
       append_stop (c, m, orders, r, direct);
   }
   return launch;
--- a/src/coordination/plan.h
+++ b/src/coordination/plan.h
@@ -11,11 +11,11 @@
 
 gboolean hr_better (HrJudge a, HrJudge b);
 
-HrJob *hr_job_of (HrCore *c, HrRef r);
+HrJob *hr_job_of (HrCore *c, HrTaskRef r);
 gboolean hr_usable (const HrCore *c, const HrMachine *m);
 /* Where a job belongs in a list by its deadline. */
 guint hr_slot_of (HrCore *c, HrMachine *m, const HrJob *j);
-void hr_list_insert (HrCore *c, HrMachine *m, HrRef r);
+void hr_list_insert (HrCore *c, HrMachine *m, HrTaskRef r);
 /* For the projected starts of a list; the owner of all state is a single thread. */
 double *hr_scratch (guint n);
 
--- a/src/coordination/planner.c
+++ b/src/coordination/planner.c
@@ -7,10 +7,10 @@
 #define WINDOW 64 /* tasks of one job that stand in lists at a time */
 
 static gboolean
-stands (HrCore *c, HrMachine *m, HrRef r)
+stands (HrCore *c, HrMachine *m, HrTaskRef r)
 {
   HrJob *j = hr_job_of (c, r);
-  return j->tasks && j->state == HR_JOB_QUEUED && j->tasks[r.task].state == HR_T_IDLE &&
+  return j->tasks && j->state == HR_JOB_QUEUED && j->tasks[r.task].state == HR_TASK_IDLE &&
          !j->gang_over && hr_allowed (c, j, m) && hr_zone_ok (c, j, m);
 }
 
@@ -40,7 +40,7 @@
   for (guint i = 0; i < c->fleet->len; i++) {
     HrMachine *m = c->fleet->pdata[i];
     for (guint k = 0; k < m->list->len;) {
-      HrRef r = g_array_index (m->list, HrRef, k);
+      HrTaskRef r = g_array_index (m->list, HrTaskRef, k);
       HrJob *j = hr_job_of (c, r);
       /* Gangs are placed anew in each pass: their common start moves with every list. */
       if (hr_usable (c, m) && stands (c, m, r) && j->spec.shape != HR_GANG &&
@@ -87,7 +87,7 @@
     g_autoptr (GPtrArray) order = NULL;
     guint most = most_listed (c, j);
     for (guint32 k = 0; k < j->ntasks && j->planned < most; k++) {
-      if (j->tasks[k].state != HR_T_IDLE || j->tasks[k].planned)
+      if (j->tasks[k].state != HR_TASK_IDLE || j->tasks[k].is_listed)
         continue;
       if (!order)
         order = hr_mtedf_order (c, lists, j);
--- a/src/coordination/preempt.c
+++ b/src/coordination/preempt.c
@@ -25,7 +25,7 @@
 double
 hr_stop_loss (HrCore *c, const HrJob *v, const HrTask *t)
 {
-  double ran = t->ran_at ? c->now - t->ran_at : 0;
+  double ran = t->running_since ? c->now - t->running_since : 0;
   if (v->spec.checkpoint > 0)
     ran = MIN (ran, v->spec.save + 5);
   return ran + 1 + (v->spec.shape == HR_GANG ? 1000 : 0);
@@ -35,7 +35,8 @@
 hr_stop_for_room (HrCore *c, HrJob *v, guint32 task)
 {
   const HrTask *t = &v->tasks[task];
-  double grace = v->spec.checkpoint > 0 && t->shown == HR_W_RUNNING ? v->spec.save + 1 : 0;
+  double grace =
+      v->spec.checkpoint > 0 && t->reported_state == HR_REPORTED_RUNNING ? v->spec.save + 1 : 0;
   if (v->spec.shape == HR_GANG)
     hr_gang_end (c, v, v->spec.save + 1);
   else
@@ -52,10 +53,11 @@
   for (guint k = 0; k < m->tasks->len; k++) {
     if (cpus + 1e-6 >= j->spec.cpus && gpus + 1e-6 >= j->spec.gpus && mem + 1e-6 >= j->spec.mem)
       break;
-    HrRef x = g_array_index (m->tasks, HrRef, k);
+    HrTaskRef x = g_array_index (m->tasks, HrTaskRef, k);
     HrJob *v = c->jobs->pdata[x.job];
     HrTask *t = &v->tasks[x.task];
-    if (t->state != HR_T_BOUND || t->kill || v->spec.shape != HR_BATCH || !may_stop (c, v, j))
+    if (t->state != HR_TASK_BOUND || t->stop_wanted || v->spec.shape != HR_BATCH ||
+        !may_stop (c, v, j))
       continue;
     cpus += v->spec.cpus;
     gpus += v->spec.gpus;
@@ -107,12 +109,12 @@
       continue;
     double cpus = r->cpus, gpus = r->gpus, mem = r->mem, cost = 0;
     for (guint k = 0; k < m->tasks->len; k++) {
-      HrRef x = g_array_index (m->tasks, HrRef, k);
+      HrTaskRef x = g_array_index (m->tasks, HrTaskRef, k);
       HrJob *v = c->jobs->pdata[x.job];
       HrTask *t = &v->tasks[x.task];
       if (cpus >= j->spec.cpus && gpus >= j->spec.gpus && mem >= j->spec.mem)
         break;
-      if (t->state != HR_T_BOUND || t->kill || (others && v->spec.team == j->spec.team) ||
+      if (t->state != HR_TASK_BOUND || t->stop_wanted || (others && v->spec.team == j->spec.team) ||
           !may_stop (c, v, j))
         continue;
       cpus += v->spec.cpus;
@@ -129,13 +131,13 @@
   if (!best)
     return FALSE;
   for (guint k = 0; k < best->m->tasks->len; k++) {
-    HrRef x = g_array_index (best->m->tasks, HrRef, k);
+    HrTaskRef x = g_array_index (best->m->tasks, HrTaskRef, k);
     HrJob *v = c->jobs->pdata[x.job];
     HrTask *t = &v->tasks[x.task];
     if (best->cpus + 1e-6 >= j->spec.cpus && best->gpus + 1e-6 >= j->spec.gpus &&
         best->mem + 1e-6 >= j->spec.mem)
       break;
-    if (t->state != HR_T_BOUND || t->kill || (others && v->spec.team == j->spec.team) ||
+    if (t->state != HR_TASK_BOUND || t->stop_wanted || (others && v->spec.team == j->spec.team) ||
         !may_stop (c, v, j))
       continue;
     g_info ("%s/%u on %s makes room for %s", v->id, x.task, best->m->name, j->id);
--- a/src/coordination/project.c
+++ b/src/coordination/project.c
@@ -4,7 +4,7 @@
 #include <math.h>
 
 HrJob *
-hr_job_of (HrCore *c, HrRef r)
+hr_job_of (HrCore *c, HrTaskRef r)
 {
   return c->jobs->pdata[r.job];
 }
@@ -45,13 +45,13 @@
   double own = j->spec.image_gb / t->fetch_rate, others = 0;
   guint32 last = HR_NONE;
   for (guint i = 0; i < m->tasks->len; i++) {
-    HrRef r = g_array_index (m->tasks, HrRef, i);
+    HrTaskRef r = g_array_index (m->tasks, HrTaskRef, i);
     const HrJob *o = hr_job_of ((HrCore *)c, r);
     if (o->spec.image == last || hr_machine_has_image (m, o->spec.image))
       continue;
     last = o->spec.image;
     /* A machine that boots has fetched nothing yet. */
-    double since = m->state == HR_M_UP ? c->now - o->tasks[r.task].placed_at : 0;
+    double since = m->state == HR_M_UP ? c->now - o->tasks[r.task].bound_since : 0;
     double left = MAX (0.5, o->spec.image_gb / t->fetch_rate - since);
     if (o->spec.image == j->spec.image)
       own = MIN (own, left);
@@ -93,11 +93,11 @@
   const HrType *ty = hr_type (c, m);
   double est = j->spec.estimate > 0 ? j->spec.estimate : 60;
   est *= hr_class (c, j->spec.klass)->correction;
-  if (!t->ran_at && ty && !hr_machine_has_image (m, j->spec.image))
+  if (!t->running_since && ty && !hr_machine_has_image (m, j->spec.image))
     est += j->spec.image_gb / ty->fetch_rate;
-  double end = (t->ran_at ? t->ran_at : t->placed_at) + est;
+  double end = (t->running_since ? t->running_since : t->bound_since) + est;
   /* Past its estimate: never in the past, and the longer over the longer to go. */
-  return MAX (end, c->now + MAX (2, 0.2 * (c->now - t->placed_at)));
+  return MAX (end, c->now + MAX (2, 0.2 * (c->now - t->bound_since)));
 }
 
 /* When a task of `s` can start on an idle-from-then machine; fills starts when given. */
@@ -116,7 +116,7 @@
   if (m->state == HR_M_BOOTING)
     at = MAX (c->now + 2, m->rented_at + ty->boot_s);
   for (guint i = 0; i < m->tasks->len; i++) {
-    HrRef r = g_array_index (m->tasks, HrRef, i);
+    HrTaskRef r = g_array_index (m->tasks, HrTaskRef, i);
     HrJob *j = hr_job_of (c, r);
     add_busy (busy, hr_running_end (c, j, &j->tasks[r.task], m), &j->spec);
   }
@@ -125,7 +125,7 @@
   m->ready = at;
   double from = at;
   for (guint i = 0; i < m->list->len; i++) {
-    HrRef r = g_array_index (m->list, HrRef, i);
+    HrTaskRef r = g_array_index (m->list, HrTaskRef, i);
     HrJob *j = hr_job_of (c, r);
     const HrJobSpec *s = &j->spec;
     double start = from;
@@ -171,28 +171,28 @@
 {
   guint i = 0;
   while (i < m->list->len &&
-         hr_job_of (c, g_array_index (m->list, HrRef, i))->deadline <= j->deadline)
+         hr_job_of (c, g_array_index (m->list, HrTaskRef, i))->deadline <= j->deadline)
     i++;
   return i;
 }
 
 void
-hr_list_insert (HrCore *c, HrMachine *m, HrRef r)
+hr_list_insert (HrCore *c, HrMachine *m, HrTaskRef r)
 {
   HrJob *j = hr_job_of (c, r);
   guint at = hr_slot_of (c, m, j);
   g_array_insert_val (m->list, at, r);
-  j->planned += !j->tasks[r.task].planned;
-  j->tasks[r.task].planned = 1;
-  j->tasks[r.task].list = m->idx;
+  j->planned += !j->tasks[r.task].is_listed;
+  j->tasks[r.task].is_listed = 1;
+  j->tasks[r.task].listed_on = m->idx;
 }
 
 void
 hr_unplan (HrJob *j, guint32 task)
 {
-  if (!j->tasks || !j->tasks[task].planned)
+  if (!j->tasks || !j->tasks[task].is_listed)
     return;
-  j->tasks[task].planned = 0;
+  j->tasks[task].is_listed = 0;
   j->planned--;
 }
 
@@ -209,10 +209,10 @@
 }
 
 void
-hr_list_remove (HrMachine *m, HrRef r)
+hr_list_remove (HrMachine *m, HrTaskRef r)
 {
   for (guint i = 0; i < m->list->len; i++) {
-    HrRef *x = &g_array_index (m->list, HrRef, i);
+    HrTaskRef *x = &g_array_index (m->list, HrTaskRef, i);
     if (x->job == r.job && x->task == r.task) {
       g_array_remove_index (m->list, i);
       return;
@@ -224,9 +224,9 @@
 hr_job_unplan (HrCore *c, HrJob *j)
 {
   for (guint32 i = 0; j->tasks && j->planned && i < j->ntasks; i++) {
-    if (!j->tasks[i].planned)
+    if (!j->tasks[i].is_listed)
       continue;
-    hr_list_remove (c->machines->pdata[j->tasks[i].list], (HrRef){j->idx, i});
+    hr_list_remove (c->machines->pdata[j->tasks[i].listed_on], (HrTaskRef){j->idx, i});
     hr_unplan (j, i);
   }
 }
@@ -240,9 +240,9 @@
   guint here = 0;
   for (guint32 i = 0; i < j->ntasks; i++) {
     HrTask *t = &j->tasks[i];
-    if (t->state != HR_T_ASSIGNING && t->state != HR_T_BOUND)
+    if (t->state != HR_TASK_ASSIGNING && t->state != HR_TASK_BOUND)
       continue;
-    guint32 zone = ((HrMachine *)c->machines->pdata[t->machine])->zone;
+    guint32 zone = ((HrMachine *)c->machines->pdata[t->placement.machine])->zone;
     if (zone == HR_NONE)
       return FALSE; /* known from a record alone: nothing is placed beside it blindly */
     gboolean same = zone == m->zone;
@@ -261,7 +261,7 @@
   double *starts = hr_scratch (m->list->len);
   hr_project (c, m, starts);
   for (guint k = 0; k < m->list->len; k++) {
-    HrListedTask t = {g_array_index (m->list, HrRef, k), m, starts[k]};
+    HrListedTask t = {g_array_index (m->list, HrTaskRef, k), m, starts[k]};
     g_array_append_val (listed, t);
   }
 }
--- a/src/coordination/renewal.c
+++ b/src/coordination/renewal.c
@@ -13,34 +13,34 @@
 }
 
 static const HrJob *
-job_of (HrCore *c, const HrWorkItem *it)
+job_of (HrCore *c, const HrReportedTask *it)
 {
   guint32 i = hr_intern_find (&c->job_ids, it->job);
   return i == HR_NONE ? NULL : c->jobs->pdata[i];
 }
 
 static gboolean
-shown_and_over (HrCore *c, const HrWorkItem *it)
+shown_and_over (HrCore *c, const HrReportedTask *it)
 {
-  const HrJob *j = it->state == HR_W_EXITED ? NULL : job_of (c, it);
+  const HrJob *j = it->state == HR_REPORTED_EXITED ? NULL : job_of (c, it);
   return j && is_over (j);
 }
 
 /* The record has the task on this machine in this session, so a launch may have started it though
  * the report, which left earlier, lacks it. */
 static gboolean
-recorded_and_over (const HrCore *c, const HrMachine *m, HrRef r)
+recorded_and_over (const HrCore *c, const HrMachine *m, HrTaskRef r)
 {
   const HrJob *j = c->jobs->pdata[r.job];
   const HrTask *t = &j->tasks[r.task];
-  return is_over (j) && t->state == HR_T_BOUND && t->session == m->session;
+  return is_over (j) && t->state == HR_TASK_BOUND && t->placement.incarnation == m->incarnation;
 }
 
 static void
 stop_shown (HrCore *c, const HrMachine *m, const HrReport *r, json_t *orders)
 {
   for (guint i = 0; i < r->items->len; i++) {
-    const HrWorkItem *it = &g_array_index (r->items, HrWorkItem, i);
+    const HrReportedTask *it = &g_array_index (r->items, HrReportedTask, i);
     if (shown_and_over (c, it) && !hr_orders_name_stop (orders, it->job, it->task, it->attempt))
       hr_orders_stop (c, m, orders, it->job, it->task, it->attempt, "over");
   }
@@ -50,11 +50,11 @@
 stop_recorded (HrCore *c, const HrMachine *m, json_t *orders)
 {
   for (guint i = 0; i < m->tasks->len; i++) {
-    HrRef r = g_array_index (m->tasks, HrRef, i);
+    HrTaskRef r = g_array_index (m->tasks, HrTaskRef, i);
     const HrJob *j = c->jobs->pdata[r.job];
     if (recorded_and_over (c, m, r) &&
-        !hr_orders_name_stop (orders, j->id, r.task, j->tasks[r.task].try))
-      hr_orders_stop (c, m, orders, j->id, r.task, j->tasks[r.task].try, "over");
+        !hr_orders_name_stop (orders, j->id, r.task, j->tasks[r.task].placement.attempt))
+      hr_orders_stop (c, m, orders, j->id, r.task, j->tasks[r.task].placement.attempt, "over");
   }
 }
 
@@ -62,15 +62,15 @@
 hr_renewal_missing (HrCore *c, const HrMachine *m, const HrReport *r, json_t *orders)
 {
   for (guint i = 0; i < r->items->len; i++) {
-    const HrWorkItem *it = &g_array_index (r->items, HrWorkItem, i);
+    const HrReportedTask *it = &g_array_index (r->items, HrReportedTask, i);
     if (shown_and_over (c, it) && !hr_orders_name_stop (orders, it->job, it->task, it->attempt))
       return g_strdup_printf ("%s/%u", it->job, it->task);
   }
   for (guint i = 0; i < m->tasks->len; i++) {
-    HrRef ref = g_array_index (m->tasks, HrRef, i);
+    HrTaskRef ref = g_array_index (m->tasks, HrTaskRef, i);
     const HrJob *j = c->jobs->pdata[ref.job];
     if (recorded_and_over (c, m, ref) &&
-        !hr_orders_name_stop (orders, j->id, ref.task, j->tasks[ref.task].try))
+        !hr_orders_name_stop (orders, j->id, ref.task, j->tasks[ref.task].placement.attempt))
       return g_strdup_printf ("%s/%u", j->id, ref.task);
   }
   return NULL;
@@ -94,7 +94,7 @@
   g_debug ("answer: machine=%s kind=%s seq=%" G_GUINT64_FORMAT " session=%" G_GUINT64_FORMAT
            " token=%" G_GUINT64_FORMAT " seen=%" G_GUINT64_FORMAT
            " tasks=%u stops=%u launches=%u clears=%u",
-           m->name, kind_names[kind], r->seq, r->session, c->baton, r->token, r->items->len,
+           m->name, kind_names[kind], r->seq, r->incarnation, c->baton, r->token, r->items->len,
            hr_orders_count (orders, "kill"), hr_orders_count (orders, "launch"),
            hr_orders_count (orders, "clear"));
 }
--- a/src/coordination/rent.c
+++ b/src/coordination/rent.c
@@ -186,7 +186,8 @@
   HrMachine *m = room->m;
   guint n = 0;
   for (; n < m->list->len; n++) {
-    const HrJobSpec *s = &((HrJob *)c->jobs->pdata[g_array_index (m->list, HrRef, n).job])->spec;
+    const HrJobSpec *s =
+        &((HrJob *)c->jobs->pdata[g_array_index (m->list, HrTaskRef, n).job])->spec;
     if (!hr_room_take (room, s->cpus, s->gpus, s->mem))
       break;
   }
@@ -263,8 +264,8 @@
     return INFINITY;
   for (guint32 i = 0; i < j->ntasks && isfinite (end); i++) {
     const HrTask *t = &j->tasks[i];
-    if (t->state == HR_T_BOUND || t->state == HR_T_ASSIGNING)
-      end = MAX (end, hr_running_end (c, j, t, c->machines->pdata[t->machine]));
+    if (t->state == HR_TASK_BOUND || t->state == HR_TASK_ASSIGNING)
+      end = MAX (end, hr_running_end (c, j, t, c->machines->pdata[t->placement.machine]));
   }
   return end;
 }
--- a/src/coordination/replicas.c
+++ b/src/coordination/replicas.c
@@ -79,7 +79,7 @@
     for (guint32 k = 0; k < j->ntasks; k++) {
       HrMachine *best = NULL;
       double most = 0;
-      if (j->tasks[k].state != HR_T_IDLE || !hr_team_allows (c, j, 1))
+      if (j->tasks[k].state != HR_TASK_IDLE || !hr_team_allows (c, j, 1))
         continue;
       for (guint n = 0; n < rooms->len; n++) {
         HrMachine *m = rooms->pdata[n];
--- a/src/coordination/requests.h
+++ b/src/coordination/requests.h
@@ -11,7 +11,7 @@
   GStrv awaits;   /* ids, or NULL */
   guint per_page; /* tasks per page of its record; 0: they stand in the main record */
   double asked;
-  guint tries;
+  guint attempts;
   char *tag;     /* of the write under way */
   gsize bytes;   /* of a cancellation's record */
   int refusal;   /* of a submission that can't be accepted: the status, if it is new */
--- a/src/coordination/room.h
+++ b/src/coordination/room.h
@@ -42,7 +42,7 @@
 int hr_by_submission (gconstpointer a, gconstpointer b); /* for arrays of HrJob */
 /* A task in a machine's list, and when it should start there. */
 typedef struct {
-  HrRef task;
+  HrTaskRef task;
   HrMachine *machine;
   double start;
 } HrListedTask;
--- a/src/coordination/state.h
+++ b/src/coordination/state.h
@@ -274,7 +274,7 @@
 void hr_task_assign (HrCore *c, HrJob *j, guint32 task, HrMachine *m, guint32 attempt);
 void hr_task_bound (HrCore *c, HrJob *j, guint32 task);
 void hr_task_unassign (HrCore *c, HrJob *j, guint32 task);
-void hr_task_gone (HrCore *c, HrJob *j, guint32 task, HrExit why, const char *proof);
+void hr_task_gone (HrCore *c, HrJob *j, guint32 task, HrExitCause why, const char *proof);
 void hr_task_done (HrCore *c, HrJob *j, guint32 task);
 void hr_task_stop (HrCore *c, HrJob *j, guint32 task, double grace);
 /* All its tasks are recorded, of one attempt. */
@@ -287,7 +287,7 @@
  * those whose machine went before it could say so. */
 void hr_gang_done (HrCore *c, HrJob *j, guint32 attempt, gboolean any);
 void hr_job_cancelled (HrCore *c, HrJob *j);
-guint32 hr_job_next_try (const HrJob *j);
+guint32 hr_job_next_attempt (const HrJob *j);
 /* Tasks that are recorded on machines. The job has its tasks. */
 guint hr_job_bound_tasks (const HrJob *j);
 
@@ -342,7 +342,7 @@
 gboolean hr_zone_ok (HrCore *c, HrJob *j, HrMachine *m);
 /* Projects a list: its late count and tardiness, and each task's start when asked for. */
 void hr_project (HrCore *c, HrMachine *m, double *starts);
-void hr_list_remove (HrMachine *m, HrRef r);
+void hr_list_remove (HrMachine *m, HrTaskRef r);
 void hr_unplan (HrJob *j, guint32 task);
 /* Takes all its tasks out of the lists: the next pass places them anew. */
 void hr_job_unplan (HrCore *c, HrJob *j);
--- a/src/coordination/tabu.c
+++ b/src/coordination/tabu.c
@@ -3,10 +3,10 @@
 #include <string.h>
 
 static gboolean
-is_tabu (GArray *tabu, HrRef r)
+is_tabu (GArray *tabu, HrTaskRef r)
 {
   for (guint i = 0; i < tabu->len; i++) {
-    HrRef *x = &g_array_index (tabu, HrRef, i);
+    HrTaskRef *x = &g_array_index (tabu, HrTaskRef, i);
     if (x->job == r.job && x->task == r.task)
       return TRUE;
   }
@@ -18,7 +18,7 @@
 {
   guint n = lists->len;
   g_autofree gboolean *avail = g_new (gboolean, n), *cand = g_new (gboolean, n);
-  g_autoptr (GArray) tabu = g_array_new (FALSE, FALSE, sizeof (HrRef));
+  g_autoptr (GArray) tabu = g_array_new (FALSE, FALSE, sizeof (HrTaskRef));
   double total = 0;
   for (guint i = 0; i < n; i++) {
     avail[i] = cand[i] = TRUE;
@@ -38,10 +38,10 @@
     /* The most tardy job of the tardiest list. Gangs stay: their slots hang together. */
     double *starts = hr_scratch (a->list->len);
     hr_project (c, a, starts);
-    HrRef pick = {HR_NONE, 0};
+    HrTaskRef pick = {HR_NONE, 0};
     double worst = 0;
     for (guint i = 0; i < a->list->len; i++) {
-      HrRef r = g_array_index (a->list, HrRef, i);
+      HrTaskRef r = g_array_index (a->list, HrTaskRef, i);
       HrJob *j = hr_job_of (c, r);
       double over = starts[i] + hr_estimate (c, j, a) - (j->deadline - c->wall + c->now);
       if (over > worst && j->spec.shape != HR_GANG && !is_tabu (tabu, r)) {
--- a/src/coordination/takeover.c
+++ b/src/coordination/takeover.c
@@ -2,7 +2,7 @@
 #include "coordination/state.h"
 
 /* More than any task is tried in one owner's time. */
-#define TRIES_A_TERM 1000
+#define ATTEMPTS_PER_TERM 1000
 
 /* What an earlier term knew of the machine is out of date. */
 static void
@@ -31,17 +31,17 @@
 take_over_bound (HrCore *c, HrJob *j, guint32 task)
 {
   HrTask *t = &j->tasks[task];
-  HrMachine *m = hr_machine_get (c, hr_intern_name (&c->machine_ids, t->rmachine));
-  t->machine = t->rmachine;
-  t->session = t->rsession;
-  t->state = HR_T_BOUND;
-  t->inherited = 1;
+  HrMachine *m = hr_machine_get (c, hr_intern_name (&c->machine_ids, t->recorded.machine));
+  t->placement.machine = t->recorded.machine;
+  t->placement.incarnation = t->recorded.incarnation;
+  t->state = HR_TASK_BOUND;
+  t->from_earlier_term = 1;
   j->nlive++;
-  hr_machine_take (m, &j->spec, (HrRef){j->idx, task});
+  hr_machine_take (m, &j->spec, (HrTaskRef){j->idx, task});
   if (m->state == HR_M_GONE) {
     /* Known from a record alone: it reports, or its absence gets proven. */
     m->state = HR_M_UP;
-    m->session = MAX (m->session, t->rsession);
+    m->incarnation = MAX (m->incarnation, t->recorded.incarnation);
     hr_fleet_add (c, m);
   }
 }
@@ -53,24 +53,26 @@
   gboolean bound = FALSE, mixed = FALSE;
   for (guint32 k = 0; k < j->ntasks; k++) {
     HrTask *t = &j->tasks[k];
-    t->inflight = t->kill = t->planned = 0;
-    t->shown = HR_NOT_SHOWN;
-    t->state = HR_T_IDLE;
-    t->try = t->rtry;
-    t->ran_at = t->killed_at = 0;
-    t->placed_at = c->now;
-    if (t->rdone) {
-      t->state = HR_T_DONE;
+    t->write_in_flight = t->stop_wanted = t->is_listed = 0;
+    t->reported_state = HR_NOT_REPORTED;
+    t->state = HR_TASK_IDLE;
+    t->placement.attempt = t->recorded.attempt;
+    t->running_since = t->stop_sent_at = 0;
+    t->bound_since = c->now;
+    if (t->done_recorded) {
+      t->state = HR_TASK_DONE;
       j->ndone++;
       continue;
     }
-    if (t->rmachine == HR_NONE) {
+    if (t->recorded.machine == HR_NONE) {
       if (j->unreadable) /* its attempts are not known either, and none may be numbered twice */
-        t->try = MAX (t->try, (guint32)(c->led_baton * TRIES_A_TERM));
+        t->placement.attempt =
+            MAX (t->placement.attempt, (guint32)(c->led_baton * ATTEMPTS_PER_TERM));
       mixed |= j->spec.shape == HR_GANG && bound;
       continue;
     }
-    mixed |= j->spec.shape == HR_GANG && (k > 0 && (!bound || t->rtry != j->tasks[0].rtry));
+    mixed |= j->spec.shape == HR_GANG &&
+             (k > 0 && (!bound || t->recorded.attempt != j->tasks[0].recorded.attempt));
     bound = TRUE;
     take_over_bound (c, j, k);
   }
--- a/src/coordination/tasks.c
+++ b/src/coordination/tasks.c
@@ -9,7 +9,7 @@
 static HrMachine *
 machine_of (HrCore *c, const HrTask *t)
 {
-  return c->machines->pdata[t->machine];
+  return c->machines->pdata[t->placement.machine];
 }
 
 /* Its orders go out with the next step. */
@@ -28,11 +28,11 @@
 }
 
 guint32
-hr_job_next_try (const HrJob *j)
+hr_job_next_attempt (const HrJob *j)
 {
   guint32 a = 0;
   for (guint32 i = 0; i < j->ntasks; i++)
-    a = MAX (a, MAX (j->tasks[i].try, j->tasks[i].rtry));
+    a = MAX (a, MAX (j->tasks[i].placement.attempt, j->tasks[i].recorded.attempt));
   return a + 1;
 }
 
@@ -40,16 +40,16 @@
 hr_task_assign (HrCore *c, HrJob *j, guint32 task, HrMachine *m, guint32 attempt)
 {
   HrTask *t = &j->tasks[task];
-  HrRef r = {j->idx, task};
-  t->machine = m->idx;
-  t->session = m->session;
-  t->try = attempt;
-  t->state = HR_T_ASSIGNING;
-  t->shown = HR_NOT_SHOWN;
-  t->kill = t->inherited = 0;
-  t->killed_at = t->ran_at = 0;
-  t->placed_at = c->now;
-  t->fetch = hr_fetch_time (c, j, m);
+  HrTaskRef r = {j->idx, task};
+  t->placement.machine = m->idx;
+  t->placement.incarnation = m->incarnation;
+  t->placement.attempt = attempt;
+  t->state = HR_TASK_ASSIGNING;
+  t->reported_state = HR_NOT_REPORTED;
+  t->stop_wanted = t->from_earlier_term = 0;
+  t->stop_sent_at = t->running_since = 0;
+  t->bound_since = c->now;
+  t->expected_fetch_s = hr_fetch_time (c, j, m);
   j->nlive++;
   hr_machine_take (m, &j->spec, r);
   hr_record_writer_mark (c, j, task);
@@ -62,10 +62,10 @@
 {
   HrTask *t = &j->tasks[task];
   HrMachine *m = machine_of (c, t);
-  HrRef r = {j->idx, task};
+  HrTaskRef r = {j->idx, task};
   hr_machine_give (m, &j->spec, r);
   j->nlive--;
-  t->kill = 0;
+  t->stop_wanted = 0;
   freed (c, m);
   if (j->nlive)
     return;
@@ -78,7 +78,7 @@
 void
 hr_task_unassign (HrCore *c, HrJob *j, guint32 task)
 {
-  j->tasks[task].state = HR_T_IDLE;
+  j->tasks[task].state = HR_TASK_IDLE;
   release (c, j, task);
 }
 
@@ -86,7 +86,8 @@
 hr_gang_ready (const HrJob *j)
 {
   for (guint32 i = 0; i < j->ntasks; i++)
-    if (j->tasks[i].state != HR_T_BOUND || j->tasks[i].try != j->tasks[0].try)
+    if (j->tasks[i].state != HR_TASK_BOUND ||
+        j->tasks[i].placement.attempt != j->tasks[0].placement.attempt)
       return FALSE;
   return TRUE;
 }
@@ -96,10 +97,10 @@
 {
   HrTask *t = &j->tasks[task];
   HrMachine *m = machine_of (c, t);
-  t->state = HR_T_BOUND;
-  if (m->state != HR_M_UP || m->session != t->session) {
+  t->state = HR_TASK_BOUND;
+  if (m->state != HR_M_UP || m->incarnation != t->placement.incarnation) {
     /* The machine went, or began a new session, while we wrote; nothing was sent. */
-    hr_task_gone (c, j, task, HR_X_NONE, "its machine changed before the launch");
+    hr_task_gone (c, j, task, HR_EXIT_NONE, "its machine changed before the launch");
     return;
   }
   if (j->spec.shape == HR_GANG && j->ndone) {
@@ -123,9 +124,10 @@
 {
   double longest = 0;
   for (guint32 i = 0; i < j->ntasks; i++)
-    if (j->tasks[i].shown == HR_NOT_SHOWN || j->tasks[i].shown == HR_W_FETCHING)
-      longest = MAX (longest, j->tasks[i].fetch);
-  return c->now < j->ready_at + longest - t->fetch - c->set->gang_wait_s / 2;
+    if (j->tasks[i].reported_state == HR_NOT_REPORTED ||
+        j->tasks[i].reported_state == HR_REPORTED_FETCHING)
+      longest = MAX (longest, j->tasks[i].expected_fetch_s);
+  return c->now < j->ready_at + longest - t->expected_fetch_s - c->set->gang_wait_s / 2;
 }
 
 void
@@ -135,15 +137,15 @@
   j->short_since = 0;
   for (guint32 i = 0; i < j->ntasks; i++) {
     HrTask *t = &j->tasks[i];
-    if (t->state == HR_T_ASSIGNING && !t->inflight)
+    if (t->state == HR_TASK_ASSIGNING && !t->write_in_flight)
       hr_task_unassign (c, j, i);
-    else if (t->state == HR_T_BOUND && !t->kill)
+    else if (t->state == HR_TASK_BOUND && !t->stop_wanted)
       hr_task_stop (c, j, i, grace);
   }
 }
 
 static void
-failed (HrCore *c, HrJob *j, HrMachine *m, HrExit why)
+failed (HrCore *c, HrJob *j, HrMachine *m, HrExitCause why)
 {
   j->last_error = why;
   j->bad_machine = m->idx;
@@ -172,27 +174,27 @@
 gang_began (const HrJob *j)
 {
   for (guint32 i = 0; i < j->ntasks; i++)
-    if (j->tasks[i].state == HR_T_BOUND &&
-        (j->tasks[i].ran_at || j->tasks[i].inherited || j->tasks[i].kill))
+    if (j->tasks[i].state == HR_TASK_BOUND &&
+        (j->tasks[i].running_since || j->tasks[i].from_earlier_term || j->tasks[i].stop_wanted))
       return TRUE;
   return FALSE;
 }
 
 void
-hr_task_gone (HrCore *c, HrJob *j, guint32 task, HrExit why, const char *proof)
+hr_task_gone (HrCore *c, HrJob *j, guint32 task, HrExitCause why, const char *proof)
 {
   HrTask *t = &j->tasks[task];
   HrMachine *m = machine_of (c, t);
-  if (t->state != HR_T_BOUND)
+  if (t->state != HR_TASK_BOUND)
     return;
   /* The others of a gang that has not begun keep waiting; a replacement with the same
    * attempt number completes it. A task that failed would most likely fail again. */
-  gboolean replace = (why == HR_X_NONE || why == HR_X_FULL) && !gang_began (j);
-  g_debug ("%s/%u try %u is off %s: %s", j->id, task, t->try, m->name, proof);
-  t->state = HR_T_IDLE;
-  if (why == HR_X_ERROR || why == HR_X_UNKNOWN)
+  gboolean replace = (why == HR_EXIT_NONE || why == HR_EXIT_FULL) && !gang_began (j);
+  g_debug ("%s/%u try %u is off %s: %s", j->id, task, t->placement.attempt, m->name, proof);
+  t->state = HR_TASK_IDLE;
+  if (why == HR_EXIT_ERROR || why == HR_EXIT_UNKNOWN)
     failed (c, j, m, why);
-  else if (why == HR_X_FULL || why == HR_X_IN_USE) {
+  else if (why == HR_EXIT_FULL || why == HR_EXIT_IN_USE) {
     m->full_until = c->now + 3;
     j->last_error = why;
   }
@@ -212,8 +214,8 @@
 learn (HrCore *c, HrJob *j, HrTask *t, HrMachine *m)
 {
   HrClassStat *s = hr_class (c, j->spec.klass);
-  double ran = c->now - t->ran_at;
-  if (!t->ran_at || j->spec.estimate <= 0 || j->spec.shape == HR_SERVICE)
+  double ran = c->now - t->running_since;
+  if (!t->running_since || j->spec.estimate <= 0 || j->spec.shape == HR_SERVICE)
     return;
   double ratio = CLAMP (ran / j->spec.estimate, c->pol.correction_least, c->pol.correction_most);
   /* One task counts little: jobs differ far more than a class drifts. */
@@ -227,14 +229,14 @@
 {
   for (guint32 i = 0; i < j->ntasks; i++) {
     HrTask *t = &j->tasks[i];
-    if (t->try != attempt && !any)
+    if (t->placement.attempt != attempt && !any)
       continue;
-    if (t->state == HR_T_ASSIGNING && !t->inflight)
+    if (t->state == HR_TASK_ASSIGNING && !t->write_in_flight)
       hr_task_unassign (c, j, i);
-    if (t->state == HR_T_BOUND)
+    if (t->state == HR_TASK_BOUND)
       hr_task_done (c, j, i);
-    else if (t->state == HR_T_IDLE) {
-      t->state = HR_T_DONE;
+    else if (t->state == HR_TASK_IDLE) {
+      t->state = HR_TASK_DONE;
       j->ndone++;
       hr_record_writer_mark (c, j, i);
     }
@@ -245,7 +247,7 @@
 hr_task_done (HrCore *c, HrJob *j, guint32 task)
 {
   HrTask *t = &j->tasks[task];
-  if (t->state != HR_T_BOUND)
+  if (t->state != HR_TASK_BOUND)
     return;
   HrMachine *m = machine_of (c, t);
   learn (c, j, t, m);
@@ -253,23 +255,23 @@
   m->error_job = HR_NONE;
   j->errors = 0;
   g_debug ("%s/%u ends on %s", j->id, task, m->name);
-  t->state = HR_T_DONE;
+  t->state = HR_TASK_DONE;
   j->ndone++;
   release (c, j, task);
   hr_record_writer_mark (c, j, task);
   if (j->spec.shape == HR_GANG)
-    hr_gang_done (c, j, t->try, FALSE);
+    hr_gang_done (c, j, t->placement.attempt, FALSE);
 }
 
 void
 hr_task_stop (HrCore *c, HrJob *j, guint32 task, double grace)
 {
   HrTask *t = &j->tasks[task];
-  if (t->state != HR_T_BOUND || (t->kill && t->grace <= grace))
+  if (t->state != HR_TASK_BOUND || (t->stop_wanted && t->stop_grace_s <= grace))
     return;
-  t->kill = 1;
-  t->grace = grace;
-  t->killed_at = 0;
+  t->stop_wanted = 1;
+  t->stop_grace_s = grace;
+  t->stop_sent_at = 0;
   urgent (c, machine_of (c, t));
 }
 
@@ -278,7 +280,7 @@
 {
   guint n = 0;
   for (guint32 i = 0; i < j->ntasks; i++)
-    n += j->tasks[i].state == HR_T_BOUND;
+    n += j->tasks[i].state == HR_TASK_BOUND;
   return n;
 }
 
@@ -293,9 +295,9 @@
           c->applied, c->now - c->confirmed_at, hr_job_bound_tasks (j));
   for (guint32 i = 0; i < j->ntasks; i++) {
     HrTask *t = &j->tasks[i];
-    if (t->state == HR_T_ASSIGNING && !t->inflight)
+    if (t->state == HR_TASK_ASSIGNING && !t->write_in_flight)
       hr_task_unassign (c, j, i);
-    else if (t->state == HR_T_BOUND)
+    else if (t->state == HR_TASK_BOUND)
       hr_task_stop (c, j, i, 0);
   }
   if (!j->nlive)
--- a/src/coordination/users.c
+++ b/src/coordination/users.c
@@ -3,14 +3,14 @@
 #include "protocol/json_util.h"
 #include <string.h>
 
-#define MAX_TRIES 6
+#define MAX_ATTEMPTS 6
 /* How long a write of a user's waits for its answer, in seconds: most come within milliseconds,
  * and one that is lost does not come at all. But where the state service is slow, another try
  * would only add to what it has to do. */
-#define SHORT_TRY_S 0.15
-#define SHORT_TRIES 3
-#define LATER_TRY_S 1.0
-#define LONGEST_TRY_S 2.0
+#define SHORT_TIMEOUT_S 0.15
+#define SHORT_ATTEMPTS 3
+#define LATER_TIMEOUT_S 1.0
+#define MAX_TIMEOUT_S 2.0
 #define LATENCIES 4 /* so many times as long as the latest readings took */
 /* Who asks waits 5 s. After so long no further try is made for him. */
 #define GIVE_UP_S 2.5
@@ -69,9 +69,10 @@
 {
   guint32 running = 0, done = j->state == HR_JOB_DONE ? j->ntasks : j->nrdone;
   for (guint32 i = 0; j->tasks && i < j->ntasks && j->state == HR_JOB_QUEUED; i++)
-    running += !j->tasks[i].rdone &&
-               (c->leads ? j->tasks[i].state == HR_T_BOUND && j->tasks[i].shown == HR_W_RUNNING
-                         : j->tasks[i].rmachine != HR_NONE);
+    running += !j->tasks[i].done_recorded &&
+               (c->leads ? j->tasks[i].state == HR_TASK_BOUND &&
+                               j->tasks[i].reported_state == HR_REPORTED_RUNNING
+                         : j->tasks[i].recorded.machine != HR_NONE);
   const char *st = j->state == HR_JOB_QUEUED && running ? "running" : stances[j->state];
   g_autofree char *why = reason (c, j);
   hr_reply (c, request->reply_id, status,
@@ -84,14 +85,14 @@
 double
 hr_request_timeout (const HrCore *c, const HrUserRequest *request)
 {
-  double least = request->tries < SHORT_TRIES ? SHORT_TRY_S : LATER_TRY_S;
-  return CLAMP (LATENCIES * c->store_latency, least, LONGEST_TRY_S);
+  double least = request->attempts < SHORT_ATTEMPTS ? SHORT_TIMEOUT_S : LATER_TIMEOUT_S;
+  return CLAMP (LATENCIES * c->store_latency, least, MAX_TIMEOUT_S);
 }
 
 gboolean
 hr_request_may_try_again (HrCore *c, HrUserRequest *request, int status)
 {
-  return (status == 0 || status == 409 || status == 429) && ++request->tries < MAX_TRIES &&
+  return (status == 0 || status == 409 || status == 429) && ++request->attempts < MAX_ATTEMPTS &&
          c->wall - request->asked < GIVE_UP_S;
 }
 
--- a/src/coordination/workers.c
+++ b/src/coordination/workers.c
@@ -24,40 +24,44 @@
 }
 
 static HrTask *
-match (HrCore *c, HrMachine *m, const HrWorkItem *it, HrJob **job)
+match (HrCore *c, HrMachine *m, const HrReportedTask *it, HrJob **job)
 {
   HrJob *j = hr_job_find (c, it->job);
   *job = j;
   if (!j || !j->tasks || it->task >= j->ntasks)
     return NULL;
   HrTask *t = &j->tasks[it->task];
-  return t->machine == m->idx && t->session == m->session && t->try == it->attempt ? t : NULL;
+  return t->placement.machine == m->idx && t->placement.incarnation == m->incarnation &&
+                 t->placement.attempt == it->attempt
+             ? t
+             : NULL;
 }
 
 /* The item shows that the machine has the task's image. One that was stopped, or refused,
  * may have ended before that: the fetch is given up with it. */
 static gboolean
-had_image (const HrWorkItem *it)
+had_image (const HrReportedTask *it)
 {
-  if (it->state == HR_W_EXITED)
-    return it->cause == HR_X_DONE || it->cause == HR_X_INCOMPLETE || it->cause == HR_X_PEERS;
-  return it->state != HR_W_FETCHING;
+  if (it->state == HR_REPORTED_EXITED)
+    return it->cause == HR_EXIT_DONE || it->cause == HR_EXIT_INCOMPLETE ||
+           it->cause == HR_EXIT_PEERS;
+  return it->state != HR_REPORTED_FETCHING;
 }
 
 static void
-exited (HrCore *c, HrJob *j, const HrWorkItem *it)
+exited (HrCore *c, HrJob *j, const HrReportedTask *it)
 {
-  if (it->cause == HR_X_DONE && j->state == HR_JOB_QUEUED)
+  if (it->cause == HR_EXIT_DONE && j->state == HR_JOB_QUEUED)
     hr_task_done (c, j, it->task);
   else
     hr_task_gone (c, j, it->task, it->cause, hr_exit_name (it->cause));
 }
 
 static void
-report_foreign (HrCore *c, HrMachine *m, HrJob *j, const HrWorkItem *it, json_t *orders,
+report_foreign (HrCore *c, HrMachine *m, HrJob *j, const HrReportedTask *it, json_t *orders,
                 guint *kept)
 {
-  if (it->state == HR_W_EXITED) {
+  if (it->state == HR_REPORTED_EXITED) {
     if (hr_absence_may_clear (c, m, j ? j->idx : HR_NONE, it->task, it->attempt))
       hr_orders_clear (c, m, orders, it->job, it->task, it->attempt);
     else if (++*kept >= MAX_KEPT)
@@ -84,32 +88,32 @@
   guint kept = 0;
   m->foreign_cpus = m->foreign_gpus = m->foreign_mem = 0;
   for (guint i = 0; i < r->items->len; i++) {
-    HrWorkItem *it = &g_array_index (r->items, HrWorkItem, i);
+    HrReportedTask *it = &g_array_index (r->items, HrReportedTask, i);
     HrJob *j;
     HrTask *t = match (c, m, it, &j);
-    if (t && t->state == HR_T_BOUND) {
+    if (t && t->state == HR_TASK_BOUND) {
       g_hash_table_add (seen, t);
-      t->inherited = 0;
+      t->from_earlier_term = 0;
       /* Records tell a new owner where an image should be; one that is still being fetched
        * at the second look is not there. */
-      if (it->state == HR_W_FETCHING && t->shown == HR_W_FETCHING)
+      if (it->state == HR_REPORTED_FETCHING && t->reported_state == HR_REPORTED_FETCHING)
         hr_machine_forget_image (m, j->spec.image);
-      if (t->shown != it->state)
+      if (t->reported_state != it->state)
         c->plan_dirty = TRUE;
-      t->shown = it->state;
-      if (it->state == HR_W_RUNNING && !t->ran_at) {
-        t->ran_at = c->now;
+      t->reported_state = it->state;
+      if (it->state == HR_REPORTED_RUNNING && !t->running_since) {
+        t->running_since = c->now;
         g_debug ("%s/%u runs on %s", j->id, it->task, m->name);
       }
       if (had_image (it))
         hr_machine_touch_image (m, j->spec.image);
-      if (it->state == HR_W_EXITED)
+      if (it->state == HR_REPORTED_EXITED)
         exited (c, j, it);
       continue;
     }
-    if (t && t->state == HR_T_DONE && !t->rdone && !j->shrunk)
+    if (t && t->state == HR_TASK_DONE && !t->done_recorded && !j->shrunk)
       continue; /* its ending is still to be recorded: no clear before that */
-    if (t && t->state == HR_T_ASSIGNING)
+    if (t && t->state == HR_TASK_ASSIGNING)
       continue;
     report_foreign (c, m, j, it, orders, &kept);
   }
@@ -117,17 +121,17 @@
     return;
   gboolean proof = hr_absence_orders_settled (m) && r->token >= c->baton;
   for (guint i = 0; i < before->len; i++) {
-    HrRef ref = g_array_index (before, HrRef, i);
+    HrTaskRef ref = g_array_index (before, HrTaskRef, i);
     HrJob *j = c->jobs->pdata[ref.job];
     HrTask *t = j->tasks ? &j->tasks[ref.task] : NULL;
-    if (!t || t->state != HR_T_BOUND || t->machine != m->idx || t->session != m->session ||
-        g_hash_table_contains (seen, t))
+    if (!t || t->state != HR_TASK_BOUND || t->placement.machine != m->idx ||
+        t->placement.incarnation != m->incarnation || g_hash_table_contains (seen, t))
       continue;
-    t->shown = HR_NOT_SHOWN;
-    if (j->state == HR_JOB_QUEUED && !t->kill && !t->inherited && !j->gang_over)
+    t->reported_state = HR_NOT_REPORTED;
+    if (j->state == HR_JOB_QUEUED && !t->stop_wanted && !t->from_earlier_term && !j->gang_over)
       continue; /* it is launched (again) where it is recorded */
     if (proof)
-      hr_task_gone (c, j, ref.task, HR_X_NONE, "its worker's report lacks it");
+      hr_task_gone (c, j, ref.task, HR_EXIT_NONE, "its worker's report lacks it");
     else if (m->do_lost)
       hr_leadership_raise_token (c, "an order to a worker got no answer");
   }
@@ -143,22 +147,23 @@
   m->notice_at = c->now + r->notice;
   m->drain = TRUE;
   for (guint i = 0; i < m->tasks->len; i++) {
-    HrRef ref = g_array_index (m->tasks, HrRef, i);
+    HrTaskRef ref = g_array_index (m->tasks, HrTaskRef, i);
     HrJob *j = c->jobs->pdata[ref.job];
     HrTask *t = &j->tasks[ref.task];
-    if (t->state != HR_T_BOUND || t->kill)
+    if (t->state != HR_TASK_BOUND || t->stop_wanted)
       continue;
     if (j->spec.shape == HR_GANG) {
       hr_gang_end (c, j, j->spec.save + 1);
       continue;
     }
     double est = hr_estimate (c, j, m);
-    double left = t->ran_at ? est - (c->now - t->ran_at) : est;
+    double left = t->running_since ? est - (c->now - t->running_since) : est;
     /* What ends in time is left alone; what saves is stopped while it still
      * can; the rest is moved at once. */
     if (left < r->notice * 0.7)
       continue;
-    if (j->spec.checkpoint > 0 && r->notice > j->spec.save + 4 && t->shown == HR_W_RUNNING)
+    if (j->spec.checkpoint > 0 && r->notice > j->spec.save + 4 &&
+        t->reported_state == HR_REPORTED_RUNNING)
       hr_task_stop (c, j, ref.task, j->spec.save + 1);
     else
       hr_task_stop (c, j, ref.task, 0);
@@ -192,7 +197,7 @@
 }
 
 static void
-begin_session (HrCore *c, HrMachine *m, guint32 session)
+begin_incarnation (HrCore *c, HrMachine *m, guint32 session)
 {
   /* A session that ends within a lease of our answer shows that the answer was not
    * received: reports come from there, but nothing that we say arrives. Once may also be
@@ -203,7 +208,7 @@
   if (!unreceived || !m->unreceived_at || c->now - m->unreceived_at > c->set->lease_s / 2)
     m->unreceived_at = unreceived ? c->now : 0;
   m->reply_launch = m->do_lost = 0; /* orders of the old session are void */
-  m->session = session;
+  m->incarnation = session;
   g_array_set_size (m->direct, 0);
 }
 
@@ -211,11 +216,11 @@
 static void
 note_order (HrCore *c, HrMachine *m, const HrReport *r)
 {
-  if (r->session > m->session)
-    begin_session (c, m, r->session);
+  if (r->incarnation > m->incarnation)
+    begin_incarnation (c, m, r->incarnation);
   /* Not only when the session moves on: a new owner may know the session from
    * before, and read older ones in the records. */
-  hr_absence_sessions (c, m, m->session - 1, "its worker is in a later session");
+  hr_absence_incarnations (c, m, m->incarnation - 1, "its worker is in a later session");
   m->seq = r->seq;
   m->seq_at = c->now;
   m->token = MAX (m->token, r->token);
@@ -250,7 +255,7 @@
 answerable (HrCore *c, HrCommand *cmd, HrMachine *m, const HrReport *r)
 {
   if (m->state != HR_M_DELETING && !(m->state == HR_M_GONE && m->deleted) &&
-      r->session >= m->session && describe (c, m, r))
+      r->incarnation >= m->incarnation && describe (c, m, r))
     return TRUE;
   refuse_report (c, cmd, r, &c->counters.reports_refused_machine, "returned_or_unknown",
                  "this machine is being returned, or not known yet");
@@ -261,7 +266,7 @@
 answer_report (HrCore *c, HrCommand *cmd, HrMachine *m, const HrReport *r)
 {
   json_t *orders = json_array ();
-  if (r->session == m->session && r->seq <= m->seq) {
+  if (r->incarnation == m->incarnation && r->seq <= m->seq) {
     /* Overtaken by a newer list, of an answer to /do perhaps, or a late copy: nothing in
      * it counts. */
     hr_renewal_answer (c, cmd, m, r, HR_RENEWAL_OVERTAKEN, orders);
@@ -318,8 +323,8 @@
 void
 hr_workers_direct_answer (HrCore *c, HrMachine *m, const HrReport *r)
 {
-  if (strcmp (r->machine, m->name) != 0 || m->state != HR_M_UP || r->session != m->session ||
-      r->seq <= m->seq)
+  if (strcmp (r->machine, m->name) != 0 || m->state != HR_M_UP ||
+      r->incarnation != m->incarnation || r->seq <= m->seq)
     return;
   m->seq = r->seq;
   m->seq_at = c->now;
--- a/src/protocol/worker.c
+++ b/src/protocol/worker.c
@@ -8,13 +8,13 @@
                                      "error", "full", "in_use", "unknown"};
 
 const char *
-hr_exit_name (HrExit x)
+hr_exit_name (HrExitCause x)
 {
   return causes[x];
 }
 
 static gboolean
-item_parse (const json_t *o, HrReport *r, HrWorkItem *it)
+item_parse (const json_t *o, HrReport *r, HrReportedTask *it)
 {
   const char *piece = hr_json_str (o, "piece"), *st = hr_json_str (o, "stance"),
              *cause = hr_json_str (o, "cause");
@@ -26,18 +26,18 @@
     return FALSE;
   char *job = g_strndup (piece, slash - piece);
   g_ptr_array_add (r->texts, job);
-  *it = (HrWorkItem){.job = job, .task = task, .attempt = attempt};
+  *it = (HrReportedTask){.job = job, .task = task, .attempt = attempt};
   for (it->state = 0; it->state < G_N_ELEMENTS (states); it->state++)
     if (g_str_equal (states[it->state], st))
       break;
   if (it->state == G_N_ELEMENTS (states))
     return FALSE;
-  if (it->state == HR_W_EXITED) {
+  if (it->state == HR_REPORTED_EXITED) {
     for (it->cause = 1; it->cause < G_N_ELEMENTS (causes); it->cause++)
       if (g_strcmp0 (causes[it->cause], cause) == 0)
         break;
     if (it->cause == G_N_ELEMENTS (causes))
-      it->cause = HR_X_ERROR; /* a cause from the future: treat as a failure */
+      it->cause = HR_EXIT_ERROR; /* a cause from the future: treat as a failure */
   }
   hr_json_bool (o, "kept", &it->kept);
   return TRUE;
@@ -51,7 +51,7 @@
     return NULL;
   g_autoptr (HrReport) r = g_new0 (HrReport, 1);
   r->root = root;
-  r->items = g_array_new (FALSE, TRUE, sizeof (HrWorkItem));
+  r->items = g_array_new (FALSE, TRUE, sizeof (HrReportedTask));
   r->texts = g_ptr_array_new_with_free_func (g_free);
   r->machine = hr_json_str (root, "rockhand");
   r->addr = hr_json_str (root, "addr");
@@ -59,7 +59,7 @@
   r->zone = hr_json_str (root, "quarry");
   if (!r->machine || !*r->machine || strlen (r->machine) > 64 || !r->addr || !r->type || !r->zone ||
       !hr_json_bool (root, "loaners", &r->spot) ||
-      !hr_json_count (root, "tenure", G_MAXUINT32, &r->session) ||
+      !hr_json_count (root, "tenure", G_MAXUINT32, &r->incarnation) ||
       !hr_json_count (root, "tally", G_MAXINT64, &r->seq) ||
       !hr_json_count (root, "baton", G_MAXINT64, &r->token)) {
     *reason = g_strdup ("not a worker's report: a field is missing or of the wrong type");
@@ -71,7 +71,7 @@
   size_t i;
   json_array_foreach (list, i, o)
   {
-    HrWorkItem it;
+    HrReportedTask it;
     if (!item_parse (o, r, &it)) {
       *reason = g_strdup_printf ("pieces[%zu] is not a task's state", i);
       return NULL;
--- a/src/protocol/worker.h
+++ b/src/protocol/worker.h
@@ -4,47 +4,47 @@
 #include <glib.h>
 
 typedef enum {
-  HR_W_FETCHING,
-  HR_W_GATHERING,
-  HR_W_RUNNING,
-  HR_W_FLUSHING,
-  HR_W_EXITED
-} HrWorkState;
+  HR_REPORTED_FETCHING,
+  HR_REPORTED_GATHERING,
+  HR_REPORTED_RUNNING,
+  HR_REPORTED_SAVING,
+  HR_REPORTED_EXITED
+} HrReportedState;
 typedef enum {
-  HR_X_NONE,
-  HR_X_DONE,
-  HR_X_HALTED,
-  HR_X_PEERS,
-  HR_X_INCOMPLETE,
-  HR_X_ERROR,
-  HR_X_FULL,
-  HR_X_IN_USE,
-  HR_X_UNKNOWN
-} HrExit;
+  HR_EXIT_NONE,
+  HR_EXIT_DONE,
+  HR_EXIT_HALTED,
+  HR_EXIT_PEERS,
+  HR_EXIT_INCOMPLETE,
+  HR_EXIT_ERROR,
+  HR_EXIT_FULL,
+  HR_EXIT_IN_USE,
+  HR_EXIT_UNKNOWN
+} HrExitCause;
 
 typedef struct {
   const char *job; /* points into the report's text: see HrReport.text */
   guint32 task;
   guint32 attempt;
-  HrWorkState state;
-  HrExit cause;
+  HrReportedState state;
+  HrExitCause cause;
   gboolean kept;
-} HrWorkItem;
+} HrReportedTask;
 
 typedef struct {
   json_t *root; /* keeps the texts alive */
   const char *machine, *addr, *type, *zone;
   gboolean spot;
-  guint64 session, seq, token;
+  guint64 incarnation, seq, token;
   double notice; /* < 0: none */
-  GArray *items; /* HrWorkItem */
+  GArray *items; /* HrReportedTask */
   GPtrArray *texts;
 } HrReport;
 
 HrReport *hr_report_parse (const char *data, gsize len, char **reason);
 void hr_report_free (HrReport *r);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (HrReport, hr_report_free)
-const char *hr_exit_name (HrExit x);
+const char *hr_exit_name (HrExitCause x);
 
 /* One order, appended to a list of orders. */
 void hr_order_launch (json_t *orders, const char *job, guint32 task, guint32 attempt);
--- a/tests/script_worker.c
+++ b/tests/script_worker.c
@@ -27,17 +27,17 @@
 obey (ScriptWorker *w, json_t *order)
 {
   const char *verb = hr_json_str (order, "verb"), *piece = hr_json_str (order, "piece");
-  json_t *try = json_object_get (order, "try"), *task = NULL;
+  json_t *attempt = json_object_get (order, "try"), *task = NULL;
   guint at = 0;
   for (guint i = 0; i < w->tasks->len; i++)
     if (g_strcmp0 (hr_json_str (w->tasks->pdata[i], "piece"), piece) == 0 &&
-        json_equal (json_object_get (w->tasks->pdata[i], "try"), try)) {
+        json_equal (json_object_get (w->tasks->pdata[i], "try"), attempt)) {
       task = w->tasks->pdata[i];
       at = i;
     }
   if (strcmp (verb, "launch") == 0 && !task)
     g_ptr_array_add (w->tasks,
-                     json_pack ("{sssOss}", "piece", piece, "try", try, "stance", "running"));
+                     json_pack ("{sssOss}", "piece", piece, "try", attempt, "stance", "running"));
   else if (strcmp (verb, "kill") == 0 && task) {
     json_object_set_new (task, "stance", json_string ("exited"));
     json_object_set_new (task, "cause", json_string ("halted"));
--- a/tests/scripted.c
+++ b/tests/scripted.c
@@ -168,11 +168,11 @@
 {
   json_t *pieces = json_array ();
   GHashTableIter it;
-  gpointer piece, try;
+  gpointer piece, attempt;
   g_hash_table_iter_init (&it, s->on);
-  while (g_hash_table_iter_next (&it, &piece, &try))
+  while (g_hash_table_iter_next (&it, &piece, &attempt))
     json_array_append_new (pieces, json_pack ("{sssiss}", "piece", piece, "try",
-                                              GPOINTER_TO_INT (try), "stance", "running"));
+                                              GPOINTER_TO_INT (attempt), "stance", "running"));
   return hr_json_take_text (json_pack ("{sssssssssbsisisIso}", "rockhand", "m-000001", "addr",
                                        "10.0.0.1:9000", "hull", "g2", "quarry", "z0", "loaners", 0,
                                        "tenure", s->session, "tally", ++s->tally, "baton",
--- a/tests/sim/worker.c
+++ b/tests/sim/worker.c
@@ -76,11 +76,11 @@
 }
 
 static void
-launch (World *w, SMachine *m, const char *id, guint32 task, guint32 try)
+launch (World *w, SMachine *m, const char *id, guint32 task, guint32 attempt)
 {
   guint32 idx;
   SJob *j = job_by_id (w, id, &idx);
-  STask t = {.job = idx, .task = task, .try = try, .state = S_FETCH};
+  STask t = {.job = idx, .task = task, .try = attempt, .state = S_FETCH};
   double cpus = 0, gpus = 0, mem = 0;
   if (!j || task >= j->tasks) {
     w_broken (w, "protocol", "launch of %s/%u", id, task);
@@ -88,7 +88,7 @@
   }
   for (guint i = 0; i < m->tasks->len; i++) {
     STask *x = &g_array_index (m->tasks, STask, i);
-    if (x->job == idx && x->task == task && x->try == try)
+    if (x->job == idx && x->task == task && x->try == attempt)
       return;
     if (x->state == S_EXIT)
       continue;
@@ -120,18 +120,18 @@
   {
     const char *verb = json_string_value (json_object_get (o, "verb"));
     const char *piece = json_string_value (json_object_get (o, "piece"));
-    guint32 try = json_integer_value (json_object_get (o, "try"));
+    guint32 attempt = json_integer_value (json_object_get (o, "try"));
     const char *slash = strrchr (piece, '/');
     g_autofree char *id = g_strndup (piece, slash - piece);
     guint32 task = g_ascii_strtoull (slash + 1, NULL, 10), idx = 0;
     job_by_id (w, id, &idx);
     if (strcmp (verb, "launch") == 0) {
-      launch (w, m, id, task, try);
+      launch (w, m, id, task, attempt);
       continue;
     }
     for (guint k = 0; k < m->tasks->len; k++) {
       STask *t = &g_array_index (m->tasks, STask, k);
-      if (t->job != idx || t->task != task || t->try != try)
+      if (t->job != idx || t->task != task || t->try != attempt)
         continue;
       if (strcmp (verb, "clear") == 0) {
         if (t->state == S_EXIT)
@@ -154,13 +154,13 @@
 /* ---- the life of tasks ---- */
 
 static SMachine *
-peer_of (World *w, SJob *j, guint32 idx, guint32 task, guint32 try, STask **out)
+peer_of (World *w, SJob *j, guint32 idx, guint32 task, guint32 attempt, STask **out)
 {
   for (guint i = 0; i < w->machines->len; i++) {
     SMachine *m = w->machines->pdata[i];
     for (guint k = 0; !m->gone && k < m->tasks->len; k++) {
       STask *t = &g_array_index (m->tasks, STask, k);
-      if (t->job == idx && t->task == task && t->try == try && t->state != S_EXIT) {
+      if (t->job == idx && t->task == task && t->try == attempt && t->state != S_EXIT) {
         *out = t;
         return m;
       }
--- a/tests/test_protocol.c
+++ b/tests/test_protocol.c
@@ -192,11 +192,11 @@
   g_autoptr (HrReport) r = hr_report_parse (REPORT, strlen (REPORT), &why);
   assert_non_null (r);
   assert_int_equal (r->items->len, 2);
-  HrWorkItem *it = &g_array_index (r->items, HrWorkItem, 0);
+  HrReportedTask *it = &g_array_index (r->items, HrReportedTask, 0);
   assert_string_equal (it->job, "job-000412");
   assert_int_equal (it->task, 3);
   assert_int_equal (it->attempt, 2);
-  assert_int_equal (g_array_index (r->items, HrWorkItem, 1).cause, HR_X_DONE);
+  assert_int_equal (g_array_index (r->items, HrReportedTask, 1).cause, HR_EXIT_DONE);
   assert_true (r->notice < 0);
   g_autoptr (GRand) rand = g_rand_new_with_seed (13);
   for (guint n = 0; n < 5000; n++) { /* nonsense is refused, and harms nobody */
--- a/tests/test_readiness.c
+++ b/tests/test_readiness.c
@@ -141,7 +141,7 @@
   HrJob *j = hr_job_find (n->core, "job-2");
   const HrTask *t = misplace (n, j);
   node_run (n, 3);
-  assert_int_equal (t->state, HR_T_ASSIGNING);
+  assert_int_equal (t->state, HR_TASK_ASSIGNING);
   assert_null (strstr (ledger_job (l, "job-2"), "m-1"));
   ledger_done (l, "job-1");
   node_run (n, 1);
@@ -173,7 +173,7 @@
   assert_int_equal (node_submit (n, "job-1", NULL, NULL), 201);
   assert_int_equal (node_submit (n, "job-2", "[\"job-1\"]", NULL), 201);
   HrTask *t = misplace (n, hr_job_find (n->core, "job-2"));
-  t->state = HR_T_BOUND;
+  t->state = HR_TASK_BOUND;
   assert_int_equal (orders (n, 1), 0);
   assert_int_equal (orders (n, 2), 0);
   ledger_done (l, "job-1");
@@ -421,7 +421,7 @@
   n->core->plan_dirty = TRUE;
   node_run (n, 2);
   assert_true (m->list->len > 1);
-  return ((HrJob *)n->core->jobs->pdata[g_array_index (m->list, HrRef, 0).job])->id;
+  return ((HrJob *)n->core->jobs->pdata[g_array_index (m->list, HrTaskRef, 0).job])->id;
 }
 
 /* A deadline that moves while tasks stand in a list moves them in it. */
@@ -439,8 +439,8 @@
   assert_int_equal (node_submit (n, "job-3", "[\"job-1\"]", ",\"due_s\":60,\"rank\":\"low\""), 201);
   assert_string_equal (first_in_list (n, m), "job-1");
   for (guint i = 1; i < m->list->len; i++) {
-    const HrJob *before = n->core->jobs->pdata[g_array_index (m->list, HrRef, i - 1).job];
-    const HrJob *after = n->core->jobs->pdata[g_array_index (m->list, HrRef, i).job];
+    const HrJob *before = n->core->jobs->pdata[g_array_index (m->list, HrTaskRef, i - 1).job];
+    const HrJob *after = n->core->jobs->pdata[g_array_index (m->list, HrTaskRef, i).job];
     assert_true (before->deadline <= after->deadline);
   }
   node_free (n);
@@ -460,7 +460,7 @@
   j->spec.estimate = runs_s;
   for (guint i = 0; i < j->ntasks; i++) {
     hr_task_assign (n->core, j, i, m, 1);
-    j->tasks[i].ran_at = n->now;
+    j->tasks[i].running_since = n->now;
   }
   node_run (n, 1);
   assert_int_equal (node_submit (n, "job-2", "[\"job-1\"]", last_step), 201);
--- a/tests/test_record.c
+++ b/tests/test_record.c
@@ -68,12 +68,12 @@
     for (guint i = 0; i < s.tasks; i++) {
       HrTask *t = &j->tasks[i];
       int dice = g_rand_int_range (r, 0, 3);
-      t->rdone = dice == 1;
+      t->done_recorded = dice == 1;
       if (dice == 2) {
         g_autofree char *m = g_strdup_printf ("m-%06u", g_rand_int_range (r, 0, 50));
-        t->rmachine = hr_intern (&machines, m);
-        t->rsession = g_rand_int_range (r, 1, 9);
-        t->rtry = g_rand_int_range (r, 1, 9);
+        t->recorded.machine = hr_intern (&machines, m);
+        t->recorded.incarnation = g_rand_int_range (r, 1, 9);
+        t->recorded.attempt = g_rand_int_range (r, 1, 9);
       }
     }
     g_autofree char *main = hr_record_main (j, &names, &machines, HR_JOB_CANCELLED, "w.1", FALSE);
@@ -97,10 +97,10 @@
       json_decref (v);
     }
     for (guint i = 0; i < s.tasks; i++) {
-      assert_int_equal (k->tasks[i].rdone, j->tasks[i].rdone);
-      assert_int_equal (k->tasks[i].rmachine, j->tasks[i].rmachine);
-      assert_int_equal (k->tasks[i].rtry, j->tasks[i].rtry);
-      assert_int_equal (k->tasks[i].rsession, j->tasks[i].rsession);
+      assert_int_equal (k->tasks[i].done_recorded, j->tasks[i].done_recorded);
+      assert_int_equal (k->tasks[i].recorded.machine, j->tasks[i].recorded.machine);
+      assert_int_equal (k->tasks[i].recorded.attempt, j->tasks[i].recorded.attempt);
+      assert_int_equal (k->tasks[i].recorded.incarnation, j->tasks[i].recorded.incarnation);
     }
     hr_job_free (j);
     hr_job_free (k);
