--- a/src/bookkeeping/bookkeeping.h
+++ b/src/bookkeeping/bookkeeping.h
@@ -74,27 +74,27 @@
 
 /* bookkeeping/dependencies.c: jobs that await others */
 /* The job's record was read or written, at the stance now in j; `ids`: what it awaits, or NULL. */
-void hr_dependencies_read (HrCore *c, HrJob *j, const char *const *ids);
+void hr_dependencies_job_read (HrCore *c, HrJob *j, const char *const *ids);
 /* The job is done or withdrawn: those that await it become ready, or are withdrawn with it. */
-void hr_dependencies_final (HrCore *c, HrJob *j);
+void hr_dependencies_job_final (HrCore *c, HrJob *j);
 /* The first of these jobs that this node knows nothing of, or NULL. */
-const char *hr_dependencies_unknown (HrCore *c, GStrv ids);
+const char *hr_dependencies_find_unknown (HrCore *c, GStrv ids);
 /* The first of these jobs that is a service which goes on, or NULL. */
-const char *hr_dependencies_service (HrCore *c, GStrv ids);
+const char *hr_dependencies_find_service (HrCore *c, GStrv ids);
 /* Which jobs it waits for, or which cancelled one took it along; NULL: neither. */
 char *hr_dependencies_reason (const HrJob *j);
 void hr_dependencies_tick (HrCore *c);
 
 /* bookkeeping/absence.c: proofs that a task is on no machine */
 /* A lease and its margin: the longest that a worker may keep tasks unanswered. */
-double hr_absence_lease (const HrCore *c);
-gboolean hr_absence_lease_over (const HrCore *c, const HrMachine *m);
-gboolean hr_absence_orders_settled (const HrMachine *m);
-gboolean hr_absence_cancelled_may_start (const HrCore *c, const HrMachine *m);
-void hr_absence_note_direct (HrMachine *m, guint32 job, guint32 task, guint32 attempt,
-                             guint64 token);
-gboolean hr_absence_may_clear (const HrCore *c, HrMachine *m, guint32 job, guint32 task,
-                               guint32 attempt);
-void hr_absence_tick (HrCore *c);
+double hr_lease_duration_s (const HrCore *c);
+gboolean hr_lease_has_expired (const HrCore *c, const HrMachine *m);
+gboolean hr_termination_orders_settled (const HrMachine *m);
+gboolean hr_termination_cancelled_may_start (const HrCore *c, const HrMachine *m);
+void hr_termination_note_direct_launch (HrMachine *m, guint32 job, guint32 task, guint32 attempt,
+                                        guint64 token);
+gboolean hr_termination_may_clear (const HrCore *c, HrMachine *m, guint32 job, guint32 task,
+                                   guint32 attempt);
+void hr_agents_tick (HrCore *c);
 /* Every task of sessions up to `upto` is gone from the machine. */
-void hr_absence_incarnations (HrCore *c, HrMachine *m, guint32 upto, const char *why);
+void hr_termination_incarnations_over (HrCore *c, HrMachine *m, guint32 upto, const char *why);
--- a/src/bookkeeping/dependencies.c
+++ b/src/bookkeeping/dependencies.c
@@ -15,7 +15,7 @@
 
 /* As the ledger says: what a member told us of a job is not told on to those that await it. */
 static gboolean
-final (const HrJob *j)
+is_final (const HrJob *j)
 {
   return j->known && j->state != HR_JOB_QUEUED && !j->told;
 }
@@ -30,7 +30,7 @@
   for (guint i = 0; i < n; i++) {
     HrJob *awaited = hr_job_get (c, ids[i]);
     j->awaits[i] = awaited;
-    if (final (awaited))
+    if (is_final (awaited))
       continue;
     if (!awaited->dependents)
       awaited->dependents = g_ptr_array_new ();
@@ -45,7 +45,7 @@
 {
   for (guint i = 0; i < j->nawaits; i++) {
     HrJob *awaited = j->awaits[i];
-    if (final (awaited) && awaited->state == HR_JOB_CANCELLED)
+    if (is_final (awaited) && awaited->state == HR_JOB_CANCELLED)
       return awaited->withdrawn_with ? awaited->withdrawn_with : awaited;
   }
   return NULL;
@@ -79,7 +79,7 @@
 }
 
 void
-hr_dependencies_final (HrCore *c, HrJob *j)
+hr_dependencies_job_final (HrCore *c, HrJob *j)
 {
   g_autoptr (GPtrArray) todo = g_ptr_array_new ();
   g_autoptr (GPtrArray) cancelled = g_ptr_array_new ();
@@ -100,11 +100,11 @@
         become_ready (c, d);
     }
   }
-  hr_urgency_withdrawn (c, cancelled);
+  hr_priority_inheritance_jobs_cancelled (c, cancelled);
 }
 
 void
-hr_dependencies_read (HrCore *c, HrJob *j, const char *const *ids)
+hr_dependencies_job_read (HrCore *c, HrJob *j, const char *const *ids)
 {
   name_awaited (c, j, ids);
   HrJob *root = j->state == HR_JOB_QUEUED ? cancelled_before (j) : NULL;
@@ -113,8 +113,8 @@
   else if (j->state == HR_JOB_CANCELLED && hr_job_waits (j))
     note_for_tombstone (c, j); /* it never was in the list of open jobs */
   if (j->state == HR_JOB_CANCELLED && !j->told)
-    hr_dependencies_final (c, j);
-  hr_urgency_read (c, j);
+    hr_dependencies_job_final (c, j);
+  hr_priority_inheritance_job_read (c, j);
 }
 
 void
@@ -136,7 +136,7 @@
 }
 
 const char *
-hr_dependencies_unknown (HrCore *c, GStrv ids)
+hr_dependencies_find_unknown (HrCore *c, GStrv ids)
 {
   for (guint i = 0; ids && ids[i]; i++)
     if (!hr_job_find (c, ids[i]) && !hr_job_unreadable (c, ids[i]))
@@ -145,7 +145,7 @@
 }
 
 const char *
-hr_dependencies_service (HrCore *c, GStrv ids)
+hr_dependencies_find_service (HrCore *c, GStrv ids)
 {
   for (guint i = 0; ids && ids[i]; i++) {
     const HrJob *j = hr_job_find (c, ids[i]);
--- a/src/bookkeeping/record_writer.c
+++ b/src/bookkeeping/record_writer.c
@@ -104,7 +104,7 @@
     j->shrunk = TRUE;
     hr_garbage_add_job (c, j);
     hr_job_shrink (j);
-    hr_dependencies_final (c, j);
+    hr_dependencies_job_final (c, j);
   } else if (j->state == HR_JOB_QUEUED && j->nrdone == j->ntasks)
     mark_page (c, j, j->pages);
   c->plan_dirty = TRUE;
--- a/src/bookkeeping/replica_changes.c
+++ b/src/bookkeeping/replica_changes.c
@@ -86,7 +86,7 @@
     hr_garbage_add_job (c, j);
     if (!c->leads || !j->nlive)
       hr_job_shrink (j);
-    hr_dependencies_final (c, j);
+    hr_dependencies_job_final (c, j);
     return TRUE;
   }
   if (fresh || !j->tasks) {
@@ -114,7 +114,7 @@
   j->told = was_told && r.state == HR_JOB_QUEUED;
   HrJobState before = j->state;
   j->state = j->told ? HR_JOB_CANCELLED : r.state; /* a derived withdrawal is derived again */
-  hr_dependencies_read (c, j, (const char *const *)awaits);
+  hr_dependencies_job_read (c, j, (const char *const *)awaits);
   hr_job_open (c, j);
   gboolean cancelled = r.state == HR_JOB_CANCELLED || j->told;
   if (c->leads && cancelled && (before != HR_JOB_CANCELLED || was_told))
--- a/src/bookkeeping/tables.h
+++ b/src/bookkeeping/tables.h
@@ -125,7 +125,7 @@
 /* An attempt that was launched by a direct call, and the call's token. */
 typedef struct {
   guint32 job, task, attempt;
-  guint64 token;
+  guint64 fencing_token;
 } HrDirectLaunch;
 
 typedef struct {
--- a/src/bookkeeping/absence.c
+++ b/src/bookkeeping/termination_proof.c
@@ -6,7 +6,7 @@
 
 /* No launch that we sent may still take effect. */
 gboolean
-hr_absence_orders_settled (const HrMachine *m)
+hr_termination_orders_settled (const HrMachine *m)
 {
   return m->do_out == 0 && m->do_lost == 0 && m->reply_launch == 0;
 }
@@ -17,7 +17,7 @@
  * again and again. So there is a bound: the worker's lease has to end by `cancel_s` after the user
  * was told, which was after the last reading that did not show the withdrawal. */
 gboolean
-hr_absence_cancelled_may_start (const HrCore *c, const HrMachine *m)
+hr_termination_cancelled_may_start (const HrCore *c, const HrMachine *m)
 {
   gboolean on_its_way = m->do_lost || m->do_out, served = hr_replica_is_served (c);
   for (guint i = 0; on_its_way && i < m->tasks->len; i++) {
@@ -33,12 +33,13 @@
 }
 
 void
-hr_absence_note_direct (HrMachine *m, guint32 job, guint32 task, guint32 attempt, guint64 token)
+hr_termination_note_direct_launch (HrMachine *m, guint32 job, guint32 task, guint32 attempt,
+                                   guint64 token)
 {
   for (guint i = 0; i < m->direct->len; i++) {
     HrDirectLaunch *d = &g_array_index (m->direct, HrDirectLaunch, i);
     if (d->job == job && d->task == task && d->attempt == attempt) {
-      d->token = token;
+      d->fencing_token = token;
       return;
     }
   }
@@ -50,15 +51,15 @@
  * later, and would start it again; it is void once the worker has seen a newer
  * token than the launch had. Orders in the answer to a report are never late. */
 gboolean
-hr_absence_may_clear (const HrCore *c, HrMachine *m, guint32 job, guint32 task, guint32 attempt)
+hr_termination_may_clear (const HrCore *c, HrMachine *m, guint32 job, guint32 task, guint32 attempt)
 {
-  if (!hr_absence_orders_settled (m) || m->token < c->led_baton)
+  if (!hr_termination_orders_settled (m) || m->token < c->led_baton)
     return FALSE;
   for (guint i = 0; i < m->direct->len; i++) {
     HrDirectLaunch *d = &g_array_index (m->direct, HrDirectLaunch, i);
     if (d->job != job || d->task != task || d->attempt != attempt)
       continue;
-    if (d->token >= m->token)
+    if (d->fencing_token >= m->token)
       return FALSE;
     g_array_remove_index_fast (m->direct, i);
     return TRUE;
@@ -67,24 +68,24 @@
 }
 
 double
-hr_absence_lease (const HrCore *c)
+hr_lease_duration_s (const HrCore *c)
 {
   return c->set->lease_s * 1.002 + c->pol.lease_margin_s;
 }
 
 gboolean
-hr_absence_lease_over (const HrCore *c, const HrMachine *m)
+hr_lease_has_expired (const HrCore *c, const HrMachine *m)
 {
   /* Before a worker has seen our token an earlier owner may have answered it,
    * for up to `hold` after our map was written. Afterwards only we can. */
   double base = m->answered_at;
   if (m->token < c->led_baton)
     base = MAX (base, c->led_at + c->pol.hold_s);
-  return c->now > base + hr_absence_lease (c);
+  return c->now > base + hr_lease_duration_s (c);
 }
 
 void
-hr_absence_incarnations (HrCore *c, HrMachine *m, guint32 upto, const char *why)
+hr_termination_incarnations_over (HrCore *c, HrMachine *m, guint32 upto, const char *why)
 {
   g_autoptr (GArray) tasks = g_array_copy (m->tasks);
   for (guint i = 0; i < tasks->len; i++) {
@@ -106,15 +107,15 @@
 /* A machine that is being returned is answered no more, so its lease runs out like that of a silent
  * one. While the cloud answers no deletion, that is the only proof about what it held. */
 static void
-give_up_returned (HrCore *c, HrMachine *m)
+expire_returned_lease (HrCore *c, HrMachine *m)
 {
-  if (m->state == HR_M_DELETING && m->tasks->len && hr_absence_lease_over (c, m))
-    hr_absence_incarnations (c, m, G_MAXUINT32,
-                             "it is being returned, and its lease is surely over");
+  if (m->state == HR_M_DELETING && m->tasks->len && hr_lease_has_expired (c, m))
+    hr_termination_incarnations_over (c, m, G_MAXUINT32,
+                                      "it is being returned, and its lease is surely over");
 }
 
 static gboolean
-deaf_now (const HrCore *c, const HrMachine *m)
+is_unreachable_now (const HrCore *c, const HrMachine *m)
 {
   return m->deaf_at > 0 && c->now - m->deaf_at < c->set->lease_s;
 }
@@ -122,13 +123,13 @@
 /* The cloud's list lacks it, though no list is so old that it could not be there yet: gone,
  * most likely. No proof, but reason enough to have it deleted, which is one. */
 static gboolean
-unlisted (const HrCore *c, const HrMachine *m)
+is_missing_from_list (const HrCore *c, const HrMachine *m)
 {
   return m->listed_at < c->listed_at && c->listed_at > m->known_at + 2 * c->set->list_lag_s;
 }
 
 void
-hr_absence_tick (HrCore *c)
+hr_agents_tick (HrCore *c)
 {
   if (!c->leads)
     return;
@@ -139,7 +140,7 @@
       continue;
     up++;
     overdue += c->now - last_heard (c, m) > c->pol.overdue_s;
-    deaf += deaf_now (c, m);
+    deaf += is_unreachable_now (c, m);
   }
   if (deaf > 2 && deaf > c->pol.silent_share * up) {
     hr_leadership_resign (c, "what this node answers reaches few workers");
@@ -155,18 +156,18 @@
   g_autoptr (GPtrArray) fleet = g_ptr_array_copy (c->fleet, NULL, NULL);
   for (guint i = 0; i < fleet->len; i++) {
     HrMachine *m = fleet->pdata[i];
-    give_up_returned (c, m);
-    if (m->state == HR_M_UP && deaf_now (c, m))
+    expire_returned_lease (c, m);
+    if (m->state == HR_M_UP && is_unreachable_now (c, m))
       hr_fleet_delete (c, m, "it reports, but what it is told does not reach it");
-    if (m->state == HR_M_UP && c->now - last_heard (c, m) > c->pol.overdue_s && unlisted (c, m) &&
-        hr_replica_is_served (c))
+    if (m->state == HR_M_UP && c->now - last_heard (c, m) > c->pol.overdue_s &&
+        is_missing_from_list (c, m) && hr_replica_is_served (c))
       hr_fleet_delete (c, m, "its worker is silent, and the cloud no longer lists it");
     if (m->state != HR_M_UP || c->now - last_heard (c, m) <= c->pol.silent_s)
       continue;
-    if (hr_absence_lease_over (c, m) && m->tasks->len)
-      hr_absence_incarnations (c, m, G_MAXUINT32, "its lease is surely over");
+    if (hr_lease_has_expired (c, m) && m->tasks->len)
+      hr_termination_incarnations_over (c, m, G_MAXUINT32, "its lease is surely over");
     /* Past its lease a machine holds nothing that deleting it could cost. */
-    if ((!us || hr_absence_lease_over (c, m)) && !early && hr_replica_is_served (c))
+    if ((!us || hr_lease_has_expired (c, m)) && !early && hr_replica_is_served (c))
       hr_fleet_delete (c, m, "its worker is silent");
   }
 }
--- a/src/coordination/admission.c
+++ b/src/coordination/admission.c
@@ -28,7 +28,7 @@
 }
 
 char *
-hr_admission_refusal (HrCore *c, const HrJobSpec *s)
+hr_admission_refusal_reason (HrCore *c, const HrJobSpec *s)
 {
   const HrTeam *t = hr_team (c, s->team);
   if (!t)
--- a/src/coordination/arrivals.c
+++ b/src/coordination/arrivals.c
@@ -38,7 +38,7 @@
   g_array_append_val (c->open, j->idx);
   if (j->nawaits && !j->ready_since)
     j->ready_since = c->wall;
-  hr_urgency_read (c, j);
+  hr_priority_inheritance_job_read (c, j);
   /* When a job of which the end of the last awaited one was not seen became ready nobody knows. */
   gboolean unknown = j->nawaits && (c->sync != HR_REPLICA_FOLLOWING || j->state != HR_JOB_QUEUED);
   if (j->counted || unknown || c->wall - hr_job_since (j) > 30)
--- a/src/coordination/core.c
+++ b/src/coordination/core.c
@@ -293,7 +293,7 @@
 tick (HrCore *c)
 {
   hr_leadership_tick (c);
-  hr_absence_tick (c);
+  hr_agents_tick (c);
   hr_fleet_tick (c);
   hr_garbage_tick (c);
   hr_record_format_tick (c);
@@ -332,11 +332,11 @@
     switch (cmd->kind) {
     case HR_COMMAND_REQUEST:
       if (g_strcmp0 (cmd->path, "/hello") == 0)
-        hr_workers_hello (c, cmd);
+        hr_heartbeat_received (c, cmd);
       else if (g_strcmp0 (cmd->path, HR_METRICS_PATH) == 0 && cmd->method == HR_GET)
         hr_reply_text (c, cmd->id, hr_metrics_text (c));
       else
-        hr_users_request (c, cmd);
+        hr_user_request_received (c, cmd);
       break;
     case HR_COMMAND_RESULT:
       result (c, cmd);
@@ -361,7 +361,7 @@
   }
   hr_replica_tick (c);
   hr_record_writer_tick (c);
-  hr_direct_send (c);
+  hr_direct_orders_send (c);
   c->out = NULL;
 }
 
--- a/src/coordination/direct.c
+++ b/src/coordination/direct_orders.c
@@ -9,17 +9,17 @@
 
 typedef struct {
   guint32 machine;
-  guint64 baton, incarnation;
-  double led_at;
+  guint64 fencing_token, incarnation;
+  double term_began_at;
   gboolean launch;
 } Direct;
 
 static void
-on_direct (HrCore *c, int status, json_t *body, double sent, gpointer data)
+on_direct_answer (HrCore *c, int status, json_t *body, double sent, gpointer data)
 {
   g_autofree Direct *d = data;
   HrMachine *m = c->machines->pdata[d->machine];
-  if (!c->leads || d->led_at != c->led_at)
+  if (!c->leads || d->term_began_at != c->led_at)
     return; /* of an earlier term: its token is void */
   m->do_out--;
   c->counters.direct_unanswered += status != 200 && status != 409;
@@ -28,20 +28,20 @@
     g_debug ("direct: machine=%s result=%s", m->name, status == 409 ? "refused" : "unanswered");
   if (status != 200 && status != 409) {
     if (d->launch && m->incarnation == d->incarnation)
-      m->do_lost = MAX (m->do_lost, d->baton);
+      m->do_lost = MAX (m->do_lost, d->fencing_token);
     m->do_pause = c->now + PAUSE_S;
     return;
   }
   g_autofree char *text = json_dumps (body, JSON_COMPACT);
   g_autofree char *why = NULL;
-  g_autoptr (HrReport) r = hr_report_parse (text, text ? strlen (text) : 0, &why);
+  g_autoptr (HrHeartbeat) r = hr_heartbeat_parse (text, text ? strlen (text) : 0, &why);
   if (r)
-    hr_workers_direct_answer (c, m, r);
+    hr_heartbeat_direct_answer (c, m, r);
 }
 
 /* Looked at again with the next step. */
 static void
-put_off (HrCore *c, HrMachine *m)
+postpone (HrCore *c, HrMachine *m)
 {
   c->urgent = TRUE;
   if (m->put_off)
@@ -69,11 +69,12 @@
            m->name, m->incarnation, c->baton, hr_orders_count (orders, "kill"),
            hr_orders_count (orders, "launch"));
   hr_call (c, HR_TO_WORKER, m->addr, HR_POST, g_strdup ("/do"),
-           hr_orders_text (c->baton, m->incarnation, orders), DIRECT_TIMEOUT_S, on_direct, d);
+           hr_orders_text (c->baton, m->incarnation, orders), DIRECT_TIMEOUT_S, on_direct_answer,
+           d);
 }
 
 void
-hr_direct_send (HrCore *c)
+hr_direct_orders_send (HrCore *c)
 {
   if (!c->leads || !c->urgent || c->pol.direct_launch < 1)
     return;
@@ -83,7 +84,7 @@
     if (!m->urgent)
       continue;
     if (m->do_out || c->now < m->do_pause) {
-      put_off (c, m);
+      postpone (c, m);
       continue;
     }
     m->urgent = m->put_off = FALSE;
--- a/src/coordination/dispatch.c
+++ b/src/coordination/dispatch.c
@@ -113,7 +113,7 @@
   if (whole)
     j->short_since = 0;
   else if (c->now - j->short_since > c->set->gang_wait_s / 2)
-    hr_gang_end (c, j, 0);
+    hr_gang_end_attempt (c, j, 0);
 }
 
 /* May this task start on the machine now without holding up an earlier one of its list? */
--- a/src/coordination/takeover.c
+++ b/src/coordination/failover.c
@@ -89,14 +89,14 @@
   j->errors = 0;
   /* Tasks that nobody knows the place of wait until no lease can be left that an earlier
    * owner renewed; whatever reports to us is told to stop what we do not know. */
-  j->retry_at = j->unreadable ? c->led_at + c->pol.hold_s + hr_absence_lease (c) : 0;
+  j->retry_at = j->unreadable ? c->led_at + c->pol.hold_s + hr_lease_duration_s (c) : 0;
   gboolean mixed = take_over_tasks (c, j);
   if (j->spec.shape == HR_GANG && j->ndone && j->state == HR_JOB_QUEUED)
     hr_gang_done (c, j, 0, TRUE); /* a large gang's ending was being recorded page by page */
   if (j->state == HR_JOB_CANCELLED)
     hr_job_cancelled (c, j);
   else if (mixed && j->nlive) /* parts of different attempts: begin again with a new one */
-    hr_gang_end (c, j, 0);
+    hr_gang_end_attempt (c, j, 0);
   if (j->ndone == j->ntasks)
     hr_record_writer_mark (c, j, 0);
 }
--- a/src/coordination/fleet.c
+++ b/src/coordination/fleet.c
@@ -52,7 +52,7 @@
 void
 hr_machine_gone (HrCore *c, HrMachine *m, const char *why)
 {
-  hr_absence_incarnations (c, m, G_MAXUINT32, why);
+  hr_termination_incarnations_over (c, m, G_MAXUINT32, why);
   m->state = HR_M_GONE;
   m->deleted = TRUE;
   for (guint i = 0; i < m->list->len; i++) {
--- a/src/coordination/workers.c
+++ b/src/coordination/heartbeats.c
@@ -1,30 +1,30 @@
 /* Reports of workers and the orders they get. */
 #include "coordination/orders.h"
-#include "coordination/renewal.h"
+#include "coordination/lease_renewal.h"
 #include "protocol/json_util.h"
 #include <string.h>
 
 /* Ended attempts that a worker may hold before the baton is raised to clear them. */
-#define MAX_KEPT 12
+#define MAX_UNCLEARED 12
 
 /* Fills in what a machine is and where; FALSE while its type is not known. */
 static gboolean
-describe (HrCore *c, HrMachine *m, const HrReport *r)
+describe (HrCore *c, HrMachine *m, const HrHeartbeat *r)
 {
   guint32 type = hr_intern_find (&c->names->types, r->type);
   const HrType *t = type == HR_NONE ? NULL : hr_type_by_name (c, type);
   if (!t)
     return FALSE;
-  hr_machine_describe (m, t, hr_intern (&c->names->zones, r->zone), r->spot);
-  if (g_strcmp0 (m->addr, r->addr) != 0) {
+  hr_machine_describe (m, t, hr_intern (&c->names->zones, r->zone), r->is_spot);
+  if (g_strcmp0 (m->addr, r->address) != 0) {
     g_free (m->addr);
-    m->addr = g_strdup (r->addr);
+    m->addr = g_strdup (r->address);
   }
   return TRUE;
 }
 
 static HrTask *
-match (HrCore *c, HrMachine *m, const HrReportedTask *it, HrJob **job)
+find_reported_task (HrCore *c, HrMachine *m, const HrReportedTask *it, HrJob **job)
 {
   HrJob *j = hr_job_find (c, it->job);
   *job = j;
@@ -49,7 +49,7 @@
 }
 
 static void
-exited (HrCore *c, HrJob *j, const HrReportedTask *it)
+note_exit (HrCore *c, HrJob *j, const HrReportedTask *it)
 {
   if (it->cause == HR_EXIT_DONE && j->state == HR_JOB_QUEUED)
     hr_task_done (c, j, it->task);
@@ -58,13 +58,13 @@
 }
 
 static void
-report_foreign (HrCore *c, HrMachine *m, HrJob *j, const HrReportedTask *it, json_t *orders,
-                guint *kept)
+handle_unrecognized (HrCore *c, HrMachine *m, HrJob *j, const HrReportedTask *it, json_t *orders,
+                     guint *kept)
 {
   if (it->state == HR_REPORTED_EXITED) {
-    if (hr_absence_may_clear (c, m, j ? j->idx : HR_NONE, it->task, it->attempt))
+    if (hr_termination_may_clear (c, m, j ? j->idx : HR_NONE, it->task, it->attempt))
       hr_orders_clear (c, m, orders, it->job, it->task, it->attempt);
-    else if (++*kept >= MAX_KEPT)
+    else if (++*kept >= MAX_UNCLEARED)
       hr_leadership_raise_token (c,
                                  "a worker holds many ended attempts that cannot be cleared yet");
     return;
@@ -81,16 +81,16 @@
 
 /* Takes in a worker's task list. full: a report, whose silence about a task counts. */
 static void
-take_items (HrCore *c, HrMachine *m, const HrReport *r, gboolean full, json_t *orders)
+take_reported_tasks (HrCore *c, HrMachine *m, const HrHeartbeat *r, gboolean full, json_t *orders)
 {
   g_autoptr (GArray) before = g_array_copy (m->tasks);
   g_autoptr (GHashTable) seen = g_hash_table_new (g_direct_hash, g_direct_equal);
   guint kept = 0;
   m->foreign_cpus = m->foreign_gpus = m->foreign_mem = 0;
-  for (guint i = 0; i < r->items->len; i++) {
-    HrReportedTask *it = &g_array_index (r->items, HrReportedTask, i);
+  for (guint i = 0; i < r->tasks->len; i++) {
+    HrReportedTask *it = &g_array_index (r->tasks, HrReportedTask, i);
     HrJob *j;
-    HrTask *t = match (c, m, it, &j);
+    HrTask *t = find_reported_task (c, m, it, &j);
     if (t && t->state == HR_TASK_BOUND) {
       g_hash_table_add (seen, t);
       t->from_earlier_term = 0;
@@ -108,18 +108,18 @@
       if (had_image (it))
         hr_machine_touch_image (m, j->spec.image);
       if (it->state == HR_REPORTED_EXITED)
-        exited (c, j, it);
+        note_exit (c, j, it);
       continue;
     }
     if (t && t->state == HR_TASK_DONE && !t->done_recorded && !j->shrunk)
       continue; /* its ending is still to be recorded: no clear before that */
     if (t && t->state == HR_TASK_ASSIGNING)
       continue;
-    report_foreign (c, m, j, it, orders, &kept);
+    handle_unrecognized (c, m, j, it, orders, &kept);
   }
   if (!full)
     return;
-  gboolean proof = hr_absence_orders_settled (m) && r->token >= c->baton;
+  gboolean proof = hr_termination_orders_settled (m) && r->fencing_token >= c->baton;
   for (guint i = 0; i < before->len; i++) {
     HrTaskRef ref = g_array_index (before, HrTaskRef, i);
     HrJob *j = c->jobs->pdata[ref.job];
@@ -138,13 +138,13 @@
 }
 
 static void
-notice (HrCore *c, HrMachine *m, const HrReport *r)
+take_preemption_notice (HrCore *c, HrMachine *m, const HrHeartbeat *r)
 {
-  if (r->notice < 0)
+  if (r->preemption_notice_s < 0)
     return;
   if (!m->notice_at)
-    g_info ("%s will be taken in about %.0f s", m->name, r->notice);
-  m->notice_at = c->now + r->notice;
+    g_info ("%s will be taken in about %.0f s", m->name, r->preemption_notice_s);
+  m->notice_at = c->now + r->preemption_notice_s;
   m->drain = TRUE;
   for (guint i = 0; i < m->tasks->len; i++) {
     HrTaskRef ref = g_array_index (m->tasks, HrTaskRef, i);
@@ -153,16 +153,16 @@
     if (t->state != HR_TASK_BOUND || t->stop_wanted)
       continue;
     if (j->spec.shape == HR_GANG) {
-      hr_gang_end (c, j, j->spec.save + 1);
+      hr_gang_end_attempt (c, j, j->spec.save + 1);
       continue;
     }
     double est = hr_estimate (c, j, m);
     double left = t->running_since ? est - (c->now - t->running_since) : est;
     /* What ends in time is left alone; what saves is stopped while it still
      * can; the rest is moved at once. */
-    if (left < r->notice * 0.7)
+    if (left < r->preemption_notice_s * 0.7)
       continue;
-    if (j->spec.checkpoint > 0 && r->notice > j->spec.save + 4 &&
+    if (j->spec.checkpoint > 0 && r->preemption_notice_s > j->spec.save + 4 &&
         t->reported_state == HR_REPORTED_RUNNING)
       hr_task_stop (c, j, ref.task, j->spec.save + 1);
     else
@@ -171,7 +171,7 @@
 }
 
 static void
-adopt (HrCore *c, HrMachine *m)
+admit_machine (HrCore *c, HrMachine *m)
 {
   if (m->state == HR_M_GONE) {
     g_info ("%s reports and was not expected; it is taken on", m->name);
@@ -185,7 +185,7 @@
 
 /* Not entitled to act for the controllers: the worker is sent to the one that is, if known. */
 static void
-send_elsewhere (HrCore *c, HrCommand *cmd)
+redirect_to_leader (HrCore *c, HrCommand *cmd)
 {
   gboolean known = FALSE;
   for (guint i = 0; i < c->set->members->len; i++)
@@ -214,79 +214,79 @@
 
 /* The message is the newest one of its worker. Its session and number count from here on. */
 static void
-note_order (HrCore *c, HrMachine *m, const HrReport *r)
+note_sequence (HrCore *c, HrMachine *m, const HrHeartbeat *r)
 {
   if (r->incarnation > m->incarnation)
     begin_incarnation (c, m, r->incarnation);
   /* Not only when the session moves on: a new owner may know the session from
    * before, and read older ones in the records. */
-  hr_absence_incarnations (c, m, m->incarnation - 1, "its worker is in a later session");
-  m->seq = r->seq;
+  hr_termination_incarnations_over (c, m, m->incarnation - 1, "its worker is in a later session");
+  m->seq = r->sequence;
   m->seq_at = c->now;
-  m->token = MAX (m->token, r->token);
+  m->token = MAX (m->token, r->fencing_token);
 }
 
 /* The report is current: its list of tasks is what the machine has. */
 static void
-take_report (HrCore *c, HrMachine *m, const HrReport *r, json_t *orders)
+take_heartbeat (HrCore *c, HrMachine *m, const HrHeartbeat *r, json_t *orders)
 {
   if (m->state != HR_M_UP || !m->heard_at)
-    adopt (c, m);
+    admit_machine (c, m);
   m->heard_at = c->now;
-  if (r->seq > m->reply_launch)
+  if (r->sequence > m->reply_launch)
     m->reply_launch = 0;
-  if (r->token > m->do_lost)
+  if (r->fencing_token > m->do_lost)
     m->do_lost = 0;
-  take_items (c, m, r, TRUE, orders);
-  notice (c, m, r);
+  take_reported_tasks (c, m, r, TRUE, orders);
+  take_preemption_notice (c, m, r);
 }
 
 static void
-refuse_report (HrCore *c, HrCommand *cmd, const HrReport *r, guint64 *counter, const char *reason,
-               const char *text)
+refuse_heartbeat (HrCore *c, HrCommand *cmd, const HrHeartbeat *r, guint64 *counter,
+                  const char *reason, const char *text)
 {
   ++*counter;
-  hr_renewal_log_refusal (c, r->machine, reason);
+  hr_lease_renewal_log_refusal (c, r->machine, reason);
   hr_refuse (c, cmd->id, 503, 0, text);
 }
 
 /* May the machine be answered at all? If not, the report is refused. */
 static gboolean
-answerable (HrCore *c, HrCommand *cmd, HrMachine *m, const HrReport *r)
+may_be_answered (HrCore *c, HrCommand *cmd, HrMachine *m, const HrHeartbeat *r)
 {
   if (m->state != HR_M_DELETING && !(m->state == HR_M_GONE && m->deleted) &&
       r->incarnation >= m->incarnation && describe (c, m, r))
     return TRUE;
-  refuse_report (c, cmd, r, &c->counters.reports_refused_machine, "returned_or_unknown",
-                 "this machine is being returned, or not known yet");
+  refuse_heartbeat (c, cmd, r, &c->counters.reports_refused_machine, "returned_or_unknown",
+                    "this machine is being returned, or not known yet");
   return FALSE;
 }
 
 static void
-answer_report (HrCore *c, HrCommand *cmd, HrMachine *m, const HrReport *r)
+answer_heartbeat (HrCore *c, HrCommand *cmd, HrMachine *m, const HrHeartbeat *r)
 {
   json_t *orders = json_array ();
-  if (r->incarnation == m->incarnation && r->seq <= m->seq) {
+  if (r->incarnation == m->incarnation && r->sequence <= m->seq) {
     /* Overtaken by a newer list, of an answer to /do perhaps, or a late copy: nothing in
      * it counts. */
-    hr_renewal_answer (c, cmd, m, r, HR_RENEWAL_OVERTAKEN, orders);
+    hr_lease_renewal_answer (c, cmd, m, r, HR_HEARTBEAT_OVERTAKEN, orders);
     return;
   }
-  note_order (c, m, r);
-  if (r->token < c->led_baton && !(m->state == HR_M_BOOTING && m->rented_here)) {
+  note_sequence (c, m, r);
+  if (r->fencing_token < c->led_baton && !(m->state == HR_M_BOOTING && m->rented_here)) {
     /* Sent before the worker heard from this owner, how long ago nobody knows: it may be
      * a late copy of a machine that is gone. Only its order counts. A worker that is
      * there gets our token now, and reports again because of it; but when, and whether we
      * are there by then, is open: so it is told now what must not run. */
-    hr_renewal_answer (c, cmd, m, r, HR_RENEWAL_BEFORE_TOKEN, orders);
+    hr_lease_renewal_answer (c, cmd, m, r, HR_HEARTBEAT_BEFORE_TOKEN, orders);
     return;
   }
-  take_report (c, m, r, orders);
-  hr_renewal_answer (c, cmd, m, r, HR_RENEWAL_CURRENT, orders);
+  take_heartbeat (c, m, r, orders);
+  hr_lease_renewal_answer (c, cmd, m, r, HR_HEARTBEAT_CURRENT, orders);
 }
 
 void
-hr_workers_hello (HrCore *c, HrCommand *cmd)
+hr_heartbeat_received (HrCore *c, HrCommand *cmd)
 {
   if (cmd->method != HR_POST) {
     hr_refuse (c, cmd->id, 405, 0, "use POST");
@@ -295,41 +295,42 @@
   c->contact_count++;
   if (!hr_leadership_may_answer (c)) {
     c->counters.reports_refused_not_entitled++;
-    hr_renewal_log_refusal (c, NULL, c->leads ? "reading_too_old" : "not_leader");
-    send_elsewhere (c, cmd);
+    hr_lease_renewal_log_refusal (c, NULL, c->leads ? "reading_too_old" : "not_leader");
+    redirect_to_leader (c, cmd);
     return;
   }
   gsize len = 0;
   const char *data = cmd->body ? g_bytes_get_data (cmd->body, &len) : NULL;
   g_autofree char *why = NULL;
-  g_autoptr (HrReport) r = hr_report_parse (data, len, &why);
+  g_autoptr (HrHeartbeat) r = hr_heartbeat_parse (data, len, &why);
   if (!r) {
     g_info ("a report was dropped: %s", why);
     c->counters.reports_malformed++;
     hr_refuse (c, cmd->id, 400, 0, why);
     return;
   }
-  if (r->token > c->baton) {
-    g_info ("%s has seen baton %" G_GUINT64_FORMAT ", ours is older", r->machine, r->token);
-    refuse_report (c, cmd, r, &c->counters.reports_refused_token, "newer_token",
-                   "a newer baton is about");
+  if (r->fencing_token > c->baton) {
+    g_info ("%s has seen baton %" G_GUINT64_FORMAT ", ours is older", r->machine, r->fencing_token);
+    refuse_heartbeat (c, cmd, r, &c->counters.reports_refused_token, "newer_token",
+                      "a newer baton is about");
     return;
   }
   HrMachine *m = hr_machine_get (c, r->machine);
-  if (answerable (c, cmd, m, r))
-    answer_report (c, cmd, m, r);
+  if (may_be_answered (c, cmd, m, r))
+    answer_heartbeat (c, cmd, m, r);
 }
 
 void
-hr_workers_direct_answer (HrCore *c, HrMachine *m, const HrReport *r)
+hr_heartbeat_direct_answer (HrCore *c, HrMachine *m, const HrHeartbeat *r)
 {
   if (strcmp (r->machine, m->name) != 0 || m->state != HR_M_UP ||
-      r->incarnation != m->incarnation || r->seq <= m->seq)
+      r->incarnation != m->incarnation || r->sequence <= m->seq)
     return;
-  m->seq = r->seq;
+  m->seq = r->sequence;
   m->seq_at = c->now;
-  m->token = MAX (m->token, r->token);
+  m->token = MAX (m->token, r->fencing_token);
   json_t *orders = json_array ();
-  take_items (c, m, r, FALSE, orders); /* its orders go out with the next report's answer */
+  take_reported_tasks (c, m, r, FALSE,
+                       orders); /* its orders go out with the next report's answer */
   json_decref (orders);
 }
--- a/src/coordination/renewal.c
+++ b/src/coordination/lease_renewal.c
@@ -1,4 +1,4 @@
-#include "coordination/renewal.h"
+#include "coordination/lease_renewal.h"
 #include "coordination/invariant.h"
 #include "coordination/orders.h"
 
@@ -7,41 +7,41 @@
 /* Withdrawn or done, by what this node knows. Both are final: a stop of such a job's task is right
  * whenever it arrives, and whatever made us send it. */
 static gboolean
-is_over (const HrJob *j)
+is_final (const HrJob *j)
 {
   return j->told || (j->known && j->state != HR_JOB_QUEUED);
 }
 
 static const HrJob *
-job_of (HrCore *c, const HrReportedTask *it)
+job_of_reported (HrCore *c, const HrReportedTask *it)
 {
   guint32 i = hr_intern_find (&c->job_ids, it->job);
   return i == HR_NONE ? NULL : c->jobs->pdata[i];
 }
 
 static gboolean
-shown_and_over (HrCore *c, const HrReportedTask *it)
+reported_and_final (HrCore *c, const HrReportedTask *it)
 {
-  const HrJob *j = it->state == HR_REPORTED_EXITED ? NULL : job_of (c, it);
-  return j && is_over (j);
+  const HrJob *j = it->state == HR_REPORTED_EXITED ? NULL : job_of_reported (c, it);
+  return j && is_final (j);
 }
 
 /* The record has the task on this machine in this session, so a launch may have started it though
  * the report, which left earlier, lacks it. */
 static gboolean
-recorded_and_over (const HrCore *c, const HrMachine *m, HrTaskRef r)
+recorded_and_final (const HrCore *c, const HrMachine *m, HrTaskRef r)
 {
   const HrJob *j = c->jobs->pdata[r.job];
   const HrTask *t = &j->tasks[r.task];
-  return is_over (j) && t->state == HR_TASK_BOUND && t->placement.incarnation == m->incarnation;
+  return is_final (j) && t->state == HR_TASK_BOUND && t->placement.incarnation == m->incarnation;
 }
 
 static void
-stop_shown (HrCore *c, const HrMachine *m, const HrReport *r, json_t *orders)
+stop_reported (HrCore *c, const HrMachine *m, const HrHeartbeat *r, json_t *orders)
 {
-  for (guint i = 0; i < r->items->len; i++) {
-    const HrReportedTask *it = &g_array_index (r->items, HrReportedTask, i);
-    if (shown_and_over (c, it) && !hr_orders_name_stop (orders, it->job, it->task, it->attempt))
+  for (guint i = 0; i < r->tasks->len; i++) {
+    const HrReportedTask *it = &g_array_index (r->tasks, HrReportedTask, i);
+    if (reported_and_final (c, it) && !hr_orders_name_stop (orders, it->job, it->task, it->attempt))
       hr_orders_stop (c, m, orders, it->job, it->task, it->attempt, "over");
   }
 }
@@ -52,24 +52,24 @@
   for (guint i = 0; i < m->tasks->len; i++) {
     HrTaskRef r = g_array_index (m->tasks, HrTaskRef, i);
     const HrJob *j = c->jobs->pdata[r.job];
-    if (recorded_and_over (c, m, r) &&
+    if (recorded_and_final (c, m, r) &&
         !hr_orders_name_stop (orders, j->id, r.task, j->tasks[r.task].placement.attempt))
       hr_orders_stop (c, m, orders, j->id, r.task, j->tasks[r.task].placement.attempt, "over");
   }
 }
 
 char *
-hr_renewal_missing (HrCore *c, const HrMachine *m, const HrReport *r, json_t *orders)
+hr_lease_renewal_missing_stop (HrCore *c, const HrMachine *m, const HrHeartbeat *r, json_t *orders)
 {
-  for (guint i = 0; i < r->items->len; i++) {
-    const HrReportedTask *it = &g_array_index (r->items, HrReportedTask, i);
-    if (shown_and_over (c, it) && !hr_orders_name_stop (orders, it->job, it->task, it->attempt))
+  for (guint i = 0; i < r->tasks->len; i++) {
+    const HrReportedTask *it = &g_array_index (r->tasks, HrReportedTask, i);
+    if (reported_and_final (c, it) && !hr_orders_name_stop (orders, it->job, it->task, it->attempt))
       return g_strdup_printf ("%s/%u", it->job, it->task);
   }
   for (guint i = 0; i < m->tasks->len; i++) {
     HrTaskRef ref = g_array_index (m->tasks, HrTaskRef, i);
     const HrJob *j = c->jobs->pdata[ref.job];
-    if (recorded_and_over (c, m, ref) &&
+    if (recorded_and_final (c, m, ref) &&
         !hr_orders_name_stop (orders, j->id, ref.task, j->tasks[ref.task].placement.attempt))
       return g_strdup_printf ("%s/%u", j->id, ref.task);
   }
@@ -78,29 +78,29 @@
 
 /* From when on the worker's lease counts, by our clock, if it gets this answer. */
 static double
-counts_from (const HrCore *c, const HrMachine *m, HrRenewalKind kind)
+lease_counts_from (const HrCore *c, const HrMachine *m, HrHeartbeatKind kind)
 {
   /* Should the worker still wait for the answer to an overtaken report, it sent that before the
    * newer message came to us. */
-  return kind == HR_RENEWAL_OVERTAKEN ? MAX (m->answered_at, m->seq_at) : c->now;
+  return kind == HR_HEARTBEAT_OVERTAKEN ? MAX (m->answered_at, m->seq_at) : c->now;
 }
 
 static void
-log_answer (const HrCore *c, const HrMachine *m, const HrReport *r, HrRenewalKind kind,
+log_answer (const HrCore *c, const HrMachine *m, const HrHeartbeat *r, HrHeartbeatKind kind,
             json_t *orders)
 {
-  if (kind == HR_RENEWAL_CURRENT && !json_array_size (orders))
+  if (kind == HR_HEARTBEAT_CURRENT && !json_array_size (orders))
     return;
   g_debug ("answer: machine=%s kind=%s seq=%" G_GUINT64_FORMAT " session=%" G_GUINT64_FORMAT
            " token=%" G_GUINT64_FORMAT " seen=%" G_GUINT64_FORMAT
            " tasks=%u stops=%u launches=%u clears=%u",
-           m->name, kind_names[kind], r->seq, r->incarnation, c->baton, r->token, r->items->len,
-           hr_orders_count (orders, "kill"), hr_orders_count (orders, "launch"),
+           m->name, kind_names[kind], r->sequence, r->incarnation, c->baton, r->fencing_token,
+           r->tasks->len, hr_orders_count (orders, "kill"), hr_orders_count (orders, "launch"),
            hr_orders_count (orders, "clear"));
 }
 
 void
-hr_renewal_log_refusal (const HrCore *c, const char *machine, const char *reason)
+hr_lease_renewal_log_refusal (const HrCore *c, const char *machine, const char *reason)
 {
   g_debug ("refused: machine=%s reason=%s leads=%d token=%" G_GUINT64_FORMAT " reading_age=%.2f",
            machine ? machine : "-", reason, c->leads, c->baton, c->now - c->confirmed_at);
@@ -112,23 +112,23 @@
 {
   json_decref (orders);
   c->counters.reports_refused_order++;
-  hr_renewal_log_refusal (c, m->name, reason);
+  hr_lease_renewal_log_refusal (c, m->name, reason);
   hr_refuse (c, cmd->id, 503, 0, "an order to this worker may still come");
 }
 
 void
-hr_renewal_answer (HrCore *c, HrCommand *cmd, HrMachine *m, const HrReport *r, HrRenewalKind kind,
-                   json_t *orders)
+hr_lease_renewal_answer (HrCore *c, HrCommand *cmd, HrMachine *m, const HrHeartbeat *r,
+                         HrHeartbeatKind kind, json_t *orders)
 {
-  if (hr_absence_cancelled_may_start (c, m)) {
+  if (hr_termination_cancelled_may_start (c, m)) {
     withhold (c, cmd, m, orders, "order_may_come");
     return;
   }
-  if (kind == HR_RENEWAL_CURRENT && hr_orders_recorded (c, m, orders, FALSE))
-    m->reply_launch = r->seq;
-  stop_shown (c, m, r, orders);
+  if (kind == HR_HEARTBEAT_CURRENT && hr_orders_recorded (c, m, orders, FALSE))
+    m->reply_launch = r->sequence;
+  stop_reported (c, m, r, orders);
   stop_recorded (c, m, orders);
-  g_autofree char *missing = hr_renewal_missing (c, m, r, orders);
+  g_autofree char *missing = hr_lease_renewal_missing_stop (c, m, r, orders);
   if (missing) {
     hr_invariant_violated (c,
                            "a lease would be renewed without a stop: machine=%s task=%s kind=%s "
@@ -137,11 +137,11 @@
     withhold (c, cmd, m, orders, "stop_not_named");
     return;
   }
-  m->answered_at = counts_from (c, m, kind);
+  m->answered_at = lease_counts_from (c, m, kind);
   hr_histogram_add (&c->renewal_age, c->now - c->confirmed_at);
-  c->counters.reports_answered += kind == HR_RENEWAL_CURRENT;
-  c->counters.reports_overtaken += kind == HR_RENEWAL_OVERTAKEN;
-  c->counters.reports_before_token += kind == HR_RENEWAL_BEFORE_TOKEN;
+  c->counters.reports_answered += kind == HR_HEARTBEAT_CURRENT;
+  c->counters.reports_overtaken += kind == HR_HEARTBEAT_OVERTAKEN;
+  c->counters.reports_before_token += kind == HR_HEARTBEAT_BEFORE_TOKEN;
   log_answer (c, m, r, kind, orders);
   hr_reply (c, cmd->id, 200, json_pack ("{sIso}", "baton", (json_int_t)c->baton, "orders", orders),
             0);
--- a/src/coordination/renewal.h
+++ b/src/coordination/lease_renewal.h
@@ -7,18 +7,19 @@
 #include "coordination/state.h"
 
 typedef enum {
-  HR_RENEWAL_CURRENT,     /* the newest message of a worker that knows our token */
-  HR_RENEWAL_OVERTAKEN,   /* a newer message came before it, or it is a late copy */
-  HR_RENEWAL_BEFORE_TOKEN /* sent before its worker heard from this leader, at an unknown time */
-} HrRenewalKind;
+  HR_HEARTBEAT_CURRENT,     /* the newest message of a worker that knows our token */
+  HR_HEARTBEAT_OVERTAKEN,   /* a newer message came before it, or it is a late copy */
+  HR_HEARTBEAT_BEFORE_TOKEN /* sent before its worker heard from this leader, at an unknown time */
+} HrHeartbeatKind;
 
 /* Answers the report: 200 with orders, or 503 where its worker's lease has to run out. orders
  * (taken): what the report itself led to; the rest is added here. Of a report that is not current
  * only stops of what is over follow, which are right however old it is. */
-void hr_renewal_answer (HrCore *c, HrCommand *cmd, HrMachine *m, const HrReport *r,
-                        HrRenewalKind kind, json_t *orders);
+void hr_lease_renewal_answer (HrCore *c, HrCommand *cmd, HrMachine *m, const HrHeartbeat *r,
+                              HrHeartbeatKind kind, json_t *orders);
 /* One line about a report that gets no 200. machine: NULL where the report was not read. */
-void hr_renewal_log_refusal (const HrCore *c, const char *machine, const char *reason);
+void hr_lease_renewal_log_refusal (const HrCore *c, const char *machine, const char *reason);
 /* A task that is shown or recorded there and has to be named, but is not: "job/task", to be freed.
  * NULL when the orders may go out with a renewal. */
-char *hr_renewal_missing (HrCore *c, const HrMachine *m, const HrReport *r, json_t *orders);
+char *hr_lease_renewal_missing_stop (HrCore *c, const HrMachine *m, const HrHeartbeat *r,
+                                     json_t *orders);
--- a/src/coordination/limits.c
+++ b/src/coordination/limits.c
@@ -132,7 +132,7 @@
   HrMachine *m = c->machines->pdata[t->placement.machine];
   if (t->state == HR_TASK_BOUND && (t->stop_wanted || j->state != HR_JOB_QUEUED))
     return c->now +
-           (hr_reachable (c, m) ? t->stop_grace_s + STOP_AND_START_S : hr_absence_lease (c));
+           (hr_reachable (c, m) ? t->stop_grace_s + STOP_AND_START_S : hr_lease_duration_s (c));
   return hr_running_end (c, j, t, m);
 }
 
--- a/src/coordination/orders.c
+++ b/src/coordination/orders.c
@@ -15,7 +15,7 @@
   return j->state == HR_JOB_QUEUED && !hr_job_waits (j) && !t->stop_wanted &&
          !t->from_earlier_term &&
          (j->spec.shape != HR_GANG ||
-          (!j->gang_over && hr_gang_ready (j) && !hr_gang_holds_back (c, j, t)));
+          (!j->gang_over && hr_gang_ready (j) && !hr_gang_delays_launch (c, j, t)));
 }
 
 /* While the state service refuses this owner alone, others confirm withdrawals that it cannot read:
@@ -50,7 +50,7 @@
   const HrTask *t = &j->tasks[r.task];
   hr_order_launch (orders, j->id, r.task, t->placement.attempt);
   if (direct)
-    hr_absence_note_direct (m, r.job, r.task, t->placement.attempt, c->baton);
+    hr_termination_note_direct_launch (m, r.job, r.task, t->placement.attempt, c->baton);
   c->counters.starts++;
   log_order ("start", j->id, r.task, t->placement.attempt, m, direct, NULL);
 }
@@ -65,7 +65,7 @@
   gboolean overdue = c->now - t->stop_sent_at > t->stop_grace_s + SAVE_OVERDUE_S;
   if (t->reported_state == HR_REPORTED_SAVING && !overdue && t->stop_grace_s > 0)
     return;
-  hr_order_kill (orders, j->id, r.task, t->placement.attempt, overdue ? 0 : t->stop_grace_s);
+  hr_order_stop (orders, j->id, r.task, t->placement.attempt, overdue ? 0 : t->stop_grace_s);
   c->counters.stops++;
   log_order ("stop", j->id, r.task, t->placement.attempt, m, direct, stop_reason (j));
 }
@@ -93,7 +93,7 @@
 hr_orders_stop (HrCore *c, const HrMachine *m, json_t *orders, const char *job, guint32 task,
                 guint32 attempt, const char *why)
 {
-  hr_order_kill (orders, job, task, attempt, 0);
+  hr_order_stop (orders, job, task, attempt, 0);
   c->counters.stops++;
   log_order ("stop", job, task, attempt, m, FALSE, why);
 }
--- a/src/coordination/preempt.c
+++ b/src/coordination/preempt.c
@@ -38,7 +38,7 @@
   double grace =
       v->spec.checkpoint > 0 && t->reported_state == HR_REPORTED_RUNNING ? v->spec.save + 1 : 0;
   if (v->spec.shape == HR_GANG)
-    hr_gang_end (c, v, v->spec.save + 1);
+    hr_gang_end_attempt (c, v, v->spec.save + 1);
   else
     hr_task_stop (c, v, task, grace);
 }
--- a/src/coordination/urgency.c
+++ b/src/coordination/priority_inheritance.c
@@ -27,7 +27,7 @@
 }
 
 static gboolean
-counts (const HrJob *j)
+is_counted (const HrJob *j)
 {
   return j->known && j->tasks && j->state == HR_JOB_QUEUED;
 }
@@ -62,7 +62,7 @@
   double deadline = own_deadline (c, j);
   for (guint i = 0; j->dependents && i < j->dependents->len; i++) {
     const HrJob *d = j->dependents->pdata[i];
-    if (!counts (d))
+    if (!is_counted (d))
       continue;
     rank = MIN (rank, d->rank);
     deadline = MIN (deadline, d->deadline - d->spec.estimate);
@@ -102,7 +102,7 @@
 static void
 visit_awaited (Walk *walk, HrJob *j)
 {
-  if (!counts (j))
+  if (!is_counted (j))
     return;
   Visit visit = GPOINTER_TO_INT (g_hash_table_lookup (walk->visits, j));
   if (visit == VISIT_OPEN)
@@ -151,7 +151,7 @@
   gboolean any = FALSE;
   for (guint i = 0; i < j->nawaits; i++) {
     HrJob *awaited = j->awaits[i];
-    if (!counts (awaited) || !take_over_urgency (c, awaited, j))
+    if (!is_counted (awaited) || !take_over_urgency (c, awaited, j))
       continue;
     any = TRUE;
     if (changed)
@@ -161,16 +161,16 @@
 }
 
 void
-hr_urgency_read (HrCore *c, HrJob *j)
+hr_priority_inheritance_job_read (HrCore *c, HrJob *j)
 {
-  if (!counts (j))
+  if (!is_counted (j))
     return;
   recompute (c, j);
   if (!hand_on (c, j, NULL))
     return; /* mostly: nobody else needs to be looked at */
   g_autoptr (GPtrArray) seeds = g_ptr_array_new ();
   for (guint i = 0; i < j->nawaits; i++)
-    if (counts (j->awaits[i]))
+    if (is_counted (j->awaits[i]))
       g_ptr_array_add (seeds, j->awaits[i]);
   g_autoptr (GHashTable) changed = g_hash_table_new (g_direct_hash, g_direct_equal);
   for (guint i = 0; i < seeds->len; i++)
@@ -182,14 +182,14 @@
 }
 
 void
-hr_urgency_withdrawn (HrCore *c, const GPtrArray *jobs)
+hr_priority_inheritance_jobs_cancelled (HrCore *c, const GPtrArray *jobs)
 {
   g_autoptr (GHashTable) affected = g_hash_table_new (g_direct_hash, g_direct_equal);
   g_autoptr (GPtrArray) seeds = g_ptr_array_new ();
   for (guint k = 0; k < jobs->len; k++) {
     const HrJob *over = jobs->pdata[k];
     for (guint i = 0; i < over->nawaits; i++)
-      if (counts (over->awaits[i]) && g_hash_table_add (affected, over->awaits[i]))
+      if (is_counted (over->awaits[i]) && g_hash_table_add (affected, over->awaits[i]))
         g_ptr_array_add (seeds, over->awaits[i]);
   }
   g_autoptr (GPtrArray) order = dependents_first (seeds);
@@ -198,7 +198,7 @@
     if (!g_hash_table_contains (affected, j) || !recompute (c, j))
       continue;
     for (guint k = 0; k < j->nawaits; k++)
-      if (counts (j->awaits[k]))
+      if (is_counted (j->awaits[k]))
         g_hash_table_add (affected, j->awaits[k]);
   }
 }
--- a/src/coordination/state.h
+++ b/src/coordination/state.h
@@ -231,9 +231,9 @@
 
 /* urgency.c: deadline and rank of jobs that others need */
 /* The job is known, or has become ready. */
-void hr_urgency_read (HrCore *c, HrJob *j);
+void hr_priority_inheritance_job_read (HrCore *c, HrJob *j);
 /* These jobs (HrJob) need what they awaited no more. */
-void hr_urgency_withdrawn (HrCore *c, const GPtrArray *jobs);
+void hr_priority_inheritance_jobs_cancelled (HrCore *c, const GPtrArray *jobs);
 
 /* leader.c */
 void hr_leadership_tick (HrCore *c);
@@ -250,7 +250,7 @@
 void hr_leadership_raise_token (HrCore *c, const char *why);
 
 /* admission.c: why a job can never run here; NULL when it can. The machine types are known. */
-char *hr_admission_refusal (HrCore *c, const HrJobSpec *s);
+char *hr_admission_refusal_reason (HrCore *c, const HrJobSpec *s);
 
 /* withdrawals.c: naming withdrawals to a leader that cannot read them */
 void hr_cancellation_log_append (HrCore *c, const HrJob *j, guint64 revision);
@@ -260,15 +260,15 @@
 void hr_cancellation_log_acknowledged (HrCore *c, const HrPeer *p);
 
 /* users.c */
-void hr_users_request (HrCore *c, HrCommand *cmd);
+void hr_user_request_received (HrCore *c, HrCommand *cmd);
 
 /* workers.c */
-void hr_workers_hello (HrCore *c, HrCommand *cmd);
+void hr_heartbeat_received (HrCore *c, HrCommand *cmd);
 /* What a worker answered to a direct call: its list after the orders. */
-void hr_workers_direct_answer (HrCore *c, HrMachine *m, const HrReport *r);
+void hr_heartbeat_direct_answer (HrCore *c, HrMachine *m, const HrHeartbeat *r);
 
 /* direct.c */
-void hr_direct_send (HrCore *c);
+void hr_direct_orders_send (HrCore *c);
 
 /* tasks.c: what happens to a task on its machine */
 void hr_task_assign (HrCore *c, HrJob *j, guint32 task, HrMachine *m, guint32 attempt);
@@ -280,9 +280,9 @@
 /* All its tasks are recorded, of one attempt. */
 gboolean hr_gang_ready (const HrJob *j);
 /* Is it too early to launch this task of a gang that is ready? */
-gboolean hr_gang_holds_back (const HrCore *c, const HrJob *j, const HrTask *t);
+gboolean hr_gang_delays_launch (const HrCore *c, const HrJob *j, const HrTask *t);
 /* Ends a gang's attempt: all its tasks have to go before the next one. */
-void hr_gang_end (HrCore *c, HrJob *j, double grace);
+void hr_gang_end_attempt (HrCore *c, HrJob *j, double grace);
 /* A gang completes together: one is done, so all of that attempt (any: of all attempts) are, also
  * those whose machine went before it could say so. */
 void hr_gang_done (HrCore *c, HrJob *j, guint32 attempt, gboolean any);
--- a/src/coordination/submissions.c
+++ b/src/coordination/submissions.c
@@ -67,7 +67,7 @@
       hr_job_set_spec (j, &request->spec, request->per_page);
       if (!j->per_page)
         j->pages[0].revision = store_revision;
-      hr_dependencies_read (c, j, (const char *const *)request->awaits);
+      hr_dependencies_job_read (c, j, (const char *const *)request->awaits);
       hr_job_open (c, j);
       c->plan_dirty = TRUE;
     }
@@ -102,7 +102,7 @@
 static void
 submit_if_possible (HrCore *c, HrUserRequest *request)
 {
-  const char *service = hr_dependencies_service (c, request->awaits);
+  const char *service = hr_dependencies_find_service (c, request->awaits);
   if (!service) {
     send_submit (c, request);
     return;
@@ -116,7 +116,7 @@
 on_awaits_read (HrCore *c, gboolean ok, gpointer data)
 {
   HrUserRequest *request = data;
-  const char *unknown = hr_dependencies_unknown (c, request->awaits);
+  const char *unknown = hr_dependencies_find_unknown (c, request->awaits);
   HrJob *j = hr_job_find (c, request->id);
   if (!ok || hr_job_unreadable (c, request->id))
     hr_request_refuse_later (c, request, 503,
@@ -171,7 +171,7 @@
     hr_request_refuse_later (c, request, 503, "this node has only just started; submit again");
     return;
   }
-  g_autofree char *never = hr_admission_refusal (c, &spec);
+  g_autofree char *never = hr_admission_refusal_reason (c, &spec);
   if (never) {
     refuse_if_new (c, request, 422, never);
     return;
@@ -185,7 +185,7 @@
     return;
   }
   /* Known jobs never vanish; what is not known may have been accepted elsewhere just now. */
-  if (hr_dependencies_unknown (c, request->awaits))
+  if (hr_dependencies_find_unknown (c, request->awaits))
     hr_replica_read (c, on_awaits_read, request);
   else
     submit_if_possible (c, request);
--- a/src/coordination/tasks.c
+++ b/src/coordination/task_lifecycle.c
@@ -14,13 +14,13 @@
 
 /* Its orders go out with the next step. */
 static void
-urgent (HrCore *c, HrMachine *m)
+mark_urgent (HrCore *c, HrMachine *m)
 {
   m->urgent = c->urgent = TRUE;
 }
 
 static void
-freed (HrCore *c, HrMachine *m)
+note_freed (HrCore *c, HrMachine *m)
 {
   if (m->tasks->len == 0)
     m->idle_at = c->now;
@@ -58,7 +58,7 @@
 
 /* Takes the task off its machine's books. */
 static void
-release (HrCore *c, HrJob *j, guint32 task)
+release_machine (HrCore *c, HrJob *j, guint32 task)
 {
   HrTask *t = &j->tasks[task];
   HrMachine *m = machine_of (c, t);
@@ -66,7 +66,7 @@
   hr_machine_give (m, &j->spec, r);
   j->nlive--;
   t->stop_wanted = 0;
-  freed (c, m);
+  note_freed (c, m);
   if (j->nlive)
     return;
   j->gang_over = FALSE;
@@ -79,7 +79,7 @@
 hr_task_unassign (HrCore *c, HrJob *j, guint32 task)
 {
   j->tasks[task].state = HR_TASK_IDLE;
-  release (c, j, task);
+  release_machine (c, j, task);
 }
 
 gboolean
@@ -108,11 +108,11 @@
     hr_task_done (c, j, task);
     return;
   }
-  urgent (c, m);
+  mark_urgent (c, m);
   if (j->spec.shape == HR_GANG && hr_gang_ready (j)) {
     j->ready_at = c->now;
     for (guint32 i = 0; i < j->ntasks; i++)
-      urgent (c, machine_of (c, &j->tasks[i]));
+      mark_urgent (c, machine_of (c, &j->tasks[i]));
   }
 }
 
@@ -120,7 +120,7 @@
  * gang_wait_s; with it they would lose their fetches, attempt after attempt. So it is
  * launched later: half of that wait before the longest fetch should end. */
 gboolean
-hr_gang_holds_back (const HrCore *c, const HrJob *j, const HrTask *t)
+hr_gang_delays_launch (const HrCore *c, const HrJob *j, const HrTask *t)
 {
   double longest = 0;
   for (guint32 i = 0; i < j->ntasks; i++)
@@ -131,7 +131,7 @@
 }
 
 void
-hr_gang_end (HrCore *c, HrJob *j, double grace)
+hr_gang_end_attempt (HrCore *c, HrJob *j, double grace)
 {
   j->gang_over = TRUE;
   j->short_since = 0;
@@ -145,7 +145,7 @@
 }
 
 static void
-failed (HrCore *c, HrJob *j, HrMachine *m, HrExitCause why)
+note_failure (HrCore *c, HrJob *j, HrMachine *m, HrExitCause why)
 {
   j->last_error = why;
   j->bad_machine = m->idx;
@@ -171,7 +171,7 @@
 
 /* Has the attempt begun, as far as its workers have said? */
 static gboolean
-gang_began (const HrJob *j)
+gang_has_begun (const HrJob *j)
 {
   for (guint32 i = 0; i < j->ntasks; i++)
     if (j->tasks[i].state == HR_TASK_BOUND &&
@@ -189,11 +189,11 @@
     return;
   /* The others of a gang that has not begun keep waiting; a replacement with the same
    * attempt number completes it. A task that failed would most likely fail again. */
-  gboolean replace = (why == HR_EXIT_NONE || why == HR_EXIT_FULL) && !gang_began (j);
+  gboolean replace = (why == HR_EXIT_NONE || why == HR_EXIT_FULL) && !gang_has_begun (j);
   g_debug ("%s/%u try %u is off %s: %s", j->id, task, t->placement.attempt, m->name, proof);
   t->state = HR_TASK_IDLE;
   if (why == HR_EXIT_ERROR || why == HR_EXIT_UNKNOWN)
-    failed (c, j, m, why);
+    note_failure (c, j, m, why);
   else if (why == HR_EXIT_FULL || why == HR_EXIT_IN_USE) {
     m->full_until = c->now + 3;
     j->last_error = why;
@@ -201,17 +201,17 @@
   gboolean gang = j->spec.shape == HR_GANG && j->nlive > 1;
   if (j->spec.shape == HR_SERVICE)
     c->planned_at = 0; /* a replica is down: plan at once */
-  release (c, j, task);
+  release_machine (c, j, task);
   if (!gang || j->gang_over || j->state != HR_JOB_QUEUED)
     return;
   if (!replace)
-    hr_gang_end (c, j, 0);
+    hr_gang_end_attempt (c, j, 0);
   else if (!j->short_since)
     j->short_since = c->now;
 }
 
 static void
-learn (HrCore *c, HrJob *j, HrTask *t, HrMachine *m)
+learn_run_time (HrCore *c, HrJob *j, HrTask *t, HrMachine *m)
 {
   HrClassStat *s = hr_class (c, j->spec.klass);
   double ran = c->now - t->running_since;
@@ -250,14 +250,14 @@
   if (t->state != HR_TASK_BOUND)
     return;
   HrMachine *m = machine_of (c, t);
-  learn (c, j, t, m);
+  learn_run_time (c, j, t, m);
   m->errors = 0;
   m->error_job = HR_NONE;
   j->errors = 0;
   g_debug ("%s/%u ends on %s", j->id, task, m->name);
   t->state = HR_TASK_DONE;
   j->ndone++;
-  release (c, j, task);
+  release_machine (c, j, task);
   hr_record_writer_mark (c, j, task);
   if (j->spec.shape == HR_GANG)
     hr_gang_done (c, j, t->placement.attempt, FALSE);
@@ -272,7 +272,7 @@
   t->stop_wanted = 1;
   t->stop_grace_s = grace;
   t->stop_sent_at = 0;
-  urgent (c, machine_of (c, t));
+  mark_urgent (c, machine_of (c, t));
 }
 
 guint
--- a/src/coordination/users.c
+++ b/src/coordination/user_requests.c
@@ -36,7 +36,7 @@
 
 /* Why the job is where it is, for the person who waits for it. */
 static char *
-reason (HrCore *c, HrJob *j)
+status_reason (HrCore *c, HrJob *j)
 {
   if (j->state == HR_JOB_DONE)
     return g_strdup ("all tasks are done");
@@ -74,7 +74,7 @@
                                j->tasks[i].reported_state == HR_REPORTED_RUNNING
                          : j->tasks[i].recorded.machine != HR_NONE);
   const char *st = j->state == HR_JOB_QUEUED && running ? "running" : stances[j->state];
-  g_autofree char *why = reason (c, j);
+  g_autofree char *why = status_reason (c, j);
   hr_reply (c, request->reply_id, status,
             json_pack ("{sssssisiss}", "name_id", request->id, "stance", st, "done", (int)done,
                        "running", (int)running, "reason", why),
@@ -166,7 +166,7 @@
         j->pages[0].revision = store_revision;
       if (c->leads)
         hr_job_cancelled (c, j);
-      hr_dependencies_final (c, j);
+      hr_dependencies_job_final (c, j);
     }
     hr_request_answer (c, request, j, 200);
   } else if (status == 400 && c->speaks && j && j->tasks) {
@@ -202,7 +202,7 @@
 /* ---- the door ---- */
 
 static void
-ready (HrCore *c, HrCommand *cmd)
+answer_readiness (HrCore *c, HrCommand *cmd)
 {
   if (!c->types || !c->synced_once)
     hr_refuse (c, cmd->id, 503, 1, "still reading the ledger and the machine types");
@@ -213,12 +213,12 @@
 }
 
 void
-hr_users_request (HrCore *c, HrCommand *cmd)
+hr_user_request_received (HrCore *c, HrCommand *cmd)
 {
   const char *p = cmd->path;
   if (strcmp (p, "/ready") == 0) {
     if (cmd->method == HR_GET)
-      ready (c, cmd);
+      answer_readiness (c, cmd);
     else
       hr_refuse (c, cmd->id, 405, 0, "use GET");
     return;
--- a/src/protocol/worker.c
+++ b/src/protocol/worker.c
@@ -14,7 +14,7 @@
 }
 
 static gboolean
-item_parse (const json_t *o, HrReport *r, HrReportedTask *it)
+item_parse (const json_t *o, HrHeartbeat *r, HrReportedTask *it)
 {
   const char *piece = hr_json_str (o, "piece"), *st = hr_json_str (o, "stance"),
              *cause = hr_json_str (o, "cause");
@@ -43,30 +43,30 @@
   return TRUE;
 }
 
-HrReport *
-hr_report_parse (const char *data, gsize len, char **reason)
+HrHeartbeat *
+hr_heartbeat_parse (const char *data, gsize len, char **reason)
 {
   json_t *root = hr_json_parse (data, len, reason);
   if (!root)
     return NULL;
-  g_autoptr (HrReport) r = g_new0 (HrReport, 1);
+  g_autoptr (HrHeartbeat) r = g_new0 (HrHeartbeat, 1);
   r->root = root;
-  r->items = g_array_new (FALSE, TRUE, sizeof (HrReportedTask));
+  r->tasks = g_array_new (FALSE, TRUE, sizeof (HrReportedTask));
   r->texts = g_ptr_array_new_with_free_func (g_free);
   r->machine = hr_json_str (root, "rockhand");
-  r->addr = hr_json_str (root, "addr");
+  r->address = hr_json_str (root, "addr");
   r->type = hr_json_str (root, "hull");
   r->zone = hr_json_str (root, "quarry");
-  if (!r->machine || !*r->machine || strlen (r->machine) > 64 || !r->addr || !r->type || !r->zone ||
-      !hr_json_bool (root, "loaners", &r->spot) ||
+  if (!r->machine || !*r->machine || strlen (r->machine) > 64 || !r->address || !r->type ||
+      !r->zone || !hr_json_bool (root, "loaners", &r->is_spot) ||
       !hr_json_count (root, "tenure", G_MAXUINT32, &r->incarnation) ||
-      !hr_json_count (root, "tally", G_MAXINT64, &r->seq) ||
-      !hr_json_count (root, "baton", G_MAXINT64, &r->token)) {
+      !hr_json_count (root, "tally", G_MAXINT64, &r->sequence) ||
+      !hr_json_count (root, "baton", G_MAXINT64, &r->fencing_token)) {
     *reason = g_strdup ("not a worker's report: a field is missing or of the wrong type");
     return NULL;
   }
-  if (!hr_json_num (root, "warning_s", &r->notice))
-    r->notice = -1;
+  if (!hr_json_num (root, "warning_s", &r->preemption_notice_s))
+    r->preemption_notice_s = -1;
   json_t *list = json_object_get (root, "pieces"), *o;
   size_t i;
   json_array_foreach (list, i, o)
@@ -76,18 +76,18 @@
       *reason = g_strdup_printf ("pieces[%zu] is not a task's state", i);
       return NULL;
     }
-    g_array_append_val (r->items, it);
+    g_array_append_val (r->tasks, it);
   }
   return g_steal_pointer (&r);
 }
 
 void
-hr_report_free (HrReport *r)
+hr_heartbeat_free (HrHeartbeat *r)
 {
   if (!r)
     return;
   json_decref (r->root);
-  g_array_unref (r->items);
+  g_array_unref (r->tasks);
   g_ptr_array_unref (r->texts);
   g_free (r);
 }
@@ -106,7 +106,7 @@
 }
 
 void
-hr_order_kill (json_t *orders, const char *job, guint32 task, guint32 attempt, double grace)
+hr_order_stop (json_t *orders, const char *job, guint32 task, guint32 attempt, double grace)
 {
   json_t *o = order ("kill", job, task, attempt);
   json_object_set_new (o, "leeway_s", json_real (grace));
--- a/src/protocol/worker.h
+++ b/src/protocol/worker.h
@@ -23,7 +23,7 @@
 } HrExitCause;
 
 typedef struct {
-  const char *job; /* points into the report's text: see HrReport.text */
+  const char *job; /* points into the report's text: see HrHeartbeat.text */
   guint32 task;
   guint32 attempt;
   HrReportedState state;
@@ -33,22 +33,22 @@
 
 typedef struct {
   json_t *root; /* keeps the texts alive */
-  const char *machine, *addr, *type, *zone;
-  gboolean spot;
-  guint64 incarnation, seq, token;
-  double notice; /* < 0: none */
-  GArray *items; /* HrReportedTask */
+  const char *machine, *address, *type, *zone;
+  gboolean is_spot;
+  guint64 incarnation, sequence, fencing_token;
+  double preemption_notice_s; /* < 0: none */
+  GArray *tasks;              /* HrReportedTask */
   GPtrArray *texts;
-} HrReport;
+} HrHeartbeat;
 
-HrReport *hr_report_parse (const char *data, gsize len, char **reason);
-void hr_report_free (HrReport *r);
-G_DEFINE_AUTOPTR_CLEANUP_FUNC (HrReport, hr_report_free)
+HrHeartbeat *hr_heartbeat_parse (const char *data, gsize len, char **reason);
+void hr_heartbeat_free (HrHeartbeat *r);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (HrHeartbeat, hr_heartbeat_free)
 const char *hr_exit_name (HrExitCause x);
 
 /* One order, appended to a list of orders. */
 void hr_order_launch (json_t *orders, const char *job, guint32 task, guint32 attempt);
-void hr_order_kill (json_t *orders, const char *job, guint32 task, guint32 attempt, double grace);
+void hr_order_stop (json_t *orders, const char *job, guint32 task, guint32 attempt, double grace);
 void hr_order_clear (json_t *orders, const char *job, guint32 task, guint32 attempt);
 /* {"baton":..,"orders":[..]}, with "tenure" when session > 0. Steals orders. */
 char *hr_orders_text (guint64 token, guint64 session, json_t *orders);
--- a/tests/test_protocol.c
+++ b/tests/test_protocol.c
@@ -189,22 +189,22 @@
 reports (void **state)
 {
   g_autofree char *why = NULL;
-  g_autoptr (HrReport) r = hr_report_parse (REPORT, strlen (REPORT), &why);
+  g_autoptr (HrHeartbeat) r = hr_heartbeat_parse (REPORT, strlen (REPORT), &why);
   assert_non_null (r);
-  assert_int_equal (r->items->len, 2);
-  HrReportedTask *it = &g_array_index (r->items, HrReportedTask, 0);
+  assert_int_equal (r->tasks->len, 2);
+  HrReportedTask *it = &g_array_index (r->tasks, HrReportedTask, 0);
   assert_string_equal (it->job, "job-000412");
   assert_int_equal (it->task, 3);
   assert_int_equal (it->attempt, 2);
-  assert_int_equal (g_array_index (r->items, HrReportedTask, 1).cause, HR_EXIT_DONE);
-  assert_true (r->notice < 0);
+  assert_int_equal (g_array_index (r->tasks, HrReportedTask, 1).cause, HR_EXIT_DONE);
+  assert_true (r->preemption_notice_s < 0);
   g_autoptr (GRand) rand = g_rand_new_with_seed (13);
   for (guint n = 0; n < 5000; n++) { /* nonsense is refused, and harms nobody */
     char text[] = REPORT;
     for (int k = g_rand_int_range (rand, 1, 4); k > 0; k--)
       text[g_rand_int_range (rand, 0, sizeof text - 1)] = g_rand_int_range (rand, 1, 256);
     g_autofree char *w = NULL;
-    g_autoptr (HrReport) x = hr_report_parse (text, strlen (text), &w);
+    g_autoptr (HrHeartbeat) x = hr_heartbeat_parse (text, strlen (text), &w);
     assert_true (x || w);
   }
 }
@@ -214,7 +214,7 @@
 {
   json_t *list = json_array ();
   hr_order_launch (list, "job-1", 4, 2);
-  hr_order_kill (list, "job-2", 1, 1, 10);
+  hr_order_stop (list, "job-2", 1, 1, 10);
   hr_order_clear (list, "job-3", 0, 1);
   g_autofree char *t = hr_orders_text (41, 3, list);
   json_t *o = json_loads (t, 0, NULL);
--- a/tests/test_renewals.c
+++ b/tests/test_renewals.c
@@ -2,7 +2,7 @@
  * run. Message by message (script_scene.h), and with generated reports. */
 #include "script_scene.h"
 #include "coordination/invariant.h"
-#include "coordination/renewal.h"
+#include "coordination/lease_renewal.h"
 #include "protocol/json_util.h"
 #include <setjmp.h>
 #include <stdarg.h>
@@ -295,19 +295,19 @@
   g_autofree char *shown = scene_write (m), *why = NULL;
   g_ptr_array_set_size (m->tasks, 0);
   g_autofree char *empty = scene_write (m);
-  g_autoptr (HrReport) with = hr_report_parse (shown, strlen (shown), &why);
-  g_autoptr (HrReport) without = hr_report_parse (empty, strlen (empty), &why);
+  g_autoptr (HrHeartbeat) with = hr_heartbeat_parse (shown, strlen (shown), &why);
+  g_autoptr (HrHeartbeat) without = hr_heartbeat_parse (empty, strlen (empty), &why);
   json_t *orders = json_array ();
-  g_autofree char *first = hr_renewal_missing (core, machine, with, orders);
-  g_autofree char *second = hr_renewal_missing (core, machine, without, orders);
+  g_autofree char *first = hr_lease_renewal_missing_stop (core, machine, with, orders);
+  g_autofree char *second = hr_lease_renewal_missing_stop (core, machine, without, orders);
   assert_string_equal (first, "job-a/0");
   assert_string_equal (second, "job-a/0");
-  hr_order_kill (orders, "job-a", 0, 2, 0);
-  g_autofree char *other_attempt = hr_renewal_missing (core, machine, with, orders);
+  hr_order_stop (orders, "job-a", 0, 2, 0);
+  g_autofree char *other_attempt = hr_lease_renewal_missing_stop (core, machine, with, orders);
   assert_string_equal (other_attempt, "job-a/0");
-  hr_order_kill (orders, "job-a", 0, 1, 0);
-  assert_null (hr_renewal_missing (core, machine, with, orders));
-  assert_null (hr_renewal_missing (core, machine, without, orders));
+  hr_order_stop (orders, "job-a", 0, 1, 0);
+  assert_null (hr_lease_renewal_missing_stop (core, machine, with, orders));
+  assert_null (hr_lease_renewal_missing_stop (core, machine, without, orders));
   json_decref (orders);
   hr_invariant_set_fatal (FALSE);
   hr_invariant_violated (core, "%s", "as a test has it");
