--- a/src/bookkeeping/record_layout.c
+++ b/src/bookkeeping/record_layout.c
@@ -54,8 +54,8 @@
 guint
 hr_record_layout_page_size (HrCore *c, guint32 tasks)
 {
-  double room = (double)hr_record_layout_planned_bytes (c) - PAGE_BYTES_AROUND;
-  guint most = MAX (1, (gint)(room / task_bytes (c)));
+  double capacity = (double)hr_record_layout_planned_bytes (c) - PAGE_BYTES_AROUND;
+  guint most = MAX (1, (gint)(capacity / task_bytes (c)));
   guint pages = (tasks + most - 1) / most;
   return (tasks + pages - 1) / pages; /* pages of equal size: each write is the smaller */
 }
--- a/src/bookkeeping/tables.c
+++ b/src/bookkeeping/tables.c
@@ -74,8 +74,8 @@
 hr_tasks_per_page (double value_kb)
 {
   /* 1 KiB is for the job's description. */
-  double room = value_kb * 1024 - 1024;
-  return MAX (1, (gint)(room / HR_PLACED_TASK_BYTES));
+  double capacity = value_kb * 1024 - 1024;
+  return MAX (1, (gint)(capacity / HR_PLACED_TASK_BYTES));
 }
 
 void
@@ -159,7 +159,7 @@
 }
 
 gboolean
-hr_machine_has_beside_claims (const HrMachine *m, double cpus, double gpus, double mem)
+hr_machine_has_unreserved (const HrMachine *m, double cpus, double gpus, double mem)
 {
   return cpus <= m->cpus - m->foreign_cpus - m->claim_cpus + EPS &&
          gpus <= m->gpus - m->foreign_gpus - m->claim_gpus + EPS &&
@@ -167,13 +167,13 @@
 }
 
 gboolean
-hr_machine_fits_beside_claims (const HrMachine *m, const HrJobSpec *s)
+hr_machine_fits_unreserved (const HrMachine *m, const HrJobSpec *s)
 {
-  return hr_machine_has_beside_claims (m, s->cpus, s->gpus, s->mem);
+  return hr_machine_has_unreserved (m, s->cpus, s->gpus, s->mem);
 }
 
 void
-hr_machine_take (HrMachine *m, const HrJobSpec *s, HrTaskRef r)
+hr_machine_allocate (HrMachine *m, const HrJobSpec *s, HrTaskRef r)
 {
   g_array_append_val (m->tasks, r);
   m->cpus -= s->cpus;
@@ -183,7 +183,7 @@
 }
 
 void
-hr_machine_give (HrMachine *m, const HrJobSpec *s, HrTaskRef r)
+hr_machine_release (HrMachine *m, const HrJobSpec *s, HrTaskRef r)
 {
   for (guint i = 0; i < m->tasks->len; i++) {
     HrTaskRef *x = &g_array_index (m->tasks, HrTaskRef, i);
--- a/src/bookkeeping/tables.h
+++ b/src/bookkeeping/tables.h
@@ -225,7 +225,7 @@
 /* Room for a task, as meant. */
 gboolean hr_machine_fits (const HrMachine *m, const HrJobSpec *s);
 /* Room for an amount beside what is kept for services. */
-gboolean hr_machine_has_beside_claims (const HrMachine *m, double cpus, double gpus, double mem);
-gboolean hr_machine_fits_beside_claims (const HrMachine *m, const HrJobSpec *s);
-void hr_machine_take (HrMachine *m, const HrJobSpec *s, HrTaskRef r);
-void hr_machine_give (HrMachine *m, const HrJobSpec *s, HrTaskRef r);
+gboolean hr_machine_has_unreserved (const HrMachine *m, double cpus, double gpus, double mem);
+gboolean hr_machine_fits_unreserved (const HrMachine *m, const HrJobSpec *s);
+void hr_machine_allocate (HrMachine *m, const HrJobSpec *s, HrTaskRef r);
+void hr_machine_release (HrMachine *m, const HrJobSpec *s, HrTaskRef r);
--- a/src/coordination/core.c
+++ b/src/coordination/core.c
@@ -1,4 +1,4 @@
-#include "coordination/limits.h"
+#include "coordination/quotas.h"
 #include "coordination/metrics.h"
 #include "protocol/json_util.h"
 #include <gio/gio.h>
@@ -206,7 +206,7 @@
   c->tombstones = g_array_new (FALSE, TRUE, sizeof (guint32));
   c->fleet = g_ptr_array_new ();
   c->refused = g_array_new (FALSE, TRUE, sizeof (HrRefusal));
-  c->teams = g_array_new (FALSE, TRUE, sizeof (HrTeamUse));
+  c->teams = g_array_new (FALSE, TRUE, sizeof (HrTeamUsage));
   c->waiting = g_ptr_array_new ();
   c->wants = g_array_new (FALSE, TRUE, sizeof (HrWant));
   for (int i = 0; i < HR_TRANSACTION_KINDS; i++)
@@ -354,8 +354,8 @@
     c->plan_dirty = FALSE;
     c->planned_now = TRUE;
     c->planned_at = now;
-    hr_limits_pass (c);
-    hr_team_entitle (c);
+    hr_quotas_pass (c);
+    hr_guarantees_mark_jobs (c);
     hr_plan (c);
     hr_dispatch (c);
   }
--- a/src/coordination/dispatch.c
+++ b/src/coordination/dispatch.c
@@ -1,9 +1,9 @@
 /* From the plan to orders: what can start now starts, what cannot is made room
  * for, rented for, or waits; idle machines go back. */
-#include "coordination/held_back.h"
-#include "coordination/limits.h"
+#include "coordination/starvation_guard.h"
+#include "coordination/quotas.h"
 #include "coordination/replicas.h"
-#include "coordination/room.h"
+#include "coordination/free_capacity.h"
 #include <math.h>
 
 gboolean
@@ -13,7 +13,7 @@
 }
 
 gboolean
-hr_dispatch_has_room (HrCore *c, HrJob *j, HrMachine *m)
+hr_dispatch_fits_now (HrCore *c, HrJob *j, HrMachine *m)
 {
   return hr_machine_fits (m, &j->spec) && hr_reachable (c, m) && c->now >= m->full_until &&
          hr_allowed (c, j, m) && hr_zone_ok (c, j, m);
@@ -22,8 +22,8 @@
 gboolean
 hr_dispatch_startable (HrCore *c, HrJob *j, HrMachine *m)
 {
-  return c->now >= j->retry_at && hr_dispatch_has_room (c, j, m) &&
-         (j->spec.shape == HR_SERVICE || hr_machine_fits_beside_claims (m, &j->spec));
+  return c->now >= j->retry_at && hr_dispatch_fits_now (c, j, m) &&
+         (j->spec.shape == HR_SERVICE || hr_machine_fits_unreserved (m, &j->spec));
 }
 
 static void
@@ -34,7 +34,7 @@
     hr_list_remove (c->machines->pdata[j->tasks[task].listed_on], (HrTaskRef){j->idx, task});
   }
   hr_task_assign (c, j, task, m, attempt);
-  hr_limits_started (c, j);
+  hr_quotas_task_started (c, j);
 }
 
 static guint32
@@ -50,7 +50,7 @@
 }
 
 GPtrArray *
-hr_dispatch_rooms (HrCore *c)
+hr_dispatch_open_machines (HrCore *c)
 {
   GPtrArray *a = g_ptr_array_sized_new (c->fleet->len);
   for (guint i = 0; i < c->fleet->len; i++) {
@@ -66,7 +66,7 @@
 start_gang (HrCore *c, HrJob *j)
 {
   g_autofree HrMachine **on = g_new0 (HrMachine *, j->ntasks);
-  if (!hr_team_allows (c, j, j->ntasks))
+  if (!hr_team_allows_start (c, j, j->ntasks))
     return FALSE;
   for (guint32 i = 0; i < j->ntasks; i++) {
     if (!j->tasks[i].is_listed || j->tasks[i].state != HR_TASK_IDLE)
@@ -96,7 +96,7 @@
     HrMachine *best = NULL;
     if (j->tasks[k].state != HR_TASK_IDLE)
       continue;
-    gboolean allowed = hr_team_allows (c, j, 1);
+    gboolean allowed = hr_team_allows_start (c, j, 1);
     for (guint i = 0; i < c->fleet->len; i++) {
       HrMachine *m = c->fleet->pdata[i];
       /* Where it was refused, the same attempt would be taken for the refused one. */
@@ -136,7 +136,7 @@
         hr_dispatch_startable (c, j, m) && (!isfinite (blocked) || may_pass (c, j, m, blocked));
     if (ok && j->spec.shape == HR_GANG)
       ok = start_gang (c, j);
-    else if (ok && (ok = hr_team_allows (c, j, 1)))
+    else if (ok && (ok = hr_team_allows_start (c, j, 1)))
       hr_dispatch_start (c, j, r.task, m);
     if (ok) {
       i = 0; /* lists changed */
@@ -144,7 +144,7 @@
       continue;
     }
     /* One that its team holds back holds nobody else up. */
-    if (!isfinite (blocked) && c->now >= j->retry_at && hr_team_allows (c, j, 1)) {
+    if (!isfinite (blocked) && c->now >= j->retry_at && hr_team_allows_start (c, j, 1)) {
       g_autofree double *starts = g_new (double, m->list->len);
       hr_project (c, m, starts);
       blocked = MAX (c->now, starts[i]);
@@ -182,9 +182,9 @@
 static void
 start_from_any (HrCore *c, GHashTable *blocked)
 {
-  g_autoptr (GPtrArray) rooms = hr_dispatch_rooms (c);
+  g_autoptr (GPtrArray) capacities = hr_dispatch_open_machines (c);
   g_autoptr (GArray) all = g_array_new (FALSE, FALSE, sizeof (HrListedTask));
-  for (guint i = 0; i < c->fleet->len && rooms->len; i++)
+  for (guint i = 0; i < c->fleet->len && capacities->len; i++)
     hr_list_append (c, c->fleet->pdata[i], all);
   for (guint i = all->len; i > 0; i--)
     if (hr_listed_job (c, all, i - 1)->spec.shape != HR_BATCH)
@@ -196,10 +196,10 @@
     HrTaskRef r = l->task;
     HrJob *j = hr_listed_job (c, all, i);
     HrMachine *best = NULL;
-    if (r.job == without || !hr_team_allows (c, j, 1))
+    if (r.job == without || !hr_team_allows_start (c, j, 1))
       continue;
-    for (guint k = 0; k < rooms->len; k++) {
-      HrMachine *m = rooms->pdata[k];
+    for (guint k = 0; k < capacities->len; k++) {
+      HrMachine *m = capacities->pdata[k];
       double *until = g_hash_table_lookup (blocked, m);
       if (!hr_dispatch_startable (c, j, m) || (until && !may_pass (c, j, m, *until)))
         continue;
@@ -223,16 +223,16 @@
 }
 
 /* The room of all machines, those that boot first. booting: how many do. */
-static HrRoom *
-rooms_of (HrCore *c, guint *booting)
+static HrFreeCapacity *
+free_capacities (HrCore *c, guint *booting)
 {
   guint n = c->fleet->len;
-  HrRoom *rooms = g_new0 (HrRoom, n + 1);
+  HrFreeCapacity *capacities = g_new0 (HrFreeCapacity, n + 1);
   *booting = 0;
   for (guint i = 0, up = n; i < n; i++) {
     HrMachine *m = c->fleet->pdata[i];
-    HrRoom *r = &rooms[m->state == HR_M_BOOTING ? (*booting)++ : --up];
-    *r = (HrRoom){m, m->cpus, m->gpus, m->mem, FALSE};
+    HrFreeCapacity *r = &capacities[m->state == HR_M_BOOTING ? (*booting)++ : --up];
+    *r = (HrFreeCapacity){m, m->cpus, m->gpus, m->mem, FALSE};
     for (guint k = 0; k < m->tasks->len; k++) {
       HrTaskRef x = g_array_index (m->tasks, HrTaskRef, k);
       HrJob *j = c->jobs->pdata[x.job];
@@ -243,7 +243,7 @@
       }
     }
   }
-  return rooms;
+  return capacities;
 }
 
 void
@@ -275,31 +275,31 @@
       g_hash_table_insert (blocked, m, g_memdup2 (&until, sizeof until));
   }
   start_from_any (c, blocked);
-  hr_held_back_tick (c);
-  hr_limits_make_room (c);
+  hr_starvation_guard_tick (c);
+  hr_quotas_preempt (c);
 
   guint booting;
-  g_autofree HrRoom *rooms = rooms_of (c, &booting);
+  g_autofree HrFreeCapacity *capacities = free_capacities (c, &booting);
   c->booting = booting;
   g_autoptr (GArray) needs = hr_rent_begin ();
   for (guint i = 0; i < services->len; i++) {
     HrJob *j = services->pdata[i];
-    HrCursor at = {0};
-    gboolean room = TRUE;
-    guint left = hr_team_allows (c, j, 1) ? hr_limits_grant (c, j) : 0;
+    HrCapacityCursor at = {0};
+    gboolean capacity = TRUE;
+    guint left = hr_team_allows_start (c, j, 1) ? hr_quotas_granted (c, j) : 0;
     for (guint32 k = 0; k < j->ntasks && left; k++) {
       if (j->tasks[k].state != HR_TASK_IDLE || j->retry_at > c->now)
         continue;
       left--;
-      room = room && hr_preempt (c, j, rooms, FALSE);
-      if (!room)
-        hr_rent_need (c, rooms, booting, &at, needs, j);
+      capacity = capacity && hr_preempt (c, j, capacities, FALSE);
+      if (!capacity)
+        hr_rent_need (c, capacities, booting, &at, needs, j);
     }
   }
-  hr_team_make_room (c, rooms);
-  hr_rent_headroom (c, rooms, n, needs);
-  hr_rent_for_lists (c, rooms, booting, needs);
-  hr_rent_ahead (c, rooms, n, needs);
+  hr_guarantees_preempt (c, capacities);
+  hr_rent_headroom (c, capacities, n, needs);
+  hr_rent_for_lists (c, capacities, booting, needs);
+  hr_rent_ahead (c, capacities, n, needs);
   hr_rent_end (c, needs);
-  hr_return_idle (c, rooms, n);
+  hr_return_idle (c, capacities, n);
 }
--- a/src/coordination/failover.c
+++ b/src/coordination/failover.c
@@ -37,7 +37,7 @@
   t->state = HR_TASK_BOUND;
   t->from_earlier_term = 1;
   j->nlive++;
-  hr_machine_take (m, &j->spec, (HrTaskRef){j->idx, task});
+  hr_machine_allocate (m, &j->spec, (HrTaskRef){j->idx, task});
   if (m->state == HR_M_GONE) {
     /* Known from a record alone: it reports, or its absence gets proven. */
     m->state = HR_M_UP;
--- a/src/coordination/room.h
+++ b/src/coordination/free_capacity.h
@@ -4,41 +4,41 @@
 #include "coordination/state.h"
 
 /* From a decision to a running task: a write, an order and a report. */
-#define STOP_AND_START_S 2.0
+#define PREEMPTION_S 2.0
 
 typedef struct {
-  HrMachine *m;
+  HrMachine *machine;
   double cpus, gpus, mem; /* free once stopped tasks are gone and claims are served */
-  gboolean reserved;      /* spare room is counted on it */
-} HrRoom;
+  gboolean is_reserved;   /* spare room is counted on it */
+} HrFreeCapacity;
 
 /* How far a search has come: rooms only shrink, so the next one for the same goes on
  * from there. */
 typedef struct {
-  HrRoom *last;
+  HrFreeCapacity *last;
   int pass;
-  guint i;
-} HrCursor;
+  guint index;
+} HrCapacityCursor;
 
 /* Takes the amounts off the room, if it has them. */
-gboolean hr_room_take (HrRoom *r, double cpus, double gpus, double mem);
+gboolean hr_free_capacity_take (HrFreeCapacity *r, double cpus, double gpus, double mem);
 /* Up, and heard of late. */
 gboolean hr_reachable (const HrCore *c, const HrMachine *m);
 /* Does a task of the job fit there now, as far as machine and zones go, in room that may be kept
  * for others? */
-gboolean hr_dispatch_has_room (HrCore *c, HrJob *j, HrMachine *m);
+gboolean hr_dispatch_fits_now (HrCore *c, HrJob *j, HrMachine *m);
 /* Could a task of the job start there now, beside what is kept for services? */
 gboolean hr_dispatch_startable (HrCore *c, HrJob *j, HrMachine *m);
 /* HrMachine: those that something more may start on; the others need not be looked at. */
-GPtrArray *hr_dispatch_rooms (HrCore *c);
+GPtrArray *hr_dispatch_open_machines (HrCore *c);
 /* Assigns the task to the machine, as its next attempt; it leaves the plan. */
 void hr_dispatch_start (HrCore *c, HrJob *j, guint32 task, HrMachine *m);
 /* Is a better than b? Sooner done first; then the cheaper machine, then the fuller one. */
 gboolean hr_dispatch_batch_better (HrCore *c, HrJob *j, HrMachine *a, HrMachine *b);
 /* What a team is guaranteed it gets from those that run beyond theirs. */
-void hr_team_make_room (HrCore *c, HrRoom *rooms);
+void hr_guarantees_preempt (HrCore *c, HrFreeCapacity *capacities);
 /* Does the team run more than it is guaranteed, or would n more tasks stay within? */
-gboolean hr_team_beyond (HrCore *c, const HrJob *j, guint n);
+gboolean hr_team_exceeds_guarantee (HrCore *c, const HrJob *j, guint n);
 int hr_by_submission (gconstpointer a, gconstpointer b); /* for arrays of HrJob */
 /* A task in a machine's list, and when it should start there. */
 typedef struct {
@@ -50,22 +50,23 @@
 /* Appends the machine's list, as projected. */
 void hr_list_append (HrCore *c, HrMachine *m, GArray *listed);
 HrJob *hr_listed_job (HrCore *c, GArray *listed, guint i);
-HrMachine *hr_swap_for_image (HrCore *c, HrJob *j);
+HrMachine *hr_preempt_for_cached_image (HrCore *c, HrJob *j);
 /* What is lost when the task stops now, s. */
-double hr_stop_loss (HrCore *c, const HrJob *v, const HrTask *t);
+double hr_preemption_loss (HrCore *c, const HrJob *v, const HrTask *t);
 /* Stops a task, or the gang that it belongs to; it may save before. */
-void hr_stop_for_room (HrCore *c, HrJob *v, guint32 task);
+void hr_preempt_task (HrCore *c, HrJob *v, guint32 task);
 /* others: stop other teams' work only. */
-gboolean hr_preempt (HrCore *c, HrJob *j, HrRoom *rooms, gboolean others);
+gboolean hr_preempt (HrCore *c, HrJob *j, HrFreeCapacity *capacities, gboolean others);
 
 /* Room for a task of the job on a machine that boots, or on one to be rented. booting:
  * how many rooms, the first ones, are on machines that boot. needs: what hr_rent_begin gave. */
-void hr_rent_need (HrCore *c, HrRoom *rooms, guint booting, HrCursor *at, GArray *needs, HrJob *j);
-void hr_rent_headroom (HrCore *c, HrRoom *rooms, guint nrooms, GArray *needs);
+void hr_rent_need (HrCore *c, HrFreeCapacity *capacities, guint booting, HrCapacityCursor *at,
+                   GArray *needs, HrJob *j);
+void hr_rent_headroom (HrCore *c, HrFreeCapacity *capacities, guint n_capacities, GArray *needs);
 /* For jobs whose awaited ones are all about to end. */
-void hr_rent_ahead (HrCore *c, HrRoom *rooms, guint nrooms, GArray *needs);
-void hr_rent_for_lists (HrCore *c, HrRoom *rooms, guint booting, GArray *needs);
-void hr_return_idle (HrCore *c, HrRoom *rooms, guint n);
+void hr_rent_ahead (HrCore *c, HrFreeCapacity *capacities, guint n_capacities, GArray *needs);
+void hr_rent_for_lists (HrCore *c, HrFreeCapacity *capacities, guint booting, GArray *needs);
+void hr_return_idle (HrCore *c, HrFreeCapacity *capacities, guint n);
 GArray *hr_rent_begin (void);
 /* What is needed goes out with the next tick. */
 void hr_rent_end (HrCore *c, GArray *needs);
--- a/src/coordination/teams.c
+++ b/src/coordination/guarantees.c
@@ -1,6 +1,6 @@
 /* Guarantees of teams. */
-#include "coordination/limits.h"
-#include "coordination/room.h"
+#include "coordination/quotas.h"
+#include "coordination/free_capacity.h"
 
 int
 hr_by_submission (gconstpointer a, gconstpointer b)
@@ -14,16 +14,16 @@
 /* What a job within its team's guarantee may keep others waiting for, s: by then what was
  * stopped for it is gone, or no machine is to be had. The pause that follows doubles; it is long
  * enough for a boot. */
-#define CLAIM_S 45.0
-#define CLAIM_PAUSE_S 90.0
-#define CLAIM_PAUSE_MOST_S 360.0
+#define RECLAIM_S 45.0
+#define RECLAIM_PAUSE_S 90.0
+#define MAX_RECLAIM_PAUSE_S 360.0
 
 /* May the others borrow nothing, as this job waits? */
 static gboolean
-claims_room (HrCore *c, HrJob *j)
+is_reclaiming (HrCore *c, HrJob *j)
 {
   if (!j->entitled || j->nlive + j->ndone >= j->ntasks || c->now < j->retry_at ||
-      !hr_limits_grant (c, j)) {
+      !hr_quotas_granted (c, j)) {
     j->claim_since = 0;
     return FALSE;
   }
@@ -31,10 +31,10 @@
     return FALSE;
   if (!j->claim_since)
     j->claim_since = c->now;
-  if (c->now - j->claim_since <= CLAIM_S)
+  if (c->now - j->claim_since <= RECLAIM_S)
     return TRUE;
   j->claim_since = 0;
-  j->claim_pause = CLAMP (2 * j->claim_pause, CLAIM_PAUSE_S, CLAIM_PAUSE_MOST_S);
+  j->claim_pause = CLAMP (2 * j->claim_pause, RECLAIM_PAUSE_S, MAX_RECLAIM_PAUSE_S);
   j->claim_from = c->now + j->claim_pause;
   g_message ("%s is within its team's guarantee and finds no machine; others go on for %.0f s",
              j->id, j->claim_pause);
@@ -44,7 +44,7 @@
 /* Marks the jobs that fit into their team's guarantee together with its earlier unfinished
  * ones: they need not wait for other teams. With one team there is nobody to wait for. */
 void
-hr_team_entitle (HrCore *c)
+hr_guarantees_mark_jobs (HrCore *c)
 {
   c->entitled_waits = FALSE;
   if (c->set->teams->len < 2)
@@ -67,7 +67,7 @@
       cpus += (j->ntasks - j->ndone) * j->spec.cpus;
       gpus += (j->ntasks - j->ndone) * j->spec.gpus;
       j->entitled = cpus <= t->cpus + 1e-6 && gpus <= t->gpus + 1e-6;
-      j->claims = claims_room (c, j);
+      j->claims = is_reclaiming (c, j);
       c->entitled_waits |= j->claims;
     }
   }
@@ -76,7 +76,7 @@
 /* What a team is guaranteed it gets from those that run beyond theirs. Gangs of several tasks
  * begin when all their places are there, so a part of them makes room for nothing. */
 void
-hr_team_make_room (HrCore *c, HrRoom *rooms)
+hr_guarantees_preempt (HrCore *c, HrFreeCapacity *capacities)
 {
   for (guint i = 0; c->entitled_waits && i < c->open->len; i++) {
     HrJob *j = c->jobs->pdata[g_array_index (c->open, guint32, i)];
@@ -84,30 +84,30 @@
         c->now < j->retry_at)
       continue;
     for (guint32 k = j->nlive + j->ndone; k < j->ntasks; k++)
-      if (!hr_preempt (c, j, rooms, TRUE))
+      if (!hr_preempt (c, j, capacities, TRUE))
         break;
   }
 }
 
 /* May n more tasks of the job be on machines, as far as limits and guarantees go? */
 gboolean
-hr_team_allows (HrCore *c, const HrJob *j, guint n)
+hr_team_allows_start (HrCore *c, const HrJob *j, guint n)
 {
   /* While a job within its team's guarantee waits, the others borrow nothing more: what is
    * stopped or ends makes room for that job. */
-  if (c->entitled_waits && !j->entitled && hr_team_beyond (c, j, n))
+  if (c->entitled_waits && !j->entitled && hr_team_exceeds_guarantee (c, j, n))
     return FALSE;
-  return hr_limits_grant (c, j) >= n;
+  return hr_quotas_granted (c, j) >= n;
 }
 
 /* Does the team run more than it is guaranteed (over), or would n more tasks stay within? */
 gboolean
-hr_team_beyond (HrCore *c, const HrJob *j, guint n)
+hr_team_exceeds_guarantee (HrCore *c, const HrJob *j, guint n)
 {
   const HrTeam *t = hr_team (c, j->spec.team);
   if (!t)
     return TRUE;
-  HrAmount used = hr_team_use (c, j->spec.team)->used;
+  HrQuota used = hr_team_usage (c, j->spec.team)->used;
   return used.cpus + n * j->spec.cpus > t->cpus + 1e-6 ||
          used.gpus + n * j->spec.gpus > t->gpus + 1e-6;
 }
--- a/src/coordination/mtedf.c
+++ b/src/coordination/mtedf.c
@@ -154,7 +154,7 @@
     if (!hr_allowed (c, j, m))
       continue;
     fetch[k] = hr_fetch_time (c, j, m);
-    if (!m->tasks->len && !m->list->len && hr_machine_fits_beside_claims (m, &j->spec))
+    if (!m->tasks->len && !m->list->len && hr_machine_fits_unreserved (m, &j->spec))
       start[k] = m->ready; /* nothing to project */
     else if (sampled (j, m, tries, order->len) && may_free (c, m, &j->spec))
       score_list (c, m, r, &start[k]);
--- a/src/coordination/parts.c
+++ b/src/coordination/parts.c
@@ -39,7 +39,7 @@
 {
   guint n = 0;
   double cpus = s->cpus, gpus = s->gpus, mem = s->mem;
-  while (n < s->tasks && hr_machine_has_beside_claims (m, cpus, gpus, mem)) {
+  while (n < s->tasks && hr_machine_has_unreserved (m, cpus, gpus, mem)) {
     n++;
     cpus += s->cpus;
     gpus += s->gpus;
@@ -55,7 +55,7 @@
 {
   const HrTeam *t = hr_team (c, j->spec.team);
   gboolean limit = t && (t->cpus_max > 0 || t->gpus_max > 0);
-  g_autofree guint *room = g_new0 (guint, c->nparts);
+  g_autofree guint *capacity = g_new0 (guint, c->nparts);
   j->parted = TRUE;
   j->part = HR_NONE;
   /* Services stand in no list; held to a part, they would keep a machine open in each. */
@@ -65,9 +65,9 @@
   for (guint i = 0; i < c->fleet->len; i++) {
     HrMachine *m = c->fleet->pdata[i];
     if (hr_allowed (c, j, m))
-      room[m->part] += slots (m, &j->spec);
+      capacity[m->part] += slots (m, &j->spec);
   }
   for (guint i = 0; i < c->nparts; i++)
-    if (room[i] >= j->ntasks && (j->part == HR_NONE || room[i] > room[j->part]))
+    if (capacity[i] >= j->ntasks && (j->part == HR_NONE || capacity[i] > capacity[j->part]))
       j->part = i;
 }
--- a/src/coordination/plan.h
+++ b/src/coordination/plan.h
@@ -25,4 +25,4 @@
 gboolean hr_mtedf_task (HrCore *c, GPtrArray *order, HrJob *j, guint32 task, guint tries);
 void hr_mtedf_gang (HrCore *c, GPtrArray *lists, HrJob *j, guint tries);
 void hr_tabu_search (HrCore *c, GPtrArray *lists);
-void hr_claim_for_services (HrCore *c);
+void hr_reserve_for_services (HrCore *c);
--- a/src/coordination/planner.c
+++ b/src/coordination/planner.c
@@ -1,7 +1,7 @@
 /* The plan: one deadline-ordered list of tasks per machine. New tasks are placed
  * by MT-EDF; a bounded tabu search then moves tardy ones (Klusacek, Matyska,
  * Rudova: Local Search for Deadline Driven Grid Scheduling, figures 1 to 3). */
-#include "coordination/limits.h"
+#include "coordination/quotas.h"
 #include "coordination/plan.h"
 
 #define WINDOW 64 /* tasks of one job that stand in lists at a time */
@@ -18,7 +18,7 @@
 static guint
 most_listed (HrCore *c, const HrJob *j)
 {
-  return MIN (WINDOW, hr_limits_grant (c, j));
+  return MIN (WINDOW, hr_quotas_granted (c, j));
 }
 
 static int
@@ -36,7 +36,7 @@
   g_autoptr (GPtrArray) lists = g_ptr_array_new ();
   guint queued = 0;
   hr_parts_assign (c);
-  hr_claim_for_services (c);
+  hr_reserve_for_services (c);
   for (guint i = 0; i < c->fleet->len; i++) {
     HrMachine *m = c->fleet->pdata[i];
     for (guint k = 0; k < m->list->len;) {
@@ -44,7 +44,7 @@
       HrJob *j = hr_job_of (c, r);
       /* Gangs are placed anew in each pass: their common start moves with every list. */
       if (hr_usable (c, m) && stands (c, m, r) && j->spec.shape != HR_GANG &&
-          j->planned <= hr_limits_grant (c, j)) {
+          j->planned <= hr_quotas_granted (c, j)) {
         k++;
         continue;
       }
@@ -68,7 +68,8 @@
     if (!j->parted || (j->part != HR_NONE && j->part >= c->nparts))
       hr_part_choose (c, j);
     if (j->state == HR_JOB_QUEUED && j->spec.shape != HR_SERVICE && !j->gang_over &&
-        j->retry_at <= c->now && hr_team_allows (c, j, 1) && j->nlive + j->ndone < j->ntasks) {
+        j->retry_at <= c->now && hr_team_allows_start (c, j, 1) &&
+        j->nlive + j->ndone < j->ntasks) {
       g_ptr_array_add (fresh, j);
       guint left = j->ntasks - j->nlive - j->ndone - j->planned;
       queued += j->spec.shape == HR_GANG ? 1 : MIN (left, most_listed (c, j));
--- a/src/coordination/preempt.c
+++ b/src/coordination/preemption.c
@@ -1,9 +1,9 @@
 /* Making room for a task by stopping others. */
-#include "coordination/room.h"
+#include "coordination/free_capacity.h"
 #include <math.h>
 
 gboolean
-hr_room_take (HrRoom *r, double cpus, double gpus, double mem)
+hr_free_capacity_take (HrFreeCapacity *r, double cpus, double gpus, double mem)
 {
   if (cpus > r->cpus + 1e-6 || gpus > r->gpus + 1e-6 || mem > r->mem + 1e-6)
     return FALSE;
@@ -18,12 +18,12 @@
 {
   if (hr_job_rank (victim) > hr_job_rank (j))
     return TRUE;
-  return victim->spec.team != j->spec.team && hr_team_beyond (c, victim, 0) &&
-         !hr_team_beyond (c, j, 1);
+  return victim->spec.team != j->spec.team && hr_team_exceeds_guarantee (c, victim, 0) &&
+         !hr_team_exceeds_guarantee (c, j, 1);
 }
 
 double
-hr_stop_loss (HrCore *c, const HrJob *v, const HrTask *t)
+hr_preemption_loss (HrCore *c, const HrJob *v, const HrTask *t)
 {
   double ran = t->running_since ? c->now - t->running_since : 0;
   if (v->spec.checkpoint > 0)
@@ -32,7 +32,7 @@
 }
 
 void
-hr_stop_for_room (HrCore *c, HrJob *v, guint32 task)
+hr_preempt_task (HrCore *c, HrJob *v, guint32 task)
 {
   const HrTask *t = &v->tasks[task];
   double grace =
@@ -46,7 +46,7 @@
 /* Batch tasks of the machine that would have to stop for the job, the sum of what is
  * lost with them; INFINITY when that makes no room. stop: stop them. */
 static double
-room_by_stopping (HrCore *c, HrJob *j, HrMachine *m, gboolean stop)
+preemption_cost (HrCore *c, HrJob *j, HrMachine *m, gboolean stop)
 {
   double cpus = m->cpus - m->foreign_cpus, gpus = m->gpus - m->foreign_gpus,
          mem = m->mem - m->foreign_mem, cost = 0;
@@ -62,7 +62,7 @@
     cpus += v->spec.cpus;
     gpus += v->spec.gpus;
     mem += v->spec.mem;
-    cost += hr_stop_loss (c, v, t);
+    cost += hr_preemption_loss (c, v, t);
     if (stop) {
       g_info ("%s/%u on %s makes room for %s, whose image is there", v->id, x.task, m->name, j->id);
       hr_task_stop (c, v, x.task, 0);
@@ -76,7 +76,7 @@
 /* A machine that has the image, where stopping the batch tasks that lose least makes
  * room. Their stop goes out before the launch, so the launch finds the room. */
 HrMachine *
-hr_swap_for_image (HrCore *c, HrJob *j)
+hr_preempt_for_cached_image (HrCore *c, HrJob *j)
 {
   HrMachine *best = NULL;
   double least = INFINITY;
@@ -85,26 +85,26 @@
     if (!hr_machine_has_image (m, j->spec.image) || !hr_reachable (c, m) ||
         c->now < m->full_until || !hr_allowed (c, j, m) || !hr_zone_ok (c, j, m))
       continue;
-    double cost = room_by_stopping (c, j, m, FALSE);
+    double cost = preemption_cost (c, j, m, FALSE);
     if (cost < least) {
       least = cost;
       best = m;
     }
   }
   if (best)
-    room_by_stopping (c, j, best, TRUE);
+    preemption_cost (c, j, best, TRUE);
   return best;
 }
 
 /* Stops the tasks of one machine whose loss is least, so that the job fits there. */
 gboolean
-hr_preempt (HrCore *c, HrJob *j, HrRoom *rooms, gboolean others)
+hr_preempt (HrCore *c, HrJob *j, HrFreeCapacity *capacities, gboolean others)
 {
-  HrRoom *best = NULL;
+  HrFreeCapacity *best = NULL;
   double least = INFINITY;
   for (guint i = 0; i < c->fleet->len; i++) {
-    HrRoom *r = &rooms[i];
-    HrMachine *m = r->m;
+    HrFreeCapacity *r = &capacities[i];
+    HrMachine *m = r->machine;
     if (m->state != HR_M_UP || !hr_allowed (c, j, m) || !hr_zone_ok (c, j, m))
       continue;
     double cpus = r->cpus, gpus = r->gpus, mem = r->mem, cost = 0;
@@ -120,7 +120,7 @@
       cpus += v->spec.cpus;
       gpus += v->spec.gpus;
       mem += v->spec.mem;
-      cost += hr_stop_loss (c, v, t);
+      cost += hr_preemption_loss (c, v, t);
     }
     if (cpus + 1e-6 >= j->spec.cpus && gpus + 1e-6 >= j->spec.gpus && mem + 1e-6 >= j->spec.mem &&
         cost < least) {
@@ -130,8 +130,8 @@
   }
   if (!best)
     return FALSE;
-  for (guint k = 0; k < best->m->tasks->len; k++) {
-    HrTaskRef x = g_array_index (best->m->tasks, HrTaskRef, k);
+  for (guint k = 0; k < best->machine->tasks->len; k++) {
+    HrTaskRef x = g_array_index (best->machine->tasks, HrTaskRef, k);
     HrJob *v = c->jobs->pdata[x.job];
     HrTask *t = &v->tasks[x.task];
     if (best->cpus + 1e-6 >= j->spec.cpus && best->gpus + 1e-6 >= j->spec.gpus &&
@@ -140,11 +140,11 @@
     if (t->state != HR_TASK_BOUND || t->stop_wanted || (others && v->spec.team == j->spec.team) ||
         !may_stop (c, v, j))
       continue;
-    g_info ("%s/%u on %s makes room for %s", v->id, x.task, best->m->name, j->id);
+    g_info ("%s/%u on %s makes room for %s", v->id, x.task, best->machine->name, j->id);
     best->cpus += v->spec.cpus;
     best->gpus += v->spec.gpus;
     best->mem += v->spec.mem;
-    hr_stop_for_room (c, v, x.task);
+    hr_preempt_task (c, v, x.task);
   }
-  return hr_room_take (best, j->spec.cpus, j->spec.gpus, j->spec.mem);
+  return hr_free_capacity_take (best, j->spec.cpus, j->spec.gpus, j->spec.mem);
 }
--- a/src/coordination/project.c
+++ b/src/coordination/project.c
@@ -1,6 +1,6 @@
 /* Where a task may go, how long it takes there, and what a list comes to. */
 #include "coordination/plan.h"
-#include "coordination/room.h"
+#include "coordination/free_capacity.h"
 #include <math.h>
 
 HrJob *
--- a/src/coordination/amount.h
+++ b/src/coordination/quota.h
@@ -4,21 +4,21 @@
 #include <math.h>
 
 /* Of n tasks. */
-static inline HrAmount
-hr_amount_of (const HrJobSpec *s, guint n)
+static inline HrQuota
+hr_quota_of (const HrJobSpec *s, guint n)
 {
-  return (HrAmount){n * s->cpus, n * s->gpus};
+  return (HrQuota){n * s->cpus, n * s->gpus};
 }
 
 static inline void
-hr_amount_add (HrAmount *a, HrAmount b)
+hr_quota_add (HrQuota *a, HrQuota b)
 {
   a->cpus += b.cpus;
   a->gpus += b.gpus;
 }
 
 static inline void
-hr_amount_take (HrAmount *a, HrAmount b)
+hr_quota_subtract (HrQuota *a, HrQuota b)
 {
   a->cpus -= b.cpus;
   a->gpus -= b.gpus;
@@ -26,21 +26,21 @@
 
 /* Does b fit into a? */
 static inline gboolean
-hr_amount_holds (HrAmount a, HrAmount b)
+hr_quota_covers (HrQuota a, HrQuota b)
 {
   return b.cpus <= a.cpus + 1e-6 && b.gpus <= a.gpus + 1e-6;
 }
 
 /* The smaller one of each. */
-static inline HrAmount
-hr_amount_least (HrAmount a, HrAmount b)
+static inline HrQuota
+hr_quota_min (HrQuota a, HrQuota b)
 {
-  return (HrAmount){MIN (a.cpus, b.cpus), MIN (a.gpus, b.gpus)};
+  return (HrQuota){MIN (a.cpus, b.cpus), MIN (a.gpus, b.gpus)};
 }
 
 /* How many times it fits, at most n. */
 static inline guint
-hr_amount_times (HrAmount a, HrAmount one, guint n)
+hr_quota_multiples (HrQuota a, HrQuota one, guint n)
 {
   double most = n;
   if (one.cpus > 0)
--- a/src/coordination/limits_room.c
+++ b/src/coordination/quota_preemption.c
@@ -1,7 +1,7 @@
 /* Room within a team's limit: its work of lower rank is stopped for what the limit holds back. */
-#include "coordination/amount.h"
-#include "coordination/limits.h"
-#include "coordination/room.h"
+#include "coordination/quota.h"
+#include "coordination/quotas.h"
+#include "coordination/free_capacity.h"
 
 /* Work of lower rank is stopped for a job that is no service where the limit would not let it
  * start within so long, s: what is stopped loses work. */
@@ -9,7 +9,7 @@
 
 /* What the team runs on a machine at a lower rank than the job's. */
 typedef struct {
-  HrMachine *m;
+  HrMachine *machine;
   double loss; /* of work, a task */
   guint n;
 } Stoppable;
@@ -33,19 +33,19 @@
 /* The machines with such work, those first where least is lost: stopped machine by machine,
  * it leaves room that a large task fits in. */
 static GArray *
-stoppable (HrCore *c, const HrJob *j, HrAmount *all)
+stoppable (HrCore *c, const HrJob *j, HrQuota *all)
 {
   GArray *found = g_array_new (FALSE, FALSE, sizeof (Stoppable));
-  *all = (HrAmount){0, 0};
+  *all = (HrQuota){0, 0};
   for (guint i = 0; i < c->fleet->len; i++) {
     Stoppable s = {c->fleet->pdata[i], 0, 0};
-    for (guint k = 0; k < s.m->tasks->len; k++) {
-      HrTaskRef r = g_array_index (s.m->tasks, HrTaskRef, k);
+    for (guint k = 0; k < s.machine->tasks->len; k++) {
+      HrTaskRef r = g_array_index (s.machine->tasks, HrTaskRef, k);
       const HrJob *victim = c->jobs->pdata[r.job];
       if (!may_stop (c, victim, r.task, j))
         continue;
-      hr_amount_add (all, hr_amount_of (&victim->spec, 1));
-      s.loss += hr_stop_loss (c, victim, &victim->tasks[r.task]);
+      hr_quota_add (all, hr_quota_of (&victim->spec, 1));
+      s.loss += hr_preemption_loss (c, victim, &victim->tasks[r.task]);
       s.n++;
     }
     if (!s.n)
@@ -59,16 +59,16 @@
 
 /* Stops work until the pool holds the need. What is stopped joins the pool. */
 static gboolean
-stop_lower (HrCore *c, HrJob *j, HrAmount *pool, HrAmount need)
+stop_lower (HrCore *c, HrJob *j, HrQuota *pool, HrQuota need)
 {
-  HrAmount all;
+  HrQuota all;
   g_autoptr (GArray) found = stoppable (c, j, &all);
-  hr_amount_add (&all, *pool);
-  if (!hr_amount_holds (all, need))
+  hr_quota_add (&all, *pool);
+  if (!hr_quota_covers (all, need))
     return FALSE;
-  for (guint i = 0; i < found->len && !hr_amount_holds (*pool, need); i++) {
-    HrMachine *m = g_array_index (found, Stoppable, i).m;
-    for (guint k = 0; k < m->tasks->len && !hr_amount_holds (*pool, need);) {
+  for (guint i = 0; i < found->len && !hr_quota_covers (*pool, need); i++) {
+    HrMachine *m = g_array_index (found, Stoppable, i).machine;
+    for (guint k = 0; k < m->tasks->len && !hr_quota_covers (*pool, need);) {
       HrTaskRef r = g_array_index (m->tasks, HrTaskRef, k);
       HrJob *victim = c->jobs->pdata[r.job];
       if (!may_stop (c, victim, r.task, j)) {
@@ -77,47 +77,47 @@
       }
       g_info ("%s/%u on %s makes room for %s within their team's limit", victim->id, r.task,
               m->name, j->id);
-      hr_amount_add (
-          pool, hr_amount_of (&victim->spec, victim->spec.shape == HR_GANG ? victim->nlive : 1));
-      hr_stop_for_room (c, victim, r.task);
+      hr_quota_add (pool,
+                    hr_quota_of (&victim->spec, victim->spec.shape == HR_GANG ? victim->nlive : 1));
+      hr_preempt_task (c, victim, r.task);
       k = 0; /* a gang's other tasks may have left the machine */
     }
   }
-  return hr_amount_holds (*pool, need);
+  return hr_quota_covers (*pool, need);
 }
 
 /* Stops what the job's tasks without a grant need, as far as that is enough for them. */
 static void
-make_room (HrCore *c, HrTeamUse *u, HrJob *j)
+preempt_for_job (HrCore *c, HrTeamUsage *u, HrJob *j)
 {
-  guint size = hr_limits_unit (j), idle = hr_limits_idle (j);
-  HrAmount need = hr_amount_of (&j->spec, size);
-  gboolean soon = j->spec.shape != HR_SERVICE && u->shadow - c->now <= PATIENCE_S;
-  hr_amount_take (&u->pool, hr_amount_of (&j->spec, j->grant));
-  for (guint n = idle - MIN (j->grant, idle); n >= size && !u->short_of; n -= size) {
+  guint size = hr_job_start_unit (j), idle = hr_job_idle_tasks (j);
+  HrQuota need = hr_quota_of (&j->spec, size);
+  gboolean soon = j->spec.shape != HR_SERVICE && u->shadow_time - c->now <= PATIENCE_S;
+  hr_quota_subtract (&u->reclaimed, hr_quota_of (&j->spec, j->grant));
+  for (guint n = idle - MIN (j->grant, idle); n >= size && !u->is_exhausted; n -= size) {
     /* What is stopped for a later job would go to this one, or be filled by shorter work and
      * stopped again. */
-    if (!hr_amount_holds (u->pool, need) && (soon || !stop_lower (c, j, &u->pool, need)))
-      u->short_of = TRUE;
+    if (!hr_quota_covers (u->reclaimed, need) && (soon || !stop_lower (c, j, &u->reclaimed, need)))
+      u->is_exhausted = TRUE;
     else
-      hr_amount_take (&u->pool, need);
+      hr_quota_subtract (&u->reclaimed, need);
   }
 }
 
 void
-hr_limits_make_room (HrCore *c)
+hr_quotas_preempt (HrCore *c)
 {
   for (guint i = 0; i < c->teams->len; i++) {
-    HrTeamUse *u = &g_array_index (c->teams, HrTeamUse, i);
-    u->pool = u->limited ? u->limit : (HrAmount){INFINITY, INFINITY};
-    hr_amount_take (&u->pool, u->used);
-    hr_amount_add (&u->pool, u->ending);
+    HrTeamUsage *u = &g_array_index (c->teams, HrTeamUsage, i);
+    u->reclaimed = u->is_limited ? u->limit : (HrQuota){INFINITY, INFINITY};
+    hr_quota_subtract (&u->reclaimed, u->used);
+    hr_quota_add (&u->reclaimed, u->ending);
   }
   for (guint i = 0; i < c->waiting->len; i++) {
     HrJob *j = c->waiting->pdata[i];
-    HrTeamUse *u = hr_team_use (c, j->spec.team);
+    HrTeamUsage *u = hr_team_usage (c, j->spec.team);
     /* One that is lent lacks a machine, and others use its share meanwhile. */
-    if (!u->short_of && !j->lent)
-      make_room (c, u, j);
+    if (!u->is_exhausted && !j->lent)
+      preempt_for_job (c, u, j);
   }
 }
--- a/src/coordination/limits.c
+++ b/src/coordination/quotas.c
@@ -6,83 +6,83 @@
  * not fit leaves over is reserved for it: others get of it what ends, by estimate, before
  * running work makes room for that job, or what fits beside it then (EASY backfilling: Lifka,
  * The ANL/IBM SP scheduling system). */
-#include "coordination/limits.h"
-#include "coordination/amount.h"
-#include "coordination/room.h"
+#include "coordination/quotas.h"
+#include "coordination/quota.h"
+#include "coordination/free_capacity.h"
 
 /* A job keeps its grant for so long without a start, s: with places in lists (a boot, mostly),
  * and where no machine of the fleet has one. Then its share is lent, for a pause that doubles
  * and is long enough for a boot: meanwhile nothing is kept or stopped for the job. */
 #define GRANT_HOLD_S 75.0
 #define GRANT_HOLD_UNPLANNED_S 30.0
-#define LENT_S 90.0
-#define LENT_MOST_S 360.0
+#define LENDING_PAUSE_S 90.0
+#define MAX_LENDING_PAUSE_S 360.0
 /* A job that a reservation alone has held back for so long gets one start, s. */
-#define KEPT_OUT_S 60.0
+#define MAX_RESERVATION_WAIT_S 60.0
 
-HrTeamUse *
-hr_team_use (HrCore *c, guint32 team)
+HrTeamUsage *
+hr_team_usage (HrCore *c, guint32 team)
 {
   if (team >= c->teams->len)
     g_array_set_size (c->teams, team + 1);
-  return &g_array_index (c->teams, HrTeamUse, team);
+  return &g_array_index (c->teams, HrTeamUsage, team);
 }
 
 /* What each team uses: every task that is not proven gone, those of withdrawn jobs and those
  * that an earlier owner's record binds included. */
 static void
-count_use (HrCore *c)
+count_usage (HrCore *c)
 {
   g_array_set_size (c->teams, 0);
   for (guint i = 0; i < c->set->teams->len; i++) {
     const HrTeam *t = &g_array_index (c->set->teams, HrTeam, i);
-    HrTeamUse *u = hr_team_use (c, t->team);
-    u->limited = t->cpus_max > 0 || t->gpus_max > 0;
+    HrTeamUsage *u = hr_team_usage (c, t->team);
+    u->is_limited = t->cpus_max > 0 || t->gpus_max > 0;
     u->limit.cpus = t->cpus_max > 0 ? t->cpus_max : INFINITY;
     u->limit.gpus = t->gpus_max > 0 ? t->gpus_max : INFINITY;
-    u->shadow = INFINITY;
+    u->shadow_time = INFINITY;
   }
   for (guint i = 0; i < c->open->len; i++) {
     HrJob *j = c->jobs->pdata[g_array_index (c->open, guint32, i)];
-    HrTeamUse *u = hr_team_use (c, j->spec.team);
+    HrTeamUsage *u = hr_team_usage (c, j->spec.team);
     guint n = j->nlive;
     /* Its tasks may be anywhere; none is known. */
     if (j->unreadable && c->now < j->retry_at)
       n = j->ntasks - j->ndone;
-    hr_amount_add (&u->used, hr_amount_of (&j->spec, n));
-    if (j->state != HR_JOB_QUEUED || !j->tasks || !u->limited)
+    hr_quota_add (&u->used, hr_quota_of (&j->spec, n));
+    if (j->state != HR_JOB_QUEUED || !j->tasks || !u->is_limited)
       continue;
     for (guint32 k = 0; k < j->ntasks && j->nlive; k++)
       if (j->tasks[k].state == HR_TASK_BOUND && j->tasks[k].stop_wanted)
-        hr_amount_add (&u->ending, hr_amount_of (&j->spec, 1));
+        hr_quota_add (&u->ending, hr_quota_of (&j->spec, 1));
   }
   for (guint i = 0; i < c->teams->len; i++) {
-    HrTeamUse *u = &g_array_index (c->teams, HrTeamUse, i);
-    u->left = u->limited ? u->limit : (HrAmount){INFINITY, INFINITY};
-    hr_amount_take (&u->left, u->used);
-    u->beside = u->left;
+    HrTeamUsage *u = &g_array_index (c->teams, HrTeamUsage, i);
+    u->available = u->is_limited ? u->limit : (HrQuota){INFINITY, INFINITY};
+    hr_quota_subtract (&u->available, u->used);
+    u->backfill = u->available;
   }
 }
 
 guint
-hr_limits_idle (const HrJob *j)
+hr_job_idle_tasks (const HrJob *j)
 {
   return j->ntasks - MIN (j->ntasks, j->nlive + j->ndone);
 }
 
 static gboolean
-waits (const HrCore *c, const HrJob *j)
+is_waiting (const HrCore *c, const HrJob *j)
 {
-  return j->state == HR_JOB_QUEUED && j->tasks && !j->gang_over && hr_limits_idle (j) &&
+  return j->state == HR_JOB_QUEUED && j->tasks && !j->gang_over && hr_job_idle_tasks (j) &&
          c->now >= j->retry_at;
 }
 
 /* What starts at once or not at all: a gang; of other jobs, and of a gang that lost tasks
  * before its start, one task. */
 guint
-hr_limits_unit (const HrJob *j)
+hr_job_start_unit (const HrJob *j)
 {
-  guint whole = j->spec.shape == HR_GANG && !j->nlive ? hr_limits_idle (j) : 1;
+  guint whole = j->spec.shape == HR_GANG && !j->nlive ? hr_job_idle_tasks (j) : 1;
   return MAX (whole, 1); /* what waits has a task to start; callers divide by this */
 }
 
@@ -116,7 +116,7 @@
 /* A task of the team, and when its share of the limit is free again. */
 typedef struct {
   double end;
-  HrAmount amount;
+  HrQuota quota;
 } Release;
 
 static int
@@ -132,18 +132,18 @@
   HrMachine *m = c->machines->pdata[t->placement.machine];
   if (t->state == HR_TASK_BOUND && (t->stop_wanted || j->state != HR_JOB_QUEUED))
     return c->now +
-           (hr_reachable (c, m) ? t->stop_grace_s + STOP_AND_START_S : hr_lease_duration_s (c));
+           (hr_reachable (c, m) ? t->stop_grace_s + PREEMPTION_S : hr_lease_duration_s (c));
   return hr_running_end (c, j, t, m);
 }
 
 /* When does running work make room for the job, and what is left beside it then? */
 static void
-reserve (HrCore *c, HrTeamUse *u, const HrJob *head)
+reserve (HrCore *c, HrTeamUsage *u, const HrJob *head)
 {
   g_autoptr (GArray) releases = g_array_new (FALSE, FALSE, sizeof (Release));
-  HrAmount need = hr_amount_of (&head->spec, hr_limits_unit (head)), room = u->left;
-  u->reserved = TRUE;
-  u->shadow = INFINITY;
+  HrQuota need = hr_quota_of (&head->spec, hr_job_start_unit (head)), capacity = u->available;
+  u->has_reservation = TRUE;
+  u->shadow_time = INFINITY;
   for (guint i = 0; i < c->open->len; i++) {
     HrJob *j = c->jobs->pdata[g_array_index (c->open, guint32, i)];
     if (j->spec.team != head->spec.team || !j->tasks)
@@ -152,28 +152,28 @@
       const HrTask *t = &j->tasks[k];
       if (t->state != HR_TASK_ASSIGNING && t->state != HR_TASK_BOUND)
         continue;
-      Release r = {release_at (c, j, t), hr_amount_of (&j->spec, 1)};
+      Release r = {release_at (c, j, t), hr_quota_of (&j->spec, 1)};
       g_array_append_val (releases, r);
     }
   }
   g_array_sort (releases, by_end);
-  for (guint i = 0; i < releases->len && !isfinite (u->shadow); i++) {
+  for (guint i = 0; i < releases->len && !isfinite (u->shadow_time); i++) {
     const Release *r = &g_array_index (releases, Release, i);
     if (!isfinite (r->end))
       break;
-    hr_amount_add (&room, r->amount);
-    if (hr_amount_holds (room, need))
-      u->shadow = r->end;
+    hr_quota_add (&capacity, r->quota);
+    if (hr_quota_covers (capacity, need))
+      u->shadow_time = r->end;
   }
-  if (isfinite (u->shadow)) {
-    hr_amount_take (&room, need);
-    u->beside = hr_amount_least (u->left, room);
+  if (isfinite (u->shadow_time)) {
+    hr_quota_subtract (&capacity, need);
+    u->backfill = hr_quota_min (u->available, capacity);
   }
 }
 
 /* The job has had its share for long enough and could not use it. */
 static gboolean
-lapsed (HrCore *c, HrJob *j)
+grant_has_lapsed (HrCore *c, HrJob *j)
 {
   /* Services stand in no list. */
   gboolean placed = j->planned || j->spec.shape == HR_SERVICE;
@@ -182,38 +182,39 @@
     return TRUE;
   if (!j->granted_at || c->now - j->granted_at <= hold)
     return FALSE;
-  j->lent_pause = CLAMP (2 * j->lent_pause, LENT_S, LENT_MOST_S);
+  j->lent_pause = CLAMP (2 * j->lent_pause, LENDING_PAUSE_S, MAX_LENDING_PAUSE_S);
   j->lent_until = c->now + j->lent_pause;
   return TRUE;
 }
 
 /* Hands the job as many starts as the team's limit leaves for it. */
 static void
-grant (HrCore *c, HrTeamUse *u, HrJob *j)
+grant (HrCore *c, HrTeamUsage *u, HrJob *j)
 {
-  guint size = hr_limits_unit (j), most = hr_limits_idle (j) / size;
-  HrAmount one = hr_amount_of (&j->spec, size);
-  gboolean behind = u->reserved && c->now + run_time (c, j) > u->shadow;
-  guint n = hr_amount_times (behind ? hr_amount_least (u->left, u->beside) : u->left, one, most);
-  if (behind && !n && hr_amount_times (u->left, one, 1)) {
+  guint size = hr_job_start_unit (j), most = hr_job_idle_tasks (j) / size;
+  HrQuota one = hr_quota_of (&j->spec, size);
+  gboolean behind = u->has_reservation && c->now + run_time (c, j) > u->shadow_time;
+  guint n = hr_quota_multiples (behind ? hr_quota_min (u->available, u->backfill) : u->available,
+                                one, most);
+  if (behind && !n && hr_quota_multiples (u->available, one, 1)) {
     if (!j->kept_since)
       j->kept_since = c->now;
-    n = c->now - j->kept_since > KEPT_OUT_S;
+    n = c->now - j->kept_since > MAX_RESERVATION_WAIT_S;
   } else
     j->kept_since = 0;
   j->grant = n * size;
-  j->lent = lapsed (c, j);
+  j->lent = grant_has_lapsed (c, j);
   if (!n || j->lent)
     j->granted_at = 0;
   else if (!j->granted_at)
     j->granted_at = c->now;
   if (n && !j->lent) {
-    HrAmount all = hr_amount_of (&j->spec, j->grant);
-    hr_amount_take (&u->left, all);
-    if (behind || !u->reserved)
-      hr_amount_take (&u->beside, all);
+    HrQuota all = hr_quota_of (&j->spec, j->grant);
+    hr_quota_subtract (&u->available, all);
+    if (behind || !u->has_reservation)
+      hr_quota_subtract (&u->backfill, all);
   }
-  if (n < most && !u->reserved && !j->lent)
+  if (n < most && !u->has_reservation && !j->lent)
     reserve (c, u, j);
 }
 
@@ -228,14 +229,14 @@
       if (s->rank != rank)
         continue;
       for (guint t = 0; t < c->teams->len && n < wanted; t++) {
-        HrTeamUse *u = &g_array_index (c->teams, HrTeamUse, t);
-        HrAmount one = {s->cpus, s->gpus}, room = hr_amount_least (u->left, u->beside);
+        HrTeamUsage *u = &g_array_index (c->teams, HrTeamUsage, t);
+        HrQuota one = {s->cpus, s->gpus}, capacity = hr_quota_min (u->available, u->backfill);
         if (!(s->teams >> t % 64 & 1))
           continue;
-        guint more = u->limited ? hr_amount_times (room, one, wanted - n) : wanted - n;
-        HrAmount all = {more * one.cpus, more * one.gpus};
-        hr_amount_take (&u->left, all);
-        hr_amount_take (&u->beside, all);
+        guint more = u->is_limited ? hr_quota_multiples (capacity, one, wanted - n) : wanted - n;
+        HrQuota all = {more * one.cpus, more * one.gpus};
+        hr_quota_subtract (&u->available, all);
+        hr_quota_subtract (&u->backfill, all);
         n += more;
       }
       s->headroom = n;
@@ -243,18 +244,18 @@
 }
 
 void
-hr_limits_pass (HrCore *c)
+hr_quotas_pass (HrCore *c)
 {
   if (!c->types)
     return;
-  count_use (c);
+  count_usage (c);
   g_ptr_array_set_size (c->waiting, 0);
   for (guint i = 0; i < c->open->len; i++) {
     HrJob *j = c->jobs->pdata[g_array_index (c->open, guint32, i)];
     j->grant = 0;
-    if (!hr_team_use (c, j->spec.team)->limited)
+    if (!hr_team_usage (c, j->spec.team)->is_limited)
       continue;
-    if (waits (c, j))
+    if (is_waiting (c, j))
       g_ptr_array_add (c->waiting, j);
     else
       j->granted_at = j->kept_since = 0;
@@ -262,28 +263,28 @@
   g_ptr_array_sort (c->waiting, by_start);
   for (guint i = 0; i < c->waiting->len; i++) {
     HrJob *j = c->waiting->pdata[i];
-    grant (c, hr_team_use (c, j->spec.team), j);
+    grant (c, hr_team_usage (c, j->spec.team), j);
   }
   limit_headroom (c);
 }
 
 void
-hr_limits_started (HrCore *c, HrJob *j)
+hr_quotas_task_started (HrCore *c, HrJob *j)
 {
-  HrTeamUse *u = hr_team_use (c, j->spec.team);
-  hr_amount_add (&u->used, hr_amount_of (&j->spec, 1));
+  HrTeamUsage *u = hr_team_usage (c, j->spec.team);
+  hr_quota_add (&u->used, hr_quota_of (&j->spec, 1));
   j->grant -= j->grant > 0;
   j->granted_at = j->kept_since = j->lent_until = j->lent_pause = 0;
   j->claim_since = j->claim_pause = 0;
 }
 
 guint
-hr_limits_grant (HrCore *c, const HrJob *j)
+hr_quotas_granted (HrCore *c, const HrJob *j)
 {
-  HrTeamUse *u = hr_team_use (c, j->spec.team);
-  if (!u->limited)
+  HrTeamUsage *u = hr_team_usage (c, j->spec.team);
+  if (!u->is_limited)
     return G_MAXUINT;
-  HrAmount now = u->limit;
-  hr_amount_take (&now, u->used);
-  return hr_amount_times (now, hr_amount_of (&j->spec, 1), j->grant);
+  HrQuota now = u->limit;
+  hr_quota_subtract (&now, u->used);
+  return hr_quota_multiples (now, hr_quota_of (&j->spec, 1), j->grant);
 }
--- a/src/coordination/limits.h
+++ b/src/coordination/quotas.h
@@ -3,16 +3,16 @@
 #include "coordination/state.h"
 
 /* Hands out what the limits leave to the jobs that wait. Begins each pass. */
-void hr_limits_pass (HrCore *c);
+void hr_quotas_pass (HrCore *c);
 /* A task of the job was assigned. */
-void hr_limits_started (HrCore *c, HrJob *j);
+void hr_quotas_task_started (HrCore *c, HrJob *j);
 /* How many tasks more of the job its team's limit lets start now; G_MAXUINT: no limit. */
-guint hr_limits_grant (HrCore *c, const HrJob *j);
+guint hr_quotas_granted (HrCore *c, const HrJob *j);
 /* Stops work of lower rank for jobs that their own team's limit holds back. */
-void hr_limits_make_room (HrCore *c);
+void hr_quotas_preempt (HrCore *c);
 /* Tasks of the job that are neither on a machine nor done, and how many of them start at once
  * or not at all. */
-guint hr_limits_idle (const HrJob *j);
-guint hr_limits_unit (const HrJob *j);
+guint hr_job_idle_tasks (const HrJob *j);
+guint hr_job_start_unit (const HrJob *j);
 /* The team, as counted in this pass. */
-HrTeamUse *hr_team_use (HrCore *c, guint32 team);
+HrTeamUsage *hr_team_usage (HrCore *c, guint32 team);
--- a/src/coordination/rent.c
+++ b/src/coordination/rent.c
@@ -1,6 +1,6 @@
 /* What is to be rented for what waits and for what is expected, and what can go back. */
-#include "coordination/limits.h"
-#include "coordination/room.h"
+#include "coordination/quotas.h"
+#include "coordination/free_capacity.h"
 #include <math.h>
 
 #define RENT_MOST 200 /* tasks of one job that machines are rented for in a pass */
@@ -65,25 +65,25 @@
 /* Room that is free, or will be once a boot or a stop has ended. Busy machines
  * first, so that idle ones stay free to go; cheap ones before others. */
 static gboolean
-find_room (HrCore *c, HrRoom *rooms, guint nrooms, HrCursor *at, HrJob *j, double cpus, double gpus,
-           double mem, gboolean spot, guint64 types)
+find_free_capacity (HrCore *c, HrFreeCapacity *capacities, guint n_capacities, HrCapacityCursor *at,
+                    HrJob *j, double cpus, double gpus, double mem, gboolean spot, guint64 types)
 {
-  if (at->last && (!j || hr_zone_ok (c, j, at->last->m)) &&
-      hr_room_take (at->last, cpus, gpus, mem))
+  if (at->last && (!j || hr_zone_ok (c, j, at->last->machine)) &&
+      hr_free_capacity_take (at->last, cpus, gpus, mem))
     return TRUE;
-  for (; at->pass < 4; at->pass++, at->i = 0)
-    for (; at->i < nrooms; at->i++) {
-      HrRoom *r = &rooms[at->i];
-      HrMachine *m = r->m;
-      gboolean idle = m->tasks->len == 0 && !r->reserved;
+  for (; at->pass < 4; at->pass++, at->index = 0)
+    for (; at->index < n_capacities; at->index++) {
+      HrFreeCapacity *r = &capacities[at->index];
+      HrMachine *m = r->machine;
+      gboolean idle = m->tasks->len == 0 && !r->is_reserved;
       if (idle != at->pass / 2 || m->spot != !(at->pass % 2) || (m->spot && !spot) ||
           (m->state != HR_M_UP && m->state != HR_M_BOOTING) || m->drain ||
           (types && !(types >> m->type & 1)) ||
           (j && (!hr_allowed (c, j, m) || !hr_zone_ok (c, j, m))))
         continue;
-      if (!hr_room_take (r, cpus, gpus, mem))
+      if (!hr_free_capacity_take (r, cpus, gpus, mem))
         continue;
-      r->reserved = TRUE;
+      r->is_reserved = TRUE;
       at->last = r;
       return TRUE;
     }
@@ -128,23 +128,26 @@
 }
 
 void
-hr_rent_headroom (HrCore *c, HrRoom *rooms, guint nrooms, GArray *needs)
+hr_rent_headroom (HrCore *c, HrFreeCapacity *capacities, guint n_capacities, GArray *needs)
 {
   for (guint k = 0; k < c->classes->len; k++) {
     HrClassStat *s = &g_array_index (c->classes, HrClassStat, k);
-    HrCursor at = {0};
+    HrCapacityCursor at = {0};
     for (guint n = hr_headroom (c, k); n > 0; n--)
-      if (!find_room (c, rooms, nrooms, &at, NULL, s->cpus, s->gpus, s->mem, s->spot, s->types))
+      if (!find_free_capacity (c, capacities, n_capacities, &at, NULL, s->cpus, s->gpus, s->mem,
+                               s->spot, s->types))
         need_one (c, needs, s->types, HR_NONE, s->spot, s->cpus, s->gpus, s->mem);
   }
 }
 
 /* What is short of room gets it on a machine that boots, or on one to be rented. */
 void
-hr_rent_need (HrCore *c, HrRoom *rooms, guint booting, HrCursor *at, GArray *needs, HrJob *j)
+hr_rent_need (HrCore *c, HrFreeCapacity *capacities, guint booting, HrCapacityCursor *at,
+              GArray *needs, HrJob *j)
 {
   const HrJobSpec *s = &j->spec;
-  if (!find_room (c, rooms, booting, at, j, s->cpus, s->gpus, s->mem, s->spot, s->types))
+  if (!find_free_capacity (c, capacities, booting, at, j, s->cpus, s->gpus, s->mem, s->spot,
+                           s->types))
     need_one (c, needs, s->types, s->zone, s->spot, s->cpus, s->gpus, s->mem);
 }
 
@@ -181,14 +184,14 @@
  * machines would be rented again in each pass for a gang that waits for those on their way.
  * Returns how many of the list have room. */
 static guint
-take_listed (HrCore *c, HrRoom *room)
+take_listed (HrCore *c, HrFreeCapacity *capacity)
 {
-  HrMachine *m = room->m;
+  HrMachine *m = capacity->machine;
   guint n = 0;
   for (; n < m->list->len; n++) {
     const HrJobSpec *s =
         &((HrJob *)c->jobs->pdata[g_array_index (m->list, HrTaskRef, n).job])->spec;
-    if (!hr_room_take (room, s->cpus, s->gpus, s->mem))
+    if (!hr_free_capacity_take (capacity, s->cpus, s->gpus, s->mem))
       break;
   }
   return n;
@@ -201,7 +204,7 @@
 late (HrCore *c, const HrListedTask *t, gboolean placed)
 {
   HrJob *j = c->jobs->pdata[t->task.job];
-  gboolean limited = hr_team_use (c, j->spec.team)->limited;
+  gboolean limited = hr_team_usage (c, j->spec.team)->is_limited;
   double boot = boot_time (c) * c->pol.rent_slack, wait = t->start - c->now;
   if (wait <= (limited ? boot * LIMITED_SLACK : boot) || (limited && placed))
     return FALSE;
@@ -210,48 +213,48 @@
 
 /* Machines for what stands in lists and would start late there. */
 static void
-rent_for_late (HrCore *c, HrRoom *rooms, guint booting, GArray *needs)
+rent_for_late (HrCore *c, HrFreeCapacity *capacities, guint booting, GArray *needs)
 {
   guint n = c->fleet->len;
   g_autofree guint *placed = g_new0 (guint, n + 1);
   g_autoptr (GArray) listed = g_array_new (FALSE, FALSE, sizeof (HrListedTask));
   for (guint i = 0; i < n; i++) {
-    HrMachine *m = rooms[i].m;
-    HrRoom room = {m, m->cpus - m->foreign_cpus - m->claim_cpus,
-                   m->gpus - m->foreign_gpus - m->claim_gpus,
-                   m->mem - m->foreign_mem - m->claim_mem, FALSE};
-    placed[i] = take_listed (c, i < booting ? &rooms[i] : &room);
+    HrMachine *m = capacities[i].machine;
+    HrFreeCapacity capacity = {m, m->cpus - m->foreign_cpus - m->claim_cpus,
+                               m->gpus - m->foreign_gpus - m->claim_gpus,
+                               m->mem - m->foreign_mem - m->claim_mem, FALSE};
+    placed[i] = take_listed (c, i < booting ? &capacities[i] : &capacity);
   }
   for (guint i = 0; i < n; i++) {
     g_array_set_size (listed, 0);
-    hr_list_append (c, rooms[i].m, listed);
+    hr_list_append (c, capacities[i].machine, listed);
     for (guint k = 0; k < listed->len; k++) {
-      HrCursor at = {0};
+      HrCapacityCursor at = {0};
       if (late (c, &g_array_index (listed, HrListedTask, k), k < placed[i]))
-        hr_rent_need (c, rooms, booting, &at, needs, hr_listed_job (c, listed, k));
+        hr_rent_need (c, capacities, booting, &at, needs, hr_listed_job (c, listed, k));
     }
   }
 }
 
 /* booting: how many rooms, the first ones, are on machines that boot. */
 void
-hr_rent_for_lists (HrCore *c, HrRoom *rooms, guint booting, GArray *needs)
+hr_rent_for_lists (HrCore *c, HrFreeCapacity *capacities, guint booting, GArray *needs)
 {
-  rent_for_late (c, rooms, booting, needs);
+  rent_for_late (c, capacities, booting, needs);
   /* And for what found no list at all. */
   for (guint i = 0; i < c->open->len; i++) {
     HrJob *j = c->jobs->pdata[g_array_index (c->open, guint32, i)];
     gint left = (gint)j->ntasks - (gint)(j->nlive + j->ndone + j->planned);
     if (j->state != HR_JOB_QUEUED || j->spec.shape == HR_SERVICE || j->gang_over || left <= 0 ||
-        j->retry_at > c->now || !hr_team_allows (c, j, 1) || beyond_fleet (c, j))
+        j->retry_at > c->now || !hr_team_allows_start (c, j, 1) || beyond_fleet (c, j))
       continue;
     /* No machine is rented for what the limit holds back; what stands in lists has its part
      * of the grant. */
-    guint grant = hr_limits_grant (c, j);
+    guint grant = hr_quotas_granted (c, j);
     left = MIN (left, grant < G_MAXINT ? (gint)grant - (gint)j->planned : RENT_MOST);
-    HrCursor at = {0};
+    HrCapacityCursor at = {0};
     for (gint k = 0; k < MIN (left, RENT_MOST); k++)
-      hr_rent_need (c, rooms, booting, &at, needs, j);
+      hr_rent_need (c, capacities, booting, &at, needs, j);
   }
 }
 
@@ -310,7 +313,7 @@
 /* A step starts when the one before it ends, and a machine takes a boot to come up: it is asked
  * for that much ahead. Room that is kept for arrivals of the class counts first. */
 void
-hr_rent_ahead (HrCore *c, HrRoom *rooms, guint nrooms, GArray *needs)
+hr_rent_ahead (HrCore *c, HrFreeCapacity *capacities, guint n_capacities, GArray *needs)
 {
   double horizon = c->now + boot_time (c);
   g_autofree guint *kept = g_new0 (guint, c->names->classes.names->len + 1);
@@ -324,13 +327,13 @@
     HrJob *j = c->jobs->pdata[g_array_index (c->open, guint32, i)];
     for (guint k = 0; j->ends_at <= horizon && k < j->dependents->len; k++) {
       HrJob *d = j->dependents->pdata[k];
-      HrCursor at = {0};
+      HrCapacityCursor at = {0};
       guint left = d->state == HR_JOB_QUEUED && d->tasks ? tasks_ahead (c, d, j, horizon) : 0;
       guint use = MIN (left, kept[d->spec.klass]);
       kept[d->spec.klass] -= use;
-      for (guint n = MIN (left - use, AHEAD_MOST); n > 0 && hr_team_allows (c, d, 1); n--)
-        if (!find_room (c, rooms, nrooms, &at, NULL, d->spec.cpus, d->spec.gpus, d->spec.mem,
-                        d->spec.spot, d->spec.types))
+      for (guint n = MIN (left - use, AHEAD_MOST); n > 0 && hr_team_allows_start (c, d, 1); n--)
+        if (!find_free_capacity (c, capacities, n_capacities, &at, NULL, d->spec.cpus, d->spec.gpus,
+                                 d->spec.mem, d->spec.spot, d->spec.types))
           need_one (c, needs, d->spec.types, d->spec.zone, d->spec.spot, d->spec.cpus, d->spec.gpus,
                     d->spec.mem);
     }
@@ -338,16 +341,16 @@
 }
 
 void
-hr_return_idle (HrCore *c, HrRoom *rooms, guint n)
+hr_return_idle (HrCore *c, HrFreeCapacity *capacities, guint n)
 {
   g_autoptr (GPtrArray) away = g_ptr_array_new ();
   for (guint i = 0; i < n; i++) {
-    HrMachine *m = rooms[i].m;
+    HrMachine *m = capacities[i].machine;
     if (m->state != HR_M_UP || m->tasks->len || m->list->len)
       continue;
     /* After a cut of our own nothing was idle: nobody could give it work. */
     double since = MAX (m->idle_at, c->served_since);
-    if (m->drain || (!rooms[i].reserved && m->idle_at && c->now - since > c->pol.idle_s))
+    if (m->drain || (!capacities[i].is_reserved && m->idle_at && c->now - since > c->pol.idle_s))
       g_ptr_array_add (away, m);
   }
   for (guint i = 0; i < away->len; i++)
--- a/src/coordination/replicas.c
+++ b/src/coordination/replicas.c
@@ -1,6 +1,6 @@
 /* Where the replicas of services start. They stand in no list: a replica has no end. */
 #include "coordination/replicas.h"
-#include "coordination/room.h"
+#include "coordination/free_capacity.h"
 #include <math.h>
 
 /* Time left until the next aim for the start of the class's tasks is missed. */
@@ -11,7 +11,7 @@
   for (guint i = 0; i < c->set->aims->len; i++) {
     const HrAim *a = &g_array_index (c->set->aims, HrAim, i);
     if (a->klass == j->spec.klass && (a->kind == HR_AIM_WAIT || a->kind == HR_AIM_UP) &&
-        a->within > waited + STOP_AND_START_S)
+        a->within > waited + PREEMPTION_S)
       left = MIN (left, a->within - waited);
   }
   return left;
@@ -41,7 +41,7 @@
     if (a->klass == j->spec.klass && a->kind == HR_AIM_WAIT)
       within = MIN (within, a->within);
   }
-  if (fetch + STOP_AND_START_S <= within)
+  if (fetch + PREEMPTION_S <= within)
     return FALSE; /* a fetch in time is cheaper than places kept open */
   for (guint i = 0; i < s->nimages; i++) {
     weight += s->images[i].weight;
@@ -72,17 +72,17 @@
 void
 hr_replicas_start (HrCore *c, GPtrArray *services)
 {
-  g_autoptr (GPtrArray) rooms = hr_dispatch_rooms (c);
+  g_autoptr (GPtrArray) capacities = hr_dispatch_open_machines (c);
   for (guint i = 0; i < services->len; i++) {
     HrJob *j = services->pdata[i];
     gboolean open = short_of_places (c, j);
     for (guint32 k = 0; k < j->ntasks; k++) {
       HrMachine *best = NULL;
       double most = 0;
-      if (j->tasks[k].state != HR_TASK_IDLE || !hr_team_allows (c, j, 1))
+      if (j->tasks[k].state != HR_TASK_IDLE || !hr_team_allows_start (c, j, 1))
         continue;
-      for (guint n = 0; n < rooms->len; n++) {
-        HrMachine *m = rooms->pdata[n];
+      for (guint n = 0; n < capacities->len; n++) {
+        HrMachine *m = capacities->pdata[n];
         if (!hr_dispatch_startable (c, j, m))
           continue;
         double score = service_score (c, j, m, open);
@@ -93,8 +93,8 @@
       }
       double left = start_left (c, j);
       if (isfinite (left) && c->now >= j->retry_at &&
-          (!best || hr_fetch_time (c, j, best) + STOP_AND_START_S > left)) {
-        HrMachine *other = hr_swap_for_image (c, j);
+          (!best || hr_fetch_time (c, j, best) + PREEMPTION_S > left)) {
+        HrMachine *other = hr_preempt_for_cached_image (c, j);
         if (other)
           best = other;
       }
--- a/src/coordination/claims.c
+++ b/src/coordination/service_reservations.c
@@ -1,12 +1,12 @@
 /* Room kept for services, which stand in no list. */
-#include "coordination/limits.h"
+#include "coordination/quotas.h"
 #include "coordination/plan.h"
 
 /* Takes the room of up to n tasks off a machine for services. */
 static guint
-claim_on (HrMachine *m, double cpus, double gpus, double mem, guint n)
+reserve_on_machine (HrMachine *m, double cpus, double gpus, double mem, guint n)
 {
-  while (n && hr_machine_has_beside_claims (m, cpus, gpus, mem)) {
+  while (n && hr_machine_has_unreserved (m, cpus, gpus, mem)) {
     m->claim_cpus += cpus;
     m->claim_gpus += gpus;
     m->claim_mem += mem;
@@ -18,14 +18,14 @@
 /* Keeps room for n tasks of a class on machines that are up, with this image if any is
  * named, on busy ones only if asked for. Returns how many found none. */
 static guint
-claim_room (HrCore *c, const HrClassStat *s, guint32 image, gboolean busy, guint n)
+reserve_capacity (HrCore *c, const HrClassStat *s, guint32 image, gboolean busy, guint n)
 {
   for (guint k = 0; k < c->fleet->len && n; k++) {
     HrMachine *m = c->fleet->pdata[k];
     if (m->state == HR_M_UP && hr_usable (c, m) && (!m->spot || s->spot) &&
         (!s->types || s->types >> m->type & 1) && (!busy || m->tasks->len) &&
         (image == HR_NONE || hr_machine_has_image (m, image)))
-      n = claim_on (m, s->cpus, s->gpus, s->mem, n);
+      n = reserve_on_machine (m, s->cpus, s->gpus, s->mem, n);
   }
   return n;
 }
@@ -34,7 +34,7 @@
  * that come up next, and some room is kept for the next arrivals; the lists are
  * projected, and started, without that room. */
 void
-hr_claim_for_services (HrCore *c)
+hr_reserve_for_services (HrCore *c)
 {
   for (guint i = 0; i < c->fleet->len; i++) {
     HrMachine *m = c->fleet->pdata[i];
@@ -54,11 +54,11 @@
     const HrJobSpec *s = &j->spec;
     if (j->state != HR_JOB_QUEUED || s->shape != HR_SERVICE || !j->tasks)
       continue;
-    guint left = MIN (j->ntasks - j->nlive, hr_limits_grant (c, j));
+    guint left = MIN (j->ntasks - j->nlive, hr_quotas_granted (c, j));
     for (guint k = 0; k < c->fleet->len && left; k++) {
       HrMachine *m = c->fleet->pdata[k];
       if (m->state == HR_M_BOOTING && hr_allowed (c, j, m))
-        left = claim_on (m, s->cpus, s->gpus, s->mem, left);
+        left = reserve_on_machine (m, s->cpus, s->gpus, s->mem, left);
     }
   }
   for (guint i = 0; i < c->classes->len; i++) {
@@ -70,10 +70,10 @@
     /* Where an image is that the next arrivals may need: a replica starts there at once. */
     for (guint k = 0; k < s->nimages && left; k++) {
       guint want = MIN (left, (guint)(all * s->images[k].weight / weight + 0.5));
-      left -= want - claim_room (c, s, s->images[k].image, FALSE, want);
+      left -= want - reserve_capacity (c, s, s->images[k].image, FALSE, want);
     }
     /* Then where others run already: whole machines are for those who need them. */
-    left = claim_room (c, s, HR_NONE, TRUE, left);
-    claim_room (c, s, HR_NONE, FALSE, left);
+    left = reserve_capacity (c, s, HR_NONE, TRUE, left);
+    reserve_capacity (c, s, HR_NONE, FALSE, left);
   }
 }
--- a/src/coordination/held_back.c
+++ b/src/coordination/starvation_guard.c
@@ -3,35 +3,35 @@
  * Room is kept for the next replicas of services (claims.c), for tasks that are due earlier on the
  * same machine (dispatch.c), and for a job's own part of the fleet (parts.c). What is projected to
  * start soon is not rented for either, so where such a projection slips from pass to pass, a task
- * could wait for ever. After HELD_BACK_MOST_S beside room that it fits into, a task gets that room,
- * whatever it is kept for. Spare room for replicas is then found or rented anew (rent.c), and a
- * replica that comes meanwhile stops batch work as before (preempt.c). */
-#include "coordination/held_back.h"
-#include "coordination/room.h"
+ * could wait for ever. After STARVATION_LIMIT_S beside room that it fits into, a task gets that
+ * room, whatever it is kept for. Spare room for replicas is then found or rented anew (rent.c), and
+ * a replica that comes meanwhile stops batch work as before (preempt.c). */
+#include "coordination/starvation_guard.h"
+#include "coordination/free_capacity.h"
 
 /* Seconds beside free room after which a task gets it. */
-#define HELD_BACK_MOST_S 60.0
+#define STARVATION_LIMIT_S 60.0
 /* Jobs are looked at so often, in seconds. */
-#define LOOK_EVERY_S 1.0
+#define CHECK_INTERVAL_S 1.0
 
 static gboolean
-waits (HrCore *c, const HrJob *j)
+is_waiting (HrCore *c, const HrJob *j)
 {
   return j->state == HR_JOB_QUEUED && j->tasks && j->spec.shape == HR_BATCH &&
-         j->nlive + j->ndone < j->ntasks && c->now >= j->retry_at && hr_team_allows (c, j, 1);
+         j->nlive + j->ndone < j->ntasks && c->now >= j->retry_at && hr_team_allows_start (c, j, 1);
 }
 
 /* The machine with room where the job's next task would be done first; NULL: there is none.
  * first: any one will do. */
 static HrMachine *
-machine_with_room (HrCore *c, HrJob *j, const GPtrArray *rooms, gboolean first)
+find_free_machine (HrCore *c, HrJob *j, const GPtrArray *capacities, gboolean first)
 {
   HrMachine *best = NULL;
   guint32 part = j->part;
   j->part = HR_NONE; /* room in any part of the fleet counts */
-  for (guint i = 0; i < rooms->len && !(best && first); i++) {
-    HrMachine *m = rooms->pdata[i];
-    if (hr_dispatch_has_room (c, j, m) && (!best || hr_dispatch_batch_better (c, j, m, best)))
+  for (guint i = 0; i < capacities->len && !(best && first); i++) {
+    HrMachine *m = capacities->pdata[i];
+    if (hr_dispatch_fits_now (c, j, m) && (!best || hr_dispatch_batch_better (c, j, m, best)))
       best = m;
   }
   j->part = part;
@@ -40,25 +40,25 @@
 
 /* Starts as many of the job's tasks as there is room for. */
 static void
-give_room (HrCore *c, HrJob *j, const GPtrArray *rooms)
+start_on_free_capacity (HrCore *c, HrJob *j, const GPtrArray *capacities)
 {
   guint started = 0;
-  for (guint32 k = 0; k < j->ntasks && hr_team_allows (c, j, 1); k++) {
+  for (guint32 k = 0; k < j->ntasks && hr_team_allows_start (c, j, 1); k++) {
     if (j->tasks[k].state != HR_TASK_IDLE)
       continue;
-    HrMachine *m = machine_with_room (c, j, rooms, FALSE);
+    HrMachine *m = find_free_machine (c, j, capacities, FALSE);
     if (!m)
       break;
     hr_dispatch_start (c, j, k, m);
     started++;
   }
-  g_info ("%s waited %.0f s beside free room; %u of its tasks start there", j->id, HELD_BACK_MOST_S,
-          started);
+  g_info ("%s waited %.0f s beside free room; %u of its tasks start there", j->id,
+          STARVATION_LIMIT_S, started);
 }
 
 /* Does the job ask for at least as much as one that found no room, with no wider choice? */
 static gboolean
-asks_for_more (const HrJobSpec *s, const HrJobSpec *failed)
+is_harder_to_place (const HrJobSpec *s, const HrJobSpec *failed)
 {
   return s->cpus >= failed->cpus && s->gpus >= failed->gpus && s->mem >= failed->mem &&
          (failed->spot || !s->spot) && failed->zone == HR_NONE && !failed->types &&
@@ -66,28 +66,29 @@
 }
 
 void
-hr_held_back_tick (HrCore *c)
+hr_starvation_guard_tick (HrCore *c)
 {
   if (c->now < c->held_back_at)
     return;
-  c->held_back_at = c->now + LOOK_EVERY_S;
-  g_autoptr (GPtrArray) rooms = hr_dispatch_rooms (c);
+  c->held_back_at = c->now + CHECK_INTERVAL_S;
+  g_autoptr (GPtrArray) capacities = hr_dispatch_open_machines (c);
   /* Of the latest job without room: where many wait, others like it follow. */
   const HrJobSpec *failed = NULL;
   for (guint i = 0; i < c->open->len; i++) {
     HrJob *j = c->jobs->pdata[g_array_index (c->open, guint32, i)];
-    if (!waits (c, j)) {
+    if (!is_waiting (c, j)) {
       j->held_back_since = 0;
       continue;
     }
-    if ((failed && asks_for_more (&j->spec, failed)) || !machine_with_room (c, j, rooms, TRUE)) {
+    if ((failed && is_harder_to_place (&j->spec, failed)) ||
+        !find_free_machine (c, j, capacities, TRUE)) {
       failed = &j->spec;
       j->held_back_since = 0;
       continue;
     }
     if (!j->held_back_since)
       j->held_back_since = c->now;
-    if (c->now - j->held_back_since >= HELD_BACK_MOST_S)
-      give_room (c, j, rooms);
+    if (c->now - j->held_back_since >= STARVATION_LIMIT_S)
+      start_on_free_capacity (c, j, capacities);
   }
 }
--- a/src/coordination/state.h
+++ b/src/coordination/state.h
@@ -81,20 +81,20 @@
 /* What a limit of a team is about. */
 typedef struct {
   double cpus, gpus;
-} HrAmount;
+} HrQuota;
 
 /* A team in one pass. */
 typedef struct {
-  gboolean limited;
-  HrAmount limit, used; /* used: by every task that is not proven gone */
-  HrAmount ending;      /* of that, by tasks that are being stopped */
-  HrAmount left;        /* of the limit, not granted yet */
-  HrAmount beside;      /* of that, what the reservation leaves to work without an end in time */
-  HrAmount pool;        /* left over, or soon free, while room is made */
-  gboolean short_of;    /* a job found too little there */
-  gboolean reserved;    /* a job that the limit holds back has what is left reserved */
-  double shadow;        /* running work has made room for that job by then; INFINITY: unknown */
-} HrTeamUse;
+  gboolean is_limited;
+  HrQuota limit, used;   /* used: by every task that is not proven gone */
+  HrQuota ending;        /* of that, by tasks that are being stopped */
+  HrQuota available;     /* of the limit, not granted yet */
+  HrQuota backfill;      /* of that, what the reservation leaves to work without an end in time */
+  HrQuota reclaimed;     /* left over, or soon free, while room is made */
+  gboolean is_exhausted; /* a job found too little there */
+  gboolean has_reservation; /* a job that the limit holds back has what is left reserved */
+  double shadow_time;       /* running work has made room for that job by then; INFINITY: unknown */
+} HrTeamUsage;
 
 struct HrCore {
   const HrSettings *set;
@@ -181,7 +181,7 @@
   GPtrArray *fleet; /* the machines that are not gone */
 
   /* Planning and the fleet. */
-  GArray *teams;           /* HrTeamUse by team, as of this pass */
+  GArray *teams;           /* HrTeamUsage by team, as of this pass */
   GPtrArray *waiting;      /* HrJob of limited teams that wait, in the order of their grants */
   gboolean entitled_waits; /* a job within its team's guarantee waits for room */
   gboolean plan_dirty;
@@ -348,8 +348,8 @@
 void hr_job_unplan (HrCore *c, HrJob *j);
 
 /* teams.c */
-gboolean hr_team_allows (HrCore *c, const HrJob *j, guint n);
-void hr_team_entitle (HrCore *c);
+gboolean hr_team_allows_start (HrCore *c, const HrJob *j, guint n);
+void hr_guarantees_mark_jobs (HrCore *c);
 
 /* The rank that counts for the job's order and for what may be stopped. */
 static inline HrRank
--- a/src/coordination/task_lifecycle.c
+++ b/src/coordination/task_lifecycle.c
@@ -51,7 +51,7 @@
   t->bound_since = c->now;
   t->expected_fetch_s = hr_fetch_time (c, j, m);
   j->nlive++;
-  hr_machine_take (m, &j->spec, r);
+  hr_machine_allocate (m, &j->spec, r);
   hr_record_writer_mark (c, j, task);
   g_debug ("%s/%u try %u goes to %s", j->id, task, attempt, m->name);
 }
@@ -63,7 +63,7 @@
   HrTask *t = &j->tasks[task];
   HrMachine *m = machine_of (c, t);
   HrTaskRef r = {j->idx, task};
-  hr_machine_give (m, &j->spec, r);
+  hr_machine_release (m, &j->spec, r);
   j->nlive--;
   t->stop_wanted = 0;
   note_freed (c, m);
--- a/tests/sim/cloud.c
+++ b/tests/sim/cloud.c
@@ -69,8 +69,8 @@
     SMachine *m = w->machines->pdata[i];
     live += !m->gone && m->spot == spot;
   }
-  guint room = spot ? w->capacity / 3 : w->capacity;
-  n = MIN (n, room > live ? room - live : 0);
+  guint capacity = spot ? w->capacity / 3 : w->capacity;
+  n = MIN (n, capacity > live ? capacity - live : 0);
   if (!n) {
     w_answer (w, r, 503, g_strdup ("{\"error\":\"no capacity\"}"));
     json_decref (o);
