--- a/src/bookkeeping/replica_changes.c
+++ b/src/bookkeeping/replica_changes.c
@@ -188,7 +188,7 @@
   else if (strcmp (key, "h/types") == 0) {
     c->types_stamp = v ? revision : 0;
     if (v && !c->types)
-      hr_types_load (c, v);
+      hr_machine_types_load (c, v);
   } else if (g_str_has_prefix (key, "h/j/")) {
     if (v && hr_job_id_valid (key + 4))
       hr_replica_apply_job (c, hr_job_get (c, key + 4), v, revision);
--- a/src/bookkeeping/tables.c
+++ b/src/bookkeeping/tables.c
@@ -139,7 +139,7 @@
 }
 
 void
-hr_machine_describe (HrMachine *m, const HrType *t, guint32 zone, gboolean spot)
+hr_machine_describe (HrMachine *m, const HrMachineType *t, guint32 zone, gboolean spot)
 {
   if (m->type != HR_NONE)
     return;
--- a/src/bookkeeping/tables.h
+++ b/src/bookkeeping/tables.h
@@ -116,7 +116,12 @@
   double ends_at; /* when its last task should end, steady time, as of the latest pass */
 };
 
-typedef enum { HR_M_BOOTING, HR_M_UP, HR_M_DELETING, HR_M_GONE } HrMachineState;
+typedef enum {
+  HR_MACHINE_BOOTING,
+  HR_MACHINE_UP,
+  HR_MACHINE_DELETING,
+  HR_MACHINE_GONE
+} HrMachineState;
 
 typedef struct {
   guint32 job, task;
@@ -221,7 +226,7 @@
 void hr_machine_touch_image (HrMachine *m, guint32 image);
 void hr_machine_forget_image (HrMachine *m, guint32 image);
 /* What a machine is; its capacity counts from here on. Does nothing when that is known. */
-void hr_machine_describe (HrMachine *m, const HrType *t, guint32 zone, gboolean spot);
+void hr_machine_describe (HrMachine *m, const HrMachineType *t, guint32 zone, gboolean spot);
 /* Room for a task, as meant. */
 gboolean hr_machine_fits (const HrMachine *m, const HrJobSpec *s);
 /* Room for an amount beside what is kept for services. */
--- a/src/bookkeeping/termination_proof.c
+++ b/src/bookkeeping/termination_proof.c
@@ -109,7 +109,7 @@
 static void
 expire_returned_lease (HrCore *c, HrMachine *m)
 {
-  if (m->state == HR_M_DELETING && m->tasks->len && hr_lease_has_expired (c, m))
+  if (m->state == HR_MACHINE_DELETING && m->tasks->len && hr_lease_has_expired (c, m))
     hr_termination_incarnations_over (c, m, G_MAXUINT32,
                                       "it is being returned, and its lease is surely over");
 }
@@ -136,7 +136,7 @@
   guint up = 0, overdue = 0, deaf = 0;
   for (guint i = 0; i < c->fleet->len; i++) {
     HrMachine *m = c->fleet->pdata[i];
-    if (m->state != HR_M_UP)
+    if (m->state != HR_MACHINE_UP)
       continue;
     up++;
     overdue += c->now - last_heard (c, m) > c->pol.overdue_s;
@@ -157,12 +157,12 @@
   for (guint i = 0; i < fleet->len; i++) {
     HrMachine *m = fleet->pdata[i];
     expire_returned_lease (c, m);
-    if (m->state == HR_M_UP && is_unreachable_now (c, m))
+    if (m->state == HR_MACHINE_UP && is_unreachable_now (c, m))
       hr_fleet_delete (c, m, "it reports, but what it is told does not reach it");
-    if (m->state == HR_M_UP && c->now - last_heard (c, m) > c->pol.overdue_s &&
+    if (m->state == HR_MACHINE_UP && c->now - last_heard (c, m) > c->pol.overdue_s &&
         is_missing_from_list (c, m) && hr_replica_is_served (c))
       hr_fleet_delete (c, m, "its worker is silent, and the cloud no longer lists it");
-    if (m->state != HR_M_UP || c->now - last_heard (c, m) <= c->pol.silent_s)
+    if (m->state != HR_MACHINE_UP || c->now - last_heard (c, m) <= c->pol.silent_s)
       continue;
     if (hr_lease_has_expired (c, m) && m->tasks->len)
       hr_termination_incarnations_over (c, m, G_MAXUINT32, "its lease is surely over");
--- a/src/coordination/admission.c
+++ b/src/coordination/admission.c
@@ -11,7 +11,7 @@
   ZonesThatFit found = {FALSE, FALSE};
   guint32 first = HR_NONE;
   for (guint i = 0; i < c->types->len; i++) {
-    const HrType *type = &g_array_index (c->types, HrType, i);
+    const HrMachineType *type = &g_array_index (c->types, HrMachineType, i);
     if ((s->types && !(s->types >> type->type & 1)) || s->cpus > type->cpus ||
         s->gpus > type->gpus || s->mem > type->mem)
       continue;
--- a/src/coordination/core.c
+++ b/src/coordination/core.c
@@ -135,7 +135,7 @@
     m->idx = c->machines->len;
     m->name = hr_intern_name (&c->machine_ids, m->idx);
     m->type = m->zone = HR_NONE;
-    m->state = HR_M_GONE;
+    m->state = HR_MACHINE_GONE;
     m->error_job = HR_NONE;
     m->tasks = g_array_new (FALSE, TRUE, sizeof (HrTaskRef));
     m->direct = g_array_new (FALSE, TRUE, sizeof (HrDirectLaunch));
@@ -164,19 +164,19 @@
   return NULL;
 }
 
-const HrType *
-hr_type_by_name (const HrCore *c, guint32 name)
+const HrMachineType *
+hr_machine_type_find (const HrCore *c, guint32 name)
 {
   for (guint i = 0; c->types && i < c->types->len; i++)
-    if (g_array_index (c->types, HrType, i).type == name)
-      return &g_array_index (c->types, HrType, i);
+    if (g_array_index (c->types, HrMachineType, i).type == name)
+      return &g_array_index (c->types, HrMachineType, i);
   return NULL;
 }
 
-const HrType *
-hr_type (const HrCore *c, const HrMachine *m)
+const HrMachineType *
+hr_machine_type_of (const HrCore *c, const HrMachine *m)
 {
-  return hr_type_by_name (c, m->type);
+  return hr_machine_type_find (c, m->type);
 }
 
 HrCore *
@@ -205,10 +205,10 @@
   c->to_split = g_array_new (FALSE, TRUE, sizeof (guint32));
   c->tombstones = g_array_new (FALSE, TRUE, sizeof (guint32));
   c->fleet = g_ptr_array_new ();
-  c->refused = g_array_new (FALSE, TRUE, sizeof (HrRefusal));
+  c->refused = g_array_new (FALSE, TRUE, sizeof (HrCapacityRefusal));
   c->teams = g_array_new (FALSE, TRUE, sizeof (HrTeamUsage));
   c->waiting = g_ptr_array_new ();
-  c->wants = g_array_new (FALSE, TRUE, sizeof (HrWant));
+  c->wants = g_array_new (FALSE, TRUE, sizeof (HrDemand));
   for (int i = 0; i < HR_TRANSACTION_KINDS; i++)
     g_queue_init (&c->txns[i]);
   hr_core_set_supported_format (c, HR_FORMAT);
@@ -229,7 +229,7 @@
 void
 hr_core_free (HrCore *c)
 {
-  hr_fleet_clear (c);
+  hr_instance_requests_clear (c);
   for (int i = 0; i < HR_TRANSACTION_KINDS; i++)
     g_queue_clear_full (&c->txns[i], txn_free);
   g_rand_free (c->rand);
@@ -356,7 +356,7 @@
     c->planned_at = now;
     hr_quotas_pass (c);
     hr_guarantees_mark_jobs (c);
-    hr_plan (c);
+    hr_planner_pass (c);
     hr_dispatch (c);
   }
   hr_replica_tick (c);
--- a/src/coordination/direct_orders.c
+++ b/src/coordination/direct_orders.c
@@ -88,7 +88,7 @@
       continue;
     }
     m->urgent = m->put_off = FALSE;
-    if (m->state == HR_M_UP && m->addr && m->heard_at)
+    if (m->state == HR_MACHINE_UP && m->addr && m->heard_at)
       send_orders (c, m);
   }
 }
--- a/src/coordination/dispatch.c
+++ b/src/coordination/dispatch.c
@@ -7,16 +7,16 @@
 #include <math.h>
 
 gboolean
-hr_reachable (const HrCore *c, const HrMachine *m)
+hr_machine_is_reachable (const HrCore *c, const HrMachine *m)
 {
-  return m->state == HR_M_UP && m->heard_at > 0 && c->now - m->heard_at < c->pol.silent_s;
+  return m->state == HR_MACHINE_UP && m->heard_at > 0 && c->now - m->heard_at < c->pol.silent_s;
 }
 
 gboolean
 hr_dispatch_fits_now (HrCore *c, HrJob *j, HrMachine *m)
 {
-  return hr_machine_fits (m, &j->spec) && hr_reachable (c, m) && c->now >= m->full_until &&
-         hr_allowed (c, j, m) && hr_zone_ok (c, j, m);
+  return hr_machine_fits (m, &j->spec) && hr_machine_is_reachable (c, m) &&
+         c->now >= m->full_until && hr_job_allows_machine (c, j, m) && hr_job_allows_zone (c, j, m);
 }
 
 gboolean
@@ -30,7 +30,7 @@
 start (HrCore *c, HrJob *j, guint32 task, HrMachine *m, guint32 attempt)
 {
   if (j->tasks[task].is_listed) {
-    hr_unplan (j, task);
+    hr_task_unplan (j, task);
     hr_list_remove (c->machines->pdata[j->tasks[task].listed_on], (HrTaskRef){j->idx, task});
   }
   hr_task_assign (c, j, task, m, attempt);
@@ -55,7 +55,7 @@
   GPtrArray *a = g_ptr_array_sized_new (c->fleet->len);
   for (guint i = 0; i < c->fleet->len; i++) {
     HrMachine *m = c->fleet->pdata[i];
-    if (m->state == HR_M_UP && !m->drain && m->cpus - m->foreign_cpus > 0)
+    if (m->state == HR_MACHINE_UP && !m->drain && m->cpus - m->foreign_cpus > 0)
       g_ptr_array_add (a, m);
   }
   return a;
@@ -101,7 +101,7 @@
       HrMachine *m = c->fleet->pdata[i];
       /* Where it was refused, the same attempt would be taken for the refused one. */
       if (allowed && m->idx != j->tasks[k].placement.machine && hr_dispatch_startable (c, j, m) &&
-          (!best || hr_fetch_time (c, j, m) < hr_fetch_time (c, j, best)))
+          (!best || hr_estimate_fetch_time (c, j, m) < hr_estimate_fetch_time (c, j, best)))
         best = m;
     }
     if (best) {
@@ -120,7 +120,7 @@
 static gboolean
 may_pass (HrCore *c, HrJob *j, HrMachine *m, double blocked_until)
 {
-  return c->now + hr_estimate (c, j, m) <= blocked_until;
+  return c->now + hr_estimate_run_time (c, j, m) <= blocked_until;
 }
 
 /* Starts what can start of the machine's own list. Returns when the first task
@@ -146,7 +146,7 @@
     /* One that its team holds back holds nobody else up. */
     if (!isfinite (blocked) && c->now >= j->retry_at && hr_team_allows_start (c, j, 1)) {
       g_autofree double *starts = g_new (double, m->list->len);
-      hr_project (c, m, starts);
+      hr_project_list (c, m, starts);
       blocked = MAX (c->now, starts[i]);
     }
     i++;
@@ -168,7 +168,7 @@
 gboolean
 hr_dispatch_batch_better (HrCore *c, HrJob *j, HrMachine *a, HrMachine *b)
 {
-  double x = hr_estimate (c, j, a), y = hr_estimate (c, j, b);
+  double x = hr_estimate_run_time (c, j, a), y = hr_estimate_run_time (c, j, b);
   if (fabs (x - y) > 1)
     return x < y;
   if (a->spot != b->spot)
@@ -208,7 +208,8 @@
     }
     if (!best)
       without = r.job;
-    else if (c->now + hr_estimate (c, j, best) < l->start + hr_estimate (c, j, l->machine))
+    else if (c->now + hr_estimate_run_time (c, j, best) <
+             l->start + hr_estimate_run_time (c, j, l->machine))
       hr_dispatch_start (c, j, r.task, best);
   }
 }
@@ -231,7 +232,7 @@
   *booting = 0;
   for (guint i = 0, up = n; i < n; i++) {
     HrMachine *m = c->fleet->pdata[i];
-    HrFreeCapacity *r = &capacities[m->state == HR_M_BOOTING ? (*booting)++ : --up];
+    HrFreeCapacity *r = &capacities[m->state == HR_MACHINE_BOOTING ? (*booting)++ : --up];
     *r = (HrFreeCapacity){m, m->cpus, m->gpus, m->mem, FALSE};
     for (guint k = 0; k < m->tasks->len; k++) {
       HrTaskRef x = g_array_index (m->tasks, HrTaskRef, k);
@@ -270,7 +271,7 @@
       g_hash_table_new_full (g_direct_hash, g_direct_equal, NULL, g_free);
   for (guint i = 0; i < n; i++) {
     HrMachine *m = c->fleet->pdata[i];
-    double until = m->state == HR_M_UP && m->list->len ? start_list (c, m) : INFINITY;
+    double until = m->state == HR_MACHINE_UP && m->list->len ? start_list (c, m) : INFINITY;
     if (isfinite (until))
       g_hash_table_insert (blocked, m, g_memdup2 (&until, sizeof until));
   }
@@ -281,7 +282,7 @@
   guint booting;
   g_autofree HrFreeCapacity *capacities = free_capacities (c, &booting);
   c->booting = booting;
-  g_autoptr (GArray) needs = hr_rent_begin ();
+  g_autoptr (GArray) needs = hr_scale_out_begin ();
   for (guint i = 0; i < services->len; i++) {
     HrJob *j = services->pdata[i];
     HrCapacityCursor at = {0};
@@ -293,13 +294,13 @@
       left--;
       capacity = capacity && hr_preempt (c, j, capacities, FALSE);
       if (!capacity)
-        hr_rent_need (c, capacities, booting, &at, needs, j);
+        hr_scale_out_for_task (c, capacities, booting, &at, needs, j);
     }
   }
   hr_guarantees_preempt (c, capacities);
-  hr_rent_headroom (c, capacities, n, needs);
-  hr_rent_for_lists (c, capacities, booting, needs);
-  hr_rent_ahead (c, capacities, n, needs);
-  hr_rent_end (c, needs);
-  hr_return_idle (c, capacities, n);
+  hr_scale_out_headroom (c, capacities, n, needs);
+  hr_scale_out_for_lists (c, capacities, booting, needs);
+  hr_scale_out_for_next_steps (c, capacities, n, needs);
+  hr_scale_out_end (c, needs);
+  hr_scale_in_idle (c, capacities, n);
 }
--- a/src/coordination/failover.c
+++ b/src/coordination/failover.c
@@ -8,7 +8,7 @@
 static void
 forget_machine (HrCore *c, HrMachine *m)
 {
-  const HrType *type = hr_type (c, m);
+  const HrMachineType *type = hr_machine_type_of (c, m);
   g_array_set_size (m->tasks, 0);
   g_array_set_size (m->list, 0);
   g_array_set_size (m->direct, 0);
@@ -23,7 +23,7 @@
   m->urgent = m->drain = FALSE;
   m->idle_at = c->now;
   m->notice_at = 0;
-  m->state = HR_M_GONE;
+  m->state = HR_MACHINE_GONE;
 }
 
 /* The task is on the machine that its record names, as far as any proof goes. */
@@ -38,9 +38,9 @@
   t->from_earlier_term = 1;
   j->nlive++;
   hr_machine_allocate (m, &j->spec, (HrTaskRef){j->idx, task});
-  if (m->state == HR_M_GONE) {
+  if (m->state == HR_MACHINE_GONE) {
     /* Known from a record alone: it reports, or its absence gets proven. */
-    m->state = HR_M_UP;
+    m->state = HR_MACHINE_UP;
     m->incarnation = MAX (m->incarnation, t->recorded.incarnation);
     hr_fleet_add (c, m);
   }
--- a/src/coordination/fleet.c
+++ b/src/coordination/fleet.c
@@ -4,9 +4,9 @@
 #include <string.h>
 
 gboolean
-hr_types_load (HrCore *c, const json_t *o)
+hr_machine_types_load (HrCore *c, const json_t *o)
 {
-  GArray *types = hr_types_parse (o, c->names);
+  GArray *types = hr_machine_types_parse (o, c->names);
   if (!types)
     return FALSE;
   g_clear_pointer (&c->types, g_array_unref);
@@ -15,16 +15,16 @@
 }
 
 static void
-on_types_saved (HrCore *c, int status, json_t *body, double sent, gpointer data)
+on_machine_types_saved (HrCore *c, int status, json_t *body, double sent, gpointer data)
 {
   c->types_saved = status == 200;
 }
 
 static void
-on_types (HrCore *c, int status, json_t *body, double sent, gpointer data)
+on_machine_types (HrCore *c, int status, json_t *body, double sent, gpointer data)
 {
   c->types_asked = FALSE;
-  if (status != 200 || !hr_types_load (c, body)) {
+  if (status != 200 || !hr_machine_types_load (c, body)) {
     c->types_at = c->now - (c->types ? 25 : 29);
     if (!c->types)
       g_info ("the cloud did not say which machine types there are");
@@ -37,7 +37,8 @@
                                            "h/map", c->map_stamp);
     json_t *writes =
         hr_transaction_put (json_array (), "h/types", json_dumps (body, JSON_COMPACT), 0);
-    hr_transaction_submit (c, HR_TRANSACTION_BOOKKEEPING, when, writes, 1, 2, on_types_saved, NULL);
+    hr_transaction_submit (c, HR_TRANSACTION_BOOKKEEPING, when, writes, 1, 2,
+                           on_machine_types_saved, NULL);
   }
 }
 
@@ -53,12 +54,12 @@
 hr_machine_gone (HrCore *c, HrMachine *m, const char *why)
 {
   hr_termination_incarnations_over (c, m, G_MAXUINT32, why);
-  m->state = HR_M_GONE;
+  m->state = HR_MACHINE_GONE;
   m->deleted = TRUE;
   for (guint i = 0; i < m->list->len; i++) {
     HrTaskRef r = g_array_index (m->list, HrTaskRef, i);
     HrJob *j = c->jobs->pdata[r.job];
-    hr_unplan (j, r.task);
+    hr_task_unplan (j, r.task);
   }
   g_array_set_size (m->list, 0);
   g_ptr_array_remove_fast (c->fleet, m);
@@ -67,7 +68,7 @@
 }
 
 typedef struct {
-  double led_at;
+  double term_began_at;
   guint n;
   guint32 machines[100];
 } Deletion;
@@ -77,11 +78,11 @@
 {
   g_autofree Deletion *d = data;
   c->deletes_out--;
-  if (!c->leads || d->led_at != c->led_at)
+  if (!c->leads || d->term_began_at != c->led_at)
     return;
   for (guint i = 0; i < d->n; i++) {
     HrMachine *m = c->machines->pdata[d->machines[i]];
-    if (m->state != HR_M_DELETING)
+    if (m->state != HR_MACHINE_DELETING)
       continue;
     if (status == 200)
       hr_machine_gone (c, m, "the cloud deleted its machine");
@@ -96,10 +97,10 @@
 void
 hr_fleet_delete (HrCore *c, HrMachine *m, const char *why)
 {
-  if (m->state == HR_M_DELETING || m->state == HR_M_GONE)
+  if (m->state == HR_MACHINE_DELETING || m->state == HR_MACHINE_GONE)
     return;
   g_info ("%s is returned: %s", m->name, why);
-  m->state = HR_M_DELETING;
+  m->state = HR_MACHINE_DELETING;
   m->delete_out = FALSE;
   c->plan_dirty = TRUE;
 }
@@ -111,10 +112,10 @@
     return;
   Deletion *d = g_new0 (Deletion, 1);
   json_t *names = json_array ();
-  d->led_at = c->led_at;
+  d->term_began_at = c->led_at;
   for (guint i = 0; i < c->fleet->len && d->n < G_N_ELEMENTS (d->machines); i++) {
     HrMachine *m = c->fleet->pdata[i];
-    if (m->state != HR_M_DELETING || m->delete_out)
+    if (m->state != HR_MACHINE_DELETING || m->delete_out)
       continue;
     m->delete_out = TRUE;
     json_array_append_new (names, json_string (m->name));
@@ -137,9 +138,9 @@
 {
   for (guint i = 0; i < c->fleet->len; i++) {
     HrMachine *m = c->fleet->pdata[i];
-    const HrType *t = hr_type (c, m);
+    const HrMachineType *t = hr_machine_type_of (c, m);
     /* After a cut of our own: it may be up, and its worker has to find us first. */
-    if (m->state == HR_M_BOOTING && t && hr_replica_is_served (c) &&
+    if (m->state == HR_MACHINE_BOOTING && t && hr_replica_is_served (c) &&
         c->now - m->rented_at > t->boot_s * c->pol.boot_limit &&
         c->now - c->served_since > c->pol.silent_s)
       hr_fleet_delete (c, m, "it does not come up");
@@ -152,15 +153,16 @@
   if (!c->types_asked && (c->now - c->types_at > 30 || !c->types_at)) {
     c->types_asked = TRUE;
     c->types_at = c->now;
-    hr_call (c, HR_TO_CLOUD, NULL, HR_GET, g_strdup ("/machine_types"), NULL, 5, on_types, NULL);
+    hr_call (c, HR_TO_CLOUD, NULL, HR_GET, g_strdup ("/machine_types"), NULL, 5, on_machine_types,
+             NULL);
   }
   if (!c->leads || !hr_leadership_may_answer (c))
     return;
-  hr_machine_list_tick (c);
+  hr_instance_list_tick (c);
   give_up_boots (c);
   send_deletes (c);
-  hr_rentals_again (c);
-  hr_rentals_send (c);
+  hr_instance_requests_retry (c);
+  hr_instance_requests_send (c);
   /* Time alone moves the plan too: pauses end, idle machines age. */
   if (c->now - c->planned_at > 1)
     c->plan_dirty = TRUE;
--- a/src/coordination/free_capacity.h
+++ b/src/coordination/free_capacity.h
@@ -23,7 +23,7 @@
 /* Takes the amounts off the room, if it has them. */
 gboolean hr_free_capacity_take (HrFreeCapacity *r, double cpus, double gpus, double mem);
 /* Up, and heard of late. */
-gboolean hr_reachable (const HrCore *c, const HrMachine *m);
+gboolean hr_machine_is_reachable (const HrCore *c, const HrMachine *m);
 /* Does a task of the job fit there now, as far as machine and zones go, in room that may be kept
  * for others? */
 gboolean hr_dispatch_fits_now (HrCore *c, HrJob *j, HrMachine *m);
@@ -59,14 +59,17 @@
 gboolean hr_preempt (HrCore *c, HrJob *j, HrFreeCapacity *capacities, gboolean others);
 
 /* Room for a task of the job on a machine that boots, or on one to be rented. booting:
- * how many rooms, the first ones, are on machines that boot. needs: what hr_rent_begin gave. */
-void hr_rent_need (HrCore *c, HrFreeCapacity *capacities, guint booting, HrCapacityCursor *at,
-                   GArray *needs, HrJob *j);
-void hr_rent_headroom (HrCore *c, HrFreeCapacity *capacities, guint n_capacities, GArray *needs);
+ * how many rooms, the first ones, are on machines that boot. needs: what hr_scale_out_begin gave.
+ */
+void hr_scale_out_for_task (HrCore *c, HrFreeCapacity *capacities, guint booting,
+                            HrCapacityCursor *at, GArray *needs, HrJob *j);
+void hr_scale_out_headroom (HrCore *c, HrFreeCapacity *capacities, guint n_capacities,
+                            GArray *needs);
 /* For jobs whose awaited ones are all about to end. */
-void hr_rent_ahead (HrCore *c, HrFreeCapacity *capacities, guint n_capacities, GArray *needs);
-void hr_rent_for_lists (HrCore *c, HrFreeCapacity *capacities, guint booting, GArray *needs);
-void hr_return_idle (HrCore *c, HrFreeCapacity *capacities, guint n);
-GArray *hr_rent_begin (void);
+void hr_scale_out_for_next_steps (HrCore *c, HrFreeCapacity *capacities, guint n_capacities,
+                                  GArray *needs);
+void hr_scale_out_for_lists (HrCore *c, HrFreeCapacity *capacities, guint booting, GArray *needs);
+void hr_scale_in_idle (HrCore *c, HrFreeCapacity *capacities, guint n);
+GArray *hr_scale_out_begin (void);
 /* What is needed goes out with the next tick. */
-void hr_rent_end (HrCore *c, GArray *needs);
+void hr_scale_out_end (HrCore *c, GArray *needs);
--- a/src/coordination/heartbeats.c
+++ b/src/coordination/heartbeats.c
@@ -12,7 +12,7 @@
 describe (HrCore *c, HrMachine *m, const HrHeartbeat *r)
 {
   guint32 type = hr_intern_find (&c->names->types, r->type);
-  const HrType *t = type == HR_NONE ? NULL : hr_type_by_name (c, type);
+  const HrMachineType *t = type == HR_NONE ? NULL : hr_machine_type_find (c, type);
   if (!t)
     return FALSE;
   hr_machine_describe (m, t, hr_intern (&c->names->zones, r->zone), r->is_spot);
@@ -156,7 +156,7 @@
       hr_gang_end_attempt (c, j, j->spec.save + 1);
       continue;
     }
-    double est = hr_estimate (c, j, m);
+    double est = hr_estimate_run_time (c, j, m);
     double left = t->running_since ? est - (c->now - t->running_since) : est;
     /* What ends in time is left alone; what saves is stopped while it still
      * can; the rest is moved at once. */
@@ -173,12 +173,12 @@
 static void
 admit_machine (HrCore *c, HrMachine *m)
 {
-  if (m->state == HR_M_GONE) {
+  if (m->state == HR_MACHINE_GONE) {
     g_info ("%s reports and was not expected; it is taken on", m->name);
     hr_fleet_add (c, m);
-  } else if (m->state == HR_M_BOOTING)
+  } else if (m->state == HR_MACHINE_BOOTING)
     g_info ("%s is up after %.0f s", m->name, c->now - m->rented_at);
-  m->state = HR_M_UP;
+  m->state = HR_MACHINE_UP;
   m->idle_at = m->tasks->len ? 0 : c->now;
   c->plan_dirty = TRUE;
 }
@@ -230,7 +230,7 @@
 static void
 take_heartbeat (HrCore *c, HrMachine *m, const HrHeartbeat *r, json_t *orders)
 {
-  if (m->state != HR_M_UP || !m->heard_at)
+  if (m->state != HR_MACHINE_UP || !m->heard_at)
     admit_machine (c, m);
   m->heard_at = c->now;
   if (r->sequence > m->reply_launch)
@@ -254,7 +254,7 @@
 static gboolean
 may_be_answered (HrCore *c, HrCommand *cmd, HrMachine *m, const HrHeartbeat *r)
 {
-  if (m->state != HR_M_DELETING && !(m->state == HR_M_GONE && m->deleted) &&
+  if (m->state != HR_MACHINE_DELETING && !(m->state == HR_MACHINE_GONE && m->deleted) &&
       r->incarnation >= m->incarnation && describe (c, m, r))
     return TRUE;
   refuse_heartbeat (c, cmd, r, &c->counters.reports_refused_machine, "returned_or_unknown",
@@ -273,7 +273,7 @@
     return;
   }
   note_sequence (c, m, r);
-  if (r->fencing_token < c->led_baton && !(m->state == HR_M_BOOTING && m->rented_here)) {
+  if (r->fencing_token < c->led_baton && !(m->state == HR_MACHINE_BOOTING && m->rented_here)) {
     /* Sent before the worker heard from this owner, how long ago nobody knows: it may be
      * a late copy of a machine that is gone. Only its order counts. A worker that is
      * there gets our token now, and reports again because of it; but when, and whether we
@@ -323,7 +323,7 @@
 void
 hr_heartbeat_direct_answer (HrCore *c, HrMachine *m, const HrHeartbeat *r)
 {
-  if (strcmp (r->machine, m->name) != 0 || m->state != HR_M_UP ||
+  if (strcmp (r->machine, m->name) != 0 || m->state != HR_MACHINE_UP ||
       r->incarnation != m->incarnation || r->sequence <= m->seq)
     return;
   m->seq = r->sequence;
--- a/src/coordination/machine_list.c
+++ b/src/coordination/instance_list.c
@@ -15,31 +15,31 @@
 }
 
 static void
-listed (HrCore *c, const HrListed *e)
+listed (HrCore *c, const HrListedInstance *e)
 {
   HrMachine *m = hr_machine_get (c, e->name);
-  if (m->deleted || m->state == HR_M_DELETING)
+  if (m->deleted || m->state == HR_MACHINE_DELETING)
     return; /* lists lag: it is being returned, or was */
-  if (e->state == HR_M_FAILED) {
-    if (m->state == HR_M_GONE)
+  if (e->state == HR_INSTANCE_FAILED) {
+    if (m->state == HR_MACHINE_GONE)
       hr_fleet_add (c, m);
-    m->state = HR_M_UP;
+    m->state = HR_MACHINE_UP;
     hr_fleet_delete (c, m, "it failed");
     return;
   }
   guint32 type = hr_intern_find (&c->names->types, e->type);
-  const HrType *t = type == HR_NONE ? NULL : hr_type_by_name (c, type);
+  const HrMachineType *t = type == HR_NONE ? NULL : hr_machine_type_find (c, type);
   if (!t)
     return;
   /* Also of a machine that only records name so far: its zone counts for others. */
-  hr_machine_describe (m, t, hr_intern (&c->names->zones, e->zone), e->spot);
-  if (m->state != HR_M_GONE) {
+  hr_machine_describe (m, t, hr_intern (&c->names->zones, e->zone), e->is_spot);
+  if (m->state != HR_MACHINE_GONE) {
     m->listed_at = c->list_at;
     return;
   }
-  m->state = HR_M_BOOTING; /* until its worker reports */
+  m->state = HR_MACHINE_BOOTING; /* until its worker reports */
   m->rented_at = c->now - MIN (e->age, t->boot_s * 0.6);
-  if (e->state == HR_M_STARTING)
+  if (e->state == HR_INSTANCE_STARTING)
     m->rented_at = c->now - e->age;
   hr_fleet_add (c, m);
   m->listed_at = c->list_at;
@@ -65,8 +65,8 @@
   hr_json_bool (body, "more", &more);
   json_array_foreach (list, i, o)
   {
-    HrListed e;
-    if (!hr_listed_parse (o, &e)) {
+    HrListedInstance e;
+    if (!hr_listed_instance_parse (o, &e)) {
       g_info ("an entry of the cloud's list makes no sense; dropped");
       continue;
     }
@@ -87,7 +87,7 @@
 /* Passes through the list follow one another; until one is complete since the term began, at once.
  */
 void
-hr_machine_list_tick (HrCore *c)
+hr_instance_list_tick (HrCore *c)
 {
   double gap = c->list_complete ? MAX (4, c->set->list_lag_s) : 1;
   if (!c->listing && c->now - c->list_at > gap &&
--- a/src/coordination/rentals.c
+++ b/src/coordination/instance_requests.c
@@ -4,54 +4,54 @@
 #include <string.h>
 
 /* Where the cloud had no capacity it is asked again after so many seconds. */
-#define REFUSED_S 8.0
+#define CAPACITY_REFUSAL_S 8.0
 
 gboolean
-hr_fleet_refused (const HrCore *c, guint32 type, guint32 zone, gboolean spot)
+hr_capacity_is_refused (const HrCore *c, guint32 type, guint32 zone, gboolean spot)
 {
-  const HrType *t = hr_type_by_name (c, type);
+  const HrMachineType *t = hr_machine_type_find (c, type);
   if (zone == HR_NONE) {
     for (guint i = 0; t && i < t->zones->len; i++)
-      if (!hr_fleet_refused (c, type, g_array_index (t->zones, guint32, i), spot))
+      if (!hr_capacity_is_refused (c, type, g_array_index (t->zones, guint32, i), spot))
         return FALSE;
     return TRUE;
   }
   for (guint i = 0; i < c->refused->len; i++) {
-    const HrRefusal *r = &g_array_index (c->refused, HrRefusal, i);
-    if (r->type == type && r->zone == zone && r->spot == spot && c->now < r->until)
+    const HrCapacityRefusal *r = &g_array_index (c->refused, HrCapacityRefusal, i);
+    if (r->type == type && r->zone == zone && r->is_spot == spot && c->now < r->until)
       return TRUE;
   }
   return FALSE;
 }
 
 static void
-refuse (HrCore *c, guint32 type, guint32 zone, gboolean spot)
+note_capacity_refusal (HrCore *c, guint32 type, guint32 zone, gboolean spot)
 {
-  HrRefusal *r = NULL;
+  HrCapacityRefusal *r = NULL;
   for (guint i = 0; i < c->refused->len && !r; i++) {
-    HrRefusal *x = &g_array_index (c->refused, HrRefusal, i);
-    if (x->type == type && x->zone == zone && x->spot == spot)
+    HrCapacityRefusal *x = &g_array_index (c->refused, HrCapacityRefusal, i);
+    if (x->type == type && x->zone == zone && x->is_spot == spot)
       r = x;
   }
   if (!r) {
     g_array_set_size (c->refused, c->refused->len + 1);
-    r = &g_array_index (c->refused, HrRefusal, c->refused->len - 1);
+    r = &g_array_index (c->refused, HrCapacityRefusal, c->refused->len - 1);
   }
-  *r = (HrRefusal){type, zone, spot, c->now + REFUSED_S};
+  *r = (HrCapacityRefusal){type, zone, spot, c->now + CAPACITY_REFUSAL_S};
 }
 
 typedef struct {
-  double led_at;
+  double term_began_at;
   char *name;
   guint32 type, zone;
-  gboolean spot;
+  gboolean is_spot;
   guint count;
 } Rental;
 
-static void send_rental (HrCore *c, Rental *r);
+static void send_instance_request (HrCore *c, Rental *r);
 
 static void
-rental_free (HrCore *c, Rental *r)
+instance_request_free (HrCore *c, Rental *r)
 {
   c->asks_out -= r->count;
   g_free (r->name);
@@ -59,11 +59,11 @@
 }
 
 static void
-on_rented (HrCore *c, int status, json_t *body, double sent, gpointer data)
+on_instances_answer (HrCore *c, int status, json_t *body, double sent, gpointer data)
 {
   Rental *r = data;
-  if (!c->leads || r->led_at != c->led_at) {
-    rental_free (c, r); /* what it rented shows up in the list */
+  if (!c->leads || r->term_began_at != c->led_at) {
+    instance_request_free (c, r); /* what it rented shows up in the list */
     return;
   }
   if (status == 200) {
@@ -73,23 +73,24 @@
     {
       const char *name = json_string_value (e);
       HrMachine *m = name ? hr_machine_get (c, name) : NULL;
-      if (!m || m->state != HR_M_GONE || m->deleted)
+      if (!m || m->state != HR_MACHINE_GONE || m->deleted)
         continue; /* it may have reported before this answer came */
-      hr_machine_describe (m, hr_type_by_name (c, r->type), r->zone, r->spot);
-      m->state = HR_M_BOOTING;
+      hr_machine_describe (m, hr_machine_type_find (c, r->type), r->zone, r->is_spot);
+      m->state = HR_MACHINE_BOOTING;
       m->rented_here = TRUE;
       m->rented_at = sent;
       hr_fleet_add (c, m);
     }
-    g_info ("rented %zu of %u %s%s in %s", json_array_size (list), r->count, r->spot ? "spot " : "",
-            hr_intern_name (&c->names->types, r->type), hr_intern_name (&c->names->zones, r->zone));
+    g_info ("rented %zu of %u %s%s in %s", json_array_size (list), r->count,
+            r->is_spot ? "spot " : "", hr_intern_name (&c->names->types, r->type),
+            hr_intern_name (&c->names->zones, r->zone));
     if (json_array_size (list) < r->count)
-      refuse (c, r->type, r->zone, r->spot);
+      note_capacity_refusal (c, r->type, r->zone, r->is_spot);
     c->plan_dirty = TRUE;
   } else if (status == 503 && g_strcmp0 (hr_json_str (body, "error"), "no capacity") == 0) {
-    g_info ("no capacity for %s%s in %s", r->spot ? "spot " : "",
+    g_info ("no capacity for %s%s in %s", r->is_spot ? "spot " : "",
             hr_intern_name (&c->names->types, r->type), hr_intern_name (&c->names->zones, r->zone));
-    refuse (c, r->type, r->zone, r->spot);
+    note_capacity_refusal (c, r->type, r->zone, r->is_spot);
     c->plan_dirty = TRUE;
   } else if (status == 400)
     g_warning ("the cloud calls a rental malformed");
@@ -100,25 +101,25 @@
     g_queue_push_tail (&c->rentals_again, r);
     return;
   }
-  rental_free (c, r);
+  instance_request_free (c, r);
 }
 
 /* One call of the cloud's allowance was taken for it. */
 static void
-send_rental (HrCore *c, Rental *r)
+send_instance_request (HrCore *c, Rental *r)
 {
   hr_call (c, HR_TO_CLOUD, NULL, HR_POST, g_strdup ("/rentals"),
            hr_json_take_text (json_pack ("{sssssssbsi}", "ask", r->name, "hull",
                                          hr_intern_name (&c->names->types, r->type), "quarry",
                                          hr_intern_name (&c->names->zones, r->zone), "loaners",
-                                         r->spot, "count", (int)r->count)),
-           6, on_rented, r);
+                                         r->is_spot, "count", (int)r->count)),
+           6, on_instances_answer, r);
 }
 
 void
-hr_fleet_want (HrCore *c, guint32 type, guint32 zone, gboolean spot, guint count)
+hr_demand_add (HrCore *c, guint32 type, guint32 zone, gboolean spot, guint count)
 {
-  HrWant w = {type, zone, spot, count};
+  HrDemand w = {type, zone, spot, count};
   if (count)
     g_array_append_val (c->wants, w);
 }
@@ -127,14 +128,14 @@
  * round (by zone) included. The controllers' own zone takes twice its share: behind a cut
  * of it, its workers still hear the owner (hr_leadership_may_answer). */
 static guint32
-best_zone (HrCore *c, const HrType *t, gboolean spot, const guint *asked)
+best_zone (HrCore *c, const HrMachineType *t, gboolean spot, const guint *asked)
 {
   guint32 best = HR_NONE;
   guint least = G_MAXUINT;
   for (guint i = 0; i < t->zones->len; i++) {
     guint32 z = g_array_index (t->zones, guint32, i);
     guint n = asked[z];
-    if (hr_fleet_refused (c, t->type, z, spot))
+    if (hr_capacity_is_refused (c, t->type, z, spot))
       continue;
     for (guint k = 0; k < c->fleet->len; k++) {
       HrMachine *m = c->fleet->pdata[k];
@@ -152,30 +153,30 @@
 
 /* Rentals without a clear answer, once their pause is over. */
 void
-hr_rentals_again (HrCore *c)
+hr_instance_requests_retry (HrCore *c)
 {
   while (!g_queue_is_empty (&c->rentals_again) && c->now >= c->rent_at) {
     Rental *r = g_queue_peek_head (&c->rentals_again);
-    if (r->led_at == c->led_at && !hr_token_bucket_take (&c->cloud_bucket, c->now, 1, 0))
+    if (r->term_began_at == c->led_at && !hr_token_bucket_take (&c->cloud_bucket, c->now, 1, 0))
       return;
     g_queue_pop_head (&c->rentals_again);
-    if (r->led_at == c->led_at)
-      send_rental (c, r);
+    if (r->term_began_at == c->led_at)
+      send_instance_request (c, r);
     else
-      rental_free (c, r);
+      instance_request_free (c, r);
   }
 }
 
 void
-hr_fleet_clear (HrCore *c)
+hr_instance_requests_clear (HrCore *c)
 {
   Rental *r;
   while ((r = g_queue_pop_head (&c->rentals_again)))
-    rental_free (c, r);
+    instance_request_free (c, r);
 }
 
 void
-hr_rentals_send (HrCore *c)
+hr_instance_requests_send (HrCore *c)
 {
   /* What an earlier owner rented shows in the list: look before renting. The
    * very first owner has nothing to look for. */
@@ -185,12 +186,12 @@
     return;
   g_autofree guint *asked = g_new0 (guint, c->names->zones.names->len + 1);
   for (guint i = 0; i < c->wants->len; i++) {
-    HrWant *w = &g_array_index (c->wants, HrWant, i);
-    const HrType *t = hr_type_by_name (c, w->type);
+    HrDemand *w = &g_array_index (c->wants, HrDemand, i);
+    const HrMachineType *t = hr_machine_type_find (c, w->type);
     guint share = t ? MAX (1, (w->count + t->zones->len - 1) / t->zones->len) : 0;
     while (t && w->count && hr_token_bucket_take (&c->cloud_bucket, c->now, 1, 0)) {
-      guint32 z = w->zone == HR_NONE ? best_zone (c, t, w->spot, asked) : w->zone;
-      if (z == HR_NONE || hr_fleet_refused (c, w->type, z, w->spot))
+      guint32 z = w->zone == HR_NONE ? best_zone (c, t, w->is_spot, asked) : w->zone;
+      if (z == HR_NONE || hr_capacity_is_refused (c, w->type, z, w->is_spot))
         break;
       /* Spread over the zones: a zone may be short, or fall away. */
       guint n = MIN (w->count, 50);
@@ -198,16 +199,16 @@
         n = MIN (n, share);
       asked[z] += n;
       Rental *r = g_new0 (Rental, 1);
-      r->led_at = c->led_at;
+      r->term_began_at = c->led_at;
       r->name =
           g_strdup_printf ("%s.%s.%" G_GUINT64_FORMAT, c->set->label, c->incarnation, ++c->ask);
       r->type = w->type;
       r->zone = z;
-      r->spot = w->spot;
+      r->is_spot = w->is_spot;
       r->count = n;
       c->asks_out += n;
       w->count -= n;
-      send_rental (c, r);
+      send_instance_request (c, r);
     }
   }
   g_array_set_size (c->wants, 0);
--- a/src/coordination/leadership.c
+++ b/src/coordination/leadership.c
@@ -246,8 +246,8 @@
   guint up = 0, heard = 0, elsewhere = 0;
   for (guint i = 0; i < c->fleet->len; i++) {
     HrMachine *m = c->fleet->pdata[i];
-    up += m->state == HR_M_UP;
-    heard += m->state == HR_M_UP && c->now - m->heard_at < c->pol.overdue_s;
+    up += m->state == HR_MACHINE_UP;
+    heard += m->state == HR_MACHINE_UP && c->now - m->heard_at < c->pol.overdue_s;
   }
   for (guint i = 0; i < c->peers->len; i++) {
     HrPeer *p = &g_array_index (c->peers, HrPeer, i);
--- a/src/coordination/mtedf.c
+++ b/src/coordination/mtedf.c
@@ -17,24 +17,24 @@
 }
 
 gboolean
-hr_better (HrJudge a, HrJudge b)
+hr_list_score_better (HrListScore a, HrListScore b)
 {
-  return a.late < b.late || (a.late == b.late && a.tard < b.tard - 1e-9);
+  return a.late < b.late || (a.late == b.late && a.tardiness < b.tardiness - 1e-9);
 }
 
 /* How the whole plan changes when the task joins this list: the others stay as
  * they are, so the difference on this list decides. */
-static HrJudge
+static HrListScore
 score_list (HrCore *c, HrMachine *m, HrTaskRef r, double *start)
 {
   guint late = m->late;
   double tard = m->tardiness, ready = m->ready;
-  guint at = hr_slot_of (c, m, hr_job_of (c, r));
+  guint at = hr_list_position (c, m, hr_job_of_task (c, r));
   g_array_insert_val (m->list, at, r);
-  double *starts = hr_scratch (m->list->len);
-  hr_project (c, m, starts);
+  double *starts = hr_projection_scratch (m->list->len);
+  hr_project_list (c, m, starts);
   *start = starts[at];
-  HrJudge d = {m->late - late, m->tardiness - tard};
+  HrListScore d = {m->late - late, m->tardiness - tard};
   g_array_remove_index (m->list, at);
   m->late = late;
   m->tardiness = tard;
@@ -49,9 +49,9 @@
   GPtrArray *order = g_ptr_array_sized_new (lists->len);
   for (guint k = 0; k < lists->len; k++) {
     HrMachine *m = lists->pdata[k];
-    if (!hr_allowed (c, j, m))
+    if (!hr_job_allows_machine (c, j, m))
       continue;
-    m->begins = floor (m->ready + hr_fetch_time (c, j, m));
+    m->begins = floor (m->ready + hr_estimate_fetch_time (c, j, m));
     g_ptr_array_add (order, m);
   }
   g_ptr_array_sort_with_data (order, by_ready, NULL);
@@ -63,7 +63,7 @@
 reorder (HrCore *c, GPtrArray *order, guint at, HrJob *j)
 {
   HrMachine *m = order->pdata[at];
-  m->begins = floor (m->ready + hr_fetch_time (c, j, m));
+  m->begins = floor (m->ready + hr_estimate_fetch_time (c, j, m));
   for (; at + 1 < order->len && by_ready (&order->pdata[at], &order->pdata[at + 1], NULL) > 0;
        at++) {
     order->pdata[at] = order->pdata[at + 1];
@@ -80,7 +80,7 @@
 {
   HrTaskRef r = {j->idx, task};
   guint best = HR_NONE;
-  HrJudge bj = {G_MAXUINT, INFINITY};
+  HrListScore bj = {G_MAXUINT, INFINITY};
   double bs = INFINITY;
   /* When far more is queued than runs, a sample of the lists must do: half of it the
    * earliest ones, the other half drawn from the rest. */
@@ -90,26 +90,26 @@
     HrMachine *m = order->pdata[k];
     if (k >= sure && g_rand_double (c->rand) >= share)
       continue;
-    if (!hr_zone_ok (c, j, m))
+    if (!hr_job_allows_zone (c, j, m))
       continue;
     double start;
-    HrJudge d = score_list (c, m, r, &start);
+    HrListScore d = score_list (c, m, r, &start);
     if (start > c->now + 1e5)
       continue;
-    start += hr_fetch_time (c, j, m);
-    if (hr_better (d, bj) || (!hr_better (bj, d) && start < bs - 1e-6)) {
+    start += hr_estimate_fetch_time (c, j, m);
+    if (hr_list_score_better (d, bj) || (!hr_list_score_better (bj, d) && start < bs - 1e-6)) {
       bj = d;
       bs = start;
       best = k;
     }
-    if (d.late == 0 && d.tard <= 0)
+    if (d.late == 0 && d.tardiness <= 0)
       break; /* no tardiness: the paper stops here */
   }
   if (best == HR_NONE)
     return FALSE;
   HrMachine *m = order->pdata[best];
   hr_list_insert (c, m, r);
-  hr_project (c, m, NULL);
+  hr_project_list (c, m, NULL);
   reorder (c, order, best, j);
   return TRUE;
 }
@@ -128,7 +128,7 @@
 static gboolean
 may_free (HrCore *c, const HrMachine *m, const HrJobSpec *s)
 {
-  const HrType *t = hr_type (c, m);
+  const HrMachineType *t = hr_machine_type_of (c, m);
   return s->cpus <= t->cpus - m->fixed_cpus + 1e-6 && s->gpus <= t->gpus - m->fixed_gpus + 1e-6 &&
          s->mem <= t->mem - m->fixed_mem + 1e-6;
 }
@@ -151,9 +151,9 @@
     HrMachine *m = order->pdata[k];
     HrTaskRef r = {j->idx, 0};
     start[k] = INFINITY;
-    if (!hr_allowed (c, j, m))
+    if (!hr_job_allows_machine (c, j, m))
       continue;
-    fetch[k] = hr_fetch_time (c, j, m);
+    fetch[k] = hr_estimate_fetch_time (c, j, m);
     if (!m->tasks->len && !m->list->len && hr_machine_fits_unreserved (m, &j->spec))
       start[k] = m->ready; /* nothing to project */
     else if (sampled (j, m, tries, order->len) && may_free (c, m, &j->spec))
@@ -202,6 +202,6 @@
     HrMachine *m = order->pdata[g_array_index (pick, guint, i)];
     HrTaskRef r = {j->idx, i};
     hr_list_insert (c, m, r);
-    hr_project (c, m, NULL);
+    hr_project_list (c, m, NULL);
   }
 }
--- a/src/coordination/plan.h
+++ b/src/coordination/plan.h
@@ -6,18 +6,18 @@
 /* How a list, or a change to it, is judged: late count, then tardiness. */
 typedef struct {
   guint late;
-  double tard;
-} HrJudge;
+  double tardiness;
+} HrListScore;
 
-gboolean hr_better (HrJudge a, HrJudge b);
+gboolean hr_list_score_better (HrListScore a, HrListScore b);
 
-HrJob *hr_job_of (HrCore *c, HrTaskRef r);
-gboolean hr_usable (const HrCore *c, const HrMachine *m);
+HrJob *hr_job_of_task (HrCore *c, HrTaskRef r);
+gboolean hr_machine_is_plannable (const HrCore *c, const HrMachine *m);
 /* Where a job belongs in a list by its deadline. */
-guint hr_slot_of (HrCore *c, HrMachine *m, const HrJob *j);
+guint hr_list_position (HrCore *c, HrMachine *m, const HrJob *j);
 void hr_list_insert (HrCore *c, HrMachine *m, HrTaskRef r);
 /* For the projected starts of a list; the owner of all state is a single thread. */
-double *hr_scratch (guint n);
+double *hr_projection_scratch (guint n);
 
 /* The lists that may take the job's tasks, earliest-starting first. */
 GPtrArray *hr_mtedf_order (HrCore *c, GPtrArray *lists, HrJob *j);
--- a/src/coordination/planner.c
+++ b/src/coordination/planner.c
@@ -9,9 +9,9 @@
 static gboolean
 stands (HrCore *c, HrMachine *m, HrTaskRef r)
 {
-  HrJob *j = hr_job_of (c, r);
+  HrJob *j = hr_job_of_task (c, r);
   return j->tasks && j->state == HR_JOB_QUEUED && j->tasks[r.task].state == HR_TASK_IDLE &&
-         !j->gang_over && hr_allowed (c, j, m) && hr_zone_ok (c, j, m);
+         !j->gang_over && hr_job_allows_machine (c, j, m) && hr_job_allows_zone (c, j, m);
 }
 
 /* Lists hold what the team's limit lets start; what it holds back would seem late there. */
@@ -31,28 +31,28 @@
 }
 
 void
-hr_plan (HrCore *c)
+hr_planner_pass (HrCore *c)
 {
   g_autoptr (GPtrArray) lists = g_ptr_array_new ();
   guint queued = 0;
-  hr_parts_assign (c);
+  hr_shards_assign (c);
   hr_reserve_for_services (c);
   for (guint i = 0; i < c->fleet->len; i++) {
     HrMachine *m = c->fleet->pdata[i];
     for (guint k = 0; k < m->list->len;) {
       HrTaskRef r = g_array_index (m->list, HrTaskRef, k);
-      HrJob *j = hr_job_of (c, r);
+      HrJob *j = hr_job_of_task (c, r);
       /* Gangs are placed anew in each pass: their common start moves with every list. */
-      if (hr_usable (c, m) && stands (c, m, r) && j->spec.shape != HR_GANG &&
+      if (hr_machine_is_plannable (c, m) && stands (c, m, r) && j->spec.shape != HR_GANG &&
           j->planned <= hr_quotas_granted (c, j)) {
         k++;
         continue;
       }
-      hr_unplan (j, r.task);
+      hr_task_unplan (j, r.task);
       g_array_remove_index (m->list, k);
     }
-    if (hr_usable (c, m)) {
-      hr_project (c, m, NULL);
+    if (hr_machine_is_plannable (c, m)) {
+      hr_project_list (c, m, NULL);
       g_ptr_array_add (lists, m);
     }
   }
@@ -66,7 +66,7 @@
     }
     i++;
     if (!j->parted || (j->part != HR_NONE && j->part >= c->nparts))
-      hr_part_choose (c, j);
+      hr_shard_choose (c, j);
     if (j->state == HR_JOB_QUEUED && j->spec.shape != HR_SERVICE && !j->gang_over &&
         j->retry_at <= c->now && hr_team_allows_start (c, j, 1) &&
         j->nlive + j->ndone < j->ntasks) {
--- a/src/coordination/preemption.c
+++ b/src/coordination/preemption.c
@@ -82,8 +82,8 @@
   double least = INFINITY;
   for (guint i = 0; i < c->fleet->len; i++) {
     HrMachine *m = c->fleet->pdata[i];
-    if (!hr_machine_has_image (m, j->spec.image) || !hr_reachable (c, m) ||
-        c->now < m->full_until || !hr_allowed (c, j, m) || !hr_zone_ok (c, j, m))
+    if (!hr_machine_has_image (m, j->spec.image) || !hr_machine_is_reachable (c, m) ||
+        c->now < m->full_until || !hr_job_allows_machine (c, j, m) || !hr_job_allows_zone (c, j, m))
       continue;
     double cost = preemption_cost (c, j, m, FALSE);
     if (cost < least) {
@@ -105,7 +105,8 @@
   for (guint i = 0; i < c->fleet->len; i++) {
     HrFreeCapacity *r = &capacities[i];
     HrMachine *m = r->machine;
-    if (m->state != HR_M_UP || !hr_allowed (c, j, m) || !hr_zone_ok (c, j, m))
+    if (m->state != HR_MACHINE_UP || !hr_job_allows_machine (c, j, m) ||
+        !hr_job_allows_zone (c, j, m))
       continue;
     double cpus = r->cpus, gpus = r->gpus, mem = r->mem, cost = 0;
     for (guint k = 0; k < m->tasks->len; k++) {
--- a/src/coordination/priority_inheritance.c
+++ b/src/coordination/priority_inheritance.c
@@ -18,10 +18,10 @@
   if (j->nawaits && since <= 0)
     return INFINITY; /* counts from when it is ready */
   double deadline = since + c->pol.default_deadline * MAX (j->spec.estimate, LEAST_ESTIMATE_S);
-  for (guint i = 0; i < c->set->aims->len; i++) {
-    const HrAim *a = &g_array_index (c->set->aims, HrAim, i);
-    if (a->klass == j->spec.klass && a->kind == HR_AIM_FINISHED && a->within > 0)
-      deadline = MIN (deadline, since + a->within);
+  for (guint i = 0; i < c->set->objectives->len; i++) {
+    const HrObjective *a = &g_array_index (c->set->objectives, HrObjective, i);
+    if (a->job_class == j->spec.klass && a->kind == HR_OBJECTIVE_FINISHED && a->within_s > 0)
+      deadline = MIN (deadline, since + a->within_s);
   }
   return deadline;
 }
--- a/src/coordination/project.c
+++ b/src/coordination/projection.c
@@ -4,26 +4,26 @@
 #include <math.h>
 
 HrJob *
-hr_job_of (HrCore *c, HrTaskRef r)
+hr_job_of_task (HrCore *c, HrTaskRef r)
 {
   return c->jobs->pdata[r.job];
 }
 
 gboolean
-hr_usable (const HrCore *c, const HrMachine *m)
+hr_machine_is_plannable (const HrCore *c, const HrMachine *m)
 {
   if (m->drain || m->type == HR_NONE)
     return FALSE;
-  return m->state == HR_M_BOOTING ||
-         (m->state == HR_M_UP && c->now - MAX (m->heard_at, c->led_at) < 2 * c->pol.silent_s);
+  return m->state == HR_MACHINE_BOOTING ||
+         (m->state == HR_MACHINE_UP && c->now - MAX (m->heard_at, c->led_at) < 2 * c->pol.silent_s);
 }
 
 /* Type, zone and kind, apart from where the job's other tasks are. */
 gboolean
-hr_allowed (const HrCore *c, const HrJob *j, const HrMachine *m)
+hr_job_allows_machine (const HrCore *c, const HrJob *j, const HrMachine *m)
 {
   const HrJobSpec *s = &j->spec;
-  const HrType *t = hr_usable (c, m) ? hr_type (c, m) : NULL;
+  const HrMachineType *t = hr_machine_is_plannable (c, m) ? hr_machine_type_of (c, m) : NULL;
   /* Where it failed last it is not tried again at once, if there is any other place. */
   if (m->idx == j->bad_machine && c->now < j->bad_until)
     return FALSE;
@@ -37,21 +37,21 @@
 /* Images that a machine fetches at the same time share its rate; tasks of one image
  * share the fetch. */
 double
-hr_fetch_time (const HrCore *c, const HrJob *j, const HrMachine *m)
+hr_estimate_fetch_time (const HrCore *c, const HrJob *j, const HrMachine *m)
 {
-  const HrType *t = hr_type (c, m);
+  const HrMachineType *t = hr_machine_type_of (c, m);
   if (!t || hr_machine_has_image (m, j->spec.image))
     return 0;
   double own = j->spec.image_gb / t->fetch_rate, others = 0;
   guint32 last = HR_NONE;
   for (guint i = 0; i < m->tasks->len; i++) {
     HrTaskRef r = g_array_index (m->tasks, HrTaskRef, i);
-    const HrJob *o = hr_job_of ((HrCore *)c, r);
+    const HrJob *o = hr_job_of_task ((HrCore *)c, r);
     if (o->spec.image == last || hr_machine_has_image (m, o->spec.image))
       continue;
     last = o->spec.image;
     /* A machine that boots has fetched nothing yet. */
-    double since = m->state == HR_M_UP ? c->now - o->tasks[r.task].bound_since : 0;
+    double since = m->state == HR_MACHINE_UP ? c->now - o->tasks[r.task].bound_since : 0;
     double left = MAX (0.5, o->spec.image_gb / t->fetch_rate - since);
     if (o->spec.image == j->spec.image)
       own = MIN (own, left);
@@ -63,11 +63,11 @@
 
 /* Expected run time with the image fetch. */
 double
-hr_estimate (HrCore *c, const HrJob *j, const HrMachine *m)
+hr_estimate_run_time (HrCore *c, const HrJob *j, const HrMachine *m)
 {
   double run = j->spec.estimate > 0 ? j->spec.estimate : 60;
   run *= hr_class (c, j->spec.klass)->correction;
-  return run + hr_fetch_time (c, j, m);
+  return run + hr_estimate_fetch_time (c, j, m);
 }
 
 typedef struct {
@@ -86,11 +86,11 @@
 }
 
 double
-hr_running_end (HrCore *c, const HrJob *j, const HrTask *t, const HrMachine *m)
+hr_estimate_running_end (HrCore *c, const HrJob *j, const HrTask *t, const HrMachine *m)
 {
   if (j->spec.shape == HR_SERVICE)
     return INFINITY;
-  const HrType *ty = hr_type (c, m);
+  const HrMachineType *ty = hr_machine_type_of (c, m);
   double est = j->spec.estimate > 0 ? j->spec.estimate : 60;
   est *= hr_class (c, j->spec.klass)->correction;
   if (!t->running_since && ty && !hr_machine_has_image (m, j->spec.image))
@@ -102,23 +102,23 @@
 
 /* When a task of `s` can start on an idle-from-then machine; fills starts when given. */
 void
-hr_project (HrCore *c, HrMachine *m, double *starts)
+hr_project_list (HrCore *c, HrMachine *m, double *starts)
 {
   static GArray *busy;
   if (!busy)
     busy = g_array_new (FALSE, FALSE, sizeof (Busy));
   g_array_set_size (busy, 0);
-  const HrType *ty = hr_type (c, m);
+  const HrMachineType *ty = hr_machine_type_of (c, m);
   double cpus = m->cpus - m->foreign_cpus - m->claim_cpus,
          gpus = m->gpus - m->foreign_gpus - m->claim_gpus,
          mem = m->mem - m->foreign_mem - m->claim_mem;
   double at = c->now;
-  if (m->state == HR_M_BOOTING)
+  if (m->state == HR_MACHINE_BOOTING)
     at = MAX (c->now + 2, m->rented_at + ty->boot_s);
   for (guint i = 0; i < m->tasks->len; i++) {
     HrTaskRef r = g_array_index (m->tasks, HrTaskRef, i);
-    HrJob *j = hr_job_of (c, r);
-    add_busy (busy, hr_running_end (c, j, &j->tasks[r.task], m), &j->spec);
+    HrJob *j = hr_job_of_task (c, r);
+    add_busy (busy, hr_estimate_running_end (c, j, &j->tasks[r.task], m), &j->spec);
   }
   m->late = 0;
   m->tardiness = 0;
@@ -126,7 +126,7 @@
   double from = at;
   for (guint i = 0; i < m->list->len; i++) {
     HrTaskRef r = g_array_index (m->list, HrTaskRef, i);
-    HrJob *j = hr_job_of (c, r);
+    HrJob *j = hr_job_of_task (c, r);
     const HrJobSpec *s = &j->spec;
     double start = from;
     if (s->shape == HR_GANG)
@@ -149,14 +149,14 @@
       cpus -= s->cpus;
       gpus -= s->gpus;
       mem -= s->mem;
-      add_busy (busy, start + hr_estimate (c, j, m), s);
+      add_busy (busy, start + hr_estimate_run_time (c, j, m), s);
       from = start; /* deadline order: nobody starts before the one ahead of him */
     }
     if (starts)
       starts[i] = start;
     if (i == 0)
       m->ready = start;
-    double over = start + hr_estimate (c, j, m) - (j->deadline - c->wall + c->now);
+    double over = start + hr_estimate_run_time (c, j, m) - (j->deadline - c->wall + c->now);
     if (over > 0) {
       m->late++;
       m->tardiness += over;
@@ -167,11 +167,11 @@
 }
 
 guint
-hr_slot_of (HrCore *c, HrMachine *m, const HrJob *j)
+hr_list_position (HrCore *c, HrMachine *m, const HrJob *j)
 {
   guint i = 0;
   while (i < m->list->len &&
-         hr_job_of (c, g_array_index (m->list, HrTaskRef, i))->deadline <= j->deadline)
+         hr_job_of_task (c, g_array_index (m->list, HrTaskRef, i))->deadline <= j->deadline)
     i++;
   return i;
 }
@@ -179,8 +179,8 @@
 void
 hr_list_insert (HrCore *c, HrMachine *m, HrTaskRef r)
 {
-  HrJob *j = hr_job_of (c, r);
-  guint at = hr_slot_of (c, m, j);
+  HrJob *j = hr_job_of_task (c, r);
+  guint at = hr_list_position (c, m, j);
   g_array_insert_val (m->list, at, r);
   j->planned += !j->tasks[r.task].is_listed;
   j->tasks[r.task].is_listed = 1;
@@ -188,7 +188,7 @@
 }
 
 void
-hr_unplan (HrJob *j, guint32 task)
+hr_task_unplan (HrJob *j, guint32 task)
 {
   if (!j->tasks || !j->tasks[task].is_listed)
     return;
@@ -198,7 +198,7 @@
 
 /* For the projected starts of a list; the owner of all state is a single thread. */
 double *
-hr_scratch (guint n)
+hr_projection_scratch (guint n)
 {
   static GArray *a;
   if (!a)
@@ -227,13 +227,13 @@
     if (!j->tasks[i].is_listed)
       continue;
     hr_list_remove (c->machines->pdata[j->tasks[i].listed_on], (HrTaskRef){j->idx, i});
-    hr_unplan (j, i);
+    hr_task_unplan (j, i);
   }
 }
 
 /* Is the machine ruled out by where the job's other tasks are, or stand? */
 gboolean
-hr_zone_ok (HrCore *c, HrJob *j, HrMachine *m)
+hr_job_allows_zone (HrCore *c, HrJob *j, HrMachine *m)
 {
   if (!j->spec.one_zone && !j->spec.spread)
     return TRUE;
@@ -258,8 +258,8 @@
 {
   if (!m->list->len)
     return;
-  double *starts = hr_scratch (m->list->len);
-  hr_project (c, m, starts);
+  double *starts = hr_projection_scratch (m->list->len);
+  hr_project_list (c, m, starts);
   for (guint k = 0; k < m->list->len; k++) {
     HrListedTask t = {g_array_index (m->list, HrTaskRef, k), m, starts[k]};
     g_array_append_val (listed, t);
@@ -269,5 +269,5 @@
 HrJob *
 hr_listed_job (HrCore *c, GArray *listed, guint i)
 {
-  return hr_job_of (c, g_array_index (listed, HrListedTask, i).task);
+  return hr_job_of_task (c, g_array_index (listed, HrListedTask, i).task);
 }
--- a/src/coordination/quotas.c
+++ b/src/coordination/quotas.c
@@ -109,7 +109,7 @@
   if (j->spec.shape == HR_SERVICE)
     return INFINITY;
   for (guint i = 0; i < c->types->len; i++)
-    fetch = MAX (fetch, j->spec.image_gb / g_array_index (c->types, HrType, i).fetch_rate);
+    fetch = MAX (fetch, j->spec.image_gb / g_array_index (c->types, HrMachineType, i).fetch_rate);
   return run * hr_class (c, j->spec.klass)->correction + fetch;
 }
 
@@ -131,9 +131,9 @@
 {
   HrMachine *m = c->machines->pdata[t->placement.machine];
   if (t->state == HR_TASK_BOUND && (t->stop_wanted || j->state != HR_JOB_QUEUED))
-    return c->now +
-           (hr_reachable (c, m) ? t->stop_grace_s + PREEMPTION_S : hr_lease_duration_s (c));
-  return hr_running_end (c, j, t, m);
+    return c->now + (hr_machine_is_reachable (c, m) ? t->stop_grace_s + PREEMPTION_S
+                                                    : hr_lease_duration_s (c));
+  return hr_estimate_running_end (c, j, t, m);
 }
 
 /* When does running work make room for the job, and what is left beside it then? */
--- a/src/coordination/replicas.c
+++ b/src/coordination/replicas.c
@@ -8,11 +8,12 @@
 start_left (const HrCore *c, const HrJob *j)
 {
   double left = INFINITY, waited = c->wall - hr_job_since (j);
-  for (guint i = 0; i < c->set->aims->len; i++) {
-    const HrAim *a = &g_array_index (c->set->aims, HrAim, i);
-    if (a->klass == j->spec.klass && (a->kind == HR_AIM_WAIT || a->kind == HR_AIM_UP) &&
-        a->within > waited + PREEMPTION_S)
-      left = MIN (left, a->within - waited);
+  for (guint i = 0; i < c->set->objectives->len; i++) {
+    const HrObjective *a = &g_array_index (c->set->objectives, HrObjective, i);
+    if (a->job_class == j->spec.klass &&
+        (a->kind == HR_OBJECTIVE_WAIT || a->kind == HR_OBJECTIVE_UP) &&
+        a->within_s > waited + PREEMPTION_S)
+      left = MIN (left, a->within_s - waited);
   }
   return left;
 }
@@ -21,7 +22,7 @@
 static gboolean
 stays_open (const HrCore *c, const HrJobSpec *s, const HrMachine *m, guint replicas)
 {
-  const HrType *t = hr_type (c, m);
+  const HrMachineType *t = hr_machine_type_of (c, m);
   return m->fixed_cpus + replicas * s->cpus <= t->cpus + 1e-6 &&
          m->fixed_gpus + replicas * s->gpus <= t->gpus + 1e-6 &&
          m->fixed_mem + replicas * s->mem <= t->mem + 1e-6;
@@ -35,11 +36,11 @@
   HrClassStat *s = hr_class (c, j->spec.klass);
   double weight = 0, own = 0, open = 0, fetch = INFINITY, within = INFINITY;
   for (guint i = 0; i < c->types->len; i++)
-    fetch = MIN (fetch, j->spec.image_gb / g_array_index (c->types, HrType, i).fetch_rate);
-  for (guint i = 0; i < c->set->aims->len; i++) {
-    HrAim *a = &g_array_index (c->set->aims, HrAim, i);
-    if (a->klass == j->spec.klass && a->kind == HR_AIM_WAIT)
-      within = MIN (within, a->within);
+    fetch = MIN (fetch, j->spec.image_gb / g_array_index (c->types, HrMachineType, i).fetch_rate);
+  for (guint i = 0; i < c->set->objectives->len; i++) {
+    HrObjective *a = &g_array_index (c->set->objectives, HrObjective, i);
+    if (a->job_class == j->spec.klass && a->kind == HR_OBJECTIVE_WAIT)
+      within = MIN (within, a->within_s);
   }
   if (fetch + PREEMPTION_S <= within)
     return FALSE; /* a fetch in time is cheaper than places kept open */
@@ -50,8 +51,9 @@
   }
   for (guint i = 0; i < c->fleet->len; i++) {
     HrMachine *m = c->fleet->pdata[i];
-    if (m->state == HR_M_UP && !m->drain && m->type != HR_NONE && (!m->spot || j->spec.spot) &&
-        hr_machine_has_image (m, j->spec.image) && stays_open (c, &j->spec, m, 1))
+    if (m->state == HR_MACHINE_UP && !m->drain && m->type != HR_NONE &&
+        (!m->spot || j->spec.spot) && hr_machine_has_image (m, j->spec.image) &&
+        stays_open (c, &j->spec, m, 1))
       open++;
   }
   return weight > 0 && open < hr_headroom (c, j->spec.klass) * own / weight;
@@ -62,7 +64,7 @@
 static double
 service_score (const HrCore *c, const HrJob *j, const HrMachine *m, gboolean open)
 {
-  double fetch = hr_fetch_time (c, j, m);
+  double fetch = hr_estimate_fetch_time (c, j, m);
   double closes = open && fetch > 0 && !stays_open (c, &j->spec, m, 2) ? 1000 : 0;
   /* Behind a cut of the controllers' own zone its workers still hear the owner. */
   double home = m->zone == c->set->home ? HR_HOME_S * 10 : 0;
@@ -93,7 +95,7 @@
       }
       double left = start_left (c, j);
       if (isfinite (left) && c->now >= j->retry_at &&
-          (!best || hr_fetch_time (c, j, best) + PREEMPTION_S > left)) {
+          (!best || hr_estimate_fetch_time (c, j, best) + PREEMPTION_S > left)) {
         HrMachine *other = hr_preempt_for_cached_image (c, j);
         if (other)
           best = other;
--- a/src/coordination/rent.c
+++ b/src/coordination/scale_out.c
@@ -3,7 +3,7 @@
 #include "coordination/free_capacity.h"
 #include <math.h>
 
-#define RENT_MOST 200 /* tasks of one job that machines are rented for in a pass */
+#define MAX_SCALE_OUT_TASKS 200 /* tasks of one job that machines are rented for in a pass */
 
 /* For teams with a limit, this share of the wait that others tolerate. */
 #define LIMITED_SLACK 0.25
@@ -11,27 +11,27 @@
 /* Tasks of one kind that machines must be rented for. */
 typedef struct {
   guint32 type, zone;
-  gboolean spot;
+  gboolean is_spot;
   double cpus, gpus, mem; /* left on the last machine counted */
   guint machines;
 } Need;
 
 static void
-need_one (HrCore *c, GArray *needs, guint64 types, guint32 zone, gboolean spot_ok, double cpus,
-          double gpus, double mem)
+add_demand (HrCore *c, GArray *needs, guint64 types, guint32 zone, gboolean spot_ok, double cpus,
+            double gpus, double mem)
 {
   /* The cheapest type that fits and that the cloud has not just refused. */
-  const HrType *best = NULL;
+  const HrMachineType *best = NULL;
   gboolean best_spot = FALSE;
   double least = INFINITY;
   for (guint i = 0; i < c->types->len; i++) {
-    const HrType *t = &g_array_index (c->types, HrType, i);
+    const HrMachineType *t = &g_array_index (c->types, HrMachineType, i);
     if ((types && !(types >> t->type & 1)) || cpus > t->cpus || gpus > t->gpus || mem > t->mem)
       continue;
     for (int spot = 0; spot <= (spot_ok && c->pol.spot_use > 0); spot++) {
       double share = MAX (MAX (cpus / t->cpus, gpus > 0 ? gpus / t->gpus : 0), mem / t->mem);
       double price = (spot ? t->spot_price : t->price) * share;
-      if (price < least && !hr_fleet_refused (c, t->type, zone, spot)) {
+      if (price < least && !hr_capacity_is_refused (c, t->type, zone, spot)) {
         least = price;
         best = t;
         best_spot = spot;
@@ -43,7 +43,7 @@
   Need *n = NULL;
   for (guint i = 0; i < needs->len && !n; i++) {
     Need *x = &g_array_index (needs, Need, i);
-    if (x->type == best->type && x->zone == zone && x->spot == best_spot)
+    if (x->type == best->type && x->zone == zone && x->is_spot == best_spot)
       n = x;
   }
   if (!n) {
@@ -68,7 +68,7 @@
 find_free_capacity (HrCore *c, HrFreeCapacity *capacities, guint n_capacities, HrCapacityCursor *at,
                     HrJob *j, double cpus, double gpus, double mem, gboolean spot, guint64 types)
 {
-  if (at->last && (!j || hr_zone_ok (c, j, at->last->machine)) &&
+  if (at->last && (!j || hr_job_allows_zone (c, j, at->last->machine)) &&
       hr_free_capacity_take (at->last, cpus, gpus, mem))
     return TRUE;
   for (; at->pass < 4; at->pass++, at->index = 0)
@@ -77,9 +77,9 @@
       HrMachine *m = r->machine;
       gboolean idle = m->tasks->len == 0 && !r->is_reserved;
       if (idle != at->pass / 2 || m->spot != !(at->pass % 2) || (m->spot && !spot) ||
-          (m->state != HR_M_UP && m->state != HR_M_BOOTING) || m->drain ||
+          (m->state != HR_MACHINE_UP && m->state != HR_MACHINE_BOOTING) || m->drain ||
           (types && !(types >> m->type & 1)) ||
-          (j && (!hr_allowed (c, j, m) || !hr_zone_ok (c, j, m))))
+          (j && (!hr_job_allows_machine (c, j, m) || !hr_job_allows_zone (c, j, m))))
         continue;
       if (!hr_free_capacity_take (r, cpus, gpus, mem))
         continue;
@@ -95,7 +95,7 @@
 {
   double s = 0;
   for (guint i = 0; i < c->types->len; i++)
-    s = MAX (s, g_array_index (c->types, HrType, i).boot_s);
+    s = MAX (s, g_array_index (c->types, HrMachineType, i).boot_s);
   return s;
 }
 
@@ -110,11 +110,11 @@
     return 0;
   if (s->shape == HR_SERVICE)
     boots = c->pol.headroom_boots;
-  for (guint i = 0; i < c->set->aims->len && s->shape != HR_SERVICE; i++) {
-    HrAim *a = &g_array_index (c->set->aims, HrAim, i);
-    if (a->klass == klass && a->kind == HR_AIM_WAIT)
+  for (guint i = 0; i < c->set->objectives->len && s->shape != HR_SERVICE; i++) {
+    HrObjective *a = &g_array_index (c->set->objectives, HrObjective, i);
+    if (a->job_class == klass && a->kind == HR_OBJECTIVE_WAIT)
       boots = MAX (boots, c->pol.headroom_waits);
-    else if (a->klass == klass && a->kind == HR_AIM_DEADLINE)
+    else if (a->job_class == klass && a->kind == HR_OBJECTIVE_DEADLINE)
       boots = MAX (boots, c->pol.headroom_deadlines);
   }
   double base = s->shape == HR_SERVICE ? c->pol.headroom_base : 0;
@@ -128,7 +128,7 @@
 }
 
 void
-hr_rent_headroom (HrCore *c, HrFreeCapacity *capacities, guint n_capacities, GArray *needs)
+hr_scale_out_headroom (HrCore *c, HrFreeCapacity *capacities, guint n_capacities, GArray *needs)
 {
   for (guint k = 0; k < c->classes->len; k++) {
     HrClassStat *s = &g_array_index (c->classes, HrClassStat, k);
@@ -136,25 +136,25 @@
     for (guint n = hr_headroom (c, k); n > 0; n--)
       if (!find_free_capacity (c, capacities, n_capacities, &at, NULL, s->cpus, s->gpus, s->mem,
                                s->spot, s->types))
-        need_one (c, needs, s->types, HR_NONE, s->spot, s->cpus, s->gpus, s->mem);
+        add_demand (c, needs, s->types, HR_NONE, s->spot, s->cpus, s->gpus, s->mem);
   }
 }
 
 /* What is short of room gets it on a machine that boots, or on one to be rented. */
 void
-hr_rent_need (HrCore *c, HrFreeCapacity *capacities, guint booting, HrCapacityCursor *at,
-              GArray *needs, HrJob *j)
+hr_scale_out_for_task (HrCore *c, HrFreeCapacity *capacities, guint booting, HrCapacityCursor *at,
+                       GArray *needs, HrJob *j)
 {
   const HrJobSpec *s = &j->spec;
   if (!find_free_capacity (c, capacities, booting, at, j, s->cpus, s->gpus, s->mem, s->spot,
                            s->types))
-    need_one (c, needs, s->types, s->zone, s->spot, s->cpus, s->gpus, s->mem);
+    add_demand (c, needs, s->types, s->zone, s->spot, s->cpus, s->gpus, s->mem);
 }
 
 /* The whole fleet is too small for the gang, and the cloud gives no more. Machines rented
  * for it would stand idle, go back, and be rented again, for ever: it pauses. */
 static gboolean
-beyond_fleet (HrCore *c, HrJob *j)
+exceeds_any_fleet (HrCore *c, HrJob *j)
 {
   guint fleet = 0;
   if (c->now < j->rent_at)
@@ -162,14 +162,15 @@
   if (j->spec.shape != HR_GANG || j->planned)
     return FALSE;
   for (guint i = 0; i < c->types->len; i++) {
-    guint32 t = g_array_index (c->types, HrType, i).type;
+    guint32 t = g_array_index (c->types, HrMachineType, i).type;
     if ((!j->spec.types || j->spec.types >> t & 1) &&
-        (!hr_fleet_refused (c, t, j->spec.zone, FALSE) ||
-         (j->spec.spot && c->pol.spot_use > 0 && !hr_fleet_refused (c, t, j->spec.zone, TRUE))))
+        (!hr_capacity_is_refused (c, t, j->spec.zone, FALSE) ||
+         (j->spec.spot && c->pol.spot_use > 0 &&
+          !hr_capacity_is_refused (c, t, j->spec.zone, TRUE))))
       return FALSE;
   }
   for (guint i = 0; i < c->fleet->len; i++)
-    fleet += hr_allowed (c, j, c->fleet->pdata[i]);
+    fleet += hr_job_allows_machine (c, j, c->fleet->pdata[i]);
   if (fleet >= j->ntasks)
     return FALSE;
   j->rent_pause = CLAMP (2 * j->rent_pause, 15, 240);
@@ -208,12 +209,13 @@
   double boot = boot_time (c) * c->pol.rent_slack, wait = t->start - c->now;
   if (wait <= (limited ? boot * LIMITED_SLACK : boot) || (limited && placed))
     return FALSE;
-  return j->spec.shape == HR_GANG || c->wall + wait + hr_estimate (c, j, t->machine) > j->deadline;
+  return j->spec.shape == HR_GANG ||
+         c->wall + wait + hr_estimate_run_time (c, j, t->machine) > j->deadline;
 }
 
 /* Machines for what stands in lists and would start late there. */
 static void
-rent_for_late (HrCore *c, HrFreeCapacity *capacities, guint booting, GArray *needs)
+scale_out_for_late (HrCore *c, HrFreeCapacity *capacities, guint booting, GArray *needs)
 {
   guint n = c->fleet->len;
   g_autofree guint *placed = g_new0 (guint, n + 1);
@@ -231,30 +233,30 @@
     for (guint k = 0; k < listed->len; k++) {
       HrCapacityCursor at = {0};
       if (late (c, &g_array_index (listed, HrListedTask, k), k < placed[i]))
-        hr_rent_need (c, capacities, booting, &at, needs, hr_listed_job (c, listed, k));
+        hr_scale_out_for_task (c, capacities, booting, &at, needs, hr_listed_job (c, listed, k));
     }
   }
 }
 
 /* booting: how many rooms, the first ones, are on machines that boot. */
 void
-hr_rent_for_lists (HrCore *c, HrFreeCapacity *capacities, guint booting, GArray *needs)
+hr_scale_out_for_lists (HrCore *c, HrFreeCapacity *capacities, guint booting, GArray *needs)
 {
-  rent_for_late (c, capacities, booting, needs);
+  scale_out_for_late (c, capacities, booting, needs);
   /* And for what found no list at all. */
   for (guint i = 0; i < c->open->len; i++) {
     HrJob *j = c->jobs->pdata[g_array_index (c->open, guint32, i)];
     gint left = (gint)j->ntasks - (gint)(j->nlive + j->ndone + j->planned);
     if (j->state != HR_JOB_QUEUED || j->spec.shape == HR_SERVICE || j->gang_over || left <= 0 ||
-        j->retry_at > c->now || !hr_team_allows_start (c, j, 1) || beyond_fleet (c, j))
+        j->retry_at > c->now || !hr_team_allows_start (c, j, 1) || exceeds_any_fleet (c, j))
       continue;
     /* No machine is rented for what the limit holds back; what stands in lists has its part
      * of the grant. */
     guint grant = hr_quotas_granted (c, j);
-    left = MIN (left, grant < G_MAXINT ? (gint)grant - (gint)j->planned : RENT_MOST);
+    left = MIN (left, grant < G_MAXINT ? (gint)grant - (gint)j->planned : MAX_SCALE_OUT_TASKS);
     HrCapacityCursor at = {0};
-    for (gint k = 0; k < MIN (left, RENT_MOST); k++)
-      hr_rent_need (c, capacities, booting, &at, needs, j);
+    for (gint k = 0; k < MIN (left, MAX_SCALE_OUT_TASKS); k++)
+      hr_scale_out_for_task (c, capacities, booting, &at, needs, j);
   }
 }
 
@@ -268,7 +270,7 @@
   for (guint32 i = 0; i < j->ntasks && isfinite (end); i++) {
     const HrTask *t = &j->tasks[i];
     if (t->state == HR_TASK_BOUND || t->state == HR_TASK_ASSIGNING)
-      end = MAX (end, hr_running_end (c, j, t, c->machines->pdata[t->placement.machine]));
+      end = MAX (end, hr_estimate_running_end (c, j, t, c->machines->pdata[t->placement.machine]));
   }
   return end;
 }
@@ -308,12 +310,13 @@
 }
 
 /* More tasks of one step than that are rented for once it is ready. */
-#define AHEAD_MOST 200
+#define MAX_NEXT_STEP_TASKS 200
 
 /* A step starts when the one before it ends, and a machine takes a boot to come up: it is asked
  * for that much ahead. Room that is kept for arrivals of the class counts first. */
 void
-hr_rent_ahead (HrCore *c, HrFreeCapacity *capacities, guint n_capacities, GArray *needs)
+hr_scale_out_for_next_steps (HrCore *c, HrFreeCapacity *capacities, guint n_capacities,
+                             GArray *needs)
 {
   double horizon = c->now + boot_time (c);
   g_autofree guint *kept = g_new0 (guint, c->names->classes.names->len + 1);
@@ -331,22 +334,23 @@
       guint left = d->state == HR_JOB_QUEUED && d->tasks ? tasks_ahead (c, d, j, horizon) : 0;
       guint use = MIN (left, kept[d->spec.klass]);
       kept[d->spec.klass] -= use;
-      for (guint n = MIN (left - use, AHEAD_MOST); n > 0 && hr_team_allows_start (c, d, 1); n--)
+      for (guint n = MIN (left - use, MAX_NEXT_STEP_TASKS); n > 0 && hr_team_allows_start (c, d, 1);
+           n--)
         if (!find_free_capacity (c, capacities, n_capacities, &at, NULL, d->spec.cpus, d->spec.gpus,
                                  d->spec.mem, d->spec.spot, d->spec.types))
-          need_one (c, needs, d->spec.types, d->spec.zone, d->spec.spot, d->spec.cpus, d->spec.gpus,
-                    d->spec.mem);
+          add_demand (c, needs, d->spec.types, d->spec.zone, d->spec.spot, d->spec.cpus,
+                      d->spec.gpus, d->spec.mem);
     }
   }
 }
 
 void
-hr_return_idle (HrCore *c, HrFreeCapacity *capacities, guint n)
+hr_scale_in_idle (HrCore *c, HrFreeCapacity *capacities, guint n)
 {
   g_autoptr (GPtrArray) away = g_ptr_array_new ();
   for (guint i = 0; i < n; i++) {
     HrMachine *m = capacities[i].machine;
-    if (m->state != HR_M_UP || m->tasks->len || m->list->len)
+    if (m->state != HR_MACHINE_UP || m->tasks->len || m->list->len)
       continue;
     /* After a cut of our own nothing was idle: nobody could give it work. */
     double since = MAX (m->idle_at, c->served_since);
@@ -359,17 +363,17 @@
 }
 
 GArray *
-hr_rent_begin (void)
+hr_scale_out_begin (void)
 {
   return g_array_new (FALSE, TRUE, sizeof (Need));
 }
 
 void
-hr_rent_end (HrCore *c, GArray *needs)
+hr_scale_out_end (HrCore *c, GArray *needs)
 {
   g_array_set_size (c->wants, 0);
   for (guint i = 0; i < needs->len; i++) {
     Need *x = &g_array_index (needs, Need, i);
-    hr_fleet_want (c, x->type, x->zone, x->spot, x->machines);
+    hr_demand_add (c, x->type, x->zone, x->is_spot, x->machines);
   }
 }
--- a/src/coordination/service_reservations.c
+++ b/src/coordination/service_reservations.c
@@ -22,7 +22,7 @@
 {
   for (guint k = 0; k < c->fleet->len && n; k++) {
     HrMachine *m = c->fleet->pdata[k];
-    if (m->state == HR_M_UP && hr_usable (c, m) && (!m->spot || s->spot) &&
+    if (m->state == HR_MACHINE_UP && hr_machine_is_plannable (c, m) && (!m->spot || s->spot) &&
         (!s->types || s->types >> m->type & 1) && (!busy || m->tasks->len) &&
         (image == HR_NONE || hr_machine_has_image (m, image)))
       n = reserve_on_machine (m, s->cpus, s->gpus, s->mem, n);
@@ -41,7 +41,7 @@
     m->claim_cpus = m->claim_gpus = m->claim_mem = 0;
     m->fixed_cpus = m->fixed_gpus = m->fixed_mem = 0;
     for (guint k = 0; k < m->tasks->len; k++) {
-      const HrJobSpec *s = &hr_job_of (c, g_array_index (m->tasks, HrTaskRef, k))->spec;
+      const HrJobSpec *s = &hr_job_of_task (c, g_array_index (m->tasks, HrTaskRef, k))->spec;
       if (s->shape != HR_SERVICE)
         continue;
       m->fixed_cpus += s->cpus;
@@ -57,7 +57,7 @@
     guint left = MIN (j->ntasks - j->nlive, hr_quotas_granted (c, j));
     for (guint k = 0; k < c->fleet->len && left; k++) {
       HrMachine *m = c->fleet->pdata[k];
-      if (m->state == HR_M_BOOTING && hr_allowed (c, j, m))
+      if (m->state == HR_MACHINE_BOOTING && hr_job_allows_machine (c, j, m))
         left = reserve_on_machine (m, s->cpus, s->gpus, s->mem, left);
     }
   }
--- a/src/coordination/parts.c
+++ b/src/coordination/shards.c
@@ -5,10 +5,10 @@
 
 /* Rendezvous hashing: when a part is added, only machines that move to it move. */
 guint32
-hr_part_of (const char *machine, guint nparts)
+hr_shard_of (const char *machine, guint n_shards)
 {
   guint32 best = 0, most = 0, base = g_str_hash (machine);
-  for (guint i = 0; i < nparts; i++) {
+  for (guint i = 0; i < n_shards; i++) {
     guint32 h = base ^ (i + 1) * 0x9e3779b9u;
     h = (h ^ h >> 16) * 0x85ebca6bu;
     h = (h ^ h >> 13) * 0xc2b2ae35u;
@@ -22,20 +22,20 @@
 }
 
 void
-hr_parts_assign (HrCore *c)
+hr_shards_assign (HrCore *c)
 {
   c->nparts = 1 + c->fleet->len / (guint)c->pol.machines_per_part;
   for (guint i = 0; i < c->fleet->len; i++) {
     HrMachine *m = c->fleet->pdata[i];
     if (m->parts != c->nparts)
-      m->part = hr_part_of (m->name, c->nparts);
+      m->part = hr_shard_of (m->name, c->nparts);
     m->parts = c->nparts;
   }
 }
 
 /* How many tasks of the job have room on the machine now. */
 static guint
-slots (const HrMachine *m, const HrJobSpec *s)
+task_slots (const HrMachine *m, const HrJobSpec *s)
 {
   guint n = 0;
   double cpus = s->cpus, gpus = s->gpus, mem = s->mem;
@@ -51,7 +51,7 @@
 /* The roomiest part that holds the job; large jobs, and what no part holds as a whole, get
  * any list: the tasks of an array held to a full part wait beside room in others. */
 void
-hr_part_choose (HrCore *c, HrJob *j)
+hr_shard_choose (HrCore *c, HrJob *j)
 {
   const HrTeam *t = hr_team (c, j->spec.team);
   gboolean limit = t && (t->cpus_max > 0 || t->gpus_max > 0);
@@ -64,8 +64,8 @@
     return;
   for (guint i = 0; i < c->fleet->len; i++) {
     HrMachine *m = c->fleet->pdata[i];
-    if (hr_allowed (c, j, m))
-      capacity[m->part] += slots (m, &j->spec);
+    if (hr_job_allows_machine (c, j, m))
+      capacity[m->part] += task_slots (m, &j->spec);
   }
   for (guint i = 0; i < c->nparts; i++)
     if (capacity[i] >= j->ntasks && (j->part == HR_NONE || capacity[i] > capacity[j->part]))
--- a/src/coordination/state.h
+++ b/src/coordination/state.h
@@ -53,16 +53,16 @@
 
 typedef struct {
   guint32 type, zone;
-  gboolean spot;
+  gboolean is_spot;
   double until;
-} HrRefusal;
+} HrCapacityRefusal;
 
 /* Machines that the plan is short of. */
 typedef struct {
   guint32 type, zone; /* zone: HR_NONE for any */
-  gboolean spot;
+  gboolean is_spot;
   guint count;
-} HrWant;
+} HrDemand;
 
 typedef struct {
   HrPeerStatus status;
@@ -174,7 +174,7 @@
   HrIntern job_ids, machine_ids;
   GPtrArray *jobs, *machines; /* by index */
   GArray *open;               /* guint32: jobs that are not final, or not shrunk */
-  GArray *types;              /* HrType */
+  GArray *types;              /* HrMachineType */
   gboolean types_saved;
   guint64 types_stamp;
   GArray *classes;  /* HrClassStat by class index */
@@ -198,8 +198,8 @@
   gboolean list_complete;
   char *list_after;
   guint64 ask;
-  GArray *wants;   /* HrWant */
-  GArray *refused; /* HrRefusal: where the cloud had no capacity, until when */
+  GArray *wants;   /* HrDemand */
+  GArray *refused; /* HrCapacityRefusal: where the cloud had no capacity, until when */
   guint asks_out;
   GQueue rentals_again; /* of fleet.c: not answered clearly, to be asked for again at rent_at */
   guint deletes_out;
@@ -226,8 +226,8 @@
 HrMachine *hr_machine_get (HrCore *c, const char *name);
 HrClassStat *hr_class (HrCore *c, guint32 klass);
 const HrTeam *hr_team (const HrCore *c, guint32 team); /* NULL: not known here */
-const HrType *hr_type (const HrCore *c, const HrMachine *m);
-const HrType *hr_type_by_name (const HrCore *c, guint32 name);
+const HrMachineType *hr_machine_type_of (const HrCore *c, const HrMachine *m);
+const HrMachineType *hr_machine_type_find (const HrCore *c, guint32 name);
 
 /* urgency.c: deadline and rank of jobs that others need */
 /* The job is known, or has become ready. */
@@ -302,48 +302,48 @@
 /* fleet.c */
 void hr_fleet_add (HrCore *c, HrMachine *m);
 void hr_fleet_tick (HrCore *c);
-void hr_fleet_clear (HrCore *c);
+void hr_instance_requests_clear (HrCore *c);
 void hr_fleet_delete (HrCore *c, HrMachine *m, const char *why);
 void hr_machine_gone (HrCore *c, HrMachine *m, const char *why);
 /* zone HR_NONE: refused in all of them. */
-gboolean hr_fleet_refused (const HrCore *c, guint32 type, guint32 zone, gboolean spot);
-void hr_fleet_want (HrCore *c, guint32 type, guint32 zone, gboolean spot, guint count);
-gboolean hr_types_load (HrCore *c, const json_t *o);
+gboolean hr_capacity_is_refused (const HrCore *c, guint32 type, guint32 zone, gboolean spot);
+void hr_demand_add (HrCore *c, guint32 type, guint32 zone, gboolean spot, guint count);
+gboolean hr_machine_types_load (HrCore *c, const json_t *o);
 
 /* rentals.c */
-void hr_rentals_send (HrCore *c);
+void hr_instance_requests_send (HrCore *c);
 /* Requests without a clear answer, once more under their names. */
-void hr_rentals_again (HrCore *c);
+void hr_instance_requests_retry (HrCore *c);
 
 /* machine_list.c */
-void hr_machine_list_tick (HrCore *c);
+void hr_instance_list_tick (HrCore *c);
 
 /* parts.c */
-guint32 hr_part_of (const char *machine, guint nparts);
-void hr_parts_assign (HrCore *c);
-void hr_part_choose (HrCore *c, HrJob *j);
+guint32 hr_shard_of (const char *machine, guint n_shards);
+void hr_shards_assign (HrCore *c);
+void hr_shard_choose (HrCore *c, HrJob *j);
 
 /* planner.c */
-void hr_plan (HrCore *c);
+void hr_planner_pass (HrCore *c);
 
 /* What a place in the controllers' zone is worth, as time to the start: behind a cut of it,
  * its workers still hear the owner. */
 #define HR_HOME_S 2.0
 
 /* project.c */
-double hr_estimate (HrCore *c, const HrJob *j, const HrMachine *m);
+double hr_estimate_run_time (HrCore *c, const HrJob *j, const HrMachine *m);
 /* When a task that is on the machine should end, by its estimate; INFINITY: a service. */
-double hr_running_end (HrCore *c, const HrJob *j, const HrTask *t, const HrMachine *m);
+double hr_estimate_running_end (HrCore *c, const HrJob *j, const HrTask *t, const HrMachine *m);
 /* How long the image keeps a task of the job from its work there. */
-double hr_fetch_time (const HrCore *c, const HrJob *j, const HrMachine *m);
-gboolean hr_allowed (const HrCore *c, const HrJob *j, const HrMachine *m);
+double hr_estimate_fetch_time (const HrCore *c, const HrJob *j, const HrMachine *m);
+gboolean hr_job_allows_machine (const HrCore *c, const HrJob *j, const HrMachine *m);
 
 /* Is the machine ruled out by where the job's other tasks are? */
-gboolean hr_zone_ok (HrCore *c, HrJob *j, HrMachine *m);
+gboolean hr_job_allows_zone (HrCore *c, HrJob *j, HrMachine *m);
 /* Projects a list: its late count and tardiness, and each task's start when asked for. */
-void hr_project (HrCore *c, HrMachine *m, double *starts);
+void hr_project_list (HrCore *c, HrMachine *m, double *starts);
 void hr_list_remove (HrMachine *m, HrTaskRef r);
-void hr_unplan (HrJob *j, guint32 task);
+void hr_task_unplan (HrJob *j, guint32 task);
 /* Takes all its tasks out of the lists: the next pass places them anew. */
 void hr_job_unplan (HrCore *c, HrJob *j);
 
--- a/src/coordination/tabu.c
+++ b/src/coordination/tabu.c
@@ -36,14 +36,14 @@
       return;
     HrMachine *a = lists->pdata[hi];
     /* The most tardy job of the tardiest list. Gangs stay: their slots hang together. */
-    double *starts = hr_scratch (a->list->len);
-    hr_project (c, a, starts);
+    double *starts = hr_projection_scratch (a->list->len);
+    hr_project_list (c, a, starts);
     HrTaskRef pick = {HR_NONE, 0};
     double worst = 0;
     for (guint i = 0; i < a->list->len; i++) {
       HrTaskRef r = g_array_index (a->list, HrTaskRef, i);
-      HrJob *j = hr_job_of (c, r);
-      double over = starts[i] + hr_estimate (c, j, a) - (j->deadline - c->wall + c->now);
+      HrJob *j = hr_job_of_task (c, r);
+      double over = starts[i] + hr_estimate_run_time (c, j, a) - (j->deadline - c->wall + c->now);
       if (over > worst && j->spec.shape != HR_GANG && !is_tabu (tabu, r)) {
         worst = over;
         pick = r;
@@ -54,10 +54,10 @@
       memset (cand, 0xff, n * sizeof *cand);
       continue;
     }
-    HrJob *j = hr_job_of (c, pick);
+    HrJob *j = hr_job_of_task (c, pick);
     for (guint i = 0; i < n; i++) {
       HrMachine *m = lists->pdata[i];
-      if (i != hi && cand[i] && hr_allowed (c, j, m) && hr_zone_ok (c, j, m) &&
+      if (i != hi && cand[i] && hr_job_allows_machine (c, j, m) && hr_job_allows_zone (c, j, m) &&
           (lo == HR_NONE || m->tardiness < ((HrMachine *)lists->pdata[lo])->tardiness ||
            (m->tardiness == ((HrMachine *)lists->pdata[lo])->tardiness &&
             m->ready < ((HrMachine *)lists->pdata[lo])->ready)))
@@ -71,21 +71,21 @@
       continue;
     }
     HrMachine *b = lists->pdata[lo];
-    HrJudge before = {a->late + b->late, a->tardiness + b->tardiness};
+    HrListScore before = {a->late + b->late, a->tardiness + b->tardiness};
     hr_list_remove (a, pick);
     hr_list_insert (c, b, pick);
-    hr_project (c, a, NULL);
-    hr_project (c, b, NULL);
-    HrJudge after = {a->late + b->late, a->tardiness + b->tardiness};
-    if (hr_better (after, before)) {
-      total += after.tard - before.tard;
+    hr_project_list (c, a, NULL);
+    hr_project_list (c, b, NULL);
+    HrListScore after = {a->late + b->late, a->tardiness + b->tardiness};
+    if (hr_list_score_better (after, before)) {
+      total += after.tardiness - before.tardiness;
       memset (avail, 0xff, n * sizeof *avail);
       memset (cand, 0xff, n * sizeof *cand);
     } else {
       hr_list_remove (b, pick);
       hr_list_insert (c, a, pick);
-      hr_project (c, a, NULL);
-      hr_project (c, b, NULL);
+      hr_project_list (c, a, NULL);
+      hr_project_list (c, b, NULL);
       cand[lo] = FALSE;
     }
   }
--- a/src/coordination/task_lifecycle.c
+++ b/src/coordination/task_lifecycle.c
@@ -49,7 +49,7 @@
   t->stop_wanted = t->from_earlier_term = 0;
   t->stop_sent_at = t->running_since = 0;
   t->bound_since = c->now;
-  t->expected_fetch_s = hr_fetch_time (c, j, m);
+  t->expected_fetch_s = hr_estimate_fetch_time (c, j, m);
   j->nlive++;
   hr_machine_allocate (m, &j->spec, r);
   hr_record_writer_mark (c, j, task);
@@ -98,7 +98,7 @@
   HrTask *t = &j->tasks[task];
   HrMachine *m = machine_of (c, t);
   t->state = HR_TASK_BOUND;
-  if (m->state != HR_M_UP || m->incarnation != t->placement.incarnation) {
+  if (m->state != HR_MACHINE_UP || m->incarnation != t->placement.incarnation) {
     /* The machine went, or began a new session, while we wrote; nothing was sent. */
     hr_task_gone (c, j, task, HR_EXIT_NONE, "its machine changed before the launch");
     return;
--- a/src/protocol/cloud.c
+++ b/src/protocol/cloud.c
@@ -4,20 +4,20 @@
 static void
 type_clear (gpointer p)
 {
-  HrType *t = p;
+  HrMachineType *t = p;
   g_clear_pointer (&t->zones, g_array_unref);
 }
 
 GArray *
-hr_types_parse (const json_t *root, HrNames *names)
+hr_machine_types_parse (const json_t *root, HrNames *names)
 {
   json_t *list = json_object_get (root, "hulls"), *o, *z;
-  GArray *out = g_array_new (FALSE, TRUE, sizeof (HrType));
+  GArray *out = g_array_new (FALSE, TRUE, sizeof (HrMachineType));
   g_array_set_clear_func (out, type_clear);
   size_t i, j;
   json_array_foreach (list, i, o)
   {
-    HrType t = {0};
+    HrMachineType t = {0};
     const char *sku = hr_json_str (o, "sku");
     if (!sku || !hr_json_num (o, "vcpus", &t.cpus) || !hr_json_num (o, "accelerators", &t.gpus) ||
         !hr_json_num (o, "memory_gb", &t.mem) || !hr_json_num (o, "cache_gb", &t.cache_gb) ||
@@ -49,19 +49,19 @@
 }
 
 gboolean
-hr_listed_parse (const json_t *o, HrListed *m)
+hr_listed_instance_parse (const json_t *o, HrListedInstance *m)
 {
   m->name = hr_json_str (o, "name_id");
-  m->addr = hr_json_str (o, "addr");
+  m->address = hr_json_str (o, "addr");
   m->type = hr_json_str (o, "hull");
   m->zone = hr_json_str (o, "quarry");
   const char *st = hr_json_str (o, "stance");
-  if (!m->name || !m->type || !m->zone || !st || !hr_json_bool (o, "loaners", &m->spot))
+  if (!m->name || !m->type || !m->zone || !st || !hr_json_bool (o, "loaners", &m->is_spot))
     return FALSE;
   if (!hr_json_num (o, "age_s", &m->age))
     m->age = 0;
-  m->state = g_str_equal (st, "starting") ? HR_M_STARTING
-             : g_str_equal (st, "failed") ? HR_M_FAILED
-                                          : HR_M_RUNNING;
+  m->state = g_str_equal (st, "starting") ? HR_INSTANCE_STARTING
+             : g_str_equal (st, "failed") ? HR_INSTANCE_FAILED
+                                          : HR_INSTANCE_RUNNING;
   return TRUE;
 }
--- a/src/protocol/cloud.h
+++ b/src/protocol/cloud.h
@@ -6,16 +6,16 @@
   guint32 type; /* index in names.types */
   double cpus, gpus, mem, cache_gb, fetch_rate, price, spot_price, boot_s;
   GArray *zones; /* guint32 */
-} HrType;
+} HrMachineType;
 
-typedef enum { HR_M_STARTING, HR_M_RUNNING, HR_M_FAILED } HrListState;
+typedef enum { HR_INSTANCE_STARTING, HR_INSTANCE_RUNNING, HR_INSTANCE_FAILED } HrInstanceState;
 typedef struct {
-  const char *name, *addr, *type, *zone;
-  gboolean spot;
-  HrListState state;
+  const char *name, *address, *type, *zone;
+  gboolean is_spot;
+  HrInstanceState state;
   double age;
-} HrListed;
+} HrListedInstance;
 
 /* Entries that make no sense are left out; NULL when nothing usable is there. */
-GArray *hr_types_parse (const json_t *o, HrNames *names); /* HrType */
-gboolean hr_listed_parse (const json_t *o, HrListed *out);
+GArray *hr_machine_types_parse (const json_t *o, HrNames *names); /* HrMachineType */
+gboolean hr_listed_instance_parse (const json_t *o, HrListedInstance *out);
--- a/src/protocol/settings.c
+++ b/src/protocol/settings.c
@@ -146,18 +146,18 @@
     const char *kind = hr_json_str (o, "kind"), *k = hr_json_str (o, "class");
     if (!kind || !k)
       continue; /* an aim of a kind we don't know steers nothing */
-    HrAim a = {HR_AIM_OTHER, hr_intern (&names->classes, k), 0, 0};
+    HrObjective a = {HR_OBJECTIVE_OTHER, hr_intern (&names->classes, k), 0, 0};
     if (g_str_equal (kind, "wait"))
-      a.kind = HR_AIM_WAIT;
+      a.kind = HR_OBJECTIVE_WAIT;
     else if (g_str_equal (kind, "deadline"))
-      a.kind = HR_AIM_DEADLINE;
+      a.kind = HR_OBJECTIVE_DEADLINE;
     else if (g_str_equal (kind, "finished"))
-      a.kind = HR_AIM_FINISHED;
+      a.kind = HR_OBJECTIVE_FINISHED;
     else if (g_str_equal (kind, "up"))
-      a.kind = HR_AIM_UP;
-    hr_json_num (o, a.kind == HR_AIM_UP ? "after_s" : "within_s", &a.within);
+      a.kind = HR_OBJECTIVE_UP;
+    hr_json_num (o, a.kind == HR_OBJECTIVE_UP ? "after_s" : "within_s", &a.within_s);
     hr_json_num (o, "share", &a.share);
-    g_array_append_val (s->aims, a);
+    g_array_append_val (s->objectives, a);
   }
   return TRUE;
 }
@@ -169,7 +169,7 @@
   s->members = g_array_new (FALSE, TRUE, sizeof (HrMember));
   g_array_set_clear_func (s->members, member_clear);
   s->teams = g_array_new (FALSE, TRUE, sizeof (HrTeam));
-  s->aims = g_array_new (FALSE, TRUE, sizeof (HrAim));
+  s->objectives = g_array_new (FALSE, TRUE, sizeof (HrObjective));
   if (!json_is_object (root)) {
     fail (e, "(the whole file)", "a JSON object");
     return NULL;
@@ -242,6 +242,6 @@
   g_free (s->state);
   g_array_unref (s->members);
   g_array_unref (s->teams);
-  g_array_unref (s->aims);
+  g_array_unref (s->objectives);
   g_free (s);
 }
--- a/src/protocol/settings.h
+++ b/src/protocol/settings.h
@@ -11,12 +11,18 @@
   double cpus, gpus, cpus_max, gpus_max; /* 0: none */
 } HrTeam;
 
-typedef enum { HR_AIM_WAIT, HR_AIM_UP, HR_AIM_DEADLINE, HR_AIM_FINISHED, HR_AIM_OTHER } HrAimKind;
+typedef enum {
+  HR_OBJECTIVE_WAIT,
+  HR_OBJECTIVE_UP,
+  HR_OBJECTIVE_DEADLINE,
+  HR_OBJECTIVE_FINISHED,
+  HR_OBJECTIVE_OTHER
+} HrObjectiveKind;
 typedef struct {
-  HrAimKind kind;
-  guint32 klass;
-  double within, share; /* within: s; of an UP aim, the time after which it counts */
-} HrAim;
+  HrObjectiveKind kind;
+  guint32 job_class;
+  double within_s, share; /* within: s; of an UP aim, the time after which it counts */
+} HrObjective;
 
 /* What the state service takes: requests and changes a second, KiB a value, changes a
  * transaction. */
@@ -27,10 +33,10 @@
 
 typedef struct {
   char *label, *zone, *front, *back, *cloud, *state;
-  GArray *members; /* HrMember */
-  GArray *teams;   /* HrTeam */
-  GArray *aims;    /* HrAim */
-  guint32 home;    /* the zone that all controllers are in; HR_NONE: they are in several */
+  GArray *members;    /* HrMember */
+  GArray *teams;      /* HrTeam */
+  GArray *objectives; /* HrObjective */
+  guint32 home;       /* the zone that all controllers are in; HR_NONE: they are in several */
   double report_s, lease_s, gang_wait_s, gang_peer_s, cancel_s;
   double state_rps, state_write_rps, value_kb;
   guint txn_ops;
--- a/tests/sim/lone_node.c
+++ b/tests/sim/lone_node.c
@@ -310,10 +310,10 @@
 node_machine (LoneNode *n)
 {
   HrMachine *m = hr_machine_get (n->core, "m-1");
-  m->state = HR_M_UP;
+  m->state = HR_MACHINE_UP;
   m->incarnation = 1;
   m->heard_at = n->now;
-  hr_machine_describe (m, &g_array_index (n->core->types, HrType, 0), HR_NONE, FALSE);
+  hr_machine_describe (m, &g_array_index (n->core->types, HrMachineType, 0), HR_NONE, FALSE);
   hr_fleet_add (n->core, m);
   return m;
 }
--- a/tests/test_protocol.c
+++ b/tests/test_protocol.c
@@ -238,11 +238,11 @@
                   "\"fetch_gb_per_s\":1.0,\"hourly\":12.0,\"low_price\":4.5,\"startup_s\":45,"
                   "\"quarries\":[\"a\",\"b\"]},{\"sku\":\"broken\"}]}",
                   0, NULL);
-  g_autoptr (GArray) t = hr_types_parse (o, &names);
+  g_autoptr (GArray) t = hr_machine_types_parse (o, &names);
   assert_int_equal (t->len, 1);
-  assert_int_equal (g_array_index (t, HrType, 0).zones->len, 2);
+  assert_int_equal (g_array_index (t, HrMachineType, 0).zones->len, 2);
   json_t *none = json_object ();
-  assert_null (hr_types_parse (none, &names));
+  assert_null (hr_machine_types_parse (none, &names));
   json_decref (none);
   json_decref (o);
   hr_names_clear (&names);
--- a/tests/test_readiness.c
+++ b/tests/test_readiness.c
@@ -468,7 +468,7 @@
   node_run (n, 3);
   guint wanted = 0; /* they stay wanted: the cloud answers nothing */
   for (guint i = 0; i < n->core->wants->len; i++)
-    wanted += g_array_index (n->core->wants, HrWant, i).count;
+    wanted += g_array_index (n->core->wants, HrDemand, i).count;
   node_free (n);
   ledger_free (l);
   return wanted;
