--- a/src/bookkeeping/dependencies.c
+++ b/src/bookkeeping/dependencies.c
@@ -96,7 +96,7 @@
       if (over->state == HR_JOB_CANCELLED) {
         derive_cancelled (c, d, over->withdrawn_with ? over->withdrawn_with : over);
         g_ptr_array_add (todo, d);
-      } else if (!hr_job_waits (d))
+      } else if (!hr_job_has_unfinished_dependencies (d))
         become_ready (c, d);
     }
   }
@@ -110,7 +110,7 @@
   HrJob *root = j->state == HR_JOB_QUEUED ? cancelled_before (j) : NULL;
   if (root)
     derive_cancelled (c, j, root);
-  else if (j->state == HR_JOB_CANCELLED && hr_job_waits (j))
+  else if (j->state == HR_JOB_CANCELLED && hr_job_has_unfinished_dependencies (j))
     note_for_tombstone (c, j); /* it never was in the list of open jobs */
   if (j->state == HR_JOB_CANCELLED && !j->told)
     hr_dependencies_job_final (c, j);
@@ -162,7 +162,7 @@
     return g_strdup_printf ("withdrawn with %s, which it awaits, directly or through others, and "
                             "which its user withdrew",
                             j->withdrawn_with->id);
-  if (j->state != HR_JOB_QUEUED || !hr_job_waits (j))
+  if (j->state != HR_JOB_QUEUED || !hr_job_has_unfinished_dependencies (j))
     return NULL;
   guint n = 0;
   g_autoptr (GString) names = g_string_new (NULL);
--- a/src/bookkeeping/record.c
+++ b/src/bookkeeping/record.c
@@ -94,7 +94,7 @@
   HrJob job = {.submitted = submitted, .awaits = named, .nawaits = n};
   hr_job_set_spec (&job, spec, tasks_per_page);
   char *text = hr_record_main (&job, names, NULL, HR_JOB_QUEUED, tag, FALSE);
-  hr_job_shrink (&job);
+  hr_job_compact (&job);
   return text;
 }
 
--- a/src/bookkeeping/record_split.c
+++ b/src/bookkeeping/record_split.c
@@ -259,7 +259,7 @@
   guint ops = MAX (1, MIN (c->limits.txn_ops, (guint)(c->write_bucket.burst / 2)));
   step_clear (s);
   g_free (s->tag);
-  s->tag = hr_new_tag (c);
+  s->tag = hr_core_new_tag (c);
   s->conditions = json_array ();
   s->writes = json_array ();
   s->first_page = s->end_page;
--- a/src/bookkeeping/record_writer.c
+++ b/src/bookkeeping/record_writer.c
@@ -103,7 +103,7 @@
     }
     j->shrunk = TRUE;
     hr_garbage_add_job (c, j);
-    hr_job_shrink (j);
+    hr_job_compact (j);
     hr_dependencies_job_final (c, j);
   } else if (j->state == HR_JOB_QUEUED && j->nrdone == j->ntasks)
     mark_page (c, j, j->pages);
@@ -204,8 +204,8 @@
   HrJob *j = c->jobs->pdata[w->job];
   gboolean main = !j->per_page || j->pages[w->page].write_is_final;
   g_autofree char *key = main ? hr_job_record_key (j) : hr_record_page_key (j, w->page);
-  hr_call (c, HR_TO_STORE, NULL, HR_GET, g_strconcat ("/kv/", key, NULL), NULL, WRITE_TIMEOUT_S,
-           on_record_reread, w);
+  hr_core_call (c, HR_TO_STORE, NULL, HR_GET, g_strconcat ("/kv/", key, NULL), NULL,
+                WRITE_TIMEOUT_S, on_record_reread, w);
 }
 
 static void
@@ -267,8 +267,8 @@
   for (guint32 i = from; i < to; i++) {
     HrTask *t = &j->tasks[i];
     /* A job that waits for others has no task: the last guard, here and before launches. */
-    gboolean assign =
-        t->state == HR_TASK_ASSIGNING && j->state == HR_JOB_QUEUED && !hr_job_waits (j);
+    gboolean assign = t->state == HR_TASK_ASSIGNING && j->state == HR_JOB_QUEUED &&
+                      !hr_job_has_unfinished_dependencies (j);
     t->write_in_flight = assign || (t->state == HR_TASK_DONE && !t->done_recorded);
     launch |= assign;
     change |= t->write_in_flight;
@@ -279,7 +279,7 @@
   gboolean gone = j->state != HR_JOB_QUEUED && j->nlive == 0 && !j->shrunk && n == 0;
   if (!change && !done && !gone)
     return;
-  g_autofree char *tag = hr_new_tag (c);
+  g_autofree char *tag = hr_core_new_tag (c);
   char *text = done || gone   ? hr_record_tombstone (j, done ? HR_JOB_DONE : j->state, tag)
                : !j->per_page ? hr_record_main (j, c->names, &c->machine_ids, j->state, tag, TRUE)
                               : hr_record_page (j, n, &c->machine_ids, tag, TRUE);
--- a/src/bookkeeping/replica.c
+++ b/src/bookkeeping/replica.c
@@ -71,8 +71,8 @@
   char *path = c->sync_after
                    ? g_strdup_printf ("/kv?starts=" PREFIX "&after=%s&limit=1000", c->sync_after)
                    : g_strdup ("/kv?starts=" PREFIX "&limit=1000");
-  hr_call (c, HR_TO_STORE, NULL, HR_GET, path, NULL, 5, on_list_page,
-           GUINT_TO_POINTER (c->sync_gen));
+  hr_core_call (c, HR_TO_STORE, NULL, HR_GET, path, NULL, 5, on_list_page,
+                GUINT_TO_POINTER (c->sync_gen));
 }
 
 static void
@@ -132,7 +132,7 @@
   for (guint i = 0; i < c->jobs->len; i++) {
     HrJob *j = c->jobs->pdata[i];
     if (j->known && j->tasks && !j->shrunk) {
-      hr_job_shrink (j);
+      hr_job_compact (j);
       j->stamp = 0;
       j->nlive = j->nrdone = j->ndone = 0;
       j->known = j->state != HR_JOB_QUEUED; /* a final answer, once given, stays */
@@ -241,17 +241,18 @@
     c->waiters = t;
     c->reading = TRUE;
     c->read_sent = c->now;
-    hr_call (c, HR_TO_STORE, NULL, HR_GET,
-             g_strdup_printf ("/changes?starts=" PREFIX "&after=%" G_GUINT64_FORMAT "&hold_ms=0",
-                              c->applied),
-             NULL, READ_TIMEOUT_S, on_read_answer, GUINT_TO_POINTER (c->sync_gen));
+    hr_core_call (c, HR_TO_STORE, NULL, HR_GET,
+                  g_strdup_printf ("/changes?starts=" PREFIX "&after=%" G_GUINT64_FORMAT
+                                   "&hold_ms=0",
+                                   c->applied),
+                  NULL, READ_TIMEOUT_S, on_read_answer, GUINT_TO_POINTER (c->sync_gen));
   }
   if (!c->watching && c->now >= c->watch_not_before) {
     c->watching = TRUE;
-    hr_call (c, HR_TO_STORE, NULL, HR_GET,
-             g_strdup_printf ("/changes?starts=" PREFIX "&after=%" G_GUINT64_FORMAT
-                              "&hold_ms=10000",
-                              c->applied),
-             NULL, 14, on_watch_answer, GUINT_TO_POINTER (c->sync_gen));
+    hr_core_call (c, HR_TO_STORE, NULL, HR_GET,
+                  g_strdup_printf ("/changes?starts=" PREFIX "&after=%" G_GUINT64_FORMAT
+                                   "&hold_ms=10000",
+                                   c->applied),
+                  NULL, 14, on_watch_answer, GUINT_TO_POINTER (c->sync_gen));
   }
 }
--- a/src/bookkeeping/replica_changes.c
+++ b/src/bookkeeping/replica_changes.c
@@ -85,7 +85,7 @@
       j->withdrawn_with = hr_job_get (c, r.cancelled_with);
     hr_garbage_add_job (c, j);
     if (!c->leads || !j->nlive)
-      hr_job_shrink (j);
+      hr_job_compact (j);
     hr_dependencies_job_final (c, j);
     return TRUE;
   }
--- a/src/bookkeeping/tables.c
+++ b/src/bookkeeping/tables.c
@@ -6,7 +6,7 @@
 void
 hr_job_free (HrJob *j)
 {
-  hr_job_shrink (j);
+  hr_job_compact (j);
   g_free (j->awaits);
   if (j->dependents)
     g_ptr_array_unref (j->dependents);
@@ -15,7 +15,7 @@
 }
 
 void
-hr_job_shrink (HrJob *j)
+hr_job_compact (HrJob *j)
 {
   g_clear_pointer (&j->tasks, g_free);
   for (guint i = 0; i < j->npages; i++)
@@ -32,9 +32,9 @@
 void
 hr_job_set_spec (HrJob *j, const HrJobSpec *s, guint tasks_per_page)
 {
-  hr_job_shrink (j);
+  hr_job_compact (j);
   j->spec = *s;
-  j->rank = s->rank;
+  j->rank = s->priority;
   j->ntasks = s->tasks;
   j->per_page = tasks_per_page;
   j->resplit = FALSE;
@@ -50,7 +50,7 @@
 }
 
 gboolean
-hr_job_waits (const HrJob *j)
+hr_job_has_unfinished_dependencies (const HrJob *j)
 {
   for (guint i = 0; i < j->nawaits; i++)
     if (j->awaits[i]->state != HR_JOB_DONE)
@@ -59,7 +59,7 @@
 }
 
 double
-hr_job_since (const HrJob *j)
+hr_job_eligible_since (const HrJob *j)
 {
   return j->nawaits ? j->ready_since : j->submitted;
 }
@@ -79,7 +79,7 @@
 }
 
 void
-hr_class_use_image (HrClassStat *s, guint32 image, guint tasks)
+hr_class_use_image (HrClassStats *s, guint32 image, guint tasks)
 {
   guint at = s->nimages;
   for (guint i = 0; i < s->nimages; i++) {
@@ -148,14 +148,14 @@
   m->spot = spot;
   m->cpus += t->cpus;
   m->gpus += t->gpus;
-  m->mem += t->mem;
+  m->mem += t->memory_gb;
 }
 
 gboolean
 hr_machine_fits (const HrMachine *m, const HrJobSpec *s)
 {
   return s->cpus <= m->cpus - m->foreign_cpus + EPS && s->gpus <= m->gpus - m->foreign_gpus + EPS &&
-         s->mem <= m->mem - m->foreign_mem + EPS;
+         s->memory_gb <= m->mem - m->foreign_mem + EPS;
 }
 
 gboolean
@@ -169,7 +169,7 @@
 gboolean
 hr_machine_fits_unreserved (const HrMachine *m, const HrJobSpec *s)
 {
-  return hr_machine_has_unreserved (m, s->cpus, s->gpus, s->mem);
+  return hr_machine_has_unreserved (m, s->cpus, s->gpus, s->memory_gb);
 }
 
 void
@@ -178,7 +178,7 @@
   g_array_append_val (m->tasks, r);
   m->cpus -= s->cpus;
   m->gpus -= s->gpus;
-  m->mem -= s->mem;
+  m->mem -= s->memory_gb;
   m->idle_at = 0;
 }
 
@@ -191,7 +191,7 @@
       g_array_remove_index_fast (m->tasks, i);
       m->cpus += s->cpus;
       m->gpus += s->gpus;
-      m->mem += s->mem;
+      m->mem += s->memory_gb;
       return;
     }
   }
--- a/src/bookkeeping/tables.h
+++ b/src/bookkeeping/tables.h
@@ -82,7 +82,7 @@
   GPtrArray *dependents; /* HrJob whose records name this one; NULL: none, or this one is final */
   HrJob *withdrawn_with; /* the cancelled job that took this one along; NULL: none did */
   double ready_since;    /* time of day when its last awaited job was seen done; 0: not yet */
-  HrRank rank;           /* the highest of its own and of those that need it (urgency.c) */
+  HrPriority rank;       /* the highest of its own and of those that need it (urgency.c) */
   /* The owner's. */
   gboolean listed;    /* in the owner's list of open jobs */
   guint32 nlive;      /* tasks assigning or bound */
@@ -199,29 +199,29 @@
   HrImageUse images[12];    /* the most used ones, most used first */
   guint nimages;
   HrShape shape;
-  HrRank rank;
+  HrPriority rank;
   gboolean spot, seen;
   guint64 types;
   guint64 teams;  /* whose jobs are of it: bits, by index modulo 64 */
   guint headroom; /* tasks that room is kept for in this pass */
-} HrClassStat;
+} HrClassStats;
 
 void hr_job_free (HrJob *j);
 void hr_machine_free (HrMachine *m);
 void hr_job_set_spec (HrJob *j, const HrJobSpec *s, guint tasks_per_page);
 /* Drops what a final job no longer needs. */
-void hr_job_shrink (HrJob *j);
+void hr_job_compact (HrJob *j);
 /* Is some job that it awaits not recorded as done? One that was not read yet is not. */
-gboolean hr_job_waits (const HrJob *j);
+gboolean hr_job_has_unfinished_dependencies (const HrJob *j);
 /* Time of day from which its times other than `due_s` count. */
-double hr_job_since (const HrJob *j);
+double hr_job_eligible_since (const HrJob *j);
 HrRecordPage *hr_job_page (HrJob *j, guint32 task);
 /* A placed task takes a machine's name, a session and an attempt: room for long names. */
 #define HR_PLACED_TASK_BYTES 48
 /* How many tasks a record or page of production holds. */
 guint hr_tasks_per_page (double value_kb);
 /* Counts tasks that use the image; older ones count less and less. */
-void hr_class_use_image (HrClassStat *s, guint32 image, guint tasks);
+void hr_class_use_image (HrClassStats *s, guint32 image, guint tasks);
 gboolean hr_machine_has_image (const HrMachine *m, guint32 image);
 void hr_machine_touch_image (HrMachine *m, guint32 image);
 void hr_machine_forget_image (HrMachine *m, guint32 image);
--- a/src/bookkeeping/transactions.c
+++ b/src/bookkeeping/transactions.c
@@ -91,7 +91,7 @@
       g_queue_pop_head (&c->txns[k]);
       c->txns_out++;
       json_t *o = json_pack ("{sOsO}", "when", t->conditions, "writes", t->writes);
-      hr_call (c, HR_TO_STORE, NULL, HR_POST, g_strdup ("/commit"), hr_json_take_text (o),
-               t->timeout_s, on_commit, t);
+      hr_core_call (c, HR_TO_STORE, NULL, HR_POST, g_strdup ("/commit"), hr_json_take_text (o),
+                    t->timeout_s, on_commit, t);
     }
 }
--- a/src/client/hoprock.c
+++ b/src/client/hoprock.c
@@ -104,14 +104,14 @@
     return body;
   }
   HrSubmission *job = &o->job;
-  if (!job->klass || !job->team || !job->image || job->cpus <= 0) {
+  if (!job->job_class || !job->team || !job->image || job->cpus <= 0) {
     *error = g_strdup ("--class, --team, --image and --cpus are needed, or --file");
     return NULL;
   }
   if (!job->id)
     job->id = g_strdup_printf ("job-%09d", g_random_int_range (0, 1000000000));
   job->shape = job->shape ? job->shape : g_strdup ("batch");
-  job->rank = job->rank ? job->rank : g_strdup ("normal");
+  job->priority = job->priority ? job->priority : g_strdup ("normal");
   return hr_submission_text (job);
 }
 
@@ -244,10 +244,11 @@
 {
   const GOptionEntry entries[] = {
       {"id", 0, 0, G_OPTION_ARG_STRING, &j->id, "its id; default: drawn", "job-NAME"},
-      {"class", 0, 0, G_OPTION_ARG_STRING, &j->klass, "class of jobs", "NAME"},
+      {"class", 0, 0, G_OPTION_ARG_STRING, &j->job_class, "class of jobs", "NAME"},
       {"team", 0, 0, G_OPTION_ARG_STRING, &j->team, "team", "NAME"},
       {"shape", 0, 0, G_OPTION_ARG_STRING, &j->shape, "batch, ensemble or daemon", "SHAPE"},
-      {"rank", 0, 0, G_OPTION_ARG_STRING, &j->rank, "production, urgent, normal or low", "RANK"},
+      {"rank", 0, 0, G_OPTION_ARG_STRING, &j->priority, "production, urgent, normal or low",
+       "RANK"},
       {"tasks", 0, 0, G_OPTION_ARG_INT, &j->tasks, "number of tasks", "N"},
       {"cpus", 0, 0, G_OPTION_ARG_DOUBLE, &j->cpus, "CPUs of each task", "N"},
       {"gpus", 0, 0, G_OPTION_ARG_DOUBLE, &j->accelerators, "accelerators of each task", "N"},
@@ -259,7 +260,7 @@
       {"zone", 0, 0, G_OPTION_ARG_STRING, &j->zone, "the only allowed zone", "NAME"},
       {"together", 0, 0, G_OPTION_ARG_NONE, &j->one_zone, "all tasks in one zone", NULL},
       {"apart", 0, 0, G_OPTION_ARG_NONE, &j->spread, "at most half of the tasks in a zone", NULL},
-      {"spot", 0, 0, G_OPTION_ARG_NONE, &j->spot, "may use spot machines", NULL},
+      {"spot", 0, 0, G_OPTION_ARG_NONE, &j->allows_spot, "may use spot machines", NULL},
       {"estimate", 0, 0, G_OPTION_ARG_DOUBLE, &j->estimate_s, "run time of a task", "S"},
       {"checkpoint", 0, 0, G_OPTION_ARG_DOUBLE, &j->checkpoint_s, "between checkpoints", "S"},
       {"save", 0, 0, G_OPTION_ARG_DOUBLE, &j->save_s, "time to save when stopped", "S"},
@@ -306,8 +307,8 @@
 options_clear (Options *o)
 {
   HrSubmission *j = &o->job;
-  char *texts[] = {o->server, o->file, j->id,    j->klass, j->team,
-                   j->shape,  j->rank, j->image, j->zone};
+  char *texts[] = {o->server, o->file,     j->id,    j->job_class, j->team,
+                   j->shape,  j->priority, j->image, j->zone};
   for (guint i = 0; i < G_N_ELEMENTS (texts); i++)
     g_free (texts[i]);
   g_strfreev (j->types);
--- a/src/coordination/admission.c
+++ b/src/coordination/admission.c
@@ -13,7 +13,7 @@
   for (guint i = 0; i < c->types->len; i++) {
     const HrMachineType *type = &g_array_index (c->types, HrMachineType, i);
     if ((s->types && !(s->types >> type->type & 1)) || s->cpus > type->cpus ||
-        s->gpus > type->gpus || s->mem > type->mem)
+        s->gpus > type->gpus || s->memory_gb > type->memory_gb)
       continue;
     for (guint k = 0; k < type->zones->len; k++) {
       guint32 zone = g_array_index (type->zones, guint32, k);
--- a/src/coordination/arrivals.c
+++ b/src/coordination/arrivals.c
@@ -9,7 +9,7 @@
 /* Tasks arriving a second, smoothed. What arrives in one bunch (at the very start,
  * or after an outage) says little about what comes next, so it counts capped. */
 double
-hr_class_arrivals (HrCore *c, HrClassStat *s, guint n)
+hr_class_arrivals (HrCore *c, HrClassStats *s, guint n)
 {
   double keep = exp (-BUCKET_S / RATE_TAU_S);
   if (!s->bucket_at)
@@ -32,7 +32,7 @@
 void
 hr_job_open (HrCore *c, HrJob *j)
 {
-  if (j->listed || j->shrunk || hr_job_waits (j))
+  if (j->listed || j->shrunk || hr_job_has_unfinished_dependencies (j))
     return;
   j->listed = TRUE;
   g_array_append_val (c->open, j->idx);
@@ -41,23 +41,23 @@
   hr_priority_inheritance_job_read (c, j);
   /* When a job of which the end of the last awaited one was not seen became ready nobody knows. */
   gboolean unknown = j->nawaits && (c->sync != HR_REPLICA_FOLLOWING || j->state != HR_JOB_QUEUED);
-  if (j->counted || unknown || c->wall - hr_job_since (j) > 30)
+  if (j->counted || unknown || c->wall - hr_job_eligible_since (j) > 30)
     return;
   j->counted = TRUE;
   g_debug ("%s arrives: %s, %u tasks, estimate %.0f s, image %s of %.1f GB", j->id,
-           hr_intern_name (&c->names->classes, j->spec.klass), j->ntasks, j->spec.estimate,
+           hr_intern_name (&c->names->classes, j->spec.job_class), j->ntasks, j->spec.estimate_s,
            hr_intern_name (&c->names->images, j->spec.image), j->spec.image_gb);
-  HrClassStat *s = hr_class (c, j->spec.klass);
+  HrClassStats *s = hr_class_stats (c, j->spec.job_class);
   hr_class_arrivals (c, s, j->ntasks);
   double k = s->seen ? 0.2 : 1;
   s->seen = TRUE;
   s->cpus += k * (j->spec.cpus - s->cpus);
   s->gpus += k * (j->spec.gpus - s->gpus);
-  s->mem += k * (j->spec.mem - s->mem);
+  s->mem += k * (j->spec.memory_gb - s->mem);
   hr_class_use_image (s, j->spec.image, j->ntasks);
   s->shape = j->spec.shape;
-  s->rank = j->spec.rank; /* its own: what it is needed for differs from job to job */
-  s->spot = j->spec.spot;
+  s->rank = j->spec.priority; /* its own: what it is needed for differs from job to job */
+  s->spot = j->spec.allows_spot;
   s->types = j->spec.types;
   s->teams |= G_GUINT64_CONSTANT (1) << j->spec.team % 64;
 }
--- a/src/coordination/core.c
+++ b/src/coordination/core.c
@@ -25,8 +25,8 @@
 }
 
 void
-hr_call (HrCore *c, HrTarget target, const char *addr, HrMethod method, char *path, char *body,
-         double timeout, HrResultCallback fn, gpointer data)
+hr_core_call (HrCore *c, HrTarget target, const char *addr, HrMethod method, char *path, char *body,
+              double timeout, HrResultCallback fn, gpointer data)
 {
   HrEffect *e = effect (c, HR_EFFECT_CALL);
   e->id = ++c->next_call;
@@ -44,7 +44,7 @@
 }
 
 void
-hr_reply (HrCore *c, guint64 id, int status, json_t *body, int retry_after)
+hr_core_reply (HrCore *c, guint64 id, int status, json_t *body, int retry_after)
 {
   HrEffect *e = effect (c, HR_EFFECT_REPLY);
   e->id = id;
@@ -54,7 +54,7 @@
 }
 
 void
-hr_reply_text (HrCore *c, guint64 id, char *text)
+hr_core_reply_text (HrCore *c, guint64 id, char *text)
 {
   HrEffect *e = effect (c, HR_EFFECT_REPLY);
   e->id = id;
@@ -64,15 +64,15 @@
 }
 
 void
-hr_refuse (HrCore *c, guint64 id, int status, int retry_after, const char *reason)
+hr_core_refuse (HrCore *c, guint64 id, int status, int retry_after, const char *reason)
 {
   /* A parser's message may quote bytes of the request that are no UTF-8. */
   g_autofree char *text = g_utf8_make_valid (reason, -1);
-  hr_reply (c, id, status, json_pack ("{ss}", "error", text), retry_after);
+  hr_core_reply (c, id, status, json_pack ("{ss}", "error", text), retry_after);
 }
 
 char *
-hr_new_tag (HrCore *c)
+hr_core_new_tag (HrCore *c)
 {
   return g_strdup_printf ("%s.%" G_GUINT64_FORMAT, c->incarnation, ++c->next_tag);
 }
@@ -145,14 +145,14 @@
   return c->machines->pdata[i];
 }
 
-HrClassStat *
-hr_class (HrCore *c, guint32 klass)
+HrClassStats *
+hr_class_stats (HrCore *c, guint32 job_class)
 {
-  while (c->classes->len <= klass) {
-    HrClassStat s = {.correction = 1};
+  while (c->classes->len <= job_class) {
+    HrClassStats s = {.correction = 1};
     g_array_append_val (c->classes, s);
   }
-  return &g_array_index (c->classes, HrClassStat, klass);
+  return &g_array_index (c->classes, HrClassStats, job_class);
 }
 
 const HrTeam *
@@ -199,7 +199,7 @@
   c->jobs = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_job_free);
   c->machines = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_machine_free);
   c->open = g_array_new (FALSE, TRUE, sizeof (guint32));
-  c->classes = g_array_new (FALSE, TRUE, sizeof (HrClassStat));
+  c->classes = g_array_new (FALSE, TRUE, sizeof (HrClassStats));
   c->dirty = g_array_new (FALSE, TRUE, sizeof (HrDirtyPage));
   c->garbage = g_array_new (FALSE, TRUE, sizeof (HrObsoletePage));
   c->to_split = g_array_new (FALSE, TRUE, sizeof (guint32));
@@ -334,7 +334,7 @@
       if (g_strcmp0 (cmd->path, "/hello") == 0)
         hr_heartbeat_received (c, cmd);
       else if (g_strcmp0 (cmd->path, HR_METRICS_PATH) == 0 && cmd->method == HR_GET)
-        hr_reply_text (c, cmd->id, hr_metrics_text (c));
+        hr_core_reply_text (c, cmd->id, hr_metrics_text (c));
       else
         hr_user_request_received (c, cmd);
       break;
--- a/src/coordination/direct_orders.c
+++ b/src/coordination/direct_orders.c
@@ -68,9 +68,9 @@
   g_debug ("direct: machine=%s session=%u token=%" G_GUINT64_FORMAT " stops=%u launches=%u",
            m->name, m->incarnation, c->baton, hr_orders_count (orders, "kill"),
            hr_orders_count (orders, "launch"));
-  hr_call (c, HR_TO_WORKER, m->addr, HR_POST, g_strdup ("/do"),
-           hr_orders_text (c->baton, m->incarnation, orders), DIRECT_TIMEOUT_S, on_direct_answer,
-           d);
+  hr_core_call (c, HR_TO_WORKER, m->addr, HR_POST, g_strdup ("/do"),
+                hr_orders_text (c->baton, m->incarnation, orders), DIRECT_TIMEOUT_S,
+                on_direct_answer, d);
 }
 
 void
--- a/src/coordination/dispatch.c
+++ b/src/coordination/dispatch.c
@@ -215,11 +215,11 @@
 }
 
 static int
-by_rank (gconstpointer a, gconstpointer b)
+by_priority (gconstpointer a, gconstpointer b)
 {
   const HrJob *x = *(HrJob *const *)a, *y = *(HrJob *const *)b;
-  if (hr_job_rank (x) != hr_job_rank (y))
-    return hr_job_rank (x) < hr_job_rank (y) ? -1 : 1;
+  if (hr_job_priority (x) != hr_job_priority (y))
+    return hr_job_priority (x) < hr_job_priority (y) ? -1 : 1;
   return hr_by_submission (a, b);
 }
 
@@ -240,7 +240,7 @@
       if (j->tasks[x.task].stop_wanted) {
         r->cpus += j->spec.cpus;
         r->gpus += j->spec.gpus;
-        r->mem += j->spec.mem;
+        r->mem += j->spec.memory_gb;
       }
     }
   }
@@ -264,7 +264,7 @@
     else if (j->short_since)
       complete_gang (c, j);
   }
-  g_ptr_array_sort (services, by_rank);
+  g_ptr_array_sort (services, by_priority);
   hr_replicas_start (c, services);
   guint n = c->fleet->len;
   g_autoptr (GHashTable) blocked =
--- a/src/coordination/failover.c
+++ b/src/coordination/failover.c
@@ -15,7 +15,7 @@
   m->foreign_cpus = m->foreign_gpus = m->foreign_mem = 0;
   m->cpus = type ? type->cpus : 0;
   m->gpus = type ? type->gpus : 0;
-  m->mem = type ? type->mem : 0;
+  m->mem = type ? type->memory_gb : 0;
   m->heard_at = m->answered_at = m->unreceived_at = m->deaf_at = 0;
   m->rented_here = FALSE;
   m->token = 0;
--- a/src/coordination/fleet.c
+++ b/src/coordination/fleet.c
@@ -129,8 +129,8 @@
     return;
   }
   c->deletes_out++;
-  hr_call (c, HR_TO_CLOUD, NULL, HR_POST, g_strdup ("/rentals/delete"),
-           hr_json_take_text (json_pack ("{so}", "rockhands", names)), 5, on_deleted, d);
+  hr_core_call (c, HR_TO_CLOUD, NULL, HR_POST, g_strdup ("/rentals/delete"),
+                hr_json_take_text (json_pack ("{so}", "rockhands", names)), 5, on_deleted, d);
 }
 
 static void
@@ -153,8 +153,8 @@
   if (!c->types_asked && (c->now - c->types_at > 30 || !c->types_at)) {
     c->types_asked = TRUE;
     c->types_at = c->now;
-    hr_call (c, HR_TO_CLOUD, NULL, HR_GET, g_strdup ("/machine_types"), NULL, 5, on_machine_types,
-             NULL);
+    hr_core_call (c, HR_TO_CLOUD, NULL, HR_GET, g_strdup ("/machine_types"), NULL, 5,
+                  on_machine_types, NULL);
   }
   if (!c->leads || !hr_leadership_may_answer (c))
     return;
--- a/src/coordination/heartbeats.c
+++ b/src/coordination/heartbeats.c
@@ -73,7 +73,7 @@
   if (j && j->known && j->ntasks) {
     m->foreign_cpus += j->spec.cpus;
     m->foreign_gpus += j->spec.gpus;
-    m->foreign_mem += j->spec.mem;
+    m->foreign_mem += j->spec.memory_gb;
   }
   hr_orders_stop (c, m, orders, it->job, it->task, it->attempt,
                   j && j->state == HR_JOB_CANCELLED ? "withdrawn" : "not_recorded_here");
@@ -153,7 +153,7 @@
     if (t->state != HR_TASK_BOUND || t->stop_wanted)
       continue;
     if (j->spec.shape == HR_GANG) {
-      hr_gang_end_attempt (c, j, j->spec.save + 1);
+      hr_gang_end_attempt (c, j, j->spec.save_s + 1);
       continue;
     }
     double est = hr_estimate_run_time (c, j, m);
@@ -162,9 +162,9 @@
      * can; the rest is moved at once. */
     if (left < r->preemption_notice_s * 0.7)
       continue;
-    if (j->spec.checkpoint > 0 && r->preemption_notice_s > j->spec.save + 4 &&
+    if (j->spec.checkpoint_s > 0 && r->preemption_notice_s > j->spec.save_s + 4 &&
         t->reported_state == HR_REPORTED_RUNNING)
-      hr_task_stop (c, j, ref.task, j->spec.save + 1);
+      hr_task_stop (c, j, ref.task, j->spec.save_s + 1);
     else
       hr_task_stop (c, j, ref.task, 0);
   }
@@ -191,9 +191,9 @@
   for (guint i = 0; i < c->set->members->len; i++)
     known |= g_strcmp0 (g_array_index (c->set->members, HrMember, i).label, c->map_owner) == 0;
   if (c->leads || !known)
-    hr_refuse (c, cmd->id, 503, 0, "this node may not act for the controllers now");
+    hr_core_refuse (c, cmd->id, 503, 0, "this node may not act for the controllers now");
   else
-    hr_reply (c, cmd->id, 421, json_pack ("{ss}", "foreman", c->map_owner), 0);
+    hr_core_reply (c, cmd->id, 421, json_pack ("{ss}", "foreman", c->map_owner), 0);
 }
 
 static void
@@ -247,7 +247,7 @@
 {
   ++*counter;
   hr_lease_renewal_log_refusal (c, r->machine, reason);
-  hr_refuse (c, cmd->id, 503, 0, text);
+  hr_core_refuse (c, cmd->id, 503, 0, text);
 }
 
 /* May the machine be answered at all? If not, the report is refused. */
@@ -289,7 +289,7 @@
 hr_heartbeat_received (HrCore *c, HrCommand *cmd)
 {
   if (cmd->method != HR_POST) {
-    hr_refuse (c, cmd->id, 405, 0, "use POST");
+    hr_core_refuse (c, cmd->id, 405, 0, "use POST");
     return;
   }
   c->contact_count++;
@@ -306,7 +306,7 @@
   if (!r) {
     g_info ("a report was dropped: %s", why);
     c->counters.reports_malformed++;
-    hr_refuse (c, cmd->id, 400, 0, why);
+    hr_core_refuse (c, cmd->id, 400, 0, why);
     return;
   }
   if (r->fencing_token > c->baton) {
--- a/src/coordination/instance_list.c
+++ b/src/coordination/instance_list.c
@@ -11,7 +11,7 @@
   c->listing = TRUE;
   char *path = c->list_after ? g_strdup_printf ("/rentals?after=%s&limit=500", c->list_after)
                              : g_strdup ("/rentals?limit=500");
-  hr_call (c, HR_TO_CLOUD, NULL, HR_GET, path, NULL, 5, on_list, NULL);
+  hr_core_call (c, HR_TO_CLOUD, NULL, HR_GET, path, NULL, 5, on_list, NULL);
 }
 
 static void
--- a/src/coordination/instance_requests.c
+++ b/src/coordination/instance_requests.c
@@ -108,12 +108,12 @@
 static void
 send_instance_request (HrCore *c, Rental *r)
 {
-  hr_call (c, HR_TO_CLOUD, NULL, HR_POST, g_strdup ("/rentals"),
-           hr_json_take_text (json_pack ("{sssssssbsi}", "ask", r->name, "hull",
-                                         hr_intern_name (&c->names->types, r->type), "quarry",
-                                         hr_intern_name (&c->names->zones, r->zone), "loaners",
-                                         r->is_spot, "count", (int)r->count)),
-           6, on_instances_answer, r);
+  hr_core_call (c, HR_TO_CLOUD, NULL, HR_POST, g_strdup ("/rentals"),
+                hr_json_take_text (json_pack ("{sssssssbsi}", "ask", r->name, "hull",
+                                              hr_intern_name (&c->names->types, r->type), "quarry",
+                                              hr_intern_name (&c->names->zones, r->zone), "loaners",
+                                              r->is_spot, "count", (int)r->count)),
+                6, on_instances_answer, r);
 }
 
 void
--- a/src/coordination/leadership.c
+++ b/src/coordination/leadership.c
@@ -181,9 +181,9 @@
   if (!c->claim) {
     if (!c->claim_asked) {
       c->claim_asked = c->now;
-      hr_call (c, HR_TO_STORE, NULL, HR_POST, g_strdup ("/leases"),
-               g_strdup_printf ("{\"life_ms\":%d}", (int)(c->pol.leader_lease_s * 1000)), 2,
-               on_lock_lease_granted, NULL);
+      hr_core_call (c, HR_TO_STORE, NULL, HR_POST, g_strdup ("/leases"),
+                    g_strdup_printf ("{\"life_ms\":%d}", (int)(c->pol.leader_lease_s * 1000)), 2,
+                    on_lock_lease_granted, NULL);
     }
     return;
   }
@@ -266,9 +266,9 @@
 {
   c->fenced = c->baton;
   if (c->claim)
-    hr_call (c, HR_TO_STORE, NULL, HR_DELETE,
-             g_strdup_printf ("/leases/%" G_GUINT64_FORMAT, c->claim), NULL, 2,
-             on_lock_lease_renewed, NULL);
+    hr_core_call (c, HR_TO_STORE, NULL, HR_DELETE,
+                  g_strdup_printf ("/leases/%" G_GUINT64_FORMAT, c->claim), NULL, 2,
+                  on_lock_lease_renewed, NULL);
   c->claim = 0;
 }
 
@@ -391,9 +391,9 @@
       c->now - c->claim_tried > c->pol.leader_lease_s / 4) {
     c->touching = TRUE;
     c->claim_tried = c->now;
-    hr_call (c, HR_TO_STORE, NULL, HR_POST,
-             g_strdup_printf ("/leases/%" G_GUINT64_FORMAT "/touch", c->claim), NULL,
-             c->pol.leader_lease_s / 4, on_lock_lease_renewed, NULL);
+    hr_core_call (c, HR_TO_STORE, NULL, HR_POST,
+                  g_strdup_printf ("/leases/%" G_GUINT64_FORMAT "/touch", c->claim), NULL,
+                  c->pol.leader_lease_s / 4, on_lock_lease_renewed, NULL);
   }
   if (c->sync == HR_REPLICA_FOLLOWING) {
     consider_election (c);
--- a/src/coordination/lease_renewal.c
+++ b/src/coordination/lease_renewal.c
@@ -113,7 +113,7 @@
   json_decref (orders);
   c->counters.reports_refused_order++;
   hr_lease_renewal_log_refusal (c, m->name, reason);
-  hr_refuse (c, cmd->id, 503, 0, "an order to this worker may still come");
+  hr_core_refuse (c, cmd->id, 503, 0, "an order to this worker may still come");
 }
 
 void
@@ -143,6 +143,6 @@
   c->counters.reports_overtaken += kind == HR_HEARTBEAT_OVERTAKEN;
   c->counters.reports_before_token += kind == HR_HEARTBEAT_BEFORE_TOKEN;
   log_answer (c, m, r, kind, orders);
-  hr_reply (c, cmd->id, 200, json_pack ("{sIso}", "baton", (json_int_t)c->baton, "orders", orders),
-            0);
+  hr_core_reply (c, cmd->id, 200,
+                 json_pack ("{sIso}", "baton", (json_int_t)c->baton, "orders", orders), 0);
 }
--- a/src/coordination/mtedf.c
+++ b/src/coordination/mtedf.c
@@ -130,7 +130,7 @@
 {
   const HrMachineType *t = hr_machine_type_of (c, m);
   return s->cpus <= t->cpus - m->fixed_cpus + 1e-6 && s->gpus <= t->gpus - m->fixed_gpus + 1e-6 &&
-         s->mem <= t->mem - m->fixed_mem + 1e-6;
+         s->memory_gb <= t->memory_gb - m->fixed_mem + 1e-6;
 }
 
 /* A gang takes one slot in each chosen list, with a common start: the machines
--- a/src/coordination/orders.c
+++ b/src/coordination/orders.c
@@ -12,7 +12,7 @@
 {
   /* What an earlier owner recorded is not launched: it may have ended and made
    * place for others since. It is seen on its machine, or proven gone. */
-  return j->state == HR_JOB_QUEUED && !hr_job_waits (j) && !t->stop_wanted &&
+  return j->state == HR_JOB_QUEUED && !hr_job_has_unfinished_dependencies (j) && !t->stop_wanted &&
          !t->from_earlier_term &&
          (j->spec.shape != HR_GANG ||
           (!j->gang_over && hr_gang_ready (j) && !hr_gang_delays_launch (c, j, t)));
--- a/src/coordination/preemption.c
+++ b/src/coordination/preemption.c
@@ -16,7 +16,7 @@
 static gboolean
 may_stop (HrCore *c, const HrJob *victim, const HrJob *j)
 {
-  if (hr_job_rank (victim) > hr_job_rank (j))
+  if (hr_job_priority (victim) > hr_job_priority (j))
     return TRUE;
   return victim->spec.team != j->spec.team && hr_team_exceeds_guarantee (c, victim, 0) &&
          !hr_team_exceeds_guarantee (c, j, 1);
@@ -26,8 +26,8 @@
 hr_preemption_loss (HrCore *c, const HrJob *v, const HrTask *t)
 {
   double ran = t->running_since ? c->now - t->running_since : 0;
-  if (v->spec.checkpoint > 0)
-    ran = MIN (ran, v->spec.save + 5);
+  if (v->spec.checkpoint_s > 0)
+    ran = MIN (ran, v->spec.save_s + 5);
   return ran + 1 + (v->spec.shape == HR_GANG ? 1000 : 0);
 }
 
@@ -36,9 +36,9 @@
 {
   const HrTask *t = &v->tasks[task];
   double grace =
-      v->spec.checkpoint > 0 && t->reported_state == HR_REPORTED_RUNNING ? v->spec.save + 1 : 0;
+      v->spec.checkpoint_s > 0 && t->reported_state == HR_REPORTED_RUNNING ? v->spec.save_s + 1 : 0;
   if (v->spec.shape == HR_GANG)
-    hr_gang_end_attempt (c, v, v->spec.save + 1);
+    hr_gang_end_attempt (c, v, v->spec.save_s + 1);
   else
     hr_task_stop (c, v, task, grace);
 }
@@ -51,7 +51,8 @@
   double cpus = m->cpus - m->foreign_cpus, gpus = m->gpus - m->foreign_gpus,
          mem = m->mem - m->foreign_mem, cost = 0;
   for (guint k = 0; k < m->tasks->len; k++) {
-    if (cpus + 1e-6 >= j->spec.cpus && gpus + 1e-6 >= j->spec.gpus && mem + 1e-6 >= j->spec.mem)
+    if (cpus + 1e-6 >= j->spec.cpus && gpus + 1e-6 >= j->spec.gpus &&
+        mem + 1e-6 >= j->spec.memory_gb)
       break;
     HrTaskRef x = g_array_index (m->tasks, HrTaskRef, k);
     HrJob *v = c->jobs->pdata[x.job];
@@ -61,14 +62,15 @@
       continue;
     cpus += v->spec.cpus;
     gpus += v->spec.gpus;
-    mem += v->spec.mem;
+    mem += v->spec.memory_gb;
     cost += hr_preemption_loss (c, v, t);
     if (stop) {
       g_info ("%s/%u on %s makes room for %s, whose image is there", v->id, x.task, m->name, j->id);
       hr_task_stop (c, v, x.task, 0);
     }
   }
-  return cpus + 1e-6 >= j->spec.cpus && gpus + 1e-6 >= j->spec.gpus && mem + 1e-6 >= j->spec.mem
+  return cpus + 1e-6 >= j->spec.cpus && gpus + 1e-6 >= j->spec.gpus &&
+                 mem + 1e-6 >= j->spec.memory_gb
              ? cost
              : INFINITY;
 }
@@ -113,18 +115,18 @@
       HrTaskRef x = g_array_index (m->tasks, HrTaskRef, k);
       HrJob *v = c->jobs->pdata[x.job];
       HrTask *t = &v->tasks[x.task];
-      if (cpus >= j->spec.cpus && gpus >= j->spec.gpus && mem >= j->spec.mem)
+      if (cpus >= j->spec.cpus && gpus >= j->spec.gpus && mem >= j->spec.memory_gb)
         break;
       if (t->state != HR_TASK_BOUND || t->stop_wanted || (others && v->spec.team == j->spec.team) ||
           !may_stop (c, v, j))
         continue;
       cpus += v->spec.cpus;
       gpus += v->spec.gpus;
-      mem += v->spec.mem;
+      mem += v->spec.memory_gb;
       cost += hr_preemption_loss (c, v, t);
     }
-    if (cpus + 1e-6 >= j->spec.cpus && gpus + 1e-6 >= j->spec.gpus && mem + 1e-6 >= j->spec.mem &&
-        cost < least) {
+    if (cpus + 1e-6 >= j->spec.cpus && gpus + 1e-6 >= j->spec.gpus &&
+        mem + 1e-6 >= j->spec.memory_gb && cost < least) {
       least = cost;
       best = r;
     }
@@ -136,7 +138,7 @@
     HrJob *v = c->jobs->pdata[x.job];
     HrTask *t = &v->tasks[x.task];
     if (best->cpus + 1e-6 >= j->spec.cpus && best->gpus + 1e-6 >= j->spec.gpus &&
-        best->mem + 1e-6 >= j->spec.mem)
+        best->mem + 1e-6 >= j->spec.memory_gb)
       break;
     if (t->state != HR_TASK_BOUND || t->stop_wanted || (others && v->spec.team == j->spec.team) ||
         !may_stop (c, v, j))
@@ -144,8 +146,8 @@
     g_info ("%s/%u on %s makes room for %s", v->id, x.task, best->machine->name, j->id);
     best->cpus += v->spec.cpus;
     best->gpus += v->spec.gpus;
-    best->mem += v->spec.mem;
+    best->mem += v->spec.memory_gb;
     hr_preempt_task (c, v, x.task);
   }
-  return hr_free_capacity_take (best, j->spec.cpus, j->spec.gpus, j->spec.mem);
+  return hr_free_capacity_take (best, j->spec.cpus, j->spec.gpus, j->spec.memory_gb);
 }
--- a/src/coordination/priority_inheritance.c
+++ b/src/coordination/priority_inheritance.c
@@ -12,15 +12,15 @@
 static double
 own_deadline (const HrCore *c, const HrJob *j)
 {
-  if (j->spec.deadline >= 0)
-    return j->submitted + j->spec.deadline;
-  double since = hr_job_since (j);
+  if (j->spec.deadline_s >= 0)
+    return j->submitted + j->spec.deadline_s;
+  double since = hr_job_eligible_since (j);
   if (j->nawaits && since <= 0)
     return INFINITY; /* counts from when it is ready */
-  double deadline = since + c->pol.default_deadline * MAX (j->spec.estimate, LEAST_ESTIMATE_S);
+  double deadline = since + c->pol.default_deadline * MAX (j->spec.estimate_s, LEAST_ESTIMATE_S);
   for (guint i = 0; i < c->set->objectives->len; i++) {
     const HrObjective *a = &g_array_index (c->set->objectives, HrObjective, i);
-    if (a->job_class == j->spec.klass && a->kind == HR_OBJECTIVE_FINISHED && a->within_s > 0)
+    if (a->job_class == j->spec.job_class && a->kind == HR_OBJECTIVE_FINISHED && a->within_s > 0)
       deadline = MIN (deadline, since + a->within_s);
   }
   return deadline;
@@ -33,11 +33,11 @@
 }
 
 static void
-set (HrCore *c, HrJob *j, HrRank rank, double deadline)
+set (HrCore *c, HrJob *j, HrPriority priority, double deadline)
 {
   if (j->deadline != deadline)
     hr_job_unplan (c, j); /* lists are in the order of deadlines */
-  j->rank = rank;
+  j->rank = priority;
   j->deadline = deadline;
   c->plan_dirty = TRUE;
 }
@@ -46,11 +46,11 @@
 static gboolean
 take_over_urgency (HrCore *c, HrJob *j, const HrJob *dependent)
 {
-  double latest = dependent->deadline - dependent->spec.estimate;
-  HrRank rank = MIN (j->rank, dependent->rank);
-  if (rank == j->rank && latest >= j->deadline)
+  double latest = dependent->deadline - dependent->spec.estimate_s;
+  HrPriority priority = MIN (j->rank, dependent->rank);
+  if (priority == j->rank && latest >= j->deadline)
     return FALSE;
-  set (c, j, rank, MIN (j->deadline, latest));
+  set (c, j, priority, MIN (j->deadline, latest));
   return TRUE;
 }
 
@@ -58,18 +58,18 @@
 static gboolean
 recompute (HrCore *c, HrJob *j)
 {
-  HrRank rank = j->spec.rank;
+  HrPriority priority = j->spec.priority;
   double deadline = own_deadline (c, j);
   for (guint i = 0; j->dependents && i < j->dependents->len; i++) {
     const HrJob *d = j->dependents->pdata[i];
     if (!is_counted (d))
       continue;
-    rank = MIN (rank, d->rank);
-    deadline = MIN (deadline, d->deadline - d->spec.estimate);
+    priority = MIN (priority, d->rank);
+    deadline = MIN (deadline, d->deadline - d->spec.estimate_s);
   }
-  if (rank == j->rank && deadline == j->deadline)
+  if (priority == j->rank && deadline == j->deadline)
     return FALSE;
-  set (c, j, rank, deadline);
+  set (c, j, priority, deadline);
   return TRUE;
 }
 
--- a/src/coordination/projection.c
+++ b/src/coordination/projection.c
@@ -30,8 +30,9 @@
   if (j->part != HR_NONE && j->part < c->nparts && m->part != j->part)
     return FALSE;
   return t && (!s->types || (s->types >> m->type & 1)) &&
-         (s->zone == HR_NONE || s->zone == m->zone) && (s->spot || !m->spot) &&
-         s->cpus <= t->cpus + 1e-6 && s->gpus <= t->gpus + 1e-6 && s->mem <= t->mem + 1e-6;
+         (s->zone == HR_NONE || s->zone == m->zone) && (s->allows_spot || !m->spot) &&
+         s->cpus <= t->cpus + 1e-6 && s->gpus <= t->gpus + 1e-6 &&
+         s->memory_gb <= t->memory_gb + 1e-6;
 }
 
 /* Images that a machine fetches at the same time share its rate; tasks of one image
@@ -65,19 +66,19 @@
 double
 hr_estimate_run_time (HrCore *c, const HrJob *j, const HrMachine *m)
 {
-  double run = j->spec.estimate > 0 ? j->spec.estimate : 60;
-  run *= hr_class (c, j->spec.klass)->correction;
+  double run = j->spec.estimate_s > 0 ? j->spec.estimate_s : 60;
+  run *= hr_class_stats (c, j->spec.job_class)->correction;
   return run + hr_estimate_fetch_time (c, j, m);
 }
 
 typedef struct {
-  double end, cpus, gpus, mem;
+  double end, cpus, gpus, memory_gb;
 } Busy;
 
 static void
 add_busy (GArray *busy, double end, const HrJobSpec *s)
 {
-  Busy b = {end, s->cpus, s->gpus, s->mem};
+  Busy b = {end, s->cpus, s->gpus, s->memory_gb};
   guint i = busy->len;
   g_array_append_val (busy, b);
   for (; i > 0 && g_array_index (busy, Busy, i - 1).end > end; i--)
@@ -91,8 +92,8 @@
   if (j->spec.shape == HR_SERVICE)
     return INFINITY;
   const HrMachineType *ty = hr_machine_type_of (c, m);
-  double est = j->spec.estimate > 0 ? j->spec.estimate : 60;
-  est *= hr_class (c, j->spec.klass)->correction;
+  double est = j->spec.estimate_s > 0 ? j->spec.estimate_s : 60;
+  est *= hr_class_stats (c, j->spec.job_class)->correction;
   if (!t->running_since && ty && !hr_machine_has_image (m, j->spec.image))
     est += j->spec.image_gb / ty->fetch_rate;
   double end = (t->running_since ? t->running_since : t->bound_since) + est;
@@ -134,21 +135,22 @@
     start = MAX (start, j->retry_at);
     while (busy->len) {
       Busy b = g_array_index (busy, Busy, 0);
-      gboolean fits = s->cpus <= cpus + 1e-6 && s->gpus <= gpus + 1e-6 && s->mem <= mem + 1e-6;
+      gboolean fits =
+          s->cpus <= cpus + 1e-6 && s->gpus <= gpus + 1e-6 && s->memory_gb <= mem + 1e-6;
       if (b.end > start && (fits || !isfinite (b.end)))
         break;
       cpus += b.cpus;
       gpus += b.gpus;
-      mem += b.mem;
+      mem += b.memory_gb;
       start = MAX (start, b.end);
       g_array_remove_index (busy, 0);
     }
-    if (!(s->cpus <= cpus + 1e-6 && s->gpus <= gpus + 1e-6 && s->mem <= mem + 1e-6))
+    if (!(s->cpus <= cpus + 1e-6 && s->gpus <= gpus + 1e-6 && s->memory_gb <= mem + 1e-6))
       start = c->now + 1e6; /* behind services for good: as good as never */
     else {
       cpus -= s->cpus;
       gpus -= s->gpus;
-      mem -= s->mem;
+      mem -= s->memory_gb;
       add_busy (busy, start + hr_estimate_run_time (c, j, m), s);
       from = start; /* deadline order: nobody starts before the one ahead of him */
     }
--- a/src/coordination/quota_preemption.c
+++ b/src/coordination/quota_preemption.c
@@ -18,7 +18,7 @@
 may_stop (const HrCore *c, const HrJob *victim, guint32 task, const HrJob *j)
 {
   const HrTask *t = &victim->tasks[task];
-  return victim->spec.team == j->spec.team && hr_job_rank (victim) > hr_job_rank (j) &&
+  return victim->spec.team == j->spec.team && hr_job_priority (victim) > hr_job_priority (j) &&
          victim->state == HR_JOB_QUEUED && !victim->gang_over && t->state == HR_TASK_BOUND &&
          !t->stop_wanted;
 }
--- a/src/coordination/quotas.c
+++ b/src/coordination/quotas.c
@@ -94,8 +94,8 @@
   gboolean short_x = x->short_since > 0, short_y = y->short_since > 0;
   if (short_x != short_y)
     return short_x ? -1 : 1;
-  if (hr_job_rank (x) != hr_job_rank (y))
-    return hr_job_rank (x) < hr_job_rank (y) ? -1 : 1;
+  if (hr_job_priority (x) != hr_job_priority (y))
+    return hr_job_priority (x) < hr_job_priority (y) ? -1 : 1;
   if (x->deadline != y->deadline)
     return x->deadline < y->deadline ? -1 : 1;
   return x->idx < y->idx ? -1 : x->idx > y->idx;
@@ -105,12 +105,12 @@
 static double
 run_time (HrCore *c, const HrJob *j)
 {
-  double fetch = 0, run = j->spec.estimate > 0 ? j->spec.estimate : 60;
+  double fetch = 0, run = j->spec.estimate_s > 0 ? j->spec.estimate_s : 60;
   if (j->spec.shape == HR_SERVICE)
     return INFINITY;
   for (guint i = 0; i < c->types->len; i++)
     fetch = MAX (fetch, j->spec.image_gb / g_array_index (c->types, HrMachineType, i).fetch_rate);
-  return run * hr_class (c, j->spec.klass)->correction + fetch;
+  return run * hr_class_stats (c, j->spec.job_class)->correction + fetch;
 }
 
 /* A task of the team, and when its share of the limit is free again. */
@@ -222,11 +222,11 @@
 static void
 limit_headroom (HrCore *c)
 {
-  for (HrRank rank = HR_PRODUCTION; rank <= HR_LOW; rank++)
+  for (HrPriority priority = HR_PRIORITY_PRODUCTION; priority <= HR_PRIORITY_LOW; priority++)
     for (guint k = 0; k < c->classes->len; k++) {
-      HrClassStat *s = &g_array_index (c->classes, HrClassStat, k);
-      guint wanted = s->rank == rank ? hr_headroom_wanted (c, k) : 0, n = 0;
-      if (s->rank != rank)
+      HrClassStats *s = &g_array_index (c->classes, HrClassStats, k);
+      guint wanted = s->rank == priority ? hr_headroom_wanted (c, k) : 0, n = 0;
+      if (s->rank != priority)
         continue;
       for (guint t = 0; t < c->teams->len && n < wanted; t++) {
         HrTeamUsage *u = &g_array_index (c->teams, HrTeamUsage, t);
--- a/src/coordination/replicas.c
+++ b/src/coordination/replicas.c
@@ -7,10 +7,10 @@
 static double
 start_left (const HrCore *c, const HrJob *j)
 {
-  double left = INFINITY, waited = c->wall - hr_job_since (j);
+  double left = INFINITY, waited = c->wall - hr_job_eligible_since (j);
   for (guint i = 0; i < c->set->objectives->len; i++) {
     const HrObjective *a = &g_array_index (c->set->objectives, HrObjective, i);
-    if (a->job_class == j->spec.klass &&
+    if (a->job_class == j->spec.job_class &&
         (a->kind == HR_OBJECTIVE_WAIT || a->kind == HR_OBJECTIVE_UP) &&
         a->within_s > waited + PREEMPTION_S)
       left = MIN (left, a->within_s - waited);
@@ -25,7 +25,7 @@
   const HrMachineType *t = hr_machine_type_of (c, m);
   return m->fixed_cpus + replicas * s->cpus <= t->cpus + 1e-6 &&
          m->fixed_gpus + replicas * s->gpus <= t->gpus + 1e-6 &&
-         m->fixed_mem + replicas * s->mem <= t->mem + 1e-6;
+         m->fixed_mem + replicas * s->memory_gb <= t->memory_gb + 1e-6;
 }
 
 /* The next arrivals need places where their image is. Are there too few for this one?
@@ -33,13 +33,13 @@
 static gboolean
 short_of_places (HrCore *c, const HrJob *j)
 {
-  HrClassStat *s = hr_class (c, j->spec.klass);
+  HrClassStats *s = hr_class_stats (c, j->spec.job_class);
   double weight = 0, own = 0, open = 0, fetch = INFINITY, within = INFINITY;
   for (guint i = 0; i < c->types->len; i++)
     fetch = MIN (fetch, j->spec.image_gb / g_array_index (c->types, HrMachineType, i).fetch_rate);
   for (guint i = 0; i < c->set->objectives->len; i++) {
     HrObjective *a = &g_array_index (c->set->objectives, HrObjective, i);
-    if (a->job_class == j->spec.klass && a->kind == HR_OBJECTIVE_WAIT)
+    if (a->job_class == j->spec.job_class && a->kind == HR_OBJECTIVE_WAIT)
       within = MIN (within, a->within_s);
   }
   if (fetch + PREEMPTION_S <= within)
@@ -52,11 +52,11 @@
   for (guint i = 0; i < c->fleet->len; i++) {
     HrMachine *m = c->fleet->pdata[i];
     if (m->state == HR_MACHINE_UP && !m->drain && m->type != HR_NONE &&
-        (!m->spot || j->spec.spot) && hr_machine_has_image (m, j->spec.image) &&
+        (!m->spot || j->spec.allows_spot) && hr_machine_has_image (m, j->spec.image) &&
         stays_open (c, &j->spec, m, 1))
       open++;
   }
-  return weight > 0 && open < hr_headroom (c, j->spec.klass) * own / weight;
+  return weight > 0 && open < hr_headroom (c, j->spec.job_class) * own / weight;
 }
 
 /* The sooner its image is there the better; then fuller machines first, so that others
@@ -106,7 +106,7 @@
       }
       best->fixed_cpus += j->spec.cpus;
       best->fixed_gpus += j->spec.gpus;
-      best->fixed_mem += j->spec.mem;
+      best->fixed_mem += j->spec.memory_gb;
       hr_dispatch_start (c, j, k, best);
     }
   }
--- a/src/coordination/scale_out.c
+++ b/src/coordination/scale_out.c
@@ -12,7 +12,7 @@
 typedef struct {
   guint32 type, zone;
   gboolean is_spot;
-  double cpus, gpus, mem; /* left on the last machine counted */
+  double cpus, gpus, memory_gb; /* left on the last machine counted */
   guint machines;
 } Need;
 
@@ -26,10 +26,11 @@
   double least = INFINITY;
   for (guint i = 0; i < c->types->len; i++) {
     const HrMachineType *t = &g_array_index (c->types, HrMachineType, i);
-    if ((types && !(types >> t->type & 1)) || cpus > t->cpus || gpus > t->gpus || mem > t->mem)
+    if ((types && !(types >> t->type & 1)) || cpus > t->cpus || gpus > t->gpus ||
+        mem > t->memory_gb)
       continue;
     for (int spot = 0; spot <= (spot_ok && c->pol.spot_use > 0); spot++) {
-      double share = MAX (MAX (cpus / t->cpus, gpus > 0 ? gpus / t->gpus : 0), mem / t->mem);
+      double share = MAX (MAX (cpus / t->cpus, gpus > 0 ? gpus / t->gpus : 0), mem / t->memory_gb);
       double price = (spot ? t->spot_price : t->price) * share;
       if (price < least && !hr_capacity_is_refused (c, t->type, zone, spot)) {
         least = price;
@@ -51,15 +52,15 @@
     n = &g_array_index (needs, Need, needs->len - 1);
     *n = (Need){best->type, zone, best_spot, 0, 0, 0, 0};
   }
-  if (cpus > n->cpus + 1e-6 || gpus > n->gpus + 1e-6 || mem > n->mem + 1e-6) {
+  if (cpus > n->cpus + 1e-6 || gpus > n->gpus + 1e-6 || mem > n->memory_gb + 1e-6) {
     n->machines++;
     n->cpus = best->cpus;
     n->gpus = best->gpus;
-    n->mem = best->mem;
+    n->memory_gb = best->memory_gb;
   }
   n->cpus -= cpus;
   n->gpus -= gpus;
-  n->mem -= mem;
+  n->memory_gb -= mem;
 }
 
 /* Room that is free, or will be once a boot or a stop has ended. Busy machines
@@ -102,9 +103,10 @@
 /* How many tasks of a class cannot wait for a boot: replicas of services, and
  * classes for whose start or end there is an aim. */
 guint
-hr_headroom_wanted (HrCore *c, guint32 klass)
+hr_headroom_wanted (HrCore *c, guint32 job_class)
 {
-  HrClassStat *s = hr_class (c, klass); /* a class known from old records alone has no row yet */
+  HrClassStats *s =
+      hr_class_stats (c, job_class); /* a class known from old records alone has no row yet */
   double boots = 0;
   if (!s->seen)
     return 0;
@@ -112,9 +114,9 @@
     boots = c->pol.headroom_boots;
   for (guint i = 0; i < c->set->objectives->len && s->shape != HR_SERVICE; i++) {
     HrObjective *a = &g_array_index (c->set->objectives, HrObjective, i);
-    if (a->job_class == klass && a->kind == HR_OBJECTIVE_WAIT)
+    if (a->job_class == job_class && a->kind == HR_OBJECTIVE_WAIT)
       boots = MAX (boots, c->pol.headroom_waits);
-    else if (a->job_class == klass && a->kind == HR_OBJECTIVE_DEADLINE)
+    else if (a->job_class == job_class && a->kind == HR_OBJECTIVE_DEADLINE)
       boots = MAX (boots, c->pol.headroom_deadlines);
   }
   double base = s->shape == HR_SERVICE ? c->pol.headroom_base : 0;
@@ -122,16 +124,16 @@
 }
 
 guint
-hr_headroom (HrCore *c, guint32 klass)
+hr_headroom (HrCore *c, guint32 job_class)
 {
-  return hr_class (c, klass)->headroom;
+  return hr_class_stats (c, job_class)->headroom;
 }
 
 void
 hr_scale_out_headroom (HrCore *c, HrFreeCapacity *capacities, guint n_capacities, GArray *needs)
 {
   for (guint k = 0; k < c->classes->len; k++) {
-    HrClassStat *s = &g_array_index (c->classes, HrClassStat, k);
+    HrClassStats *s = &g_array_index (c->classes, HrClassStats, k);
     HrCapacityCursor at = {0};
     for (guint n = hr_headroom (c, k); n > 0; n--)
       if (!find_free_capacity (c, capacities, n_capacities, &at, NULL, s->cpus, s->gpus, s->mem,
@@ -146,9 +148,9 @@
                        GArray *needs, HrJob *j)
 {
   const HrJobSpec *s = &j->spec;
-  if (!find_free_capacity (c, capacities, booting, at, j, s->cpus, s->gpus, s->mem, s->spot,
-                           s->types))
-    add_demand (c, needs, s->types, s->zone, s->spot, s->cpus, s->gpus, s->mem);
+  if (!find_free_capacity (c, capacities, booting, at, j, s->cpus, s->gpus, s->memory_gb,
+                           s->allows_spot, s->types))
+    add_demand (c, needs, s->types, s->zone, s->allows_spot, s->cpus, s->gpus, s->memory_gb);
 }
 
 /* The whole fleet is too small for the gang, and the cloud gives no more. Machines rented
@@ -165,7 +167,7 @@
     guint32 t = g_array_index (c->types, HrMachineType, i).type;
     if ((!j->spec.types || j->spec.types >> t & 1) &&
         (!hr_capacity_is_refused (c, t, j->spec.zone, FALSE) ||
-         (j->spec.spot && c->pol.spot_use > 0 &&
+         (j->spec.allows_spot && c->pol.spot_use > 0 &&
           !hr_capacity_is_refused (c, t, j->spec.zone, TRUE))))
       return FALSE;
   }
@@ -192,7 +194,7 @@
   for (; n < m->list->len; n++) {
     const HrJobSpec *s =
         &((HrJob *)c->jobs->pdata[g_array_index (m->list, HrTaskRef, n).job])->spec;
-    if (!hr_free_capacity_take (capacity, s->cpus, s->gpus, s->mem))
+    if (!hr_free_capacity_take (capacity, s->cpus, s->gpus, s->memory_gb))
       break;
   }
   return n;
@@ -294,18 +296,18 @@
     ready = MAX (ready, a->ends_at);
     cpus += a->nlive * a->spec.cpus;
     gpus += a->nlive * a->spec.gpus;
-    mem += a->nlive * a->spec.mem;
+    mem += a->nlive * a->spec.memory_gb;
   }
   /* One that may wait for a boot does. */
-  if (ready + boot_time (c) + s->estimate <= j->deadline - c->wall + c->now)
+  if (ready + boot_time (c) + s->estimate_s <= j->deadline - c->wall + c->now)
     return 0;
   double fit = j->ntasks;
   if (s->cpus > 0)
     fit = MIN (fit, floor (cpus / s->cpus));
   if (s->gpus > 0)
     fit = MIN (fit, floor (gpus / s->gpus));
-  if (s->mem > 0)
-    fit = MIN (fit, floor (mem / s->mem));
+  if (s->memory_gb > 0)
+    fit = MIN (fit, floor (mem / s->memory_gb));
   return j->ntasks - (guint)fit;
 }
 
@@ -332,14 +334,14 @@
       HrJob *d = j->dependents->pdata[k];
       HrCapacityCursor at = {0};
       guint left = d->state == HR_JOB_QUEUED && d->tasks ? tasks_ahead (c, d, j, horizon) : 0;
-      guint use = MIN (left, kept[d->spec.klass]);
-      kept[d->spec.klass] -= use;
+      guint use = MIN (left, kept[d->spec.job_class]);
+      kept[d->spec.job_class] -= use;
       for (guint n = MIN (left - use, MAX_NEXT_STEP_TASKS); n > 0 && hr_team_allows_start (c, d, 1);
            n--)
         if (!find_free_capacity (c, capacities, n_capacities, &at, NULL, d->spec.cpus, d->spec.gpus,
-                                 d->spec.mem, d->spec.spot, d->spec.types))
-          add_demand (c, needs, d->spec.types, d->spec.zone, d->spec.spot, d->spec.cpus,
-                      d->spec.gpus, d->spec.mem);
+                                 d->spec.memory_gb, d->spec.allows_spot, d->spec.types))
+          add_demand (c, needs, d->spec.types, d->spec.zone, d->spec.allows_spot, d->spec.cpus,
+                      d->spec.gpus, d->spec.memory_gb);
     }
   }
 }
--- a/src/coordination/service_reservations.c
+++ b/src/coordination/service_reservations.c
@@ -18,7 +18,7 @@
 /* Keeps room for n tasks of a class on machines that are up, with this image if any is
  * named, on busy ones only if asked for. Returns how many found none. */
 static guint
-reserve_capacity (HrCore *c, const HrClassStat *s, guint32 image, gboolean busy, guint n)
+reserve_capacity (HrCore *c, const HrClassStats *s, guint32 image, gboolean busy, guint n)
 {
   for (guint k = 0; k < c->fleet->len && n; k++) {
     HrMachine *m = c->fleet->pdata[k];
@@ -46,7 +46,7 @@
         continue;
       m->fixed_cpus += s->cpus;
       m->fixed_gpus += s->gpus;
-      m->fixed_mem += s->mem;
+      m->fixed_mem += s->memory_gb;
     }
   }
   for (guint i = 0; i < c->open->len; i++) {
@@ -58,11 +58,11 @@
     for (guint k = 0; k < c->fleet->len && left; k++) {
       HrMachine *m = c->fleet->pdata[k];
       if (m->state == HR_MACHINE_BOOTING && hr_job_allows_machine (c, j, m))
-        left = reserve_on_machine (m, s->cpus, s->gpus, s->mem, left);
+        left = reserve_on_machine (m, s->cpus, s->gpus, s->memory_gb, left);
     }
   }
   for (guint i = 0; i < c->classes->len; i++) {
-    HrClassStat *s = &g_array_index (c->classes, HrClassStat, i);
+    HrClassStats *s = &g_array_index (c->classes, HrClassStats, i);
     guint left = s->seen && s->shape == HR_SERVICE ? hr_headroom (c, i) : 0, all = left;
     double weight = 0;
     for (guint k = 0; k < s->nimages; k++)
--- a/src/coordination/shards.c
+++ b/src/coordination/shards.c
@@ -38,12 +38,12 @@
 task_slots (const HrMachine *m, const HrJobSpec *s)
 {
   guint n = 0;
-  double cpus = s->cpus, gpus = s->gpus, mem = s->mem;
+  double cpus = s->cpus, gpus = s->gpus, mem = s->memory_gb;
   while (n < s->tasks && hr_machine_has_unreserved (m, cpus, gpus, mem)) {
     n++;
     cpus += s->cpus;
     gpus += s->gpus;
-    mem += s->mem;
+    mem += s->memory_gb;
   }
   return n;
 }
--- a/src/coordination/starvation_guard.c
+++ b/src/coordination/starvation_guard.c
@@ -60,8 +60,8 @@
 static gboolean
 is_harder_to_place (const HrJobSpec *s, const HrJobSpec *failed)
 {
-  return s->cpus >= failed->cpus && s->gpus >= failed->gpus && s->mem >= failed->mem &&
-         (failed->spot || !s->spot) && failed->zone == HR_NONE && !failed->types &&
+  return s->cpus >= failed->cpus && s->gpus >= failed->gpus && s->memory_gb >= failed->memory_gb &&
+         (failed->allows_spot || !s->allows_spot) && failed->zone == HR_NONE && !failed->types &&
          !failed->one_zone && !failed->spread;
 }
 
--- a/src/coordination/state.h
+++ b/src/coordination/state.h
@@ -177,7 +177,7 @@
   GArray *types;              /* HrMachineType */
   gboolean types_saved;
   guint64 types_stamp;
-  GArray *classes;  /* HrClassStat by class index */
+  GArray *classes;  /* HrClassStats by class index */
   GPtrArray *fleet; /* the machines that are not gone */
 
   /* Planning and the fleet. */
@@ -210,13 +210,15 @@
 };
 
 /* core.c */
-void hr_call (HrCore *c, HrTarget target, const char *addr, HrMethod method, char *path, char *body,
-              double timeout, HrResultCallback fn, gpointer data); /* takes path and body */
-void hr_reply (HrCore *c, guint64 id, int status, json_t *body, int retry_after); /* takes body */
+void hr_core_call (HrCore *c, HrTarget target, const char *addr, HrMethod method, char *path,
+                   char *body, double timeout, HrResultCallback fn,
+                   gpointer data); /* takes path and body */
+void hr_core_reply (HrCore *c, guint64 id, int status, json_t *body,
+                    int retry_after); /* takes body */
 /* Takes the text, which is plain and no JSON. */
-void hr_reply_text (HrCore *c, guint64 id, char *text);
-void hr_refuse (HrCore *c, guint64 id, int status, int retry_after, const char *reason);
-char *hr_new_tag (HrCore *c);
+void hr_core_reply_text (HrCore *c, guint64 id, char *text);
+void hr_core_refuse (HrCore *c, guint64 id, int status, int retry_after, const char *reason);
+char *hr_core_new_tag (HrCore *c);
 gboolean hr_token_bucket_take (HrTokenBucket *b, double now, double n, double keep);
 HrJob *hr_job_find (HrCore *c, const char *id);
 HrJob *hr_job_get (HrCore *c, const char *id); /* makes the row when there is none */
@@ -224,7 +226,7 @@
 gboolean hr_job_unreadable (HrCore *c, const char *id);
 HrMachine *hr_machine_find (HrCore *c, const char *name);
 HrMachine *hr_machine_get (HrCore *c, const char *name);
-HrClassStat *hr_class (HrCore *c, guint32 klass);
+HrClassStats *hr_class_stats (HrCore *c, guint32 job_class);
 const HrTeam *hr_team (const HrCore *c, guint32 team); /* NULL: not known here */
 const HrMachineType *hr_machine_type_of (const HrCore *c, const HrMachine *m);
 const HrMachineType *hr_machine_type_find (const HrCore *c, guint32 name);
@@ -293,7 +295,7 @@
 
 /* arrivals.c */
 /* Counts tasks of the class that arrive; returns how many a second do, smoothed. */
-double hr_class_arrivals (HrCore *c, HrClassStat *s, guint n);
+double hr_class_arrivals (HrCore *c, HrClassStats *s, guint n);
 void hr_job_open (HrCore *c, HrJob *j);
 
 /* takeover.c */
@@ -352,8 +354,8 @@
 void hr_guarantees_mark_jobs (HrCore *c);
 
 /* The rank that counts for the job's order and for what may be stopped. */
-static inline HrRank
-hr_job_rank (const HrJob *j)
+static inline HrPriority
+hr_job_priority (const HrJob *j)
 {
   return j->rank;
 }
@@ -361,8 +363,8 @@
 /* rent.c */
 /* Tasks of the class that spare room is kept for: as many as cannot wait for a boot, within
  * what their teams' limits leave. */
-guint hr_headroom (HrCore *c, guint32 klass);
-guint hr_headroom_wanted (HrCore *c, guint32 klass);
+guint hr_headroom (HrCore *c, guint32 job_class);
+guint hr_headroom_wanted (HrCore *c, guint32 job_class);
 
 /* dispatch.c */
 void hr_dispatch (HrCore *c);
--- a/src/coordination/submissions.c
+++ b/src/coordination/submissions.c
@@ -89,7 +89,7 @@
 {
   g_autofree char *key = g_strconcat ("h/j/", request->id, NULL);
   if (!request->tag)
-    request->tag = hr_new_tag (c);
+    request->tag = hr_core_new_tag (c);
   json_t *when = hr_transaction_require (json_array (), key, 0);
   json_t *writes = hr_transaction_put (
       json_array (), key, first_record (c, request, request->per_page, request->tag), 0);
@@ -127,7 +127,7 @@
     submit_if_possible (c, request);
   else {
     g_autofree char *why = g_strdup_printf ("it awaits %s, which was never accepted", unknown);
-    hr_refuse (c, request->reply_id, 422, 0, why);
+    hr_core_refuse (c, request->reply_id, 422, 0, why);
     hr_request_free (request);
   }
 }
@@ -145,7 +145,7 @@
   gboolean valid =
       o && hr_jobspec_parse (o, c->names, &spec, &id, &why) && hr_jobspec_awaits (o, &awaits, &why);
   if (!valid && !hr_job_id_valid (id)) {
-    hr_refuse (c, cmd->id, 400, 0, why);
+    hr_core_refuse (c, cmd->id, 400, 0, why);
     json_decref (o);
     return;
   }
--- a/src/coordination/task_lifecycle.c
+++ b/src/coordination/task_lifecycle.c
@@ -213,11 +213,11 @@
 static void
 learn_run_time (HrCore *c, HrJob *j, HrTask *t, HrMachine *m)
 {
-  HrClassStat *s = hr_class (c, j->spec.klass);
+  HrClassStats *s = hr_class_stats (c, j->spec.job_class);
   double ran = c->now - t->running_since;
-  if (!t->running_since || j->spec.estimate <= 0 || j->spec.shape == HR_SERVICE)
+  if (!t->running_since || j->spec.estimate_s <= 0 || j->spec.shape == HR_SERVICE)
     return;
-  double ratio = CLAMP (ran / j->spec.estimate, c->pol.correction_least, c->pol.correction_most);
+  double ratio = CLAMP (ran / j->spec.estimate_s, c->pol.correction_least, c->pol.correction_most);
   /* One task counts little: jobs differ far more than a class drifts. */
   s->samples++;
   double k = 1.0 / MIN (2 * s->samples + 1, CORRECTION_WINDOW);
--- a/src/coordination/user_requests.c
+++ b/src/coordination/user_requests.c
@@ -30,7 +30,7 @@
 void
 hr_request_refuse_later (HrCore *c, HrUserRequest *request, int status, const char *why)
 {
-  hr_refuse (c, request->reply_id, status, c->store_down ? 2 : 1, why);
+  hr_core_refuse (c, request->reply_id, status, c->store_down ? 2 : 1, why);
   hr_request_free (request);
 }
 
@@ -75,10 +75,10 @@
                          : j->tasks[i].recorded.machine != HR_NONE);
   const char *st = j->state == HR_JOB_QUEUED && running ? "running" : stances[j->state];
   g_autofree char *why = status_reason (c, j);
-  hr_reply (c, request->reply_id, status,
-            json_pack ("{sssssisiss}", "name_id", request->id, "stance", st, "done", (int)done,
-                       "running", (int)running, "reason", why),
-            0);
+  hr_core_reply (c, request->reply_id, status,
+                 json_pack ("{sssssisiss}", "name_id", request->id, "stance", st, "done", (int)done,
+                            "running", (int)running, "reason", why),
+                 0);
   hr_request_free (request);
 }
 
@@ -115,13 +115,13 @@
   }
   if (!j) {
     if (request->refusal) {
-      hr_refuse (c, request->reply_id, request->refusal, 0, request->why_not);
+      hr_core_refuse (c, request->reply_id, request->refusal, 0, request->why_not);
       hr_request_free (request);
     } else if (request->kind == HR_REQUEST_SUBMIT)
       /* It gets here after a 409, so its record exists. */
       hr_request_refuse_later (c, request, 503, "its record is being written; ask again");
     else {
-      hr_refuse (c, request->reply_id, 404, 0, "no such job was accepted");
+      hr_core_refuse (c, request->reply_id, 404, 0, "no such job was accepted");
       hr_request_free (request);
     }
   } else if (request->kind == HR_REQUEST_CANCEL && j->state == HR_JOB_QUEUED)
@@ -185,7 +185,7 @@
   HrJob *j = hr_job_find (c, request->id);
   g_autofree char *key = hr_job_record_key (j);
   g_free (request->tag);
-  request->tag = hr_new_tag (c);
+  request->tag = hr_core_new_tag (c);
   char *text = hr_record_main (j, c->names, &c->machine_ids, HR_JOB_CANCELLED, request->tag, FALSE);
   request->bytes = strlen (text);
   if (request->bytes > hr_record_layout_max_bytes (c)) {
@@ -205,11 +205,11 @@
 answer_readiness (HrCore *c, HrCommand *cmd)
 {
   if (!c->types || !c->synced_once)
-    hr_refuse (c, cmd->id, 503, 1, "still reading the ledger and the machine types");
+    hr_core_refuse (c, cmd->id, 503, 1, "still reading the ledger and the machine types");
   else if (!hr_replica_is_served (c) && !hr_membership_store_outage_for_all (c))
-    hr_refuse (c, cmd->id, 503, 1, "the state service does not answer this node");
+    hr_core_refuse (c, cmd->id, 503, 1, "the state service does not answer this node");
   else
-    hr_reply (c, cmd->id, 200, json_pack ("{sb}", "ready", 1), 0);
+    hr_core_reply (c, cmd->id, 200, json_pack ("{sb}", "ready", 1), 0);
 }
 
 void
@@ -220,20 +220,20 @@
     if (cmd->method == HR_GET)
       answer_readiness (c, cmd);
     else
-      hr_refuse (c, cmd->id, 405, 0, "use GET");
+      hr_core_refuse (c, cmd->id, 405, 0, "use GET");
     return;
   }
   if (strcmp (p, HR_JOBS_PATH) == 0) {
     if (cmd->method != HR_POST)
-      hr_refuse (c, cmd->id, 405, 0, "use POST");
+      hr_core_refuse (c, cmd->id, 405, 0, "use POST");
     else if (cmd->too_large)
-      hr_refuse (c, cmd->id, 400, 0, "the body is larger than 64 KiB");
+      hr_core_refuse (c, cmd->id, 400, 0, "the body is larger than 64 KiB");
     else
       hr_submit (c, cmd);
     return;
   }
   if (!g_str_has_prefix (p, HR_JOBS_PATH "/")) {
-    hr_refuse (c, cmd->id, 404, 0, "no such path");
+    hr_core_refuse (c, cmd->id, 404, 0, "no such path");
     return;
   }
   g_autofree char *id = g_strdup (p + strlen (HR_JOBS_PATH "/"));
@@ -241,14 +241,14 @@
   if (abort)
     id[strlen (id) - strlen ("/abort")] = 0;
   if (strchr (id, '/') || cmd->method != (abort ? HR_POST : HR_GET)) {
-    hr_refuse (c, cmd->id, strchr (id, '/') ? 404 : 405, 0,
-               strchr (id, '/') ? "no such path"
-               : abort          ? "use POST"
-                                : "use GET");
+    hr_core_refuse (c, cmd->id, strchr (id, '/') ? 404 : 405, 0,
+                    strchr (id, '/') ? "no such path"
+                    : abort          ? "use POST"
+                                     : "use GET");
     return;
   }
   if (!hr_job_id_valid (id)) {
-    hr_refuse (c, cmd->id, 404, 0, "no such job was accepted");
+    hr_core_refuse (c, cmd->id, 404, 0, "no such job was accepted");
     return;
   }
   HrUserRequest *request = g_new0 (HrUserRequest, 1);
--- a/src/protocol/cloud.c
+++ b/src/protocol/cloud.c
@@ -20,7 +20,7 @@
     HrMachineType t = {0};
     const char *sku = hr_json_str (o, "sku");
     if (!sku || !hr_json_num (o, "vcpus", &t.cpus) || !hr_json_num (o, "accelerators", &t.gpus) ||
-        !hr_json_num (o, "memory_gb", &t.mem) || !hr_json_num (o, "cache_gb", &t.cache_gb) ||
+        !hr_json_num (o, "memory_gb", &t.memory_gb) || !hr_json_num (o, "cache_gb", &t.cache_gb) ||
         !hr_json_num (o, "fetch_gb_per_s", &t.fetch_rate) || !hr_json_num (o, "hourly", &t.price) ||
         !hr_json_num (o, "startup_s", &t.boot_s))
       continue;
--- a/src/protocol/cloud.h
+++ b/src/protocol/cloud.h
@@ -4,7 +4,7 @@
 
 typedef struct {
   guint32 type; /* index in names.types */
-  double cpus, gpus, mem, cache_gb, fetch_rate, price, spot_price, boot_s;
+  double cpus, gpus, memory_gb, cache_gb, fetch_rate, price, spot_price, boot_s;
   GArray *zones; /* guint32 */
 } HrMachineType;
 
--- a/src/protocol/jobspec.c
+++ b/src/protocol/jobspec.c
@@ -116,26 +116,28 @@
   int shape = find_name (shapes, 3, hr_json_str (o, "shape"));
   if (shape < 0)
     return bad (reason, "shape", "expected batch, ensemble or daemon");
-  int rank = find_name (ranks, 4, hr_json_str (o, "rank"));
-  if (rank < 0)
+  int priority = find_name (ranks, 4, hr_json_str (o, "rank"));
+  if (priority < 0)
     return bad (reason, "rank", "expected production, urgent, normal or low");
   s->shape = shape;
-  s->rank = rank;
+  s->priority = priority;
   guint64 n;
   if (!hr_json_count (o, "pieces", HR_MAX_TASKS, &n) || n == 0)
     return bad (reason, "pieces", "expected an integer from 1 to 100000");
   s->tasks = n;
   if (!amount (o, "vcpus", &s->cpus, reason) || !amount (o, "accelerators", &s->gpus, reason) ||
-      !amount (o, "memory_gb", &s->mem, reason) || !amount (o, "size_gb", &s->image_gb, reason) ||
-      !amount (o, "guess_s", &s->estimate, reason) ||
-      !amount (o, "cairn_s", &s->checkpoint, reason) || !amount (o, "stash_s", &s->save, reason))
+      !amount (o, "memory_gb", &s->memory_gb, reason) ||
+      !amount (o, "size_gb", &s->image_gb, reason) ||
+      !amount (o, "guess_s", &s->estimate_s, reason) ||
+      !amount (o, "cairn_s", &s->checkpoint_s, reason) ||
+      !amount (o, "stash_s", &s->save_s, reason))
     return FALSE;
   const json_t *due = json_object_get (o, "due_s");
-  s->deadline = -1;
-  if (due && !json_is_null (due) && !amount (o, "due_s", &s->deadline, reason))
+  s->deadline_s = -1;
+  if (due && !json_is_null (due) && !amount (o, "due_s", &s->deadline_s, reason))
     return FALSE;
   if (!flag (o, "together", &s->one_zone, reason) || !flag (o, "apart", &s->spread, reason) ||
-      !flag (o, "loaners", &s->spot, reason))
+      !flag (o, "loaners", &s->allows_spot, reason))
     return FALSE;
   /* Names are interned last, so that a bad submission leaves no trace. */
   const json_t *types = json_object_get (o, "hulls"), *zone = json_object_get (o, "quarry");
@@ -147,7 +149,7 @@
     return bad (reason, "hulls", "expected an array of machine types, or null");
   if (json_is_array (types) && json_array_size (types) == 0)
     return bad (reason, "hulls", "an empty list allows no machine");
-  if (!text_field (o, "jobclass", &names->classes, &s->klass, reason) ||
+  if (!text_field (o, "jobclass", &names->classes, &s->job_class, reason) ||
       !text_field (o, "crew", &names->teams, &s->team, reason) ||
       !text_field (o, "bundle", &names->images, &s->image, reason))
     return FALSE;
@@ -203,33 +205,34 @@
   }
   json_t *zone =
       s->zone == HR_NONE ? json_null () : json_string (hr_intern_name (&names->zones, s->zone));
-  return json_pack ("[sssiiiffffofffobbbf]", hr_intern_name (&names->classes, s->klass),
+  return json_pack ("[sssiiiffffofffobbbf]", hr_intern_name (&names->classes, s->job_class),
                     hr_intern_name (&names->teams, s->team),
-                    hr_intern_name (&names->images, s->image), (int)s->shape, (int)s->rank,
-                    (int)s->tasks, s->cpus, s->gpus, s->mem, s->image_gb, types, s->estimate,
-                    s->checkpoint, s->save, zone, s->one_zone, s->spread, s->spot, s->deadline);
+                    hr_intern_name (&names->images, s->image), (int)s->shape, (int)s->priority,
+                    (int)s->tasks, s->cpus, s->gpus, s->memory_gb, s->image_gb, types,
+                    s->estimate_s, s->checkpoint_s, s->save_s, zone, s->one_zone, s->spread,
+                    s->allows_spot, s->deadline_s);
 }
 
 gboolean
 hr_jobspec_unpack (const json_t *a, HrNames *names, HrJobSpec *s)
 {
   const char *k, *t, *im;
-  int shape, rank, tasks, z, sp, st;
+  int shape, priority, tasks, z, sp, st;
   json_t *types, *zone;
   memset (s, 0, sizeof *s);
-  if (json_unpack ((json_t *)a, "[sssiiiFFFFoFFFobbbF]", &k, &t, &im, &shape, &rank, &tasks,
-                   &s->cpus, &s->gpus, &s->mem, &s->image_gb, &types, &s->estimate, &s->checkpoint,
-                   &s->save, &zone, &z, &sp, &st, &s->deadline) != 0)
+  if (json_unpack ((json_t *)a, "[sssiiiFFFFoFFFobbbF]", &k, &t, &im, &shape, &priority, &tasks,
+                   &s->cpus, &s->gpus, &s->memory_gb, &s->image_gb, &types, &s->estimate_s,
+                   &s->checkpoint_s, &s->save_s, &zone, &z, &sp, &st, &s->deadline_s) != 0)
     return FALSE;
-  if (shape < 0 || shape > 2 || rank < 0 || rank > 3 || tasks < 1 || tasks > HR_MAX_TASKS)
+  if (shape < 0 || shape > 2 || priority < 0 || priority > 3 || tasks < 1 || tasks > HR_MAX_TASKS)
     return FALSE;
   s->shape = shape;
-  s->rank = rank;
+  s->priority = priority;
   s->tasks = tasks;
   s->one_zone = z;
   s->spread = sp;
-  s->spot = st;
-  s->klass = hr_intern (&names->classes, k);
+  s->allows_spot = st;
+  s->job_class = hr_intern (&names->classes, k);
   s->team = hr_intern (&names->teams, t);
   s->image = hr_intern (&names->images, im);
   s->zone = json_is_string (zone) ? hr_intern (&names->zones, json_string_value (zone)) : HR_NONE;
--- a/src/protocol/jobspec.h
+++ b/src/protocol/jobspec.h
@@ -4,7 +4,12 @@
 #include <jansson.h>
 
 typedef enum { HR_BATCH, HR_GANG, HR_SERVICE } HrShape;
-typedef enum { HR_PRODUCTION, HR_URGENT, HR_NORMAL, HR_LOW } HrRank;
+typedef enum {
+  HR_PRIORITY_PRODUCTION,
+  HR_PRIORITY_URGENT,
+  HR_PRIORITY_NORMAL,
+  HR_PRIORITY_LOW
+} HrPriority;
 
 #define HR_MAX_TASKS 100000
 #define HR_MAX_BODY 65536
@@ -20,14 +25,14 @@
 void hr_names_clear (HrNames *n);
 
 typedef struct {
-  guint32 klass, team, image, zone; /* zone: HR_NONE for any */
+  guint32 job_class, team, image, zone; /* zone: HR_NONE for any */
   HrShape shape;
-  HrRank rank;
+  HrPriority priority;
   guint32 tasks;
-  double cpus, gpus, mem, image_gb;
+  double cpus, gpus, memory_gb, image_gb;
   guint64 types; /* bit per machine type; 0: any */
-  gboolean one_zone, spread, spot;
-  double estimate, checkpoint, save, deadline; /* deadline < 0: none */
+  gboolean one_zone, spread, allows_spot;
+  double estimate_s, checkpoint_s, save_s, deadline_s; /* deadline < 0: none */
 } HrJobSpec;
 
 /* `job-` and a name; what a key of the state service can hold. */
--- a/src/protocol/messages.c
+++ b/src/protocol/messages.c
@@ -27,10 +27,10 @@
 {
   json_t *o = json_object ();
   json_object_set_new (o, "name_id", json_string (s->id));
-  json_object_set_new (o, "jobclass", json_string (s->klass));
+  json_object_set_new (o, "jobclass", json_string (s->job_class));
   json_object_set_new (o, "crew", json_string (s->team));
   json_object_set_new (o, "shape", json_string (s->shape));
-  json_object_set_new (o, "rank", json_string (s->rank));
+  json_object_set_new (o, "rank", json_string (s->priority));
   json_object_set_new (o, "pieces", json_integer (s->tasks));
   json_object_set_new (o, "vcpus", json_real (s->cpus));
   json_object_set_new (o, "accelerators", json_real (s->accelerators));
@@ -41,7 +41,7 @@
   json_object_set_new (o, "quarry", text_or_null (s->zone));
   json_object_set_new (o, "together", json_boolean (s->one_zone));
   json_object_set_new (o, "apart", json_boolean (s->spread));
-  json_object_set_new (o, "loaners", json_boolean (s->spot));
+  json_object_set_new (o, "loaners", json_boolean (s->allows_spot));
   json_object_set_new (o, "guess_s", json_real (s->estimate_s));
   json_object_set_new (o, "cairn_s", json_real (s->checkpoint_s));
   json_object_set_new (o, "stash_s", json_real (s->save_s));
--- a/src/protocol/messages.h
+++ b/src/protocol/messages.h
@@ -4,11 +4,11 @@
 
 /* A submission as its user gives it. Names are texts; amounts as in the protocol. */
 typedef struct {
-  char *id, *klass, *team, *shape, *rank, *image, *zone; /* zone: NULL for any */
-  GStrv types, awaits;                                   /* NULL: any; none */
+  char *id, *job_class, *team, *shape, *priority, *image, *zone; /* zone: NULL for any */
+  GStrv types, awaits;                                           /* NULL: any; none */
   int tasks;
   double cpus, accelerators, memory_gb, image_gb;
-  gboolean one_zone, spread, spot;
+  gboolean one_zone, spread, allows_spot;
   double estimate_s, checkpoint_s, save_s, deadline_s; /* deadline_s <= 0: none */
 } HrSubmission;
 
--- a/tests/bench_core.c
+++ b/tests/bench_core.c
@@ -191,7 +191,7 @@
 job (guint i, guint *tasks)
 {
   const char *shape = i % 5 == 0 ? "daemon" : i % 5 < 3 ? "batch" : "ensemble";
-  const char *rank = i % 5 == 0 ? "production" : i % 5 < 3 ? "normal" : "urgent";
+  const char *priority = i % 5 == 0 ? "production" : i % 5 < 3 ? "normal" : "urgent";
   *tasks = i % 5 == 0 ? 1 + i % 6 : i % 5 < 3 ? 10 + i % 20 : 1u << i % 4;
   gboolean gang = i % 5 >= 3;
   return g_strdup_printf (
@@ -199,8 +199,8 @@
       "\"%s\",\"pieces\":%u,\"vcpus\":%d,\"accelerators\":%d,\"memory_gb\":30,\"bundle\":"
       "\"img-%u\",\"size_gb\":5,\"hulls\":null,\"quarry\":null,\"together\":%s,\"apart\":false,"
       "\"loaners\":true,\"guess_s\":60,\"cairn_s\":0,\"stash_s\":0,\"due_s\":%s}",
-      i, shape, shape, rank, *tasks, gang ? 10 : 5, gang ? 2 : 1, i % 10, gang ? "true" : "false",
-      gang ? "null" : "150");
+      i, shape, shape, priority, *tasks, gang ? 10 : 5, gang ? 2 : 1, i % 10,
+      gang ? "true" : "false", gang ? "null" : "150");
 }
 
 static GLogWriterOutput
--- a/tests/sim/user.c
+++ b/tests/sim/user.c
@@ -197,17 +197,17 @@
   j->done = g_new0 (guint, j->tasks);
   j->progress = g_new0 (double, j->tasks);
   static const char *const shapes[] = {"batch", "ensemble", "daemon"};
-  static const char *const ranks[] = {"normal", "urgent", "production"};
+  static const char *const priority_names[] = {"normal", "urgent", "production"};
   static const char *const classes[] = {"array", "gang", "live"};
   g_autofree char *image = g_strdup_printf ("img-%u", j->image);
   json_t *o = json_pack ("{sssssssssssisfsfsfsssfsnsnsbsbsbsfsfsf}", "name_id", j->id, "jobclass",
                          classes[j->shape], "crew", j->team ? j->team : "crew", "shape",
-                         shapes[j->shape], "rank", j->rank ? j->rank : ranks[j->shape], "pieces",
-                         (int)j->tasks, "vcpus", j->cpus, "accelerators", j->gpus, "memory_gb",
-                         j->mem, "bundle", image, "size_gb", j->image_gb, "hulls", "quarry",
-                         "together", j->one_zone, "apart", j->spread, "loaners", j->spot, "guess_s",
-                         j->shape == HR_SERVICE ? 0 : j->run * w_rand (w, 0.5, 2), "cairn_s",
-                         j->checkpoint, "stash_s", j->save);
+                         shapes[j->shape], "rank", j->rank ? j->rank : priority_names[j->shape],
+                         "pieces", (int)j->tasks, "vcpus", j->cpus, "accelerators", j->gpus,
+                         "memory_gb", j->mem, "bundle", image, "size_gb", j->image_gb, "hulls",
+                         "quarry", "together", j->one_zone, "apart", j->spread, "loaners", j->spot,
+                         "guess_s", j->shape == HR_SERVICE ? 0 : j->run * w_rand (w, 0.5, 2),
+                         "cairn_s", j->checkpoint, "stash_s", j->save);
   for (guint i = 0; j->awaits && i < j->awaits->len; i++) {
     if (!i)
       json_object_set_new (o, "awaits", json_array ());
--- a/tests/test_protocol.c
+++ b/tests/test_protocol.c
@@ -39,9 +39,9 @@
   assert_true (parses (JOB, &s, &why));
   assert_int_equal (s.tasks, 16);
   assert_int_equal (s.shape, HR_GANG);
-  assert_int_equal (s.rank, HR_URGENT);
-  assert_true (s.one_zone && !s.spread && s.spot);
-  assert_float_equal (s.deadline, 900, 0);
+  assert_int_equal (s.priority, HR_PRIORITY_URGENT);
+  assert_true (s.one_zone && !s.spread && s.allows_spot);
+  assert_float_equal (s.deadline_s, 900, 0);
   assert_int_equal (s.types, 1);
   assert_int_equal (s.zone, HR_NONE);
 }
--- a/tests/test_readiness.c
+++ b/tests/test_readiness.c
@@ -205,26 +205,26 @@
   assert_int_equal (node_submit (n, "job-2", "[\"job-1\"]", NULL), 201);
   HrJob *first = hr_job_find (n->core, "job-1"), *second = hr_job_find (n->core, "job-2");
   double own = first->deadline;
-  assert_int_equal (first->rank, HR_LOW);
+  assert_int_equal (first->rank, HR_PRIORITY_LOW);
   node_run (n, 30);
   assert_int_equal (node_submit (n, "job-3", "[\"job-2\"]", ",\"due_s\":60,\"rank\":\"urgent\""),
                     201);
   HrJob *last = hr_job_find (n->core, "job-3");
-  assert_int_equal (last->rank, HR_URGENT);
-  assert_int_equal (second->rank, HR_URGENT);
-  assert_int_equal (first->rank, HR_URGENT);
+  assert_int_equal (last->rank, HR_PRIORITY_URGENT);
+  assert_int_equal (second->rank, HR_PRIORITY_URGENT);
+  assert_int_equal (first->rank, HR_PRIORITY_URGENT);
   assert_float_equal (last->deadline, last->submitted + 60, 1e-3);
   assert_float_equal (second->deadline, last->deadline - 20, 1e-3);
   assert_float_equal (first->deadline, last->deadline - 40, 1e-3);
   assert_true (first->deadline < own);
   hr_replica_reset (n->core);
   node_run (n, 3);
-  assert_int_equal (first->rank, HR_URGENT);
+  assert_int_equal (first->rank, HR_PRIORITY_URGENT);
   assert_float_equal (first->deadline, last->deadline - 40, 1e-3);
   /* Nobody needs it urgently any more. */
   assert_int_equal (node_cancel (n, "job-3"), 200);
-  assert_int_equal (second->rank, HR_LOW);
-  assert_int_equal (first->rank, HR_LOW);
+  assert_int_equal (second->rank, HR_PRIORITY_LOW);
+  assert_int_equal (first->rank, HR_PRIORITY_LOW);
   assert_float_equal (first->deadline, own, 1e-3);
   node_free (n);
   ledger_free (l);
@@ -236,7 +236,7 @@
   guint n;
   gboolean awaits[40][40];
   double due[40]; /* 0: none */
-  HrRank rank[40];
+  HrPriority rank[40];
 } Drawn;
 
 #define DRAWN_SEED 4711
@@ -251,18 +251,18 @@
   for (guint i = 0; i < d->n; i++) {
     for (guint k = g_rand_int_range (rand, 0, 4); i && k > 0; k--)
       d->awaits[i][g_rand_int_range (rand, 0, i)] = TRUE;
-    d->rank[i] = HR_LOW;
+    d->rank[i] = HR_PRIORITY_LOW;
     if (g_rand_int_range (rand, 0, 4))
       continue;
     d->due[i] = g_rand_double_range (rand, 100, 900);
-    d->rank[i] = g_rand_int_range (rand, HR_PRODUCTION, HR_LOW + 1);
+    d->rank[i] = g_rand_int_range (rand, HR_PRIORITY_PRODUCTION, HR_PRIORITY_LOW + 1);
   }
 }
 
 static void
 submit_drawn (LoneNode *n, const Drawn *d)
 {
-  static const char *const ranks[] = {"production", "urgent", "normal", "low"};
+  static const char *const priority_names[] = {"production", "urgent", "normal", "low"};
   for (guint i = 0; i < d->n; i++) {
     g_autofree char *id = g_strdup_printf ("job-d%02u", i);
     g_autoptr (GString) awaits = g_string_new ("[");
@@ -272,7 +272,7 @@
     g_string_append_c (awaits, ']');
     g_autofree char *due = d->due[i] > 0 ? g_strdup_printf ("%f", d->due[i]) : g_strdup ("null");
     g_autofree char *more =
-        g_strdup_printf (",\"due_s\":%s,\"rank\":\"%s\"", due, ranks[d->rank[i]]);
+        g_strdup_printf (",\"due_s\":%s,\"rank\":\"%s\"", due, priority_names[d->rank[i]]);
     assert_int_equal (node_submit (n, id, awaits->str, more), 201);
   }
 }
@@ -282,25 +282,25 @@
 check_drawn (LoneNode *n, const Drawn *d, const gboolean *gone)
 {
   double deadline[DRAWN_JOBS];
-  HrRank rank[DRAWN_JOBS];
+  HrPriority priority[DRAWN_JOBS];
   for (gint i = d->n - 1; i >= 0; i--) {
     g_autofree char *id = g_strdup_printf ("job-d%02d", i);
     const HrJob *j = hr_job_find (n->core, id);
     gboolean ready = TRUE;
     for (gint k = 0; k < i; k++)
       ready = ready && !d->awaits[i][k];
-    rank[i] = d->rank[i];
+    priority[i] = d->rank[i];
     deadline[i] = d->due[i] > 0 ? j->submitted + d->due[i]
                   : ready       ? j->submitted + n->core->pol.default_deadline * DRAWN_ESTIMATE_S
                                 : INFINITY;
     for (guint k = i + 1; k < d->n; k++)
       if (d->awaits[k][i] && !gone[k]) {
-        rank[i] = MIN (rank[i], rank[k]);
+        priority[i] = MIN (priority[i], priority[k]);
         deadline[i] = MIN (deadline[i], deadline[k] - DRAWN_ESTIMATE_S);
       }
     if (gone[i])
       continue;
-    assert_int_equal (j->rank, rank[i]);
+    assert_int_equal (j->rank, priority[i]);
     assert_true (j->deadline == deadline[i] || fabs (j->deadline - deadline[i]) < 1e-3);
   }
 }
@@ -352,10 +352,10 @@
     assert_int_equal (node_submit (n, id, awaits, last ? LAST_STEP : NULL), 201);
   }
   const HrJob *first = hr_job_find (n->core, "job-l000"), *last = hr_job_find (n->core, "job-l119");
-  assert_int_equal (first->rank, HR_URGENT);
+  assert_int_equal (first->rank, HR_PRIORITY_URGENT);
   assert_float_equal (first->deadline, last->deadline - (LAYERS - 1) * DRAWN_ESTIMATE_S, 1e-3);
   assert_int_equal (node_cancel (n, "job-l119"), 200);
-  assert_int_equal (first->rank, HR_LOW);
+  assert_int_equal (first->rank, HR_PRIORITY_LOW);
   node_free (n);
   ledger_free (l);
 }
@@ -457,7 +457,7 @@
   assert_int_equal (node_submit (n, "job-1", NULL, ",\"due_s\":900,\"rank\":\"low\""), 201);
   HrJob *j = hr_job_find (n->core, "job-1");
   HrMachine *m = node_machine (n);
-  j->spec.estimate = runs_s;
+  j->spec.estimate_s = runs_s;
   for (guint i = 0; i < j->ntasks; i++) {
     hr_task_assign (n->core, j, i, m, 1);
     j->tasks[i].running_since = n->now;
--- a/tests/test_record.c
+++ b/tests/test_record.c
@@ -11,21 +11,21 @@
 any_spec (GRand *r, HrNames *n, guint tasks)
 {
   HrJobSpec s = {0};
-  s.klass = hr_intern (&n->classes, "k");
+  s.job_class = hr_intern (&n->classes, "k");
   s.team = hr_intern (&n->teams, "t");
   s.image = hr_intern (&n->images, "i");
   s.zone = g_rand_boolean (r) ? HR_NONE : hr_intern (&n->zones, "z");
   s.shape = g_rand_int_range (r, 0, 3);
-  s.rank = g_rand_int_range (r, 0, 4);
+  s.priority = g_rand_int_range (r, 0, 4);
   s.tasks = tasks;
   s.cpus = g_rand_double_range (r, 0, 16);
   s.gpus = g_rand_int_range (r, 0, 4);
-  s.mem = g_rand_double_range (r, 0, 96);
+  s.memory_gb = g_rand_double_range (r, 0, 96);
   s.types = g_rand_boolean (r) ? 0 : 1 + 2 * g_rand_int_range (r, 0, 2);
   s.one_zone = g_rand_boolean (r);
   s.spread = g_rand_boolean (r);
-  s.spot = g_rand_boolean (r);
-  s.deadline = g_rand_boolean (r) ? -1 : g_rand_double_range (r, 1, 100);
+  s.allows_spot = g_rand_boolean (r);
+  s.deadline_s = g_rand_boolean (r) ? -1 : g_rand_double_range (r, 1, 100);
   return s;
 }
 
@@ -33,21 +33,21 @@
 static void
 assert_same_spec (const HrJobSpec *a, const HrJobSpec *b)
 {
-  assert_int_equal (a->klass, b->klass);
+  assert_int_equal (a->job_class, b->job_class);
   assert_int_equal (a->team, b->team);
   assert_int_equal (a->image, b->image);
   assert_int_equal (a->zone, b->zone);
   assert_int_equal (a->shape, b->shape);
-  assert_int_equal (a->rank, b->rank);
+  assert_int_equal (a->priority, b->priority);
   assert_int_equal (a->tasks, b->tasks);
   assert_true (a->types == b->types);
   assert_int_equal (a->one_zone, b->one_zone);
   assert_int_equal (a->spread, b->spread);
-  assert_int_equal (a->spot, b->spot);
-  assert_true (a->cpus == b->cpus && a->gpus == b->gpus && a->mem == b->mem);
-  assert_true (a->image_gb == b->image_gb && a->estimate == b->estimate);
-  assert_true (a->checkpoint == b->checkpoint && a->save == b->save);
-  assert_true (a->deadline == b->deadline);
+  assert_int_equal (a->allows_spot, b->allows_spot);
+  assert_true (a->cpus == b->cpus && a->gpus == b->gpus && a->memory_gb == b->memory_gb);
+  assert_true (a->image_gb == b->image_gb && a->estimate_s == b->estimate_s);
+  assert_true (a->checkpoint_s == b->checkpoint_s && a->save_s == b->save_s);
+  assert_true (a->deadline_s == b->deadline_s);
 }
 
 static void
