--- a/src/bookkeeping/garbage_collection.c
+++ b/src/bookkeeping/garbage_collection.c
@@ -9,8 +9,8 @@
 void
 hr_garbage_add_page (HrCore *c, const HrJob *j, guint tasks_per_page, guint page)
 {
-  HrObsoletePage d = {j->idx, page, tasks_per_page};
-  g_array_append_val (c->garbage, d);
+  HrObsoletePage d = {j->index, page, tasks_per_page};
+  g_array_append_val (c->store.garbage.pages, d);
 }
 
 /* The job has become final, or its record is split anew: so far as we know, these of its pages
@@ -32,10 +32,10 @@
 void
 hr_garbage_page_deleted (HrCore *c, const HrJob *j, guint tasks_per_page, guint page)
 {
-  for (guint i = 0; i < c->garbage->len; i++) {
-    HrObsoletePage *d = &g_array_index (c->garbage, HrObsoletePage, i);
-    if (d->job == j->idx && d->page == page && d->tasks_per_page == tasks_per_page)
-      g_array_remove_index_fast (c->garbage, i--);
+  for (guint i = 0; i < c->store.garbage.pages->len; i++) {
+    HrObsoletePage *d = &g_array_index (c->store.garbage.pages, HrObsoletePage, i);
+    if (d->job == j->index && d->page == page && d->tasks_per_page == tasks_per_page)
+      g_array_remove_index_fast (c->store.garbage.pages, i--);
   }
 }
 
@@ -43,33 +43,36 @@
 on_pages_deleted (HrCore *c, int status, json_t *body, double sent, gpointer data)
 {
   g_autoptr (GArray) batch = data;
-  c->tidying = FALSE;
-  c->tidy_at = c->now + 1;
+  c->store.garbage.deletion_in_flight = FALSE;
+  c->store.garbage.next_deletion_at = c->now + 1;
   for (guint i = 0; i < batch->len && status == 200; i++) {
     const HrObsoletePage *d = &g_array_index (batch, HrObsoletePage, i);
-    hr_garbage_page_deleted (c, c->jobs->pdata[d->job], d->tasks_per_page, d->page);
+    hr_garbage_page_deleted (c, c->store.tables.jobs->pdata[d->job], d->tasks_per_page, d->page);
   } /* otherwise it is tried again */
 }
 
 void
 hr_garbage_tick (HrCore *c)
 {
-  guint n = MIN (MIN (c->garbage->len, PAGES_PER_TRANSACTION), c->limits.txn_ops);
+  guint n = MIN (MIN (c->store.garbage.pages->len, PAGES_PER_TRANSACTION), c->store.limits.txn_ops);
   /* Only what is left over of the allowance. */
-  if (!c->leads || !n || c->tidying || c->now < c->tidy_at || c->dirty->len ||
-      !hr_replica_is_served (c) || c->write_bucket.tokens < c->write_bucket.burst * 0.8)
+  if (!c->leadership.is_leader || !n || c->store.garbage.deletion_in_flight ||
+      c->now < c->store.garbage.next_deletion_at || c->store.writer.dirty_pages->len ||
+      !hr_replica_is_served (c) ||
+      c->store.transactions.allowance.tokens < c->store.transactions.allowance.burst * 0.8)
     return;
   json_t *writes = json_array ();
   GArray *batch = g_array_new (FALSE, FALSE, sizeof (HrObsoletePage));
-  g_array_append_vals (batch, c->garbage->data, n);
+  g_array_append_vals (batch, c->store.garbage.pages->data, n);
   for (guint i = 0; i < n; i++) {
     const HrObsoletePage *d = &g_array_index (batch, HrObsoletePage, i);
-    const HrJob *j = c->jobs->pdata[d->job];
+    const HrJob *j = c->store.tables.jobs->pdata[d->job];
     g_autofree char *key = hr_record_page_key_of (j, d->tasks_per_page, d->page);
     json_array_append_new (writes, json_pack ("{ss}", "delete", key));
   }
-  c->tidying = TRUE;
-  hr_transaction_submit (c, HR_TRANSACTION_BOOKKEEPING,
-                         hr_transaction_require (json_array (), "h/map", c->map_stamp), writes, n,
-                         2, on_pages_deleted, batch);
+  c->store.garbage.deletion_in_flight = TRUE;
+  hr_transaction_submit (
+      c, HR_TRANSACTION_BOOKKEEPING,
+      hr_transaction_require (json_array (), "h/map", c->leadership.record_revision), writes, n, 2,
+      on_pages_deleted, batch);
 }
--- a/src/bookkeeping/record_format.c
+++ b/src/bookkeeping/record_format.c
@@ -12,32 +12,33 @@
 void
 hr_core_set_supported_format (HrCore *c, guint format)
 {
-  c->speaks = format;
+  c->store.format.supported = format;
   if (format)
-    c->limits = c->set->planned;
+    c->store.limits = c->settings->planned;
   else
-    c->limits = (HrStateLimits){c->set->state_rps, c->set->state_write_rps, c->set->value_kb,
-                                c->set->txn_ops};
-  c->write_bucket =
-      (HrTokenBucket){c->limits.write_rps, c->limits.write_rps, c->limits.write_rps, 0};
+    c->store.limits = (HrStateLimits){c->settings->state_rps, c->settings->state_write_rps,
+                                      c->settings->value_kb, c->settings->txn_ops};
+  c->store.transactions.allowance = (HrTokenBucket){
+      c->store.limits.write_rps, c->store.limits.write_rps, c->store.limits.write_rps, 0};
 }
 
 void
 hr_record_format_read (HrCore *c, const json_t *value, guint64 revision)
 {
   guint64 format = 0;
-  if (!c->speaks || !value)
+  if (!c->store.format.supported || !value)
     return;
   if (!hr_json_count (value, "f", G_MAXUINT32, &format)) {
     g_warning ("the format in the state service makes no sense; left as it was");
     return;
   }
-  if (format > c->speaks)
-    g_warning ("records are of format %u, this version understands %u", (guint)format, c->speaks);
-  else if (format > c->format)
+  if (format > c->store.format.supported)
+    g_warning ("records are of format %u, this version understands %u", (guint)format,
+               c->store.format.supported);
+  else if (format > c->store.format.agreed)
     g_message ("records are of format %u from now on", (guint)format);
-  c->format = MAX (c->format, format);
-  c->format_stamp = revision;
+  c->store.format.agreed = MAX (c->store.format.agreed, format);
+  c->store.format.revision = revision;
   hr_record_split_rescan (c);
 }
 
@@ -45,15 +46,15 @@
 static gboolean
 all_understand (const HrCore *c)
 {
-  for (guint i = 0; i < c->set->members->len; i++) {
-    const char *label = g_array_index (c->set->members, HrMember, i).label;
+  for (guint i = 0; i < c->settings->members->len; i++) {
+    const char *label = g_array_index (c->settings->members, HrMember, i).label;
     guint stated = 0;
-    for (guint k = 0; k < c->peers->len; k++) {
-      const HrPeerStatus *h = &g_array_index (c->peers, HrPeer, k).status;
+    for (guint k = 0; k < c->membership.peers->len; k++) {
+      const HrPeerStatus *h = &g_array_index (c->membership.peers, HrPeer, k).status;
       if (g_str_equal (h->label, label))
         stated = h->format;
     }
-    if (stated < c->speaks)
+    if (stated < c->store.format.supported)
       return FALSE;
   }
   return TRUE;
@@ -63,21 +64,24 @@
 static void
 on_recorded (HrCore *c, int status, json_t *body, double sent, gpointer data)
 {
-  c->format_writing = FALSE;
-  c->format_at = c->now + FORMAT_RETRY_S;
+  c->store.format.write_in_flight = FALSE;
+  c->store.format.next_write_at = c->now + FORMAT_RETRY_S;
 }
 
 void
 hr_record_format_tick (HrCore *c)
 {
-  if (!c->leads || c->sync != HR_REPLICA_FOLLOWING || c->format >= c->speaks || c->format_writing ||
-      c->now < c->format_at || c->store_down || !all_understand (c))
+  if (!c->leadership.is_leader || c->store.replica.state != HR_REPLICA_FOLLOWING ||
+      c->store.format.agreed >= c->store.format.supported || c->store.format.write_in_flight ||
+      c->now < c->store.format.next_write_at || c->store.replica.is_unavailable ||
+      !all_understand (c))
     return;
-  c->format_writing = TRUE;
-  json_t *when = hr_transaction_require (json_array (), "h/map", c->map_stamp);
-  hr_transaction_require (when, FORMAT_KEY, c->format_stamp);
+  c->store.format.write_in_flight = TRUE;
+  json_t *when = hr_transaction_require (json_array (), "h/map", c->leadership.record_revision);
+  hr_transaction_require (when, FORMAT_KEY, c->store.format.revision);
   json_t *writes = hr_transaction_put (
-      json_array (), FORMAT_KEY, hr_json_take_text (json_pack ("{si}", "f", (int)c->speaks)), 0);
+      json_array (), FORMAT_KEY,
+      hr_json_take_text (json_pack ("{si}", "f", (int)c->store.format.supported)), 0);
   hr_transaction_submit (c, HR_TRANSACTION_USER, when, writes, 1, FORMAT_TIMEOUT_S, on_recorded,
                          NULL);
 }
@@ -87,15 +91,16 @@
 void
 hr_record_format_fill_status (const HrCore *c, HrPeerStatus *h)
 {
-  h->format = c->speaks;
-  h->n_oversized = c->noversized;
-  memcpy (h->oversized, c->oversized, sizeof h->oversized);
+  h->format = c->store.format.supported;
+  h->n_oversized = c->store.splitter.n_oversized;
+  memcpy (h->oversized, c->store.splitter.oversized, sizeof h->oversized);
 }
 
 void
 hr_record_format_status_received (HrCore *c, const HrPeerStatus *h)
 {
-  for (guint i = 0; c->leads && c->speaks && i < h->n_oversized; i++) {
+  for (guint i = 0; c->leadership.is_leader && c->store.format.supported && i < h->n_oversized;
+       i++) {
     HrJob *j = hr_job_find (c, h->oversized[i]);
     if (j && hr_record_split_is_possible (c, j) && hr_record_layout_is_oversized (c, j))
       hr_record_split_request (c, j, TRUE);
@@ -108,11 +113,12 @@
 {
   if (hr_record_split_is_possible (c, j))
     hr_record_split_request (c, j, TRUE);
-  for (guint i = 0; i < c->noversized; i++)
-    if (g_str_equal (c->oversized[i], j->id))
+  for (guint i = 0; i < c->store.splitter.n_oversized; i++)
+    if (g_str_equal (c->store.splitter.oversized[i], j->id))
       return;
-  memmove (c->oversized[1], c->oversized[0], sizeof c->oversized[0] * (HR_MAX_OVERSIZED - 1));
-  g_strlcpy (c->oversized[0], j->id, sizeof c->oversized[0]);
-  c->noversized = MIN (c->noversized + 1, HR_MAX_OVERSIZED);
-  c->hint_at = 0; /* tell at once */
+  memmove (c->store.splitter.oversized[1], c->store.splitter.oversized[0],
+           sizeof c->store.splitter.oversized[0] * (HR_MAX_OVERSIZED - 1));
+  g_strlcpy (c->store.splitter.oversized[0], j->id, sizeof c->store.splitter.oversized[0]);
+  c->store.splitter.n_oversized = MIN (c->store.splitter.n_oversized + 1, HR_MAX_OVERSIZED);
+  c->membership.status_sent_at = 0; /* tell at once */
 }
--- a/src/bookkeeping/record_layout.c
+++ b/src/bookkeeping/record_layout.c
@@ -16,27 +16,29 @@
 gsize
 hr_record_layout_planned_bytes (const HrCore *c)
 {
-  return c->limits.value_kb * KIB * VALUE_SHARE;
+  return c->store.limits.value_kb * KIB * VALUE_SHARE;
 }
 
 gsize
 hr_record_layout_max_bytes (const HrCore *c)
 {
-  if (!c->speaks)
+  if (!c->store.format.supported)
     return G_MAXSIZE; /* production does not look */
-  if (c->format || c->planned_in_force)
+  if (c->store.format.agreed || c->store.format.planned_limits_in_force)
     return hr_record_layout_planned_bytes (c);
-  return c->set->value_kb * KIB;
+  return c->settings->value_kb * KIB;
 }
 
 /* What a bound task takes at most, with names as long as those known. */
 static guint
 task_bytes (HrCore *c)
 {
-  const HrIntern *names = &c->machine_ids;
-  for (; c->names_measured < names->names->len; c->names_measured++)
-    c->name_longest = MAX (c->name_longest, strlen (hr_intern_name (names, c->names_measured)));
-  return MAX (TASK_BYTES_LEAST, c->name_longest + TASK_BYTES_AROUND_NAME);
+  const HrIntern *names = &c->store.tables.machine_ids;
+  for (; c->store.layout.names_measured < names->names->len; c->store.layout.names_measured++)
+    c->store.layout.longest_name =
+        MAX (c->store.layout.longest_name,
+             strlen (hr_intern_name (names, c->store.layout.names_measured)));
+  return MAX (TASK_BYTES_LEAST, c->store.layout.longest_name + TASK_BYTES_AROUND_NAME);
 }
 
 /* Bytes of the main record beside its tasks. */
@@ -46,8 +48,8 @@
   HrJob without = *j;
   without.ntasks = 0;
   without.per_page = 0;
-  g_autofree char *text =
-      hr_record_main (&without, c->names, &c->machine_ids, HR_JOB_QUEUED, HR_LONGEST_TAG, FALSE);
+  g_autofree char *text = hr_record_main (&without, c->names, &c->store.tables.machine_ids,
+                                          HR_JOB_QUEUED, HR_LONGEST_TAG, FALSE);
   return strlen (text);
 }
 
@@ -63,11 +65,11 @@
 guint
 hr_record_layout_choose (HrCore *c, const HrJobSpec *spec, gsize beside)
 {
-  if (!c->speaks) {
-    guint per = hr_tasks_per_page (c->limits.value_kb);
+  if (!c->store.format.supported) {
+    guint per = hr_tasks_per_page (c->store.limits.value_kb);
     return spec->tasks <= per ? 0 : per;
   }
-  HrJob j = {.spec = *spec, .submitted = c->wall};
+  HrJob j = {.spec = *spec, .submitted = c->wall_time};
   double inline_bytes = main_bytes (c, &j) + beside + (double)spec->tasks * task_bytes (c);
   return inline_bytes <= hr_record_layout_planned_bytes (c)
              ? 0
@@ -89,13 +91,14 @@
   gsize most = hr_record_layout_planned_bytes (c);
   if (!j->per_page) {
     g_autofree char *text =
-        hr_record_main (j, c->names, &c->machine_ids, j->state, HR_LONGEST_TAG, FALSE);
+        hr_record_main (j, c->names, &c->store.tables.machine_ids, j->state, HR_LONGEST_TAG, FALSE);
     return strlen (text) > most;
   }
   if (PAGE_BYTES_AROUND + (gsize)j->per_page * task_bytes (c) <= most)
     return FALSE; /* whatever its pages hold */
   for (guint i = 0; i < j->npages; i++) {
-    g_autofree char *text = hr_record_page (j, i, &c->machine_ids, HR_LONGEST_TAG, FALSE);
+    g_autofree char *text =
+        hr_record_page (j, i, &c->store.tables.machine_ids, HR_LONGEST_TAG, FALSE);
     if (strlen (text) > most)
       return TRUE;
   }
--- a/src/bookkeeping/record_split.c
+++ b/src/bookkeeping/record_split.c
@@ -36,8 +36,8 @@
 gboolean
 hr_record_split_is_possible (const HrCore *c, const HrJob *j)
 {
-  return c->speaks && c->format && c->leads && j->tasks && !j->shrunk && !j->unreadable &&
-         j->per_page != 1 && j->ntasks > 1;
+  return c->store.format.supported && c->store.format.agreed && c->leadership.is_leader &&
+         j->tasks && !j->shrunk && !j->unreadable && j->per_page != 1 && j->ntasks > 1;
 }
 
 /* ---- pages that no main record names ---- */
@@ -98,14 +98,14 @@
       hr_garbage_add_page (c, j, p->tasks_per_page, p->page);
     else if (p->page < j->npages && p->revision <= revision) {
       j->pages[p->page].revision = p->revision;
-      if (!c->leads && p->value &&
+      if (!c->leadership.is_leader && p->value &&
           !hr_record_tasks (j, p->page * tasks_per_page, json_object_get (p->value, "x"),
-                            &c->machine_ids))
+                            &c->store.tables.machine_ids))
         j->unreadable = TRUE;
     }
     json_decref (p->value);
   }
-  c->plan_dirty = TRUE;
+  c->scheduling.plan_is_stale = TRUE;
 }
 
 /* ---- the owner's splits ---- */
@@ -129,9 +129,9 @@
 static void
 end (HrCore *c, Split *s)
 {
-  HrJob *j = c->jobs->pdata[s->job];
-  if (s->replica_generation == c->sync_gen) {
-    c->nsplits--;
+  HrJob *j = c->store.tables.jobs->pdata[s->job];
+  if (s->replica_generation == c->store.replica.generation) {
+    c->store.splitter.in_flight--;
     j->splitting = FALSE;
     for (guint i = 0; j->tasks && i < j->npages; i++)
       hr_record_writer_mark (c, j, i * j->per_page);
@@ -142,7 +142,7 @@
 static void
 give_up (HrCore *c, Split *s, const char *why)
 {
-  HrJob *j = c->jobs->pdata[s->job];
+  HrJob *j = c->store.tables.jobs->pdata[s->job];
   g_warning ("%s: its record is not split yet: %s", j->id, why);
   hr_record_writer_back_off (c, j);
   end (c, s);
@@ -151,7 +151,7 @@
 static void
 begin (HrCore *c, Split *s)
 {
-  HrJob *j = c->jobs->pdata[s->job];
+  HrJob *j = c->store.tables.jobs->pdata[s->job];
   if (!hr_record_split_is_possible (c, j)) {
     end (c, s);
     return;
@@ -171,11 +171,11 @@
 on_replica_fresh (HrCore *c, gboolean ok, gpointer data)
 {
   Split *s = data;
-  if (s->replica_generation != c->sync_gen) {
+  if (s->replica_generation != c->store.replica.generation) {
     split_free (s);
     return;
   }
-  HrJob *j = c->jobs->pdata[s->job];
+  HrJob *j = c->store.tables.jobs->pdata[s->job];
   if (j->resplit && j->per_page == s->tasks_per_page)
     end (c, s); /* it was carried out; the answer was lost */
   else
@@ -188,9 +188,9 @@
 on_step (HrCore *c, int status, json_t *body, double sent, gpointer data)
 {
   Split *s = data;
-  HrJob *j = c->jobs->pdata[s->job];
+  HrJob *j = c->store.tables.jobs->pdata[s->job];
   guint64 store_revision;
-  if (s->replica_generation != c->sync_gen || !j->tasks) {
+  if (s->replica_generation != c->store.replica.generation || !j->tasks) {
     split_free (s);
     return;
   }
@@ -244,19 +244,20 @@
   after.per_page = s->tasks_per_page;
   after.resplit = TRUE;
   g_autofree char *key = hr_job_record_key (j);
-  hr_transaction_put (s->writes, key,
-                      hr_record_main (&after, c->names, &c->machine_ids, j->state, s->tag, FALSE),
-                      0);
+  hr_transaction_put (
+      s->writes, key,
+      hr_record_main (&after, c->names, &c->store.tables.machine_ids, j->state, s->tag, FALSE), 0);
   s->writes_main_record = TRUE;
 }
 
 static void
 next_step (HrCore *c, Split *s)
 {
-  HrJob *j = c->jobs->pdata[s->job];
+  HrJob *j = c->store.tables.jobs->pdata[s->job];
   gsize bytes = 0;
   /* A step must fit into what the write allowance can save up. */
-  guint ops = MAX (1, MIN (c->limits.txn_ops, (guint)(c->write_bucket.burst / 2)));
+  guint ops =
+      MAX (1, MIN (c->store.limits.txn_ops, (guint)(c->store.transactions.allowance.burst / 2)));
   step_clear (s);
   g_free (s->tag);
   s->tag = hr_core_new_tag (c);
@@ -265,11 +266,11 @@
   s->first_page = s->end_page;
   s->writes_main_record = FALSE; /* an earlier attempt may have come to its last step */
   g_autofree char *key = hr_job_record_key (j);
-  hr_transaction_require (s->conditions, "h/map", c->map_stamp);
+  hr_transaction_require (s->conditions, "h/map", c->leadership.record_revision);
   hr_transaction_require (s->conditions, key, s->base_revision);
   while (s->end_page < s->n_pages && s->end_page - s->first_page < ops) {
     char *text = hr_record_page_of (j, s->end_page * s->tasks_per_page, s->tasks_per_page,
-                                    &c->machine_ids, s->tag, FALSE);
+                                    &c->store.tables.machine_ids, s->tag, FALSE);
     bytes += strlen (text);
     if (bytes > MAX_TRANSACTION_BYTES && s->end_page > s->first_page) {
       g_free (text);
@@ -297,38 +298,42 @@
   if (j->splitting)
     return;
   if (j->split_wanted && urgent)
-    for (guint i = 0; i < c->to_split->len; i++)
-      if (g_array_index (c->to_split, guint32, i) == j->idx)
-        g_array_remove_index (c->to_split, i--);
+    for (guint i = 0; i < c->store.splitter.queue->len; i++)
+      if (g_array_index (c->store.splitter.queue, guint32, i) == j->index)
+        g_array_remove_index (c->store.splitter.queue, i--);
   if (urgent)
-    g_array_prepend_val (c->to_split, j->idx);
+    g_array_prepend_val (c->store.splitter.queue, j->index);
   else if (!j->split_wanted)
-    g_array_append_val (c->to_split, j->idx);
+    g_array_append_val (c->store.splitter.queue, j->index);
   j->split_wanted = TRUE;
 }
 
 void
 hr_record_split_rescan (HrCore *c)
 {
-  c->split_scan = 0;
+  c->store.splitter.next_scanned = 0;
 }
 
 void
 hr_record_split_reset (HrCore *c)
 {
-  c->nsplits = 0;
-  g_array_set_size (c->to_split, 0);
+  c->store.splitter.in_flight = 0;
+  g_array_set_size (c->store.splitter.queue, 0);
 }
 
 /* Records that are too large already are split ahead of their next write, a few at a time. */
 void
 hr_record_split_scan (HrCore *c)
 {
-  if (!c->speaks || !c->format || !c->leads ||
-      c->write_bucket.tokens < PROACTIVE_KEEP * c->write_bucket.burst)
+  if (!c->store.format.supported || !c->store.format.agreed || !c->leadership.is_leader ||
+      c->store.transactions.allowance.tokens <
+          PROACTIVE_KEEP * c->store.transactions.allowance.burst)
     return;
-  for (guint n = 0; n < SCANNED_AT_ONCE && c->split_scan < c->open->len; n++) {
-    HrJob *j = c->jobs->pdata[g_array_index (c->open, guint32, c->split_scan++)];
+  for (guint n = 0;
+       n < SCANNED_AT_ONCE && c->store.splitter.next_scanned < c->store.tables.open_jobs->len;
+       n++) {
+    HrJob *j = c->store.tables.jobs->pdata[g_array_index (c->store.tables.open_jobs, guint32,
+                                                          c->store.splitter.next_scanned++)];
     if (hr_record_split_is_possible (c, j) && !j->split_wanted &&
         hr_record_layout_is_oversized (c, j))
       hr_record_split_request (c, j, FALSE);
@@ -338,11 +343,12 @@
 void
 hr_record_split_tick (HrCore *c)
 {
-  for (guint i = 0; i < c->to_split->len && c->nsplits < SPLITS_AT_ONCE; i++) {
-    HrJob *j = c->jobs->pdata[g_array_index (c->to_split, guint32, i)];
+  for (guint i = 0;
+       i < c->store.splitter.queue->len && c->store.splitter.in_flight < SPLITS_AT_ONCE; i++) {
+    HrJob *j = c->store.tables.jobs->pdata[g_array_index (c->store.splitter.queue, guint32, i)];
     if (j->tasks && !j->shrunk && (writing (j) || c->now < j->write_at))
       continue; /* one write at a time; after a failure, later */
-    g_array_remove_index (c->to_split, i--);
+    g_array_remove_index (c->store.splitter.queue, i--);
     j->split_wanted = FALSE;
     if (!hr_record_split_is_possible (c, j)) {
       for (guint p = 0; j->tasks && p < j->npages; p++)
@@ -350,9 +356,9 @@
       continue;
     }
     Split *s = g_new0 (Split, 1);
-    s->job = j->idx;
-    s->replica_generation = c->sync_gen;
-    c->nsplits++;
+    s->job = j->index;
+    s->replica_generation = c->store.replica.generation;
+    c->store.splitter.in_flight++;
     j->splitting = TRUE;
     begin (c, s);
   }
--- a/src/bookkeeping/record_writer.c
+++ b/src/bookkeeping/record_writer.c
@@ -33,8 +33,8 @@
 static HrRecordPage *
 page_under_write (HrCore *c, Write *w)
 {
-  HrJob *j = c->jobs->pdata[w->job];
-  if (w->replica_generation != c->sync_gen || w->page >= j->npages ||
+  HrJob *j = c->store.tables.jobs->pdata[w->job];
+  if (w->replica_generation != c->store.replica.generation || w->page >= j->npages ||
       g_strcmp0 (j->pages[w->page].write_tag, w->tag))
     return NULL;
   return &j->pages[w->page];
@@ -54,8 +54,8 @@
   if (p->is_dirty)
     return;
   p->is_dirty = TRUE;
-  HrDirtyPage d = {j->idx, p - j->pages};
-  g_array_append_val (c->dirty, d);
+  HrDirtyPage d = {j->index, p - j->pages};
+  g_array_append_val (c->store.writer.dirty_pages, d);
 }
 
 void
@@ -107,7 +107,7 @@
     hr_dependencies_job_final (c, j);
   } else if (j->state == HR_JOB_QUEUED && j->nrdone == j->ntasks)
     mark_page (c, j, j->pages);
-  c->plan_dirty = TRUE;
+  c->scheduling.plan_is_stale = TRUE;
 }
 
 /* What was under way did not happen. */
@@ -173,7 +173,7 @@
 {
   Write *w = data;
   HrRecordPage *p = page_under_write (c, w);
-  HrJob *j = c->jobs->pdata[w->job];
+  HrJob *j = c->store.tables.jobs->pdata[w->job];
   guint64 revision = 0;
   if (p && status != 200 && status != 404) {
     send_write (c, w); /* still unknown: the same write again, it holds on the same stamps */
@@ -201,7 +201,7 @@
 static void
 reread_record (HrCore *c, Write *w)
 {
-  HrJob *j = c->jobs->pdata[w->job];
+  HrJob *j = c->store.tables.jobs->pdata[w->job];
   gboolean main = !j->per_page || j->pages[w->page].write_is_final;
   g_autofree char *key = main ? hr_job_record_key (j) : hr_record_page_key (j, w->page);
   hr_core_call (c, HR_TO_STORE, NULL, HR_GET, g_strconcat ("/kv/", key, NULL), NULL,
@@ -229,7 +229,7 @@
     return;
   }
   if (status == 200 && hr_json_count (body, "epoch", G_MAXINT64, &store_revision)) {
-    hr_record_writer_confirmed (c, c->jobs->pdata[w->job], p, store_revision);
+    hr_record_writer_confirmed (c, c->store.tables.jobs->pdata[w->job], p, store_revision);
     write_free (w);
   } else if (status == 409) {
     /* A 409 may come from our own earlier try whose answer was lost: the record
@@ -237,12 +237,12 @@
     hr_replica_read (c, on_replica_fresh, w);
   } else if (status == 400) {
     g_warning ("%s: the state service refuses the record: %s",
-               ((HrJob *)c->jobs->pdata[w->job])->id, hr_json_str (body, "error"));
-    if (c->speaks) {
-      c->planned_in_force |= w->bytes > hr_record_layout_planned_bytes (c);
-      hr_record_writer_back_off (c, c->jobs->pdata[w->job]);
+               ((HrJob *)c->store.tables.jobs->pdata[w->job])->id, hr_json_str (body, "error"));
+    if (c->store.format.supported) {
+      c->store.format.planned_limits_in_force |= w->bytes > hr_record_layout_planned_bytes (c);
+      hr_record_writer_back_off (c, c->store.tables.jobs->pdata[w->job]);
     }
-    write_failed (c, c->jobs->pdata[w->job], p);
+    write_failed (c, c->store.tables.jobs->pdata[w->job], p);
     write_free (w);
   } else
     send_write (c, w); /* unknown, or not carried out: the same write again */
@@ -280,9 +280,10 @@
   if (!change && !done && !gone)
     return;
   g_autofree char *tag = hr_core_new_tag (c);
-  char *text = done || gone   ? hr_record_tombstone (j, done ? HR_JOB_DONE : j->state, tag)
-               : !j->per_page ? hr_record_main (j, c->names, &c->machine_ids, j->state, tag, TRUE)
-                              : hr_record_page (j, n, &c->machine_ids, tag, TRUE);
+  char *text = done || gone ? hr_record_tombstone (j, done ? HR_JOB_DONE : j->state, tag)
+               : !j->per_page
+                   ? hr_record_main (j, c->names, &c->store.tables.machine_ids, j->state, tag, TRUE)
+                   : hr_record_page (j, n, &c->store.tables.machine_ids, tag, TRUE);
   gsize bytes = strlen (text);
   if (bytes > hr_record_layout_max_bytes (c) && !done && !gone) {
     g_free (text);
@@ -290,9 +291,9 @@
     return;
   }
   Write *w = g_new0 (Write, 1);
-  w->job = j->idx;
+  w->job = j->index;
   w->page = n;
-  w->replica_generation = c->sync_gen;
+  w->replica_generation = c->store.replica.generation;
   w->bytes = bytes;
   w->tag = g_steal_pointer (&tag);
   w->conditions = json_array ();
@@ -303,7 +304,7 @@
   p->write_tag = g_strdup (w->tag);
   p->write_is_final = done || gone;
   g_autofree char *key = hr_job_record_key (j);
-  hr_transaction_require (w->conditions, "h/map", c->map_stamp);
+  hr_transaction_require (w->conditions, "h/map", c->leadership.record_revision);
   hr_transaction_require (w->conditions, key, j->stamp);
   if (p->write_is_final || !j->per_page)
     hr_transaction_put (w->writes, key, text, 0);
@@ -318,28 +319,30 @@
 void
 hr_record_writer_tick (HrCore *c)
 {
-  if (c->leads && c->dirty->len && !c->raising) {
-    g_autoptr (GArray) list = c->dirty;
-    c->dirty = g_array_new (FALSE, TRUE, sizeof (HrDirtyPage));
+  if (c->leadership.is_leader && c->store.writer.dirty_pages->len &&
+      !c->leadership.token_raise_in_flight) {
+    g_autoptr (GArray) list = c->store.writer.dirty_pages;
+    c->store.writer.dirty_pages = g_array_new (FALSE, TRUE, sizeof (HrDirtyPage));
     for (guint i = 0; i < list->len; i++) {
       HrDirtyPage *d = &g_array_index (list, HrDirtyPage, i);
-      HrJob *j = c->jobs->pdata[d->job];
+      HrJob *j = c->store.tables.jobs->pdata[d->job];
       if (d->page >= j->npages)
         continue;
       HrRecordPage *p = &j->pages[d->page];
       if (p->write_tag || j->splitting || is_backing_off (c, j)) { /* one write at a time */
-        g_array_append_val (c->dirty, *d);
+        g_array_append_val (c->store.writer.dirty_pages, *d);
         continue;
       }
       p->is_dirty = FALSE;
       write_page (c, j, p);
     }
   }
-  if (c->leads && !c->raising && c->sync == HR_REPLICA_FOLLOWING)
+  if (c->leadership.is_leader && !c->leadership.token_raise_in_flight &&
+      c->store.replica.state == HR_REPLICA_FOLLOWING)
     hr_record_split_tick (c);
-  if (!c->store_down || c->now - c->write_pause > 0.5) {
-    if (c->store_down)
-      c->write_pause = c->now; /* an outage: try on, but gently */
+  if (!c->store.replica.is_unavailable || c->now - c->store.transactions.paused_until > 0.5) {
+    if (c->store.replica.is_unavailable)
+      c->store.transactions.paused_until = c->now; /* an outage: try on, but gently */
     hr_transactions_send (c);
   }
 }
--- a/src/bookkeeping/replica.c
+++ b/src/bookkeeping/replica.c
@@ -17,19 +17,19 @@
 gboolean
 hr_replica_is_served (const HrCore *c)
 {
-  return c->now - c->confirmed_at <= UNSERVED_S;
+  return c->now - c->store.replica.confirmed_at <= UNSERVED_S;
 }
 
 static void
 note_store_answer (HrCore *c, gboolean ok)
 {
   if (ok) {
-    if (c->store_down)
+    if (c->store.replica.is_unavailable)
       g_message ("the state service answers again");
-    c->store_down = FALSE;
-    c->store_fails = 0;
-  } else if (++c->store_fails == 2) {
-    c->store_down = TRUE;
+    c->store.replica.is_unavailable = FALSE;
+    c->store.replica.failures = 0;
+  } else if (++c->store.replica.failures == 2) {
+    c->store.replica.is_unavailable = TRUE;
     g_warning ("the state service does not answer this node");
   }
 }
@@ -43,7 +43,7 @@
   size_t i;
   if (!hr_json_count (body, "epoch", G_MAXINT64, &store_revision))
     return FALSE;
-  guint64 from = c->applied;
+  guint64 from = c->store.replica.applied_revision;
   json_array_foreach (log, i, e)
   {
     const char *set = hr_json_str (e, "set"), *del = hr_json_str (e, "delete");
@@ -58,7 +58,7 @@
                              revision);
     store_revision = MAX (store_revision, revision);
   }
-  c->applied = MAX (c->applied, store_revision);
+  c->store.replica.applied_revision = MAX (c->store.replica.applied_revision, store_revision);
   hr_leadership_record_read (c);
   return TRUE;
 }
@@ -68,11 +68,12 @@
 static void
 request_list_page (HrCore *c)
 {
-  char *path = c->sync_after
-                   ? g_strdup_printf ("/kv?starts=" PREFIX "&after=%s&limit=1000", c->sync_after)
+  char *path = c->store.replica.list_cursor
+                   ? g_strdup_printf ("/kv?starts=" PREFIX "&after=%s&limit=1000",
+                                      c->store.replica.list_cursor)
                    : g_strdup ("/kv?starts=" PREFIX "&limit=1000");
   hr_core_call (c, HR_TO_STORE, NULL, HR_GET, path, NULL, 5, on_list_page,
-                GUINT_TO_POINTER (c->sync_gen));
+                GUINT_TO_POINTER (c->store.replica.generation));
 }
 
 static void
@@ -80,17 +81,17 @@
 {
   guint64 store_revision;
   gboolean more = FALSE;
-  if (GPOINTER_TO_UINT (data) != c->sync_gen)
+  if (GPOINTER_TO_UINT (data) != c->store.replica.generation)
     return;
   if (status != 200 || !hr_json_count (body, "epoch", G_MAXINT64, &store_revision)) {
     note_store_answer (c, FALSE);
-    c->sync = HR_REPLICA_UNREAD;
-    c->sync_retry_at = c->now + g_rand_double_range (c->rand, 0.2, 0.6);
+    c->store.replica.state = HR_REPLICA_UNREAD;
+    c->store.replica.list_retry_at = c->now + g_rand_double_range (c->random, 0.2, 0.6);
     return;
   }
   note_store_answer (c, TRUE);
-  if (!c->sync_after)
-    c->sync_base =
+  if (!c->store.replica.list_cursor)
+    c->store.replica.listed_revision =
         store_revision; /* changes after the first page's epoch are read again, in order */
   json_t *rows = json_object_get (body, "rows"), *e;
   size_t i;
@@ -101,36 +102,37 @@
     if (!path || !hr_json_count (e, "stamp", G_MAXINT64, &revision))
       continue;
     hr_replica_apply_change (c, path, json_object_get (e, "value"), revision);
-    g_free (c->sync_after);
-    c->sync_after = g_strdup (path);
+    g_free (c->store.replica.list_cursor);
+    c->store.replica.list_cursor = g_strdup (path);
   }
   hr_json_bool (body, "more", &more);
   if (more && json_array_size (rows)) {
     request_list_page (c);
     return;
   }
-  c->sync = HR_REPLICA_FOLLOWING;
-  c->applied = c->sync_base;
-  c->watch_not_before = 0;
-  c->read_sent = 0;
-  g_message ("read the ledger: %u jobs, epoch %" G_GUINT64_FORMAT, c->jobs->len, c->applied);
+  c->store.replica.state = HR_REPLICA_FOLLOWING;
+  c->store.replica.applied_revision = c->store.replica.listed_revision;
+  c->store.replica.next_watch_at = 0;
+  c->store.replica.read_sent_at = 0;
+  g_message ("read the ledger: %u jobs, epoch %" G_GUINT64_FORMAT, c->store.tables.jobs->len,
+             c->store.replica.applied_revision);
 }
 
 /* Begins again from a full reading; what was known of final jobs stays. */
 void
 hr_replica_reset (HrCore *c)
 {
-  c->sync = HR_REPLICA_UNREAD;
-  c->sync_gen++;
-  c->sync_retry_at = 0;
+  c->store.replica.state = HR_REPLICA_UNREAD;
+  c->store.replica.generation++;
+  c->store.replica.list_retry_at = 0;
 }
 
 static void
 begin_listing (HrCore *c)
 {
   /* Rows of jobs not final are read anew: an owner's view goes beyond the record. */
-  for (guint i = 0; i < c->jobs->len; i++) {
-    HrJob *j = c->jobs->pdata[i];
+  for (guint i = 0; i < c->store.tables.jobs->len; i++) {
+    HrJob *j = c->store.tables.jobs->pdata[i];
     if (j->known && j->tasks && !j->shrunk) {
       hr_job_compact (j);
       j->stamp = 0;
@@ -139,16 +141,16 @@
       j->listed = FALSE;
     }
   }
-  g_array_set_size (c->open, 0);
+  g_array_set_size (c->store.tables.open_jobs, 0);
   hr_record_split_reset (c);
-  c->map_stamp = c->leader_stamp = c->format_stamp = 0;
-  g_array_set_size (c->tombstones, 0);
-  g_clear_pointer (&c->leader_label, g_free);
-  g_clear_pointer (&c->leader_inc, g_free);
-  g_clear_pointer (&c->sync_after, g_free);
-  c->sync = HR_REPLICA_LISTING;
-  c->sync_gen++;
-  c->watching = c->reading = FALSE;
+  c->leadership.record_revision = c->leadership.lock_revision = c->store.format.revision = 0;
+  g_array_set_size (c->dependencies.to_tombstone, 0);
+  g_clear_pointer (&c->leadership.lock_label, g_free);
+  g_clear_pointer (&c->leadership.lock_incarnation, g_free);
+  g_clear_pointer (&c->store.replica.list_cursor, g_free);
+  c->store.replica.state = HR_REPLICA_LISTING;
+  c->store.replica.generation++;
+  c->store.replica.watch_in_flight = c->store.replica.read_in_flight = FALSE;
   request_list_page (c);
 }
 
@@ -166,93 +168,96 @@
 static void
 on_read_answer (HrCore *c, int status, json_t *body, double sent, gpointer data)
 {
-  if (GPOINTER_TO_UINT (data) != c->sync_gen)
+  if (GPOINTER_TO_UINT (data) != c->store.replica.generation)
     return;
-  c->reading = FALSE;
+  c->store.replica.read_in_flight = FALSE;
   gboolean ok = status == 200 && apply_changes (c, body);
   /* 429 says that the service is there, only busy. */
   note_store_answer (c, ok || status == 429 || status == 410);
   if (ok) {
-    hr_histogram_add (&c->reading_latency, c->now - sent);
-    if (sent - c->confirmed_at > UNSERVED_S)
-      c->served_since = c->now;
-    c->confirmed_at = MAX (c->confirmed_at, sent);
-    c->store_latency = MAX (c->now - sent, LATENCY_KEPT * c->store_latency);
-    c->synced_once = TRUE;
+    hr_histogram_add (&c->metrics.read_latency, c->now - sent);
+    if (sent - c->store.replica.confirmed_at > UNSERVED_S)
+      c->store.replica.served_since = c->now;
+    c->store.replica.confirmed_at = MAX (c->store.replica.confirmed_at, sent);
+    c->store.replica.read_latency_s =
+        MAX (c->now - sent, LATENCY_KEPT * c->store.replica.read_latency_s);
+    c->store.replica.synced_once = TRUE;
   }
   if (status == 410)
     hr_leadership_reset (c, "the changes since the last reading are gone");
   if (status == 429) { /* there are too many of us just now: the next reading serves them */
-    for (guint i = 0; i < c->waiters_now->len; i++) {
-      HrReadWaiter *w = &g_array_index (c->waiters_now, HrReadWaiter, i);
+    for (guint i = 0; i < c->store.replica.waiters_in_flight->len; i++) {
+      HrReadWaiter *w = &g_array_index (c->store.replica.waiters_in_flight, HrReadWaiter, i);
       if (c->now - w->since < BUSY_S) {
-        g_array_append_val (c->waiters, *w);
-        g_array_remove_index (c->waiters_now, i--);
+        g_array_append_val (c->store.replica.waiters, *w);
+        g_array_remove_index (c->store.replica.waiters_in_flight, i--);
       }
     }
   }
-  release_waiters (c, c->waiters_now, ok);
+  release_waiters (c, c->store.replica.waiters_in_flight, ok);
 }
 
 static void
 on_watch_answer (HrCore *c, int status, json_t *body, double sent, gpointer data)
 {
-  if (GPOINTER_TO_UINT (data) != c->sync_gen)
+  if (GPOINTER_TO_UINT (data) != c->store.replica.generation)
     return;
-  c->watching = FALSE;
+  c->store.replica.watch_in_flight = FALSE;
   /* Each change ends the watches of all members: opened again at once, they alone would
    * use up the service's requests. A quarter of those is theirs. */
-  c->watch_not_before = c->now + 4.0 * (c->set->members->len + 1) / c->limits.rps;
+  c->store.replica.next_watch_at =
+      c->now + 4.0 * (c->settings->members->len + 1) / c->store.limits.rps;
   if (status == 200)
     apply_changes (c, body);
   else
-    c->watch_not_before = c->now + g_rand_double_range (c->rand, 0.3, 0.7);
+    c->store.replica.next_watch_at = c->now + g_rand_double_range (c->random, 0.3, 0.7);
 }
 
 void
 hr_replica_read (HrCore *c, HrReadCallback fn, gpointer data)
 {
   HrReadWaiter w = {fn, data, c->now};
-  if (c->sync != HR_REPLICA_FOLLOWING || c->store_down) {
+  if (c->store.replica.state != HR_REPLICA_FOLLOWING || c->store.replica.is_unavailable) {
     fn (c, FALSE, data); /* no reading is to be had now: say so at once */
     return;
   }
-  g_array_append_val (c->waiters, w);
+  g_array_append_val (c->store.replica.waiters, w);
 }
 
 void
 hr_replica_tick (HrCore *c)
 {
-  if (c->sync == HR_REPLICA_UNREAD) {
-    release_waiters (c, c->waiters_now, FALSE);
-    release_waiters (c, c->waiters, FALSE);
-    if (c->now >= c->sync_retry_at)
+  if (c->store.replica.state == HR_REPLICA_UNREAD) {
+    release_waiters (c, c->store.replica.waiters_in_flight, FALSE);
+    release_waiters (c, c->store.replica.waiters, FALSE);
+    if (c->now >= c->store.replica.list_retry_at)
       begin_listing (c);
   }
-  if (c->sync != HR_REPLICA_FOLLOWING)
+  if (c->store.replica.state != HR_REPLICA_FOLLOWING)
     return;
   /* All members together take half of the service's allowance for readings. */
-  double gap = c->waiters->len ? 2.0 * (c->set->members->len + 1) / c->limits.rps
-               : c->store_down ? 0.5
-                               : 1.0;
-  if (!c->reading && c->now - c->read_sent >= gap) {
-    GArray *t = c->waiters_now;
-    c->waiters_now = c->waiters;
-    c->waiters = t;
-    c->reading = TRUE;
-    c->read_sent = c->now;
-    hr_core_call (c, HR_TO_STORE, NULL, HR_GET,
-                  g_strdup_printf ("/changes?starts=" PREFIX "&after=%" G_GUINT64_FORMAT
-                                   "&hold_ms=0",
-                                   c->applied),
-                  NULL, READ_TIMEOUT_S, on_read_answer, GUINT_TO_POINTER (c->sync_gen));
+  double gap = c->store.replica.waiters->len
+                   ? 2.0 * (c->settings->members->len + 1) / c->store.limits.rps
+               : c->store.replica.is_unavailable ? 0.5
+                                                 : 1.0;
+  if (!c->store.replica.read_in_flight && c->now - c->store.replica.read_sent_at >= gap) {
+    GArray *t = c->store.replica.waiters_in_flight;
+    c->store.replica.waiters_in_flight = c->store.replica.waiters;
+    c->store.replica.waiters = t;
+    c->store.replica.read_in_flight = TRUE;
+    c->store.replica.read_sent_at = c->now;
+    hr_core_call (
+        c, HR_TO_STORE, NULL, HR_GET,
+        g_strdup_printf ("/changes?starts=" PREFIX "&after=%" G_GUINT64_FORMAT "&hold_ms=0",
+                         c->store.replica.applied_revision),
+        NULL, READ_TIMEOUT_S, on_read_answer, GUINT_TO_POINTER (c->store.replica.generation));
   }
-  if (!c->watching && c->now >= c->watch_not_before) {
-    c->watching = TRUE;
+  if (!c->store.replica.watch_in_flight && c->now >= c->store.replica.next_watch_at) {
+    c->store.replica.watch_in_flight = TRUE;
     hr_core_call (c, HR_TO_STORE, NULL, HR_GET,
                   g_strdup_printf ("/changes?starts=" PREFIX "&after=%" G_GUINT64_FORMAT
                                    "&hold_ms=10000",
-                                   c->applied),
-                  NULL, 14, on_watch_answer, GUINT_TO_POINTER (c->sync_gen));
+                                   c->store.replica.applied_revision),
+                  NULL, 14, on_watch_answer, GUINT_TO_POINTER (c->store.replica.generation));
   }
 }
--- a/src/bookkeeping/replica_changes.c
+++ b/src/bookkeeping/replica_changes.c
@@ -12,26 +12,27 @@
     g_warning ("the map in the state service makes no sense; left as it was");
     return;
   }
-  c->map_stamp = revision;
-  c->baton = baton;
-  g_free (c->map_owner);
-  g_free (c->map_inc);
-  c->map_owner = g_strdup (o);
-  c->map_inc = g_strdup (inc);
+  c->leadership.record_revision = revision;
+  c->leadership.fencing_token = baton;
+  g_free (c->leadership.leader_label);
+  g_free (c->leadership.leader_incarnation);
+  c->leadership.leader_label = g_strdup (o);
+  c->leadership.leader_incarnation = g_strdup (inc);
 }
 
 static void
 apply_leader_lock (HrCore *c, const json_t *v, guint64 revision)
 {
-  g_clear_pointer (&c->leader_label, g_free);
-  g_clear_pointer (&c->leader_inc, g_free);
-  c->leader_stamp = v ? revision : 0;
+  g_clear_pointer (&c->leadership.lock_label, g_free);
+  g_clear_pointer (&c->leadership.lock_incarnation, g_free);
+  c->leadership.lock_revision = v ? revision : 0;
   if (v) {
-    c->leader_label = g_strdup (hr_json_str (v, "o"));
-    c->leader_inc = g_strdup (hr_json_str (v, "i"));
+    c->leadership.lock_label = g_strdup (hr_json_str (v, "o"));
+    c->leadership.lock_incarnation = g_strdup (hr_json_str (v, "i"));
   } else { /* jitter, so that the members do not all try in the same instant */
-    c->elect_at = c->leads ? c->now : c->now + g_rand_double_range (c->rand, 0, 0.4);
-    c->leaderless_at = c->now;
+    c->leadership.next_election_at =
+        c->leadership.is_leader ? c->now : c->now + g_rand_double_range (c->random, 0, 0.4);
+    c->leadership.leaderless_since = c->now;
   }
 }
 
@@ -43,7 +44,7 @@
   for (guint32 i = from; i < MIN (from + n, j->ntasks); i++) {
     guint32 m = j->tasks[i].recorded.machine;
     if (m != HR_NONE && !j->tasks[i].done_recorded)
-      hr_machine_touch_image (hr_machine_get (c, hr_intern_name (&c->machine_ids, m)),
+      hr_machine_touch_image (hr_machine_get (c, hr_intern_name (&c->store.tables.machine_ids, m)),
                               j->spec.image);
   }
 }
@@ -84,7 +85,7 @@
     if (r.cancelled_with)
       j->withdrawn_with = hr_job_get (c, r.cancelled_with);
     hr_garbage_add_job (c, j);
-    if (!c->leads || !j->nlive)
+    if (!c->leadership.is_leader || !j->nlive)
       hr_job_compact (j);
     hr_dependencies_job_final (c, j);
     return TRUE;
@@ -92,17 +93,17 @@
   if (fresh || !j->tasks) {
     hr_job_set_spec (j, &r.spec, r.tasks_per_page);
     j->submitted = r.submitted_at;
-    j->resplit = r.sized_page_keys && c->speaks;
-  } else if (c->speaks && r.sized_page_keys && r.tasks_per_page != j->per_page)
+    j->resplit = r.sized_page_keys && c->store.format.supported;
+  } else if (c->store.format.supported && r.sized_page_keys && r.tasks_per_page != j->per_page)
     hr_record_split_apply (c, j, r.tasks_per_page, revision);
-  if (c->speaks) {
+  if (c->store.format.supported) {
     json_decref (j->extra);
     j->extra = g_steal_pointer (&r.extra);
   }
   hr_record_clear (&r);
   /* The owner alone changes tasks; what others write leaves them as they were. */
-  if (!r.tasks_per_page && r.tasks && (!c->leads || fresh)) {
-    j->unreadable = !hr_record_tasks (j, 0, r.tasks, &c->machine_ids);
+  if (!r.tasks_per_page && r.tasks && (!c->leadership.is_leader || fresh)) {
+    j->unreadable = !hr_record_tasks (j, 0, r.tasks, &c->store.tables.machine_ids);
     if (j->unreadable)
       g_warning ("%s: the tasks in its record make no sense", j->id);
     note_cached_images (c, j, 0, j->ntasks);
@@ -117,9 +118,9 @@
   hr_dependencies_job_read (c, j, (const char *const *)awaits);
   hr_job_open (c, j);
   gboolean cancelled = r.state == HR_JOB_CANCELLED || j->told;
-  if (c->leads && cancelled && (before != HR_JOB_CANCELLED || was_told))
+  if (c->leadership.is_leader && cancelled && (before != HR_JOB_CANCELLED || was_told))
     hr_job_cancelled (c, j);
-  c->plan_dirty = TRUE;
+  c->scheduling.plan_is_stale = TRUE;
   return TRUE;
 }
 
@@ -140,7 +141,7 @@
 apply_page (HrCore *c, HrJob *j, guint tasks_per_page, guint64 n, const json_t *v, guint64 revision)
 {
   gboolean in_force = j->resplit ? tasks_per_page == j->per_page : tasks_per_page == 0;
-  if (j->shrunk || (!in_force && c->speaks)) {
+  if (j->shrunk || (!in_force && c->store.format.supported)) {
     apply_obsolete_page (c, j, tasks_per_page, n, v, revision);
     return;
   }
@@ -153,9 +154,10 @@
     return;
   }
   p->revision = revision;
-  if (!c->leads) {
+  if (!c->leadership.is_leader) {
     /* Other pages may be unreadable too: once one was, the job counts as unreadable. */
-    if (!hr_record_tasks (j, n * j->per_page, json_object_get (v, "x"), &c->machine_ids)) {
+    if (!hr_record_tasks (j, n * j->per_page, json_object_get (v, "x"),
+                          &c->store.tables.machine_ids)) {
       j->unreadable = TRUE;
       g_warning ("%s: page %u of its record makes no sense", j->id, (guint)n);
     }
@@ -181,20 +183,20 @@
 hr_replica_apply_change (HrCore *c, const char *key, const json_t *v, guint64 revision)
 {
   if (strcmp (key, "h/map") == 0) {
-    if (v && revision > c->map_stamp)
+    if (v && revision > c->leadership.record_revision)
       apply_leader_record (c, v, revision);
   } else if (strcmp (key, "h/leader") == 0)
     apply_leader_lock (c, v, revision);
   else if (strcmp (key, "h/types") == 0) {
-    c->types_stamp = v ? revision : 0;
-    if (v && !c->types)
+    c->scaling.types_revision = v ? revision : 0;
+    if (v && !c->scaling.machine_types)
       hr_machine_types_load (c, v);
   } else if (g_str_has_prefix (key, "h/j/")) {
     if (v && hr_job_id_valid (key + 4))
       hr_replica_apply_job (c, hr_job_get (c, key + 4), v, revision);
   } else if (g_str_has_prefix (key, "h/t/"))
     apply_page_key (c, key + 4, FALSE, v, revision);
-  else if (c->speaks && g_str_has_prefix (key, "h/u/"))
+  else if (c->store.format.supported && g_str_has_prefix (key, "h/u/"))
     apply_page_key (c, key + 4, TRUE, v, revision);
   else if (strcmp (key, "h/format") == 0)
     hr_record_format_read (c, v, revision);
--- a/src/bookkeeping/tables.h
+++ b/src/bookkeeping/tables.h
@@ -54,7 +54,7 @@
 
 typedef struct HrJob HrJob;
 struct HrJob {
-  guint32 idx;
+  guint32 index;
   const char *id;
   gboolean known; /* the record has been read or written */
   HrJobState state;
@@ -134,7 +134,7 @@
 } HrDirectLaunch;
 
 typedef struct {
-  guint32 idx;
+  guint32 index;
   const char *name;
   char *addr;
   HrMachineState state;
@@ -206,6 +206,13 @@
   guint headroom; /* tasks that room is kept for in this pass */
 } HrClassStats;
 
+/* All jobs and machines that this node knows of. Rows live as long as the tables. */
+typedef struct {
+  HrIntern job_ids, machine_ids; /* ids and names to indices */
+  GPtrArray *jobs, *machines;    /* HrJob, HrMachine by index */
+  GArray *open_jobs;             /* guint32: jobs that are not final, or not compacted */
+} HrTables;
+
 void hr_job_free (HrJob *j);
 void hr_machine_free (HrMachine *m);
 void hr_job_set_spec (HrJob *j, const HrJobSpec *s, guint tasks_per_page);
--- a/src/bookkeeping/transactions.c
+++ b/src/bookkeeping/transactions.c
@@ -54,21 +54,22 @@
   t->timeout_s = timeout;
   t->callback = fn;
   t->data = data;
-  g_queue_push_tail (&c->txns[kind], t);
+  g_queue_push_tail (&c->store.transactions.queues[kind], t);
 }
 
 static void
 on_commit (HrCore *c, int status, json_t *body, double sent, gpointer data)
 {
   HrTransaction *t = data;
-  c->txns_out--;
+  c->store.transactions.in_flight--;
   if (status == 429) { /* the allowance is shared: step back a little, out of step */
-    c->write_pause = c->now + g_rand_double_range (c->rand, 0.05, 0.15);
+    c->store.transactions.paused_until = c->now + g_rand_double_range (c->random, 0.05, 0.15);
     /* Users of other members come first, whose writes we do not see. */
-    c->books_pause = c->now + g_rand_double_range (c->rand, 0.3, 0.6);
+    c->store.transactions.background_paused_until =
+        c->now + g_rand_double_range (c->random, 0.3, 0.6);
     /* It is used up: what was saved here for a burst would only be refused. */
-    c->write_bucket.tokens = 0;
-    c->write_bucket.at = c->now;
+    c->store.transactions.allowance.tokens = 0;
+    c->store.transactions.allowance.refilled_at = c->now;
   }
   t->callback (c, status, body, sent, t->data);
   json_decref (t->conditions);
@@ -81,15 +82,18 @@
 {
   static const double keep[HR_TRANSACTION_KINDS] = {0, 0.05, 0.3};
   for (int k = 0; k < HR_TRANSACTION_KINDS; k++)
-    while (!g_queue_is_empty (&c->txns[k]) && c->txns_out < MAX_TRANSACTIONS_IN_FLIGHT &&
-           c->now >=
-               (k == HR_TRANSACTION_USER ? c->write_pause : MAX (c->write_pause, c->books_pause))) {
-      HrTransaction *t = g_queue_peek_head (&c->txns[k]);
-      if (!hr_token_bucket_take (&c->write_bucket, c->now, t->changes,
-                                 keep[k] * c->write_bucket.burst))
+    while (!g_queue_is_empty (&c->store.transactions.queues[k]) &&
+           c->store.transactions.in_flight < MAX_TRANSACTIONS_IN_FLIGHT &&
+           c->now >= (k == HR_TRANSACTION_USER
+                          ? c->store.transactions.paused_until
+                          : MAX (c->store.transactions.paused_until,
+                                 c->store.transactions.background_paused_until))) {
+      HrTransaction *t = g_queue_peek_head (&c->store.transactions.queues[k]);
+      if (!hr_token_bucket_take (&c->store.transactions.allowance, c->now, t->changes,
+                                 keep[k] * c->store.transactions.allowance.burst))
         break;
-      g_queue_pop_head (&c->txns[k]);
-      c->txns_out++;
+      g_queue_pop_head (&c->store.transactions.queues[k]);
+      c->store.transactions.in_flight++;
       json_t *o = json_pack ("{sOsO}", "when", t->conditions, "writes", t->writes);
       hr_core_call (c, HR_TO_STORE, NULL, HR_POST, g_strdup ("/commit"), hr_json_take_text (o),
                     t->timeout_s, on_commit, t);
--- a/src/coordination/direct_orders.c
+++ b/src/coordination/agents/direct_orders.c
@@ -1,5 +1,5 @@
 /* Orders that go straight to a worker's address, ahead of its next report. */
-#include "coordination/orders.h"
+#include "coordination/agents/orders.h"
 #include <string.h>
 
 /* Seconds that a direct call waits for its answer, and that the next one to a machine waits after
@@ -18,12 +18,12 @@
 on_direct_answer (HrCore *c, int status, json_t *body, double sent, gpointer data)
 {
   g_autofree Direct *d = data;
-  HrMachine *m = c->machines->pdata[d->machine];
-  if (!c->leads || d->term_began_at != c->led_at)
+  HrMachine *m = c->store.tables.machines->pdata[d->machine];
+  if (!c->leadership.is_leader || d->term_began_at != c->leadership.term_began_at)
     return; /* of an earlier term: its token is void */
   m->do_out--;
-  c->counters.direct_unanswered += status != 200 && status != 409;
-  c->counters.direct_refused += status == 409;
+  c->metrics.counters.direct_unanswered += status != 200 && status != 409;
+  c->metrics.counters.direct_refused += status == 409;
   if (status != 200)
     g_debug ("direct: machine=%s result=%s", m->name, status == 409 ? "refused" : "unanswered");
   if (status != 200 && status != 409) {
@@ -43,11 +43,11 @@
 static void
 postpone (HrCore *c, HrMachine *m)
 {
-  c->urgent = TRUE;
+  c->agents.has_urgent_orders = TRUE;
   if (m->put_off)
     return;
   m->put_off = TRUE;
-  c->counters.direct_put_off++;
+  c->metrics.counters.direct_put_off++;
   g_debug ("direct: machine=%s result=put_off out=%u pause=%.2f", m->name, m->do_out,
            MAX (0, m->do_pause - c->now));
 }
@@ -62,25 +62,26 @@
     return;
   }
   Direct *d = g_new0 (Direct, 1);
-  *d = (Direct){m->idx, c->baton, m->incarnation, c->led_at, launch};
+  *d = (Direct){m->index, c->leadership.fencing_token, m->incarnation, c->leadership.term_began_at,
+                launch};
   m->do_out++;
-  c->counters.direct_calls++;
+  c->metrics.counters.direct_calls++;
   g_debug ("direct: machine=%s session=%u token=%" G_GUINT64_FORMAT " stops=%u launches=%u",
-           m->name, m->incarnation, c->baton, hr_orders_count (orders, "kill"),
+           m->name, m->incarnation, c->leadership.fencing_token, hr_orders_count (orders, "kill"),
            hr_orders_count (orders, "launch"));
   hr_core_call (c, HR_TO_WORKER, m->addr, HR_POST, g_strdup ("/do"),
-                hr_orders_text (c->baton, m->incarnation, orders), DIRECT_TIMEOUT_S,
-                on_direct_answer, d);
+                hr_orders_text (c->leadership.fencing_token, m->incarnation, orders),
+                DIRECT_TIMEOUT_S, on_direct_answer, d);
 }
 
 void
 hr_direct_orders_send (HrCore *c)
 {
-  if (!c->leads || !c->urgent || c->pol.direct_launch < 1)
+  if (!c->leadership.is_leader || !c->agents.has_urgent_orders || c->policy.direct_launch < 1)
     return;
-  c->urgent = FALSE;
-  for (guint i = 0; i < c->fleet->len; i++) {
-    HrMachine *m = c->fleet->pdata[i];
+  c->agents.has_urgent_orders = FALSE;
+  for (guint i = 0; i < c->scaling.fleet->len; i++) {
+    HrMachine *m = c->scaling.fleet->pdata[i];
     if (!m->urgent)
       continue;
     if (m->do_out || c->now < m->do_pause) {
--- a/src/coordination/heartbeats.c
+++ b/src/coordination/agents/heartbeats.c
@@ -1,6 +1,6 @@
 /* Reports of workers and the orders they get. */
-#include "coordination/orders.h"
-#include "coordination/lease_renewal.h"
+#include "coordination/agents/orders.h"
+#include "coordination/agents/lease_renewal.h"
 #include "protocol/json_util.h"
 #include <string.h>
 
@@ -31,7 +31,7 @@
   if (!j || !j->tasks || it->task >= j->ntasks)
     return NULL;
   HrTask *t = &j->tasks[it->task];
-  return t->placement.machine == m->idx && t->placement.incarnation == m->incarnation &&
+  return t->placement.machine == m->index && t->placement.incarnation == m->incarnation &&
                  t->placement.attempt == it->attempt
              ? t
              : NULL;
@@ -62,7 +62,7 @@
                      guint *kept)
 {
   if (it->state == HR_REPORTED_EXITED) {
-    if (hr_termination_may_clear (c, m, j ? j->idx : HR_NONE, it->task, it->attempt))
+    if (hr_termination_may_clear (c, m, j ? j->index : HR_NONE, it->task, it->attempt))
       hr_orders_clear (c, m, orders, it->job, it->task, it->attempt);
     else if (++*kept >= MAX_UNCLEARED)
       hr_leadership_raise_token (c,
@@ -99,7 +99,7 @@
       if (it->state == HR_REPORTED_FETCHING && t->reported_state == HR_REPORTED_FETCHING)
         hr_machine_forget_image (m, j->spec.image);
       if (t->reported_state != it->state)
-        c->plan_dirty = TRUE;
+        c->scheduling.plan_is_stale = TRUE;
       t->reported_state = it->state;
       if (it->state == HR_REPORTED_RUNNING && !t->running_since) {
         t->running_since = c->now;
@@ -119,12 +119,13 @@
   }
   if (!full)
     return;
-  gboolean proof = hr_termination_orders_settled (m) && r->fencing_token >= c->baton;
+  gboolean proof =
+      hr_termination_orders_settled (m) && r->fencing_token >= c->leadership.fencing_token;
   for (guint i = 0; i < before->len; i++) {
     HrTaskRef ref = g_array_index (before, HrTaskRef, i);
-    HrJob *j = c->jobs->pdata[ref.job];
+    HrJob *j = c->store.tables.jobs->pdata[ref.job];
     HrTask *t = j->tasks ? &j->tasks[ref.task] : NULL;
-    if (!t || t->state != HR_TASK_BOUND || t->placement.machine != m->idx ||
+    if (!t || t->state != HR_TASK_BOUND || t->placement.machine != m->index ||
         t->placement.incarnation != m->incarnation || g_hash_table_contains (seen, t))
       continue;
     t->reported_state = HR_NOT_REPORTED;
@@ -148,7 +149,7 @@
   m->drain = TRUE;
   for (guint i = 0; i < m->tasks->len; i++) {
     HrTaskRef ref = g_array_index (m->tasks, HrTaskRef, i);
-    HrJob *j = c->jobs->pdata[ref.job];
+    HrJob *j = c->store.tables.jobs->pdata[ref.job];
     HrTask *t = &j->tasks[ref.task];
     if (t->state != HR_TASK_BOUND || t->stop_wanted)
       continue;
@@ -180,7 +181,7 @@
     g_info ("%s is up after %.0f s", m->name, c->now - m->rented_at);
   m->state = HR_MACHINE_UP;
   m->idle_at = m->tasks->len ? 0 : c->now;
-  c->plan_dirty = TRUE;
+  c->scheduling.plan_is_stale = TRUE;
 }
 
 /* Not entitled to act for the controllers: the worker is sent to the one that is, if known. */
@@ -188,12 +189,13 @@
 redirect_to_leader (HrCore *c, HrCommand *cmd)
 {
   gboolean known = FALSE;
-  for (guint i = 0; i < c->set->members->len; i++)
-    known |= g_strcmp0 (g_array_index (c->set->members, HrMember, i).label, c->map_owner) == 0;
-  if (c->leads || !known)
+  for (guint i = 0; i < c->settings->members->len; i++)
+    known |= g_strcmp0 (g_array_index (c->settings->members, HrMember, i).label,
+                        c->leadership.leader_label) == 0;
+  if (c->leadership.is_leader || !known)
     hr_core_refuse (c, cmd->id, 503, 0, "this node may not act for the controllers now");
   else
-    hr_core_reply (c, cmd->id, 421, json_pack ("{ss}", "foreman", c->map_owner), 0);
+    hr_core_reply (c, cmd->id, 421, json_pack ("{ss}", "foreman", c->leadership.leader_label), 0);
 }
 
 static void
@@ -202,10 +204,10 @@
   /* A session that ends within a lease of our answer shows that the answer was not
    * received: reports come from there, but nothing that we say arrives. Once may also be
    * a report that a cut held back; such ones come in a bunch, not a lease apart. */
-  gboolean unreceived = m->answered_at && c->now - m->answered_at < c->set->lease_s - 1;
-  if (unreceived && m->unreceived_at && c->now - m->unreceived_at > c->set->lease_s / 2)
+  gboolean unreceived = m->answered_at && c->now - m->answered_at < c->settings->lease_s - 1;
+  if (unreceived && m->unreceived_at && c->now - m->unreceived_at > c->settings->lease_s / 2)
     m->deaf_at = c->now;
-  if (!unreceived || !m->unreceived_at || c->now - m->unreceived_at > c->set->lease_s / 2)
+  if (!unreceived || !m->unreceived_at || c->now - m->unreceived_at > c->settings->lease_s / 2)
     m->unreceived_at = unreceived ? c->now : 0;
   m->reply_launch = m->do_lost = 0; /* orders of the old session are void */
   m->incarnation = session;
@@ -257,7 +259,7 @@
   if (m->state != HR_MACHINE_DELETING && !(m->state == HR_MACHINE_GONE && m->deleted) &&
       r->incarnation >= m->incarnation && describe (c, m, r))
     return TRUE;
-  refuse_heartbeat (c, cmd, r, &c->counters.reports_refused_machine, "returned_or_unknown",
+  refuse_heartbeat (c, cmd, r, &c->metrics.counters.reports_refused_machine, "returned_or_unknown",
                     "this machine is being returned, or not known yet");
   return FALSE;
 }
@@ -273,7 +275,8 @@
     return;
   }
   note_sequence (c, m, r);
-  if (r->fencing_token < c->led_baton && !(m->state == HR_MACHINE_BOOTING && m->rented_here)) {
+  if (r->fencing_token < c->leadership.term_token &&
+      !(m->state == HR_MACHINE_BOOTING && m->rented_here)) {
     /* Sent before the worker heard from this owner, how long ago nobody knows: it may be
      * a late copy of a machine that is gone. Only its order counts. A worker that is
      * there gets our token now, and reports again because of it; but when, and whether we
@@ -292,10 +295,11 @@
     hr_core_refuse (c, cmd->id, 405, 0, "use POST");
     return;
   }
-  c->contact_count++;
+  c->membership.contacts_in_window++;
   if (!hr_leadership_may_answer (c)) {
-    c->counters.reports_refused_not_entitled++;
-    hr_lease_renewal_log_refusal (c, NULL, c->leads ? "reading_too_old" : "not_leader");
+    c->metrics.counters.reports_refused_not_entitled++;
+    hr_lease_renewal_log_refusal (c, NULL,
+                                  c->leadership.is_leader ? "reading_too_old" : "not_leader");
     redirect_to_leader (c, cmd);
     return;
   }
@@ -305,13 +309,13 @@
   g_autoptr (HrHeartbeat) r = hr_heartbeat_parse (data, len, &why);
   if (!r) {
     g_info ("a report was dropped: %s", why);
-    c->counters.reports_malformed++;
+    c->metrics.counters.reports_malformed++;
     hr_core_refuse (c, cmd->id, 400, 0, why);
     return;
   }
-  if (r->fencing_token > c->baton) {
+  if (r->fencing_token > c->leadership.fencing_token) {
     g_info ("%s has seen baton %" G_GUINT64_FORMAT ", ours is older", r->machine, r->fencing_token);
-    refuse_heartbeat (c, cmd, r, &c->counters.reports_refused_token, "newer_token",
+    refuse_heartbeat (c, cmd, r, &c->metrics.counters.reports_refused_token, "newer_token",
                       "a newer baton is about");
     return;
   }
--- a/src/coordination/lease_renewal.c
+++ b/src/coordination/agents/lease_renewal.c
@@ -1,6 +1,6 @@
-#include "coordination/lease_renewal.h"
+#include "coordination/agents/lease_renewal.h"
 #include "coordination/invariant.h"
-#include "coordination/orders.h"
+#include "coordination/agents/orders.h"
 
 static const char *const kind_names[] = {"current", "overtaken", "before_token"};
 
@@ -15,8 +15,8 @@
 static const HrJob *
 job_of_reported (HrCore *c, const HrReportedTask *it)
 {
-  guint32 i = hr_intern_find (&c->job_ids, it->job);
-  return i == HR_NONE ? NULL : c->jobs->pdata[i];
+  guint32 i = hr_intern_find (&c->store.tables.job_ids, it->job);
+  return i == HR_NONE ? NULL : c->store.tables.jobs->pdata[i];
 }
 
 static gboolean
@@ -31,7 +31,7 @@
 static gboolean
 recorded_and_final (const HrCore *c, const HrMachine *m, HrTaskRef r)
 {
-  const HrJob *j = c->jobs->pdata[r.job];
+  const HrJob *j = c->store.tables.jobs->pdata[r.job];
   const HrTask *t = &j->tasks[r.task];
   return is_final (j) && t->state == HR_TASK_BOUND && t->placement.incarnation == m->incarnation;
 }
@@ -51,7 +51,7 @@
 {
   for (guint i = 0; i < m->tasks->len; i++) {
     HrTaskRef r = g_array_index (m->tasks, HrTaskRef, i);
-    const HrJob *j = c->jobs->pdata[r.job];
+    const HrJob *j = c->store.tables.jobs->pdata[r.job];
     if (recorded_and_final (c, m, r) &&
         !hr_orders_name_stop (orders, j->id, r.task, j->tasks[r.task].placement.attempt))
       hr_orders_stop (c, m, orders, j->id, r.task, j->tasks[r.task].placement.attempt, "over");
@@ -68,7 +68,7 @@
   }
   for (guint i = 0; i < m->tasks->len; i++) {
     HrTaskRef ref = g_array_index (m->tasks, HrTaskRef, i);
-    const HrJob *j = c->jobs->pdata[ref.job];
+    const HrJob *j = c->store.tables.jobs->pdata[ref.job];
     if (recorded_and_final (c, m, ref) &&
         !hr_orders_name_stop (orders, j->id, ref.task, j->tasks[ref.task].placement.attempt))
       return g_strdup_printf ("%s/%u", j->id, ref.task);
@@ -94,16 +94,17 @@
   g_debug ("answer: machine=%s kind=%s seq=%" G_GUINT64_FORMAT " session=%" G_GUINT64_FORMAT
            " token=%" G_GUINT64_FORMAT " seen=%" G_GUINT64_FORMAT
            " tasks=%u stops=%u launches=%u clears=%u",
-           m->name, kind_names[kind], r->sequence, r->incarnation, c->baton, r->fencing_token,
-           r->tasks->len, hr_orders_count (orders, "kill"), hr_orders_count (orders, "launch"),
-           hr_orders_count (orders, "clear"));
+           m->name, kind_names[kind], r->sequence, r->incarnation, c->leadership.fencing_token,
+           r->fencing_token, r->tasks->len, hr_orders_count (orders, "kill"),
+           hr_orders_count (orders, "launch"), hr_orders_count (orders, "clear"));
 }
 
 void
 hr_lease_renewal_log_refusal (const HrCore *c, const char *machine, const char *reason)
 {
   g_debug ("refused: machine=%s reason=%s leads=%d token=%" G_GUINT64_FORMAT " reading_age=%.2f",
-           machine ? machine : "-", reason, c->leads, c->baton, c->now - c->confirmed_at);
+           machine ? machine : "-", reason, c->leadership.is_leader, c->leadership.fencing_token,
+           c->now - c->store.replica.confirmed_at);
 }
 
 /* The worker goes on to other nodes, and unless one of them renews it the lease runs out. */
@@ -111,7 +112,7 @@
 withhold (HrCore *c, HrCommand *cmd, const HrMachine *m, json_t *orders, const char *reason)
 {
   json_decref (orders);
-  c->counters.reports_refused_order++;
+  c->metrics.counters.reports_refused_order++;
   hr_lease_renewal_log_refusal (c, m->name, reason);
   hr_core_refuse (c, cmd->id, 503, 0, "an order to this worker may still come");
 }
@@ -133,16 +134,17 @@
     hr_invariant_violated (c,
                            "a lease would be renewed without a stop: machine=%s task=%s kind=%s "
                            "token=%" G_GUINT64_FORMAT,
-                           m->name, missing, kind_names[kind], c->baton);
+                           m->name, missing, kind_names[kind], c->leadership.fencing_token);
     withhold (c, cmd, m, orders, "stop_not_named");
     return;
   }
   m->answered_at = lease_counts_from (c, m, kind);
-  hr_histogram_add (&c->renewal_age, c->now - c->confirmed_at);
-  c->counters.reports_answered += kind == HR_HEARTBEAT_CURRENT;
-  c->counters.reports_overtaken += kind == HR_HEARTBEAT_OVERTAKEN;
-  c->counters.reports_before_token += kind == HR_HEARTBEAT_BEFORE_TOKEN;
+  hr_histogram_add (&c->metrics.renewal_age, c->now - c->store.replica.confirmed_at);
+  c->metrics.counters.reports_answered += kind == HR_HEARTBEAT_CURRENT;
+  c->metrics.counters.reports_overtaken += kind == HR_HEARTBEAT_OVERTAKEN;
+  c->metrics.counters.reports_before_token += kind == HR_HEARTBEAT_BEFORE_TOKEN;
   log_answer (c, m, r, kind, orders);
-  hr_core_reply (c, cmd->id, 200,
-                 json_pack ("{sIso}", "baton", (json_int_t)c->baton, "orders", orders), 0);
+  hr_core_reply (
+      c, cmd->id, 200,
+      json_pack ("{sIso}", "baton", (json_int_t)c->leadership.fencing_token, "orders", orders), 0);
 }
--- a/src/coordination/orders.c
+++ b/src/coordination/agents/orders.c
@@ -1,4 +1,4 @@
-#include "coordination/orders.h"
+#include "coordination/agents/orders.h"
 #include "protocol/json_util.h"
 #include <string.h>
 
@@ -46,19 +46,20 @@
 static void
 append_launch (HrCore *c, HrMachine *m, json_t *orders, HrTaskRef r, gboolean direct)
 {
-  HrJob *j = c->jobs->pdata[r.job];
+  HrJob *j = c->store.tables.jobs->pdata[r.job];
   const HrTask *t = &j->tasks[r.task];
   hr_order_launch (orders, j->id, r.task, t->placement.attempt);
   if (direct)
-    hr_termination_note_direct_launch (m, r.job, r.task, t->placement.attempt, c->baton);
-  c->counters.starts++;
+    hr_termination_note_direct_launch (m, r.job, r.task, t->placement.attempt,
+                                       c->leadership.fencing_token);
+  c->metrics.counters.starts++;
   log_order ("start", j->id, r.task, t->placement.attempt, m, direct, NULL);
 }
 
 static void
 append_stop (HrCore *c, HrMachine *m, json_t *orders, HrTaskRef r, gboolean direct)
 {
-  HrJob *j = c->jobs->pdata[r.job];
+  HrJob *j = c->store.tables.jobs->pdata[r.job];
   HrTask *t = &j->tasks[r.task];
   if (!t->stop_sent_at)
     t->stop_sent_at = c->now;
@@ -66,7 +67,7 @@
   if (t->reported_state == HR_REPORTED_SAVING && !overdue && t->stop_grace_s > 0)
     return;
   hr_order_stop (orders, j->id, r.task, t->placement.attempt, overdue ? 0 : t->stop_grace_s);
-  c->counters.stops++;
+  c->metrics.counters.stops++;
   log_order ("stop", j->id, r.task, t->placement.attempt, m, direct, stop_reason (j));
 }
 
@@ -76,7 +77,7 @@
   gboolean launch = FALSE, may = may_launch (c);
   for (guint i = 0; i < m->tasks->len; i++) {
     HrTaskRef r = g_array_index (m->tasks, HrTaskRef, i);
-    HrJob *j = c->jobs->pdata[r.job];
+    HrJob *j = c->store.tables.jobs->pdata[r.job];
     HrTask *t = &j->tasks[r.task];
     if (t->state != HR_TASK_BOUND || t->placement.incarnation != m->incarnation)
       continue;
@@ -94,7 +95,7 @@
                 guint32 attempt, const char *why)
 {
   hr_order_stop (orders, job, task, attempt, 0);
-  c->counters.stops++;
+  c->metrics.counters.stops++;
   log_order ("stop", job, task, attempt, m, FALSE, why);
 }
 
@@ -103,7 +104,7 @@
                  guint32 attempt)
 {
   hr_order_clear (orders, job, task, attempt);
-  c->counters.clears++;
+  c->metrics.counters.clears++;
   log_order ("clear", job, task, attempt, m, FALSE, NULL);
 }
 
--- a/src/bookkeeping/termination_proof.c
+++ b/src/coordination/agents/termination_proof.c
@@ -22,11 +22,11 @@
   gboolean on_its_way = m->do_lost || m->do_out, served = hr_replica_is_served (c);
   for (guint i = 0; on_its_way && i < m->tasks->len; i++) {
     HrTaskRef r = g_array_index (m->tasks, HrTaskRef, i);
-    const HrJob *j = c->jobs->pdata[r.job];
+    const HrJob *j = c->store.tables.jobs->pdata[r.job];
     const HrTask *t = &j->tasks[r.task];
     if (j->state == HR_JOB_CANCELLED && t->state == HR_TASK_BOUND &&
         t->placement.incarnation == m->incarnation && t->reported_state == HR_NOT_REPORTED &&
-        ((!served && m->do_lost) || c->now - j->withdrawn_since > c->pol.hold_s))
+        ((!served && m->do_lost) || c->now - j->withdrawn_since > c->policy.hold_s))
       return TRUE;
   }
   return FALSE;
@@ -53,7 +53,7 @@
 gboolean
 hr_termination_may_clear (const HrCore *c, HrMachine *m, guint32 job, guint32 task, guint32 attempt)
 {
-  if (!hr_termination_orders_settled (m) || m->token < c->led_baton)
+  if (!hr_termination_orders_settled (m) || m->token < c->leadership.term_token)
     return FALSE;
   for (guint i = 0; i < m->direct->len; i++) {
     HrDirectLaunch *d = &g_array_index (m->direct, HrDirectLaunch, i);
@@ -70,7 +70,7 @@
 double
 hr_lease_duration_s (const HrCore *c)
 {
-  return c->set->lease_s * 1.002 + c->pol.lease_margin_s;
+  return c->settings->lease_s * 1.002 + c->policy.lease_margin_s;
 }
 
 gboolean
@@ -79,8 +79,8 @@
   /* Before a worker has seen our token an earlier owner may have answered it,
    * for up to `hold` after our map was written. Afterwards only we can. */
   double base = m->answered_at;
-  if (m->token < c->led_baton)
-    base = MAX (base, c->led_at + c->pol.hold_s);
+  if (m->token < c->leadership.term_token)
+    base = MAX (base, c->leadership.term_began_at + c->policy.hold_s);
   return c->now > base + hr_lease_duration_s (c);
 }
 
@@ -90,9 +90,9 @@
   g_autoptr (GArray) tasks = g_array_copy (m->tasks);
   for (guint i = 0; i < tasks->len; i++) {
     HrTaskRef r = g_array_index (tasks, HrTaskRef, i);
-    HrJob *j = c->jobs->pdata[r.job];
+    HrJob *j = c->store.tables.jobs->pdata[r.job];
     HrTask *t = j->tasks ? &j->tasks[r.task] : NULL;
-    if (t && t->state == HR_TASK_BOUND && t->placement.machine == m->idx &&
+    if (t && t->state == HR_TASK_BOUND && t->placement.machine == m->index &&
         t->placement.incarnation <= upto)
       hr_task_gone (c, j, r.task, HR_EXIT_NONE, why);
   }
@@ -101,7 +101,7 @@
 static double
 last_heard (const HrCore *c, const HrMachine *m)
 {
-  return MAX (m->heard_at, c->led_at);
+  return MAX (m->heard_at, c->leadership.term_began_at);
 }
 
 /* A machine that is being returned is answered no more, so its lease runs out like that of a silent
@@ -117,7 +117,7 @@
 static gboolean
 is_unreachable_now (const HrCore *c, const HrMachine *m)
 {
-  return m->deaf_at > 0 && c->now - m->deaf_at < c->set->lease_s;
+  return m->deaf_at > 0 && c->now - m->deaf_at < c->settings->lease_s;
 }
 
 /* The cloud's list lacks it, though no list is so old that it could not be there yet: gone,
@@ -125,44 +125,46 @@
 static gboolean
 is_missing_from_list (const HrCore *c, const HrMachine *m)
 {
-  return m->listed_at < c->listed_at && c->listed_at > m->known_at + 2 * c->set->list_lag_s;
+  return m->listed_at < c->scaling.listed_at &&
+         c->scaling.listed_at > m->known_at + 2 * c->settings->list_lag_s;
 }
 
 void
 hr_agents_tick (HrCore *c)
 {
-  if (!c->leads)
+  if (!c->leadership.is_leader)
     return;
   guint up = 0, overdue = 0, deaf = 0;
-  for (guint i = 0; i < c->fleet->len; i++) {
-    HrMachine *m = c->fleet->pdata[i];
+  for (guint i = 0; i < c->scaling.fleet->len; i++) {
+    HrMachine *m = c->scaling.fleet->pdata[i];
     if (m->state != HR_MACHINE_UP)
       continue;
     up++;
-    overdue += c->now - last_heard (c, m) > c->pol.overdue_s;
+    overdue += c->now - last_heard (c, m) > c->policy.overdue_s;
     deaf += is_unreachable_now (c, m);
   }
-  if (deaf > 2 && deaf > c->pol.silent_share * up) {
+  if (deaf > 2 && deaf > c->policy.silent_share * up) {
     hr_leadership_resign (c, "what this node answers reaches few workers");
     return;
   }
   /* When many fall silent at once it is more likely us than them. Their reports come spread
    * over a period, so the first ones reach silent_s well before the rest: what tells is
    * how many are overdue by then, or they would be deleted a few at a time. */
-  gboolean us = overdue > 2 && overdue > c->pol.silent_share * up;
+  gboolean us = overdue > 2 && overdue > c->policy.silent_share * up;
   /* A new owner lets workers find it first; so does one that was cut off itself, or
    * it would return every machine that the same cut kept from it. */
-  gboolean early = c->now - MAX (c->led_at, c->served_since) < c->pol.silent_s + 6;
-  g_autoptr (GPtrArray) fleet = g_ptr_array_copy (c->fleet, NULL, NULL);
+  gboolean early = c->now - MAX (c->leadership.term_began_at, c->store.replica.served_since) <
+                   c->policy.silent_s + 6;
+  g_autoptr (GPtrArray) fleet = g_ptr_array_copy (c->scaling.fleet, NULL, NULL);
   for (guint i = 0; i < fleet->len; i++) {
     HrMachine *m = fleet->pdata[i];
     expire_returned_lease (c, m);
     if (m->state == HR_MACHINE_UP && is_unreachable_now (c, m))
       hr_fleet_delete (c, m, "it reports, but what it is told does not reach it");
-    if (m->state == HR_MACHINE_UP && c->now - last_heard (c, m) > c->pol.overdue_s &&
+    if (m->state == HR_MACHINE_UP && c->now - last_heard (c, m) > c->policy.overdue_s &&
         is_missing_from_list (c, m) && hr_replica_is_served (c))
       hr_fleet_delete (c, m, "its worker is silent, and the cloud no longer lists it");
-    if (m->state != HR_MACHINE_UP || c->now - last_heard (c, m) <= c->pol.silent_s)
+    if (m->state != HR_MACHINE_UP || c->now - last_heard (c, m) <= c->policy.silent_s)
       continue;
     if (hr_lease_has_expired (c, m) && m->tasks->len)
       hr_termination_incarnations_over (c, m, G_MAXUINT32, "its lease is surely over");
--- a/src/coordination/core.c
+++ b/src/coordination/core.c
@@ -1,5 +1,5 @@
-#include "coordination/quotas.h"
-#include "coordination/metrics.h"
+#include "coordination/scheduling/quotas.h"
+#include "coordination/metrics/metrics.h"
 #include "protocol/json_util.h"
 #include <gio/gio.h>
 #include <string.h>
@@ -20,7 +20,7 @@
 {
   HrEffect *e = g_new0 (HrEffect, 1);
   e->kind = kind;
-  g_ptr_array_add (c->out, e);
+  g_ptr_array_add (c->effects, e);
   return e;
 }
 
@@ -29,7 +29,7 @@
               double timeout, HrResultCallback fn, gpointer data)
 {
   HrEffect *e = effect (c, HR_EFFECT_CALL);
-  e->id = ++c->next_call;
+  e->id = ++c->calls.last_id;
   e->target = target;
   e->addr = g_strdup (addr);
   e->method = method;
@@ -40,7 +40,7 @@
   p->fn = fn;
   p->data = data;
   p->sent = c->now;
-  g_hash_table_insert (c->calls, g_memdup2 (&e->id, sizeof e->id), p);
+  g_hash_table_insert (c->calls.pending, g_memdup2 (&e->id, sizeof e->id), p);
 }
 
 void
@@ -74,102 +74,91 @@
 char *
 hr_core_new_tag (HrCore *c)
 {
-  return g_strdup_printf ("%s.%" G_GUINT64_FORMAT, c->incarnation, ++c->next_tag);
-}
-
-/* Takes n tokens if more than `keep` stay behind. */
-gboolean
-hr_token_bucket_take (HrTokenBucket *b, double now, double n, double keep)
-{
-  b->tokens = MIN (b->burst, b->tokens + (now - b->at) * b->rate);
-  b->at = now;
-  if (b->tokens - n < keep)
-    return FALSE;
-  b->tokens -= n;
-  return TRUE;
+  return g_strdup_printf ("%s.%" G_GUINT64_FORMAT, c->incarnation, ++c->last_tag);
 }
 
 HrJob *
 hr_job_find (HrCore *c, const char *id)
 {
-  guint32 i = hr_intern_find (&c->job_ids, id);
-  HrJob *j = i == HR_NONE ? NULL : c->jobs->pdata[i];
+  guint32 i = hr_intern_find (&c->store.tables.job_ids, id);
+  HrJob *j = i == HR_NONE ? NULL : c->store.tables.jobs->pdata[i];
   return j && j->known ? j : NULL;
 }
 
 gboolean
 hr_job_unreadable (HrCore *c, const char *id)
 {
-  guint32 i = hr_intern_find (&c->job_ids, id);
-  HrJob *j = i == HR_NONE ? NULL : c->jobs->pdata[i];
+  guint32 i = hr_intern_find (&c->store.tables.job_ids, id);
+  HrJob *j = i == HR_NONE ? NULL : c->store.tables.jobs->pdata[i];
   return j && j->record_unreadable && !(j->known && j->state != HR_JOB_QUEUED);
 }
 
 HrJob *
 hr_job_get (HrCore *c, const char *id)
 {
-  guint32 i = hr_intern (&c->job_ids, id);
-  if (i == c->jobs->len) {
+  guint32 i = hr_intern (&c->store.tables.job_ids, id);
+  if (i == c->store.tables.jobs->len) {
     HrJob *j = g_new0 (HrJob, 1);
-    j->idx = i;
-    j->id = hr_intern_name (&c->job_ids, i);
-    g_ptr_array_add (c->jobs, j);
+    j->index = i;
+    j->id = hr_intern_name (&c->store.tables.job_ids, i);
+    g_ptr_array_add (c->store.tables.jobs, j);
   }
-  return c->jobs->pdata[i];
+  return c->store.tables.jobs->pdata[i];
 }
 
 HrMachine *
 hr_machine_find (HrCore *c, const char *name)
 {
-  guint32 i = hr_intern_find (&c->machine_ids, name);
-  return i == HR_NONE || i >= c->machines->len ? NULL : c->machines->pdata[i];
+  guint32 i = hr_intern_find (&c->store.tables.machine_ids, name);
+  return i == HR_NONE || i >= c->store.tables.machines->len ? NULL
+                                                            : c->store.tables.machines->pdata[i];
 }
 
 HrMachine *
 hr_machine_get (HrCore *c, const char *name)
 {
-  guint32 i = hr_intern (&c->machine_ids, name);
+  guint32 i = hr_intern (&c->store.tables.machine_ids, name);
   /* Names may have been interned by reading records, ahead of the rows. */
-  while (c->machines->len <= i) {
+  while (c->store.tables.machines->len <= i) {
     HrMachine *m = g_new0 (HrMachine, 1);
-    m->idx = c->machines->len;
-    m->name = hr_intern_name (&c->machine_ids, m->idx);
+    m->index = c->store.tables.machines->len;
+    m->name = hr_intern_name (&c->store.tables.machine_ids, m->index);
     m->type = m->zone = HR_NONE;
     m->state = HR_MACHINE_GONE;
     m->error_job = HR_NONE;
     m->tasks = g_array_new (FALSE, TRUE, sizeof (HrTaskRef));
     m->direct = g_array_new (FALSE, TRUE, sizeof (HrDirectLaunch));
     m->list = g_array_new (FALSE, TRUE, sizeof (HrTaskRef));
-    g_ptr_array_add (c->machines, m);
+    g_ptr_array_add (c->store.tables.machines, m);
   }
-  return c->machines->pdata[i];
+  return c->store.tables.machines->pdata[i];
 }
 
 HrClassStats *
 hr_class_stats (HrCore *c, guint32 job_class)
 {
-  while (c->classes->len <= job_class) {
+  while (c->scheduling.class_stats->len <= job_class) {
     HrClassStats s = {.correction = 1};
-    g_array_append_val (c->classes, s);
+    g_array_append_val (c->scheduling.class_stats, s);
   }
-  return &g_array_index (c->classes, HrClassStats, job_class);
+  return &g_array_index (c->scheduling.class_stats, HrClassStats, job_class);
 }
 
 const HrTeam *
 hr_team (const HrCore *c, guint32 team)
 {
-  for (guint i = 0; i < c->set->teams->len; i++)
-    if (g_array_index (c->set->teams, HrTeam, i).team == team)
-      return &g_array_index (c->set->teams, HrTeam, i);
+  for (guint i = 0; i < c->settings->teams->len; i++)
+    if (g_array_index (c->settings->teams, HrTeam, i).team == team)
+      return &g_array_index (c->settings->teams, HrTeam, i);
   return NULL;
 }
 
 const HrMachineType *
 hr_machine_type_find (const HrCore *c, guint32 name)
 {
-  for (guint i = 0; c->types && i < c->types->len; i++)
-    if (g_array_index (c->types, HrMachineType, i).type == name)
-      return &g_array_index (c->types, HrMachineType, i);
+  for (guint i = 0; c->scaling.machine_types && i < c->scaling.machine_types->len; i++)
+    if (g_array_index (c->scaling.machine_types, HrMachineType, i).type == name)
+      return &g_array_index (c->scaling.machine_types, HrMachineType, i);
   return NULL;
 }
 
@@ -184,36 +173,36 @@
              guint32 seed)
 {
   HrCore *c = g_new0 (HrCore, 1);
-  c->set = set;
-  c->pol = *pol;
+  c->settings = set;
+  c->policy = *pol;
   c->names = names;
   c->incarnation = g_strdup (incarnation);
-  c->rand = g_rand_new_with_seed (seed);
-  c->calls = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
-  c->waiters = g_array_new (FALSE, TRUE, sizeof (HrReadWaiter));
-  c->waiters_now = g_array_new (FALSE, TRUE, sizeof (HrReadWaiter));
-  c->peers = g_array_new (FALSE, TRUE, sizeof (HrPeer));
-  c->withdrawals = g_array_new (FALSE, FALSE, sizeof (HrCancellation));
-  hr_intern_init (&c->job_ids);
-  hr_intern_init (&c->machine_ids);
-  c->jobs = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_job_free);
-  c->machines = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_machine_free);
-  c->open = g_array_new (FALSE, TRUE, sizeof (guint32));
-  c->classes = g_array_new (FALSE, TRUE, sizeof (HrClassStats));
-  c->dirty = g_array_new (FALSE, TRUE, sizeof (HrDirtyPage));
-  c->garbage = g_array_new (FALSE, TRUE, sizeof (HrObsoletePage));
-  c->to_split = g_array_new (FALSE, TRUE, sizeof (guint32));
-  c->tombstones = g_array_new (FALSE, TRUE, sizeof (guint32));
-  c->fleet = g_ptr_array_new ();
-  c->refused = g_array_new (FALSE, TRUE, sizeof (HrCapacityRefusal));
-  c->teams = g_array_new (FALSE, TRUE, sizeof (HrTeamUsage));
-  c->waiting = g_ptr_array_new ();
-  c->wants = g_array_new (FALSE, TRUE, sizeof (HrDemand));
+  c->random = g_rand_new_with_seed (seed);
+  c->calls.pending = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
+  c->store.replica.waiters = g_array_new (FALSE, TRUE, sizeof (HrReadWaiter));
+  c->store.replica.waiters_in_flight = g_array_new (FALSE, TRUE, sizeof (HrReadWaiter));
+  c->membership.peers = g_array_new (FALSE, TRUE, sizeof (HrPeer));
+  c->cancellations.entries = g_array_new (FALSE, FALSE, sizeof (HrCancellation));
+  hr_intern_init (&c->store.tables.job_ids);
+  hr_intern_init (&c->store.tables.machine_ids);
+  c->store.tables.jobs = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_job_free);
+  c->store.tables.machines = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_machine_free);
+  c->store.tables.open_jobs = g_array_new (FALSE, TRUE, sizeof (guint32));
+  c->scheduling.class_stats = g_array_new (FALSE, TRUE, sizeof (HrClassStats));
+  c->store.writer.dirty_pages = g_array_new (FALSE, TRUE, sizeof (HrDirtyPage));
+  c->store.garbage.pages = g_array_new (FALSE, TRUE, sizeof (HrObsoletePage));
+  c->store.splitter.queue = g_array_new (FALSE, TRUE, sizeof (guint32));
+  c->dependencies.to_tombstone = g_array_new (FALSE, TRUE, sizeof (guint32));
+  c->scaling.fleet = g_ptr_array_new ();
+  c->scaling.capacity_refusals = g_array_new (FALSE, TRUE, sizeof (HrCapacityRefusal));
+  c->scheduling.team_usage = g_array_new (FALSE, TRUE, sizeof (HrTeamUsage));
+  c->scheduling.waiting_jobs = g_ptr_array_new ();
+  c->scaling.demand = g_array_new (FALSE, TRUE, sizeof (HrDemand));
   for (int i = 0; i < HR_TRANSACTION_KINDS; i++)
-    g_queue_init (&c->txns[i]);
+    g_queue_init (&c->store.transactions.queues[i]);
   hr_core_set_supported_format (c, HR_FORMAT);
-  g_queue_init (&c->rentals_again);
-  c->cloud_bucket = (HrTokenBucket){set->cloud_rps, set->cloud_rps * 0.8, set->cloud_rps, 0};
+  g_queue_init (&c->scaling.requests_to_retry);
+  c->scaling.allowance = (HrTokenBucket){set->cloud_rps, set->cloud_rps * 0.8, set->cloud_rps, 0};
   return c;
 }
 
@@ -231,35 +220,35 @@
 {
   hr_instance_requests_clear (c);
   for (int i = 0; i < HR_TRANSACTION_KINDS; i++)
-    g_queue_clear_full (&c->txns[i], txn_free);
-  g_rand_free (c->rand);
-  g_hash_table_unref (c->calls);
-  g_array_unref (c->waiters);
-  g_array_unref (c->waiters_now);
-  g_array_unref (c->peers);
-  g_array_unref (c->withdrawals);
-  g_ptr_array_unref (c->jobs);
-  g_ptr_array_unref (c->machines);
-  hr_intern_clear (&c->job_ids);
-  hr_intern_clear (&c->machine_ids);
-  g_array_unref (c->open);
-  g_array_unref (c->classes);
-  g_array_unref (c->refused);
-  g_array_unref (c->dirty);
-  g_array_unref (c->garbage);
-  g_array_unref (c->to_split);
-  g_array_unref (c->tombstones);
-  g_array_unref (c->wants);
-  g_array_unref (c->teams);
-  g_ptr_array_unref (c->waiting);
-  g_ptr_array_unref (c->fleet);
-  g_clear_pointer (&c->types, g_array_unref);
-  g_free (c->sync_after);
-  g_free (c->list_after);
-  g_free (c->map_owner);
-  g_free (c->map_inc);
-  g_free (c->leader_label);
-  g_free (c->leader_inc);
+    g_queue_clear_full (&c->store.transactions.queues[i], txn_free);
+  g_rand_free (c->random);
+  g_hash_table_unref (c->calls.pending);
+  g_array_unref (c->store.replica.waiters);
+  g_array_unref (c->store.replica.waiters_in_flight);
+  g_array_unref (c->membership.peers);
+  g_array_unref (c->cancellations.entries);
+  g_ptr_array_unref (c->store.tables.jobs);
+  g_ptr_array_unref (c->store.tables.machines);
+  hr_intern_clear (&c->store.tables.job_ids);
+  hr_intern_clear (&c->store.tables.machine_ids);
+  g_array_unref (c->store.tables.open_jobs);
+  g_array_unref (c->scheduling.class_stats);
+  g_array_unref (c->scaling.capacity_refusals);
+  g_array_unref (c->store.writer.dirty_pages);
+  g_array_unref (c->store.garbage.pages);
+  g_array_unref (c->store.splitter.queue);
+  g_array_unref (c->dependencies.to_tombstone);
+  g_array_unref (c->scaling.demand);
+  g_array_unref (c->scheduling.team_usage);
+  g_ptr_array_unref (c->scheduling.waiting_jobs);
+  g_ptr_array_unref (c->scaling.fleet);
+  g_clear_pointer (&c->scaling.machine_types, g_array_unref);
+  g_free (c->store.replica.list_cursor);
+  g_free (c->scaling.list_cursor);
+  g_free (c->leadership.leader_label);
+  g_free (c->leadership.leader_incarnation);
+  g_free (c->leadership.lock_label);
+  g_free (c->leadership.lock_incarnation);
   g_free (c->incarnation);
   g_free (c);
 }
@@ -268,7 +257,7 @@
 result (HrCore *c, HrCommand *cmd)
 {
   gpointer key, val;
-  if (!g_hash_table_steal_extended (c->calls, &cmd->id, &key, &val))
+  if (!g_hash_table_steal_extended (c->calls.pending, &cmd->id, &key, &val))
     return;
   g_autofree guint64 *id = key;
   g_autofree Pending *p = val;
@@ -308,25 +297,25 @@
 static double
 plan_gap (const HrCore *c)
 {
-  double by_size = c->pol.plan_gap_s * (1 + c->fleet->len / 200.0);
-  return MAX (by_size, c->pass_took * PASS_REST);
+  double by_size = c->policy.plan_gap_s * (1 + c->scaling.fleet->len / 200.0);
+  return MAX (by_size, c->scheduling.pass_duration_s * PASS_REST);
 }
 
 void
 hr_core_step_took (HrCore *c, double seconds)
 {
-  if (c->planned_now)
-    c->pass_took = MIN (seconds, PASS_MOST_S);
+  if (c->scheduling.planned_in_this_step)
+    c->scheduling.pass_duration_s = MIN (seconds, PASS_MOST_S);
 }
 
 void
 hr_core_step (HrCore *c, double now, double wall, GPtrArray *commands, GPtrArray *effects)
 {
-  if (!c->started)
-    c->started = now;
+  if (!c->started_at)
+    c->started_at = now;
   c->now = now;
-  c->wall = wall;
-  c->out = effects;
+  c->wall_time = wall;
+  c->effects = effects;
   for (guint i = 0; i < commands->len; i++) {
     HrCommand *cmd = commands->pdata[i];
     switch (cmd->kind) {
@@ -349,11 +338,12 @@
       break;
     }
   }
-  c->planned_now = FALSE;
-  if (c->leads && c->plan_dirty && now - c->planned_at >= plan_gap (c)) {
-    c->plan_dirty = FALSE;
-    c->planned_now = TRUE;
-    c->planned_at = now;
+  c->scheduling.planned_in_this_step = FALSE;
+  if (c->leadership.is_leader && c->scheduling.plan_is_stale &&
+      now - c->scheduling.planned_at >= plan_gap (c)) {
+    c->scheduling.plan_is_stale = FALSE;
+    c->scheduling.planned_in_this_step = TRUE;
+    c->scheduling.planned_at = now;
     hr_quotas_pass (c);
     hr_guarantees_mark_jobs (c);
     hr_planner_pass (c);
@@ -362,7 +352,7 @@
   hr_replica_tick (c);
   hr_record_writer_tick (c);
   hr_direct_orders_send (c);
-  c->out = NULL;
+  c->effects = NULL;
 }
 
 gboolean
--- a/src/coordination/invariant.c
+++ b/src/coordination/invariant.c
@@ -21,7 +21,7 @@
   va_start (list, format);
   g_autofree char *text = g_strdup_vprintf (format, list);
   va_end (list);
-  c->counters.invariants_violated++;
+  c->metrics.counters.invariants_violated++;
   if (ends_the_process)
     g_error ("invariant: %s", text);
   g_warning ("invariant: %s", text);
--- a/src/coordination/admission.c
+++ b/src/coordination/jobs/admission.c
@@ -10,8 +10,8 @@
 {
   ZonesThatFit found = {FALSE, FALSE};
   guint32 first = HR_NONE;
-  for (guint i = 0; i < c->types->len; i++) {
-    const HrMachineType *type = &g_array_index (c->types, HrMachineType, i);
+  for (guint i = 0; i < c->scaling.machine_types->len; i++) {
+    const HrMachineType *type = &g_array_index (c->scaling.machine_types, HrMachineType, i);
     if ((s->types && !(s->types >> type->type & 1)) || s->cpus > type->cpus ||
         s->gpus > type->gpus || s->memory_gb > type->memory_gb)
       continue;
--- a/src/coordination/arrivals.c
+++ b/src/coordination/jobs/arrivals.c
@@ -35,13 +35,14 @@
   if (j->listed || j->shrunk || hr_job_has_unfinished_dependencies (j))
     return;
   j->listed = TRUE;
-  g_array_append_val (c->open, j->idx);
+  g_array_append_val (c->store.tables.open_jobs, j->index);
   if (j->nawaits && !j->ready_since)
-    j->ready_since = c->wall;
+    j->ready_since = c->wall_time;
   hr_priority_inheritance_job_read (c, j);
   /* When a job of which the end of the last awaited one was not seen became ready nobody knows. */
-  gboolean unknown = j->nawaits && (c->sync != HR_REPLICA_FOLLOWING || j->state != HR_JOB_QUEUED);
-  if (j->counted || unknown || c->wall - hr_job_eligible_since (j) > 30)
+  gboolean unknown =
+      j->nawaits && (c->store.replica.state != HR_REPLICA_FOLLOWING || j->state != HR_JOB_QUEUED);
+  if (j->counted || unknown || c->wall_time - hr_job_eligible_since (j) > 30)
     return;
   j->counted = TRUE;
   g_debug ("%s arrives: %s, %u tasks, estimate %.0f s, image %s of %.1f GB", j->id,
--- a/src/bookkeeping/dependencies.c
+++ b/src/coordination/jobs/dependencies.c
@@ -55,7 +55,7 @@
 static void
 note_for_tombstone (HrCore *c, const HrJob *j)
 {
-  g_array_append_val (c->tombstones, j->idx);
+  g_array_append_val (c->dependencies.to_tombstone, j->index);
 }
 
 static void
@@ -64,7 +64,7 @@
   j->state = HR_JOB_CANCELLED;
   j->withdrawn_with = root;
   g_debug ("%s is withdrawn with %s", j->id, root->id);
-  if (c->leads && j->nlive)
+  if (c->leadership.is_leader && j->nlive)
     hr_job_cancelled (c, j); /* it cannot have a task; should it, that is stopped */
   else
     note_for_tombstone (c, j);
@@ -75,7 +75,7 @@
 {
   g_debug ("%s waits for no other job any more", j->id);
   hr_job_open (c, j);
-  c->plan_dirty = TRUE;
+  c->scheduling.plan_is_stale = TRUE;
 }
 
 void
@@ -121,13 +121,14 @@
 hr_dependencies_tick (HrCore *c)
 {
   /* Only what is left over of the allowance: thousands may have been taken along at once. */
-  if (!c->leads || c->dirty->len || !hr_replica_is_served (c) ||
-      c->write_bucket.tokens < c->write_bucket.burst * 0.8)
+  if (!c->leadership.is_leader || c->store.writer.dirty_pages->len || !hr_replica_is_served (c) ||
+      c->store.transactions.allowance.tokens < c->store.transactions.allowance.burst * 0.8)
     return;
-  for (guint n = 0; n < TOMBSTONES_A_TICK && c->tombstones->len;) {
-    guint32 last = g_array_index (c->tombstones, guint32, c->tombstones->len - 1);
-    HrJob *j = c->jobs->pdata[last];
-    g_array_set_size (c->tombstones, c->tombstones->len - 1);
+  for (guint n = 0; n < TOMBSTONES_A_TICK && c->dependencies.to_tombstone->len;) {
+    guint32 last = g_array_index (c->dependencies.to_tombstone, guint32,
+                                  c->dependencies.to_tombstone->len - 1);
+    HrJob *j = c->store.tables.jobs->pdata[last];
+    g_array_set_size (c->dependencies.to_tombstone, c->dependencies.to_tombstone->len - 1);
     if (j->shrunk || !j->pages)
       continue;
     hr_record_writer_mark (c, j, 0);
--- a/src/coordination/failover.c
+++ b/src/coordination/jobs/failover.c
@@ -31,13 +31,14 @@
 take_over_bound (HrCore *c, HrJob *j, guint32 task)
 {
   HrTask *t = &j->tasks[task];
-  HrMachine *m = hr_machine_get (c, hr_intern_name (&c->machine_ids, t->recorded.machine));
+  HrMachine *m =
+      hr_machine_get (c, hr_intern_name (&c->store.tables.machine_ids, t->recorded.machine));
   t->placement.machine = t->recorded.machine;
   t->placement.incarnation = t->recorded.incarnation;
   t->state = HR_TASK_BOUND;
   t->from_earlier_term = 1;
   j->nlive++;
-  hr_machine_allocate (m, &j->spec, (HrTaskRef){j->idx, task});
+  hr_machine_allocate (m, &j->spec, (HrTaskRef){j->index, task});
   if (m->state == HR_MACHINE_GONE) {
     /* Known from a record alone: it reports, or its absence gets proven. */
     m->state = HR_MACHINE_UP;
@@ -67,7 +68,7 @@
     if (t->recorded.machine == HR_NONE) {
       if (j->unreadable) /* its attempts are not known either, and none may be numbered twice */
         t->placement.attempt =
-            MAX (t->placement.attempt, (guint32)(c->led_baton * ATTEMPTS_PER_TERM));
+            MAX (t->placement.attempt, (guint32)(c->leadership.term_token * ATTEMPTS_PER_TERM));
       mixed |= j->spec.shape == HR_GANG && bound;
       continue;
     }
@@ -89,7 +90,8 @@
   j->errors = 0;
   /* Tasks that nobody knows the place of wait until no lease can be left that an earlier
    * owner renewed; whatever reports to us is told to stop what we do not know. */
-  j->retry_at = j->unreadable ? c->led_at + c->pol.hold_s + hr_lease_duration_s (c) : 0;
+  j->retry_at =
+      j->unreadable ? c->leadership.term_began_at + c->policy.hold_s + hr_lease_duration_s (c) : 0;
   gboolean mixed = take_over_tasks (c, j);
   if (j->spec.shape == HR_GANG && j->ndone && j->state == HR_JOB_QUEUED)
     hr_gang_done (c, j, 0, TRUE); /* a large gang's ending was being recorded page by page */
@@ -106,8 +108,9 @@
 log_term (const HrCore *c)
 {
   guint jobs = 0, bound = 0, cancelled = 0;
-  for (guint i = 0; i < c->open->len; i++) {
-    const HrJob *j = c->jobs->pdata[g_array_index (c->open, guint32, i)];
+  for (guint i = 0; i < c->store.tables.open_jobs->len; i++) {
+    const HrJob *j =
+        c->store.tables.jobs->pdata[g_array_index (c->store.tables.open_jobs, guint32, i)];
     guint n = j->tasks ? hr_job_bound_tasks (j) : 0;
     jobs++;
     bound += n;
@@ -115,25 +118,26 @@
   }
   g_message ("leads: token=%" G_GUINT64_FORMAT " epoch=%" G_GUINT64_FORMAT
              " reading_age=%.2f jobs=%u bound=%u withdrawn_bound=%u",
-             c->baton, c->applied, c->now - c->confirmed_at, jobs, bound, cancelled);
+             c->leadership.fencing_token, c->store.replica.applied_revision,
+             c->now - c->store.replica.confirmed_at, jobs, bound, cancelled);
 }
 
 /* A new owner: what the records say is what may be out there. */
 void
 hr_failover_take_over (HrCore *c)
 {
-  for (guint i = 0; i < c->machines->len; i++)
-    forget_machine (c, c->machines->pdata[i]);
+  for (guint i = 0; i < c->store.tables.machines->len; i++)
+    forget_machine (c, c->store.tables.machines->pdata[i]);
   /* The fleet of an earlier term of ours is long out of date: others have returned
    * machines since. What records, reports and the cloud's list name is there. */
-  g_ptr_array_set_size (c->fleet, 0);
-  g_array_set_size (c->dirty, 0);
+  g_ptr_array_set_size (c->scaling.fleet, 0);
+  g_array_set_size (c->store.writer.dirty_pages, 0);
   hr_record_split_rescan (c);
-  for (guint i = 0; i < c->open->len; i++) {
-    HrJob *j = c->jobs->pdata[g_array_index (c->open, guint32, i)];
+  for (guint i = 0; i < c->store.tables.open_jobs->len; i++) {
+    HrJob *j = c->store.tables.jobs->pdata[g_array_index (c->store.tables.open_jobs, guint32, i)];
     if (j->tasks)
       take_over_job (c, j);
   }
-  c->plan_dirty = TRUE;
+  c->scheduling.plan_is_stale = TRUE;
   log_term (c);
 }
--- a/src/coordination/priority_inheritance.c
+++ b/src/coordination/jobs/priority_inheritance.c
@@ -17,9 +17,9 @@
   double since = hr_job_eligible_since (j);
   if (j->nawaits && since <= 0)
     return INFINITY; /* counts from when it is ready */
-  double deadline = since + c->pol.default_deadline * MAX (j->spec.estimate_s, LEAST_ESTIMATE_S);
-  for (guint i = 0; i < c->set->objectives->len; i++) {
-    const HrObjective *a = &g_array_index (c->set->objectives, HrObjective, i);
+  double deadline = since + c->policy.default_deadline * MAX (j->spec.estimate_s, LEAST_ESTIMATE_S);
+  for (guint i = 0; i < c->settings->objectives->len; i++) {
+    const HrObjective *a = &g_array_index (c->settings->objectives, HrObjective, i);
     if (a->job_class == j->spec.job_class && a->kind == HR_OBJECTIVE_FINISHED && a->within_s > 0)
       deadline = MIN (deadline, since + a->within_s);
   }
@@ -39,7 +39,7 @@
     hr_job_unplan (c, j); /* lists are in the order of deadlines */
   j->rank = priority;
   j->deadline = deadline;
-  c->plan_dirty = TRUE;
+  c->scheduling.plan_is_stale = TRUE;
 }
 
 /* Takes over what one that needs the job asks for. Did anything change? */
--- a/src/coordination/submissions.c
+++ b/src/coordination/jobs/submissions.c
@@ -1,5 +1,5 @@
 /* Submissions: accepted when the first record of the job is written, or found. */
-#include "coordination/requests.h"
+#include "coordination/jobs/user_requests.h"
 #include "protocol/json_util.h"
 #include <string.h>
 
@@ -69,7 +69,7 @@
         j->pages[0].revision = store_revision;
       hr_dependencies_job_read (c, j, (const char *const *)request->awaits);
       hr_job_open (c, j);
-      c->plan_dirty = TRUE;
+      c->scheduling.plan_is_stale = TRUE;
     }
     hr_request_answer (c, request, j, 201);
   } else if (status == 409)
@@ -155,7 +155,7 @@
   request->id = g_strdup (id);
   request->spec = spec;
   request->awaits = awaits;
-  request->asked = c->wall;
+  request->asked = c->wall_time;
   json_decref (o);
   if (!valid) {
     refuse_if_new (c, request, 400, why);
@@ -167,7 +167,7 @@
     hr_replica_read (c, hr_request_on_read, request);
     return;
   }
-  if (!c->types || !c->synced_once) {
+  if (!c->scaling.machine_types || !c->store.replica.synced_once) {
     hr_request_refuse_later (c, request, 503, "this node has only just started; submit again");
     return;
   }
@@ -180,7 +180,7 @@
     refuse_if_new (c, request, 400, "field awaits: more jobs than the job's record can hold");
     return;
   }
-  if (c->store_down || c->sync != HR_REPLICA_FOLLOWING) {
+  if (c->store.replica.is_unavailable || c->store.replica.state != HR_REPLICA_FOLLOWING) {
     hr_request_refuse_later (c, request, 503, "the state service does not answer; submit again");
     return;
   }
--- a/src/coordination/task_lifecycle.c
+++ b/src/coordination/jobs/task_lifecycle.c
@@ -9,14 +9,14 @@
 static HrMachine *
 machine_of (HrCore *c, const HrTask *t)
 {
-  return c->machines->pdata[t->placement.machine];
+  return c->store.tables.machines->pdata[t->placement.machine];
 }
 
 /* Its orders go out with the next step. */
 static void
 mark_urgent (HrCore *c, HrMachine *m)
 {
-  m->urgent = c->urgent = TRUE;
+  m->urgent = c->agents.has_urgent_orders = TRUE;
 }
 
 static void
@@ -24,7 +24,7 @@
 {
   if (m->tasks->len == 0)
     m->idle_at = c->now;
-  c->plan_dirty = TRUE;
+  c->scheduling.plan_is_stale = TRUE;
 }
 
 guint32
@@ -40,8 +40,8 @@
 hr_task_assign (HrCore *c, HrJob *j, guint32 task, HrMachine *m, guint32 attempt)
 {
   HrTask *t = &j->tasks[task];
-  HrTaskRef r = {j->idx, task};
-  t->placement.machine = m->idx;
+  HrTaskRef r = {j->index, task};
+  t->placement.machine = m->index;
   t->placement.incarnation = m->incarnation;
   t->placement.attempt = attempt;
   t->state = HR_TASK_ASSIGNING;
@@ -62,7 +62,7 @@
 {
   HrTask *t = &j->tasks[task];
   HrMachine *m = machine_of (c, t);
-  HrTaskRef r = {j->idx, task};
+  HrTaskRef r = {j->index, task};
   hr_machine_release (m, &j->spec, r);
   j->nlive--;
   t->stop_wanted = 0;
@@ -127,7 +127,7 @@
     if (j->tasks[i].reported_state == HR_NOT_REPORTED ||
         j->tasks[i].reported_state == HR_REPORTED_FETCHING)
       longest = MAX (longest, j->tasks[i].expected_fetch_s);
-  return c->now < j->ready_at + longest - t->expected_fetch_s - c->set->gang_wait_s / 2;
+  return c->now < j->ready_at + longest - t->expected_fetch_s - c->settings->gang_wait_s / 2;
 }
 
 void
@@ -148,22 +148,22 @@
 note_failure (HrCore *c, HrJob *j, HrMachine *m, HrExitCause why)
 {
   j->last_error = why;
-  j->bad_machine = m->idx;
+  j->bad_machine = m->index;
   j->errors++;
   /* Mostly the machine is at fault, so the first try elsewhere is at once; a job
    * that keeps failing waits longer and longer. */
-  j->pause = j->errors < 2
-                 ? 0
-                 : MIN (c->pol.retry_most_s, c->pol.retry_s * pow (2, MIN (j->errors - 2, 20)));
+  j->pause = j->errors < 2 ? 0
+                           : MIN (c->policy.retry_most_s,
+                                  c->policy.retry_s * pow (2, MIN (j->errors - 2, 20)));
   j->retry_at = c->now + j->pause;
   j->bad_until = c->now + MAX (60, 2 * j->pause);
-  if (m->error_job != j->idx) {
-    m->error_job = j->idx;
+  if (m->error_job != j->index) {
+    m->error_job = j->index;
     m->errors++;
   }
   g_info ("%s failed on %s (%s), %u in a row; next try in %.0f s", j->id, m->name,
           hr_exit_name (why), j->errors, j->pause);
-  if (m->errors >= c->pol.error_limit && !m->drain) {
+  if (m->errors >= c->policy.error_limit && !m->drain) {
     g_message ("%s fails task after task; it is drained and returned", m->name);
     m->drain = TRUE;
   }
@@ -200,7 +200,7 @@
   }
   gboolean gang = j->spec.shape == HR_GANG && j->nlive > 1;
   if (j->spec.shape == HR_SERVICE)
-    c->planned_at = 0; /* a replica is down: plan at once */
+    c->scheduling.planned_at = 0; /* a replica is down: plan at once */
   release_machine (c, j, task);
   if (!gang || j->gang_over || j->state != HR_JOB_QUEUED)
     return;
@@ -217,7 +217,8 @@
   double ran = c->now - t->running_since;
   if (!t->running_since || j->spec.estimate_s <= 0 || j->spec.shape == HR_SERVICE)
     return;
-  double ratio = CLAMP (ran / j->spec.estimate_s, c->pol.correction_least, c->pol.correction_most);
+  double ratio =
+      CLAMP (ran / j->spec.estimate_s, c->policy.correction_least, c->policy.correction_most);
   /* One task counts little: jobs differ far more than a class drifts. */
   s->samples++;
   double k = 1.0 / MIN (2 * s->samples + 1, CORRECTION_WINDOW);
@@ -288,11 +289,13 @@
 hr_job_cancelled (HrCore *c, HrJob *j)
 {
   g_info ("%s is withdrawn", j->id);
-  c->counters.withdrawals++;
+  c->metrics.counters.withdrawals++;
   if (!j->withdrawn_since)
-    j->withdrawn_since = c->confirmed_at; /* of the last reading that did not show it */
+    j->withdrawn_since =
+        c->store.replica.confirmed_at; /* of the last reading that did not show it */
   g_info ("withdrawn: job=%s epoch=%" G_GUINT64_FORMAT " reading_age=%.2f bound=%u", j->id,
-          c->applied, c->now - c->confirmed_at, hr_job_bound_tasks (j));
+          c->store.replica.applied_revision, c->now - c->store.replica.confirmed_at,
+          hr_job_bound_tasks (j));
   for (guint32 i = 0; i < j->ntasks; i++) {
     HrTask *t = &j->tasks[i];
     if (t->state == HR_TASK_ASSIGNING && !t->write_in_flight)
--- a/src/coordination/user_requests.c
+++ b/src/coordination/jobs/user_requests.c
@@ -1,5 +1,5 @@
 /* What users ask: polls, cancellations, readiness; submissions are in submissions.c. */
-#include "coordination/requests.h"
+#include "coordination/jobs/user_requests.h"
 #include "protocol/json_util.h"
 #include <string.h>
 
@@ -30,7 +30,7 @@
 void
 hr_request_refuse_later (HrCore *c, HrUserRequest *request, int status, const char *why)
 {
-  hr_core_refuse (c, request->reply_id, status, c->store_down ? 2 : 1, why);
+  hr_core_refuse (c, request->reply_id, status, c->store.replica.is_unavailable ? 2 : 1, why);
   hr_request_free (request);
 }
 
@@ -45,12 +45,15 @@
     return others;
   if (j->state == HR_JOB_CANCELLED)
     return g_strdup ("withdrawn by its user");
-  if (!c->leads)
-    return g_strdup_printf ("%s plans this job", c->map_owner ? c->map_owner : "no controller yet");
+  if (!c->leadership.is_leader)
+    return g_strdup_printf ("%s plans this job", c->leadership.leader_label
+                                                     ? c->leadership.leader_label
+                                                     : "no controller yet");
   if (j->errors && j->retry_at > c->now)
     return g_strdup_printf ("failed %u times in a row (%s), last on %s; next try in %.0f s",
                             j->errors, hr_exit_name (j->last_error),
-                            hr_intern_name (&c->machine_ids, j->bad_machine), j->retry_at - c->now);
+                            hr_intern_name (&c->store.tables.machine_ids, j->bad_machine),
+                            j->retry_at - c->now);
   if (j->gang_over)
     return g_strdup ("an attempt of the gang has ended; waiting for its last tasks to exit");
   if (j->nlive + j->ndone == j->ntasks)
@@ -61,7 +64,8 @@
                             j->ntasks, j->rent_at - c->now);
   return g_strdup_printf ("%u tasks wait for room; %u of them stand in a machine's plan; "
                           "%u machines are starting",
-                          j->ntasks - j->nlive - j->ndone, j->planned, c->booting);
+                          j->ntasks - j->nlive - j->ndone, j->planned,
+                          c->scheduling.booting_machines);
 }
 
 void
@@ -70,9 +74,9 @@
   guint32 running = 0, done = j->state == HR_JOB_DONE ? j->ntasks : j->nrdone;
   for (guint32 i = 0; j->tasks && i < j->ntasks && j->state == HR_JOB_QUEUED; i++)
     running += !j->tasks[i].done_recorded &&
-               (c->leads ? j->tasks[i].state == HR_TASK_BOUND &&
-                               j->tasks[i].reported_state == HR_REPORTED_RUNNING
-                         : j->tasks[i].recorded.machine != HR_NONE);
+               (c->leadership.is_leader ? j->tasks[i].state == HR_TASK_BOUND &&
+                                              j->tasks[i].reported_state == HR_REPORTED_RUNNING
+                                        : j->tasks[i].recorded.machine != HR_NONE);
   const char *st = j->state == HR_JOB_QUEUED && running ? "running" : stances[j->state];
   g_autofree char *why = status_reason (c, j);
   hr_core_reply (c, request->reply_id, status,
@@ -86,14 +90,14 @@
 hr_request_timeout (const HrCore *c, const HrUserRequest *request)
 {
   double least = request->attempts < SHORT_ATTEMPTS ? SHORT_TIMEOUT_S : LATER_TIMEOUT_S;
-  return CLAMP (LATENCIES * c->store_latency, least, MAX_TIMEOUT_S);
+  return CLAMP (LATENCIES * c->store.replica.read_latency_s, least, MAX_TIMEOUT_S);
 }
 
 gboolean
 hr_request_may_try_again (HrCore *c, HrUserRequest *request, int status)
 {
   return (status == 0 || status == 409 || status == 429) && ++request->attempts < MAX_ATTEMPTS &&
-         c->wall - request->asked < GIVE_UP_S;
+         c->wall_time - request->asked < GIVE_UP_S;
 }
 
 static void send_cancel (HrCore *c, HrUserRequest *request);
@@ -164,13 +168,13 @@
       j->stamp = store_revision;
       if (!j->per_page && j->pages)
         j->pages[0].revision = store_revision;
-      if (c->leads)
+      if (c->leadership.is_leader)
         hr_job_cancelled (c, j);
       hr_dependencies_job_final (c, j);
     }
     hr_request_answer (c, request, j, 200);
-  } else if (status == 400 && c->speaks && j && j->tasks) {
-    c->planned_in_force |= request->bytes > hr_record_layout_planned_bytes (c);
+  } else if (status == 400 && c->store.format.supported && j && j->tasks) {
+    c->store.format.planned_limits_in_force |= request->bytes > hr_record_layout_planned_bytes (c);
     split_first (c, request, j);
   } else if (hr_request_may_try_again (c, request, status))
     hr_replica_read (c, hr_request_on_read,
@@ -186,7 +190,8 @@
   g_autofree char *key = hr_job_record_key (j);
   g_free (request->tag);
   request->tag = hr_core_new_tag (c);
-  char *text = hr_record_main (j, c->names, &c->machine_ids, HR_JOB_CANCELLED, request->tag, FALSE);
+  char *text = hr_record_main (j, c->names, &c->store.tables.machine_ids, HR_JOB_CANCELLED,
+                               request->tag, FALSE);
   request->bytes = strlen (text);
   if (request->bytes > hr_record_layout_max_bytes (c)) {
     g_free (text);
@@ -204,7 +209,7 @@
 static void
 answer_readiness (HrCore *c, HrCommand *cmd)
 {
-  if (!c->types || !c->synced_once)
+  if (!c->scaling.machine_types || !c->store.replica.synced_once)
     hr_core_refuse (c, cmd->id, 503, 1, "still reading the ledger and the machine types");
   else if (!hr_replica_is_served (c) && !hr_membership_store_outage_for_all (c))
     hr_core_refuse (c, cmd->id, 503, 1, "the state service does not answer this node");
@@ -255,7 +260,7 @@
   request->reply_id = cmd->id;
   request->kind = abort ? HR_REQUEST_CANCEL : HR_REQUEST_POLL;
   request->id = g_steal_pointer (&id);
-  request->asked = c->wall;
+  request->asked = c->wall_time;
   if (!hr_request_answer_final (c, request))
     hr_replica_read (c, hr_request_on_read, request);
 }
--- a/src/coordination/cancellation_log.c
+++ b/src/coordination/membership/cancellation_log.c
@@ -14,8 +14,8 @@
 reachable_leader (const HrCore *c)
 {
   const HrPeer *leader = NULL;
-  for (guint i = 0; i < c->peers->len; i++) {
-    const HrPeer *p = &g_array_index (c->peers, HrPeer, i);
+  for (guint i = 0; i < c->membership.peers->len; i++) {
+    const HrPeer *p = &g_array_index (c->membership.peers, HrPeer, i);
     if (p->status.is_leader && p->status.cancellations.is_stated &&
         (!leader || p->status.fencing_token > leader->status.fencing_token))
       leader = p;
@@ -27,10 +27,11 @@
 drop_oldest (HrCore *c, guint n)
 {
   for (guint i = 0; i < n; i++)
-    c->withdrawals_dropped =
-        MAX (c->withdrawals_dropped, g_array_index (c->withdrawals, HrCancellation, i).revision);
-  g_array_remove_range (c->withdrawals, 0, n);
-  c->withdrawals_begin += n;
+    c->cancellations.dropped_revision =
+        MAX (c->cancellations.dropped_revision,
+             g_array_index (c->cancellations.entries, HrCancellation, i).revision);
+  g_array_remove_range (c->cancellations.entries, 0, n);
+  c->cancellations.begin += n;
 }
 
 /* Drops what the leader has read, from the beginning on. Whoever led at the map that we read,
@@ -38,10 +39,10 @@
 static void
 drop_read_by_leader (HrCore *c, const HrPeer *leader)
 {
-  guint64 read = MAX (c->map_stamp, leader ? leader->status.applied_revision : 0);
+  guint64 read = MAX (c->leadership.record_revision, leader ? leader->status.applied_revision : 0);
   guint n = 0;
-  while (n < c->withdrawals->len &&
-         g_array_index (c->withdrawals, HrCancellation, n).revision <= read)
+  while (n < c->cancellations.entries->len &&
+         g_array_index (c->cancellations.entries, HrCancellation, n).revision <= read)
     n++;
   if (n)
     drop_oldest (c, n);
@@ -50,7 +51,7 @@
 static guint64
 log_end (const HrCore *c)
 {
-  return c->withdrawals_begin + c->withdrawals->len;
+  return c->cancellations.begin + c->cancellations.entries->len;
 }
 
 /* Notes a withdrawal that we confirmed or read: before its user is told, and before any hint
@@ -59,17 +60,17 @@
 hr_cancellation_log_append (HrCore *c, const HrJob *j, guint64 revision)
 {
   const HrPeer *leader = reachable_leader (c);
-  HrCancellation entry = {j->idx, revision};
-  c->withdrawn = MAX (c->withdrawn, revision);
+  HrCancellation entry = {j->index, revision};
+  c->cancellations.latest_revision = MAX (c->cancellations.latest_revision, revision);
   if (leader && revision <= leader->status.applied_revision) {
-    c->withdrawals_dropped = MAX (c->withdrawals_dropped, revision);
+    c->cancellations.dropped_revision = MAX (c->cancellations.dropped_revision, revision);
     return;
   }
-  if (c->withdrawals->len == MAX_LOG)
+  if (c->cancellations.entries->len == MAX_LOG)
     drop_oldest (c, MAX_LOG / 4);
-  g_array_append_val (c->withdrawals, entry);
+  g_array_append_val (c->cancellations.entries, entry);
   if (leader && !leader->status.store_served)
-    c->hint_soon = TRUE;
+    c->membership.status_due_soon = TRUE;
 }
 
 /* Position up to which the leader has taken in the log of this process. */
@@ -78,7 +79,7 @@
 {
   for (guint i = 0; i < leader->status.n_echoes; i++) {
     const HrEcho *e = &leader->status.echoes[i];
-    if (g_str_equal (e->label, c->set->label) && g_str_equal (e->incarnation, c->incarnation))
+    if (g_str_equal (e->label, c->settings->label) && g_str_equal (e->incarnation, c->incarnation))
       return e->cancellations_taken;
   }
   return 0;
@@ -93,15 +94,16 @@
   HrNamedCancellations *n = &h->cancellations;
   drop_read_by_leader (c, leader);
   n->is_stated = TRUE;
-  n->dropped_revision = c->withdrawals_dropped;
-  n->log_begin = n->first_position = c->withdrawals_begin;
+  n->dropped_revision = c->cancellations.dropped_revision;
+  n->log_begin = n->first_position = c->cancellations.begin;
   n->log_end = log_end (c);
-  if (!leader || c->leads)
+  if (!leader || c->leadership.is_leader)
     return;
   n->first_position = CLAMP (acknowledged (c, leader), n->log_begin, n->log_end);
   for (guint64 at = n->first_position; at < n->log_end; at++) {
-    const HrCancellation *w = &g_array_index (c->withdrawals, HrCancellation, at - n->log_begin);
-    if (!hr_named_cancellations_add (n, hr_intern_name (&c->job_ids, w->job)))
+    const HrCancellation *w =
+        &g_array_index (c->cancellations.entries, HrCancellation, at - n->log_begin);
+    if (!hr_named_cancellations_add (n, hr_intern_name (&c->store.tables.job_ids, w->job)))
       break;
   }
 }
@@ -123,7 +125,7 @@
   j->state = HR_JOB_CANCELLED;
   if (j->tasks)
     hr_job_cancelled (c, j);
-  c->plan_dirty = TRUE;
+  c->scheduling.plan_is_stale = TRUE;
 }
 
 /* Takes in what a member names, when nothing is missing between that and what was taken in
@@ -132,9 +134,9 @@
 hr_cancellation_log_take_named (HrCore *c, HrPeer *p)
 {
   const HrNamedCancellations *n = &p->status.cancellations;
-  if (!c->leads || !n->is_stated)
+  if (!c->leadership.is_leader || !n->is_stated)
     return;
-  if (n->dropped_revision <= c->applied)
+  if (n->dropped_revision <= c->store.replica.applied_revision)
     p->cancellations_taken = MAX (p->cancellations_taken, n->log_begin);
   if (n->first_position > p->cancellations_taken ||
       n->first_position + n->count <= p->cancellations_taken)
@@ -143,7 +145,7 @@
        id = hr_named_cancellations_next (n, id))
     cancel_as_told (c, id);
   p->cancellations_taken = n->first_position + n->count;
-  c->hint_soon = TRUE; /* the member goes on from there */
+  c->membership.status_due_soon = TRUE; /* the member goes on from there */
 }
 
 /* Do we know all withdrawals that the member knew of when it made its latest hint? */
@@ -151,7 +153,8 @@
 hr_cancellation_log_all_taken (const HrCore *c, const HrPeer *p)
 {
   const HrNamedCancellations *n = &p->status.cancellations;
-  return c->leads && n->is_stated && n->dropped_revision <= c->applied &&
+  return c->leadership.is_leader && n->is_stated &&
+         n->dropped_revision <= c->store.replica.applied_revision &&
          n->log_end <= p->cancellations_taken;
 }
 
@@ -160,6 +163,7 @@
 hr_cancellation_log_acknowledged (HrCore *c, const HrPeer *p)
 {
   if (p->status.is_leader && p->status.cancellations.is_stated && !p->status.store_served &&
-      !c->leads && c->withdrawn > p->status.applied_revision && acknowledged (c, p) < log_end (c))
-    c->hint_soon = TRUE;
+      !c->leadership.is_leader && c->cancellations.latest_revision > p->status.applied_revision &&
+      acknowledged (c, p) < log_end (c))
+    c->membership.status_due_soon = TRUE;
 }
--- a/src/coordination/counters.c
+++ b/src/coordination/metrics/counters.c
@@ -1,4 +1,4 @@
-#include "coordination/counters.h"
+#include "coordination/metrics/counters.h"
 #include "coordination/state.h"
 #include <string.h>
 
@@ -8,15 +8,15 @@
 void
 hr_counters_tick (HrCore *c)
 {
-  if (c->now - c->counters_at < PRINT_S ||
-      memcmp (&c->counters, &c->counters_printed, sizeof c->counters) == 0)
+  if (c->now - c->metrics.counters_printed_at < PRINT_S ||
+      memcmp (&c->metrics.counters, &c->metrics.counters_printed, sizeof c->metrics.counters) == 0)
     return;
-  c->counters_at = c->now;
-  c->counters_printed = c->counters;
+  c->metrics.counters_printed_at = c->now;
+  c->metrics.counters_printed = c->metrics.counters;
   g_autoptr (GString) line = g_string_new ("counters:");
 #define X(name, meaning)                                                                           \
-  if (c->counters.name)                                                                            \
-    g_string_append_printf (line, " " #name "=%" G_GUINT64_FORMAT, c->counters.name);
+  if (c->metrics.counters.name)                                                                    \
+    g_string_append_printf (line, " " #name "=%" G_GUINT64_FORMAT, c->metrics.counters.name);
   HR_COUNTERS (X)
 #undef X
   g_info ("%s", line->str);
--- a/src/coordination/histogram.c
+++ b/src/coordination/metrics/histogram.c
@@ -1,4 +1,4 @@
-#include "coordination/histogram.h"
+#include "coordination/metrics/histogram.h"
 
 /* Upper bounds, in seconds. */
 static const double bounds[HR_HISTOGRAM_BUCKETS] = {0.002, 0.005, 0.01, 0.02, 0.05, 0.1,
--- a/src/coordination/metrics.c
+++ b/src/coordination/metrics/metrics.c
@@ -1,4 +1,4 @@
-#include "coordination/metrics.h"
+#include "coordination/metrics/metrics.h"
 #include "coordination/state.h"
 
 static void
@@ -9,7 +9,7 @@
                           "# HELP hoprock_" #name "_total " meaning "\n"                           \
                           "# TYPE hoprock_" #name "_total counter\n"                               \
                           "hoprock_" #name "_total %" G_GUINT64_FORMAT "\n",                       \
-                          c->counters.name);
+                          c->metrics.counters.name);
   HR_COUNTERS (X)
 #undef X
 }
@@ -24,23 +24,26 @@
 static void
 append_leadership (const HrCore *c, GString *text)
 {
-  append_gauge (text, "leads", "1 while this node leads", c->leads);
+  append_gauge (text, "leads", "1 while this node leads", c->leadership.is_leader);
   append_gauge (text, "may_answer", "1 while it may renew workers' leases",
                 hr_leadership_may_answer (c));
-  append_gauge (text, "token", "fencing token of the map that it has read", (double)c->baton);
-  append_gauge (text, "epoch", "revision up to which it has read the ledger", (double)c->applied);
+  append_gauge (text, "token", "fencing token of the map that it has read",
+                (double)c->leadership.fencing_token);
+  append_gauge (text, "epoch", "revision up to which it has read the ledger",
+                (double)c->store.replica.applied_revision);
   append_gauge (text, "state_served", "1 while the state service answers it",
                 hr_replica_is_served (c));
   append_gauge (text, "reading_age_seconds", "age of its last confirmed reading",
-                c->synced_once ? c->now - c->confirmed_at : -1);
+                c->store.replica.synced_once ? c->now - c->store.replica.confirmed_at : -1);
 }
 
 static void
 append_work (const HrCore *c, GString *text)
 {
   guint queued = 0, bound = 0, cancelled = 0;
-  for (guint i = 0; i < c->open->len; i++) {
-    const HrJob *j = c->jobs->pdata[g_array_index (c->open, guint32, i)];
+  for (guint i = 0; i < c->store.tables.open_jobs->len; i++) {
+    const HrJob *j =
+        c->store.tables.jobs->pdata[g_array_index (c->store.tables.open_jobs, guint32, i)];
     queued += j->state == HR_JOB_QUEUED;
     for (guint32 k = 0; j->tasks && k < j->ntasks; k++) {
       gboolean there = j->tasks[k].state == HR_TASK_BOUND;
@@ -48,7 +51,7 @@
       cancelled += there && j->state == HR_JOB_CANCELLED;
     }
   }
-  append_gauge (text, "jobs_known", "jobs whose records it has read", c->jobs->len);
+  append_gauge (text, "jobs_known", "jobs whose records it has read", c->store.tables.jobs->len);
   append_gauge (text, "jobs_queued", "jobs that are not final and wait for none", queued);
   append_gauge (text, "tasks_bound", "tasks recorded on machines, as the leader knows", bound);
   append_gauge (text, "tasks_withdrawn", "of these, tasks of withdrawn jobs that are to go",
@@ -60,8 +63,8 @@
 {
   static const char *const states[] = {"booting", "up", "returned"};
   guint counts[G_N_ELEMENTS (states)] = {0};
-  for (guint i = 0; i < c->fleet->len; i++) {
-    const HrMachine *m = c->fleet->pdata[i];
+  for (guint i = 0; i < c->scaling.fleet->len; i++) {
+    const HrMachine *m = c->scaling.fleet->pdata[i];
     if (m->state < G_N_ELEMENTS (states))
       counts[m->state]++;
   }
@@ -69,7 +72,7 @@
                          "# TYPE hoprock_machines gauge\n");
   for (guint i = 0; i < G_N_ELEMENTS (states); i++)
     g_string_append_printf (text, "hoprock_machines{state=\"%s\"} %u\n", states[i],
-                            c->leads ? counts[i] : 0);
+                            c->leadership.is_leader ? counts[i] : 0);
 }
 
 char *
@@ -80,9 +83,9 @@
   append_work (c, text);
   append_fleet (c, text);
   append_counters (c, text);
-  hr_histogram_print (&c->reading_latency, text, "hoprock_reading_seconds",
+  hr_histogram_print (&c->metrics.read_latency, text, "hoprock_reading_seconds",
                       "how long readings of the state service took");
-  hr_histogram_print (&c->renewal_age, text, "hoprock_renewal_reading_age_seconds",
+  hr_histogram_print (&c->metrics.renewal_age, text, "hoprock_renewal_reading_age_seconds",
                       "age of the reading that each renewal of a worker's lease went by");
   return g_string_free (text, FALSE);
 }
--- a/src/coordination/instance_list.c
+++ b/src/coordination/scaling/instance_list.c
@@ -8,9 +8,10 @@
 static void
 ask_list (HrCore *c)
 {
-  c->listing = TRUE;
-  char *path = c->list_after ? g_strdup_printf ("/rentals?after=%s&limit=500", c->list_after)
-                             : g_strdup ("/rentals?limit=500");
+  c->scaling.list_in_flight = TRUE;
+  char *path = c->scaling.list_cursor
+                   ? g_strdup_printf ("/rentals?after=%s&limit=500", c->scaling.list_cursor)
+                   : g_strdup ("/rentals?limit=500");
   hr_core_call (c, HR_TO_CLOUD, NULL, HR_GET, path, NULL, 5, on_list, NULL);
 }
 
@@ -34,7 +35,7 @@
   /* Also of a machine that only records name so far: its zone counts for others. */
   hr_machine_describe (m, t, hr_intern (&c->names->zones, e->zone), e->is_spot);
   if (m->state != HR_MACHINE_GONE) {
-    m->listed_at = c->list_at;
+    m->listed_at = c->scaling.list_requested_at;
     return;
   }
   m->state = HR_MACHINE_BOOTING; /* until its worker reports */
@@ -42,22 +43,23 @@
   if (e->state == HR_INSTANCE_STARTING)
     m->rented_at = c->now - e->age;
   hr_fleet_add (c, m);
-  m->listed_at = c->list_at;
-  c->plan_dirty = TRUE;
+  m->listed_at = c->scaling.list_requested_at;
+  c->scheduling.plan_is_stale = TRUE;
   g_info ("%s is in the cloud's list and was not expected; it is taken on", m->name);
 }
 
 static void
 on_list (HrCore *c, int status, json_t *body, double sent, gpointer data)
 {
-  c->listing = FALSE;
-  if (!c->leads) {
-    g_clear_pointer (&c->list_after, g_free); /* the next term begins with a pass of its own */
+  c->scaling.list_in_flight = FALSE;
+  if (!c->leadership.is_leader) {
+    g_clear_pointer (&c->scaling.list_cursor,
+                     g_free); /* the next term begins with a pass of its own */
     return;
   }
   json_t *list = json_object_get (body, "rockhands"), *o;
   if (status != 200 || !json_is_array (list)) {
-    g_clear_pointer (&c->list_after, g_free);
+    g_clear_pointer (&c->scaling.list_cursor, g_free);
     return;
   }
   gboolean more = FALSE;
@@ -71,17 +73,17 @@
       continue;
     }
     listed (c, &e);
-    g_free (c->list_after);
-    c->list_after = g_strdup (e.name);
+    g_free (c->scaling.list_cursor);
+    c->scaling.list_cursor = g_strdup (e.name);
   }
   if (more && json_array_size (list)) {
     ask_list (c);
     return;
   }
-  g_clear_pointer (&c->list_after, g_free);
-  c->listed_at = c->list_at;
-  if (c->list_at >= c->led_at + c->set->list_lag_s)
-    c->list_complete = TRUE;
+  g_clear_pointer (&c->scaling.list_cursor, g_free);
+  c->scaling.listed_at = c->scaling.list_requested_at;
+  if (c->scaling.list_requested_at >= c->leadership.term_began_at + c->settings->list_lag_s)
+    c->scaling.list_is_complete = TRUE;
 }
 
 /* Passes through the list follow one another; until one is complete since the term began, at once.
@@ -89,10 +91,10 @@
 void
 hr_instance_list_tick (HrCore *c)
 {
-  double gap = c->list_complete ? MAX (4, c->set->list_lag_s) : 1;
-  if (!c->listing && c->now - c->list_at > gap &&
-      hr_token_bucket_take (&c->cloud_bucket, c->now, 1, 1)) {
-    c->list_at = c->now;
+  double gap = c->scaling.list_is_complete ? MAX (4, c->settings->list_lag_s) : 1;
+  if (!c->scaling.list_in_flight && c->now - c->scaling.list_requested_at > gap &&
+      hr_token_bucket_take (&c->scaling.allowance, c->now, 1, 1)) {
+    c->scaling.list_requested_at = c->now;
     ask_list (c);
   }
 }
--- a/src/coordination/scale_out.c
+++ b/src/coordination/scaling/scale_out.c
@@ -1,6 +1,6 @@
 /* What is to be rented for what waits and for what is expected, and what can go back. */
-#include "coordination/quotas.h"
-#include "coordination/free_capacity.h"
+#include "coordination/scheduling/quotas.h"
+#include "coordination/scheduling/free_capacity.h"
 #include <math.h>
 
 #define MAX_SCALE_OUT_TASKS 200 /* tasks of one job that machines are rented for in a pass */
@@ -24,12 +24,12 @@
   const HrMachineType *best = NULL;
   gboolean best_spot = FALSE;
   double least = INFINITY;
-  for (guint i = 0; i < c->types->len; i++) {
-    const HrMachineType *t = &g_array_index (c->types, HrMachineType, i);
+  for (guint i = 0; i < c->scaling.machine_types->len; i++) {
+    const HrMachineType *t = &g_array_index (c->scaling.machine_types, HrMachineType, i);
     if ((types && !(types >> t->type & 1)) || cpus > t->cpus || gpus > t->gpus ||
         mem > t->memory_gb)
       continue;
-    for (int spot = 0; spot <= (spot_ok && c->pol.spot_use > 0); spot++) {
+    for (int spot = 0; spot <= (spot_ok && c->policy.spot_use > 0); spot++) {
       double share = MAX (MAX (cpus / t->cpus, gpus > 0 ? gpus / t->gpus : 0), mem / t->memory_gb);
       double price = (spot ? t->spot_price : t->price) * share;
       if (price < least && !hr_capacity_is_refused (c, t->type, zone, spot)) {
@@ -95,8 +95,8 @@
 boot_time (HrCore *c)
 {
   double s = 0;
-  for (guint i = 0; i < c->types->len; i++)
-    s = MAX (s, g_array_index (c->types, HrMachineType, i).boot_s);
+  for (guint i = 0; i < c->scaling.machine_types->len; i++)
+    s = MAX (s, g_array_index (c->scaling.machine_types, HrMachineType, i).boot_s);
   return s;
 }
 
@@ -111,15 +111,15 @@
   if (!s->seen)
     return 0;
   if (s->shape == HR_SERVICE)
-    boots = c->pol.headroom_boots;
-  for (guint i = 0; i < c->set->objectives->len && s->shape != HR_SERVICE; i++) {
-    HrObjective *a = &g_array_index (c->set->objectives, HrObjective, i);
+    boots = c->policy.headroom_boots;
+  for (guint i = 0; i < c->settings->objectives->len && s->shape != HR_SERVICE; i++) {
+    HrObjective *a = &g_array_index (c->settings->objectives, HrObjective, i);
     if (a->job_class == job_class && a->kind == HR_OBJECTIVE_WAIT)
-      boots = MAX (boots, c->pol.headroom_waits);
+      boots = MAX (boots, c->policy.headroom_waits);
     else if (a->job_class == job_class && a->kind == HR_OBJECTIVE_DEADLINE)
-      boots = MAX (boots, c->pol.headroom_deadlines);
+      boots = MAX (boots, c->policy.headroom_deadlines);
   }
-  double base = s->shape == HR_SERVICE ? c->pol.headroom_base : 0;
+  double base = s->shape == HR_SERVICE ? c->policy.headroom_base : 0;
   return lround (base + hr_class_arrivals (c, s, 0) * boot_time (c) * boots);
 }
 
@@ -132,8 +132,8 @@
 void
 hr_scale_out_headroom (HrCore *c, HrFreeCapacity *capacities, guint n_capacities, GArray *needs)
 {
-  for (guint k = 0; k < c->classes->len; k++) {
-    HrClassStats *s = &g_array_index (c->classes, HrClassStats, k);
+  for (guint k = 0; k < c->scheduling.class_stats->len; k++) {
+    HrClassStats *s = &g_array_index (c->scheduling.class_stats, HrClassStats, k);
     HrCapacityCursor at = {0};
     for (guint n = hr_headroom (c, k); n > 0; n--)
       if (!find_free_capacity (c, capacities, n_capacities, &at, NULL, s->cpus, s->gpus, s->mem,
@@ -163,16 +163,16 @@
     return TRUE;
   if (j->spec.shape != HR_GANG || j->planned)
     return FALSE;
-  for (guint i = 0; i < c->types->len; i++) {
-    guint32 t = g_array_index (c->types, HrMachineType, i).type;
+  for (guint i = 0; i < c->scaling.machine_types->len; i++) {
+    guint32 t = g_array_index (c->scaling.machine_types, HrMachineType, i).type;
     if ((!j->spec.types || j->spec.types >> t & 1) &&
         (!hr_capacity_is_refused (c, t, j->spec.zone, FALSE) ||
-         (j->spec.allows_spot && c->pol.spot_use > 0 &&
+         (j->spec.allows_spot && c->policy.spot_use > 0 &&
           !hr_capacity_is_refused (c, t, j->spec.zone, TRUE))))
       return FALSE;
   }
-  for (guint i = 0; i < c->fleet->len; i++)
-    fleet += hr_job_allows_machine (c, j, c->fleet->pdata[i]);
+  for (guint i = 0; i < c->scaling.fleet->len; i++)
+    fleet += hr_job_allows_machine (c, j, c->scaling.fleet->pdata[i]);
   if (fleet >= j->ntasks)
     return FALSE;
   j->rent_pause = CLAMP (2 * j->rent_pause, 15, 240);
@@ -193,7 +193,7 @@
   guint n = 0;
   for (; n < m->list->len; n++) {
     const HrJobSpec *s =
-        &((HrJob *)c->jobs->pdata[g_array_index (m->list, HrTaskRef, n).job])->spec;
+        &((HrJob *)c->store.tables.jobs->pdata[g_array_index (m->list, HrTaskRef, n).job])->spec;
     if (!hr_free_capacity_take (capacity, s->cpus, s->gpus, s->memory_gb))
       break;
   }
@@ -206,20 +206,20 @@
 static gboolean
 late (HrCore *c, const HrListedTask *t, gboolean placed)
 {
-  HrJob *j = c->jobs->pdata[t->task.job];
+  HrJob *j = c->store.tables.jobs->pdata[t->task.job];
   gboolean limited = hr_team_usage (c, j->spec.team)->is_limited;
-  double boot = boot_time (c) * c->pol.rent_slack, wait = t->start - c->now;
+  double boot = boot_time (c) * c->policy.rent_slack, wait = t->start - c->now;
   if (wait <= (limited ? boot * LIMITED_SLACK : boot) || (limited && placed))
     return FALSE;
   return j->spec.shape == HR_GANG ||
-         c->wall + wait + hr_estimate_run_time (c, j, t->machine) > j->deadline;
+         c->wall_time + wait + hr_estimate_run_time (c, j, t->machine) > j->deadline;
 }
 
 /* Machines for what stands in lists and would start late there. */
 static void
 scale_out_for_late (HrCore *c, HrFreeCapacity *capacities, guint booting, GArray *needs)
 {
-  guint n = c->fleet->len;
+  guint n = c->scaling.fleet->len;
   g_autofree guint *placed = g_new0 (guint, n + 1);
   g_autoptr (GArray) listed = g_array_new (FALSE, FALSE, sizeof (HrListedTask));
   for (guint i = 0; i < n; i++) {
@@ -246,8 +246,8 @@
 {
   scale_out_for_late (c, capacities, booting, needs);
   /* And for what found no list at all. */
-  for (guint i = 0; i < c->open->len; i++) {
-    HrJob *j = c->jobs->pdata[g_array_index (c->open, guint32, i)];
+  for (guint i = 0; i < c->store.tables.open_jobs->len; i++) {
+    HrJob *j = c->store.tables.jobs->pdata[g_array_index (c->store.tables.open_jobs, guint32, i)];
     gint left = (gint)j->ntasks - (gint)(j->nlive + j->ndone + j->planned);
     if (j->state != HR_JOB_QUEUED || j->spec.shape == HR_SERVICE || j->gang_over || left <= 0 ||
         j->retry_at > c->now || !hr_team_allows_start (c, j, 1) || exceeds_any_fleet (c, j))
@@ -272,7 +272,8 @@
   for (guint32 i = 0; i < j->ntasks && isfinite (end); i++) {
     const HrTask *t = &j->tasks[i];
     if (t->state == HR_TASK_BOUND || t->state == HR_TASK_ASSIGNING)
-      end = MAX (end, hr_estimate_running_end (c, j, t, c->machines->pdata[t->placement.machine]));
+      end = MAX (end, hr_estimate_running_end (
+                          c, j, t, c->store.tables.machines->pdata[t->placement.machine]));
   }
   return end;
 }
@@ -299,7 +300,7 @@
     mem += a->nlive * a->spec.memory_gb;
   }
   /* One that may wait for a boot does. */
-  if (ready + boot_time (c) + s->estimate_s <= j->deadline - c->wall + c->now)
+  if (ready + boot_time (c) + s->estimate_s <= j->deadline - c->wall_time + c->now)
     return 0;
   double fit = j->ntasks;
   if (s->cpus > 0)
@@ -322,14 +323,14 @@
 {
   double horizon = c->now + boot_time (c);
   g_autofree guint *kept = g_new0 (guint, c->names->classes.names->len + 1);
-  for (guint k = 0; k < c->classes->len; k++)
+  for (guint k = 0; k < c->scheduling.class_stats->len; k++)
     kept[k] = hr_headroom (c, k);
-  for (guint i = 0; i < c->open->len; i++) {
-    HrJob *j = c->jobs->pdata[g_array_index (c->open, guint32, i)];
+  for (guint i = 0; i < c->store.tables.open_jobs->len; i++) {
+    HrJob *j = c->store.tables.jobs->pdata[g_array_index (c->store.tables.open_jobs, guint32, i)];
     j->ends_at = j->dependents ? projected_end (c, j) : INFINITY;
   }
-  for (guint i = 0; i < c->open->len; i++) {
-    HrJob *j = c->jobs->pdata[g_array_index (c->open, guint32, i)];
+  for (guint i = 0; i < c->store.tables.open_jobs->len; i++) {
+    HrJob *j = c->store.tables.jobs->pdata[g_array_index (c->store.tables.open_jobs, guint32, i)];
     for (guint k = 0; j->ends_at <= horizon && k < j->dependents->len; k++) {
       HrJob *d = j->dependents->pdata[k];
       HrCapacityCursor at = {0};
@@ -355,8 +356,8 @@
     if (m->state != HR_MACHINE_UP || m->tasks->len || m->list->len)
       continue;
     /* After a cut of our own nothing was idle: nobody could give it work. */
-    double since = MAX (m->idle_at, c->served_since);
-    if (m->drain || (!capacities[i].is_reserved && m->idle_at && c->now - since > c->pol.idle_s))
+    double since = MAX (m->idle_at, c->store.replica.served_since);
+    if (m->drain || (!capacities[i].is_reserved && m->idle_at && c->now - since > c->policy.idle_s))
       g_ptr_array_add (away, m);
   }
   for (guint i = 0; i < away->len; i++)
@@ -373,7 +374,7 @@
 void
 hr_scale_out_end (HrCore *c, GArray *needs)
 {
-  g_array_set_size (c->wants, 0);
+  g_array_set_size (c->scaling.demand, 0);
   for (guint i = 0; i < needs->len; i++) {
     Need *x = &g_array_index (needs, Need, i);
     hr_demand_add (c, x->type, x->zone, x->is_spot, x->machines);
--- a/src/coordination/dispatch.c
+++ b/src/coordination/scheduling/dispatch.c
@@ -1,15 +1,15 @@
 /* From the plan to orders: what can start now starts, what cannot is made room
  * for, rented for, or waits; idle machines go back. */
-#include "coordination/starvation_guard.h"
-#include "coordination/quotas.h"
-#include "coordination/replicas.h"
-#include "coordination/free_capacity.h"
+#include "coordination/scheduling/starvation_guard.h"
+#include "coordination/scheduling/quotas.h"
+#include "coordination/scheduling/service_replicas.h"
+#include "coordination/scheduling/free_capacity.h"
 #include <math.h>
 
 gboolean
 hr_machine_is_reachable (const HrCore *c, const HrMachine *m)
 {
-  return m->state == HR_MACHINE_UP && m->heard_at > 0 && c->now - m->heard_at < c->pol.silent_s;
+  return m->state == HR_MACHINE_UP && m->heard_at > 0 && c->now - m->heard_at < c->policy.silent_s;
 }
 
 gboolean
@@ -31,7 +31,8 @@
 {
   if (j->tasks[task].is_listed) {
     hr_task_unplan (j, task);
-    hr_list_remove (c->machines->pdata[j->tasks[task].listed_on], (HrTaskRef){j->idx, task});
+    hr_list_remove (c->store.tables.machines->pdata[j->tasks[task].listed_on],
+                    (HrTaskRef){j->index, task});
   }
   hr_task_assign (c, j, task, m, attempt);
   hr_quotas_task_started (c, j);
@@ -52,9 +53,9 @@
 GPtrArray *
 hr_dispatch_open_machines (HrCore *c)
 {
-  GPtrArray *a = g_ptr_array_sized_new (c->fleet->len);
-  for (guint i = 0; i < c->fleet->len; i++) {
-    HrMachine *m = c->fleet->pdata[i];
+  GPtrArray *a = g_ptr_array_sized_new (c->scaling.fleet->len);
+  for (guint i = 0; i < c->scaling.fleet->len; i++) {
+    HrMachine *m = c->scaling.fleet->pdata[i];
     if (m->state == HR_MACHINE_UP && !m->drain && m->cpus - m->foreign_cpus > 0)
       g_ptr_array_add (a, m);
   }
@@ -71,7 +72,7 @@
   for (guint32 i = 0; i < j->ntasks; i++) {
     if (!j->tasks[i].is_listed || j->tasks[i].state != HR_TASK_IDLE)
       return FALSE;
-    on[i] = c->machines->pdata[j->tasks[i].listed_on];
+    on[i] = c->store.tables.machines->pdata[j->tasks[i].listed_on];
     if (!hr_dispatch_startable (c, j, on[i]))
       return FALSE;
   }
@@ -97,10 +98,10 @@
     if (j->tasks[k].state != HR_TASK_IDLE)
       continue;
     gboolean allowed = hr_team_allows_start (c, j, 1);
-    for (guint i = 0; i < c->fleet->len; i++) {
-      HrMachine *m = c->fleet->pdata[i];
+    for (guint i = 0; i < c->scaling.fleet->len; i++) {
+      HrMachine *m = c->scaling.fleet->pdata[i];
       /* Where it was refused, the same attempt would be taken for the refused one. */
-      if (allowed && m->idx != j->tasks[k].placement.machine && hr_dispatch_startable (c, j, m) &&
+      if (allowed && m->index != j->tasks[k].placement.machine && hr_dispatch_startable (c, j, m) &&
           (!best || hr_estimate_fetch_time (c, j, m) < hr_estimate_fetch_time (c, j, best)))
         best = m;
     }
@@ -112,7 +113,7 @@
   }
   if (whole)
     j->short_since = 0;
-  else if (c->now - j->short_since > c->set->gang_wait_s / 2)
+  else if (c->now - j->short_since > c->settings->gang_wait_s / 2)
     hr_gang_end_attempt (c, j, 0);
 }
 
@@ -131,7 +132,7 @@
   double blocked = INFINITY;
   for (guint i = 0; i < m->list->len;) {
     HrTaskRef r = g_array_index (m->list, HrTaskRef, i);
-    HrJob *j = c->jobs->pdata[r.job];
+    HrJob *j = c->store.tables.jobs->pdata[r.job];
     gboolean ok =
         hr_dispatch_startable (c, j, m) && (!isfinite (blocked) || may_pass (c, j, m, blocked));
     if (ok && j->spec.shape == HR_GANG)
@@ -159,7 +160,7 @@
 {
   HrCore *c = data;
   const HrTaskRef *x = &((const HrListedTask *)a)->task, *y = &((const HrListedTask *)b)->task;
-  const HrJob *p = c->jobs->pdata[x->job], *q = c->jobs->pdata[y->job];
+  const HrJob *p = c->store.tables.jobs->pdata[x->job], *q = c->store.tables.jobs->pdata[y->job];
   if (p->deadline != q->deadline)
     return p->deadline < q->deadline ? -1 : 1;
   return x->job != y->job ? (x->job < y->job ? -1 : 1) : (x->task > y->task) - (x->task < y->task);
@@ -184,8 +185,8 @@
 {
   g_autoptr (GPtrArray) capacities = hr_dispatch_open_machines (c);
   g_autoptr (GArray) all = g_array_new (FALSE, FALSE, sizeof (HrListedTask));
-  for (guint i = 0; i < c->fleet->len && capacities->len; i++)
-    hr_list_append (c, c->fleet->pdata[i], all);
+  for (guint i = 0; i < c->scaling.fleet->len && capacities->len; i++)
+    hr_list_append (c, c->scaling.fleet->pdata[i], all);
   for (guint i = all->len; i > 0; i--)
     if (hr_listed_job (c, all, i - 1)->spec.shape != HR_BATCH)
       g_array_remove_index_fast (all, i - 1);
@@ -227,16 +228,16 @@
 static HrFreeCapacity *
 free_capacities (HrCore *c, guint *booting)
 {
-  guint n = c->fleet->len;
+  guint n = c->scaling.fleet->len;
   HrFreeCapacity *capacities = g_new0 (HrFreeCapacity, n + 1);
   *booting = 0;
   for (guint i = 0, up = n; i < n; i++) {
-    HrMachine *m = c->fleet->pdata[i];
+    HrMachine *m = c->scaling.fleet->pdata[i];
     HrFreeCapacity *r = &capacities[m->state == HR_MACHINE_BOOTING ? (*booting)++ : --up];
     *r = (HrFreeCapacity){m, m->cpus, m->gpus, m->mem, FALSE};
     for (guint k = 0; k < m->tasks->len; k++) {
       HrTaskRef x = g_array_index (m->tasks, HrTaskRef, k);
-      HrJob *j = c->jobs->pdata[x.job];
+      HrJob *j = c->store.tables.jobs->pdata[x.job];
       if (j->tasks[x.task].stop_wanted) {
         r->cpus += j->spec.cpus;
         r->gpus += j->spec.gpus;
@@ -252,11 +253,11 @@
 {
   /* While nothing can be recorded nothing can start, so nothing is stopped to make room
    * and no machine is idle for want of work. */
-  if (!c->types || !hr_leadership_may_answer (c) || !hr_replica_is_served (c))
+  if (!c->scaling.machine_types || !hr_leadership_may_answer (c) || !hr_replica_is_served (c))
     return;
   g_autoptr (GPtrArray) services = g_ptr_array_new ();
-  for (guint i = 0; i < c->open->len; i++) {
-    HrJob *j = c->jobs->pdata[g_array_index (c->open, guint32, i)];
+  for (guint i = 0; i < c->store.tables.open_jobs->len; i++) {
+    HrJob *j = c->store.tables.jobs->pdata[g_array_index (c->store.tables.open_jobs, guint32, i)];
     if (j->state != HR_JOB_QUEUED || !j->tasks)
       continue;
     if (j->spec.shape == HR_SERVICE && j->nlive < j->ntasks)
@@ -266,11 +267,11 @@
   }
   g_ptr_array_sort (services, by_priority);
   hr_replicas_start (c, services);
-  guint n = c->fleet->len;
+  guint n = c->scaling.fleet->len;
   g_autoptr (GHashTable) blocked =
       g_hash_table_new_full (g_direct_hash, g_direct_equal, NULL, g_free);
   for (guint i = 0; i < n; i++) {
-    HrMachine *m = c->fleet->pdata[i];
+    HrMachine *m = c->scaling.fleet->pdata[i];
     double until = m->state == HR_MACHINE_UP && m->list->len ? start_list (c, m) : INFINITY;
     if (isfinite (until))
       g_hash_table_insert (blocked, m, g_memdup2 (&until, sizeof until));
@@ -281,7 +282,7 @@
 
   guint booting;
   g_autofree HrFreeCapacity *capacities = free_capacities (c, &booting);
-  c->booting = booting;
+  c->scheduling.booting_machines = booting;
   g_autoptr (GArray) needs = hr_scale_out_begin ();
   for (guint i = 0; i < services->len; i++) {
     HrJob *j = services->pdata[i];
--- a/src/coordination/guarantees.c
+++ b/src/coordination/scheduling/guarantees.c
@@ -1,6 +1,6 @@
 /* Guarantees of teams. */
-#include "coordination/quotas.h"
-#include "coordination/free_capacity.h"
+#include "coordination/scheduling/quotas.h"
+#include "coordination/scheduling/free_capacity.h"
 
 int
 hr_by_submission (gconstpointer a, gconstpointer b)
@@ -8,7 +8,7 @@
   const HrJob *x = *(HrJob *const *)a, *y = *(HrJob *const *)b;
   if (x->submitted != y->submitted)
     return x->submitted < y->submitted ? -1 : 1;
-  return x->idx < y->idx ? -1 : x->idx > y->idx;
+  return x->index < y->index ? -1 : x->index > y->index;
 }
 
 /* What a job within its team's guarantee may keep others waiting for, s: by then what was
@@ -46,19 +46,19 @@
 void
 hr_guarantees_mark_jobs (HrCore *c)
 {
-  c->entitled_waits = FALSE;
-  if (c->set->teams->len < 2)
+  c->scheduling.guaranteed_job_waits = FALSE;
+  if (c->settings->teams->len < 2)
     return;
   g_autoptr (GPtrArray) jobs = g_ptr_array_new ();
-  for (guint i = 0; i < c->open->len; i++) {
-    HrJob *j = c->jobs->pdata[g_array_index (c->open, guint32, i)];
+  for (guint i = 0; i < c->store.tables.open_jobs->len; i++) {
+    HrJob *j = c->store.tables.jobs->pdata[g_array_index (c->store.tables.open_jobs, guint32, i)];
     j->entitled = j->claims = FALSE;
     if (j->state == HR_JOB_QUEUED && j->tasks)
       g_ptr_array_add (jobs, j);
   }
   g_ptr_array_sort (jobs, hr_by_submission);
-  for (guint k = 0; k < c->set->teams->len; k++) {
-    const HrTeam *t = &g_array_index (c->set->teams, HrTeam, k);
+  for (guint k = 0; k < c->settings->teams->len; k++) {
+    const HrTeam *t = &g_array_index (c->settings->teams, HrTeam, k);
     double cpus = 0, gpus = 0;
     for (guint i = 0; i < jobs->len; i++) {
       HrJob *j = jobs->pdata[i];
@@ -68,7 +68,7 @@
       gpus += (j->ntasks - j->ndone) * j->spec.gpus;
       j->entitled = cpus <= t->cpus + 1e-6 && gpus <= t->gpus + 1e-6;
       j->claims = is_reclaiming (c, j);
-      c->entitled_waits |= j->claims;
+      c->scheduling.guaranteed_job_waits |= j->claims;
     }
   }
 }
@@ -78,8 +78,8 @@
 void
 hr_guarantees_preempt (HrCore *c, HrFreeCapacity *capacities)
 {
-  for (guint i = 0; c->entitled_waits && i < c->open->len; i++) {
-    HrJob *j = c->jobs->pdata[g_array_index (c->open, guint32, i)];
+  for (guint i = 0; c->scheduling.guaranteed_job_waits && i < c->store.tables.open_jobs->len; i++) {
+    HrJob *j = c->store.tables.jobs->pdata[g_array_index (c->store.tables.open_jobs, guint32, i)];
     if (!j->claims || j->state != HR_JOB_QUEUED || j->spec.shape == HR_SERVICE || j->gang_over ||
         c->now < j->retry_at)
       continue;
@@ -95,7 +95,7 @@
 {
   /* While a job within its team's guarantee waits, the others borrow nothing more: what is
    * stopped or ends makes room for that job. */
-  if (c->entitled_waits && !j->entitled && hr_team_exceeds_guarantee (c, j, n))
+  if (c->scheduling.guaranteed_job_waits && !j->entitled && hr_team_exceeds_guarantee (c, j, n))
     return FALSE;
   return hr_quotas_granted (c, j) >= n;
 }
--- a/src/coordination/mtedf.c
+++ b/src/coordination/scheduling/mtedf.c
@@ -1,5 +1,5 @@
 /* MT-EDF: a new task is tried at its deadline slot in the lists (the paper's figure 1). */
-#include "coordination/plan.h"
+#include "coordination/scheduling/plan.h"
 #include <math.h>
 
 /* Earliest-starting list first, the image fetch included. */
@@ -13,7 +13,7 @@
     return x->spot ? -1 : 1;                                        /* cheaper */
   if (x->tasks->len + x->list->len != y->tasks->len + y->list->len) /* so that others fall empty */
     return x->tasks->len + x->list->len > y->tasks->len + y->list->len ? -1 : 1;
-  return x->idx < y->idx ? -1 : x->idx > y->idx;
+  return x->index < y->index ? -1 : x->index > y->index;
 }
 
 gboolean
@@ -78,7 +78,7 @@
 gboolean
 hr_mtedf_task (HrCore *c, GPtrArray *order, HrJob *j, guint32 task, guint tries)
 {
-  HrTaskRef r = {j->idx, task};
+  HrTaskRef r = {j->index, task};
   guint best = HR_NONE;
   HrListScore bj = {G_MAXUINT, INFINITY};
   double bs = INFINITY;
@@ -88,7 +88,7 @@
   double share = order->len > sure ? (double)(tries - sure) / (order->len - sure) : 1;
   for (guint k = 0; k < order->len; k++) {
     HrMachine *m = order->pdata[k];
-    if (k >= sure && g_rand_double (c->rand) >= share)
+    if (k >= sure && g_rand_double (c->random) >= share)
       continue;
     if (!hr_job_allows_zone (c, j, m))
       continue;
@@ -119,7 +119,7 @@
 static gboolean
 sampled (const HrJob *j, const HrMachine *m, guint tries, guint lists)
 {
-  guint32 h = (j->idx + 1) * 0x9e3779b9u ^ (m->idx + 1) * 0x85ebca6bu;
+  guint32 h = (j->index + 1) * 0x9e3779b9u ^ (m->index + 1) * 0x85ebca6bu;
   h = (h ^ h >> 15) * 0xc2b2ae35u;
   return tries >= lists || (h ^ h >> 16) / 4294967296.0 * lists < tries;
 }
@@ -149,7 +149,7 @@
   g_autofree gboolean *used = g_new0 (gboolean, order->len + 1);
   for (guint k = 0; k < order->len; k++) {
     HrMachine *m = order->pdata[k];
-    HrTaskRef r = {j->idx, 0};
+    HrTaskRef r = {j->index, 0};
     start[k] = INFINITY;
     if (!hr_job_allows_machine (c, j, m))
       continue;
@@ -186,7 +186,7 @@
       guint k = g_array_index (got, guint, i);
       begins = MAX (begins, start[k] + fetch[k]);
     }
-    if (j->spec.one_zone && z == c->set->home)
+    if (j->spec.one_zone && z == c->settings->home)
       begins -= HR_HOME_S;
     if (got->len == j->ntasks && begins < soonest) {
       soonest = begins;
@@ -200,7 +200,7 @@
   j->gang_start = common;
   for (guint32 i = 0; i < j->ntasks; i++) {
     HrMachine *m = order->pdata[g_array_index (pick, guint, i)];
-    HrTaskRef r = {j->idx, i};
+    HrTaskRef r = {j->index, i};
     hr_list_insert (c, m, r);
     hr_project_list (c, m, NULL);
   }
--- a/src/coordination/planner.c
+++ b/src/coordination/scheduling/planner.c
@@ -1,8 +1,8 @@
 /* The plan: one deadline-ordered list of tasks per machine. New tasks are placed
  * by MT-EDF; a bounded tabu search then moves tardy ones (Klusacek, Matyska,
  * Rudova: Local Search for Deadline Driven Grid Scheduling, figures 1 to 3). */
-#include "coordination/quotas.h"
-#include "coordination/plan.h"
+#include "coordination/scheduling/quotas.h"
+#include "coordination/scheduling/plan.h"
 
 #define WINDOW 64 /* tasks of one job that stand in lists at a time */
 
@@ -27,7 +27,7 @@
   const HrJob *x = *(HrJob *const *)a, *y = *(HrJob *const *)b;
   if (x->deadline != y->deadline)
     return x->deadline < y->deadline ? -1 : 1;
-  return x->idx < y->idx ? -1 : x->idx > y->idx;
+  return x->index < y->index ? -1 : x->index > y->index;
 }
 
 void
@@ -37,8 +37,8 @@
   guint queued = 0;
   hr_shards_assign (c);
   hr_reserve_for_services (c);
-  for (guint i = 0; i < c->fleet->len; i++) {
-    HrMachine *m = c->fleet->pdata[i];
+  for (guint i = 0; i < c->scaling.fleet->len; i++) {
+    HrMachine *m = c->scaling.fleet->pdata[i];
     for (guint k = 0; k < m->list->len;) {
       HrTaskRef r = g_array_index (m->list, HrTaskRef, k);
       HrJob *j = hr_job_of_task (c, r);
@@ -57,15 +57,15 @@
     }
   }
   g_autoptr (GPtrArray) fresh = g_ptr_array_new ();
-  for (guint i = 0; i < c->open->len;) {
-    HrJob *j = c->jobs->pdata[g_array_index (c->open, guint32, i)];
+  for (guint i = 0; i < c->store.tables.open_jobs->len;) {
+    HrJob *j = c->store.tables.jobs->pdata[g_array_index (c->store.tables.open_jobs, guint32, i)];
     if (j->shrunk || !j->tasks) {
       j->listed = FALSE;
-      g_array_remove_index_fast (c->open, i);
+      g_array_remove_index_fast (c->store.tables.open_jobs, i);
       continue;
     }
     i++;
-    if (!j->parted || (j->part != HR_NONE && j->part >= c->nparts))
+    if (!j->parted || (j->part != HR_NONE && j->part >= c->scheduling.n_shards))
       hr_shard_choose (c, j);
     if (j->state == HR_JOB_QUEUED && j->spec.shape != HR_SERVICE && !j->gang_over &&
         j->retry_at <= c->now && hr_team_allows_start (c, j, 1) &&
@@ -77,7 +77,7 @@
   }
   g_ptr_array_sort (fresh, by_deadline);
   /* Trials are what a pass costs: with more to place, each task gets fewer. */
-  guint tries = MAX (c->pol.sample_lists, c->pol.pass_trials / MAX (1, queued));
+  guint tries = MAX (c->policy.sample_lists, c->policy.pass_trials / MAX (1, queued));
   for (guint i = 0; i < fresh->len; i++) {
     HrJob *j = fresh->pdata[i];
     if (j->spec.shape == HR_GANG) {
--- a/src/coordination/preemption.c
+++ b/src/coordination/scheduling/preemption.c
@@ -1,5 +1,5 @@
 /* Making room for a task by stopping others. */
-#include "coordination/free_capacity.h"
+#include "coordination/scheduling/free_capacity.h"
 #include <math.h>
 
 gboolean
@@ -55,7 +55,7 @@
         mem + 1e-6 >= j->spec.memory_gb)
       break;
     HrTaskRef x = g_array_index (m->tasks, HrTaskRef, k);
-    HrJob *v = c->jobs->pdata[x.job];
+    HrJob *v = c->store.tables.jobs->pdata[x.job];
     HrTask *t = &v->tasks[x.task];
     if (t->state != HR_TASK_BOUND || t->stop_wanted || v->spec.shape != HR_BATCH ||
         !may_stop (c, v, j))
@@ -82,8 +82,8 @@
 {
   HrMachine *best = NULL;
   double least = INFINITY;
-  for (guint i = 0; i < c->fleet->len; i++) {
-    HrMachine *m = c->fleet->pdata[i];
+  for (guint i = 0; i < c->scaling.fleet->len; i++) {
+    HrMachine *m = c->scaling.fleet->pdata[i];
     if (!hr_machine_has_image (m, j->spec.image) || !hr_machine_is_reachable (c, m) ||
         c->now < m->full_until || !hr_job_allows_machine (c, j, m) || !hr_job_allows_zone (c, j, m))
       continue;
@@ -104,7 +104,7 @@
 {
   HrFreeCapacity *best = NULL;
   double least = INFINITY;
-  for (guint i = 0; i < c->fleet->len; i++) {
+  for (guint i = 0; i < c->scaling.fleet->len; i++) {
     HrFreeCapacity *r = &capacities[i];
     HrMachine *m = r->machine;
     if (m->state != HR_MACHINE_UP || !hr_job_allows_machine (c, j, m) ||
@@ -113,7 +113,7 @@
     double cpus = r->cpus, gpus = r->gpus, mem = r->mem, cost = 0;
     for (guint k = 0; k < m->tasks->len; k++) {
       HrTaskRef x = g_array_index (m->tasks, HrTaskRef, k);
-      HrJob *v = c->jobs->pdata[x.job];
+      HrJob *v = c->store.tables.jobs->pdata[x.job];
       HrTask *t = &v->tasks[x.task];
       if (cpus >= j->spec.cpus && gpus >= j->spec.gpus && mem >= j->spec.memory_gb)
         break;
@@ -135,7 +135,7 @@
     return FALSE;
   for (guint k = 0; k < best->machine->tasks->len; k++) {
     HrTaskRef x = g_array_index (best->machine->tasks, HrTaskRef, k);
-    HrJob *v = c->jobs->pdata[x.job];
+    HrJob *v = c->store.tables.jobs->pdata[x.job];
     HrTask *t = &v->tasks[x.task];
     if (best->cpus + 1e-6 >= j->spec.cpus && best->gpus + 1e-6 >= j->spec.gpus &&
         best->mem + 1e-6 >= j->spec.memory_gb)
--- a/src/coordination/projection.c
+++ b/src/coordination/scheduling/projection.c
@@ -1,12 +1,12 @@
 /* Where a task may go, how long it takes there, and what a list comes to. */
-#include "coordination/plan.h"
-#include "coordination/free_capacity.h"
+#include "coordination/scheduling/plan.h"
+#include "coordination/scheduling/free_capacity.h"
 #include <math.h>
 
 HrJob *
 hr_job_of_task (HrCore *c, HrTaskRef r)
 {
-  return c->jobs->pdata[r.job];
+  return c->store.tables.jobs->pdata[r.job];
 }
 
 gboolean
@@ -15,7 +15,8 @@
   if (m->drain || m->type == HR_NONE)
     return FALSE;
   return m->state == HR_MACHINE_BOOTING ||
-         (m->state == HR_MACHINE_UP && c->now - MAX (m->heard_at, c->led_at) < 2 * c->pol.silent_s);
+         (m->state == HR_MACHINE_UP &&
+          c->now - MAX (m->heard_at, c->leadership.term_began_at) < 2 * c->policy.silent_s);
 }
 
 /* Type, zone and kind, apart from where the job's other tasks are. */
@@ -25,9 +26,9 @@
   const HrJobSpec *s = &j->spec;
   const HrMachineType *t = hr_machine_is_plannable (c, m) ? hr_machine_type_of (c, m) : NULL;
   /* Where it failed last it is not tried again at once, if there is any other place. */
-  if (m->idx == j->bad_machine && c->now < j->bad_until)
+  if (m->index == j->bad_machine && c->now < j->bad_until)
     return FALSE;
-  if (j->part != HR_NONE && j->part < c->nparts && m->part != j->part)
+  if (j->part != HR_NONE && j->part < c->scheduling.n_shards && m->part != j->part)
     return FALSE;
   return t && (!s->types || (s->types >> m->type & 1)) &&
          (s->zone == HR_NONE || s->zone == m->zone) && (s->allows_spot || !m->spot) &&
@@ -158,7 +159,7 @@
       starts[i] = start;
     if (i == 0)
       m->ready = start;
-    double over = start + hr_estimate_run_time (c, j, m) - (j->deadline - c->wall + c->now);
+    double over = start + hr_estimate_run_time (c, j, m) - (j->deadline - c->wall_time + c->now);
     if (over > 0) {
       m->late++;
       m->tardiness += over;
@@ -186,7 +187,7 @@
   g_array_insert_val (m->list, at, r);
   j->planned += !j->tasks[r.task].is_listed;
   j->tasks[r.task].is_listed = 1;
-  j->tasks[r.task].listed_on = m->idx;
+  j->tasks[r.task].listed_on = m->index;
 }
 
 void
@@ -228,7 +229,8 @@
   for (guint32 i = 0; j->tasks && j->planned && i < j->ntasks; i++) {
     if (!j->tasks[i].is_listed)
       continue;
-    hr_list_remove (c->machines->pdata[j->tasks[i].listed_on], (HrTaskRef){j->idx, i});
+    hr_list_remove (c->store.tables.machines->pdata[j->tasks[i].listed_on],
+                    (HrTaskRef){j->index, i});
     hr_task_unplan (j, i);
   }
 }
@@ -244,7 +246,7 @@
     HrTask *t = &j->tasks[i];
     if (t->state != HR_TASK_ASSIGNING && t->state != HR_TASK_BOUND)
       continue;
-    guint32 zone = ((HrMachine *)c->machines->pdata[t->placement.machine])->zone;
+    guint32 zone = ((HrMachine *)c->store.tables.machines->pdata[t->placement.machine])->zone;
     if (zone == HR_NONE)
       return FALSE; /* known from a record alone: nothing is placed beside it blindly */
     gboolean same = zone == m->zone;
--- a/src/coordination/quota.h
+++ b/src/coordination/scheduling/quota.h
@@ -1,8 +1,13 @@
 /* Amounts of what the limits of teams are about: processors and accelerators. */
 #pragma once
-#include "coordination/state.h"
+#include "protocol/jobspec.h"
 #include <math.h>
 
+/* An amount of what a team's limit is about. */
+typedef struct {
+  double cpus, gpus;
+} HrQuota;
+
 /* Of n tasks. */
 static inline HrQuota
 hr_quota_of (const HrJobSpec *s, guint n)
--- a/src/coordination/quota_preemption.c
+++ b/src/coordination/scheduling/quota_preemption.c
@@ -1,7 +1,7 @@
 /* Room within a team's limit: its work of lower rank is stopped for what the limit holds back. */
-#include "coordination/quota.h"
-#include "coordination/quotas.h"
-#include "coordination/free_capacity.h"
+#include "coordination/scheduling/quota.h"
+#include "coordination/scheduling/quotas.h"
+#include "coordination/scheduling/free_capacity.h"
 
 /* Work of lower rank is stopped for a job that is no service where the limit would not let it
  * start within so long, s: what is stopped loses work. */
@@ -37,11 +37,11 @@
 {
   GArray *found = g_array_new (FALSE, FALSE, sizeof (Stoppable));
   *all = (HrQuota){0, 0};
-  for (guint i = 0; i < c->fleet->len; i++) {
-    Stoppable s = {c->fleet->pdata[i], 0, 0};
+  for (guint i = 0; i < c->scaling.fleet->len; i++) {
+    Stoppable s = {c->scaling.fleet->pdata[i], 0, 0};
     for (guint k = 0; k < s.machine->tasks->len; k++) {
       HrTaskRef r = g_array_index (s.machine->tasks, HrTaskRef, k);
-      const HrJob *victim = c->jobs->pdata[r.job];
+      const HrJob *victim = c->store.tables.jobs->pdata[r.job];
       if (!may_stop (c, victim, r.task, j))
         continue;
       hr_quota_add (all, hr_quota_of (&victim->spec, 1));
@@ -70,7 +70,7 @@
     HrMachine *m = g_array_index (found, Stoppable, i).machine;
     for (guint k = 0; k < m->tasks->len && !hr_quota_covers (*pool, need);) {
       HrTaskRef r = g_array_index (m->tasks, HrTaskRef, k);
-      HrJob *victim = c->jobs->pdata[r.job];
+      HrJob *victim = c->store.tables.jobs->pdata[r.job];
       if (!may_stop (c, victim, r.task, j)) {
         k++;
         continue;
@@ -107,14 +107,14 @@
 void
 hr_quotas_preempt (HrCore *c)
 {
-  for (guint i = 0; i < c->teams->len; i++) {
-    HrTeamUsage *u = &g_array_index (c->teams, HrTeamUsage, i);
+  for (guint i = 0; i < c->scheduling.team_usage->len; i++) {
+    HrTeamUsage *u = &g_array_index (c->scheduling.team_usage, HrTeamUsage, i);
     u->reclaimed = u->is_limited ? u->limit : (HrQuota){INFINITY, INFINITY};
     hr_quota_subtract (&u->reclaimed, u->used);
     hr_quota_add (&u->reclaimed, u->ending);
   }
-  for (guint i = 0; i < c->waiting->len; i++) {
-    HrJob *j = c->waiting->pdata[i];
+  for (guint i = 0; i < c->scheduling.waiting_jobs->len; i++) {
+    HrJob *j = c->scheduling.waiting_jobs->pdata[i];
     HrTeamUsage *u = hr_team_usage (c, j->spec.team);
     /* One that is lent lacks a machine, and others use its share meanwhile. */
     if (!u->is_exhausted && !j->lent)
--- a/src/coordination/quotas.c
+++ b/src/coordination/scheduling/quotas.c
@@ -6,9 +6,9 @@
  * not fit leaves over is reserved for it: others get of it what ends, by estimate, before
  * running work makes room for that job, or what fits beside it then (EASY backfilling: Lifka,
  * The ANL/IBM SP scheduling system). */
-#include "coordination/quotas.h"
-#include "coordination/quota.h"
-#include "coordination/free_capacity.h"
+#include "coordination/scheduling/quotas.h"
+#include "coordination/scheduling/quota.h"
+#include "coordination/scheduling/free_capacity.h"
 
 /* A job keeps its grant for so long without a start, s: with places in lists (a boot, mostly),
  * and where no machine of the fleet has one. Then its share is lent, for a pause that doubles
@@ -23,9 +23,9 @@
 HrTeamUsage *
 hr_team_usage (HrCore *c, guint32 team)
 {
-  if (team >= c->teams->len)
-    g_array_set_size (c->teams, team + 1);
-  return &g_array_index (c->teams, HrTeamUsage, team);
+  if (team >= c->scheduling.team_usage->len)
+    g_array_set_size (c->scheduling.team_usage, team + 1);
+  return &g_array_index (c->scheduling.team_usage, HrTeamUsage, team);
 }
 
 /* What each team uses: every task that is not proven gone, those of withdrawn jobs and those
@@ -33,17 +33,17 @@
 static void
 count_usage (HrCore *c)
 {
-  g_array_set_size (c->teams, 0);
-  for (guint i = 0; i < c->set->teams->len; i++) {
-    const HrTeam *t = &g_array_index (c->set->teams, HrTeam, i);
+  g_array_set_size (c->scheduling.team_usage, 0);
+  for (guint i = 0; i < c->settings->teams->len; i++) {
+    const HrTeam *t = &g_array_index (c->settings->teams, HrTeam, i);
     HrTeamUsage *u = hr_team_usage (c, t->team);
     u->is_limited = t->cpus_max > 0 || t->gpus_max > 0;
     u->limit.cpus = t->cpus_max > 0 ? t->cpus_max : INFINITY;
     u->limit.gpus = t->gpus_max > 0 ? t->gpus_max : INFINITY;
     u->shadow_time = INFINITY;
   }
-  for (guint i = 0; i < c->open->len; i++) {
-    HrJob *j = c->jobs->pdata[g_array_index (c->open, guint32, i)];
+  for (guint i = 0; i < c->store.tables.open_jobs->len; i++) {
+    HrJob *j = c->store.tables.jobs->pdata[g_array_index (c->store.tables.open_jobs, guint32, i)];
     HrTeamUsage *u = hr_team_usage (c, j->spec.team);
     guint n = j->nlive;
     /* Its tasks may be anywhere; none is known. */
@@ -56,8 +56,8 @@
       if (j->tasks[k].state == HR_TASK_BOUND && j->tasks[k].stop_wanted)
         hr_quota_add (&u->ending, hr_quota_of (&j->spec, 1));
   }
-  for (guint i = 0; i < c->teams->len; i++) {
-    HrTeamUsage *u = &g_array_index (c->teams, HrTeamUsage, i);
+  for (guint i = 0; i < c->scheduling.team_usage->len; i++) {
+    HrTeamUsage *u = &g_array_index (c->scheduling.team_usage, HrTeamUsage, i);
     u->available = u->is_limited ? u->limit : (HrQuota){INFINITY, INFINITY};
     hr_quota_subtract (&u->available, u->used);
     u->backfill = u->available;
@@ -98,7 +98,7 @@
     return hr_job_priority (x) < hr_job_priority (y) ? -1 : 1;
   if (x->deadline != y->deadline)
     return x->deadline < y->deadline ? -1 : 1;
-  return x->idx < y->idx ? -1 : x->idx > y->idx;
+  return x->index < y->index ? -1 : x->index > y->index;
 }
 
 /* Expected run time where the image has to be fetched; services have no end. */
@@ -108,8 +108,9 @@
   double fetch = 0, run = j->spec.estimate_s > 0 ? j->spec.estimate_s : 60;
   if (j->spec.shape == HR_SERVICE)
     return INFINITY;
-  for (guint i = 0; i < c->types->len; i++)
-    fetch = MAX (fetch, j->spec.image_gb / g_array_index (c->types, HrMachineType, i).fetch_rate);
+  for (guint i = 0; i < c->scaling.machine_types->len; i++)
+    fetch = MAX (fetch, j->spec.image_gb /
+                            g_array_index (c->scaling.machine_types, HrMachineType, i).fetch_rate);
   return run * hr_class_stats (c, j->spec.job_class)->correction + fetch;
 }
 
@@ -129,7 +130,7 @@
 static double
 release_at (HrCore *c, HrJob *j, const HrTask *t)
 {
-  HrMachine *m = c->machines->pdata[t->placement.machine];
+  HrMachine *m = c->store.tables.machines->pdata[t->placement.machine];
   if (t->state == HR_TASK_BOUND && (t->stop_wanted || j->state != HR_JOB_QUEUED))
     return c->now + (hr_machine_is_reachable (c, m) ? t->stop_grace_s + PREEMPTION_S
                                                     : hr_lease_duration_s (c));
@@ -144,8 +145,8 @@
   HrQuota need = hr_quota_of (&head->spec, hr_job_start_unit (head)), capacity = u->available;
   u->has_reservation = TRUE;
   u->shadow_time = INFINITY;
-  for (guint i = 0; i < c->open->len; i++) {
-    HrJob *j = c->jobs->pdata[g_array_index (c->open, guint32, i)];
+  for (guint i = 0; i < c->store.tables.open_jobs->len; i++) {
+    HrJob *j = c->store.tables.jobs->pdata[g_array_index (c->store.tables.open_jobs, guint32, i)];
     if (j->spec.team != head->spec.team || !j->tasks)
       continue;
     for (guint32 k = 0; k < j->ntasks && j->nlive; k++) {
@@ -223,13 +224,13 @@
 limit_headroom (HrCore *c)
 {
   for (HrPriority priority = HR_PRIORITY_PRODUCTION; priority <= HR_PRIORITY_LOW; priority++)
-    for (guint k = 0; k < c->classes->len; k++) {
-      HrClassStats *s = &g_array_index (c->classes, HrClassStats, k);
+    for (guint k = 0; k < c->scheduling.class_stats->len; k++) {
+      HrClassStats *s = &g_array_index (c->scheduling.class_stats, HrClassStats, k);
       guint wanted = s->rank == priority ? hr_headroom_wanted (c, k) : 0, n = 0;
       if (s->rank != priority)
         continue;
-      for (guint t = 0; t < c->teams->len && n < wanted; t++) {
-        HrTeamUsage *u = &g_array_index (c->teams, HrTeamUsage, t);
+      for (guint t = 0; t < c->scheduling.team_usage->len && n < wanted; t++) {
+        HrTeamUsage *u = &g_array_index (c->scheduling.team_usage, HrTeamUsage, t);
         HrQuota one = {s->cpus, s->gpus}, capacity = hr_quota_min (u->available, u->backfill);
         if (!(s->teams >> t % 64 & 1))
           continue;
@@ -246,23 +247,23 @@
 void
 hr_quotas_pass (HrCore *c)
 {
-  if (!c->types)
+  if (!c->scaling.machine_types)
     return;
   count_usage (c);
-  g_ptr_array_set_size (c->waiting, 0);
-  for (guint i = 0; i < c->open->len; i++) {
-    HrJob *j = c->jobs->pdata[g_array_index (c->open, guint32, i)];
+  g_ptr_array_set_size (c->scheduling.waiting_jobs, 0);
+  for (guint i = 0; i < c->store.tables.open_jobs->len; i++) {
+    HrJob *j = c->store.tables.jobs->pdata[g_array_index (c->store.tables.open_jobs, guint32, i)];
     j->grant = 0;
     if (!hr_team_usage (c, j->spec.team)->is_limited)
       continue;
     if (is_waiting (c, j))
-      g_ptr_array_add (c->waiting, j);
+      g_ptr_array_add (c->scheduling.waiting_jobs, j);
     else
       j->granted_at = j->kept_since = 0;
   }
-  g_ptr_array_sort (c->waiting, by_start);
-  for (guint i = 0; i < c->waiting->len; i++) {
-    HrJob *j = c->waiting->pdata[i];
+  g_ptr_array_sort (c->scheduling.waiting_jobs, by_start);
+  for (guint i = 0; i < c->scheduling.waiting_jobs->len; i++) {
+    HrJob *j = c->scheduling.waiting_jobs->pdata[i];
     grant (c, hr_team_usage (c, j->spec.team), j);
   }
   limit_headroom (c);
--- a/src/coordination/replicas.c
+++ b/src/coordination/scheduling/service_replicas.c
@@ -1,15 +1,15 @@
 /* Where the replicas of services start. They stand in no list: a replica has no end. */
-#include "coordination/replicas.h"
-#include "coordination/free_capacity.h"
+#include "coordination/scheduling/service_replicas.h"
+#include "coordination/scheduling/free_capacity.h"
 #include <math.h>
 
 /* Time left until the next aim for the start of the class's tasks is missed. */
 static double
 start_left (const HrCore *c, const HrJob *j)
 {
-  double left = INFINITY, waited = c->wall - hr_job_eligible_since (j);
-  for (guint i = 0; i < c->set->objectives->len; i++) {
-    const HrObjective *a = &g_array_index (c->set->objectives, HrObjective, i);
+  double left = INFINITY, waited = c->wall_time - hr_job_eligible_since (j);
+  for (guint i = 0; i < c->settings->objectives->len; i++) {
+    const HrObjective *a = &g_array_index (c->settings->objectives, HrObjective, i);
     if (a->job_class == j->spec.job_class &&
         (a->kind == HR_OBJECTIVE_WAIT || a->kind == HR_OBJECTIVE_UP) &&
         a->within_s > waited + PREEMPTION_S)
@@ -35,10 +35,11 @@
 {
   HrClassStats *s = hr_class_stats (c, j->spec.job_class);
   double weight = 0, own = 0, open = 0, fetch = INFINITY, within = INFINITY;
-  for (guint i = 0; i < c->types->len; i++)
-    fetch = MIN (fetch, j->spec.image_gb / g_array_index (c->types, HrMachineType, i).fetch_rate);
-  for (guint i = 0; i < c->set->objectives->len; i++) {
-    HrObjective *a = &g_array_index (c->set->objectives, HrObjective, i);
+  for (guint i = 0; i < c->scaling.machine_types->len; i++)
+    fetch = MIN (fetch, j->spec.image_gb /
+                            g_array_index (c->scaling.machine_types, HrMachineType, i).fetch_rate);
+  for (guint i = 0; i < c->settings->objectives->len; i++) {
+    HrObjective *a = &g_array_index (c->settings->objectives, HrObjective, i);
     if (a->job_class == j->spec.job_class && a->kind == HR_OBJECTIVE_WAIT)
       within = MIN (within, a->within_s);
   }
@@ -49,8 +50,8 @@
     if (s->images[i].image == j->spec.image)
       own = s->images[i].weight;
   }
-  for (guint i = 0; i < c->fleet->len; i++) {
-    HrMachine *m = c->fleet->pdata[i];
+  for (guint i = 0; i < c->scaling.fleet->len; i++) {
+    HrMachine *m = c->scaling.fleet->pdata[i];
     if (m->state == HR_MACHINE_UP && !m->drain && m->type != HR_NONE &&
         (!m->spot || j->spec.allows_spot) && hr_machine_has_image (m, j->spec.image) &&
         stays_open (c, &j->spec, m, 1))
@@ -67,7 +68,7 @@
   double fetch = hr_estimate_fetch_time (c, j, m);
   double closes = open && fetch > 0 && !stays_open (c, &j->spec, m, 2) ? 1000 : 0;
   /* Behind a cut of the controllers' own zone its workers still hear the owner. */
-  double home = m->zone == c->set->home ? HR_HOME_S * 10 : 0;
+  double home = m->zone == c->settings->home ? HR_HOME_S * 10 : 0;
   return home - 10 * fetch - closes + m->tasks->len * 10 - (m->gpus + m->cpus * 0.1);
 }
 
--- a/src/coordination/service_reservations.c
+++ b/src/coordination/scheduling/service_reservations.c
@@ -1,6 +1,6 @@
 /* Room kept for services, which stand in no list. */
-#include "coordination/quotas.h"
-#include "coordination/plan.h"
+#include "coordination/scheduling/quotas.h"
+#include "coordination/scheduling/plan.h"
 
 /* Takes the room of up to n tasks off a machine for services. */
 static guint
@@ -20,8 +20,8 @@
 static guint
 reserve_capacity (HrCore *c, const HrClassStats *s, guint32 image, gboolean busy, guint n)
 {
-  for (guint k = 0; k < c->fleet->len && n; k++) {
-    HrMachine *m = c->fleet->pdata[k];
+  for (guint k = 0; k < c->scaling.fleet->len && n; k++) {
+    HrMachine *m = c->scaling.fleet->pdata[k];
     if (m->state == HR_MACHINE_UP && hr_machine_is_plannable (c, m) && (!m->spot || s->spot) &&
         (!s->types || s->types >> m->type & 1) && (!busy || m->tasks->len) &&
         (image == HR_NONE || hr_machine_has_image (m, image)))
@@ -36,8 +36,8 @@
 void
 hr_reserve_for_services (HrCore *c)
 {
-  for (guint i = 0; i < c->fleet->len; i++) {
-    HrMachine *m = c->fleet->pdata[i];
+  for (guint i = 0; i < c->scaling.fleet->len; i++) {
+    HrMachine *m = c->scaling.fleet->pdata[i];
     m->claim_cpus = m->claim_gpus = m->claim_mem = 0;
     m->fixed_cpus = m->fixed_gpus = m->fixed_mem = 0;
     for (guint k = 0; k < m->tasks->len; k++) {
@@ -49,20 +49,20 @@
       m->fixed_mem += s->memory_gb;
     }
   }
-  for (guint i = 0; i < c->open->len; i++) {
-    HrJob *j = c->jobs->pdata[g_array_index (c->open, guint32, i)];
+  for (guint i = 0; i < c->store.tables.open_jobs->len; i++) {
+    HrJob *j = c->store.tables.jobs->pdata[g_array_index (c->store.tables.open_jobs, guint32, i)];
     const HrJobSpec *s = &j->spec;
     if (j->state != HR_JOB_QUEUED || s->shape != HR_SERVICE || !j->tasks)
       continue;
     guint left = MIN (j->ntasks - j->nlive, hr_quotas_granted (c, j));
-    for (guint k = 0; k < c->fleet->len && left; k++) {
-      HrMachine *m = c->fleet->pdata[k];
+    for (guint k = 0; k < c->scaling.fleet->len && left; k++) {
+      HrMachine *m = c->scaling.fleet->pdata[k];
       if (m->state == HR_MACHINE_BOOTING && hr_job_allows_machine (c, j, m))
         left = reserve_on_machine (m, s->cpus, s->gpus, s->memory_gb, left);
     }
   }
-  for (guint i = 0; i < c->classes->len; i++) {
-    HrClassStats *s = &g_array_index (c->classes, HrClassStats, i);
+  for (guint i = 0; i < c->scheduling.class_stats->len; i++) {
+    HrClassStats *s = &g_array_index (c->scheduling.class_stats, HrClassStats, i);
     guint left = s->seen && s->shape == HR_SERVICE ? hr_headroom (c, i) : 0, all = left;
     double weight = 0;
     for (guint k = 0; k < s->nimages; k++)
--- a/src/coordination/shards.c
+++ b/src/coordination/scheduling/shards.c
@@ -24,12 +24,12 @@
 void
 hr_shards_assign (HrCore *c)
 {
-  c->nparts = 1 + c->fleet->len / (guint)c->pol.machines_per_part;
-  for (guint i = 0; i < c->fleet->len; i++) {
-    HrMachine *m = c->fleet->pdata[i];
-    if (m->parts != c->nparts)
-      m->part = hr_shard_of (m->name, c->nparts);
-    m->parts = c->nparts;
+  c->scheduling.n_shards = 1 + c->scaling.fleet->len / (guint)c->policy.machines_per_part;
+  for (guint i = 0; i < c->scaling.fleet->len; i++) {
+    HrMachine *m = c->scaling.fleet->pdata[i];
+    if (m->parts != c->scheduling.n_shards)
+      m->part = hr_shard_of (m->name, c->scheduling.n_shards);
+    m->parts = c->scheduling.n_shards;
   }
 }
 
@@ -55,19 +55,19 @@
 {
   const HrTeam *t = hr_team (c, j->spec.team);
   gboolean limit = t && (t->cpus_max > 0 || t->gpus_max > 0);
-  g_autofree guint *capacity = g_new0 (guint, c->nparts);
+  g_autofree guint *capacity = g_new0 (guint, c->scheduling.n_shards);
   j->parted = TRUE;
   j->part = HR_NONE;
   /* Services stand in no list; held to a part, they would keep a machine open in each. */
-  if (c->nparts == 1 || j->spec.shape == HR_SERVICE ||
+  if (c->scheduling.n_shards == 1 || j->spec.shape == HR_SERVICE ||
       (j->spec.shape == HR_GANG && j->ntasks > 1) || j->spec.one_zone || j->spec.spread || limit)
     return;
-  for (guint i = 0; i < c->fleet->len; i++) {
-    HrMachine *m = c->fleet->pdata[i];
+  for (guint i = 0; i < c->scaling.fleet->len; i++) {
+    HrMachine *m = c->scaling.fleet->pdata[i];
     if (hr_job_allows_machine (c, j, m))
       capacity[m->part] += task_slots (m, &j->spec);
   }
-  for (guint i = 0; i < c->nparts; i++)
+  for (guint i = 0; i < c->scheduling.n_shards; i++)
     if (capacity[i] >= j->ntasks && (j->part == HR_NONE || capacity[i] > capacity[j->part]))
       j->part = i;
 }
--- a/src/coordination/starvation_guard.c
+++ b/src/coordination/scheduling/starvation_guard.c
@@ -6,8 +6,8 @@
  * could wait for ever. After STARVATION_LIMIT_S beside room that it fits into, a task gets that
  * room, whatever it is kept for. Spare room for replicas is then found or rented anew (rent.c), and
  * a replica that comes meanwhile stops batch work as before (preempt.c). */
-#include "coordination/starvation_guard.h"
-#include "coordination/free_capacity.h"
+#include "coordination/scheduling/starvation_guard.h"
+#include "coordination/scheduling/free_capacity.h"
 
 /* Seconds beside free room after which a task gets it. */
 #define STARVATION_LIMIT_S 60.0
@@ -68,14 +68,14 @@
 void
 hr_starvation_guard_tick (HrCore *c)
 {
-  if (c->now < c->held_back_at)
+  if (c->now < c->scheduling.next_starvation_check_at)
     return;
-  c->held_back_at = c->now + CHECK_INTERVAL_S;
+  c->scheduling.next_starvation_check_at = c->now + CHECK_INTERVAL_S;
   g_autoptr (GPtrArray) capacities = hr_dispatch_open_machines (c);
   /* Of the latest job without room: where many wait, others like it follow. */
   const HrJobSpec *failed = NULL;
-  for (guint i = 0; i < c->open->len; i++) {
-    HrJob *j = c->jobs->pdata[g_array_index (c->open, guint32, i)];
+  for (guint i = 0; i < c->store.tables.open_jobs->len; i++) {
+    HrJob *j = c->store.tables.jobs->pdata[g_array_index (c->store.tables.open_jobs, guint32, i)];
     if (!is_waiting (c, j)) {
       j->held_back_since = 0;
       continue;
--- a/src/coordination/tabu.c
+++ b/src/coordination/scheduling/tabu.c
@@ -1,5 +1,5 @@
 /* Bounded tabu search over the lists (the paper's figures 2 and 3). */
-#include "coordination/plan.h"
+#include "coordination/scheduling/plan.h"
 #include <string.h>
 
 static gboolean
@@ -24,7 +24,7 @@
     avail[i] = cand[i] = TRUE;
     total += ((HrMachine *)lists->pdata[i])->tardiness;
   }
-  for (guint round = 0; round < c->pol.tabu_rounds && total > 1e-6; round++) {
+  for (guint round = 0; round < c->policy.tabu_rounds && total > 1e-6; round++) {
     guint hi = HR_NONE, lo = HR_NONE;
     for (guint i = 0; i < n; i++) {
       HrMachine *m = lists->pdata[i];
@@ -43,7 +43,8 @@
     for (guint i = 0; i < a->list->len; i++) {
       HrTaskRef r = g_array_index (a->list, HrTaskRef, i);
       HrJob *j = hr_job_of_task (c, r);
-      double over = starts[i] + hr_estimate_run_time (c, j, a) - (j->deadline - c->wall + c->now);
+      double over =
+          starts[i] + hr_estimate_run_time (c, j, a) - (j->deadline - c->wall_time + c->now);
       if (over > worst && j->spec.shape != HR_GANG && !is_tabu (tabu, r)) {
         worst = over;
         pick = r;
@@ -64,7 +65,7 @@
         lo = i;
     }
     if (lo == HR_NONE) {
-      if (tabu->len >= c->pol.tabu_jobs && tabu->len)
+      if (tabu->len >= c->policy.tabu_jobs && tabu->len)
         g_array_remove_index (tabu, 0); /* oldest out first */
       g_array_append_val (tabu, pick);
       memset (cand, 0xff, n * sizeof *cand);
--- a/src/coordination/state.h
+++ b/src/coordination/state.h
@@ -1,212 +1,54 @@
-/* The whole state of a controller, and the parts of the owner that work on it.
- * Only files of coordination/ and bookkeeping/ include this. */
+/* The state of a controller: the parts, and what all of them use. Each part's header says who
+ * writes it. */
 #pragma once
 #include "bookkeeping/record.h"
-#include "bookkeeping/tables.h"
+#include "bookkeeping/store.h"
 #include "coordination/core.h"
-#include "coordination/counters.h"
-#include "coordination/histogram.h"
+#include "coordination/leadership/leadership_state.h"
+#include "coordination/membership/membership_state.h"
+#include "coordination/metrics/metrics_state.h"
+#include "coordination/scaling/scaling_state.h"
+#include "coordination/scheduling/scheduling_state.h"
 #include <jansson.h>
 
-/* An answer to one of our calls. status 0: no answer; the call may have been
- * carried out, or may yet be. sent: when the call was made. */
-typedef void (*HrResultCallback) (HrCore *c, int status, json_t *body, double sent, gpointer data);
-
-typedef enum { HR_REPLICA_UNREAD, HR_REPLICA_LISTING, HR_REPLICA_FOLLOWING } HrReplicaState;
-
-typedef struct {
-  double tokens, rate, burst, at;
-} HrTokenBucket;
-
-/* Someone who waits for a reading of the ledger that is newer than his question. */
-typedef void (*HrReadCallback) (HrCore *c, gboolean ok, gpointer data);
-typedef struct {
-  HrReadCallback callback;
-  gpointer data;
-  double since;
-} HrReadWaiter;
-
-typedef struct {
-  json_t *conditions, *writes;
-  guint changes;
-  double timeout_s;
-  HrResultCallback callback;
-  gpointer data;
-} HrTransaction;
-
-typedef enum {
-  HR_TRANSACTION_USER,
-  HR_TRANSACTION_LAUNCH,
-  HR_TRANSACTION_BOOKKEEPING,
-  HR_TRANSACTION_KINDS
-} HrTransactionKind;
-
-typedef struct {
-  guint32 job, page;
-} HrDirtyPage;
-
-/* A page in the ledger that nobody reads any more. */
+/* Calls without an answer yet (core.c). */
 typedef struct {
-  guint32 job, page;
-  guint tasks_per_page; /* under h/u, of that size; 0: under h/t */
-} HrObsoletePage;
+  GHashTable *pending; /* id of the call -> PendingCall */
+  guint64 last_id;
+} HrCalls;
 
+/* Orders to workers (agents/). */
 typedef struct {
-  guint32 type, zone;
-  gboolean is_spot;
-  double until;
-} HrCapacityRefusal;
+  gboolean has_urgent_orders; /* some machine has orders to send at once */
+} HrAgents;
 
-/* Machines that the plan is short of. */
+/* Jobs that await others (jobs/dependencies.c). */
 typedef struct {
-  guint32 type, zone; /* zone: HR_NONE for any */
-  gboolean is_spot;
-  guint count;
-} HrDemand;
-
-typedef struct {
-  HrPeerStatus status;
-  double received_at;
-  double attested_at; /* by our clock: what it stated was so then; see attested_at in leader.c */
-  guint64 cancellations_taken; /* of this process of it: position up to which we took in its
-                                  withdrawals */
-} HrPeer;
-
-/* A withdrawal that this node confirmed to its user, or read. */
-typedef struct {
-  guint32 job;
-  guint64 revision;
-} HrCancellation;
-
-/* What a limit of a team is about. */
-typedef struct {
-  double cpus, gpus;
-} HrQuota;
-
-/* A team in one pass. */
-typedef struct {
-  gboolean is_limited;
-  HrQuota limit, used;   /* used: by every task that is not proven gone */
-  HrQuota ending;        /* of that, by tasks that are being stopped */
-  HrQuota available;     /* of the limit, not granted yet */
-  HrQuota backfill;      /* of that, what the reservation leaves to work without an end in time */
-  HrQuota reclaimed;     /* left over, or soon free, while room is made */
-  gboolean is_exhausted; /* a job found too little there */
-  gboolean has_reservation; /* a job that the limit holds back has what is left reserved */
-  double shadow_time;       /* running work has made room for that job by then; INFINITY: unknown */
-} HrTeamUsage;
+  GArray
+      *to_tombstone; /* guint32: cancelled jobs that still waited; their record may be shortened */
+} HrDependencies;
 
 struct HrCore {
-  const HrSettings *set;
-  HrPolicy pol;
+  const HrSettings *settings;
+  HrPolicy policy;
   HrNames *names;
-  char *incarnation;
-  GRand *rand;
-  double now, wall, started;
-  GPtrArray *out;
-  GHashTable *calls;
-  guint64 next_call, next_tag;
-
-  /* Following the ledger. */
-  HrReplicaState sync;
-  guint sync_gen;
-  guint64 applied, sync_base;
-  char *sync_after;
-  gboolean synced_once, watching, reading;
-  double watch_not_before;
-  GArray *waiters, *waiters_now;  /* HrReadWaiter */
-  double read_sent, confirmed_at; /* confirmed_at: when the last good reading was sent */
-  double store_latency;           /* s: what readings took of late, the longest ones for longer */
-  double served_since;            /* the state service answers us without a gap */
-  double sync_retry_at;
-  gboolean store_down;
-  guint store_fails;
-  guint64 withdrawn; /* stamp of the latest withdrawal that we have read or confirmed */
-
-  /* The log of withdrawals (withdrawals.c). */
-  GArray *withdrawals;         /* HrCancellation, in the order in which we learnt of them */
-  guint64 withdrawals_begin;   /* position of the first one kept */
-  guint64 withdrawals_dropped; /* stamp up to which some may have been dropped */
-
-  /* Writing to it. */
-  GQueue txns[HR_TRANSACTION_KINDS];
-  GArray *dirty;      /* HrDirtyPage: pages with something to record */
-  GArray *garbage;    /* HrObsoletePage, of final jobs and of layouts left behind */
-  GArray *tombstones; /* guint32: withdrawn jobs that still wait; their record may be shortened */
-  gboolean tidying;
-  double tidy_at;
-  HrTokenBucket write_bucket, cloud_bucket;
-  guint txns_out;
-  double write_pause, books_pause;
-  HrStateLimits limits; /* that this node plans for */
-
-  /* The format of records. */
-  guint speaks; /* the newest that this node understands; 0: there were none yet */
-  guint format; /* that the ledger states every member understands */
-  guint64 format_stamp;
-  gboolean format_writing;
-  double format_at;
-  gboolean planned_in_force; /* the state service refused what only the planned limits forbid */
-  guint names_measured;      /* machine names looked at; the longest of them, bytes */
-  gsize name_longest;
-  GArray *to_split;          /* guint32: jobs whose records are too large, the most urgent first */
-  guint nsplits, split_scan; /* under way; how far c->open was searched for large records */
-  char oversized[HR_MAX_OVERSIZED][HR_JOB_ID_MOST + 1]; /* see HrPeerStatus */
-  guint noversized;
-
-  /* The map and the leader's key. */
-  guint64 map_stamp, baton, leader_stamp, fenced;
-  char *map_owner, *map_inc, *leader_label, *leader_inc;
-  guint64 claim;
-  double claim_touched, claim_tried, claim_asked;
-  gboolean leads, electing, raising, touching;
-  guint64 led_baton; /* of our first map as leader */
-  double led_at, elect_at, abstain_until, raised_at, leaderless_at;
-  gboolean raise_wanted;
-  GArray *peers; /* HrPeer */
-  double hint_at;
-  gboolean hint_soon; /* there is news for a member that the state service does not serve */
-  GArray *contacts;   /* times of workers' reports, a ring */
-  double contact_at;
-  guint contact_count, contact_last;
-
-  /* Tables. */
-  HrIntern job_ids, machine_ids;
-  GPtrArray *jobs, *machines; /* by index */
-  GArray *open;               /* guint32: jobs that are not final, or not shrunk */
-  GArray *types;              /* HrMachineType */
-  gboolean types_saved;
-  guint64 types_stamp;
-  GArray *classes;  /* HrClassStats by class index */
-  GPtrArray *fleet; /* the machines that are not gone */
-
-  /* Planning and the fleet. */
-  GArray *teams;           /* HrTeamUsage by team, as of this pass */
-  GPtrArray *waiting;      /* HrJob of limited teams that wait, in the order of their grants */
-  gboolean entitled_waits; /* a job within its team's guarantee waits for room */
-  gboolean plan_dirty;
-  guint nparts;
-  double planned_at;
-  gboolean planned_now; /* the batch being worked through has a planning pass */
-  double pass_took;     /* seconds, of the latest batch with one; 0: not known */
-  double held_back_at;  /* when jobs that wait beside free room are looked at next */
-  guint booting;        /* machines that were starting at the latest pass, for those who ask */
-  gboolean urgent;      /* some machine has orders to send at once */
-  gboolean types_asked, listing;
-  double types_at, list_at, rent_at;
-  double listed_at; /* when the latest whole pass through the cloud's list began */
-  gboolean list_complete;
-  char *list_after;
-  guint64 ask;
-  GArray *wants;   /* HrDemand */
-  GArray *refused; /* HrCapacityRefusal: where the cloud had no capacity, until when */
-  guint asks_out;
-  GQueue rentals_again; /* of fleet.c: not answered clearly, to be asked for again at rent_at */
-  guint deletes_out;
-
-  HrCounters counters, counters_printed;
-  double counters_at; /* when they were last printed */
-  HrHistogram reading_latency, renewal_age;
+  char *incarnation; /* of this process */
+  GRand *random;
+  double now, started_at; /* steady time, s */
+  double wall_time;       /* time of day, s */
+  GPtrArray *effects;     /* HrEffect, of the step under way */
+  guint64 last_tag;       /* of a write */
+  HrCalls calls;
+
+  HrStore store;
+  HrLeadership leadership;
+  HrMembership membership;
+  HrCancellationLog cancellations;
+  HrAgents agents;
+  HrDependencies dependencies;
+  HrScheduling scheduling;
+  HrScaling scaling;
+  HrMetrics metrics;
 };
 
 /* core.c */
@@ -219,7 +61,6 @@
 void hr_core_reply_text (HrCore *c, guint64 id, char *text);
 void hr_core_refuse (HrCore *c, guint64 id, int status, int retry_after, const char *reason);
 char *hr_core_new_tag (HrCore *c);
-gboolean hr_token_bucket_take (HrTokenBucket *b, double now, double n, double keep);
 HrJob *hr_job_find (HrCore *c, const char *id);
 HrJob *hr_job_get (HrCore *c, const char *id); /* makes the row when there is none */
 /* Its latest record could not be read, so nothing is known of its present state. */
--- a/tests/sim/lone_node.c
+++ b/tests/sim/lone_node.c
@@ -284,7 +284,7 @@
 {
   LoneNode *n = node_new (l, "");
   node_run (n, 5);
-  assert_true (n->core->leads);
+  assert_true (n->core->leadership.is_leader);
   return n;
 }
 
@@ -292,8 +292,8 @@
 node_opens (LoneNode *n, const char *id)
 {
   const HrJob *j = hr_job_find (n->core, id);
-  for (guint i = 0; j && i < n->core->open->len; i++)
-    if (g_array_index (n->core->open, guint32, i) == j->idx)
+  for (guint i = 0; j && i < n->core->store.tables.open_jobs->len; i++)
+    if (g_array_index (n->core->store.tables.open_jobs, guint32, i) == j->index)
       return TRUE;
   return FALSE;
 }
@@ -313,7 +313,8 @@
   m->state = HR_MACHINE_UP;
   m->incarnation = 1;
   m->heard_at = n->now;
-  hr_machine_describe (m, &g_array_index (n->core->types, HrMachineType, 0), HR_NONE, FALSE);
+  hr_machine_describe (m, &g_array_index (n->core->scaling.machine_types, HrMachineType, 0),
+                       HR_NONE, FALSE);
   hr_fleet_add (n->core, m);
   return m;
 }
--- a/tests/test_pacing.c
+++ b/tests/test_pacing.c
@@ -17,11 +17,11 @@
   HrCore *leader = s->nodes[script_leader (s)].core;
   guint n = 0;
   for (double t = 0; t < RUN_S; t += STEP_S) {
-    double before = leader->planned_at;
+    double before = leader->scheduling.planned_at;
     script_run (s, STEP_S);
-    leader->plan_dirty = TRUE;
+    leader->scheduling.plan_is_stale = TRUE;
     script_tick (s, 0.001);
-    n += leader->planned_at > before;
+    n += leader->scheduling.planned_at > before;
     hr_core_step_took (leader, took);
   }
   script_free (s);
--- a/tests/test_readiness.c
+++ b/tests/test_readiness.c
@@ -291,7 +291,7 @@
       ready = ready && !d->awaits[i][k];
     priority[i] = d->rank[i];
     deadline[i] = d->due[i] > 0 ? j->submitted + d->due[i]
-                  : ready       ? j->submitted + n->core->pol.default_deadline * DRAWN_ESTIMATE_S
+                  : ready       ? j->submitted + n->core->policy.default_deadline * DRAWN_ESTIMATE_S
                                 : INFINITY;
     for (guint k = i + 1; k < d->n; k++)
       if (d->awaits[k][i] && !gone[k]) {
@@ -404,12 +404,14 @@
   for (guint i = 0; i < 4; i++)
     hr_task_assign (n->core, hr_job_find (n->core, ids[i / 2]), i % 2, m, 1);
   node_run (n, 2);
-  n->core->write_bucket.tokens = -1e6; /* nothing leaves for a while */
+  n->core->store.transactions.allowance.tokens = -1e6; /* nothing leaves for a while */
   for (guint i = 0; i < 4; i++)
     hr_task_done (n->core, hr_job_find (n->core, ids[i / 2]), i % 2);
   node_run (n, 0.1);
-  assert_int_equal (g_queue_get_length (&n->core->txns[HR_TRANSACTION_LAUNCH]), 1);
-  assert_int_equal (g_queue_get_length (&n->core->txns[HR_TRANSACTION_BOOKKEEPING]), 1);
+  assert_int_equal (g_queue_get_length (&n->core->store.transactions.queues[HR_TRANSACTION_LAUNCH]),
+                    1);
+  assert_int_equal (
+      g_queue_get_length (&n->core->store.transactions.queues[HR_TRANSACTION_BOOKKEEPING]), 1);
   node_free (n);
   ledger_free (l);
 }
@@ -418,10 +420,11 @@
 static const char *
 first_in_list (LoneNode *n, const HrMachine *m)
 {
-  n->core->plan_dirty = TRUE;
+  n->core->scheduling.plan_is_stale = TRUE;
   node_run (n, 2);
   assert_true (m->list->len > 1);
-  return ((HrJob *)n->core->jobs->pdata[g_array_index (m->list, HrTaskRef, 0).job])->id;
+  return ((HrJob *)n->core->store.tables.jobs->pdata[g_array_index (m->list, HrTaskRef, 0).job])
+      ->id;
 }
 
 /* A deadline that moves while tasks stand in a list moves them in it. */
@@ -439,8 +442,10 @@
   assert_int_equal (node_submit (n, "job-3", "[\"job-1\"]", ",\"due_s\":60,\"rank\":\"low\""), 201);
   assert_string_equal (first_in_list (n, m), "job-1");
   for (guint i = 1; i < m->list->len; i++) {
-    const HrJob *before = n->core->jobs->pdata[g_array_index (m->list, HrTaskRef, i - 1).job];
-    const HrJob *after = n->core->jobs->pdata[g_array_index (m->list, HrTaskRef, i).job];
+    const HrJob *before =
+        n->core->store.tables.jobs->pdata[g_array_index (m->list, HrTaskRef, i - 1).job];
+    const HrJob *after =
+        n->core->store.tables.jobs->pdata[g_array_index (m->list, HrTaskRef, i).job];
     assert_true (before->deadline <= after->deadline);
   }
   node_free (n);
@@ -467,8 +472,8 @@
   hr_job_find (n->core, "job-2")->spec.cpus = 12;
   node_run (n, 3);
   guint wanted = 0; /* they stay wanted: the cloud answers nothing */
-  for (guint i = 0; i < n->core->wants->len; i++)
-    wanted += g_array_index (n->core->wants, HrDemand, i).count;
+  for (guint i = 0; i < n->core->scaling.demand->len; i++)
+    wanted += g_array_index (n->core->scaling.demand, HrDemand, i).count;
   node_free (n);
   ledger_free (l);
   return wanted;
--- a/tests/test_record_split.c
+++ b/tests/test_record_split.c
@@ -103,7 +103,7 @@
   ledger_set (l, "h/map", "{\"b\":9,\"o\":\"b\",\"i\":\"other\"}");
   node_run (n, 10);
   assert_false (split (l));
-  assert_false (n->core->leads);
+  assert_false (n->core->leadership.is_leader);
   node_free (n);
   ledger_free (l);
 }
--- a/tests/test_renewals.c
+++ b/tests/test_renewals.c
@@ -2,7 +2,7 @@
  * run. Message by message (script_scene.h), and with generated reports. */
 #include "script_scene.h"
 #include "coordination/invariant.h"
-#include "coordination/lease_renewal.h"
+#include "coordination/agents/lease_renewal.h"
 #include "protocol/json_util.h"
 #include <setjmp.h>
 #include <stdarg.h>
@@ -312,7 +312,7 @@
   hr_invariant_set_fatal (FALSE);
   hr_invariant_violated (core, "%s", "as a test has it");
   hr_invariant_set_fatal (TRUE);
-  assert_int_equal (core->counters.invariants_violated, 1);
+  assert_int_equal (core->metrics.counters.invariants_violated, 1);
   scene_end (scene);
 }
 
--- a/tests/test_watching.c
+++ b/tests/test_watching.c
@@ -1,6 +1,6 @@
 /* What operators see of a controller: /metrics and the lines of its log. */
 #include "script.h"
-#include "coordination/metrics.h"
+#include "coordination/metrics/metrics.h"
 #include "transport/log_writer.h"
 #include <setjmp.h>
 #include <stdarg.h>
