--- a/src/bookkeeping/garbage_collection.c
+++ b/src/bookkeeping/garbage_collection.c
@@ -18,11 +18,11 @@
 void
 hr_garbage_add_job (HrCore *c, const HrJob *j)
 {
-  for (guint i = 0; j->per_page && i < j->npages; i++)
-    if (j->pages[i].revision)
-      hr_garbage_add_page (c, j, j->resplit ? j->per_page : 0, i);
-  for (guint i = 0; j->staged && i < j->staged->len; i++) {
-    const HrStagedPage *p = &g_array_index (j->staged, HrStagedPage, i);
+  for (guint i = 0; j->record.tasks_per_page && i < j->record.n_pages; i++)
+    if (j->record.pages[i].revision)
+      hr_garbage_add_page (c, j, j->record.sized_page_keys ? j->record.tasks_per_page : 0, i);
+  for (guint i = 0; j->record.staged_pages && i < j->record.staged_pages->len; i++) {
+    const HrStagedPage *p = &g_array_index (j->record.staged_pages, HrStagedPage, i);
     if (p->revision)
       hr_garbage_add_page (c, j, p->tasks_per_page, p->page);
   }
--- a/src/bookkeeping/record.c
+++ b/src/bookkeeping/record.c
@@ -30,8 +30,8 @@
 static void
 pack_extra (json_t *o, const HrJob *j)
 {
-  if (j->extra)
-    json_object_update_missing (o, j->extra);
+  if (j->record.unknown_members)
+    json_object_update_missing (o, j->record.unknown_members);
 }
 
 /* What stands in a record beside the members that this version knows. */
@@ -59,8 +59,8 @@
 pack_awaits (const HrJob *j)
 {
   json_t *a = json_array ();
-  for (guint i = 0; i < j->nawaits; i++)
-    json_array_append_new (a, json_string (j->awaits[i]->id));
+  for (guint i = 0; i < j->dependencies.n_awaited; i++)
+    json_array_append_new (a, json_string (j->dependencies.awaited[i]->id));
   return a;
 }
 
@@ -68,13 +68,13 @@
 hr_record_main (const HrJob *j, const HrNames *names, const HrIntern *machines, HrJobState state,
                 const char *tag, gboolean pending)
 {
-  json_t *o = json_pack ("{sssisfsiso}", "w", tag, "s", (int)state, "t", j->submitted, "q",
-                         (int)j->per_page, "j", hr_jobspec_pack (&j->spec, names));
-  if (!j->per_page)
-    json_object_set_new (o, "x", pack_tasks (j, 0, j->ntasks, machines, pending));
-  else if (j->resplit)
+  json_t *o = json_pack ("{sssisfsiso}", "w", tag, "s", (int)state, "t", j->submitted_at, "q",
+                         (int)j->record.tasks_per_page, "j", hr_jobspec_pack (&j->spec, names));
+  if (!j->record.tasks_per_page)
+    json_object_set_new (o, "x", pack_tasks (j, 0, j->n_tasks, machines, pending));
+  else if (j->record.sized_page_keys)
     json_object_set_new (o, "u", json_integer (1));
-  if (j->nawaits)
+  if (j->dependencies.n_awaited)
     json_object_set_new (o, "a", pack_awaits (j));
   pack_extra (o, j);
   return hr_json_take_text (o);
@@ -91,7 +91,8 @@
     rows[i].id = awaits[i];
     named[i] = &rows[i];
   }
-  HrJob job = {.submitted = submitted, .awaits = named, .nawaits = n};
+  HrJob job = {
+      .submitted_at = submitted, .dependencies.awaited = named, .dependencies.n_awaited = n};
   hr_job_set_spec (&job, spec, tasks_per_page);
   char *text = hr_record_main (&job, names, NULL, HR_JOB_QUEUED, tag, FALSE);
   hr_job_compact (&job);
@@ -101,10 +102,10 @@
 char *
 hr_record_tombstone (const HrJob *j, HrJobState state, const char *tag)
 {
-  json_t *o = json_pack ("{sssisisi}", "w", tag, "s", (int)state, "n", (int)j->ntasks, "d",
-                         (int)(state == HR_JOB_DONE ? j->ntasks : j->nrdone));
-  if (state == HR_JOB_CANCELLED && j->withdrawn_with)
-    json_object_set_new (o, "c", json_string (j->withdrawn_with->id));
+  json_t *o = json_pack ("{sssisisi}", "w", tag, "s", (int)state, "n", (int)j->n_tasks, "d",
+                         (int)(state == HR_JOB_DONE ? j->n_tasks : j->n_recorded_done));
+  if (state == HR_JOB_CANCELLED && j->cancellation.root)
+    json_object_set_new (o, "c", json_string (j->cancellation.root->id));
   pack_extra (o, j);
   return hr_json_take_text (o);
 }
@@ -113,14 +114,15 @@
 hr_record_page (const HrJob *j, guint page, const HrIntern *machines, const char *tag,
                 gboolean pending)
 {
-  return hr_record_page_of (j, page * j->per_page, j->per_page, machines, tag, pending);
+  return hr_record_page_of (j, page * j->record.tasks_per_page, j->record.tasks_per_page, machines,
+                            tag, pending);
 }
 
 char *
 hr_record_page_of (const HrJob *j, guint32 first, guint32 n, const HrIntern *machines,
                    const char *tag, gboolean pending)
 {
-  json_t *x = pack_tasks (j, first, MIN (n, j->ntasks - first), machines, pending);
+  json_t *x = pack_tasks (j, first, MIN (n, j->n_tasks - first), machines, pending);
   return hr_json_take_text (json_pack ("{ssso}", "w", tag, "x", x));
 }
 
@@ -173,7 +175,8 @@
 {
   size_t i;
   json_t *e;
-  guint32 n = MIN (j->per_page ? j->per_page : j->ntasks, j->ntasks - first);
+  guint32 n =
+      MIN (j->record.tasks_per_page ? j->record.tasks_per_page : j->n_tasks, j->n_tasks - first);
   if (!json_is_array (x) || json_array_size (x) != n)
     return FALSE;
   json_array_foreach (x, i, e)
@@ -181,7 +184,7 @@
     HrTask *t = &j->tasks[first + i];
     gboolean done = json_is_integer (e) && json_integer_value (e) == 1;
     if (done != t->done_recorded)
-      j->nrdone += done ? 1 : -1;
+      j->n_recorded_done += done ? 1 : -1;
     t->done_recorded = done;
     if (json_is_array (e)) {
       const char *m;
--- a/src/bookkeeping/record_layout.c
+++ b/src/bookkeeping/record_layout.c
@@ -46,8 +46,8 @@
 main_bytes (HrCore *c, const HrJob *j)
 {
   HrJob without = *j;
-  without.ntasks = 0;
-  without.per_page = 0;
+  without.n_tasks = 0;
+  without.record.tasks_per_page = 0;
   g_autofree char *text = hr_record_main (&without, c->names, &c->store.tables.machine_ids,
                                           HR_JOB_QUEUED, HR_LONGEST_TAG, FALSE);
   return strlen (text);
@@ -69,7 +69,7 @@
     guint per = hr_tasks_per_page (c->store.limits.value_kb);
     return spec->tasks <= per ? 0 : per;
   }
-  HrJob j = {.spec = *spec, .submitted = c->wall_time};
+  HrJob j = {.spec = *spec, .submitted_at = c->wall_time};
   double inline_bytes = main_bytes (c, &j) + beside + (double)spec->tasks * task_bytes (c);
   return inline_bytes <= hr_record_layout_planned_bytes (c)
              ? 0
@@ -79,24 +79,25 @@
 guint
 hr_record_layout_smaller (HrCore *c, const HrJob *j)
 {
-  guint per = hr_record_layout_page_size (c, j->ntasks);
-  if (!j->per_page || per < j->per_page)
+  guint per = hr_record_layout_page_size (c, j->n_tasks);
+  if (!j->record.tasks_per_page || per < j->record.tasks_per_page)
     return per;
-  return MAX (1, j->per_page / 2); /* what was measured is larger than what was reckoned */
+  return MAX (1, j->record.tasks_per_page /
+                     2); /* what was measured is larger than what was reckoned */
 }
 
 gboolean
 hr_record_layout_is_oversized (HrCore *c, const HrJob *j)
 {
   gsize most = hr_record_layout_planned_bytes (c);
-  if (!j->per_page) {
+  if (!j->record.tasks_per_page) {
     g_autofree char *text =
         hr_record_main (j, c->names, &c->store.tables.machine_ids, j->state, HR_LONGEST_TAG, FALSE);
     return strlen (text) > most;
   }
-  if (PAGE_BYTES_AROUND + (gsize)j->per_page * task_bytes (c) <= most)
+  if (PAGE_BYTES_AROUND + (gsize)j->record.tasks_per_page * task_bytes (c) <= most)
     return FALSE; /* whatever its pages hold */
-  for (guint i = 0; i < j->npages; i++) {
+  for (guint i = 0; i < j->record.n_pages; i++) {
     g_autofree char *text =
         hr_record_page (j, i, &c->store.tables.machine_ids, HR_LONGEST_TAG, FALSE);
     if (strlen (text) > most)
--- a/src/bookkeeping/record_split.c
+++ b/src/bookkeeping/record_split.c
@@ -37,7 +37,8 @@
 hr_record_split_is_possible (const HrCore *c, const HrJob *j)
 {
   return c->store.format.supported && c->store.format.agreed && c->leadership.is_leader &&
-         j->tasks && !j->shrunk && !j->unreadable && j->per_page != 1 && j->ntasks > 1;
+         j->tasks && !j->record.is_compacted && !j->record.tasks_unreadable &&
+         j->record.tasks_per_page != 1 && j->n_tasks > 1;
 }
 
 /* ---- pages that no main record names ---- */
@@ -45,8 +46,8 @@
 HrStagedPage *
 hr_record_split_staged_page (HrJob *j, guint tasks_per_page, guint page)
 {
-  for (guint i = 0; j->staged && i < j->staged->len; i++) {
-    HrStagedPage *p = &g_array_index (j->staged, HrStagedPage, i);
+  for (guint i = 0; j->record.staged_pages && i < j->record.staged_pages->len; i++) {
+    HrStagedPage *p = &g_array_index (j->record.staged_pages, HrStagedPage, i);
     if (p->tasks_per_page == tasks_per_page && p->page == page)
       return p;
   }
@@ -63,10 +64,10 @@
   if (!p) {
     if (!revision)
       return;
-    if (!j->staged)
-      j->staged = g_array_new (FALSE, TRUE, sizeof (HrStagedPage));
-    g_array_set_size (j->staged, j->staged->len + 1);
-    p = &g_array_index (j->staged, HrStagedPage, j->staged->len - 1);
+    if (!j->record.staged_pages)
+      j->record.staged_pages = g_array_new (FALSE, TRUE, sizeof (HrStagedPage));
+    g_array_set_size (j->record.staged_pages, j->record.staged_pages->len + 1);
+    p = &g_array_index (j->record.staged_pages, HrStagedPage, j->record.staged_pages->len - 1);
     p->tasks_per_page = tasks_per_page;
     p->page = page;
   }
@@ -81,27 +82,27 @@
 void
 hr_record_split_apply (HrCore *c, HrJob *j, guint tasks_per_page, guint64 revision)
 {
-  g_autoptr (GArray) staged = g_steal_pointer (&j->staged);
+  g_autoptr (GArray) staged = g_steal_pointer (&j->record.staged_pages);
   hr_garbage_add_job (c, j);
-  for (guint i = 0; i < j->npages; i++)
-    g_free (j->pages[i].write_tag);
-  g_free (j->pages);
-  j->per_page = tasks_per_page;
-  j->resplit = TRUE;
-  j->npages = (j->ntasks + tasks_per_page - 1) / tasks_per_page;
-  j->pages = g_new0 (HrRecordPage, j->npages);
-  for (guint32 i = 0; i < j->ntasks; i++)
+  for (guint i = 0; i < j->record.n_pages; i++)
+    g_free (j->record.pages[i].write_tag);
+  g_free (j->record.pages);
+  j->record.tasks_per_page = tasks_per_page;
+  j->record.sized_page_keys = TRUE;
+  j->record.n_pages = (j->n_tasks + tasks_per_page - 1) / tasks_per_page;
+  j->record.pages = g_new0 (HrRecordPage, j->record.n_pages);
+  for (guint32 i = 0; i < j->n_tasks; i++)
     j->tasks[i].write_in_flight = 0; /* the write that it was part of held on the earlier record */
   for (guint i = 0; staged && i < staged->len; i++) {
     HrStagedPage *p = &g_array_index (staged, HrStagedPage, i);
     if (p->tasks_per_page != tasks_per_page && p->revision)
       hr_garbage_add_page (c, j, p->tasks_per_page, p->page);
-    else if (p->page < j->npages && p->revision <= revision) {
-      j->pages[p->page].revision = p->revision;
+    else if (p->page < j->record.n_pages && p->revision <= revision) {
+      j->record.pages[p->page].revision = p->revision;
       if (!c->leadership.is_leader && p->value &&
           !hr_record_tasks (j, p->page * tasks_per_page, json_object_get (p->value, "x"),
                             &c->store.tables.machine_ids))
-        j->unreadable = TRUE;
+        j->record.tasks_unreadable = TRUE;
     }
     json_decref (p->value);
   }
@@ -132,9 +133,9 @@
   HrJob *j = c->store.tables.jobs->pdata[s->job];
   if (s->replica_generation == c->store.replica.generation) {
     c->store.splitter.in_flight--;
-    j->splitting = FALSE;
-    for (guint i = 0; j->tasks && i < j->npages; i++)
-      hr_record_writer_mark (c, j, i * j->per_page);
+    j->record.split_in_flight = FALSE;
+    for (guint i = 0; j->tasks && i < j->record.n_pages; i++)
+      hr_record_writer_mark (c, j, i * j->record.tasks_per_page);
   }
   split_free (s);
 }
@@ -160,9 +161,9 @@
     give_up (c, s, "it changes again and again");
     return;
   }
-  s->base_revision = j->stamp;
+  s->base_revision = j->record.revision;
   s->tasks_per_page = hr_record_layout_smaller (c, j);
-  s->n_pages = (j->ntasks + s->tasks_per_page - 1) / s->tasks_per_page;
+  s->n_pages = (j->n_tasks + s->tasks_per_page - 1) / s->tasks_per_page;
   s->first_page = s->end_page = 0;
   next_step (c, s);
 }
@@ -176,7 +177,7 @@
     return;
   }
   HrJob *j = c->store.tables.jobs->pdata[s->job];
-  if (j->resplit && j->per_page == s->tasks_per_page)
+  if (j->record.sized_page_keys && j->record.tasks_per_page == s->tasks_per_page)
     end (c, s); /* it was carried out; the answer was lost */
   else
     begin (c, s);
@@ -195,7 +196,7 @@
     return;
   }
   if (status == 200 && hr_json_count (body, "epoch", G_MAXINT64, &store_revision)) {
-    gboolean known = j->resplit && j->per_page == s->tasks_per_page;
+    gboolean known = j->record.sized_page_keys && j->record.tasks_per_page == s->tasks_per_page;
     for (guint i = s->first_page; i < s->end_page && !known; i++)
       hr_record_split_stage_page (j, s->tasks_per_page, i, store_revision, NULL);
     if (!s->writes_main_record) {
@@ -203,13 +204,13 @@
       return;
     }
     if (!known) { /* else the changes told it before the answer came */
-      j->stamp = store_revision;
-      g_free (j->tag);
-      j->tag = g_strdup (s->tag);
+      j->record.revision = store_revision;
+      g_free (j->record.tag);
+      j->record.tag = g_strdup (s->tag);
       hr_record_split_apply (c, j, s->tasks_per_page, store_revision);
     }
-    g_info ("%s: its record is split into %u pages", j->id, j->npages);
-    j->write_at = j->write_pause = 0;
+    g_info ("%s: its record is split into %u pages", j->id, j->record.n_pages);
+    j->record.next_write_at = j->record.back_off_s = 0;
     end (c, s);
   } else if (status == 409)
     hr_replica_read (c, on_replica_fresh, s);
@@ -241,8 +242,8 @@
 add_main (HrCore *c, Split *s, HrJob *j)
 {
   HrJob after = *j;
-  after.per_page = s->tasks_per_page;
-  after.resplit = TRUE;
+  after.record.tasks_per_page = s->tasks_per_page;
+  after.record.sized_page_keys = TRUE;
   g_autofree char *key = hr_job_record_key (j);
   hr_transaction_put (
       s->writes, key,
@@ -286,8 +287,8 @@
 static gboolean
 writing (const HrJob *j)
 {
-  for (guint i = 0; i < j->npages; i++)
-    if (j->pages[i].write_tag)
+  for (guint i = 0; i < j->record.n_pages; i++)
+    if (j->record.pages[i].write_tag)
       return TRUE;
   return FALSE;
 }
@@ -295,17 +296,17 @@
 void
 hr_record_split_request (HrCore *c, HrJob *j, gboolean urgent)
 {
-  if (j->splitting)
+  if (j->record.split_in_flight)
     return;
-  if (j->split_wanted && urgent)
+  if (j->record.split_wanted && urgent)
     for (guint i = 0; i < c->store.splitter.queue->len; i++)
       if (g_array_index (c->store.splitter.queue, guint32, i) == j->index)
         g_array_remove_index (c->store.splitter.queue, i--);
   if (urgent)
     g_array_prepend_val (c->store.splitter.queue, j->index);
-  else if (!j->split_wanted)
+  else if (!j->record.split_wanted)
     g_array_append_val (c->store.splitter.queue, j->index);
-  j->split_wanted = TRUE;
+  j->record.split_wanted = TRUE;
 }
 
 void
@@ -334,7 +335,7 @@
        n++) {
     HrJob *j = c->store.tables.jobs->pdata[g_array_index (c->store.tables.open_jobs, guint32,
                                                           c->store.splitter.next_scanned++)];
-    if (hr_record_split_is_possible (c, j) && !j->split_wanted &&
+    if (hr_record_split_is_possible (c, j) && !j->record.split_wanted &&
         hr_record_layout_is_oversized (c, j))
       hr_record_split_request (c, j, FALSE);
   }
@@ -346,20 +347,20 @@
   for (guint i = 0;
        i < c->store.splitter.queue->len && c->store.splitter.in_flight < SPLITS_AT_ONCE; i++) {
     HrJob *j = c->store.tables.jobs->pdata[g_array_index (c->store.splitter.queue, guint32, i)];
-    if (j->tasks && !j->shrunk && (writing (j) || c->now < j->write_at))
+    if (j->tasks && !j->record.is_compacted && (writing (j) || c->now < j->record.next_write_at))
       continue; /* one write at a time; after a failure, later */
     g_array_remove_index (c->store.splitter.queue, i--);
-    j->split_wanted = FALSE;
+    j->record.split_wanted = FALSE;
     if (!hr_record_split_is_possible (c, j)) {
-      for (guint p = 0; j->tasks && p < j->npages; p++)
-        hr_record_writer_mark (c, j, p * j->per_page); /* what waited for it */
+      for (guint p = 0; j->tasks && p < j->record.n_pages; p++)
+        hr_record_writer_mark (c, j, p * j->record.tasks_per_page); /* what waited for it */
       continue;
     }
     Split *s = g_new0 (Split, 1);
     s->job = j->index;
     s->replica_generation = c->store.replica.generation;
     c->store.splitter.in_flight++;
-    j->splitting = TRUE;
+    j->record.split_in_flight = TRUE;
     begin (c, s);
   }
 }
--- a/src/bookkeeping/record_writer.c
+++ b/src/bookkeeping/record_writer.c
@@ -34,18 +34,18 @@
 page_under_write (HrCore *c, Write *w)
 {
   HrJob *j = c->store.tables.jobs->pdata[w->job];
-  if (w->replica_generation != c->store.replica.generation || w->page >= j->npages ||
-      g_strcmp0 (j->pages[w->page].write_tag, w->tag))
+  if (w->replica_generation != c->store.replica.generation || w->page >= j->record.n_pages ||
+      g_strcmp0 (j->record.pages[w->page].write_tag, w->tag))
     return NULL;
-  return &j->pages[w->page];
+  return &j->record.pages[w->page];
 }
 
 static void
 page_range (const HrJob *j, const HrRecordPage *p, guint32 *from, guint32 *to)
 {
-  guint n = p - j->pages;
-  *from = j->per_page ? n * j->per_page : 0;
-  *to = j->per_page ? MIN (*from + j->per_page, j->ntasks) : j->ntasks;
+  guint n = p - j->record.pages;
+  *from = j->record.tasks_per_page ? n * j->record.tasks_per_page : 0;
+  *to = j->record.tasks_per_page ? MIN (*from + j->record.tasks_per_page, j->n_tasks) : j->n_tasks;
 }
 
 static void
@@ -54,14 +54,14 @@
   if (p->is_dirty)
     return;
   p->is_dirty = TRUE;
-  HrDirtyPage d = {j->index, p - j->pages};
+  HrDirtyPage d = {j->index, p - j->record.pages};
   g_array_append_val (c->store.writer.dirty_pages, d);
 }
 
 void
 hr_record_writer_mark (HrCore *c, HrJob *j, guint32 task)
 {
-  if (j->pages)
+  if (j->record.pages)
     mark_page (c, j, hr_job_page (j, task));
 }
 
@@ -72,13 +72,13 @@
   guint32 from, to;
   page_range (j, p, &from, &to);
   gboolean final = p->write_is_final;
-  j->write_at = j->write_pause = 0;
+  j->record.next_write_at = j->record.back_off_s = 0;
   p->revision = revision;
   p->write_is_final = FALSE;
-  if (!j->per_page || final) {
-    j->stamp = revision;
-    g_free (j->tag);
-    j->tag = g_strdup (p->write_tag);
+  if (!j->record.tasks_per_page || final) {
+    j->record.revision = revision;
+    g_free (j->record.tag);
+    j->record.tag = g_strdup (p->write_tag);
   }
   g_clear_pointer (&p->write_tag, g_free);
   for (guint32 i = from; i < to; i++) {
@@ -93,7 +93,7 @@
       hr_task_bound (c, j, i);
     } else if (t->state == HR_TASK_DONE && !t->done_recorded) {
       t->done_recorded = 1;
-      j->nrdone++;
+      j->n_recorded_done++;
     }
   }
   if (final) {
@@ -101,12 +101,12 @@
       j->state = HR_JOB_DONE;
       g_info ("%s is done", j->id);
     }
-    j->shrunk = TRUE;
+    j->record.is_compacted = TRUE;
     hr_garbage_add_job (c, j);
     hr_job_compact (j);
     hr_dependencies_job_final (c, j);
-  } else if (j->state == HR_JOB_QUEUED && j->nrdone == j->ntasks)
-    mark_page (c, j, j->pages);
+  } else if (j->state == HR_JOB_QUEUED && j->n_recorded_done == j->n_tasks)
+    mark_page (c, j, j->record.pages);
   c->scheduling.plan_is_stale = TRUE;
 }
 
@@ -132,8 +132,8 @@
 void
 hr_record_writer_back_off (HrCore *c, HrJob *j)
 {
-  j->write_pause = CLAMP (2 * j->write_pause, BACK_OFF_S, MAX_BACK_OFF_S);
-  j->write_at = c->now + j->write_pause;
+  j->record.back_off_s = CLAMP (2 * j->record.back_off_s, BACK_OFF_S, MAX_BACK_OFF_S);
+  j->record.next_write_at = c->now + j->record.back_off_s;
 }
 
 /* What was to be written is larger than the state service takes: it is not sent. Endings wait
@@ -151,11 +151,11 @@
     hr_record_split_request (c, j, FALSE);
     return; /* the split marks what is still meant */
   }
-  if (!j->write_pause)
+  if (!j->record.back_off_s)
     g_warning ("%s: its record is too large, and not every member is known to read a split one",
                j->id);
   hr_record_writer_back_off (c, j);
-  j->retry_at = MAX (j->retry_at, j->write_at);
+  j->run.retry_at = MAX (j->run.retry_at, j->record.next_write_at);
   mark_page (c, j, p);
 }
 
@@ -163,9 +163,9 @@
 static gboolean
 is_backing_off (const HrCore *c, const HrJob *j)
 {
-  if (c->now >= j->write_at)
+  if (c->now >= j->record.next_write_at)
     return FALSE;
-  return j->state == HR_JOB_QUEUED ? j->ndone < j->ntasks : j->nlive > 0;
+  return j->state == HR_JOB_QUEUED ? j->n_done < j->n_tasks : j->run.n_live > 0;
 }
 
 static void
@@ -186,7 +186,7 @@
     if (tag && g_str_equal (tag, w->tag))
       hr_record_writer_confirmed (c, j, p, revision);
     else {
-      if (!j->per_page || p->write_is_final) {
+      if (!j->record.tasks_per_page || p->write_is_final) {
         if (v)
           hr_replica_apply_job (c, j, v, revision);
       } else if (revision > p->revision)
@@ -202,7 +202,7 @@
 reread_record (HrCore *c, Write *w)
 {
   HrJob *j = c->store.tables.jobs->pdata[w->job];
-  gboolean main = !j->per_page || j->pages[w->page].write_is_final;
+  gboolean main = !j->record.tasks_per_page || j->record.pages[w->page].write_is_final;
   g_autofree char *key = main ? hr_job_record_key (j) : hr_record_page_key (j, w->page);
   hr_core_call (c, HR_TO_STORE, NULL, HR_GET, g_strconcat ("/kv/", key, NULL), NULL,
                 WRITE_TIMEOUT_S, on_record_reread, w);
@@ -259,9 +259,9 @@
 write_page (HrCore *c, HrJob *j, HrRecordPage *p)
 {
   guint32 from, to;
-  guint n = p - j->pages;
+  guint n = p - j->record.pages;
   gboolean launch = FALSE, change = FALSE;
-  if (j->told)
+  if (j->cancellation.told_by_peer)
     return; /* its record has changed, and is read before it is written again */
   page_range (j, p, &from, &to);
   for (guint32 i = from; i < to; i++) {
@@ -274,14 +274,16 @@
     change |= t->write_in_flight;
   }
   /* The last ending and the tombstone are one write where the tasks stand inline. */
-  gboolean done = j->state == HR_JOB_QUEUED && (j->per_page ? j->nrdone : j->ndone) == j->ntasks &&
-                  (!j->per_page || n == 0);
-  gboolean gone = j->state != HR_JOB_QUEUED && j->nlive == 0 && !j->shrunk && n == 0;
+  gboolean done = j->state == HR_JOB_QUEUED &&
+                  (j->record.tasks_per_page ? j->n_recorded_done : j->n_done) == j->n_tasks &&
+                  (!j->record.tasks_per_page || n == 0);
+  gboolean gone =
+      j->state != HR_JOB_QUEUED && j->run.n_live == 0 && !j->record.is_compacted && n == 0;
   if (!change && !done && !gone)
     return;
   g_autofree char *tag = hr_core_new_tag (c);
   char *text = done || gone ? hr_record_tombstone (j, done ? HR_JOB_DONE : j->state, tag)
-               : !j->per_page
+               : !j->record.tasks_per_page
                    ? hr_record_main (j, c->names, &c->store.tables.machine_ids, j->state, tag, TRUE)
                    : hr_record_page (j, n, &c->store.tables.machine_ids, tag, TRUE);
   gsize bytes = strlen (text);
@@ -299,14 +301,15 @@
   w->conditions = json_array ();
   w->writes = json_array ();
   /* Those that await the job start once its end is recorded. */
-  gboolean awaited = j->dependents && j->state == HR_JOB_QUEUED && j->ndone == j->ntasks;
+  gboolean awaited =
+      j->dependencies.dependents && j->state == HR_JOB_QUEUED && j->n_done == j->n_tasks;
   w->kind = launch || awaited ? HR_TRANSACTION_LAUNCH : HR_TRANSACTION_BOOKKEEPING;
   p->write_tag = g_strdup (w->tag);
   p->write_is_final = done || gone;
   g_autofree char *key = hr_job_record_key (j);
   hr_transaction_require (w->conditions, "h/map", c->leadership.record_revision);
-  hr_transaction_require (w->conditions, key, j->stamp);
-  if (p->write_is_final || !j->per_page)
+  hr_transaction_require (w->conditions, key, j->record.revision);
+  if (p->write_is_final || !j->record.tasks_per_page)
     hr_transaction_put (w->writes, key, text, 0);
   else {
     g_autofree char *pkey = hr_record_page_key (j, n);
@@ -326,10 +329,11 @@
     for (guint i = 0; i < list->len; i++) {
       HrDirtyPage *d = &g_array_index (list, HrDirtyPage, i);
       HrJob *j = c->store.tables.jobs->pdata[d->job];
-      if (d->page >= j->npages)
+      if (d->page >= j->record.n_pages)
         continue;
-      HrRecordPage *p = &j->pages[d->page];
-      if (p->write_tag || j->splitting || is_backing_off (c, j)) { /* one write at a time */
+      HrRecordPage *p = &j->record.pages[d->page];
+      if (p->write_tag || j->record.split_in_flight ||
+          is_backing_off (c, j)) { /* one write at a time */
         g_array_append_val (c->store.writer.dirty_pages, *d);
         continue;
       }
--- a/src/bookkeeping/replica.c
+++ b/src/bookkeeping/replica.c
@@ -133,12 +133,12 @@
   /* Rows of jobs not final are read anew: an owner's view goes beyond the record. */
   for (guint i = 0; i < c->store.tables.jobs->len; i++) {
     HrJob *j = c->store.tables.jobs->pdata[i];
-    if (j->known && j->tasks && !j->shrunk) {
+    if (j->is_known && j->tasks && !j->record.is_compacted) {
       hr_job_compact (j);
-      j->stamp = 0;
-      j->nlive = j->nrdone = j->ndone = 0;
-      j->known = j->state != HR_JOB_QUEUED; /* a final answer, once given, stays */
-      j->listed = FALSE;
+      j->record.revision = 0;
+      j->run.n_live = j->n_recorded_done = j->n_done = 0;
+      j->is_known = j->state != HR_JOB_QUEUED; /* a final answer, once given, stays */
+      j->run.is_open = FALSE;
     }
   }
   g_array_set_size (c->store.tables.open_jobs, 0);
--- a/src/bookkeeping/replica_changes.c
+++ b/src/bookkeeping/replica_changes.c
@@ -41,7 +41,7 @@
 static void
 note_cached_images (HrCore *c, HrJob *j, guint32 from, guint32 n)
 {
-  for (guint32 i = from; i < MIN (from + n, j->ntasks); i++) {
+  for (guint32 i = from; i < MIN (from + n, j->n_tasks); i++) {
     guint32 m = j->tasks[i].recorded.machine;
     if (m != HR_NONE && !j->tasks[i].done_recorded)
       hr_machine_touch_image (hr_machine_get (c, hr_intern_name (&c->store.tables.machine_ids, m)),
@@ -53,71 +53,73 @@
 hr_replica_apply_job (HrCore *c, HrJob *j, const json_t *v, guint64 revision)
 {
   HrRecord r;
-  if (j->known && revision <= j->stamp)
+  if (j->is_known && revision <= j->record.revision)
     return TRUE; /* known already: our own write, or a change read twice */
   if (!hr_record_read (v, c->names, &r)) {
     g_warning ("%s: its record makes no sense", j->id);
-    j->record_unreadable = TRUE;
+    j->record.main_unreadable = TRUE;
     hr_record_clear (&r);
     return FALSE;
   }
-  j->record_unreadable = FALSE;
+  j->record.main_unreadable = FALSE;
   g_auto (GStrv) awaits = g_steal_pointer (&r.awaits);
-  HrRecordPage *p = j->pages;
+  HrRecordPage *p = j->record.pages;
   if (p && p->write_tag && g_str_equal (p->write_tag, r.tag)) {
     hr_record_clear (&r);
     hr_record_writer_confirmed (c, j, p, revision);
     return TRUE;
   }
-  gboolean fresh = !j->known;
-  j->known = TRUE;
-  j->stamp = revision;
+  gboolean fresh = !j->is_known;
+  j->is_known = TRUE;
+  j->record.revision = revision;
   if (r.state == HR_JOB_CANCELLED)
     hr_cancellation_log_append (c, j, revision);
-  g_free (j->tag);
-  j->tag = g_steal_pointer (&r.tag);
+  g_free (j->record.tag);
+  j->record.tag = g_steal_pointer (&r.tag);
   if (r.is_tombstone) {
     j->state = r.state;
-    j->told = FALSE;
-    j->ntasks = r.n_tasks;
-    j->nrdone = r.n_done;
-    j->shrunk = TRUE;
+    j->cancellation.told_by_peer = FALSE;
+    j->n_tasks = r.n_tasks;
+    j->n_recorded_done = r.n_done;
+    j->record.is_compacted = TRUE;
     if (r.cancelled_with)
-      j->withdrawn_with = hr_job_get (c, r.cancelled_with);
+      j->cancellation.root = hr_job_get (c, r.cancelled_with);
     hr_garbage_add_job (c, j);
-    if (!c->leadership.is_leader || !j->nlive)
+    if (!c->leadership.is_leader || !j->run.n_live)
       hr_job_compact (j);
     hr_dependencies_job_final (c, j);
     return TRUE;
   }
   if (fresh || !j->tasks) {
     hr_job_set_spec (j, &r.spec, r.tasks_per_page);
-    j->submitted = r.submitted_at;
-    j->resplit = r.sized_page_keys && c->store.format.supported;
-  } else if (c->store.format.supported && r.sized_page_keys && r.tasks_per_page != j->per_page)
+    j->submitted_at = r.submitted_at;
+    j->record.sized_page_keys = r.sized_page_keys && c->store.format.supported;
+  } else if (c->store.format.supported && r.sized_page_keys &&
+             r.tasks_per_page != j->record.tasks_per_page)
     hr_record_split_apply (c, j, r.tasks_per_page, revision);
   if (c->store.format.supported) {
-    json_decref (j->extra);
-    j->extra = g_steal_pointer (&r.extra);
+    json_decref (j->record.unknown_members);
+    j->record.unknown_members = g_steal_pointer (&r.extra);
   }
   hr_record_clear (&r);
   /* The owner alone changes tasks; what others write leaves them as they were. */
   if (!r.tasks_per_page && r.tasks && (!c->leadership.is_leader || fresh)) {
-    j->unreadable = !hr_record_tasks (j, 0, r.tasks, &c->store.tables.machine_ids);
-    if (j->unreadable)
+    j->record.tasks_unreadable = !hr_record_tasks (j, 0, r.tasks, &c->store.tables.machine_ids);
+    if (j->record.tasks_unreadable)
       g_warning ("%s: the tasks in its record make no sense", j->id);
-    note_cached_images (c, j, 0, j->ntasks);
+    note_cached_images (c, j, 0, j->n_tasks);
   }
-  if (!r.tasks_per_page && j->pages)
-    j->pages[0].revision = revision;
+  if (!r.tasks_per_page && j->record.pages)
+    j->record.pages[0].revision = revision;
   /* A reading may be older than what a member told; a withdrawal is final all the same. */
-  gboolean was_told = j->told;
-  j->told = was_told && r.state == HR_JOB_QUEUED;
+  gboolean was_told = j->cancellation.told_by_peer;
+  j->cancellation.told_by_peer = was_told && r.state == HR_JOB_QUEUED;
   HrJobState before = j->state;
-  j->state = j->told ? HR_JOB_CANCELLED : r.state; /* a derived withdrawal is derived again */
+  j->state = j->cancellation.told_by_peer ? HR_JOB_CANCELLED
+                                          : r.state; /* a derived withdrawal is derived again */
   hr_dependencies_job_read (c, j, (const char *const *)awaits);
   hr_job_open (c, j);
-  gboolean cancelled = r.state == HR_JOB_CANCELLED || j->told;
+  gboolean cancelled = r.state == HR_JOB_CANCELLED || j->cancellation.told_by_peer;
   if (c->leadership.is_leader && cancelled && (before != HR_JOB_CANCELLED || was_told))
     hr_job_cancelled (c, j);
   c->scheduling.plan_is_stale = TRUE;
@@ -130,9 +132,9 @@
                      guint64 revision)
 {
   hr_garbage_page_deleted (c, j, tasks_per_page, page);
-  if (v && (j->shrunk || !tasks_per_page))
+  if (v && (j->record.is_compacted || !tasks_per_page))
     hr_garbage_add_page (c, j, tasks_per_page, page);
-  else if (!j->shrunk && tasks_per_page && j->tasks)
+  else if (!j->record.is_compacted && tasks_per_page && j->tasks)
     hr_record_split_stage_page (j, tasks_per_page, page, v ? revision : 0, v);
 }
 
@@ -140,15 +142,17 @@
 static void
 apply_page (HrCore *c, HrJob *j, guint tasks_per_page, guint64 n, const json_t *v, guint64 revision)
 {
-  gboolean in_force = j->resplit ? tasks_per_page == j->per_page : tasks_per_page == 0;
-  if (j->shrunk || (!in_force && c->store.format.supported)) {
+  gboolean in_force =
+      j->record.sized_page_keys ? tasks_per_page == j->record.tasks_per_page : tasks_per_page == 0;
+  if (j->record.is_compacted || (!in_force && c->store.format.supported)) {
     apply_obsolete_page (c, j, tasks_per_page, n, v, revision);
     return;
   }
   const char *tag = hr_json_str (v, "w");
-  if (!v || !j->tasks || !j->per_page || n >= j->npages || revision <= j->pages[n].revision)
+  if (!v || !j->tasks || !j->record.tasks_per_page || n >= j->record.n_pages ||
+      revision <= j->record.pages[n].revision)
     return;
-  HrRecordPage *p = &j->pages[n];
+  HrRecordPage *p = &j->record.pages[n];
   if (p->write_tag && tag && g_str_equal (p->write_tag, tag)) {
     hr_record_writer_confirmed (c, j, p, revision);
     return;
@@ -156,12 +160,12 @@
   p->revision = revision;
   if (!c->leadership.is_leader) {
     /* Other pages may be unreadable too: once one was, the job counts as unreadable. */
-    if (!hr_record_tasks (j, n * j->per_page, json_object_get (v, "x"),
+    if (!hr_record_tasks (j, n * j->record.tasks_per_page, json_object_get (v, "x"),
                           &c->store.tables.machine_ids)) {
-      j->unreadable = TRUE;
+      j->record.tasks_unreadable = TRUE;
       g_warning ("%s: page %u of its record makes no sense", j->id, (guint)n);
     }
-    note_cached_images (c, j, n * j->per_page, j->per_page);
+    note_cached_images (c, j, n * j->record.tasks_per_page, j->record.tasks_per_page);
   }
 }
 
--- a/src/bookkeeping/tables.c
+++ b/src/bookkeeping/tables.c
@@ -7,10 +7,10 @@
 hr_job_free (HrJob *j)
 {
   hr_job_compact (j);
-  g_free (j->awaits);
-  if (j->dependents)
-    g_ptr_array_unref (j->dependents);
-  g_free (j->tag);
+  g_free (j->dependencies.awaited);
+  if (j->dependencies.dependents)
+    g_ptr_array_unref (j->dependencies.dependents);
+  g_free (j->record.tag);
   g_free (j);
 }
 
@@ -18,15 +18,15 @@
 hr_job_compact (HrJob *j)
 {
   g_clear_pointer (&j->tasks, g_free);
-  for (guint i = 0; i < j->npages; i++)
-    g_free (j->pages[i].write_tag);
-  g_clear_pointer (&j->pages, g_free);
-  j->npages = 0;
-  for (guint i = 0; j->staged && i < j->staged->len; i++)
-    json_decref (g_array_index (j->staged, HrStagedPage, i).value);
-  g_clear_pointer (&j->staged, g_array_unref);
-  g_clear_pointer (&j->extra, json_decref);
-  j->split_wanted = j->splitting = FALSE;
+  for (guint i = 0; i < j->record.n_pages; i++)
+    g_free (j->record.pages[i].write_tag);
+  g_clear_pointer (&j->record.pages, g_free);
+  j->record.n_pages = 0;
+  for (guint i = 0; j->record.staged_pages && i < j->record.staged_pages->len; i++)
+    json_decref (g_array_index (j->record.staged_pages, HrStagedPage, i).value);
+  g_clear_pointer (&j->record.staged_pages, g_array_unref);
+  g_clear_pointer (&j->record.unknown_members, json_decref);
+  j->record.split_wanted = j->record.split_in_flight = FALSE;
 }
 
 void
@@ -34,26 +34,26 @@
 {
   hr_job_compact (j);
   j->spec = *s;
-  j->rank = s->priority;
-  j->ntasks = s->tasks;
-  j->per_page = tasks_per_page;
-  j->resplit = FALSE;
-  j->write_at = j->write_pause = 0;
-  j->npages = tasks_per_page ? (s->tasks + tasks_per_page - 1) / tasks_per_page : 1;
-  j->pages = g_new0 (HrRecordPage, j->npages);
+  j->plan.priority = s->priority;
+  j->n_tasks = s->tasks;
+  j->record.tasks_per_page = tasks_per_page;
+  j->record.sized_page_keys = FALSE;
+  j->record.next_write_at = j->record.back_off_s = 0;
+  j->record.n_pages = tasks_per_page ? (s->tasks + tasks_per_page - 1) / tasks_per_page : 1;
+  j->record.pages = g_new0 (HrRecordPage, j->record.n_pages);
   j->tasks = g_new0 (HrTask, s->tasks);
   for (guint i = 0; i < s->tasks; i++) {
     j->tasks[i].recorded.machine = j->tasks[i].placement.machine = HR_NONE;
     j->tasks[i].reported_state = HR_NOT_REPORTED;
   }
-  j->bad_machine = HR_NONE;
+  j->run.failed_machine = HR_NONE;
 }
 
 gboolean
 hr_job_has_unfinished_dependencies (const HrJob *j)
 {
-  for (guint i = 0; i < j->nawaits; i++)
-    if (j->awaits[i]->state != HR_JOB_DONE)
+  for (guint i = 0; i < j->dependencies.n_awaited; i++)
+    if (j->dependencies.awaited[i]->state != HR_JOB_DONE)
       return TRUE;
   return FALSE;
 }
@@ -61,13 +61,13 @@
 double
 hr_job_eligible_since (const HrJob *j)
 {
-  return j->nawaits ? j->ready_since : j->submitted;
+  return j->dependencies.n_awaited ? j->dependencies.ready_since : j->submitted_at;
 }
 
 HrRecordPage *
 hr_job_page (HrJob *j, guint32 task)
 {
-  return &j->pages[j->per_page ? task / j->per_page : 0];
+  return &j->record.pages[j->record.tasks_per_page ? task / j->record.tasks_per_page : 0];
 }
 
 guint
@@ -81,15 +81,15 @@
 void
 hr_class_use_image (HrClassStats *s, guint32 image, guint tasks)
 {
-  guint at = s->nimages;
-  for (guint i = 0; i < s->nimages; i++) {
+  guint at = s->n_images;
+  for (guint i = 0; i < s->n_images; i++) {
     s->images[i].weight *= 0.97;
     if (s->images[i].image == image)
       at = i;
   }
-  if (at == s->nimages) {
-    if (s->nimages < G_N_ELEMENTS (s->images))
-      s->nimages++;
+  if (at == s->n_images) {
+    if (s->n_images < G_N_ELEMENTS (s->images))
+      s->n_images++;
     else
       at--; /* the least used one gives way */
     s->images[at] = (HrImageUse){image, 0};
@@ -105,7 +105,7 @@
 gboolean
 hr_machine_has_image (const HrMachine *m, guint32 image)
 {
-  for (guint i = 0; i < m->nimages; i++)
+  for (guint i = 0; i < m->n_images; i++)
     if (m->images[i] == image)
       return TRUE;
   return FALSE;
@@ -115,12 +115,12 @@
 hr_machine_touch_image (HrMachine *m, guint32 image)
 {
   guint i;
-  for (i = 0; i < m->nimages; i++)
+  for (i = 0; i < m->n_images; i++)
     if (m->images[i] == image)
       break;
-  if (i == m->nimages) {
-    if (m->nimages < G_N_ELEMENTS (m->images))
-      m->nimages++;
+  if (i == m->n_images) {
+    if (m->n_images < G_N_ELEMENTS (m->images))
+      m->n_images++;
     else
       i--;
   }
@@ -132,10 +132,10 @@
 hr_machine_forget_image (HrMachine *m, guint32 image)
 {
   guint n = 0;
-  for (guint i = 0; i < m->nimages; i++)
+  for (guint i = 0; i < m->n_images; i++)
     if (m->images[i] != image)
       m->images[n++] = m->images[i];
-  m->nimages = n;
+  m->n_images = n;
 }
 
 void
@@ -145,25 +145,26 @@
     return;
   m->type = t->type;
   m->zone = zone;
-  m->spot = spot;
-  m->cpus += t->cpus;
-  m->gpus += t->gpus;
-  m->mem += t->memory_gb;
+  m->is_spot = spot;
+  m->free.cpus += t->cpus;
+  m->free.gpus += t->gpus;
+  m->free.memory_gb += t->memory_gb;
 }
 
 gboolean
 hr_machine_fits (const HrMachine *m, const HrJobSpec *s)
 {
-  return s->cpus <= m->cpus - m->foreign_cpus + EPS && s->gpus <= m->gpus - m->foreign_gpus + EPS &&
-         s->memory_gb <= m->mem - m->foreign_mem + EPS;
+  return s->cpus <= m->free.cpus - m->unrecognized.cpus + EPS &&
+         s->gpus <= m->free.gpus - m->unrecognized.gpus + EPS &&
+         s->memory_gb <= m->free.memory_gb - m->unrecognized.memory_gb + EPS;
 }
 
 gboolean
 hr_machine_has_unreserved (const HrMachine *m, double cpus, double gpus, double mem)
 {
-  return cpus <= m->cpus - m->foreign_cpus - m->claim_cpus + EPS &&
-         gpus <= m->gpus - m->foreign_gpus - m->claim_gpus + EPS &&
-         mem <= m->mem - m->foreign_mem - m->claim_mem + EPS;
+  return cpus <= m->free.cpus - m->unrecognized.cpus - m->reserved.cpus + EPS &&
+         gpus <= m->free.gpus - m->unrecognized.gpus - m->reserved.gpus + EPS &&
+         mem <= m->free.memory_gb - m->unrecognized.memory_gb - m->reserved.memory_gb + EPS;
 }
 
 gboolean
@@ -176,10 +177,10 @@
 hr_machine_allocate (HrMachine *m, const HrJobSpec *s, HrTaskRef r)
 {
   g_array_append_val (m->tasks, r);
-  m->cpus -= s->cpus;
-  m->gpus -= s->gpus;
-  m->mem -= s->memory_gb;
-  m->idle_at = 0;
+  m->free.cpus -= s->cpus;
+  m->free.gpus -= s->gpus;
+  m->free.memory_gb -= s->memory_gb;
+  m->idle_since = 0;
 }
 
 void
@@ -189,9 +190,9 @@
     HrTaskRef *x = &g_array_index (m->tasks, HrTaskRef, i);
     if (x->job == r.job && x->task == r.task) {
       g_array_remove_index_fast (m->tasks, i);
-      m->cpus += s->cpus;
-      m->gpus += s->gpus;
-      m->mem += s->memory_gb;
+      m->free.cpus += s->cpus;
+      m->free.gpus += s->gpus;
+      m->free.memory_gb += s->memory_gb;
       return;
     }
   }
@@ -200,9 +201,9 @@
 void
 hr_machine_free (HrMachine *m)
 {
-  g_free (m->addr);
+  g_free (m->address);
   g_array_unref (m->tasks);
-  g_array_unref (m->direct);
-  g_array_unref (m->list);
+  g_array_unref (m->agent.direct_launches);
+  g_array_unref (m->plan.list);
   g_free (m);
 }
--- a/src/bookkeeping/tables.h
+++ b/src/bookkeeping/tables.h
@@ -53,67 +53,98 @@
 } HrStagedPage;
 
 typedef struct HrJob HrJob;
+
+/* How the job stands in the store. */
+typedef struct {
+  guint64 revision;     /* of the main record */
+  char *tag;            /* writer's tag of the main record */
+  guint tasks_per_page; /* 0: the tasks stand in the main record */
+  HrRecordPage *pages;
+  guint n_pages;
+  gboolean sized_page_keys; /* pages stand under h/u, with their size in the key; else h/t */
+  GArray *staged_pages;     /* HrStagedPage; NULL: none */
+  json_t *unknown_members;  /* of the main record, kept as read; NULL: none */
+  gboolean is_compacted;    /* final, and only what a tombstone holds is kept */
+  gboolean
+      tasks_unreadable;     /* what is recorded of its tasks makes no sense: they may be anywhere */
+  gboolean main_unreadable; /* its latest main record makes no sense: any state is possible */
+  /* A write under way, or due. */
+  gboolean split_wanted, split_in_flight;
+  double next_write_at, back_off_s; /* what cannot be written now waits until then, so long */
+} HrJobRecord;
+
+/* What is known of the job's cancellation, if its state is HR_JOB_CANCELLED. */
+typedef struct {
+  double unknown_until;  /* steady time up to which no user was told of it; 0: not cancelled */
+  gboolean told_by_peer; /* a peer says so; the record is still to be read */
+  HrJob *root;           /* the cancelled job that took this one along; NULL: none did */
+} HrJobCancellation;
+
+/* Jobs that the job awaits, and that await it (jobs/dependencies.c). */
+typedef struct {
+  HrJob **awaited;
+  guint n_awaited;
+  GPtrArray *dependents; /* HrJob whose records name this one; NULL: none, or this one is final */
+  double ready_since;    /* time of day when the last awaited job was seen done; 0: not yet */
+} HrJobDependencies;
+
+/* What the leader knows of the job's attempts (jobs/task_lifecycle.c). Steady time, s. */
+typedef struct {
+  gboolean is_open;             /* in the list of open jobs */
+  guint32 n_live;               /* tasks assigning or bound */
+  gboolean attempt_ending;      /* the gang's attempt is to end; all tasks must go first */
+  double gang_ready_at;         /* when all tasks of the gang's attempt were recorded */
+  double gang_incomplete_since; /* the gang lost a task before its start, to be replaced; 0: no */
+  double retry_at, retry_pause_s;
+  guint failures; /* in a row */
+  HrExitCause last_failure;
+  guint32 failed_machine; /* where it failed last; avoided for a while */
+  double failed_machine_avoided_until;
+  gboolean arrival_counted;
+} HrJobRun;
+
+/* What the scheduler makes of the job (scheduling/). Steady time, s, but for `deadline`. */
+typedef struct {
+  HrPriority priority; /* the highest of its own and its dependents' */
+  double deadline;     /* time of day; the earliest of its own and what its dependents need */
+  guint n_listed;      /* tasks standing in machines' lists */
+  guint32 shard;       /* whose lists it may stand in; HR_NONE: any */
+  gboolean shard_chosen;
+  double gang_start;                           /* planned common start of a gang */
+  double expected_end;                         /* of its last task, as of the latest pass */
+  double next_scale_out_at, scale_out_pause_s; /* of a gang larger than any fleet so far */
+} HrJobPlan;
+
+/* The job's share of its team's guarantee and limit (scheduling/quotas.c, guarantees.c). Steady
+ * time, s. */
+typedef struct {
+  gboolean within_guarantee;   /* together with the team's earlier jobs */
+  gboolean reclaims_guarantee; /* other teams borrow nothing while it waits */
+  double reclaiming_since, next_reclaim_at, reclaim_pause_s;
+  guint granted;        /* tasks that may start in this pass */
+  double granted_since; /* it could have started something since; 0: it could not */
+  gboolean grant_lent;  /* others may use what it does not start with */
+  double lent_until, lending_pause_s;
+  double starving_since; /* a task waits beside free capacity since; 0: none does */
+  double kept_out_since; /* only another job's reservation holds it up since; 0: no */
+} HrJobQuota;
+
 struct HrJob {
   guint32 index;
   const char *id;
-  gboolean known; /* the record has been read or written */
+  gboolean is_known; /* the record has been read or written */
   HrJobState state;
   HrJobSpec spec;
-  guint64 stamp;                 /* of the main record */
-  char *tag;                     /* writer's tag of the main record */
-  double submitted;              /* time of day */
-  double deadline;               /* time of day, with what those that need it ask (urgency.c) */
-  guint32 ntasks, nrdone, ndone; /* ndone: as meant */
-  HrTask *tasks;                 /* NULL once final and shrunk */
-  guint per_page;                /* 0: tasks stand in the main record */
-  HrRecordPage *pages;
-  guint npages;
-  gboolean resplit; /* its pages stand under keys that carry their size: h/u in place of h/t */
-  GArray *staged;   /* HrStagedPage; NULL: none */
-  json_t *extra;    /* what this version does not know in its main record; NULL: nothing */
-  gboolean shrunk;
-  double withdrawn_since; /* steady time before which nobody was told that it is; 0: it is not */
-  gboolean told;          /* withdrawn, as a member told us; its record is still to be read */
-  gboolean unreadable; /* what is recorded of its tasks could not be read: they may be anywhere */
-  gboolean record_unreadable; /* its latest main record makes no sense: it may be in any state */
-  /* Jobs that await others (dependencies.c). Rows live as long as the tables. */
-  HrJob **awaits;
-  guint nawaits;
-  GPtrArray *dependents; /* HrJob whose records name this one; NULL: none, or this one is final */
-  HrJob *withdrawn_with; /* the cancelled job that took this one along; NULL: none did */
-  double ready_since;    /* time of day when its last awaited job was seen done; 0: not yet */
-  HrPriority rank;       /* the highest of its own and of those that need it (urgency.c) */
-  /* The owner's. */
-  gboolean listed;    /* in the owner's list of open jobs */
-  guint32 nlive;      /* tasks assigning or bound */
-  gboolean gang_over; /* this attempt is to end; all tasks must go first */
-  double ready_at;    /* all tasks of the gang's attempt are recorded since */
-  double short_since; /* a gang lost a task before its start, which is to be replaced; 0: no */
-  double retry_at, pause;
-  double rent_at, rent_pause; /* a gang larger than any fleet so far: no machine before then */
-  guint errors;
-  HrExitCause last_error;
-  guint32 bad_machine; /* where it failed last, avoided until */
-  double bad_until;
-  gboolean counted;  /* its arrival was counted */
-  double gang_start; /* planned common start of a gang, steady time */
-  guint planned;     /* tasks standing in lists */
-  gboolean entitled; /* within its team's guarantee, together with the team's earlier jobs */
-  gboolean claims;   /* and others borrow nothing while it waits */
-  double claim_since, claim_from,
-      claim_pause; /* it has claimed since; not before; pause till then */
-  /* Of its team's limit (limits.c). */
-  guint grant;       /* tasks that may start in this pass */
-  double granted_at; /* it could have started something since; 0: it cannot */
-  gboolean lent;     /* others may use what it does not start with */
-  double lent_until, lent_pause;
-  double held_back_since; /* a task of it waits beside free room since; 0: none does */
-  double kept_since; /* only what is reserved for another holds it back since; 0: it does not */
-  guint32 part;      /* whose lists it may stand in; HR_NONE: large, any list */
-  gboolean parted;   /* its part was chosen */
-  gboolean split_wanted, splitting; /* in the queue of records to split; under way */
-  double write_at, write_pause;     /* what cannot be written now waits until then, so long */
-  double ends_at; /* when its last task should end, steady time, as of the latest pass */
+  double submitted_at; /* time of day, s */
+  guint32 n_tasks;
+  guint32 n_recorded_done, n_done; /* tasks done, as recorded; as meant */
+  HrTask *tasks;                   /* NULL once compacted */
+  HrJobRecord record;
+  HrJobCancellation cancellation;
+  HrJobDependencies dependencies;
+  HrJobRun run;
+  HrJobPlan plan;
+  HrJobQuota quota;
 };
 
 typedef enum {
@@ -133,54 +164,77 @@
   guint64 fencing_token;
 } HrDirectLaunch;
 
+/* An amount of a machine's capacity. */
+typedef struct {
+  double cpus, gpus, memory_gb;
+} HrResources;
+
+/* What the leader knows of the machine's agent (agents/). Steady time, s. */
 typedef struct {
-  guint32 index;
-  const char *name;
-  char *addr;
-  HrMachineState state;
-  guint32 type, zone; /* type: index into the types table; HR_NONE: not known yet */
-  gboolean spot;
   guint32 incarnation;
-  guint64 seq, token;
-  double seq_at;        /* when the message with that seq came */
-  double unreceived_at; /* when a session first showed that; 0: the last one did not */
-  double deaf_at;       /* when it showed that our answers do not reach it; 0: it did not */
-  gboolean rented_here; /* by this very process */
-  double rented_at;     /* steady time, by our clock */
-  double known_at;      /* in this owner's fleet since */
-  double listed_at;     /* the latest pass through the cloud's list that showed it began then */
-  double heard_at;      /* last report; 0: none to this owner */
-  double answered_at;   /* last 200 to a report; 0: none */
-  double idle_at;       /* without tasks since; 0: busy */
-  double notice_at;     /* when the cloud takes it; 0: no notice */
-  gboolean drain;
-  guint64 reply_launch; /* seq of the report whose answer held a launch; 0: none pending */
-  guint do_out;         /* direct calls without an answer yet */
-  guint64 do_lost;      /* token of the last direct launch whose answer was lost; 0: none */
-  GArray *direct;       /* HrDirectLaunch of this session */
-  gboolean urgent;      /* orders to send at once */
-  gboolean put_off;     /* they wait for an earlier direct call, or a pause after one */
-  double do_pause;
-  gboolean delete_out;                            /* the call for it is under way */
-  gboolean deleted;                               /* the cloud confirmed it */
-  GArray *tasks;                                  /* HrTaskRef of tasks assigning or bound */
-  double foreign_cpus, foreign_gpus, foreign_mem; /* taken by what should not be there */
-  double cpus, gpus, mem;                         /* free, as meant */
-  double claim_cpus, claim_gpus, claim_mem;       /* of that, kept for services */
-  double fixed_cpus, fixed_gpus, fixed_mem;       /* taken by services */
-  guint32 images[16];                             /* most recent first */
-  guint nimages;
-  guint errors; /* failures in a row */
-  guint32 error_job;
-  double full_until;
-  /* Plan */
-  guint32 part;     /* by hash of its name */
-  guint parts;      /* of how many */
+  guint64 sequence;        /* of the newest message */
+  guint64 fencing_token;   /* the newest that the agent has shown */
+  double sequence_at;      /* when the message with that sequence number came */
+  double heard_at;         /* last heartbeat; 0: none to this leader */
+  double lease_renewed_at; /* last 200 to a heartbeat; 0: none */
+  double
+      answer_unreceived_at; /* when an incarnation first showed that it lacked an answer; 0: not */
+  double unreachable_at;    /* when it showed that our answers do not reach it; 0: not */
+  /* Orders that may still take effect. */
+  guint64
+      launch_answered_sequence; /* of the heartbeat whose answer held a launch; 0: none pending */
+  guint direct_calls_in_flight;
+  guint64 unanswered_launch_token; /* of the last direct launch whose answer was lost; 0: none */
+  GArray *direct_launches;         /* HrDirectLaunch of this incarnation */
+  gboolean has_urgent_orders;      /* to be sent at once */
+  gboolean orders_postponed;       /* until an earlier direct call, or a pause after one, is over */
+  double direct_paused_until;
+} HrMachineAgent;
+
+/* What is known of the machine as an instance of the cloud (scaling/). Steady time, s. */
+typedef struct {
+  gboolean requested_here; /* by this very process */
+  double requested_at;
+  double known_since;  /* in this leader's fleet since */
+  double listed_at;    /* when the latest pass through the cloud's list that showed it began */
+  double preempted_at; /* when the cloud takes it; 0: no notice */
+  gboolean deletion_in_flight;
+  gboolean is_deleted; /* the cloud confirmed it */
+} HrMachineInstance;
+
+/* What the scheduler plans for the machine (scheduling/). Steady time, s. */
+typedef struct {
+  guint32 shard;    /* by hash of its name */
+  guint n_shards;   /* of how many */
   GArray *list;     /* HrTaskRef by deadline */
   double tardiness; /* expected, of the list */
-  guint late;
-  double ready;  /* when the first listed task can start */
-  double begins; /* scratch of one job's placement: ready, with the image fetch */
+  guint late_count;
+  double ready_at;        /* when the first listed task can start */
+  double candidate_start; /* scratch of one job's placement: ready, with the image fetch */
+} HrMachinePlan;
+
+typedef struct {
+  guint32 index;
+  const char *name;
+  char *address;
+  HrMachineState state;
+  guint32 type, zone; /* type: index into the machine types; HR_NONE: not known yet */
+  gboolean is_spot;
+  gboolean is_draining;
+  double idle_since;        /* without tasks since; steady time, s; 0: busy */
+  GArray *tasks;            /* HrTaskRef of tasks assigning or bound */
+  HrResources free;         /* as meant */
+  HrResources reserved;     /* of that, kept for services */
+  HrResources services;     /* taken by services */
+  HrResources unrecognized; /* taken by tasks that should not be there */
+  guint32 images[16];       /* cached, most recent first */
+  guint n_images;
+  guint failures; /* of different jobs in a row */
+  guint32 last_failed_job;
+  double full_until; /* it refused a task for want of capacity; steady time, s */
+  HrMachineAgent agent;
+  HrMachineInstance instance;
+  HrMachinePlan plan;
 } HrMachine;
 
 /* How much of a class's recent work uses an image. */
@@ -191,16 +245,16 @@
 
 /* Statistics per class, for estimates and spare room. */
 typedef struct {
-  double correction; /* actual / estimated run time, smoothed */
-  guint samples;
-  double sum, weight;       /* tasks arriving a second, smoothed: sum / weight */
-  double bucket, bucket_at; /* arrivals of the last seconds, not in the sum yet */
-  double cpus, gpus, mem;   /* of its recent jobs' tasks */
-  HrImageUse images[12];    /* the most used ones, most used first */
-  guint nimages;
+  double run_time_correction; /* actual / estimated run time, smoothed */
+  guint run_time_samples;
+  double arrivals, arrivals_weight;     /* tasks a second, smoothed: arrivals / arrivals_weight */
+  double recent_arrivals, recent_since; /* of the last seconds, not in `arrivals` yet */
+  double cpus, gpus, memory_gb;         /* of its recent jobs' tasks */
+  HrImageUse images[12];                /* the most used ones, most used first */
+  guint n_images;
   HrShape shape;
-  HrPriority rank;
-  gboolean spot, seen;
+  HrPriority priority;
+  gboolean allows_spot, is_seen;
   guint64 types;
   guint64 teams;  /* whose jobs are of it: bits, by index modulo 64 */
   guint headroom; /* tasks that room is kept for in this pass */
--- a/src/bookkeeping/transactions.c
+++ b/src/bookkeeping/transactions.c
@@ -14,7 +14,7 @@
 char *
 hr_record_page_key (const HrJob *j, guint page)
 {
-  return hr_record_page_key_of (j, j->resplit ? j->per_page : 0, page);
+  return hr_record_page_key_of (j, j->record.sized_page_keys ? j->record.tasks_per_page : 0, page);
 }
 
 char *
--- a/src/coordination/agents/direct_orders.c
+++ b/src/coordination/agents/direct_orders.c
@@ -21,15 +21,15 @@
   HrMachine *m = c->store.tables.machines->pdata[d->machine];
   if (!c->leadership.is_leader || d->term_began_at != c->leadership.term_began_at)
     return; /* of an earlier term: its token is void */
-  m->do_out--;
+  m->agent.direct_calls_in_flight--;
   c->metrics.counters.direct_unanswered += status != 200 && status != 409;
   c->metrics.counters.direct_refused += status == 409;
   if (status != 200)
     g_debug ("direct: machine=%s result=%s", m->name, status == 409 ? "refused" : "unanswered");
   if (status != 200 && status != 409) {
-    if (d->launch && m->incarnation == d->incarnation)
-      m->do_lost = MAX (m->do_lost, d->fencing_token);
-    m->do_pause = c->now + PAUSE_S;
+    if (d->launch && m->agent.incarnation == d->incarnation)
+      m->agent.unanswered_launch_token = MAX (m->agent.unanswered_launch_token, d->fencing_token);
+    m->agent.direct_paused_until = c->now + PAUSE_S;
     return;
   }
   g_autofree char *text = json_dumps (body, JSON_COMPACT);
@@ -44,12 +44,12 @@
 postpone (HrCore *c, HrMachine *m)
 {
   c->agents.has_urgent_orders = TRUE;
-  if (m->put_off)
+  if (m->agent.orders_postponed)
     return;
-  m->put_off = TRUE;
+  m->agent.orders_postponed = TRUE;
   c->metrics.counters.direct_put_off++;
-  g_debug ("direct: machine=%s result=put_off out=%u pause=%.2f", m->name, m->do_out,
-           MAX (0, m->do_pause - c->now));
+  g_debug ("direct: machine=%s result=put_off out=%u pause=%.2f", m->name,
+           m->agent.direct_calls_in_flight, MAX (0, m->agent.direct_paused_until - c->now));
 }
 
 static void
@@ -62,15 +62,15 @@
     return;
   }
   Direct *d = g_new0 (Direct, 1);
-  *d = (Direct){m->index, c->leadership.fencing_token, m->incarnation, c->leadership.term_began_at,
-                launch};
-  m->do_out++;
+  *d = (Direct){m->index, c->leadership.fencing_token, m->agent.incarnation,
+                c->leadership.term_began_at, launch};
+  m->agent.direct_calls_in_flight++;
   c->metrics.counters.direct_calls++;
   g_debug ("direct: machine=%s session=%u token=%" G_GUINT64_FORMAT " stops=%u launches=%u",
-           m->name, m->incarnation, c->leadership.fencing_token, hr_orders_count (orders, "kill"),
-           hr_orders_count (orders, "launch"));
-  hr_core_call (c, HR_TO_WORKER, m->addr, HR_POST, g_strdup ("/do"),
-                hr_orders_text (c->leadership.fencing_token, m->incarnation, orders),
+           m->name, m->agent.incarnation, c->leadership.fencing_token,
+           hr_orders_count (orders, "kill"), hr_orders_count (orders, "launch"));
+  hr_core_call (c, HR_TO_WORKER, m->address, HR_POST, g_strdup ("/do"),
+                hr_orders_text (c->leadership.fencing_token, m->agent.incarnation, orders),
                 DIRECT_TIMEOUT_S, on_direct_answer, d);
 }
 
@@ -82,14 +82,14 @@
   c->agents.has_urgent_orders = FALSE;
   for (guint i = 0; i < c->scaling.fleet->len; i++) {
     HrMachine *m = c->scaling.fleet->pdata[i];
-    if (!m->urgent)
+    if (!m->agent.has_urgent_orders)
       continue;
-    if (m->do_out || c->now < m->do_pause) {
+    if (m->agent.direct_calls_in_flight || c->now < m->agent.direct_paused_until) {
       postpone (c, m);
       continue;
     }
-    m->urgent = m->put_off = FALSE;
-    if (m->state == HR_MACHINE_UP && m->addr && m->heard_at)
+    m->agent.has_urgent_orders = m->agent.orders_postponed = FALSE;
+    if (m->state == HR_MACHINE_UP && m->address && m->agent.heard_at)
       send_orders (c, m);
   }
 }
--- a/src/coordination/agents/heartbeats.c
+++ b/src/coordination/agents/heartbeats.c
@@ -16,9 +16,9 @@
   if (!t)
     return FALSE;
   hr_machine_describe (m, t, hr_intern (&c->names->zones, r->zone), r->is_spot);
-  if (g_strcmp0 (m->addr, r->address) != 0) {
-    g_free (m->addr);
-    m->addr = g_strdup (r->address);
+  if (g_strcmp0 (m->address, r->address) != 0) {
+    g_free (m->address);
+    m->address = g_strdup (r->address);
   }
   return TRUE;
 }
@@ -28,10 +28,10 @@
 {
   HrJob *j = hr_job_find (c, it->job);
   *job = j;
-  if (!j || !j->tasks || it->task >= j->ntasks)
+  if (!j || !j->tasks || it->task >= j->n_tasks)
     return NULL;
   HrTask *t = &j->tasks[it->task];
-  return t->placement.machine == m->index && t->placement.incarnation == m->incarnation &&
+  return t->placement.machine == m->index && t->placement.incarnation == m->agent.incarnation &&
                  t->placement.attempt == it->attempt
              ? t
              : NULL;
@@ -70,10 +70,10 @@
     return;
   }
   /* It takes room until it is gone. */
-  if (j && j->known && j->ntasks) {
-    m->foreign_cpus += j->spec.cpus;
-    m->foreign_gpus += j->spec.gpus;
-    m->foreign_mem += j->spec.memory_gb;
+  if (j && j->is_known && j->n_tasks) {
+    m->unrecognized.cpus += j->spec.cpus;
+    m->unrecognized.gpus += j->spec.gpus;
+    m->unrecognized.memory_gb += j->spec.memory_gb;
   }
   hr_orders_stop (c, m, orders, it->job, it->task, it->attempt,
                   j && j->state == HR_JOB_CANCELLED ? "withdrawn" : "not_recorded_here");
@@ -86,7 +86,7 @@
   g_autoptr (GArray) before = g_array_copy (m->tasks);
   g_autoptr (GHashTable) seen = g_hash_table_new (g_direct_hash, g_direct_equal);
   guint kept = 0;
-  m->foreign_cpus = m->foreign_gpus = m->foreign_mem = 0;
+  m->unrecognized.cpus = m->unrecognized.gpus = m->unrecognized.memory_gb = 0;
   for (guint i = 0; i < r->tasks->len; i++) {
     HrReportedTask *it = &g_array_index (r->tasks, HrReportedTask, i);
     HrJob *j;
@@ -111,7 +111,7 @@
         note_exit (c, j, it);
       continue;
     }
-    if (t && t->state == HR_TASK_DONE && !t->done_recorded && !j->shrunk)
+    if (t && t->state == HR_TASK_DONE && !t->done_recorded && !j->record.is_compacted)
       continue; /* its ending is still to be recorded: no clear before that */
     if (t && t->state == HR_TASK_ASSIGNING)
       continue;
@@ -126,14 +126,15 @@
     HrJob *j = c->store.tables.jobs->pdata[ref.job];
     HrTask *t = j->tasks ? &j->tasks[ref.task] : NULL;
     if (!t || t->state != HR_TASK_BOUND || t->placement.machine != m->index ||
-        t->placement.incarnation != m->incarnation || g_hash_table_contains (seen, t))
+        t->placement.incarnation != m->agent.incarnation || g_hash_table_contains (seen, t))
       continue;
     t->reported_state = HR_NOT_REPORTED;
-    if (j->state == HR_JOB_QUEUED && !t->stop_wanted && !t->from_earlier_term && !j->gang_over)
+    if (j->state == HR_JOB_QUEUED && !t->stop_wanted && !t->from_earlier_term &&
+        !j->run.attempt_ending)
       continue; /* it is launched (again) where it is recorded */
     if (proof)
       hr_task_gone (c, j, ref.task, HR_EXIT_NONE, "its worker's report lacks it");
-    else if (m->do_lost)
+    else if (m->agent.unanswered_launch_token)
       hr_leadership_raise_token (c, "an order to a worker got no answer");
   }
 }
@@ -143,10 +144,10 @@
 {
   if (r->preemption_notice_s < 0)
     return;
-  if (!m->notice_at)
+  if (!m->instance.preempted_at)
     g_info ("%s will be taken in about %.0f s", m->name, r->preemption_notice_s);
-  m->notice_at = c->now + r->preemption_notice_s;
-  m->drain = TRUE;
+  m->instance.preempted_at = c->now + r->preemption_notice_s;
+  m->is_draining = TRUE;
   for (guint i = 0; i < m->tasks->len; i++) {
     HrTaskRef ref = g_array_index (m->tasks, HrTaskRef, i);
     HrJob *j = c->store.tables.jobs->pdata[ref.job];
@@ -178,9 +179,9 @@
     g_info ("%s reports and was not expected; it is taken on", m->name);
     hr_fleet_add (c, m);
   } else if (m->state == HR_MACHINE_BOOTING)
-    g_info ("%s is up after %.0f s", m->name, c->now - m->rented_at);
+    g_info ("%s is up after %.0f s", m->name, c->now - m->instance.requested_at);
   m->state = HR_MACHINE_UP;
-  m->idle_at = m->tasks->len ? 0 : c->now;
+  m->idle_since = m->tasks->len ? 0 : c->now;
   c->scheduling.plan_is_stale = TRUE;
 }
 
@@ -204,41 +205,46 @@
   /* A session that ends within a lease of our answer shows that the answer was not
    * received: reports come from there, but nothing that we say arrives. Once may also be
    * a report that a cut held back; such ones come in a bunch, not a lease apart. */
-  gboolean unreceived = m->answered_at && c->now - m->answered_at < c->settings->lease_s - 1;
-  if (unreceived && m->unreceived_at && c->now - m->unreceived_at > c->settings->lease_s / 2)
-    m->deaf_at = c->now;
-  if (!unreceived || !m->unreceived_at || c->now - m->unreceived_at > c->settings->lease_s / 2)
-    m->unreceived_at = unreceived ? c->now : 0;
-  m->reply_launch = m->do_lost = 0; /* orders of the old session are void */
-  m->incarnation = session;
-  g_array_set_size (m->direct, 0);
+  gboolean unreceived =
+      m->agent.lease_renewed_at && c->now - m->agent.lease_renewed_at < c->settings->lease_s - 1;
+  if (unreceived && m->agent.answer_unreceived_at &&
+      c->now - m->agent.answer_unreceived_at > c->settings->lease_s / 2)
+    m->agent.unreachable_at = c->now;
+  if (!unreceived || !m->agent.answer_unreceived_at ||
+      c->now - m->agent.answer_unreceived_at > c->settings->lease_s / 2)
+    m->agent.answer_unreceived_at = unreceived ? c->now : 0;
+  m->agent.launch_answered_sequence = m->agent.unanswered_launch_token =
+      0; /* orders of the old session are void */
+  m->agent.incarnation = session;
+  g_array_set_size (m->agent.direct_launches, 0);
 }
 
 /* The message is the newest one of its worker. Its session and number count from here on. */
 static void
 note_sequence (HrCore *c, HrMachine *m, const HrHeartbeat *r)
 {
-  if (r->incarnation > m->incarnation)
+  if (r->incarnation > m->agent.incarnation)
     begin_incarnation (c, m, r->incarnation);
   /* Not only when the session moves on: a new owner may know the session from
    * before, and read older ones in the records. */
-  hr_termination_incarnations_over (c, m, m->incarnation - 1, "its worker is in a later session");
-  m->seq = r->sequence;
-  m->seq_at = c->now;
-  m->token = MAX (m->token, r->fencing_token);
+  hr_termination_incarnations_over (c, m, m->agent.incarnation - 1,
+                                    "its worker is in a later session");
+  m->agent.sequence = r->sequence;
+  m->agent.sequence_at = c->now;
+  m->agent.fencing_token = MAX (m->agent.fencing_token, r->fencing_token);
 }
 
 /* The report is current: its list of tasks is what the machine has. */
 static void
 take_heartbeat (HrCore *c, HrMachine *m, const HrHeartbeat *r, json_t *orders)
 {
-  if (m->state != HR_MACHINE_UP || !m->heard_at)
+  if (m->state != HR_MACHINE_UP || !m->agent.heard_at)
     admit_machine (c, m);
-  m->heard_at = c->now;
-  if (r->sequence > m->reply_launch)
-    m->reply_launch = 0;
-  if (r->fencing_token > m->do_lost)
-    m->do_lost = 0;
+  m->agent.heard_at = c->now;
+  if (r->sequence > m->agent.launch_answered_sequence)
+    m->agent.launch_answered_sequence = 0;
+  if (r->fencing_token > m->agent.unanswered_launch_token)
+    m->agent.unanswered_launch_token = 0;
   take_reported_tasks (c, m, r, TRUE, orders);
   take_preemption_notice (c, m, r);
 }
@@ -256,8 +262,8 @@
 static gboolean
 may_be_answered (HrCore *c, HrCommand *cmd, HrMachine *m, const HrHeartbeat *r)
 {
-  if (m->state != HR_MACHINE_DELETING && !(m->state == HR_MACHINE_GONE && m->deleted) &&
-      r->incarnation >= m->incarnation && describe (c, m, r))
+  if (m->state != HR_MACHINE_DELETING && !(m->state == HR_MACHINE_GONE && m->instance.is_deleted) &&
+      r->incarnation >= m->agent.incarnation && describe (c, m, r))
     return TRUE;
   refuse_heartbeat (c, cmd, r, &c->metrics.counters.reports_refused_machine, "returned_or_unknown",
                     "this machine is being returned, or not known yet");
@@ -268,7 +274,7 @@
 answer_heartbeat (HrCore *c, HrCommand *cmd, HrMachine *m, const HrHeartbeat *r)
 {
   json_t *orders = json_array ();
-  if (r->incarnation == m->incarnation && r->sequence <= m->seq) {
+  if (r->incarnation == m->agent.incarnation && r->sequence <= m->agent.sequence) {
     /* Overtaken by a newer list, of an answer to /do perhaps, or a late copy: nothing in
      * it counts. */
     hr_lease_renewal_answer (c, cmd, m, r, HR_HEARTBEAT_OVERTAKEN, orders);
@@ -276,7 +282,7 @@
   }
   note_sequence (c, m, r);
   if (r->fencing_token < c->leadership.term_token &&
-      !(m->state == HR_MACHINE_BOOTING && m->rented_here)) {
+      !(m->state == HR_MACHINE_BOOTING && m->instance.requested_here)) {
     /* Sent before the worker heard from this owner, how long ago nobody knows: it may be
      * a late copy of a machine that is gone. Only its order counts. A worker that is
      * there gets our token now, and reports again because of it; but when, and whether we
@@ -328,11 +334,11 @@
 hr_heartbeat_direct_answer (HrCore *c, HrMachine *m, const HrHeartbeat *r)
 {
   if (strcmp (r->machine, m->name) != 0 || m->state != HR_MACHINE_UP ||
-      r->incarnation != m->incarnation || r->sequence <= m->seq)
+      r->incarnation != m->agent.incarnation || r->sequence <= m->agent.sequence)
     return;
-  m->seq = r->sequence;
-  m->seq_at = c->now;
-  m->token = MAX (m->token, r->fencing_token);
+  m->agent.sequence = r->sequence;
+  m->agent.sequence_at = c->now;
+  m->agent.fencing_token = MAX (m->agent.fencing_token, r->fencing_token);
   json_t *orders = json_array ();
   take_reported_tasks (c, m, r, FALSE,
                        orders); /* its orders go out with the next report's answer */
--- a/src/coordination/agents/lease_renewal.c
+++ b/src/coordination/agents/lease_renewal.c
@@ -9,7 +9,7 @@
 static gboolean
 is_final (const HrJob *j)
 {
-  return j->told || (j->known && j->state != HR_JOB_QUEUED);
+  return j->cancellation.told_by_peer || (j->is_known && j->state != HR_JOB_QUEUED);
 }
 
 static const HrJob *
@@ -33,7 +33,8 @@
 {
   const HrJob *j = c->store.tables.jobs->pdata[r.job];
   const HrTask *t = &j->tasks[r.task];
-  return is_final (j) && t->state == HR_TASK_BOUND && t->placement.incarnation == m->incarnation;
+  return is_final (j) && t->state == HR_TASK_BOUND &&
+         t->placement.incarnation == m->agent.incarnation;
 }
 
 static void
@@ -82,7 +83,8 @@
 {
   /* Should the worker still wait for the answer to an overtaken report, it sent that before the
    * newer message came to us. */
-  return kind == HR_HEARTBEAT_OVERTAKEN ? MAX (m->answered_at, m->seq_at) : c->now;
+  return kind == HR_HEARTBEAT_OVERTAKEN ? MAX (m->agent.lease_renewed_at, m->agent.sequence_at)
+                                        : c->now;
 }
 
 static void
@@ -126,7 +128,7 @@
     return;
   }
   if (kind == HR_HEARTBEAT_CURRENT && hr_orders_recorded (c, m, orders, FALSE))
-    m->reply_launch = r->sequence;
+    m->agent.launch_answered_sequence = r->sequence;
   stop_reported (c, m, r, orders);
   stop_recorded (c, m, orders);
   g_autofree char *missing = hr_lease_renewal_missing_stop (c, m, r, orders);
@@ -138,7 +140,7 @@
     withhold (c, cmd, m, orders, "stop_not_named");
     return;
   }
-  m->answered_at = lease_counts_from (c, m, kind);
+  m->agent.lease_renewed_at = lease_counts_from (c, m, kind);
   hr_histogram_add (&c->metrics.renewal_age, c->now - c->store.replica.confirmed_at);
   c->metrics.counters.reports_answered += kind == HR_HEARTBEAT_CURRENT;
   c->metrics.counters.reports_overtaken += kind == HR_HEARTBEAT_OVERTAKEN;
--- a/src/coordination/agents/orders.c
+++ b/src/coordination/agents/orders.c
@@ -15,7 +15,7 @@
   return j->state == HR_JOB_QUEUED && !hr_job_has_unfinished_dependencies (j) && !t->stop_wanted &&
          !t->from_earlier_term &&
          (j->spec.shape != HR_GANG ||
-          (!j->gang_over && hr_gang_ready (j) && !hr_gang_delays_launch (c, j, t)));
+          (!j->run.attempt_ending && hr_gang_ready (j) && !hr_gang_delays_launch (c, j, t)));
 }
 
 /* While the state service refuses this owner alone, others confirm withdrawals that it cannot read:
@@ -33,14 +33,16 @@
            gboolean direct, const char *why)
 {
   g_debug ("%s: task=%s/%u try=%u machine=%s session=%u way=%s%s%s", order, job, task, attempt,
-           m->name, m->incarnation, direct ? "direct" : "answer", why ? " why=" : "",
+           m->name, m->agent.incarnation, direct ? "direct" : "answer", why ? " why=" : "",
            why ? why : "");
 }
 
 static const char *
 stop_reason (const HrJob *j)
 {
-  return j->state == HR_JOB_CANCELLED ? "withdrawn" : j->gang_over ? "gang_over" : "wanted";
+  return j->state == HR_JOB_CANCELLED ? "withdrawn"
+         : j->run.attempt_ending      ? "gang_over"
+                                      : "wanted";
 }
 
 static void
@@ -79,7 +81,7 @@
     HrTaskRef r = g_array_index (m->tasks, HrTaskRef, i);
     HrJob *j = c->store.tables.jobs->pdata[r.job];
     HrTask *t = &j->tasks[r.task];
-    if (t->state != HR_TASK_BOUND || t->placement.incarnation != m->incarnation)
+    if (t->state != HR_TASK_BOUND || t->placement.incarnation != m->agent.incarnation)
       continue;
     if (may && t->reported_state == HR_NOT_REPORTED && launchable (c, j, t)) {
       append_launch (c, m, orders, r, direct);
--- a/src/coordination/agents/termination_proof.c
+++ b/src/coordination/agents/termination_proof.c
@@ -8,7 +8,8 @@
 gboolean
 hr_termination_orders_settled (const HrMachine *m)
 {
-  return m->do_out == 0 && m->do_lost == 0 && m->reply_launch == 0;
+  return m->agent.direct_calls_in_flight == 0 && m->agent.unanswered_launch_token == 0 &&
+         m->agent.launch_answered_sequence == 0;
 }
 
 /* A launch whose answer was lost, of a job that was withdrawn since, may come at any time while
@@ -19,14 +20,16 @@
 gboolean
 hr_termination_cancelled_may_start (const HrCore *c, const HrMachine *m)
 {
-  gboolean on_its_way = m->do_lost || m->do_out, served = hr_replica_is_served (c);
+  gboolean on_its_way = m->agent.unanswered_launch_token || m->agent.direct_calls_in_flight,
+           served = hr_replica_is_served (c);
   for (guint i = 0; on_its_way && i < m->tasks->len; i++) {
     HrTaskRef r = g_array_index (m->tasks, HrTaskRef, i);
     const HrJob *j = c->store.tables.jobs->pdata[r.job];
     const HrTask *t = &j->tasks[r.task];
     if (j->state == HR_JOB_CANCELLED && t->state == HR_TASK_BOUND &&
-        t->placement.incarnation == m->incarnation && t->reported_state == HR_NOT_REPORTED &&
-        ((!served && m->do_lost) || c->now - j->withdrawn_since > c->policy.hold_s))
+        t->placement.incarnation == m->agent.incarnation && t->reported_state == HR_NOT_REPORTED &&
+        ((!served && m->agent.unanswered_launch_token) ||
+         c->now - j->cancellation.unknown_until > c->policy.hold_s))
       return TRUE;
   }
   return FALSE;
@@ -36,15 +39,15 @@
 hr_termination_note_direct_launch (HrMachine *m, guint32 job, guint32 task, guint32 attempt,
                                    guint64 token)
 {
-  for (guint i = 0; i < m->direct->len; i++) {
-    HrDirectLaunch *d = &g_array_index (m->direct, HrDirectLaunch, i);
+  for (guint i = 0; i < m->agent.direct_launches->len; i++) {
+    HrDirectLaunch *d = &g_array_index (m->agent.direct_launches, HrDirectLaunch, i);
     if (d->job == job && d->task == task && d->attempt == attempt) {
       d->fencing_token = token;
       return;
     }
   }
   HrDirectLaunch d = {job, task, attempt, token};
-  g_array_append_val (m->direct, d);
+  g_array_append_val (m->agent.direct_launches, d);
 }
 
 /* May the worker forget this attempt? A copy of a direct launch may come minutes
@@ -53,15 +56,15 @@
 gboolean
 hr_termination_may_clear (const HrCore *c, HrMachine *m, guint32 job, guint32 task, guint32 attempt)
 {
-  if (!hr_termination_orders_settled (m) || m->token < c->leadership.term_token)
+  if (!hr_termination_orders_settled (m) || m->agent.fencing_token < c->leadership.term_token)
     return FALSE;
-  for (guint i = 0; i < m->direct->len; i++) {
-    HrDirectLaunch *d = &g_array_index (m->direct, HrDirectLaunch, i);
+  for (guint i = 0; i < m->agent.direct_launches->len; i++) {
+    HrDirectLaunch *d = &g_array_index (m->agent.direct_launches, HrDirectLaunch, i);
     if (d->job != job || d->task != task || d->attempt != attempt)
       continue;
-    if (d->fencing_token >= m->token)
+    if (d->fencing_token >= m->agent.fencing_token)
       return FALSE;
-    g_array_remove_index_fast (m->direct, i);
+    g_array_remove_index_fast (m->agent.direct_launches, i);
     return TRUE;
   }
   return TRUE;
@@ -78,8 +81,8 @@
 {
   /* Before a worker has seen our token an earlier owner may have answered it,
    * for up to `hold` after our map was written. Afterwards only we can. */
-  double base = m->answered_at;
-  if (m->token < c->leadership.term_token)
+  double base = m->agent.lease_renewed_at;
+  if (m->agent.fencing_token < c->leadership.term_token)
     base = MAX (base, c->leadership.term_began_at + c->policy.hold_s);
   return c->now > base + hr_lease_duration_s (c);
 }
@@ -101,7 +104,7 @@
 static double
 last_heard (const HrCore *c, const HrMachine *m)
 {
-  return MAX (m->heard_at, c->leadership.term_began_at);
+  return MAX (m->agent.heard_at, c->leadership.term_began_at);
 }
 
 /* A machine that is being returned is answered no more, so its lease runs out like that of a silent
@@ -117,7 +120,7 @@
 static gboolean
 is_unreachable_now (const HrCore *c, const HrMachine *m)
 {
-  return m->deaf_at > 0 && c->now - m->deaf_at < c->settings->lease_s;
+  return m->agent.unreachable_at > 0 && c->now - m->agent.unreachable_at < c->settings->lease_s;
 }
 
 /* The cloud's list lacks it, though no list is so old that it could not be there yet: gone,
@@ -125,8 +128,8 @@
 static gboolean
 is_missing_from_list (const HrCore *c, const HrMachine *m)
 {
-  return m->listed_at < c->scaling.listed_at &&
-         c->scaling.listed_at > m->known_at + 2 * c->settings->list_lag_s;
+  return m->instance.listed_at < c->scaling.listed_at &&
+         c->scaling.listed_at > m->instance.known_since + 2 * c->settings->list_lag_s;
 }
 
 void
--- a/src/coordination/core.c
+++ b/src/coordination/core.c
@@ -82,7 +82,7 @@
 {
   guint32 i = hr_intern_find (&c->store.tables.job_ids, id);
   HrJob *j = i == HR_NONE ? NULL : c->store.tables.jobs->pdata[i];
-  return j && j->known ? j : NULL;
+  return j && j->is_known ? j : NULL;
 }
 
 gboolean
@@ -90,7 +90,7 @@
 {
   guint32 i = hr_intern_find (&c->store.tables.job_ids, id);
   HrJob *j = i == HR_NONE ? NULL : c->store.tables.jobs->pdata[i];
-  return j && j->record_unreadable && !(j->known && j->state != HR_JOB_QUEUED);
+  return j && j->record.main_unreadable && !(j->is_known && j->state != HR_JOB_QUEUED);
 }
 
 HrJob *
@@ -125,10 +125,10 @@
     m->name = hr_intern_name (&c->store.tables.machine_ids, m->index);
     m->type = m->zone = HR_NONE;
     m->state = HR_MACHINE_GONE;
-    m->error_job = HR_NONE;
+    m->last_failed_job = HR_NONE;
     m->tasks = g_array_new (FALSE, TRUE, sizeof (HrTaskRef));
-    m->direct = g_array_new (FALSE, TRUE, sizeof (HrDirectLaunch));
-    m->list = g_array_new (FALSE, TRUE, sizeof (HrTaskRef));
+    m->agent.direct_launches = g_array_new (FALSE, TRUE, sizeof (HrDirectLaunch));
+    m->plan.list = g_array_new (FALSE, TRUE, sizeof (HrTaskRef));
     g_ptr_array_add (c->store.tables.machines, m);
   }
   return c->store.tables.machines->pdata[i];
@@ -138,7 +138,7 @@
 hr_class_stats (HrCore *c, guint32 job_class)
 {
   while (c->scheduling.class_stats->len <= job_class) {
-    HrClassStats s = {.correction = 1};
+    HrClassStats s = {.run_time_correction = 1};
     g_array_append_val (c->scheduling.class_stats, s);
   }
   return &g_array_index (c->scheduling.class_stats, HrClassStats, job_class);
--- a/src/coordination/jobs/arrivals.c
+++ b/src/coordination/jobs/arrivals.c
@@ -12,19 +12,22 @@
 hr_class_arrivals (HrCore *c, HrClassStats *s, guint n)
 {
   double keep = exp (-BUCKET_S / RATE_TAU_S);
-  if (!s->bucket_at)
-    s->bucket_at = c->now;
-  for (guint i = 0; c->now - s->bucket_at >= BUCKET_S && i < 200; i++) {
-    double most = 2 + 3 * (s->weight > 0 ? s->sum / s->weight : 0) * BUCKET_S;
-    s->sum = keep * s->sum + (1 - keep) * MIN (s->bucket, most) / BUCKET_S;
-    s->weight = keep * s->weight + (1 - keep); /* young averages count what they have seen */
-    s->bucket = 0;
-    s->bucket_at += BUCKET_S;
+  if (!s->recent_since)
+    s->recent_since = c->now;
+  for (guint i = 0; c->now - s->recent_since >= BUCKET_S && i < 200; i++) {
+    double most =
+        2 + 3 * (s->arrivals_weight > 0 ? s->arrivals / s->arrivals_weight : 0) * BUCKET_S;
+    s->arrivals = keep * s->arrivals + (1 - keep) * MIN (s->recent_arrivals, most) / BUCKET_S;
+    s->arrivals_weight =
+        keep * s->arrivals_weight + (1 - keep); /* young averages count what they have seen */
+    s->recent_arrivals = 0;
+    s->recent_since += BUCKET_S;
   }
-  if (c->now - s->bucket_at >= BUCKET_S)
-    s->bucket_at = c->now;
-  s->bucket += n;
-  return s->weight > 0 ? s->sum / s->weight : MIN (s->bucket, 2) / BUCKET_S;
+  if (c->now - s->recent_since >= BUCKET_S)
+    s->recent_since = c->now;
+  s->recent_arrivals += n;
+  return s->arrivals_weight > 0 ? s->arrivals / s->arrivals_weight
+                                : MIN (s->recent_arrivals, 2) / BUCKET_S;
 }
 
 /* Keeps the list of jobs that the owner has to look at. One that waits for others has no task
@@ -32,33 +35,33 @@
 void
 hr_job_open (HrCore *c, HrJob *j)
 {
-  if (j->listed || j->shrunk || hr_job_has_unfinished_dependencies (j))
+  if (j->run.is_open || j->record.is_compacted || hr_job_has_unfinished_dependencies (j))
     return;
-  j->listed = TRUE;
+  j->run.is_open = TRUE;
   g_array_append_val (c->store.tables.open_jobs, j->index);
-  if (j->nawaits && !j->ready_since)
-    j->ready_since = c->wall_time;
+  if (j->dependencies.n_awaited && !j->dependencies.ready_since)
+    j->dependencies.ready_since = c->wall_time;
   hr_priority_inheritance_job_read (c, j);
   /* When a job of which the end of the last awaited one was not seen became ready nobody knows. */
-  gboolean unknown =
-      j->nawaits && (c->store.replica.state != HR_REPLICA_FOLLOWING || j->state != HR_JOB_QUEUED);
-  if (j->counted || unknown || c->wall_time - hr_job_eligible_since (j) > 30)
+  gboolean unknown = j->dependencies.n_awaited &&
+                     (c->store.replica.state != HR_REPLICA_FOLLOWING || j->state != HR_JOB_QUEUED);
+  if (j->run.arrival_counted || unknown || c->wall_time - hr_job_eligible_since (j) > 30)
     return;
-  j->counted = TRUE;
+  j->run.arrival_counted = TRUE;
   g_debug ("%s arrives: %s, %u tasks, estimate %.0f s, image %s of %.1f GB", j->id,
-           hr_intern_name (&c->names->classes, j->spec.job_class), j->ntasks, j->spec.estimate_s,
+           hr_intern_name (&c->names->classes, j->spec.job_class), j->n_tasks, j->spec.estimate_s,
            hr_intern_name (&c->names->images, j->spec.image), j->spec.image_gb);
   HrClassStats *s = hr_class_stats (c, j->spec.job_class);
-  hr_class_arrivals (c, s, j->ntasks);
-  double k = s->seen ? 0.2 : 1;
-  s->seen = TRUE;
+  hr_class_arrivals (c, s, j->n_tasks);
+  double k = s->is_seen ? 0.2 : 1;
+  s->is_seen = TRUE;
   s->cpus += k * (j->spec.cpus - s->cpus);
   s->gpus += k * (j->spec.gpus - s->gpus);
-  s->mem += k * (j->spec.memory_gb - s->mem);
-  hr_class_use_image (s, j->spec.image, j->ntasks);
+  s->memory_gb += k * (j->spec.memory_gb - s->memory_gb);
+  hr_class_use_image (s, j->spec.image, j->n_tasks);
   s->shape = j->spec.shape;
-  s->rank = j->spec.priority; /* its own: what it is needed for differs from job to job */
-  s->spot = j->spec.allows_spot;
+  s->priority = j->spec.priority; /* its own: what it is needed for differs from job to job */
+  s->allows_spot = j->spec.allows_spot;
   s->types = j->spec.types;
   s->teams |= G_GUINT64_CONSTANT (1) << j->spec.team % 64;
 }
--- a/src/coordination/jobs/dependencies.c
+++ b/src/coordination/jobs/dependencies.c
@@ -17,36 +17,36 @@
 static gboolean
 is_final (const HrJob *j)
 {
-  return j->known && j->state != HR_JOB_QUEUED && !j->told;
+  return j->is_known && j->state != HR_JOB_QUEUED && !j->cancellation.told_by_peer;
 }
 
 static void
 name_awaited (HrCore *c, HrJob *j, const char *const *ids)
 {
   guint n = ids ? g_strv_length ((GStrv)ids) : 0;
-  if (j->nawaits || !n)
+  if (j->dependencies.n_awaited || !n)
     return; /* what a job awaits never changes */
-  j->awaits = g_new0 (HrJob *, n);
+  j->dependencies.awaited = g_new0 (HrJob *, n);
   for (guint i = 0; i < n; i++) {
     HrJob *awaited = hr_job_get (c, ids[i]);
-    j->awaits[i] = awaited;
+    j->dependencies.awaited[i] = awaited;
     if (is_final (awaited))
       continue;
-    if (!awaited->dependents)
-      awaited->dependents = g_ptr_array_new ();
-    g_ptr_array_add (awaited->dependents, j);
+    if (!awaited->dependencies.dependents)
+      awaited->dependencies.dependents = g_ptr_array_new ();
+    g_ptr_array_add (awaited->dependencies.dependents, j);
   }
-  j->nawaits = n;
+  j->dependencies.n_awaited = n;
 }
 
 /* The cancelled job that takes this one along, or NULL. */
 static HrJob *
 cancelled_before (const HrJob *j)
 {
-  for (guint i = 0; i < j->nawaits; i++) {
-    HrJob *awaited = j->awaits[i];
+  for (guint i = 0; i < j->dependencies.n_awaited; i++) {
+    HrJob *awaited = j->dependencies.awaited[i];
     if (is_final (awaited) && awaited->state == HR_JOB_CANCELLED)
-      return awaited->withdrawn_with ? awaited->withdrawn_with : awaited;
+      return awaited->cancellation.root ? awaited->cancellation.root : awaited;
   }
   return NULL;
 }
@@ -62,9 +62,9 @@
 derive_cancelled (HrCore *c, HrJob *j, HrJob *root)
 {
   j->state = HR_JOB_CANCELLED;
-  j->withdrawn_with = root;
+  j->cancellation.root = root;
   g_debug ("%s is withdrawn with %s", j->id, root->id);
-  if (c->leadership.is_leader && j->nlive)
+  if (c->leadership.is_leader && j->run.n_live)
     hr_job_cancelled (c, j); /* it cannot have a task; should it, that is stopped */
   else
     note_for_tombstone (c, j);
@@ -86,7 +86,7 @@
   g_ptr_array_add (todo, j);
   while (todo->len) {
     HrJob *over = g_ptr_array_steal_index_fast (todo, todo->len - 1);
-    g_autoptr (GPtrArray) dependents = g_steal_pointer (&over->dependents);
+    g_autoptr (GPtrArray) dependents = g_steal_pointer (&over->dependencies.dependents);
     if (over->state == HR_JOB_CANCELLED)
       g_ptr_array_add (cancelled, over);
     for (guint i = 0; dependents && i < dependents->len; i++) {
@@ -94,7 +94,7 @@
       if (d->state != HR_JOB_QUEUED)
         continue;
       if (over->state == HR_JOB_CANCELLED) {
-        derive_cancelled (c, d, over->withdrawn_with ? over->withdrawn_with : over);
+        derive_cancelled (c, d, over->cancellation.root ? over->cancellation.root : over);
         g_ptr_array_add (todo, d);
       } else if (!hr_job_has_unfinished_dependencies (d))
         become_ready (c, d);
@@ -112,7 +112,7 @@
     derive_cancelled (c, j, root);
   else if (j->state == HR_JOB_CANCELLED && hr_job_has_unfinished_dependencies (j))
     note_for_tombstone (c, j); /* it never was in the list of open jobs */
-  if (j->state == HR_JOB_CANCELLED && !j->told)
+  if (j->state == HR_JOB_CANCELLED && !j->cancellation.told_by_peer)
     hr_dependencies_job_final (c, j);
   hr_priority_inheritance_job_read (c, j);
 }
@@ -129,7 +129,7 @@
                                   c->dependencies.to_tombstone->len - 1);
     HrJob *j = c->store.tables.jobs->pdata[last];
     g_array_set_size (c->dependencies.to_tombstone, c->dependencies.to_tombstone->len - 1);
-    if (j->shrunk || !j->pages)
+    if (j->record.is_compacted || !j->record.pages)
       continue;
     hr_record_writer_mark (c, j, 0);
     n++;
@@ -150,7 +150,7 @@
 {
   for (guint i = 0; ids && ids[i]; i++) {
     const HrJob *j = hr_job_find (c, ids[i]);
-    if (j && j->known && j->state == HR_JOB_QUEUED && j->spec.shape == HR_SERVICE)
+    if (j && j->is_known && j->state == HR_JOB_QUEUED && j->spec.shape == HR_SERVICE)
       return ids[i];
   }
   return NULL;
@@ -159,19 +159,19 @@
 char *
 hr_dependencies_reason (const HrJob *j)
 {
-  if (j->state == HR_JOB_CANCELLED && j->withdrawn_with)
+  if (j->state == HR_JOB_CANCELLED && j->cancellation.root)
     return g_strdup_printf ("withdrawn with %s, which it awaits, directly or through others, and "
                             "which its user withdrew",
-                            j->withdrawn_with->id);
+                            j->cancellation.root->id);
   if (j->state != HR_JOB_QUEUED || !hr_job_has_unfinished_dependencies (j))
     return NULL;
   guint n = 0;
   g_autoptr (GString) names = g_string_new (NULL);
-  for (guint i = 0; i < j->nawaits; i++) {
-    if (j->awaits[i]->state == HR_JOB_DONE)
+  for (guint i = 0; i < j->dependencies.n_awaited; i++) {
+    if (j->dependencies.awaited[i]->state == HR_JOB_DONE)
       continue;
     if (++n <= NAMED_IN_REASON)
-      g_string_append_printf (names, "%s%s", n > 1 ? ", " : "", j->awaits[i]->id);
+      g_string_append_printf (names, "%s%s", n > 1 ? ", " : "", j->dependencies.awaited[i]->id);
   }
   if (n > NAMED_IN_REASON)
     g_string_append_printf (names, " and %u more", n - NAMED_IN_REASON);
--- a/src/coordination/jobs/failover.c
+++ b/src/coordination/jobs/failover.c
@@ -10,19 +10,21 @@
 {
   const HrMachineType *type = hr_machine_type_of (c, m);
   g_array_set_size (m->tasks, 0);
-  g_array_set_size (m->list, 0);
-  g_array_set_size (m->direct, 0);
-  m->foreign_cpus = m->foreign_gpus = m->foreign_mem = 0;
-  m->cpus = type ? type->cpus : 0;
-  m->gpus = type ? type->gpus : 0;
-  m->mem = type ? type->memory_gb : 0;
-  m->heard_at = m->answered_at = m->unreceived_at = m->deaf_at = 0;
-  m->rented_here = FALSE;
-  m->token = 0;
-  m->reply_launch = m->do_out = m->do_lost = 0;
-  m->urgent = m->drain = FALSE;
-  m->idle_at = c->now;
-  m->notice_at = 0;
+  g_array_set_size (m->plan.list, 0);
+  g_array_set_size (m->agent.direct_launches, 0);
+  m->unrecognized.cpus = m->unrecognized.gpus = m->unrecognized.memory_gb = 0;
+  m->free.cpus = type ? type->cpus : 0;
+  m->free.gpus = type ? type->gpus : 0;
+  m->free.memory_gb = type ? type->memory_gb : 0;
+  m->agent.heard_at = m->agent.lease_renewed_at = m->agent.answer_unreceived_at =
+      m->agent.unreachable_at = 0;
+  m->instance.requested_here = FALSE;
+  m->agent.fencing_token = 0;
+  m->agent.launch_answered_sequence = m->agent.direct_calls_in_flight =
+      m->agent.unanswered_launch_token = 0;
+  m->agent.has_urgent_orders = m->is_draining = FALSE;
+  m->idle_since = c->now;
+  m->instance.preempted_at = 0;
   m->state = HR_MACHINE_GONE;
 }
 
@@ -37,12 +39,12 @@
   t->placement.incarnation = t->recorded.incarnation;
   t->state = HR_TASK_BOUND;
   t->from_earlier_term = 1;
-  j->nlive++;
+  j->run.n_live++;
   hr_machine_allocate (m, &j->spec, (HrTaskRef){j->index, task});
   if (m->state == HR_MACHINE_GONE) {
     /* Known from a record alone: it reports, or its absence gets proven. */
     m->state = HR_MACHINE_UP;
-    m->incarnation = MAX (m->incarnation, t->recorded.incarnation);
+    m->agent.incarnation = MAX (m->agent.incarnation, t->recorded.incarnation);
     hr_fleet_add (c, m);
   }
 }
@@ -52,7 +54,7 @@
 take_over_tasks (HrCore *c, HrJob *j)
 {
   gboolean bound = FALSE, mixed = FALSE;
-  for (guint32 k = 0; k < j->ntasks; k++) {
+  for (guint32 k = 0; k < j->n_tasks; k++) {
     HrTask *t = &j->tasks[k];
     t->write_in_flight = t->stop_wanted = t->is_listed = 0;
     t->reported_state = HR_NOT_REPORTED;
@@ -62,11 +64,12 @@
     t->bound_since = c->now;
     if (t->done_recorded) {
       t->state = HR_TASK_DONE;
-      j->ndone++;
+      j->n_done++;
       continue;
     }
     if (t->recorded.machine == HR_NONE) {
-      if (j->unreadable) /* its attempts are not known either, and none may be numbered twice */
+      if (j->record.tasks_unreadable) /* its attempts are not known either, and none may be numbered
+                                         twice */
         t->placement.attempt =
             MAX (t->placement.attempt, (guint32)(c->leadership.term_token * ATTEMPTS_PER_TERM));
       mixed |= j->spec.shape == HR_GANG && bound;
@@ -83,23 +86,24 @@
 static void
 take_over_job (HrCore *c, HrJob *j)
 {
-  j->nlive = j->ndone = 0;
-  j->gang_over = FALSE;
-  j->short_since = 0;
-  j->planned = 0;
-  j->errors = 0;
+  j->run.n_live = j->n_done = 0;
+  j->run.attempt_ending = FALSE;
+  j->run.gang_incomplete_since = 0;
+  j->plan.n_listed = 0;
+  j->run.failures = 0;
   /* Tasks that nobody knows the place of wait until no lease can be left that an earlier
    * owner renewed; whatever reports to us is told to stop what we do not know. */
-  j->retry_at =
-      j->unreadable ? c->leadership.term_began_at + c->policy.hold_s + hr_lease_duration_s (c) : 0;
+  j->run.retry_at = j->record.tasks_unreadable
+                        ? c->leadership.term_began_at + c->policy.hold_s + hr_lease_duration_s (c)
+                        : 0;
   gboolean mixed = take_over_tasks (c, j);
-  if (j->spec.shape == HR_GANG && j->ndone && j->state == HR_JOB_QUEUED)
+  if (j->spec.shape == HR_GANG && j->n_done && j->state == HR_JOB_QUEUED)
     hr_gang_done (c, j, 0, TRUE); /* a large gang's ending was being recorded page by page */
   if (j->state == HR_JOB_CANCELLED)
     hr_job_cancelled (c, j);
-  else if (mixed && j->nlive) /* parts of different attempts: begin again with a new one */
+  else if (mixed && j->run.n_live) /* parts of different attempts: begin again with a new one */
     hr_gang_end_attempt (c, j, 0);
-  if (j->ndone == j->ntasks)
+  if (j->n_done == j->n_tasks)
     hr_record_writer_mark (c, j, 0);
 }
 
--- a/src/coordination/jobs/priority_inheritance.c
+++ b/src/coordination/jobs/priority_inheritance.c
@@ -13,9 +13,9 @@
 own_deadline (const HrCore *c, const HrJob *j)
 {
   if (j->spec.deadline_s >= 0)
-    return j->submitted + j->spec.deadline_s;
+    return j->submitted_at + j->spec.deadline_s;
   double since = hr_job_eligible_since (j);
-  if (j->nawaits && since <= 0)
+  if (j->dependencies.n_awaited && since <= 0)
     return INFINITY; /* counts from when it is ready */
   double deadline = since + c->policy.default_deadline * MAX (j->spec.estimate_s, LEAST_ESTIMATE_S);
   for (guint i = 0; i < c->settings->objectives->len; i++) {
@@ -29,16 +29,16 @@
 static gboolean
 is_counted (const HrJob *j)
 {
-  return j->known && j->tasks && j->state == HR_JOB_QUEUED;
+  return j->is_known && j->tasks && j->state == HR_JOB_QUEUED;
 }
 
 static void
 set (HrCore *c, HrJob *j, HrPriority priority, double deadline)
 {
-  if (j->deadline != deadline)
+  if (j->plan.deadline != deadline)
     hr_job_unplan (c, j); /* lists are in the order of deadlines */
-  j->rank = priority;
-  j->deadline = deadline;
+  j->plan.priority = priority;
+  j->plan.deadline = deadline;
   c->scheduling.plan_is_stale = TRUE;
 }
 
@@ -46,11 +46,11 @@
 static gboolean
 take_over_urgency (HrCore *c, HrJob *j, const HrJob *dependent)
 {
-  double latest = dependent->deadline - dependent->spec.estimate_s;
-  HrPriority priority = MIN (j->rank, dependent->rank);
-  if (priority == j->rank && latest >= j->deadline)
+  double latest = dependent->plan.deadline - dependent->spec.estimate_s;
+  HrPriority priority = MIN (j->plan.priority, dependent->plan.priority);
+  if (priority == j->plan.priority && latest >= j->plan.deadline)
     return FALSE;
-  set (c, j, priority, MIN (j->deadline, latest));
+  set (c, j, priority, MIN (j->plan.deadline, latest));
   return TRUE;
 }
 
@@ -60,14 +60,14 @@
 {
   HrPriority priority = j->spec.priority;
   double deadline = own_deadline (c, j);
-  for (guint i = 0; j->dependents && i < j->dependents->len; i++) {
-    const HrJob *d = j->dependents->pdata[i];
+  for (guint i = 0; j->dependencies.dependents && i < j->dependencies.dependents->len; i++) {
+    const HrJob *d = j->dependencies.dependents->pdata[i];
     if (!is_counted (d))
       continue;
-    priority = MIN (priority, d->rank);
-    deadline = MIN (deadline, d->deadline - d->spec.estimate_s);
+    priority = MIN (priority, d->plan.priority);
+    deadline = MIN (deadline, d->plan.deadline - d->spec.estimate_s);
   }
-  if (priority == j->rank && deadline == j->deadline)
+  if (priority == j->plan.priority && deadline == j->plan.deadline)
     return FALSE;
   set (c, j, priority, deadline);
   return TRUE;
@@ -126,8 +126,8 @@
     enter (&walk, seeds->pdata[i]);
     while (path->len) {
       VisitStep *step = &g_array_index (path, VisitStep, path->len - 1);
-      if (step->next < step->job->nawaits) {
-        visit_awaited (&walk, step->job->awaits[step->next++]);
+      if (step->next < step->job->dependencies.n_awaited) {
+        visit_awaited (&walk, step->job->dependencies.awaited[step->next++]);
         continue;
       }
       g_hash_table_insert (visits, step->job, GINT_TO_POINTER (VISIT_DONE));
@@ -149,8 +149,8 @@
 hand_on (HrCore *c, const HrJob *j, GHashTable *changed)
 {
   gboolean any = FALSE;
-  for (guint i = 0; i < j->nawaits; i++) {
-    HrJob *awaited = j->awaits[i];
+  for (guint i = 0; i < j->dependencies.n_awaited; i++) {
+    HrJob *awaited = j->dependencies.awaited[i];
     if (!is_counted (awaited) || !take_over_urgency (c, awaited, j))
       continue;
     any = TRUE;
@@ -169,9 +169,9 @@
   if (!hand_on (c, j, NULL))
     return; /* mostly: nobody else needs to be looked at */
   g_autoptr (GPtrArray) seeds = g_ptr_array_new ();
-  for (guint i = 0; i < j->nawaits; i++)
-    if (is_counted (j->awaits[i]))
-      g_ptr_array_add (seeds, j->awaits[i]);
+  for (guint i = 0; i < j->dependencies.n_awaited; i++)
+    if (is_counted (j->dependencies.awaited[i]))
+      g_ptr_array_add (seeds, j->dependencies.awaited[i]);
   g_autoptr (GHashTable) changed = g_hash_table_new (g_direct_hash, g_direct_equal);
   for (guint i = 0; i < seeds->len; i++)
     g_hash_table_add (changed, seeds->pdata[i]);
@@ -188,17 +188,18 @@
   g_autoptr (GPtrArray) seeds = g_ptr_array_new ();
   for (guint k = 0; k < jobs->len; k++) {
     const HrJob *over = jobs->pdata[k];
-    for (guint i = 0; i < over->nawaits; i++)
-      if (is_counted (over->awaits[i]) && g_hash_table_add (affected, over->awaits[i]))
-        g_ptr_array_add (seeds, over->awaits[i]);
+    for (guint i = 0; i < over->dependencies.n_awaited; i++)
+      if (is_counted (over->dependencies.awaited[i]) &&
+          g_hash_table_add (affected, over->dependencies.awaited[i]))
+        g_ptr_array_add (seeds, over->dependencies.awaited[i]);
   }
   g_autoptr (GPtrArray) order = dependents_first (seeds);
   for (guint i = 0; i < order->len; i++) {
     HrJob *j = order->pdata[i];
     if (!g_hash_table_contains (affected, j) || !recompute (c, j))
       continue;
-    for (guint k = 0; k < j->nawaits; k++)
-      if (is_counted (j->awaits[k]))
-        g_hash_table_add (affected, j->awaits[k]);
+    for (guint k = 0; k < j->dependencies.n_awaited; k++)
+      if (is_counted (j->dependencies.awaited[k]))
+        g_hash_table_add (affected, j->dependencies.awaited[k]);
   }
 }
--- a/src/coordination/jobs/submissions.c
+++ b/src/coordination/jobs/submissions.c
@@ -57,16 +57,16 @@
   guint64 store_revision;
   if (status == 200 && hr_json_count (body, "epoch", G_MAXINT64, &store_revision)) {
     HrJob *j = hr_job_get (c, request->id);
-    if (!j->known) {
-      j->known = TRUE;
-      j->state = j->told ? HR_JOB_CANCELLED : HR_JOB_QUEUED;
-      j->stamp = store_revision;
-      j->submitted = request->asked;
-      g_free (j->tag);
-      j->tag = g_strdup (request->tag);
+    if (!j->is_known) {
+      j->is_known = TRUE;
+      j->state = j->cancellation.told_by_peer ? HR_JOB_CANCELLED : HR_JOB_QUEUED;
+      j->record.revision = store_revision;
+      j->submitted_at = request->asked;
+      g_free (j->record.tag);
+      j->record.tag = g_strdup (request->tag);
       hr_job_set_spec (j, &request->spec, request->per_page);
-      if (!j->per_page)
-        j->pages[0].revision = store_revision;
+      if (!j->record.tasks_per_page)
+        j->record.pages[0].revision = store_revision;
       hr_dependencies_job_read (c, j, (const char *const *)request->awaits);
       hr_job_open (c, j);
       c->scheduling.plan_is_stale = TRUE;
--- a/src/coordination/jobs/task_lifecycle.c
+++ b/src/coordination/jobs/task_lifecycle.c
@@ -16,14 +16,14 @@
 static void
 mark_urgent (HrCore *c, HrMachine *m)
 {
-  m->urgent = c->agents.has_urgent_orders = TRUE;
+  m->agent.has_urgent_orders = c->agents.has_urgent_orders = TRUE;
 }
 
 static void
 note_freed (HrCore *c, HrMachine *m)
 {
   if (m->tasks->len == 0)
-    m->idle_at = c->now;
+    m->idle_since = c->now;
   c->scheduling.plan_is_stale = TRUE;
 }
 
@@ -31,7 +31,7 @@
 hr_job_next_attempt (const HrJob *j)
 {
   guint32 a = 0;
-  for (guint32 i = 0; i < j->ntasks; i++)
+  for (guint32 i = 0; i < j->n_tasks; i++)
     a = MAX (a, MAX (j->tasks[i].placement.attempt, j->tasks[i].recorded.attempt));
   return a + 1;
 }
@@ -42,7 +42,7 @@
   HrTask *t = &j->tasks[task];
   HrTaskRef r = {j->index, task};
   t->placement.machine = m->index;
-  t->placement.incarnation = m->incarnation;
+  t->placement.incarnation = m->agent.incarnation;
   t->placement.attempt = attempt;
   t->state = HR_TASK_ASSIGNING;
   t->reported_state = HR_NOT_REPORTED;
@@ -50,7 +50,7 @@
   t->stop_sent_at = t->running_since = 0;
   t->bound_since = c->now;
   t->expected_fetch_s = hr_estimate_fetch_time (c, j, m);
-  j->nlive++;
+  j->run.n_live++;
   hr_machine_allocate (m, &j->spec, r);
   hr_record_writer_mark (c, j, task);
   g_debug ("%s/%u try %u goes to %s", j->id, task, attempt, m->name);
@@ -64,13 +64,13 @@
   HrMachine *m = machine_of (c, t);
   HrTaskRef r = {j->index, task};
   hr_machine_release (m, &j->spec, r);
-  j->nlive--;
+  j->run.n_live--;
   t->stop_wanted = 0;
   note_freed (c, m);
-  if (j->nlive)
+  if (j->run.n_live)
     return;
-  j->gang_over = FALSE;
-  j->short_since = 0;
+  j->run.attempt_ending = FALSE;
+  j->run.gang_incomplete_since = 0;
   if (j->state != HR_JOB_QUEUED)
     hr_record_writer_mark (c, j, 0); /* all are gone: the record can shrink */
 }
@@ -85,7 +85,7 @@
 gboolean
 hr_gang_ready (const HrJob *j)
 {
-  for (guint32 i = 0; i < j->ntasks; i++)
+  for (guint32 i = 0; i < j->n_tasks; i++)
     if (j->tasks[i].state != HR_TASK_BOUND ||
         j->tasks[i].placement.attempt != j->tasks[0].placement.attempt)
       return FALSE;
@@ -98,20 +98,20 @@
   HrTask *t = &j->tasks[task];
   HrMachine *m = machine_of (c, t);
   t->state = HR_TASK_BOUND;
-  if (m->state != HR_MACHINE_UP || m->incarnation != t->placement.incarnation) {
+  if (m->state != HR_MACHINE_UP || m->agent.incarnation != t->placement.incarnation) {
     /* The machine went, or began a new session, while we wrote; nothing was sent. */
     hr_task_gone (c, j, task, HR_EXIT_NONE, "its machine changed before the launch");
     return;
   }
-  if (j->spec.shape == HR_GANG && j->ndone) {
+  if (j->spec.shape == HR_GANG && j->n_done) {
     /* A replacement for a gang that turned out to be done while we wrote; nothing was sent. */
     hr_task_done (c, j, task);
     return;
   }
   mark_urgent (c, m);
   if (j->spec.shape == HR_GANG && hr_gang_ready (j)) {
-    j->ready_at = c->now;
-    for (guint32 i = 0; i < j->ntasks; i++)
+    j->run.gang_ready_at = c->now;
+    for (guint32 i = 0; i < j->n_tasks; i++)
       mark_urgent (c, machine_of (c, &j->tasks[i]));
   }
 }
@@ -123,19 +123,20 @@
 hr_gang_delays_launch (const HrCore *c, const HrJob *j, const HrTask *t)
 {
   double longest = 0;
-  for (guint32 i = 0; i < j->ntasks; i++)
+  for (guint32 i = 0; i < j->n_tasks; i++)
     if (j->tasks[i].reported_state == HR_NOT_REPORTED ||
         j->tasks[i].reported_state == HR_REPORTED_FETCHING)
       longest = MAX (longest, j->tasks[i].expected_fetch_s);
-  return c->now < j->ready_at + longest - t->expected_fetch_s - c->settings->gang_wait_s / 2;
+  return c->now <
+         j->run.gang_ready_at + longest - t->expected_fetch_s - c->settings->gang_wait_s / 2;
 }
 
 void
 hr_gang_end_attempt (HrCore *c, HrJob *j, double grace)
 {
-  j->gang_over = TRUE;
-  j->short_since = 0;
-  for (guint32 i = 0; i < j->ntasks; i++) {
+  j->run.attempt_ending = TRUE;
+  j->run.gang_incomplete_since = 0;
+  for (guint32 i = 0; i < j->n_tasks; i++) {
     HrTask *t = &j->tasks[i];
     if (t->state == HR_TASK_ASSIGNING && !t->write_in_flight)
       hr_task_unassign (c, j, i);
@@ -147,25 +148,26 @@
 static void
 note_failure (HrCore *c, HrJob *j, HrMachine *m, HrExitCause why)
 {
-  j->last_error = why;
-  j->bad_machine = m->index;
-  j->errors++;
+  j->run.last_failure = why;
+  j->run.failed_machine = m->index;
+  j->run.failures++;
   /* Mostly the machine is at fault, so the first try elsewhere is at once; a job
    * that keeps failing waits longer and longer. */
-  j->pause = j->errors < 2 ? 0
-                           : MIN (c->policy.retry_most_s,
-                                  c->policy.retry_s * pow (2, MIN (j->errors - 2, 20)));
-  j->retry_at = c->now + j->pause;
-  j->bad_until = c->now + MAX (60, 2 * j->pause);
-  if (m->error_job != j->index) {
-    m->error_job = j->index;
-    m->errors++;
+  j->run.retry_pause_s = j->run.failures < 2
+                             ? 0
+                             : MIN (c->policy.retry_most_s,
+                                    c->policy.retry_s * pow (2, MIN (j->run.failures - 2, 20)));
+  j->run.retry_at = c->now + j->run.retry_pause_s;
+  j->run.failed_machine_avoided_until = c->now + MAX (60, 2 * j->run.retry_pause_s);
+  if (m->last_failed_job != j->index) {
+    m->last_failed_job = j->index;
+    m->failures++;
   }
   g_info ("%s failed on %s (%s), %u in a row; next try in %.0f s", j->id, m->name,
-          hr_exit_name (why), j->errors, j->pause);
-  if (m->errors >= c->policy.error_limit && !m->drain) {
+          hr_exit_name (why), j->run.failures, j->run.retry_pause_s);
+  if (m->failures >= c->policy.error_limit && !m->is_draining) {
     g_message ("%s fails task after task; it is drained and returned", m->name);
-    m->drain = TRUE;
+    m->is_draining = TRUE;
   }
 }
 
@@ -173,7 +175,7 @@
 static gboolean
 gang_has_begun (const HrJob *j)
 {
-  for (guint32 i = 0; i < j->ntasks; i++)
+  for (guint32 i = 0; i < j->n_tasks; i++)
     if (j->tasks[i].state == HR_TASK_BOUND &&
         (j->tasks[i].running_since || j->tasks[i].from_earlier_term || j->tasks[i].stop_wanted))
       return TRUE;
@@ -196,18 +198,18 @@
     note_failure (c, j, m, why);
   else if (why == HR_EXIT_FULL || why == HR_EXIT_IN_USE) {
     m->full_until = c->now + 3;
-    j->last_error = why;
+    j->run.last_failure = why;
   }
-  gboolean gang = j->spec.shape == HR_GANG && j->nlive > 1;
+  gboolean gang = j->spec.shape == HR_GANG && j->run.n_live > 1;
   if (j->spec.shape == HR_SERVICE)
     c->scheduling.planned_at = 0; /* a replica is down: plan at once */
   release_machine (c, j, task);
-  if (!gang || j->gang_over || j->state != HR_JOB_QUEUED)
+  if (!gang || j->run.attempt_ending || j->state != HR_JOB_QUEUED)
     return;
   if (!replace)
     hr_gang_end_attempt (c, j, 0);
-  else if (!j->short_since)
-    j->short_since = c->now;
+  else if (!j->run.gang_incomplete_since)
+    j->run.gang_incomplete_since = c->now;
 }
 
 static void
@@ -220,15 +222,15 @@
   double ratio =
       CLAMP (ran / j->spec.estimate_s, c->policy.correction_least, c->policy.correction_most);
   /* One task counts little: jobs differ far more than a class drifts. */
-  s->samples++;
-  double k = 1.0 / MIN (2 * s->samples + 1, CORRECTION_WINDOW);
-  s->correction += k * (ratio - s->correction);
+  s->run_time_samples++;
+  double k = 1.0 / MIN (2 * s->run_time_samples + 1, CORRECTION_WINDOW);
+  s->run_time_correction += k * (ratio - s->run_time_correction);
 }
 
 void
 hr_gang_done (HrCore *c, HrJob *j, guint32 attempt, gboolean any)
 {
-  for (guint32 i = 0; i < j->ntasks; i++) {
+  for (guint32 i = 0; i < j->n_tasks; i++) {
     HrTask *t = &j->tasks[i];
     if (t->placement.attempt != attempt && !any)
       continue;
@@ -238,7 +240,7 @@
       hr_task_done (c, j, i);
     else if (t->state == HR_TASK_IDLE) {
       t->state = HR_TASK_DONE;
-      j->ndone++;
+      j->n_done++;
       hr_record_writer_mark (c, j, i);
     }
   }
@@ -252,12 +254,12 @@
     return;
   HrMachine *m = machine_of (c, t);
   learn_run_time (c, j, t, m);
-  m->errors = 0;
-  m->error_job = HR_NONE;
-  j->errors = 0;
+  m->failures = 0;
+  m->last_failed_job = HR_NONE;
+  j->run.failures = 0;
   g_debug ("%s/%u ends on %s", j->id, task, m->name);
   t->state = HR_TASK_DONE;
-  j->ndone++;
+  j->n_done++;
   release_machine (c, j, task);
   hr_record_writer_mark (c, j, task);
   if (j->spec.shape == HR_GANG)
@@ -280,7 +282,7 @@
 hr_job_bound_tasks (const HrJob *j)
 {
   guint n = 0;
-  for (guint32 i = 0; i < j->ntasks; i++)
+  for (guint32 i = 0; i < j->n_tasks; i++)
     n += j->tasks[i].state == HR_TASK_BOUND;
   return n;
 }
@@ -290,19 +292,19 @@
 {
   g_info ("%s is withdrawn", j->id);
   c->metrics.counters.withdrawals++;
-  if (!j->withdrawn_since)
-    j->withdrawn_since =
+  if (!j->cancellation.unknown_until)
+    j->cancellation.unknown_until =
         c->store.replica.confirmed_at; /* of the last reading that did not show it */
   g_info ("withdrawn: job=%s epoch=%" G_GUINT64_FORMAT " reading_age=%.2f bound=%u", j->id,
           c->store.replica.applied_revision, c->now - c->store.replica.confirmed_at,
           hr_job_bound_tasks (j));
-  for (guint32 i = 0; i < j->ntasks; i++) {
+  for (guint32 i = 0; i < j->n_tasks; i++) {
     HrTask *t = &j->tasks[i];
     if (t->state == HR_TASK_ASSIGNING && !t->write_in_flight)
       hr_task_unassign (c, j, i);
     else if (t->state == HR_TASK_BOUND)
       hr_task_stop (c, j, i, 0);
   }
-  if (!j->nlive)
+  if (!j->run.n_live)
     hr_record_writer_mark (c, j, 0);
 }
--- a/src/coordination/jobs/user_requests.c
+++ b/src/coordination/jobs/user_requests.c
@@ -49,30 +49,30 @@
     return g_strdup_printf ("%s plans this job", c->leadership.leader_label
                                                      ? c->leadership.leader_label
                                                      : "no controller yet");
-  if (j->errors && j->retry_at > c->now)
+  if (j->run.failures && j->run.retry_at > c->now)
     return g_strdup_printf ("failed %u times in a row (%s), last on %s; next try in %.0f s",
-                            j->errors, hr_exit_name (j->last_error),
-                            hr_intern_name (&c->store.tables.machine_ids, j->bad_machine),
-                            j->retry_at - c->now);
-  if (j->gang_over)
+                            j->run.failures, hr_exit_name (j->run.last_failure),
+                            hr_intern_name (&c->store.tables.machine_ids, j->run.failed_machine),
+                            j->run.retry_at - c->now);
+  if (j->run.attempt_ending)
     return g_strdup ("an attempt of the gang has ended; waiting for its last tasks to exit");
-  if (j->nlive + j->ndone == j->ntasks)
+  if (j->run.n_live + j->n_done == j->n_tasks)
     return g_strdup ("every task has a machine");
-  if (j->rent_at > c->now)
+  if (j->plan.next_scale_out_at > c->now)
     return g_strdup_printf ("needs %u machines at once, more than the cloud has given; more are "
                             "asked for in %.0f s",
-                            j->ntasks, j->rent_at - c->now);
+                            j->n_tasks, j->plan.next_scale_out_at - c->now);
   return g_strdup_printf ("%u tasks wait for room; %u of them stand in a machine's plan; "
                           "%u machines are starting",
-                          j->ntasks - j->nlive - j->ndone, j->planned,
+                          j->n_tasks - j->run.n_live - j->n_done, j->plan.n_listed,
                           c->scheduling.booting_machines);
 }
 
 void
 hr_request_answer (HrCore *c, HrUserRequest *request, HrJob *j, int status)
 {
-  guint32 running = 0, done = j->state == HR_JOB_DONE ? j->ntasks : j->nrdone;
-  for (guint32 i = 0; j->tasks && i < j->ntasks && j->state == HR_JOB_QUEUED; i++)
+  guint32 running = 0, done = j->state == HR_JOB_DONE ? j->n_tasks : j->n_recorded_done;
+  for (guint32 i = 0; j->tasks && i < j->n_tasks && j->state == HR_JOB_QUEUED; i++)
     running += !j->tasks[i].done_recorded &&
                (c->leadership.is_leader ? j->tasks[i].state == HR_TASK_BOUND &&
                                               j->tasks[i].reported_state == HR_REPORTED_RUNNING
@@ -138,7 +138,7 @@
 hr_request_answer_final (HrCore *c, HrUserRequest *request)
 {
   HrJob *j = hr_job_find (c, request->id);
-  if (!j || j->state == HR_JOB_QUEUED || j->told)
+  if (!j || j->state == HR_JOB_QUEUED || j->cancellation.told_by_peer)
     return FALSE;
   hr_request_answer (c, request, j, 200);
   return TRUE;
@@ -163,11 +163,11 @@
   guint64 store_revision;
   if (status == 200 && j && hr_json_count (body, "epoch", G_MAXINT64, &store_revision)) {
     hr_cancellation_log_append (c, j, store_revision);
-    if (j->state == HR_JOB_QUEUED && store_revision > j->stamp) {
+    if (j->state == HR_JOB_QUEUED && store_revision > j->record.revision) {
       j->state = HR_JOB_CANCELLED;
-      j->stamp = store_revision;
-      if (!j->per_page && j->pages)
-        j->pages[0].revision = store_revision;
+      j->record.revision = store_revision;
+      if (!j->record.tasks_per_page && j->record.pages)
+        j->record.pages[0].revision = store_revision;
       if (c->leadership.is_leader)
         hr_job_cancelled (c, j);
       hr_dependencies_job_final (c, j);
@@ -198,7 +198,7 @@
     split_first (c, request, j);
     return;
   }
-  json_t *when = hr_transaction_require (json_array (), key, j->stamp);
+  json_t *when = hr_transaction_require (json_array (), key, j->record.revision);
   json_t *writes = hr_transaction_put (json_array (), key, text, 0);
   hr_transaction_submit (c, HR_TRANSACTION_USER, when, writes, 1, hr_request_timeout (c, request),
                          on_cancel, request);
--- a/src/coordination/leadership/leadership.c
+++ b/src/coordination/leadership/leadership.c
@@ -260,7 +260,7 @@
   for (guint i = 0; i < c->scaling.fleet->len; i++) {
     HrMachine *m = c->scaling.fleet->pdata[i];
     up += m->state == HR_MACHINE_UP;
-    heard += m->state == HR_MACHINE_UP && c->now - m->heard_at < c->policy.overdue_s;
+    heard += m->state == HR_MACHINE_UP && c->now - m->agent.heard_at < c->policy.overdue_s;
   }
   for (guint i = 0; i < c->membership.peers->len; i++) {
     HrPeer *p = &g_array_index (c->membership.peers, HrPeer, i);
--- a/src/coordination/membership/cancellation_log.c
+++ b/src/coordination/membership/cancellation_log.c
@@ -116,10 +116,10 @@
   if (!hr_job_id_valid (id))
     return;
   HrJob *j = hr_job_get (c, id);
-  if (j->state != HR_JOB_QUEUED || j->told)
+  if (j->state != HR_JOB_QUEUED || j->cancellation.told_by_peer)
     return;
-  j->told = TRUE;
-  if (!j->known)
+  j->cancellation.told_by_peer = TRUE;
+  if (!j->is_known)
     return; /* should its submission still be read, it is withdrawn already */
   g_info ("%s is withdrawn, as a member says", id);
   j->state = HR_JOB_CANCELLED;
--- a/src/coordination/metrics/metrics.c
+++ b/src/coordination/metrics/metrics.c
@@ -45,7 +45,7 @@
     const HrJob *j =
         c->store.tables.jobs->pdata[g_array_index (c->store.tables.open_jobs, guint32, i)];
     queued += j->state == HR_JOB_QUEUED;
-    for (guint32 k = 0; j->tasks && k < j->ntasks; k++) {
+    for (guint32 k = 0; j->tasks && k < j->n_tasks; k++) {
       gboolean there = j->tasks[k].state == HR_TASK_BOUND;
       bound += there;
       cancelled += there && j->state == HR_JOB_CANCELLED;
--- a/src/coordination/scaling/fleet.c
+++ b/src/coordination/scaling/fleet.c
@@ -45,8 +45,8 @@
 void
 hr_fleet_add (HrCore *c, HrMachine *m)
 {
-  m->known_at = c->now;
-  m->listed_at = 0;
+  m->instance.known_since = c->now;
+  m->instance.listed_at = 0;
   g_ptr_array_add (c->scaling.fleet, m);
 }
 
@@ -55,13 +55,13 @@
 {
   hr_termination_incarnations_over (c, m, G_MAXUINT32, why);
   m->state = HR_MACHINE_GONE;
-  m->deleted = TRUE;
-  for (guint i = 0; i < m->list->len; i++) {
-    HrTaskRef r = g_array_index (m->list, HrTaskRef, i);
+  m->instance.is_deleted = TRUE;
+  for (guint i = 0; i < m->plan.list->len; i++) {
+    HrTaskRef r = g_array_index (m->plan.list, HrTaskRef, i);
     HrJob *j = c->store.tables.jobs->pdata[r.job];
     hr_task_unplan (j, r.task);
   }
-  g_array_set_size (m->list, 0);
+  g_array_set_size (m->plan.list, 0);
   g_ptr_array_remove_fast (c->scaling.fleet, m);
   c->scheduling.plan_is_stale = TRUE;
   g_debug ("%s is gone: %s", m->name, why);
@@ -87,7 +87,7 @@
     if (status == 200)
       hr_machine_gone (c, m, "the cloud deleted its machine");
     else
-      m->delete_out = FALSE; /* to be asked again */
+      m->instance.deletion_in_flight = FALSE; /* to be asked again */
   }
   if (status != 200)
     c->scaling.paused_until = MAX (c->scaling.paused_until, c->now + 0.5);
@@ -101,7 +101,7 @@
     return;
   g_info ("%s is returned: %s", m->name, why);
   m->state = HR_MACHINE_DELETING;
-  m->delete_out = FALSE;
+  m->instance.deletion_in_flight = FALSE;
   c->scheduling.plan_is_stale = TRUE;
 }
 
@@ -115,15 +115,16 @@
   d->term_began_at = c->leadership.term_began_at;
   for (guint i = 0; i < c->scaling.fleet->len && d->n < G_N_ELEMENTS (d->machines); i++) {
     HrMachine *m = c->scaling.fleet->pdata[i];
-    if (m->state != HR_MACHINE_DELETING || m->delete_out)
+    if (m->state != HR_MACHINE_DELETING || m->instance.deletion_in_flight)
       continue;
-    m->delete_out = TRUE;
+    m->instance.deletion_in_flight = TRUE;
     json_array_append_new (names, json_string (m->name));
     d->machines[d->n++] = m->index;
   }
   if (!d->n || !hr_token_bucket_take (&c->scaling.allowance, c->now, 1, 0)) {
     for (guint i = 0; i < d->n; i++)
-      ((HrMachine *)c->store.tables.machines->pdata[d->machines[i]])->delete_out = FALSE;
+      ((HrMachine *)c->store.tables.machines->pdata[d->machines[i]])->instance.deletion_in_flight =
+          FALSE;
     json_decref (names);
     g_free (d);
     return;
@@ -141,7 +142,7 @@
     const HrMachineType *t = hr_machine_type_of (c, m);
     /* After a cut of our own: it may be up, and its worker has to find us first. */
     if (m->state == HR_MACHINE_BOOTING && t && hr_replica_is_served (c) &&
-        c->now - m->rented_at > t->boot_s * c->policy.boot_limit &&
+        c->now - m->instance.requested_at > t->boot_s * c->policy.boot_limit &&
         c->now - c->store.replica.served_since > c->policy.silent_s)
       hr_fleet_delete (c, m, "it does not come up");
   }
--- a/src/coordination/scaling/instance_list.c
+++ b/src/coordination/scaling/instance_list.c
@@ -19,7 +19,7 @@
 listed (HrCore *c, const HrListedInstance *e)
 {
   HrMachine *m = hr_machine_get (c, e->name);
-  if (m->deleted || m->state == HR_MACHINE_DELETING)
+  if (m->instance.is_deleted || m->state == HR_MACHINE_DELETING)
     return; /* lists lag: it is being returned, or was */
   if (e->state == HR_INSTANCE_FAILED) {
     if (m->state == HR_MACHINE_GONE)
@@ -35,15 +35,15 @@
   /* Also of a machine that only records name so far: its zone counts for others. */
   hr_machine_describe (m, t, hr_intern (&c->names->zones, e->zone), e->is_spot);
   if (m->state != HR_MACHINE_GONE) {
-    m->listed_at = c->scaling.list_requested_at;
+    m->instance.listed_at = c->scaling.list_requested_at;
     return;
   }
   m->state = HR_MACHINE_BOOTING; /* until its worker reports */
-  m->rented_at = c->now - MIN (e->age, t->boot_s * 0.6);
+  m->instance.requested_at = c->now - MIN (e->age, t->boot_s * 0.6);
   if (e->state == HR_INSTANCE_STARTING)
-    m->rented_at = c->now - e->age;
+    m->instance.requested_at = c->now - e->age;
   hr_fleet_add (c, m);
-  m->listed_at = c->scaling.list_requested_at;
+  m->instance.listed_at = c->scaling.list_requested_at;
   c->scheduling.plan_is_stale = TRUE;
   g_info ("%s is in the cloud's list and was not expected; it is taken on", m->name);
 }
--- a/src/coordination/scaling/instance_requests.c
+++ b/src/coordination/scaling/instance_requests.c
@@ -75,12 +75,12 @@
     {
       const char *name = json_string_value (e);
       HrMachine *m = name ? hr_machine_get (c, name) : NULL;
-      if (!m || m->state != HR_MACHINE_GONE || m->deleted)
+      if (!m || m->state != HR_MACHINE_GONE || m->instance.is_deleted)
         continue; /* it may have reported before this answer came */
       hr_machine_describe (m, hr_machine_type_find (c, r->type), r->zone, r->is_spot);
       m->state = HR_MACHINE_BOOTING;
-      m->rented_here = TRUE;
-      m->rented_at = sent;
+      m->instance.requested_here = TRUE;
+      m->instance.requested_at = sent;
       hr_fleet_add (c, m);
     }
     g_info ("rented %zu of %u %s%s in %s", json_array_size (list), r->count,
--- a/src/coordination/scaling/scale_out.c
+++ b/src/coordination/scaling/scale_out.c
@@ -77,8 +77,8 @@
       HrFreeCapacity *r = &capacities[at->index];
       HrMachine *m = r->machine;
       gboolean idle = m->tasks->len == 0 && !r->is_reserved;
-      if (idle != at->pass / 2 || m->spot != !(at->pass % 2) || (m->spot && !spot) ||
-          (m->state != HR_MACHINE_UP && m->state != HR_MACHINE_BOOTING) || m->drain ||
+      if (idle != at->pass / 2 || m->is_spot != !(at->pass % 2) || (m->is_spot && !spot) ||
+          (m->state != HR_MACHINE_UP && m->state != HR_MACHINE_BOOTING) || m->is_draining ||
           (types && !(types >> m->type & 1)) ||
           (j && (!hr_job_allows_machine (c, j, m) || !hr_job_allows_zone (c, j, m))))
         continue;
@@ -108,7 +108,7 @@
   HrClassStats *s =
       hr_class_stats (c, job_class); /* a class known from old records alone has no row yet */
   double boots = 0;
-  if (!s->seen)
+  if (!s->is_seen)
     return 0;
   if (s->shape == HR_SERVICE)
     boots = c->policy.headroom_boots;
@@ -136,9 +136,9 @@
     HrClassStats *s = &g_array_index (c->scheduling.class_stats, HrClassStats, k);
     HrCapacityCursor at = {0};
     for (guint n = hr_headroom (c, k); n > 0; n--)
-      if (!find_free_capacity (c, capacities, n_capacities, &at, NULL, s->cpus, s->gpus, s->mem,
-                               s->spot, s->types))
-        add_demand (c, needs, s->types, HR_NONE, s->spot, s->cpus, s->gpus, s->mem);
+      if (!find_free_capacity (c, capacities, n_capacities, &at, NULL, s->cpus, s->gpus,
+                               s->memory_gb, s->allows_spot, s->types))
+        add_demand (c, needs, s->types, HR_NONE, s->allows_spot, s->cpus, s->gpus, s->memory_gb);
   }
 }
 
@@ -159,9 +159,9 @@
 exceeds_any_fleet (HrCore *c, HrJob *j)
 {
   guint fleet = 0;
-  if (c->now < j->rent_at)
+  if (c->now < j->plan.next_scale_out_at)
     return TRUE;
-  if (j->spec.shape != HR_GANG || j->planned)
+  if (j->spec.shape != HR_GANG || j->plan.n_listed)
     return FALSE;
   for (guint i = 0; i < c->scaling.machine_types->len; i++) {
     guint32 t = g_array_index (c->scaling.machine_types, HrMachineType, i).type;
@@ -173,12 +173,12 @@
   }
   for (guint i = 0; i < c->scaling.fleet->len; i++)
     fleet += hr_job_allows_machine (c, j, c->scaling.fleet->pdata[i]);
-  if (fleet >= j->ntasks)
+  if (fleet >= j->n_tasks)
     return FALSE;
-  j->rent_pause = CLAMP (2 * j->rent_pause, 15, 240);
-  j->rent_at = c->now + j->rent_pause;
+  j->plan.scale_out_pause_s = CLAMP (2 * j->plan.scale_out_pause_s, 15, 240);
+  j->plan.next_scale_out_at = c->now + j->plan.scale_out_pause_s;
   g_message ("%s needs %u machines at once, the cloud gave %u; none is rented for it for %.0f s",
-             j->id, j->ntasks, fleet, j->rent_pause);
+             j->id, j->n_tasks, fleet, j->plan.scale_out_pause_s);
   return TRUE;
 }
 
@@ -191,9 +191,10 @@
 {
   HrMachine *m = capacity->machine;
   guint n = 0;
-  for (; n < m->list->len; n++) {
+  for (; n < m->plan.list->len; n++) {
     const HrJobSpec *s =
-        &((HrJob *)c->store.tables.jobs->pdata[g_array_index (m->list, HrTaskRef, n).job])->spec;
+        &((HrJob *)c->store.tables.jobs->pdata[g_array_index (m->plan.list, HrTaskRef, n).job])
+             ->spec;
     if (!hr_free_capacity_take (capacity, s->cpus, s->gpus, s->memory_gb))
       break;
   }
@@ -212,7 +213,7 @@
   if (wait <= (limited ? boot * LIMITED_SLACK : boot) || (limited && placed))
     return FALSE;
   return j->spec.shape == HR_GANG ||
-         c->wall_time + wait + hr_estimate_run_time (c, j, t->machine) > j->deadline;
+         c->wall_time + wait + hr_estimate_run_time (c, j, t->machine) > j->plan.deadline;
 }
 
 /* Machines for what stands in lists and would start late there. */
@@ -224,9 +225,10 @@
   g_autoptr (GArray) listed = g_array_new (FALSE, FALSE, sizeof (HrListedTask));
   for (guint i = 0; i < n; i++) {
     HrMachine *m = capacities[i].machine;
-    HrFreeCapacity capacity = {m, m->cpus - m->foreign_cpus - m->claim_cpus,
-                               m->gpus - m->foreign_gpus - m->claim_gpus,
-                               m->mem - m->foreign_mem - m->claim_mem, FALSE};
+    HrFreeCapacity capacity = {
+        m, m->free.cpus - m->unrecognized.cpus - m->reserved.cpus,
+        m->free.gpus - m->unrecognized.gpus - m->reserved.gpus,
+        m->free.memory_gb - m->unrecognized.memory_gb - m->reserved.memory_gb, FALSE};
     placed[i] = take_listed (c, i < booting ? &capacities[i] : &capacity);
   }
   for (guint i = 0; i < n; i++) {
@@ -248,14 +250,16 @@
   /* And for what found no list at all. */
   for (guint i = 0; i < c->store.tables.open_jobs->len; i++) {
     HrJob *j = c->store.tables.jobs->pdata[g_array_index (c->store.tables.open_jobs, guint32, i)];
-    gint left = (gint)j->ntasks - (gint)(j->nlive + j->ndone + j->planned);
-    if (j->state != HR_JOB_QUEUED || j->spec.shape == HR_SERVICE || j->gang_over || left <= 0 ||
-        j->retry_at > c->now || !hr_team_allows_start (c, j, 1) || exceeds_any_fleet (c, j))
+    gint left = (gint)j->n_tasks - (gint)(j->run.n_live + j->n_done + j->plan.n_listed);
+    if (j->state != HR_JOB_QUEUED || j->spec.shape == HR_SERVICE || j->run.attempt_ending ||
+        left <= 0 || j->run.retry_at > c->now || !hr_team_allows_start (c, j, 1) ||
+        exceeds_any_fleet (c, j))
       continue;
     /* No machine is rented for what the limit holds back; what stands in lists has its part
      * of the grant. */
     guint grant = hr_quotas_granted (c, j);
-    left = MIN (left, grant < G_MAXINT ? (gint)grant - (gint)j->planned : MAX_SCALE_OUT_TASKS);
+    left =
+        MIN (left, grant < G_MAXINT ? (gint)grant - (gint)j->plan.n_listed : MAX_SCALE_OUT_TASKS);
     HrCapacityCursor at = {0};
     for (gint k = 0; k < MIN (left, MAX_SCALE_OUT_TASKS); k++)
       hr_scale_out_for_task (c, capacities, booting, &at, needs, j);
@@ -267,9 +271,9 @@
 projected_end (HrCore *c, HrJob *j)
 {
   double end = c->now;
-  if (j->state != HR_JOB_QUEUED || !j->tasks || j->nlive + j->ndone < j->ntasks)
+  if (j->state != HR_JOB_QUEUED || !j->tasks || j->run.n_live + j->n_done < j->n_tasks)
     return INFINITY;
-  for (guint32 i = 0; i < j->ntasks && isfinite (end); i++) {
+  for (guint32 i = 0; i < j->n_tasks && isfinite (end); i++) {
     const HrTask *t = &j->tasks[i];
     if (t->state == HR_TASK_BOUND || t->state == HR_TASK_ASSIGNING)
       end = MAX (end, hr_estimate_running_end (
@@ -287,29 +291,29 @@
   const HrJobSpec *s = &j->spec;
   double cpus = 0, gpus = 0, mem = 0, ready = c->now;
   gboolean first = TRUE;
-  for (guint i = 0; i < j->nawaits; i++) {
-    const HrJob *a = j->awaits[i];
+  for (guint i = 0; i < j->dependencies.n_awaited; i++) {
+    const HrJob *a = j->dependencies.awaited[i];
     if (a->state == HR_JOB_DONE)
       continue;
-    if (!a->listed || a->ends_at > horizon || (first && a != by))
+    if (!a->run.is_open || a->plan.expected_end > horizon || (first && a != by))
       return 0;
     first = FALSE;
-    ready = MAX (ready, a->ends_at);
-    cpus += a->nlive * a->spec.cpus;
-    gpus += a->nlive * a->spec.gpus;
-    mem += a->nlive * a->spec.memory_gb;
+    ready = MAX (ready, a->plan.expected_end);
+    cpus += a->run.n_live * a->spec.cpus;
+    gpus += a->run.n_live * a->spec.gpus;
+    mem += a->run.n_live * a->spec.memory_gb;
   }
   /* One that may wait for a boot does. */
-  if (ready + boot_time (c) + s->estimate_s <= j->deadline - c->wall_time + c->now)
+  if (ready + boot_time (c) + s->estimate_s <= j->plan.deadline - c->wall_time + c->now)
     return 0;
-  double fit = j->ntasks;
+  double fit = j->n_tasks;
   if (s->cpus > 0)
     fit = MIN (fit, floor (cpus / s->cpus));
   if (s->gpus > 0)
     fit = MIN (fit, floor (gpus / s->gpus));
   if (s->memory_gb > 0)
     fit = MIN (fit, floor (mem / s->memory_gb));
-  return j->ntasks - (guint)fit;
+  return j->n_tasks - (guint)fit;
 }
 
 /* More tasks of one step than that are rented for once it is ready. */
@@ -327,12 +331,12 @@
     kept[k] = hr_headroom (c, k);
   for (guint i = 0; i < c->store.tables.open_jobs->len; i++) {
     HrJob *j = c->store.tables.jobs->pdata[g_array_index (c->store.tables.open_jobs, guint32, i)];
-    j->ends_at = j->dependents ? projected_end (c, j) : INFINITY;
+    j->plan.expected_end = j->dependencies.dependents ? projected_end (c, j) : INFINITY;
   }
   for (guint i = 0; i < c->store.tables.open_jobs->len; i++) {
     HrJob *j = c->store.tables.jobs->pdata[g_array_index (c->store.tables.open_jobs, guint32, i)];
-    for (guint k = 0; j->ends_at <= horizon && k < j->dependents->len; k++) {
-      HrJob *d = j->dependents->pdata[k];
+    for (guint k = 0; j->plan.expected_end <= horizon && k < j->dependencies.dependents->len; k++) {
+      HrJob *d = j->dependencies.dependents->pdata[k];
       HrCapacityCursor at = {0};
       guint left = d->state == HR_JOB_QUEUED && d->tasks ? tasks_ahead (c, d, j, horizon) : 0;
       guint use = MIN (left, kept[d->spec.job_class]);
@@ -353,16 +357,18 @@
   g_autoptr (GPtrArray) away = g_ptr_array_new ();
   for (guint i = 0; i < n; i++) {
     HrMachine *m = capacities[i].machine;
-    if (m->state != HR_MACHINE_UP || m->tasks->len || m->list->len)
+    if (m->state != HR_MACHINE_UP || m->tasks->len || m->plan.list->len)
       continue;
     /* After a cut of our own nothing was idle: nobody could give it work. */
-    double since = MAX (m->idle_at, c->store.replica.served_since);
-    if (m->drain || (!capacities[i].is_reserved && m->idle_at && c->now - since > c->policy.idle_s))
+    double since = MAX (m->idle_since, c->store.replica.served_since);
+    if (m->is_draining ||
+        (!capacities[i].is_reserved && m->idle_since && c->now - since > c->policy.idle_s))
       g_ptr_array_add (away, m);
   }
   for (guint i = 0; i < away->len; i++)
     hr_fleet_delete (c, away->pdata[i],
-                     ((HrMachine *)away->pdata[i])->drain ? "it is drained" : "nothing needs it");
+                     ((HrMachine *)away->pdata[i])->is_draining ? "it is drained"
+                                                                : "nothing needs it");
 }
 
 GArray *
--- a/src/coordination/scheduling/dispatch.c
+++ b/src/coordination/scheduling/dispatch.c
@@ -9,7 +9,8 @@
 gboolean
 hr_machine_is_reachable (const HrCore *c, const HrMachine *m)
 {
-  return m->state == HR_MACHINE_UP && m->heard_at > 0 && c->now - m->heard_at < c->policy.silent_s;
+  return m->state == HR_MACHINE_UP && m->agent.heard_at > 0 &&
+         c->now - m->agent.heard_at < c->policy.silent_s;
 }
 
 gboolean
@@ -22,7 +23,7 @@
 gboolean
 hr_dispatch_startable (HrCore *c, HrJob *j, HrMachine *m)
 {
-  return c->now >= j->retry_at && hr_dispatch_fits_now (c, j, m) &&
+  return c->now >= j->run.retry_at && hr_dispatch_fits_now (c, j, m) &&
          (j->spec.shape == HR_SERVICE || hr_machine_fits_unreserved (m, &j->spec));
 }
 
@@ -56,7 +57,7 @@
   GPtrArray *a = g_ptr_array_sized_new (c->scaling.fleet->len);
   for (guint i = 0; i < c->scaling.fleet->len; i++) {
     HrMachine *m = c->scaling.fleet->pdata[i];
-    if (m->state == HR_MACHINE_UP && !m->drain && m->cpus - m->foreign_cpus > 0)
+    if (m->state == HR_MACHINE_UP && !m->is_draining && m->free.cpus - m->unrecognized.cpus > 0)
       g_ptr_array_add (a, m);
   }
   return a;
@@ -66,10 +67,10 @@
 static gboolean
 start_gang (HrCore *c, HrJob *j)
 {
-  g_autofree HrMachine **on = g_new0 (HrMachine *, j->ntasks);
-  if (!hr_team_allows_start (c, j, j->ntasks))
+  g_autofree HrMachine **on = g_new0 (HrMachine *, j->n_tasks);
+  if (!hr_team_allows_start (c, j, j->n_tasks))
     return FALSE;
-  for (guint32 i = 0; i < j->ntasks; i++) {
+  for (guint32 i = 0; i < j->n_tasks; i++) {
     if (!j->tasks[i].is_listed || j->tasks[i].state != HR_TASK_IDLE)
       return FALSE;
     on[i] = c->store.tables.machines->pdata[j->tasks[i].listed_on];
@@ -77,7 +78,7 @@
       return FALSE;
   }
   guint32 attempt = hr_job_next_attempt (j);
-  for (guint32 i = 0; i < j->ntasks; i++)
+  for (guint32 i = 0; i < j->n_tasks; i++)
     start (c, j, i, on[i], attempt);
   return TRUE;
 }
@@ -90,10 +91,10 @@
 {
   guint32 attempt = 0;
   gboolean whole = TRUE;
-  for (guint32 k = 0; k < j->ntasks; k++)
+  for (guint32 k = 0; k < j->n_tasks; k++)
     if (j->tasks[k].state != HR_TASK_IDLE)
       attempt = j->tasks[k].placement.attempt;
-  for (guint32 k = 0; k < j->ntasks; k++) {
+  for (guint32 k = 0; k < j->n_tasks; k++) {
     HrMachine *best = NULL;
     if (j->tasks[k].state != HR_TASK_IDLE)
       continue;
@@ -112,8 +113,8 @@
       whole = FALSE;
   }
   if (whole)
-    j->short_since = 0;
-  else if (c->now - j->short_since > c->settings->gang_wait_s / 2)
+    j->run.gang_incomplete_since = 0;
+  else if (c->now - j->run.gang_incomplete_since > c->settings->gang_wait_s / 2)
     hr_gang_end_attempt (c, j, 0);
 }
 
@@ -130,8 +131,8 @@
 start_list (HrCore *c, HrMachine *m)
 {
   double blocked = INFINITY;
-  for (guint i = 0; i < m->list->len;) {
-    HrTaskRef r = g_array_index (m->list, HrTaskRef, i);
+  for (guint i = 0; i < m->plan.list->len;) {
+    HrTaskRef r = g_array_index (m->plan.list, HrTaskRef, i);
     HrJob *j = c->store.tables.jobs->pdata[r.job];
     gboolean ok =
         hr_dispatch_startable (c, j, m) && (!isfinite (blocked) || may_pass (c, j, m, blocked));
@@ -145,8 +146,8 @@
       continue;
     }
     /* One that its team holds back holds nobody else up. */
-    if (!isfinite (blocked) && c->now >= j->retry_at && hr_team_allows_start (c, j, 1)) {
-      g_autofree double *starts = g_new (double, m->list->len);
+    if (!isfinite (blocked) && c->now >= j->run.retry_at && hr_team_allows_start (c, j, 1)) {
+      g_autofree double *starts = g_new (double, m->plan.list->len);
       hr_project_list (c, m, starts);
       blocked = MAX (c->now, starts[i]);
     }
@@ -161,8 +162,8 @@
   HrCore *c = data;
   const HrTaskRef *x = &((const HrListedTask *)a)->task, *y = &((const HrListedTask *)b)->task;
   const HrJob *p = c->store.tables.jobs->pdata[x->job], *q = c->store.tables.jobs->pdata[y->job];
-  if (p->deadline != q->deadline)
-    return p->deadline < q->deadline ? -1 : 1;
+  if (p->plan.deadline != q->plan.deadline)
+    return p->plan.deadline < q->plan.deadline ? -1 : 1;
   return x->job != y->job ? (x->job < y->job ? -1 : 1) : (x->task > y->task) - (x->task < y->task);
 }
 
@@ -172,8 +173,8 @@
   double x = hr_estimate_run_time (c, j, a), y = hr_estimate_run_time (c, j, b);
   if (fabs (x - y) > 1)
     return x < y;
-  if (a->spot != b->spot)
-    return a->spot;
+  if (a->is_spot != b->is_spot)
+    return a->is_spot;
   return a->tasks->len > b->tasks->len;
 }
 
@@ -234,14 +235,14 @@
   for (guint i = 0, up = n; i < n; i++) {
     HrMachine *m = c->scaling.fleet->pdata[i];
     HrFreeCapacity *r = &capacities[m->state == HR_MACHINE_BOOTING ? (*booting)++ : --up];
-    *r = (HrFreeCapacity){m, m->cpus, m->gpus, m->mem, FALSE};
+    *r = (HrFreeCapacity){m, m->free.cpus, m->free.gpus, m->free.memory_gb, FALSE};
     for (guint k = 0; k < m->tasks->len; k++) {
       HrTaskRef x = g_array_index (m->tasks, HrTaskRef, k);
       HrJob *j = c->store.tables.jobs->pdata[x.job];
       if (j->tasks[x.task].stop_wanted) {
         r->cpus += j->spec.cpus;
         r->gpus += j->spec.gpus;
-        r->mem += j->spec.memory_gb;
+        r->memory_gb += j->spec.memory_gb;
       }
     }
   }
@@ -260,9 +261,9 @@
     HrJob *j = c->store.tables.jobs->pdata[g_array_index (c->store.tables.open_jobs, guint32, i)];
     if (j->state != HR_JOB_QUEUED || !j->tasks)
       continue;
-    if (j->spec.shape == HR_SERVICE && j->nlive < j->ntasks)
+    if (j->spec.shape == HR_SERVICE && j->run.n_live < j->n_tasks)
       g_ptr_array_add (services, j);
-    else if (j->short_since)
+    else if (j->run.gang_incomplete_since)
       complete_gang (c, j);
   }
   g_ptr_array_sort (services, by_priority);
@@ -272,7 +273,7 @@
       g_hash_table_new_full (g_direct_hash, g_direct_equal, NULL, g_free);
   for (guint i = 0; i < n; i++) {
     HrMachine *m = c->scaling.fleet->pdata[i];
-    double until = m->state == HR_MACHINE_UP && m->list->len ? start_list (c, m) : INFINITY;
+    double until = m->state == HR_MACHINE_UP && m->plan.list->len ? start_list (c, m) : INFINITY;
     if (isfinite (until))
       g_hash_table_insert (blocked, m, g_memdup2 (&until, sizeof until));
   }
@@ -289,8 +290,8 @@
     HrCapacityCursor at = {0};
     gboolean capacity = TRUE;
     guint left = hr_team_allows_start (c, j, 1) ? hr_quotas_granted (c, j) : 0;
-    for (guint32 k = 0; k < j->ntasks && left; k++) {
-      if (j->tasks[k].state != HR_TASK_IDLE || j->retry_at > c->now)
+    for (guint32 k = 0; k < j->n_tasks && left; k++) {
+      if (j->tasks[k].state != HR_TASK_IDLE || j->run.retry_at > c->now)
         continue;
       left--;
       capacity = capacity && hr_preempt (c, j, capacities, FALSE);
--- a/src/coordination/scheduling/free_capacity.h
+++ b/src/coordination/scheduling/free_capacity.h
@@ -8,8 +8,8 @@
 
 typedef struct {
   HrMachine *machine;
-  double cpus, gpus, mem; /* free once stopped tasks are gone and claims are served */
-  gboolean is_reserved;   /* spare room is counted on it */
+  double cpus, gpus, memory_gb; /* free once stopped tasks are gone and claims are served */
+  gboolean is_reserved;         /* spare room is counted on it */
 } HrFreeCapacity;
 
 /* How far a search has come: rooms only shrink, so the next one for the same goes on
--- a/src/coordination/scheduling/guarantees.c
+++ b/src/coordination/scheduling/guarantees.c
@@ -6,8 +6,8 @@
 hr_by_submission (gconstpointer a, gconstpointer b)
 {
   const HrJob *x = *(HrJob *const *)a, *y = *(HrJob *const *)b;
-  if (x->submitted != y->submitted)
-    return x->submitted < y->submitted ? -1 : 1;
+  if (x->submitted_at != y->submitted_at)
+    return x->submitted_at < y->submitted_at ? -1 : 1;
   return x->index < y->index ? -1 : x->index > y->index;
 }
 
@@ -22,22 +22,23 @@
 static gboolean
 is_reclaiming (HrCore *c, HrJob *j)
 {
-  if (!j->entitled || j->nlive + j->ndone >= j->ntasks || c->now < j->retry_at ||
-      !hr_quotas_granted (c, j)) {
-    j->claim_since = 0;
+  if (!j->quota.within_guarantee || j->run.n_live + j->n_done >= j->n_tasks ||
+      c->now < j->run.retry_at || !hr_quotas_granted (c, j)) {
+    j->quota.reclaiming_since = 0;
     return FALSE;
   }
-  if (c->now < j->claim_from)
+  if (c->now < j->quota.next_reclaim_at)
     return FALSE;
-  if (!j->claim_since)
-    j->claim_since = c->now;
-  if (c->now - j->claim_since <= RECLAIM_S)
+  if (!j->quota.reclaiming_since)
+    j->quota.reclaiming_since = c->now;
+  if (c->now - j->quota.reclaiming_since <= RECLAIM_S)
     return TRUE;
-  j->claim_since = 0;
-  j->claim_pause = CLAMP (2 * j->claim_pause, RECLAIM_PAUSE_S, MAX_RECLAIM_PAUSE_S);
-  j->claim_from = c->now + j->claim_pause;
+  j->quota.reclaiming_since = 0;
+  j->quota.reclaim_pause_s =
+      CLAMP (2 * j->quota.reclaim_pause_s, RECLAIM_PAUSE_S, MAX_RECLAIM_PAUSE_S);
+  j->quota.next_reclaim_at = c->now + j->quota.reclaim_pause_s;
   g_message ("%s is within its team's guarantee and finds no machine; others go on for %.0f s",
-             j->id, j->claim_pause);
+             j->id, j->quota.reclaim_pause_s);
   return FALSE;
 }
 
@@ -52,7 +53,7 @@
   g_autoptr (GPtrArray) jobs = g_ptr_array_new ();
   for (guint i = 0; i < c->store.tables.open_jobs->len; i++) {
     HrJob *j = c->store.tables.jobs->pdata[g_array_index (c->store.tables.open_jobs, guint32, i)];
-    j->entitled = j->claims = FALSE;
+    j->quota.within_guarantee = j->quota.reclaims_guarantee = FALSE;
     if (j->state == HR_JOB_QUEUED && j->tasks)
       g_ptr_array_add (jobs, j);
   }
@@ -64,11 +65,11 @@
       HrJob *j = jobs->pdata[i];
       if (j->spec.team != t->team)
         continue;
-      cpus += (j->ntasks - j->ndone) * j->spec.cpus;
-      gpus += (j->ntasks - j->ndone) * j->spec.gpus;
-      j->entitled = cpus <= t->cpus + 1e-6 && gpus <= t->gpus + 1e-6;
-      j->claims = is_reclaiming (c, j);
-      c->scheduling.guaranteed_job_waits |= j->claims;
+      cpus += (j->n_tasks - j->n_done) * j->spec.cpus;
+      gpus += (j->n_tasks - j->n_done) * j->spec.gpus;
+      j->quota.within_guarantee = cpus <= t->cpus + 1e-6 && gpus <= t->gpus + 1e-6;
+      j->quota.reclaims_guarantee = is_reclaiming (c, j);
+      c->scheduling.guaranteed_job_waits |= j->quota.reclaims_guarantee;
     }
   }
 }
@@ -80,10 +81,10 @@
 {
   for (guint i = 0; c->scheduling.guaranteed_job_waits && i < c->store.tables.open_jobs->len; i++) {
     HrJob *j = c->store.tables.jobs->pdata[g_array_index (c->store.tables.open_jobs, guint32, i)];
-    if (!j->claims || j->state != HR_JOB_QUEUED || j->spec.shape == HR_SERVICE || j->gang_over ||
-        c->now < j->retry_at)
+    if (!j->quota.reclaims_guarantee || j->state != HR_JOB_QUEUED || j->spec.shape == HR_SERVICE ||
+        j->run.attempt_ending || c->now < j->run.retry_at)
       continue;
-    for (guint32 k = j->nlive + j->ndone; k < j->ntasks; k++)
+    for (guint32 k = j->run.n_live + j->n_done; k < j->n_tasks; k++)
       if (!hr_preempt (c, j, capacities, TRUE))
         break;
   }
@@ -95,7 +96,8 @@
 {
   /* While a job within its team's guarantee waits, the others borrow nothing more: what is
    * stopped or ends makes room for that job. */
-  if (c->scheduling.guaranteed_job_waits && !j->entitled && hr_team_exceeds_guarantee (c, j, n))
+  if (c->scheduling.guaranteed_job_waits && !j->quota.within_guarantee &&
+      hr_team_exceeds_guarantee (c, j, n))
     return FALSE;
   return hr_quotas_granted (c, j) >= n;
 }
--- a/src/coordination/scheduling/mtedf.c
+++ b/src/coordination/scheduling/mtedf.c
@@ -7,12 +7,13 @@
 by_ready (gconstpointer a, gconstpointer b, gpointer data)
 {
   const HrMachine *x = *(HrMachine *const *)a, *y = *(HrMachine *const *)b;
-  if (x->begins != y->begins)
-    return x->begins < y->begins ? -1 : 1;
-  if (x->spot != y->spot)
-    return x->spot ? -1 : 1;                                        /* cheaper */
-  if (x->tasks->len + x->list->len != y->tasks->len + y->list->len) /* so that others fall empty */
-    return x->tasks->len + x->list->len > y->tasks->len + y->list->len ? -1 : 1;
+  if (x->plan.candidate_start != y->plan.candidate_start)
+    return x->plan.candidate_start < y->plan.candidate_start ? -1 : 1;
+  if (x->is_spot != y->is_spot)
+    return x->is_spot ? -1 : 1; /* cheaper */
+  if (x->tasks->len + x->plan.list->len !=
+      y->tasks->len + y->plan.list->len) /* so that others fall empty */
+    return x->tasks->len + x->plan.list->len > y->tasks->len + y->plan.list->len ? -1 : 1;
   return x->index < y->index ? -1 : x->index > y->index;
 }
 
@@ -27,18 +28,18 @@
 static HrListScore
 score_list (HrCore *c, HrMachine *m, HrTaskRef r, double *start)
 {
-  guint late = m->late;
-  double tard = m->tardiness, ready = m->ready;
+  guint late = m->plan.late_count;
+  double tard = m->plan.tardiness, ready = m->plan.ready_at;
   guint at = hr_list_position (c, m, hr_job_of_task (c, r));
-  g_array_insert_val (m->list, at, r);
-  double *starts = hr_projection_scratch (m->list->len);
+  g_array_insert_val (m->plan.list, at, r);
+  double *starts = hr_projection_scratch (m->plan.list->len);
   hr_project_list (c, m, starts);
   *start = starts[at];
-  HrListScore d = {m->late - late, m->tardiness - tard};
-  g_array_remove_index (m->list, at);
-  m->late = late;
-  m->tardiness = tard;
-  m->ready = ready;
+  HrListScore d = {m->plan.late_count - late, m->plan.tardiness - tard};
+  g_array_remove_index (m->plan.list, at);
+  m->plan.late_count = late;
+  m->plan.tardiness = tard;
+  m->plan.ready_at = ready;
   return d;
 }
 
@@ -51,7 +52,7 @@
     HrMachine *m = lists->pdata[k];
     if (!hr_job_allows_machine (c, j, m))
       continue;
-    m->begins = floor (m->ready + hr_estimate_fetch_time (c, j, m));
+    m->plan.candidate_start = floor (m->plan.ready_at + hr_estimate_fetch_time (c, j, m));
     g_ptr_array_add (order, m);
   }
   g_ptr_array_sort_with_data (order, by_ready, NULL);
@@ -63,7 +64,7 @@
 reorder (HrCore *c, GPtrArray *order, guint at, HrJob *j)
 {
   HrMachine *m = order->pdata[at];
-  m->begins = floor (m->ready + hr_estimate_fetch_time (c, j, m));
+  m->plan.candidate_start = floor (m->plan.ready_at + hr_estimate_fetch_time (c, j, m));
   for (; at + 1 < order->len && by_ready (&order->pdata[at], &order->pdata[at + 1], NULL) > 0;
        at++) {
     order->pdata[at] = order->pdata[at + 1];
@@ -129,8 +130,9 @@
 may_free (HrCore *c, const HrMachine *m, const HrJobSpec *s)
 {
   const HrMachineType *t = hr_machine_type_of (c, m);
-  return s->cpus <= t->cpus - m->fixed_cpus + 1e-6 && s->gpus <= t->gpus - m->fixed_gpus + 1e-6 &&
-         s->memory_gb <= t->memory_gb - m->fixed_mem + 1e-6;
+  return s->cpus <= t->cpus - m->services.cpus + 1e-6 &&
+         s->gpus <= t->gpus - m->services.gpus + 1e-6 &&
+         s->memory_gb <= t->memory_gb - m->services.memory_gb + 1e-6;
 }
 
 /* A gang takes one slot in each chosen list, with a common start: the machines
@@ -141,8 +143,8 @@
   g_autoptr (GArray) pick = NULL;
   double common = INFINITY, soonest = INFINITY;
   guint zones = j->spec.one_zone ? c->names->zones.names->len : 1;
-  j->gang_start = 0;
-  if (order->len < j->ntasks)
+  j->plan.gang_start = 0;
+  if (order->len < j->n_tasks)
     return; /* one slot in each list: there are too few */
   g_autofree double *start = g_new (double, order->len + 1),
                     *fetch = g_new0 (double, order->len + 1);
@@ -154,8 +156,8 @@
     if (!hr_job_allows_machine (c, j, m))
       continue;
     fetch[k] = hr_estimate_fetch_time (c, j, m);
-    if (!m->tasks->len && !m->list->len && hr_machine_fits_unreserved (m, &j->spec))
-      start[k] = m->ready; /* nothing to project */
+    if (!m->tasks->len && !m->plan.list->len && hr_machine_fits_unreserved (m, &j->spec))
+      start[k] = m->plan.ready_at; /* nothing to project */
     else if (sampled (j, m, tries, order->len) && may_free (c, m, &j->spec))
       score_list (c, m, r, &start[k]);
     else
@@ -166,7 +168,7 @@
   for (guint z = 0; z < zones; z++) {
     g_autoptr (GArray) got = g_array_new (FALSE, FALSE, sizeof (guint));
     double last = 0;
-    while (got->len < j->ntasks) {
+    while (got->len < j->n_tasks) {
       guint best = HR_NONE;
       for (guint k = 0; k < order->len; k++) {
         HrMachine *m = order->pdata[k];
@@ -188,7 +190,7 @@
     }
     if (j->spec.one_zone && z == c->settings->home)
       begins -= HR_HOME_S;
-    if (got->len == j->ntasks && begins < soonest) {
+    if (got->len == j->n_tasks && begins < soonest) {
       soonest = begins;
       common = last;
       g_clear_pointer (&pick, g_array_unref);
@@ -197,8 +199,8 @@
   }
   if (!pick)
     return;
-  j->gang_start = common;
-  for (guint32 i = 0; i < j->ntasks; i++) {
+  j->plan.gang_start = common;
+  for (guint32 i = 0; i < j->n_tasks; i++) {
     HrMachine *m = order->pdata[g_array_index (pick, guint, i)];
     HrTaskRef r = {j->index, i};
     hr_list_insert (c, m, r);
--- a/src/coordination/scheduling/planner.c
+++ b/src/coordination/scheduling/planner.c
@@ -11,7 +11,7 @@
 {
   HrJob *j = hr_job_of_task (c, r);
   return j->tasks && j->state == HR_JOB_QUEUED && j->tasks[r.task].state == HR_TASK_IDLE &&
-         !j->gang_over && hr_job_allows_machine (c, j, m) && hr_job_allows_zone (c, j, m);
+         !j->run.attempt_ending && hr_job_allows_machine (c, j, m) && hr_job_allows_zone (c, j, m);
 }
 
 /* Lists hold what the team's limit lets start; what it holds back would seem late there. */
@@ -25,8 +25,8 @@
 by_deadline (gconstpointer a, gconstpointer b)
 {
   const HrJob *x = *(HrJob *const *)a, *y = *(HrJob *const *)b;
-  if (x->deadline != y->deadline)
-    return x->deadline < y->deadline ? -1 : 1;
+  if (x->plan.deadline != y->plan.deadline)
+    return x->plan.deadline < y->plan.deadline ? -1 : 1;
   return x->index < y->index ? -1 : x->index > y->index;
 }
 
@@ -39,17 +39,17 @@
   hr_reserve_for_services (c);
   for (guint i = 0; i < c->scaling.fleet->len; i++) {
     HrMachine *m = c->scaling.fleet->pdata[i];
-    for (guint k = 0; k < m->list->len;) {
-      HrTaskRef r = g_array_index (m->list, HrTaskRef, k);
+    for (guint k = 0; k < m->plan.list->len;) {
+      HrTaskRef r = g_array_index (m->plan.list, HrTaskRef, k);
       HrJob *j = hr_job_of_task (c, r);
       /* Gangs are placed anew in each pass: their common start moves with every list. */
       if (hr_machine_is_plannable (c, m) && stands (c, m, r) && j->spec.shape != HR_GANG &&
-          j->planned <= hr_quotas_granted (c, j)) {
+          j->plan.n_listed <= hr_quotas_granted (c, j)) {
         k++;
         continue;
       }
       hr_task_unplan (j, r.task);
-      g_array_remove_index (m->list, k);
+      g_array_remove_index (m->plan.list, k);
     }
     if (hr_machine_is_plannable (c, m)) {
       hr_project_list (c, m, NULL);
@@ -59,19 +59,20 @@
   g_autoptr (GPtrArray) fresh = g_ptr_array_new ();
   for (guint i = 0; i < c->store.tables.open_jobs->len;) {
     HrJob *j = c->store.tables.jobs->pdata[g_array_index (c->store.tables.open_jobs, guint32, i)];
-    if (j->shrunk || !j->tasks) {
-      j->listed = FALSE;
+    if (j->record.is_compacted || !j->tasks) {
+      j->run.is_open = FALSE;
       g_array_remove_index_fast (c->store.tables.open_jobs, i);
       continue;
     }
     i++;
-    if (!j->parted || (j->part != HR_NONE && j->part >= c->scheduling.n_shards))
+    if (!j->plan.shard_chosen ||
+        (j->plan.shard != HR_NONE && j->plan.shard >= c->scheduling.n_shards))
       hr_shard_choose (c, j);
-    if (j->state == HR_JOB_QUEUED && j->spec.shape != HR_SERVICE && !j->gang_over &&
-        j->retry_at <= c->now && hr_team_allows_start (c, j, 1) &&
-        j->nlive + j->ndone < j->ntasks) {
+    if (j->state == HR_JOB_QUEUED && j->spec.shape != HR_SERVICE && !j->run.attempt_ending &&
+        j->run.retry_at <= c->now && hr_team_allows_start (c, j, 1) &&
+        j->run.n_live + j->n_done < j->n_tasks) {
       g_ptr_array_add (fresh, j);
-      guint left = j->ntasks - j->nlive - j->ndone - j->planned;
+      guint left = j->n_tasks - j->run.n_live - j->n_done - j->plan.n_listed;
       queued += j->spec.shape == HR_GANG ? 1 : MIN (left, most_listed (c, j));
     }
   }
@@ -81,19 +82,19 @@
   for (guint i = 0; i < fresh->len; i++) {
     HrJob *j = fresh->pdata[i];
     if (j->spec.shape == HR_GANG) {
-      if (j->nlive == 0)
-        hr_mtedf_gang (c, lists, j, MAX (tries, 2 * j->ntasks));
+      if (j->run.n_live == 0)
+        hr_mtedf_gang (c, lists, j, MAX (tries, 2 * j->n_tasks));
       continue;
     }
     g_autoptr (GPtrArray) order = NULL;
     guint most = most_listed (c, j);
-    for (guint32 k = 0; k < j->ntasks && j->planned < most; k++) {
+    for (guint32 k = 0; k < j->n_tasks && j->plan.n_listed < most; k++) {
       if (j->tasks[k].state != HR_TASK_IDLE || j->tasks[k].is_listed)
         continue;
       if (!order)
         order = hr_mtedf_order (c, lists, j);
       if (!hr_mtedf_task (c, order, j, k, tries)) {
-        j->part = HR_NONE; /* its part cannot hold it after all: any list may */
+        j->plan.shard = HR_NONE; /* its part cannot hold it after all: any list may */
         break;
       }
     }
--- a/src/coordination/scheduling/preemption.c
+++ b/src/coordination/scheduling/preemption.c
@@ -5,11 +5,11 @@
 gboolean
 hr_free_capacity_take (HrFreeCapacity *r, double cpus, double gpus, double mem)
 {
-  if (cpus > r->cpus + 1e-6 || gpus > r->gpus + 1e-6 || mem > r->mem + 1e-6)
+  if (cpus > r->cpus + 1e-6 || gpus > r->gpus + 1e-6 || mem > r->memory_gb + 1e-6)
     return FALSE;
   r->cpus -= cpus;
   r->gpus -= gpus;
-  r->mem -= mem;
+  r->memory_gb -= mem;
   return TRUE;
 }
 
@@ -48,8 +48,8 @@
 static double
 preemption_cost (HrCore *c, HrJob *j, HrMachine *m, gboolean stop)
 {
-  double cpus = m->cpus - m->foreign_cpus, gpus = m->gpus - m->foreign_gpus,
-         mem = m->mem - m->foreign_mem, cost = 0;
+  double cpus = m->free.cpus - m->unrecognized.cpus, gpus = m->free.gpus - m->unrecognized.gpus,
+         mem = m->free.memory_gb - m->unrecognized.memory_gb, cost = 0;
   for (guint k = 0; k < m->tasks->len; k++) {
     if (cpus + 1e-6 >= j->spec.cpus && gpus + 1e-6 >= j->spec.gpus &&
         mem + 1e-6 >= j->spec.memory_gb)
@@ -110,7 +110,7 @@
     if (m->state != HR_MACHINE_UP || !hr_job_allows_machine (c, j, m) ||
         !hr_job_allows_zone (c, j, m))
       continue;
-    double cpus = r->cpus, gpus = r->gpus, mem = r->mem, cost = 0;
+    double cpus = r->cpus, gpus = r->gpus, mem = r->memory_gb, cost = 0;
     for (guint k = 0; k < m->tasks->len; k++) {
       HrTaskRef x = g_array_index (m->tasks, HrTaskRef, k);
       HrJob *v = c->store.tables.jobs->pdata[x.job];
@@ -138,7 +138,7 @@
     HrJob *v = c->store.tables.jobs->pdata[x.job];
     HrTask *t = &v->tasks[x.task];
     if (best->cpus + 1e-6 >= j->spec.cpus && best->gpus + 1e-6 >= j->spec.gpus &&
-        best->mem + 1e-6 >= j->spec.memory_gb)
+        best->memory_gb + 1e-6 >= j->spec.memory_gb)
       break;
     if (t->state != HR_TASK_BOUND || t->stop_wanted || (others && v->spec.team == j->spec.team) ||
         !may_stop (c, v, j))
@@ -146,7 +146,7 @@
     g_info ("%s/%u on %s makes room for %s", v->id, x.task, best->machine->name, j->id);
     best->cpus += v->spec.cpus;
     best->gpus += v->spec.gpus;
-    best->mem += v->spec.memory_gb;
+    best->memory_gb += v->spec.memory_gb;
     hr_preempt_task (c, v, x.task);
   }
   return hr_free_capacity_take (best, j->spec.cpus, j->spec.gpus, j->spec.memory_gb);
--- a/src/coordination/scheduling/projection.c
+++ b/src/coordination/scheduling/projection.c
@@ -12,11 +12,11 @@
 gboolean
 hr_machine_is_plannable (const HrCore *c, const HrMachine *m)
 {
-  if (m->drain || m->type == HR_NONE)
+  if (m->is_draining || m->type == HR_NONE)
     return FALSE;
   return m->state == HR_MACHINE_BOOTING ||
          (m->state == HR_MACHINE_UP &&
-          c->now - MAX (m->heard_at, c->leadership.term_began_at) < 2 * c->policy.silent_s);
+          c->now - MAX (m->agent.heard_at, c->leadership.term_began_at) < 2 * c->policy.silent_s);
 }
 
 /* Type, zone and kind, apart from where the job's other tasks are. */
@@ -26,12 +26,13 @@
   const HrJobSpec *s = &j->spec;
   const HrMachineType *t = hr_machine_is_plannable (c, m) ? hr_machine_type_of (c, m) : NULL;
   /* Where it failed last it is not tried again at once, if there is any other place. */
-  if (m->index == j->bad_machine && c->now < j->bad_until)
+  if (m->index == j->run.failed_machine && c->now < j->run.failed_machine_avoided_until)
     return FALSE;
-  if (j->part != HR_NONE && j->part < c->scheduling.n_shards && m->part != j->part)
+  if (j->plan.shard != HR_NONE && j->plan.shard < c->scheduling.n_shards &&
+      m->plan.shard != j->plan.shard)
     return FALSE;
   return t && (!s->types || (s->types >> m->type & 1)) &&
-         (s->zone == HR_NONE || s->zone == m->zone) && (s->allows_spot || !m->spot) &&
+         (s->zone == HR_NONE || s->zone == m->zone) && (s->allows_spot || !m->is_spot) &&
          s->cpus <= t->cpus + 1e-6 && s->gpus <= t->gpus + 1e-6 &&
          s->memory_gb <= t->memory_gb + 1e-6;
 }
@@ -68,7 +69,7 @@
 hr_estimate_run_time (HrCore *c, const HrJob *j, const HrMachine *m)
 {
   double run = j->spec.estimate_s > 0 ? j->spec.estimate_s : 60;
-  run *= hr_class_stats (c, j->spec.job_class)->correction;
+  run *= hr_class_stats (c, j->spec.job_class)->run_time_correction;
   return run + hr_estimate_fetch_time (c, j, m);
 }
 
@@ -94,7 +95,7 @@
     return INFINITY;
   const HrMachineType *ty = hr_machine_type_of (c, m);
   double est = j->spec.estimate_s > 0 ? j->spec.estimate_s : 60;
-  est *= hr_class_stats (c, j->spec.job_class)->correction;
+  est *= hr_class_stats (c, j->spec.job_class)->run_time_correction;
   if (!t->running_since && ty && !hr_machine_has_image (m, j->spec.image))
     est += j->spec.image_gb / ty->fetch_rate;
   double end = (t->running_since ? t->running_since : t->bound_since) + est;
@@ -111,29 +112,29 @@
     busy = g_array_new (FALSE, FALSE, sizeof (Busy));
   g_array_set_size (busy, 0);
   const HrMachineType *ty = hr_machine_type_of (c, m);
-  double cpus = m->cpus - m->foreign_cpus - m->claim_cpus,
-         gpus = m->gpus - m->foreign_gpus - m->claim_gpus,
-         mem = m->mem - m->foreign_mem - m->claim_mem;
+  double cpus = m->free.cpus - m->unrecognized.cpus - m->reserved.cpus,
+         gpus = m->free.gpus - m->unrecognized.gpus - m->reserved.gpus,
+         mem = m->free.memory_gb - m->unrecognized.memory_gb - m->reserved.memory_gb;
   double at = c->now;
   if (m->state == HR_MACHINE_BOOTING)
-    at = MAX (c->now + 2, m->rented_at + ty->boot_s);
+    at = MAX (c->now + 2, m->instance.requested_at + ty->boot_s);
   for (guint i = 0; i < m->tasks->len; i++) {
     HrTaskRef r = g_array_index (m->tasks, HrTaskRef, i);
     HrJob *j = hr_job_of_task (c, r);
     add_busy (busy, hr_estimate_running_end (c, j, &j->tasks[r.task], m), &j->spec);
   }
-  m->late = 0;
-  m->tardiness = 0;
-  m->ready = at;
+  m->plan.late_count = 0;
+  m->plan.tardiness = 0;
+  m->plan.ready_at = at;
   double from = at;
-  for (guint i = 0; i < m->list->len; i++) {
-    HrTaskRef r = g_array_index (m->list, HrTaskRef, i);
+  for (guint i = 0; i < m->plan.list->len; i++) {
+    HrTaskRef r = g_array_index (m->plan.list, HrTaskRef, i);
     HrJob *j = hr_job_of_task (c, r);
     const HrJobSpec *s = &j->spec;
     double start = from;
     if (s->shape == HR_GANG)
-      start = MAX (start, j->gang_start);
-    start = MAX (start, j->retry_at);
+      start = MAX (start, j->plan.gang_start);
+    start = MAX (start, j->run.retry_at);
     while (busy->len) {
       Busy b = g_array_index (busy, Busy, 0);
       gboolean fits =
@@ -158,23 +159,26 @@
     if (starts)
       starts[i] = start;
     if (i == 0)
-      m->ready = start;
-    double over = start + hr_estimate_run_time (c, j, m) - (j->deadline - c->wall_time + c->now);
+      m->plan.ready_at = start;
+    double over =
+        start + hr_estimate_run_time (c, j, m) - (j->plan.deadline - c->wall_time + c->now);
     if (over > 0) {
-      m->late++;
-      m->tardiness += over;
+      m->plan.late_count++;
+      m->plan.tardiness += over;
     }
   }
-  if (!m->list->len && busy->len && m->cpus < 1)
-    m->ready = MAX (m->ready, MIN (g_array_index (busy, Busy, 0).end, c->now + 1e6));
+  if (!m->plan.list->len && busy->len && m->free.cpus < 1)
+    m->plan.ready_at =
+        MAX (m->plan.ready_at, MIN (g_array_index (busy, Busy, 0).end, c->now + 1e6));
 }
 
 guint
 hr_list_position (HrCore *c, HrMachine *m, const HrJob *j)
 {
   guint i = 0;
-  while (i < m->list->len &&
-         hr_job_of_task (c, g_array_index (m->list, HrTaskRef, i))->deadline <= j->deadline)
+  while (i < m->plan.list->len &&
+         hr_job_of_task (c, g_array_index (m->plan.list, HrTaskRef, i))->plan.deadline <=
+             j->plan.deadline)
     i++;
   return i;
 }
@@ -184,8 +188,8 @@
 {
   HrJob *j = hr_job_of_task (c, r);
   guint at = hr_list_position (c, m, j);
-  g_array_insert_val (m->list, at, r);
-  j->planned += !j->tasks[r.task].is_listed;
+  g_array_insert_val (m->plan.list, at, r);
+  j->plan.n_listed += !j->tasks[r.task].is_listed;
   j->tasks[r.task].is_listed = 1;
   j->tasks[r.task].listed_on = m->index;
 }
@@ -196,7 +200,7 @@
   if (!j->tasks || !j->tasks[task].is_listed)
     return;
   j->tasks[task].is_listed = 0;
-  j->planned--;
+  j->plan.n_listed--;
 }
 
 /* For the projected starts of a list; the owner of all state is a single thread. */
@@ -214,10 +218,10 @@
 void
 hr_list_remove (HrMachine *m, HrTaskRef r)
 {
-  for (guint i = 0; i < m->list->len; i++) {
-    HrTaskRef *x = &g_array_index (m->list, HrTaskRef, i);
+  for (guint i = 0; i < m->plan.list->len; i++) {
+    HrTaskRef *x = &g_array_index (m->plan.list, HrTaskRef, i);
     if (x->job == r.job && x->task == r.task) {
-      g_array_remove_index (m->list, i);
+      g_array_remove_index (m->plan.list, i);
       return;
     }
   }
@@ -226,7 +230,7 @@
 void
 hr_job_unplan (HrCore *c, HrJob *j)
 {
-  for (guint32 i = 0; j->tasks && j->planned && i < j->ntasks; i++) {
+  for (guint32 i = 0; j->tasks && j->plan.n_listed && i < j->n_tasks; i++) {
     if (!j->tasks[i].is_listed)
       continue;
     hr_list_remove (c->store.tables.machines->pdata[j->tasks[i].listed_on],
@@ -242,7 +246,7 @@
   if (!j->spec.one_zone && !j->spec.spread)
     return TRUE;
   guint here = 0;
-  for (guint32 i = 0; i < j->ntasks; i++) {
+  for (guint32 i = 0; i < j->n_tasks; i++) {
     HrTask *t = &j->tasks[i];
     if (t->state != HR_TASK_ASSIGNING && t->state != HR_TASK_BOUND)
       continue;
@@ -254,18 +258,18 @@
       return FALSE;
     here += same;
   }
-  return !j->spec.spread || here < (j->ntasks + 1) / 2;
+  return !j->spec.spread || here < (j->n_tasks + 1) / 2;
 }
 
 void
 hr_list_append (HrCore *c, HrMachine *m, GArray *listed)
 {
-  if (!m->list->len)
+  if (!m->plan.list->len)
     return;
-  double *starts = hr_projection_scratch (m->list->len);
+  double *starts = hr_projection_scratch (m->plan.list->len);
   hr_project_list (c, m, starts);
-  for (guint k = 0; k < m->list->len; k++) {
-    HrListedTask t = {g_array_index (m->list, HrTaskRef, k), m, starts[k]};
+  for (guint k = 0; k < m->plan.list->len; k++) {
+    HrListedTask t = {g_array_index (m->plan.list, HrTaskRef, k), m, starts[k]};
     g_array_append_val (listed, t);
   }
 }
--- a/src/coordination/scheduling/quota_preemption.c
+++ b/src/coordination/scheduling/quota_preemption.c
@@ -19,8 +19,8 @@
 {
   const HrTask *t = &victim->tasks[task];
   return victim->spec.team == j->spec.team && hr_job_priority (victim) > hr_job_priority (j) &&
-         victim->state == HR_JOB_QUEUED && !victim->gang_over && t->state == HR_TASK_BOUND &&
-         !t->stop_wanted;
+         victim->state == HR_JOB_QUEUED && !victim->run.attempt_ending &&
+         t->state == HR_TASK_BOUND && !t->stop_wanted;
 }
 
 static int
@@ -77,8 +77,8 @@
       }
       g_info ("%s/%u on %s makes room for %s within their team's limit", victim->id, r.task,
               m->name, j->id);
-      hr_quota_add (pool,
-                    hr_quota_of (&victim->spec, victim->spec.shape == HR_GANG ? victim->nlive : 1));
+      hr_quota_add (pool, hr_quota_of (&victim->spec,
+                                       victim->spec.shape == HR_GANG ? victim->run.n_live : 1));
       hr_preempt_task (c, victim, r.task);
       k = 0; /* a gang's other tasks may have left the machine */
     }
@@ -93,8 +93,8 @@
   guint size = hr_job_start_unit (j), idle = hr_job_idle_tasks (j);
   HrQuota need = hr_quota_of (&j->spec, size);
   gboolean soon = j->spec.shape != HR_SERVICE && u->shadow_time - c->now <= PATIENCE_S;
-  hr_quota_subtract (&u->reclaimed, hr_quota_of (&j->spec, j->grant));
-  for (guint n = idle - MIN (j->grant, idle); n >= size && !u->is_exhausted; n -= size) {
+  hr_quota_subtract (&u->reclaimed, hr_quota_of (&j->spec, j->quota.granted));
+  for (guint n = idle - MIN (j->quota.granted, idle); n >= size && !u->is_exhausted; n -= size) {
     /* What is stopped for a later job would go to this one, or be filled by shorter work and
      * stopped again. */
     if (!hr_quota_covers (u->reclaimed, need) && (soon || !stop_lower (c, j, &u->reclaimed, need)))
@@ -117,7 +117,7 @@
     HrJob *j = c->scheduling.waiting_jobs->pdata[i];
     HrTeamUsage *u = hr_team_usage (c, j->spec.team);
     /* One that is lent lacks a machine, and others use its share meanwhile. */
-    if (!u->is_exhausted && !j->lent)
+    if (!u->is_exhausted && !j->quota.grant_lent)
       preempt_for_job (c, u, j);
   }
 }
--- a/src/coordination/scheduling/quotas.c
+++ b/src/coordination/scheduling/quotas.c
@@ -45,14 +45,14 @@
   for (guint i = 0; i < c->store.tables.open_jobs->len; i++) {
     HrJob *j = c->store.tables.jobs->pdata[g_array_index (c->store.tables.open_jobs, guint32, i)];
     HrTeamUsage *u = hr_team_usage (c, j->spec.team);
-    guint n = j->nlive;
+    guint n = j->run.n_live;
     /* Its tasks may be anywhere; none is known. */
-    if (j->unreadable && c->now < j->retry_at)
-      n = j->ntasks - j->ndone;
+    if (j->record.tasks_unreadable && c->now < j->run.retry_at)
+      n = j->n_tasks - j->n_done;
     hr_quota_add (&u->used, hr_quota_of (&j->spec, n));
     if (j->state != HR_JOB_QUEUED || !j->tasks || !u->is_limited)
       continue;
-    for (guint32 k = 0; k < j->ntasks && j->nlive; k++)
+    for (guint32 k = 0; k < j->n_tasks && j->run.n_live; k++)
       if (j->tasks[k].state == HR_TASK_BOUND && j->tasks[k].stop_wanted)
         hr_quota_add (&u->ending, hr_quota_of (&j->spec, 1));
   }
@@ -67,14 +67,14 @@
 guint
 hr_job_idle_tasks (const HrJob *j)
 {
-  return j->ntasks - MIN (j->ntasks, j->nlive + j->ndone);
+  return j->n_tasks - MIN (j->n_tasks, j->run.n_live + j->n_done);
 }
 
 static gboolean
 is_waiting (const HrCore *c, const HrJob *j)
 {
-  return j->state == HR_JOB_QUEUED && j->tasks && !j->gang_over && hr_job_idle_tasks (j) &&
-         c->now >= j->retry_at;
+  return j->state == HR_JOB_QUEUED && j->tasks && !j->run.attempt_ending && hr_job_idle_tasks (j) &&
+         c->now >= j->run.retry_at;
 }
 
 /* What starts at once or not at all: a gang; of other jobs, and of a gang that lost tasks
@@ -82,7 +82,7 @@
 guint
 hr_job_start_unit (const HrJob *j)
 {
-  guint whole = j->spec.shape == HR_GANG && !j->nlive ? hr_job_idle_tasks (j) : 1;
+  guint whole = j->spec.shape == HR_GANG && !j->run.n_live ? hr_job_idle_tasks (j) : 1;
   return MAX (whole, 1); /* what waits has a task to start; callers divide by this */
 }
 
@@ -91,13 +91,13 @@
 by_start (gconstpointer a, gconstpointer b)
 {
   const HrJob *x = *(HrJob *const *)a, *y = *(HrJob *const *)b;
-  gboolean short_x = x->short_since > 0, short_y = y->short_since > 0;
+  gboolean short_x = x->run.gang_incomplete_since > 0, short_y = y->run.gang_incomplete_since > 0;
   if (short_x != short_y)
     return short_x ? -1 : 1;
   if (hr_job_priority (x) != hr_job_priority (y))
     return hr_job_priority (x) < hr_job_priority (y) ? -1 : 1;
-  if (x->deadline != y->deadline)
-    return x->deadline < y->deadline ? -1 : 1;
+  if (x->plan.deadline != y->plan.deadline)
+    return x->plan.deadline < y->plan.deadline ? -1 : 1;
   return x->index < y->index ? -1 : x->index > y->index;
 }
 
@@ -111,7 +111,7 @@
   for (guint i = 0; i < c->scaling.machine_types->len; i++)
     fetch = MAX (fetch, j->spec.image_gb /
                             g_array_index (c->scaling.machine_types, HrMachineType, i).fetch_rate);
-  return run * hr_class_stats (c, j->spec.job_class)->correction + fetch;
+  return run * hr_class_stats (c, j->spec.job_class)->run_time_correction + fetch;
 }
 
 /* A task of the team, and when its share of the limit is free again. */
@@ -149,7 +149,7 @@
     HrJob *j = c->store.tables.jobs->pdata[g_array_index (c->store.tables.open_jobs, guint32, i)];
     if (j->spec.team != head->spec.team || !j->tasks)
       continue;
-    for (guint32 k = 0; k < j->ntasks && j->nlive; k++) {
+    for (guint32 k = 0; k < j->n_tasks && j->run.n_live; k++) {
       const HrTask *t = &j->tasks[k];
       if (t->state != HR_TASK_ASSIGNING && t->state != HR_TASK_BOUND)
         continue;
@@ -177,14 +177,15 @@
 grant_has_lapsed (HrCore *c, HrJob *j)
 {
   /* Services stand in no list. */
-  gboolean placed = j->planned || j->spec.shape == HR_SERVICE;
+  gboolean placed = j->plan.n_listed || j->spec.shape == HR_SERVICE;
   double hold = placed ? GRANT_HOLD_S : GRANT_HOLD_UNPLANNED_S;
-  if (c->now < MAX (j->lent_until, j->rent_at))
+  if (c->now < MAX (j->quota.lent_until, j->plan.next_scale_out_at))
     return TRUE;
-  if (!j->granted_at || c->now - j->granted_at <= hold)
+  if (!j->quota.granted_since || c->now - j->quota.granted_since <= hold)
     return FALSE;
-  j->lent_pause = CLAMP (2 * j->lent_pause, LENDING_PAUSE_S, MAX_LENDING_PAUSE_S);
-  j->lent_until = c->now + j->lent_pause;
+  j->quota.lending_pause_s =
+      CLAMP (2 * j->quota.lending_pause_s, LENDING_PAUSE_S, MAX_LENDING_PAUSE_S);
+  j->quota.lent_until = c->now + j->quota.lending_pause_s;
   return TRUE;
 }
 
@@ -198,24 +199,24 @@
   guint n = hr_quota_multiples (behind ? hr_quota_min (u->available, u->backfill) : u->available,
                                 one, most);
   if (behind && !n && hr_quota_multiples (u->available, one, 1)) {
-    if (!j->kept_since)
-      j->kept_since = c->now;
-    n = c->now - j->kept_since > MAX_RESERVATION_WAIT_S;
+    if (!j->quota.kept_out_since)
+      j->quota.kept_out_since = c->now;
+    n = c->now - j->quota.kept_out_since > MAX_RESERVATION_WAIT_S;
   } else
-    j->kept_since = 0;
-  j->grant = n * size;
-  j->lent = grant_has_lapsed (c, j);
-  if (!n || j->lent)
-    j->granted_at = 0;
-  else if (!j->granted_at)
-    j->granted_at = c->now;
-  if (n && !j->lent) {
-    HrQuota all = hr_quota_of (&j->spec, j->grant);
+    j->quota.kept_out_since = 0;
+  j->quota.granted = n * size;
+  j->quota.grant_lent = grant_has_lapsed (c, j);
+  if (!n || j->quota.grant_lent)
+    j->quota.granted_since = 0;
+  else if (!j->quota.granted_since)
+    j->quota.granted_since = c->now;
+  if (n && !j->quota.grant_lent) {
+    HrQuota all = hr_quota_of (&j->spec, j->quota.granted);
     hr_quota_subtract (&u->available, all);
     if (behind || !u->has_reservation)
       hr_quota_subtract (&u->backfill, all);
   }
-  if (n < most && !u->has_reservation && !j->lent)
+  if (n < most && !u->has_reservation && !j->quota.grant_lent)
     reserve (c, u, j);
 }
 
@@ -226,8 +227,8 @@
   for (HrPriority priority = HR_PRIORITY_PRODUCTION; priority <= HR_PRIORITY_LOW; priority++)
     for (guint k = 0; k < c->scheduling.class_stats->len; k++) {
       HrClassStats *s = &g_array_index (c->scheduling.class_stats, HrClassStats, k);
-      guint wanted = s->rank == priority ? hr_headroom_wanted (c, k) : 0, n = 0;
-      if (s->rank != priority)
+      guint wanted = s->priority == priority ? hr_headroom_wanted (c, k) : 0, n = 0;
+      if (s->priority != priority)
         continue;
       for (guint t = 0; t < c->scheduling.team_usage->len && n < wanted; t++) {
         HrTeamUsage *u = &g_array_index (c->scheduling.team_usage, HrTeamUsage, t);
@@ -253,13 +254,13 @@
   g_ptr_array_set_size (c->scheduling.waiting_jobs, 0);
   for (guint i = 0; i < c->store.tables.open_jobs->len; i++) {
     HrJob *j = c->store.tables.jobs->pdata[g_array_index (c->store.tables.open_jobs, guint32, i)];
-    j->grant = 0;
+    j->quota.granted = 0;
     if (!hr_team_usage (c, j->spec.team)->is_limited)
       continue;
     if (is_waiting (c, j))
       g_ptr_array_add (c->scheduling.waiting_jobs, j);
     else
-      j->granted_at = j->kept_since = 0;
+      j->quota.granted_since = j->quota.kept_out_since = 0;
   }
   g_ptr_array_sort (c->scheduling.waiting_jobs, by_start);
   for (guint i = 0; i < c->scheduling.waiting_jobs->len; i++) {
@@ -274,9 +275,10 @@
 {
   HrTeamUsage *u = hr_team_usage (c, j->spec.team);
   hr_quota_add (&u->used, hr_quota_of (&j->spec, 1));
-  j->grant -= j->grant > 0;
-  j->granted_at = j->kept_since = j->lent_until = j->lent_pause = 0;
-  j->claim_since = j->claim_pause = 0;
+  j->quota.granted -= j->quota.granted > 0;
+  j->quota.granted_since = j->quota.kept_out_since = j->quota.lent_until =
+      j->quota.lending_pause_s = 0;
+  j->quota.reclaiming_since = j->quota.reclaim_pause_s = 0;
 }
 
 guint
@@ -287,5 +289,5 @@
     return G_MAXUINT;
   HrQuota now = u->limit;
   hr_quota_subtract (&now, u->used);
-  return hr_quota_multiples (now, hr_quota_of (&j->spec, 1), j->grant);
+  return hr_quota_multiples (now, hr_quota_of (&j->spec, 1), j->quota.granted);
 }
--- a/src/coordination/scheduling/service_replicas.c
+++ b/src/coordination/scheduling/service_replicas.c
@@ -23,9 +23,9 @@
 stays_open (const HrCore *c, const HrJobSpec *s, const HrMachine *m, guint replicas)
 {
   const HrMachineType *t = hr_machine_type_of (c, m);
-  return m->fixed_cpus + replicas * s->cpus <= t->cpus + 1e-6 &&
-         m->fixed_gpus + replicas * s->gpus <= t->gpus + 1e-6 &&
-         m->fixed_mem + replicas * s->memory_gb <= t->memory_gb + 1e-6;
+  return m->services.cpus + replicas * s->cpus <= t->cpus + 1e-6 &&
+         m->services.gpus + replicas * s->gpus <= t->gpus + 1e-6 &&
+         m->services.memory_gb + replicas * s->memory_gb <= t->memory_gb + 1e-6;
 }
 
 /* The next arrivals need places where their image is. Are there too few for this one?
@@ -45,15 +45,15 @@
   }
   if (fetch + PREEMPTION_S <= within)
     return FALSE; /* a fetch in time is cheaper than places kept open */
-  for (guint i = 0; i < s->nimages; i++) {
+  for (guint i = 0; i < s->n_images; i++) {
     weight += s->images[i].weight;
     if (s->images[i].image == j->spec.image)
       own = s->images[i].weight;
   }
   for (guint i = 0; i < c->scaling.fleet->len; i++) {
     HrMachine *m = c->scaling.fleet->pdata[i];
-    if (m->state == HR_MACHINE_UP && !m->drain && m->type != HR_NONE &&
-        (!m->spot || j->spec.allows_spot) && hr_machine_has_image (m, j->spec.image) &&
+    if (m->state == HR_MACHINE_UP && !m->is_draining && m->type != HR_NONE &&
+        (!m->is_spot || j->spec.allows_spot) && hr_machine_has_image (m, j->spec.image) &&
         stays_open (c, &j->spec, m, 1))
       open++;
   }
@@ -69,7 +69,7 @@
   double closes = open && fetch > 0 && !stays_open (c, &j->spec, m, 2) ? 1000 : 0;
   /* Behind a cut of the controllers' own zone its workers still hear the owner. */
   double home = m->zone == c->settings->home ? HR_HOME_S * 10 : 0;
-  return home - 10 * fetch - closes + m->tasks->len * 10 - (m->gpus + m->cpus * 0.1);
+  return home - 10 * fetch - closes + m->tasks->len * 10 - (m->free.gpus + m->free.cpus * 0.1);
 }
 
 void
@@ -79,7 +79,7 @@
   for (guint i = 0; i < services->len; i++) {
     HrJob *j = services->pdata[i];
     gboolean open = short_of_places (c, j);
-    for (guint32 k = 0; k < j->ntasks; k++) {
+    for (guint32 k = 0; k < j->n_tasks; k++) {
       HrMachine *best = NULL;
       double most = 0;
       if (j->tasks[k].state != HR_TASK_IDLE || !hr_team_allows_start (c, j, 1))
@@ -95,19 +95,19 @@
         }
       }
       double left = start_left (c, j);
-      if (isfinite (left) && c->now >= j->retry_at &&
+      if (isfinite (left) && c->now >= j->run.retry_at &&
           (!best || hr_estimate_fetch_time (c, j, best) + PREEMPTION_S > left)) {
         HrMachine *other = hr_preempt_for_cached_image (c, j);
         if (other)
           best = other;
       }
       if (!best) {
-        j->part = HR_NONE; /* not in its part: any machine may */
+        j->plan.shard = HR_NONE; /* not in its part: any machine may */
         break;
       }
-      best->fixed_cpus += j->spec.cpus;
-      best->fixed_gpus += j->spec.gpus;
-      best->fixed_mem += j->spec.memory_gb;
+      best->services.cpus += j->spec.cpus;
+      best->services.gpus += j->spec.gpus;
+      best->services.memory_gb += j->spec.memory_gb;
       hr_dispatch_start (c, j, k, best);
     }
   }
--- a/src/coordination/scheduling/service_reservations.c
+++ b/src/coordination/scheduling/service_reservations.c
@@ -7,9 +7,9 @@
 reserve_on_machine (HrMachine *m, double cpus, double gpus, double mem, guint n)
 {
   while (n && hr_machine_has_unreserved (m, cpus, gpus, mem)) {
-    m->claim_cpus += cpus;
-    m->claim_gpus += gpus;
-    m->claim_mem += mem;
+    m->reserved.cpus += cpus;
+    m->reserved.gpus += gpus;
+    m->reserved.memory_gb += mem;
     n--;
   }
   return n;
@@ -22,10 +22,10 @@
 {
   for (guint k = 0; k < c->scaling.fleet->len && n; k++) {
     HrMachine *m = c->scaling.fleet->pdata[k];
-    if (m->state == HR_MACHINE_UP && hr_machine_is_plannable (c, m) && (!m->spot || s->spot) &&
-        (!s->types || s->types >> m->type & 1) && (!busy || m->tasks->len) &&
-        (image == HR_NONE || hr_machine_has_image (m, image)))
-      n = reserve_on_machine (m, s->cpus, s->gpus, s->mem, n);
+    if (m->state == HR_MACHINE_UP && hr_machine_is_plannable (c, m) &&
+        (!m->is_spot || s->allows_spot) && (!s->types || s->types >> m->type & 1) &&
+        (!busy || m->tasks->len) && (image == HR_NONE || hr_machine_has_image (m, image)))
+      n = reserve_on_machine (m, s->cpus, s->gpus, s->memory_gb, n);
   }
   return n;
 }
@@ -38,15 +38,15 @@
 {
   for (guint i = 0; i < c->scaling.fleet->len; i++) {
     HrMachine *m = c->scaling.fleet->pdata[i];
-    m->claim_cpus = m->claim_gpus = m->claim_mem = 0;
-    m->fixed_cpus = m->fixed_gpus = m->fixed_mem = 0;
+    m->reserved.cpus = m->reserved.gpus = m->reserved.memory_gb = 0;
+    m->services.cpus = m->services.gpus = m->services.memory_gb = 0;
     for (guint k = 0; k < m->tasks->len; k++) {
       const HrJobSpec *s = &hr_job_of_task (c, g_array_index (m->tasks, HrTaskRef, k))->spec;
       if (s->shape != HR_SERVICE)
         continue;
-      m->fixed_cpus += s->cpus;
-      m->fixed_gpus += s->gpus;
-      m->fixed_mem += s->memory_gb;
+      m->services.cpus += s->cpus;
+      m->services.gpus += s->gpus;
+      m->services.memory_gb += s->memory_gb;
     }
   }
   for (guint i = 0; i < c->store.tables.open_jobs->len; i++) {
@@ -54,7 +54,7 @@
     const HrJobSpec *s = &j->spec;
     if (j->state != HR_JOB_QUEUED || s->shape != HR_SERVICE || !j->tasks)
       continue;
-    guint left = MIN (j->ntasks - j->nlive, hr_quotas_granted (c, j));
+    guint left = MIN (j->n_tasks - j->run.n_live, hr_quotas_granted (c, j));
     for (guint k = 0; k < c->scaling.fleet->len && left; k++) {
       HrMachine *m = c->scaling.fleet->pdata[k];
       if (m->state == HR_MACHINE_BOOTING && hr_job_allows_machine (c, j, m))
@@ -63,12 +63,12 @@
   }
   for (guint i = 0; i < c->scheduling.class_stats->len; i++) {
     HrClassStats *s = &g_array_index (c->scheduling.class_stats, HrClassStats, i);
-    guint left = s->seen && s->shape == HR_SERVICE ? hr_headroom (c, i) : 0, all = left;
+    guint left = s->is_seen && s->shape == HR_SERVICE ? hr_headroom (c, i) : 0, all = left;
     double weight = 0;
-    for (guint k = 0; k < s->nimages; k++)
+    for (guint k = 0; k < s->n_images; k++)
       weight += s->images[k].weight;
     /* Where an image is that the next arrivals may need: a replica starts there at once. */
-    for (guint k = 0; k < s->nimages && left; k++) {
+    for (guint k = 0; k < s->n_images && left; k++) {
       guint want = MIN (left, (guint)(all * s->images[k].weight / weight + 0.5));
       left -= want - reserve_capacity (c, s, s->images[k].image, FALSE, want);
     }
--- a/src/coordination/scheduling/shards.c
+++ b/src/coordination/scheduling/shards.c
@@ -27,9 +27,9 @@
   c->scheduling.n_shards = 1 + c->scaling.fleet->len / (guint)c->policy.machines_per_part;
   for (guint i = 0; i < c->scaling.fleet->len; i++) {
     HrMachine *m = c->scaling.fleet->pdata[i];
-    if (m->parts != c->scheduling.n_shards)
-      m->part = hr_shard_of (m->name, c->scheduling.n_shards);
-    m->parts = c->scheduling.n_shards;
+    if (m->plan.n_shards != c->scheduling.n_shards)
+      m->plan.shard = hr_shard_of (m->name, c->scheduling.n_shards);
+    m->plan.n_shards = c->scheduling.n_shards;
   }
 }
 
@@ -56,18 +56,19 @@
   const HrTeam *t = hr_team (c, j->spec.team);
   gboolean limit = t && (t->cpus_max > 0 || t->gpus_max > 0);
   g_autofree guint *capacity = g_new0 (guint, c->scheduling.n_shards);
-  j->parted = TRUE;
-  j->part = HR_NONE;
+  j->plan.shard_chosen = TRUE;
+  j->plan.shard = HR_NONE;
   /* Services stand in no list; held to a part, they would keep a machine open in each. */
   if (c->scheduling.n_shards == 1 || j->spec.shape == HR_SERVICE ||
-      (j->spec.shape == HR_GANG && j->ntasks > 1) || j->spec.one_zone || j->spec.spread || limit)
+      (j->spec.shape == HR_GANG && j->n_tasks > 1) || j->spec.one_zone || j->spec.spread || limit)
     return;
   for (guint i = 0; i < c->scaling.fleet->len; i++) {
     HrMachine *m = c->scaling.fleet->pdata[i];
     if (hr_job_allows_machine (c, j, m))
-      capacity[m->part] += task_slots (m, &j->spec);
+      capacity[m->plan.shard] += task_slots (m, &j->spec);
   }
   for (guint i = 0; i < c->scheduling.n_shards; i++)
-    if (capacity[i] >= j->ntasks && (j->part == HR_NONE || capacity[i] > capacity[j->part]))
-      j->part = i;
+    if (capacity[i] >= j->n_tasks &&
+        (j->plan.shard == HR_NONE || capacity[i] > capacity[j->plan.shard]))
+      j->plan.shard = i;
 }
--- a/src/coordination/scheduling/starvation_guard.c
+++ b/src/coordination/scheduling/starvation_guard.c
@@ -18,7 +18,8 @@
 is_waiting (HrCore *c, const HrJob *j)
 {
   return j->state == HR_JOB_QUEUED && j->tasks && j->spec.shape == HR_BATCH &&
-         j->nlive + j->ndone < j->ntasks && c->now >= j->retry_at && hr_team_allows_start (c, j, 1);
+         j->run.n_live + j->n_done < j->n_tasks && c->now >= j->run.retry_at &&
+         hr_team_allows_start (c, j, 1);
 }
 
 /* The machine with room where the job's next task would be done first; NULL: there is none.
@@ -27,14 +28,14 @@
 find_free_machine (HrCore *c, HrJob *j, const GPtrArray *capacities, gboolean first)
 {
   HrMachine *best = NULL;
-  guint32 part = j->part;
-  j->part = HR_NONE; /* room in any part of the fleet counts */
+  guint32 part = j->plan.shard;
+  j->plan.shard = HR_NONE; /* room in any part of the fleet counts */
   for (guint i = 0; i < capacities->len && !(best && first); i++) {
     HrMachine *m = capacities->pdata[i];
     if (hr_dispatch_fits_now (c, j, m) && (!best || hr_dispatch_batch_better (c, j, m, best)))
       best = m;
   }
-  j->part = part;
+  j->plan.shard = part;
   return best;
 }
 
@@ -43,7 +44,7 @@
 start_on_free_capacity (HrCore *c, HrJob *j, const GPtrArray *capacities)
 {
   guint started = 0;
-  for (guint32 k = 0; k < j->ntasks && hr_team_allows_start (c, j, 1); k++) {
+  for (guint32 k = 0; k < j->n_tasks && hr_team_allows_start (c, j, 1); k++) {
     if (j->tasks[k].state != HR_TASK_IDLE)
       continue;
     HrMachine *m = find_free_machine (c, j, capacities, FALSE);
@@ -77,18 +78,18 @@
   for (guint i = 0; i < c->store.tables.open_jobs->len; i++) {
     HrJob *j = c->store.tables.jobs->pdata[g_array_index (c->store.tables.open_jobs, guint32, i)];
     if (!is_waiting (c, j)) {
-      j->held_back_since = 0;
+      j->quota.starving_since = 0;
       continue;
     }
     if ((failed && is_harder_to_place (&j->spec, failed)) ||
         !find_free_machine (c, j, capacities, TRUE)) {
       failed = &j->spec;
-      j->held_back_since = 0;
+      j->quota.starving_since = 0;
       continue;
     }
-    if (!j->held_back_since)
-      j->held_back_since = c->now;
-    if (c->now - j->held_back_since >= STARVATION_LIMIT_S)
+    if (!j->quota.starving_since)
+      j->quota.starving_since = c->now;
+    if (c->now - j->quota.starving_since >= STARVATION_LIMIT_S)
       start_on_free_capacity (c, j, capacities);
   }
 }
--- a/src/coordination/scheduling/tabu.c
+++ b/src/coordination/scheduling/tabu.c
@@ -22,29 +22,29 @@
   double total = 0;
   for (guint i = 0; i < n; i++) {
     avail[i] = cand[i] = TRUE;
-    total += ((HrMachine *)lists->pdata[i])->tardiness;
+    total += ((HrMachine *)lists->pdata[i])->plan.tardiness;
   }
   for (guint round = 0; round < c->policy.tabu_rounds && total > 1e-6; round++) {
     guint hi = HR_NONE, lo = HR_NONE;
     for (guint i = 0; i < n; i++) {
       HrMachine *m = lists->pdata[i];
-      if (avail[i] && m->list->len &&
-          (hi == HR_NONE || m->tardiness > ((HrMachine *)lists->pdata[hi])->tardiness))
+      if (avail[i] && m->plan.list->len &&
+          (hi == HR_NONE || m->plan.tardiness > ((HrMachine *)lists->pdata[hi])->plan.tardiness))
         hi = i;
     }
     if (hi == HR_NONE)
       return;
     HrMachine *a = lists->pdata[hi];
     /* The most tardy job of the tardiest list. Gangs stay: their slots hang together. */
-    double *starts = hr_projection_scratch (a->list->len);
+    double *starts = hr_projection_scratch (a->plan.list->len);
     hr_project_list (c, a, starts);
     HrTaskRef pick = {HR_NONE, 0};
     double worst = 0;
-    for (guint i = 0; i < a->list->len; i++) {
-      HrTaskRef r = g_array_index (a->list, HrTaskRef, i);
+    for (guint i = 0; i < a->plan.list->len; i++) {
+      HrTaskRef r = g_array_index (a->plan.list, HrTaskRef, i);
       HrJob *j = hr_job_of_task (c, r);
       double over =
-          starts[i] + hr_estimate_run_time (c, j, a) - (j->deadline - c->wall_time + c->now);
+          starts[i] + hr_estimate_run_time (c, j, a) - (j->plan.deadline - c->wall_time + c->now);
       if (over > worst && j->spec.shape != HR_GANG && !is_tabu (tabu, r)) {
         worst = over;
         pick = r;
@@ -59,9 +59,9 @@
     for (guint i = 0; i < n; i++) {
       HrMachine *m = lists->pdata[i];
       if (i != hi && cand[i] && hr_job_allows_machine (c, j, m) && hr_job_allows_zone (c, j, m) &&
-          (lo == HR_NONE || m->tardiness < ((HrMachine *)lists->pdata[lo])->tardiness ||
-           (m->tardiness == ((HrMachine *)lists->pdata[lo])->tardiness &&
-            m->ready < ((HrMachine *)lists->pdata[lo])->ready)))
+          (lo == HR_NONE || m->plan.tardiness < ((HrMachine *)lists->pdata[lo])->plan.tardiness ||
+           (m->plan.tardiness == ((HrMachine *)lists->pdata[lo])->plan.tardiness &&
+            m->plan.ready_at < ((HrMachine *)lists->pdata[lo])->plan.ready_at)))
         lo = i;
     }
     if (lo == HR_NONE) {
@@ -72,12 +72,14 @@
       continue;
     }
     HrMachine *b = lists->pdata[lo];
-    HrListScore before = {a->late + b->late, a->tardiness + b->tardiness};
+    HrListScore before = {a->plan.late_count + b->plan.late_count,
+                          a->plan.tardiness + b->plan.tardiness};
     hr_list_remove (a, pick);
     hr_list_insert (c, b, pick);
     hr_project_list (c, a, NULL);
     hr_project_list (c, b, NULL);
-    HrListScore after = {a->late + b->late, a->tardiness + b->tardiness};
+    HrListScore after = {a->plan.late_count + b->plan.late_count,
+                         a->plan.tardiness + b->plan.tardiness};
     if (hr_list_score_better (after, before)) {
       total += after.tardiness - before.tardiness;
       memset (avail, 0xff, n * sizeof *avail);
--- a/src/coordination/state.h
+++ b/src/coordination/state.h
@@ -198,7 +198,7 @@
 static inline HrPriority
 hr_job_priority (const HrJob *j)
 {
-  return j->rank;
+  return j->plan.priority;
 }
 
 /* rent.c */
--- a/tests/sim/lone_node.c
+++ b/tests/sim/lone_node.c
@@ -311,8 +311,8 @@
 {
   HrMachine *m = hr_machine_get (n->core, "m-1");
   m->state = HR_MACHINE_UP;
-  m->incarnation = 1;
-  m->heard_at = n->now;
+  m->agent.incarnation = 1;
+  m->agent.heard_at = n->now;
   hr_machine_describe (m, &g_array_index (n->core->scaling.machine_types, HrMachineType, 0),
                        HR_NONE, FALSE);
   hr_fleet_add (n->core, m);
--- a/tests/test_awaits.c
+++ b/tests/test_awaits.c
@@ -283,14 +283,14 @@
   submit_many (l, 1000);
   HrJob *j = hr_job_find (n->core, "job-e");
   HrMachine *m = node_machine (n);
-  for (guint i = 0; i < j->ntasks; i++)
+  for (guint i = 0; i < j->n_tasks; i++)
     hr_task_assign (n->core, j, i, m, 1);
   node_run (n, 3);
   assert_int_equal (node_cancel (n, "job-r"), 200);
   node_run (n, 3);
-  for (guint i = 0; i < j->ntasks; i++)
+  for (guint i = 0; i < j->n_tasks; i++)
     hr_task_done (n->core, j, i);
-  assert_int_equal (j->ndone, j->ntasks);
+  assert_int_equal (j->n_done, j->n_tasks);
   node_run (n, 2);
   assert_string_equal (node_poll (n, "job-e"), "done");
   node_free (n);
--- a/tests/test_fixtures.c
+++ b/tests/test_fixtures.c
@@ -57,19 +57,20 @@
   assert_true (hr_record_read (v, &r->names, &r->record));
   if (!r->record.is_tombstone) {
     hr_job_set_spec (r->job, &r->record.spec, r->record.tasks_per_page);
-    r->job->submitted = r->record.submitted_at;
+    r->job->submitted_at = r->record.submitted_at;
     if (!r->record.tasks_per_page)
       assert_true (hr_record_tasks (r->job, 0, r->record.tasks, &r->machines));
   }
   for (guint i = 0; r->record.awaits && r->record.awaits[i]; i++) {
-    HrJob **awaits = g_renew (HrJob *, r->job->awaits, ++r->job->nawaits);
+    HrJob **awaits =
+        g_renew (HrJob *, r->job->dependencies.awaited, ++r->job->dependencies.n_awaited);
     awaits[i] = named_job (r->record.awaits[i]);
-    r->job->awaits = awaits;
+    r->job->dependencies.awaited = awaits;
   }
-  r->job->resplit = r->record.sized_page_keys;
+  r->job->record.sized_page_keys = r->record.sized_page_keys;
   if (r->record.cancelled_with)
-    r->job->withdrawn_with = named_job (r->record.cancelled_with);
-  r->job->extra = g_steal_pointer (&r->record.extra);
+    r->job->cancellation.root = named_job (r->record.cancelled_with);
+  r->job->record.unknown_members = g_steal_pointer (&r->record.extra);
   json_decref (v);
 }
 
@@ -77,10 +78,10 @@
 read_clear (Read *r)
 {
   hr_record_clear (&r->record);
-  for (guint i = 0; i < r->job->nawaits; i++)
-    named_job_free (r->job->awaits[i]);
-  if (r->job->withdrawn_with)
-    named_job_free (r->job->withdrawn_with);
+  for (guint i = 0; i < r->job->dependencies.n_awaited; i++)
+    named_job_free (r->job->dependencies.awaited[i]);
+  if (r->job->cancellation.root)
+    named_job_free (r->job->cancellation.root);
   hr_job_free (r->job);
   hr_intern_clear (&r->machines);
   hr_names_clear (&r->names);
@@ -91,8 +92,8 @@
 {
   if (!r->record.is_tombstone)
     return hr_record_main (r->job, &r->names, &r->machines, r->record.state, r->record.tag, FALSE);
-  r->job->ntasks = r->record.n_tasks;
-  r->job->nrdone = r->record.n_done;
+  r->job->n_tasks = r->record.n_tasks;
+  r->job->n_recorded_done = r->record.n_done;
   return hr_record_tombstone (r->job, r->record.state, r->record.tag);
 }
 
@@ -109,12 +110,12 @@
       continue;
     Read r;
     read_main (&r, lines[i] + strlen (main));
-    assert_int_equal (r.job->resplit, split);
+    assert_int_equal (r.job->record.sized_page_keys, split);
     if (split)
-      assert_int_equal (r.job->per_page, atoi (parts[3]));
+      assert_int_equal (r.job->record.tasks_per_page, atoi (parts[3]));
     json_t *v = json_loads (text, 0, NULL);
-    assert_true (
-        hr_record_tasks (r.job, page * r.job->per_page, json_object_get (v, "x"), &r.machines));
+    assert_true (hr_record_tasks (r.job, page * r.job->record.tasks_per_page,
+                                  json_object_get (v, "x"), &r.machines));
     g_autofree char *back = hr_record_page (r.job, page, &r.machines, hr_json_str (v, "w"), FALSE);
     assert_string_equal (back, text);
     json_decref (v);
@@ -141,7 +142,7 @@
         g_autofree char *back = write_main (&r);
         assert_string_equal (back, row[1]);
         tombstones += r.record.is_tombstone;
-        awaiting += r.job->nawaits > 0;
+        awaiting += r.job->dependencies.n_awaited > 0;
         taken_along += r.record.cancelled_with != NULL;
         mains++;
         read_clear (&r);
--- a/tests/test_readiness.c
+++ b/tests/test_readiness.c
@@ -24,7 +24,7 @@
   assert_string_equal (node_poll (n, "job-3"), "queued");
   assert_non_null (strstr (hr_json_str (n->body, "reason"), "2 jobs to be done: job-1, job-2"));
   HrJob *j = hr_job_find (n->core, "job-3");
-  assert_false (j->counted);
+  assert_false (j->run.arrival_counted);
   double since = n->now;
   ledger_done (l, "job-2");
   node_run (n, 2);
@@ -33,8 +33,8 @@
   ledger_done (l, "job-1");
   node_run (n, 2);
   assert_true (node_opens (n, "job-3"));
-  assert_true (j->counted); /* it arrives now */
-  assert_true (j->deadline - 1e9 > since + 40 + 50 && isfinite (j->deadline));
+  assert_true (j->run.arrival_counted); /* it arrives now */
+  assert_true (j->plan.deadline - 1e9 > since + 40 + 50 && isfinite (j->plan.deadline));
   /* A job that names what is done need not wait at all. */
   assert_int_equal (node_submit (n, "job-4", "[\"job-1\"]", NULL), 201);
   assert_true (node_opens (n, "job-4"));
@@ -52,14 +52,14 @@
   assert_int_equal (node_submit (n, "job-2", "[\"job-1\"]", NULL), 201);
   HrJob *first = hr_job_find (n->core, "job-1"), *second = hr_job_find (n->core, "job-2");
   HrMachine *m = node_machine (n);
-  for (guint i = 0; i < first->ntasks; i++)
+  for (guint i = 0; i < first->n_tasks; i++)
     hr_task_assign (n->core, first, i, m, 1);
   node_run (n, 1);
   l->down = TRUE;
-  for (guint i = 0; i < first->ntasks; i++)
+  for (guint i = 0; i < first->n_tasks; i++)
     hr_task_done (n->core, first, i);
   node_run (n, 1);
-  assert_int_equal (first->ndone, first->ntasks);
+  assert_int_equal (first->n_done, first->n_tasks);
   hr_job_open (n->core, second);
   assert_false (node_opens (n, "job-2"));
   l->down = FALSE;
@@ -204,28 +204,28 @@
   assert_int_equal (node_submit (n, "job-1", NULL, NULL), 201);
   assert_int_equal (node_submit (n, "job-2", "[\"job-1\"]", NULL), 201);
   HrJob *first = hr_job_find (n->core, "job-1"), *second = hr_job_find (n->core, "job-2");
-  double own = first->deadline;
-  assert_int_equal (first->rank, HR_PRIORITY_LOW);
+  double own = first->plan.deadline;
+  assert_int_equal (first->plan.priority, HR_PRIORITY_LOW);
   node_run (n, 30);
   assert_int_equal (node_submit (n, "job-3", "[\"job-2\"]", ",\"due_s\":60,\"rank\":\"urgent\""),
                     201);
   HrJob *last = hr_job_find (n->core, "job-3");
-  assert_int_equal (last->rank, HR_PRIORITY_URGENT);
-  assert_int_equal (second->rank, HR_PRIORITY_URGENT);
-  assert_int_equal (first->rank, HR_PRIORITY_URGENT);
-  assert_float_equal (last->deadline, last->submitted + 60, 1e-3);
-  assert_float_equal (second->deadline, last->deadline - 20, 1e-3);
-  assert_float_equal (first->deadline, last->deadline - 40, 1e-3);
-  assert_true (first->deadline < own);
+  assert_int_equal (last->plan.priority, HR_PRIORITY_URGENT);
+  assert_int_equal (second->plan.priority, HR_PRIORITY_URGENT);
+  assert_int_equal (first->plan.priority, HR_PRIORITY_URGENT);
+  assert_float_equal (last->plan.deadline, last->submitted_at + 60, 1e-3);
+  assert_float_equal (second->plan.deadline, last->plan.deadline - 20, 1e-3);
+  assert_float_equal (first->plan.deadline, last->plan.deadline - 40, 1e-3);
+  assert_true (first->plan.deadline < own);
   hr_replica_reset (n->core);
   node_run (n, 3);
-  assert_int_equal (first->rank, HR_PRIORITY_URGENT);
-  assert_float_equal (first->deadline, last->deadline - 40, 1e-3);
+  assert_int_equal (first->plan.priority, HR_PRIORITY_URGENT);
+  assert_float_equal (first->plan.deadline, last->plan.deadline - 40, 1e-3);
   /* Nobody needs it urgently any more. */
   assert_int_equal (node_cancel (n, "job-3"), 200);
-  assert_int_equal (second->rank, HR_PRIORITY_LOW);
-  assert_int_equal (first->rank, HR_PRIORITY_LOW);
-  assert_float_equal (first->deadline, own, 1e-3);
+  assert_int_equal (second->plan.priority, HR_PRIORITY_LOW);
+  assert_int_equal (first->plan.priority, HR_PRIORITY_LOW);
+  assert_float_equal (first->plan.deadline, own, 1e-3);
   node_free (n);
   ledger_free (l);
 }
@@ -290,9 +290,9 @@
     for (gint k = 0; k < i; k++)
       ready = ready && !d->awaits[i][k];
     priority[i] = d->rank[i];
-    deadline[i] = d->due[i] > 0 ? j->submitted + d->due[i]
-                  : ready       ? j->submitted + n->core->policy.default_deadline * DRAWN_ESTIMATE_S
-                                : INFINITY;
+    deadline[i] = d->due[i] > 0 ? j->submitted_at + d->due[i]
+                  : ready ? j->submitted_at + n->core->policy.default_deadline * DRAWN_ESTIMATE_S
+                          : INFINITY;
     for (guint k = i + 1; k < d->n; k++)
       if (d->awaits[k][i] && !gone[k]) {
         priority[i] = MIN (priority[i], priority[k]);
@@ -300,8 +300,8 @@
       }
     if (gone[i])
       continue;
-    assert_int_equal (j->rank, priority[i]);
-    assert_true (j->deadline == deadline[i] || fabs (j->deadline - deadline[i]) < 1e-3);
+    assert_int_equal (j->plan.priority, priority[i]);
+    assert_true (j->plan.deadline == deadline[i] || fabs (j->plan.deadline - deadline[i]) < 1e-3);
   }
 }
 
@@ -352,10 +352,11 @@
     assert_int_equal (node_submit (n, id, awaits, last ? LAST_STEP : NULL), 201);
   }
   const HrJob *first = hr_job_find (n->core, "job-l000"), *last = hr_job_find (n->core, "job-l119");
-  assert_int_equal (first->rank, HR_PRIORITY_URGENT);
-  assert_float_equal (first->deadline, last->deadline - (LAYERS - 1) * DRAWN_ESTIMATE_S, 1e-3);
+  assert_int_equal (first->plan.priority, HR_PRIORITY_URGENT);
+  assert_float_equal (first->plan.deadline, last->plan.deadline - (LAYERS - 1) * DRAWN_ESTIMATE_S,
+                      1e-3);
   assert_int_equal (node_cancel (n, "job-l119"), 200);
-  assert_int_equal (first->rank, HR_PRIORITY_LOW);
+  assert_int_equal (first->plan.priority, HR_PRIORITY_LOW);
   node_free (n);
   ledger_free (l);
 }
@@ -422,8 +423,9 @@
 {
   n->core->scheduling.plan_is_stale = TRUE;
   node_run (n, 2);
-  assert_true (m->list->len > 1);
-  return ((HrJob *)n->core->store.tables.jobs->pdata[g_array_index (m->list, HrTaskRef, 0).job])
+  assert_true (m->plan.list->len > 1);
+  return ((HrJob *)
+              n->core->store.tables.jobs->pdata[g_array_index (m->plan.list, HrTaskRef, 0).job])
       ->id;
 }
 
@@ -441,12 +443,12 @@
   assert_string_equal (first_in_list (n, m), "job-2");
   assert_int_equal (node_submit (n, "job-3", "[\"job-1\"]", ",\"due_s\":60,\"rank\":\"low\""), 201);
   assert_string_equal (first_in_list (n, m), "job-1");
-  for (guint i = 1; i < m->list->len; i++) {
+  for (guint i = 1; i < m->plan.list->len; i++) {
     const HrJob *before =
-        n->core->store.tables.jobs->pdata[g_array_index (m->list, HrTaskRef, i - 1).job];
+        n->core->store.tables.jobs->pdata[g_array_index (m->plan.list, HrTaskRef, i - 1).job];
     const HrJob *after =
-        n->core->store.tables.jobs->pdata[g_array_index (m->list, HrTaskRef, i).job];
-    assert_true (before->deadline <= after->deadline);
+        n->core->store.tables.jobs->pdata[g_array_index (m->plan.list, HrTaskRef, i).job];
+    assert_true (before->plan.deadline <= after->plan.deadline);
   }
   node_free (n);
   ledger_free (l);
@@ -463,7 +465,7 @@
   HrJob *j = hr_job_find (n->core, "job-1");
   HrMachine *m = node_machine (n);
   j->spec.estimate_s = runs_s;
-  for (guint i = 0; i < j->ntasks; i++) {
+  for (guint i = 0; i < j->n_tasks; i++) {
     hr_task_assign (n->core, j, i, m, 1);
     j->tasks[i].running_since = n->now;
   }
