--- a/tests/test_record.c
+++ b/tests/test_record.c
@@ -89,7 +89,7 @@
       assert_true (hr_record_tasks (k, 0, rec.tasks, &machines));
     hr_record_clear (&rec);
     json_decref (v);
-    for (guint p = 0; per && p < j->npages; p++) {
+    for (guint p = 0; per && p < j->record.n_pages; p++) {
       g_autofree char *page = hr_record_page (j, p, &machines, "w.2", FALSE);
       assert_true (strlen (page) <= 4096);
       v = json_loads (page, 0, NULL);
@@ -127,8 +127,8 @@
   hr_job_set_spec (j, &s, 0);
   g_autofree char *plain = hr_record_main (j, &names, &machines, HR_JOB_QUEUED, "w.1", FALSE);
   assert_null (strstr (plain, "\"a\":"));
-  j->awaits = g_memdup2 (both, sizeof both);
-  j->nawaits = 2;
+  j->dependencies.awaited = g_memdup2 (both, sizeof both);
+  j->dependencies.n_awaited = 2;
   g_autofree char *main = hr_record_main (j, &names, &machines, HR_JOB_QUEUED, "w.1", FALSE);
   json_t *v = json_loads (main, 0, NULL);
   HrRecord rec;
@@ -144,7 +144,7 @@
   assert_string_equal (rest, plain);
   g_autofree char *own = hr_record_tombstone (j, HR_JOB_CANCELLED, "w.2");
   assert_null (strstr (own, "\"c\":"));
-  j->withdrawn_with = &first;
+  j->cancellation.root = &first;
   g_autofree char *derived = hr_record_tombstone (j, HR_JOB_CANCELLED, "w.2");
   v = json_loads (derived, 0, NULL);
   assert_true (hr_record_read (v, &names, &rec));
