--- a/src/bookkeeping/record.c
+++ b/src/bookkeeping/record.c
@@ -3,45 +3,47 @@
 #include <string.h>
 
 static json_t *
-pack_tasks (const HrJob *j, guint32 first, guint32 n, const HrIntern *machines, gboolean pending)
+pack_tasks (const HrJob *job, guint32 first, guint32 n, const HrIntern *machines, gboolean pending)
 {
-  json_t *x = json_array ();
+  json_t *tasks = json_array ();
   for (guint32 i = first; i < first + n; i++) {
-    const HrTask *t = &j->tasks[i];
-    guint32 m = t->recorded.machine, s = t->recorded.incarnation, a = t->recorded.attempt;
-    gboolean done = t->done_recorded;
-    if (pending && t->write_in_flight) {
-      m = t->placement.machine;
-      s = t->placement.incarnation;
-      a = t->placement.attempt;
-      done = done || t->state == HR_TASK_DONE;
+    const HrTask *task = &job->tasks[i];
+    guint32 machine = task->recorded.machine, incarnation = task->recorded.incarnation,
+            attempt = task->recorded.attempt;
+    gboolean done = task->done_recorded;
+    if (pending && task->write_in_flight) {
+      machine = task->placement.machine;
+      incarnation = task->placement.incarnation;
+      attempt = task->placement.attempt;
+      done = done || task->state == HR_TASK_DONE;
     }
     if (done)
-      json_array_append_new (x, json_integer (1));
-    else if (m == HR_NONE)
-      json_array_append_new (x, json_integer (0));
+      json_array_append_new (tasks, json_integer (1));
+    else if (machine == HR_NONE)
+      json_array_append_new (tasks, json_integer (0));
     else
-      json_array_append_new (x, json_pack ("[sii]", hr_intern_name (machines, m), (int)s, (int)a));
+      json_array_append_new (tasks, json_pack ("[sii]", hr_intern_name (machines, machine),
+                                               (int)incarnation, (int)attempt));
   }
-  return x;
+  return tasks;
 }
 
 /* Written back as it was read. */
 static void
-pack_extra (json_t *o, const HrJob *j)
+pack_extra (json_t *object, const HrJob *job)
 {
-  if (j->record.unknown_members)
-    json_object_update_missing (o, j->record.unknown_members);
+  if (job->record.unknown_members)
+    json_object_update_missing (object, job->record.unknown_members);
 }
 
 /* What stands in a record beside the members that this version knows. */
 static json_t *
-unknown_members (const json_t *v)
+unknown_members (const json_t *value)
 {
   static const char *const known[] = {"w", "s", "t", "q", "j", "x", "u", "a", "n", "d", "c"};
-  json_t *extra = NULL, *e;
+  json_t *extra = NULL, *entry;
   const char *key;
-  json_object_foreach ((json_t *)v, key, e)
+  json_object_foreach ((json_t *)value, key, entry)
   {
     gboolean is_known = FALSE;
     for (guint i = 0; i < G_N_ELEMENTS (known) && !is_known; i++)
@@ -50,34 +52,35 @@
       continue;
     if (!extra)
       extra = json_object ();
-    json_object_set (extra, key, e);
+    json_object_set (extra, key, entry);
   }
   return extra;
 }
 
 static json_t *
-pack_awaits (const HrJob *j)
+pack_awaits (const HrJob *job)
 {
-  json_t *a = json_array ();
-  for (guint i = 0; i < j->dependencies.n_awaited; i++)
-    json_array_append_new (a, json_string (j->dependencies.awaited[i]->id));
-  return a;
+  json_t *array = json_array ();
+  for (guint i = 0; i < job->dependencies.n_awaited; i++)
+    json_array_append_new (array, json_string (job->dependencies.awaited[i]->id));
+  return array;
 }
 
 char *
-hr_record_main (const HrJob *j, const HrNames *names, const HrIntern *machines, HrJobState state,
+hr_record_main (const HrJob *job, const HrNames *names, const HrIntern *machines, HrJobState state,
                 const char *tag, gboolean pending)
 {
-  json_t *o = json_pack ("{sssisfsiso}", "w", tag, "s", (int)state, "t", j->submitted_at, "q",
-                         (int)j->record.tasks_per_page, "j", hr_jobspec_pack (&j->spec, names));
-  if (!j->record.tasks_per_page)
-    json_object_set_new (o, "x", pack_tasks (j, 0, j->n_tasks, machines, pending));
-  else if (j->record.sized_page_keys)
-    json_object_set_new (o, "u", json_integer (1));
-  if (j->dependencies.n_awaited)
-    json_object_set_new (o, "a", pack_awaits (j));
-  pack_extra (o, j);
-  return hr_json_take_text (o);
+  json_t *object =
+      json_pack ("{sssisfsiso}", "w", tag, "s", (int)state, "t", job->submitted_at, "q",
+                 (int)job->record.tasks_per_page, "j", hr_jobspec_pack (&job->spec, names));
+  if (!job->record.tasks_per_page)
+    json_object_set_new (object, "x", pack_tasks (job, 0, job->n_tasks, machines, pending));
+  else if (job->record.sized_page_keys)
+    json_object_set_new (object, "u", json_integer (1));
+  if (job->dependencies.n_awaited)
+    json_object_set_new (object, "a", pack_awaits (job));
+  pack_extra (object, job);
+  return hr_json_take_text (object);
 }
 
 char *
@@ -100,104 +103,106 @@
 }
 
 char *
-hr_record_tombstone (const HrJob *j, HrJobState state, const char *tag)
+hr_record_tombstone (const HrJob *job, HrJobState state, const char *tag)
 {
-  json_t *o = json_pack ("{sssisisi}", "w", tag, "s", (int)state, "n", (int)j->n_tasks, "d",
-                         (int)(state == HR_JOB_DONE ? j->n_tasks : j->n_recorded_done));
-  if (state == HR_JOB_CANCELLED && j->cancellation.root)
-    json_object_set_new (o, "c", json_string (j->cancellation.root->id));
-  pack_extra (o, j);
-  return hr_json_take_text (o);
+  json_t *object = json_pack ("{sssisisi}", "w", tag, "s", (int)state, "n", (int)job->n_tasks, "d",
+                              (int)(state == HR_JOB_DONE ? job->n_tasks : job->n_recorded_done));
+  if (state == HR_JOB_CANCELLED && job->cancellation.root)
+    json_object_set_new (object, "c", json_string (job->cancellation.root->id));
+  pack_extra (object, job);
+  return hr_json_take_text (object);
 }
 
 char *
-hr_record_page (const HrJob *j, guint page, const HrIntern *machines, const char *tag,
+hr_record_page (const HrJob *job, guint page, const HrIntern *machines, const char *tag,
                 gboolean pending)
 {
-  return hr_record_page_of (j, page * j->record.tasks_per_page, j->record.tasks_per_page, machines,
-                            tag, pending);
+  return hr_record_page_of (job, page * job->record.tasks_per_page, job->record.tasks_per_page,
+                            machines, tag, pending);
 }
 
 char *
-hr_record_page_of (const HrJob *j, guint32 first, guint32 n, const HrIntern *machines,
+hr_record_page_of (const HrJob *job, guint32 first, guint32 n, const HrIntern *machines,
                    const char *tag, gboolean pending)
 {
-  json_t *x = pack_tasks (j, first, MIN (n, j->n_tasks - first), machines, pending);
-  return hr_json_take_text (json_pack ("{ssso}", "w", tag, "x", x));
+  json_t *tasks = pack_tasks (job, first, MIN (n, job->n_tasks - first), machines, pending);
+  return hr_json_take_text (json_pack ("{ssso}", "w", tag, "x", tasks));
 }
 
 gboolean
-hr_record_read (const json_t *v, HrNames *names, HrRecord *r)
+hr_record_read (const json_t *value, HrNames *names, HrRecord *record)
 {
   guint64 n, d = 0;
-  memset (r, 0, sizeof *r);
-  const char *tag = hr_json_str (v, "w");
-  if (!tag || !hr_json_count (v, "s", HR_JOB_CANCELLED, &n))
+  memset (record, 0, sizeof *record);
+  const char *tag = hr_json_str (value, "w");
+  if (!tag || !hr_json_count (value, "s", HR_JOB_CANCELLED, &n))
     return FALSE;
-  r->state = n;
-  const json_t *spec = json_object_get (v, "j");
+  record->state = n;
+  const json_t *spec = json_object_get (value, "j");
   if (!spec) {
-    if (!hr_json_count (v, "n", HR_MAX_TASKS, &n) || !hr_json_count (v, "d", HR_MAX_TASKS, &d))
+    if (!hr_json_count (value, "n", HR_MAX_TASKS, &n) ||
+        !hr_json_count (value, "d", HR_MAX_TASKS, &d))
       return FALSE;
-    r->is_tombstone = TRUE;
-    r->n_tasks = n;
-    r->n_done = d;
-    const char *root = hr_json_str (v, "c");
-    r->cancelled_with = hr_job_id_valid (root) ? root : NULL;
+    record->is_tombstone = TRUE;
+    record->n_tasks = n;
+    record->n_done = d;
+    const char *root = hr_json_str (value, "c");
+    record->cancelled_with = hr_job_id_valid (root) ? root : NULL;
   } else {
-    if (!hr_jobspec_unpack (spec, names, &r->spec) || !hr_json_num (v, "t", &r->submitted_at) ||
-        !hr_json_count (v, "q", HR_MAX_TASKS, &n))
+    if (!hr_jobspec_unpack (spec, names, &record->spec) ||
+        !hr_json_num (value, "t", &record->submitted_at) ||
+        !hr_json_count (value, "q", HR_MAX_TASKS, &n))
       return FALSE;
-    r->tasks_per_page = n;
-    r->sized_page_keys = n && json_integer_value (json_object_get (v, "u")) == 1;
-    r->n_tasks = r->spec.tasks;
-    r->tasks = json_object_get (v, "x");
+    record->tasks_per_page = n;
+    record->sized_page_keys = n && json_integer_value (json_object_get (value, "u")) == 1;
+    record->n_tasks = record->spec.tasks;
+    record->tasks = json_object_get (value, "x");
     /* A job whose awaited ones cannot be read must not start: it makes no sense as a whole. */
-    const json_t *awaits = json_object_get (v, "a");
-    if (awaits && !(r->awaits = hr_job_ids_read (awaits)))
+    const json_t *awaits = json_object_get (value, "a");
+    if (awaits && !(record->awaits = hr_job_ids_read (awaits)))
       return FALSE;
-    r->extra = unknown_members (v);
+    record->extra = unknown_members (value);
   }
-  r->tag = g_strdup (tag);
+  record->tag = g_strdup (tag);
   return TRUE;
 }
 
 void
-hr_record_clear (HrRecord *r)
+hr_record_clear (HrRecord *record)
 {
-  g_clear_pointer (&r->tag, g_free);
-  g_clear_pointer (&r->extra, json_decref);
-  g_clear_pointer (&r->awaits, g_strfreev);
+  g_clear_pointer (&record->tag, g_free);
+  g_clear_pointer (&record->extra, json_decref);
+  g_clear_pointer (&record->awaits, g_strfreev);
 }
 
 gboolean
-hr_record_tasks (HrJob *j, guint32 first, const json_t *x, HrIntern *machines)
+hr_record_tasks (HrJob *job, guint32 first, const json_t *tasks, HrIntern *machines)
 {
   size_t i;
-  json_t *e;
-  guint32 n =
-      MIN (j->record.tasks_per_page ? j->record.tasks_per_page : j->n_tasks, j->n_tasks - first);
-  if (!json_is_array (x) || json_array_size (x) != n)
+  json_t *entry;
+  guint32 n = MIN (job->record.tasks_per_page ? job->record.tasks_per_page : job->n_tasks,
+                   job->n_tasks - first);
+  if (!json_is_array (tasks) || json_array_size (tasks) != n)
     return FALSE;
-  json_array_foreach (x, i, e)
+  json_array_foreach (tasks, i, entry)
   {
-    HrTask *t = &j->tasks[first + i];
-    gboolean done = json_is_integer (e) && json_integer_value (e) == 1;
-    if (done != t->done_recorded)
-      j->n_recorded_done += done ? 1 : -1;
-    t->done_recorded = done;
-    if (json_is_array (e)) {
-      const char *m;
-      int s, a;
-      if (json_unpack (e, "[sii]", &m, &s, &a) != 0)
+    HrTask *task = &job->tasks[first + i];
+    gboolean done = json_is_integer (entry) && json_integer_value (entry) == 1;
+    if (done != task->done_recorded)
+      job->n_recorded_done += done ? 1 : -1;
+    task->done_recorded = done;
+    if (json_is_array (entry)) {
+      const char *machine_name;
+      int incarnation, attempt;
+      if (json_unpack (entry, "[sii]", &machine_name, &incarnation, &attempt) != 0)
         return FALSE;
-      t->recorded.machine = hr_intern (machines, m);
-      t->recorded.incarnation = s;
-      t->recorded.attempt = a;
-    } else if (!json_is_integer (e))
+      task->recorded.machine = hr_intern (machines, machine_name);
+      task->recorded.incarnation = incarnation;
+      task->recorded.attempt = attempt;
+    } else if (!json_is_integer (entry))
       return FALSE;
     else if (!done)
-      t->recorded.machine = HR_NONE;
+      task->recorded.machine = HR_NONE;
   }
   return TRUE;
 }
--- a/src/bookkeeping/record.h
+++ b/src/bookkeeping/record.h
@@ -31,15 +31,15 @@
 char *hr_record_first (const HrJobSpec *spec, const char *const *awaits, const HrNames *names,
                        double submitted, guint tasks_per_page, const char *tag);
 /* The main record. pending: with the placements and endings under way. */
-char *hr_record_main (const HrJob *j, const HrNames *names, const HrIntern *machines,
+char *hr_record_main (const HrJob *job, const HrNames *names, const HrIntern *machines,
                       HrJobState state, const char *tag, gboolean pending);
-char *hr_record_tombstone (const HrJob *j, HrJobState state, const char *tag);
-char *hr_record_page (const HrJob *j, guint page, const HrIntern *machines, const char *tag,
+char *hr_record_tombstone (const HrJob *job, HrJobState state, const char *tag);
+char *hr_record_page (const HrJob *job, guint page, const HrIntern *machines, const char *tag,
                       gboolean pending);
 /* Tasks from `first` on, as a page of `n` would hold them. */
-char *hr_record_page_of (const HrJob *j, guint32 first, guint32 n, const HrIntern *machines,
+char *hr_record_page_of (const HrJob *job, guint32 first, guint32 n, const HrIntern *machines,
                          const char *tag, gboolean pending);
-gboolean hr_record_read (const json_t *v, HrNames *names, HrRecord *out);
-void hr_record_clear (HrRecord *r);
+gboolean hr_record_read (const json_t *value, HrNames *names, HrRecord *out);
+void hr_record_clear (HrRecord *record);
 /* Sets what is recorded of the tasks from `first` on. FALSE when it makes no sense. */
-gboolean hr_record_tasks (HrJob *j, guint32 first, const json_t *x, HrIntern *machines);
+gboolean hr_record_tasks (HrJob *job, guint32 first, const json_t *tasks, HrIntern *machines);
--- a/src/bookkeeping/record_format.c
+++ b/src/bookkeeping/record_format.c
@@ -10,51 +10,51 @@
 #define FORMAT_TIMEOUT_S 2.0
 
 void
-hr_core_set_supported_format (HrCore *c, guint format)
+hr_core_set_supported_format (HrCore *core, guint format)
 {
-  c->store.format.supported = format;
+  core->store.format.supported = format;
   if (format)
-    c->store.limits = c->settings->planned;
+    core->store.limits = core->settings->planned;
   else
-    c->store.limits = (HrStateLimits){c->settings->state_rps, c->settings->state_write_rps,
-                                      c->settings->value_kb, c->settings->txn_ops};
-  c->store.transactions.allowance = (HrTokenBucket){
-      c->store.limits.write_rps, c->store.limits.write_rps, c->store.limits.write_rps, 0};
+    core->store.limits = (HrStateLimits){core->settings->state_rps, core->settings->state_write_rps,
+                                         core->settings->value_kb, core->settings->txn_ops};
+  core->store.transactions.allowance = (HrTokenBucket){
+      core->store.limits.write_rps, core->store.limits.write_rps, core->store.limits.write_rps, 0};
 }
 
 void
-hr_record_format_read (HrCore *c, const json_t *value, guint64 revision)
+hr_record_format_read (HrCore *core, const json_t *value, guint64 revision)
 {
   guint64 format = 0;
-  if (!c->store.format.supported || !value)
+  if (!core->store.format.supported || !value)
     return;
   if (!hr_json_count (value, "f", G_MAXUINT32, &format)) {
     g_warning ("the format in the state service makes no sense; left as it was");
     return;
   }
-  if (format > c->store.format.supported)
+  if (format > core->store.format.supported)
     g_warning ("records are of format %u, this version understands %u", (guint)format,
-               c->store.format.supported);
-  else if (format > c->store.format.agreed)
+               core->store.format.supported);
+  else if (format > core->store.format.agreed)
     g_message ("records are of format %u from now on", (guint)format);
-  c->store.format.agreed = MAX (c->store.format.agreed, format);
-  c->store.format.revision = revision;
-  hr_record_split_rescan (c);
+  core->store.format.agreed = MAX (core->store.format.agreed, format);
+  core->store.format.revision = revision;
+  hr_record_split_rescan (core);
 }
 
 /* What a member stated holds on: after its upgrade its processes come back new. */
 static gboolean
-all_understand (const HrCore *c)
+all_understand (const HrCore *core)
 {
-  for (guint i = 0; i < c->settings->members->len; i++) {
-    const char *label = g_array_index (c->settings->members, HrMember, i).label;
+  for (guint i = 0; i < core->settings->members->len; i++) {
+    const char *label = g_array_index (core->settings->members, HrMember, i).label;
     guint stated = 0;
-    for (guint k = 0; k < c->membership.peers->len; k++) {
-      const HrPeerStatus *h = &g_array_index (c->membership.peers, HrPeer, k).status;
-      if (g_str_equal (h->label, label))
-        stated = h->format;
+    for (guint k = 0; k < core->membership.peers->len; k++) {
+      const HrPeerStatus *status = &g_array_index (core->membership.peers, HrPeer, k).status;
+      if (g_str_equal (status->label, label))
+        stated = status->format;
     }
-    if (stated < c->store.format.supported)
+    if (stated < core->store.format.supported)
       return FALSE;
   }
   return TRUE;
@@ -62,63 +62,63 @@
 
 /* Written, refused or unknown: the next reading says what stands there. */
 static void
-on_recorded (HrCore *c, int status, json_t *body, double sent, gpointer data)
+on_recorded (HrCore *core, int status, json_t *body, double sent, gpointer data)
 {
-  c->store.format.write_in_flight = FALSE;
-  c->store.format.next_write_at = c->now + FORMAT_RETRY_S;
+  core->store.format.write_in_flight = FALSE;
+  core->store.format.next_write_at = core->now + FORMAT_RETRY_S;
 }
 
 void
-hr_record_format_tick (HrCore *c)
+hr_record_format_tick (HrCore *core)
 {
-  if (!c->leadership.is_leader || c->store.replica.state != HR_REPLICA_FOLLOWING ||
-      c->store.format.agreed >= c->store.format.supported || c->store.format.write_in_flight ||
-      c->now < c->store.format.next_write_at || c->store.replica.is_unavailable ||
-      !all_understand (c))
+  if (!core->leadership.is_leader || core->store.replica.state != HR_REPLICA_FOLLOWING ||
+      core->store.format.agreed >= core->store.format.supported ||
+      core->store.format.write_in_flight || core->now < core->store.format.next_write_at ||
+      core->store.replica.is_unavailable || !all_understand (core))
     return;
-  c->store.format.write_in_flight = TRUE;
-  json_t *when = hr_transaction_require (json_array (), "h/map", c->leadership.record_revision);
-  hr_transaction_require (when, FORMAT_KEY, c->store.format.revision);
+  core->store.format.write_in_flight = TRUE;
+  json_t *when = hr_transaction_require (json_array (), "h/map", core->leadership.record_revision);
+  hr_transaction_require (when, FORMAT_KEY, core->store.format.revision);
   json_t *writes = hr_transaction_put (
       json_array (), FORMAT_KEY,
-      hr_json_take_text (json_pack ("{si}", "f", (int)c->store.format.supported)), 0);
-  hr_transaction_submit (c, HR_TRANSACTION_USER, when, writes, 1, FORMAT_TIMEOUT_S, on_recorded,
+      hr_json_take_text (json_pack ("{si}", "f", (int)core->store.format.supported)), 0);
+  hr_transaction_submit (core, HR_TRANSACTION_USER, when, writes, 1, FORMAT_TIMEOUT_S, on_recorded,
                          NULL);
 }
 
 /* ---- what members tell one another ---- */
 
 void
-hr_record_format_fill_status (const HrCore *c, HrPeerStatus *h)
+hr_record_format_fill_status (const HrCore *core, HrPeerStatus *status)
 {
-  h->format = c->store.format.supported;
-  h->n_oversized = c->store.splitter.n_oversized;
-  memcpy (h->oversized, c->store.splitter.oversized, sizeof h->oversized);
+  status->format = core->store.format.supported;
+  status->n_oversized = core->store.splitter.n_oversized;
+  memcpy (status->oversized, core->store.splitter.oversized, sizeof status->oversized);
 }
 
 void
-hr_record_format_status_received (HrCore *c, const HrPeerStatus *h)
+hr_record_format_status_received (HrCore *core, const HrPeerStatus *status)
 {
-  for (guint i = 0; c->leadership.is_leader && c->store.format.supported && i < h->n_oversized;
-       i++) {
-    HrJob *j = hr_job_find (c, h->oversized[i]);
-    if (j && hr_record_split_is_possible (c, j) && hr_record_layout_is_oversized (c, j))
-      hr_record_split_request (c, j, TRUE);
+  for (guint i = 0;
+       core->leadership.is_leader && core->store.format.supported && i < status->n_oversized; i++) {
+    HrJob *job = hr_job_find (core, status->oversized[i]);
+    if (job && hr_record_split_is_possible (core, job) && hr_record_layout_is_oversized (core, job))
+      hr_record_split_request (core, job, TRUE);
   }
 }
 
 /* Named in the hints until others push it out: saying it again does no harm. */
 void
-hr_record_format_note_oversized (HrCore *c, HrJob *j)
+hr_record_format_note_oversized (HrCore *core, HrJob *job)
 {
-  if (hr_record_split_is_possible (c, j))
-    hr_record_split_request (c, j, TRUE);
-  for (guint i = 0; i < c->store.splitter.n_oversized; i++)
-    if (g_str_equal (c->store.splitter.oversized[i], j->id))
+  if (hr_record_split_is_possible (core, job))
+    hr_record_split_request (core, job, TRUE);
+  for (guint i = 0; i < core->store.splitter.n_oversized; i++)
+    if (g_str_equal (core->store.splitter.oversized[i], job->id))
       return;
-  memmove (c->store.splitter.oversized[1], c->store.splitter.oversized[0],
-           sizeof c->store.splitter.oversized[0] * (HR_MAX_OVERSIZED - 1));
-  g_strlcpy (c->store.splitter.oversized[0], j->id, sizeof c->store.splitter.oversized[0]);
-  c->store.splitter.n_oversized = MIN (c->store.splitter.n_oversized + 1, HR_MAX_OVERSIZED);
-  c->membership.status_sent_at = 0; /* tell at once */
+  memmove (core->store.splitter.oversized[1], core->store.splitter.oversized[0],
+           sizeof core->store.splitter.oversized[0] * (HR_MAX_OVERSIZED - 1));
+  g_strlcpy (core->store.splitter.oversized[0], job->id, sizeof core->store.splitter.oversized[0]);
+  core->store.splitter.n_oversized = MIN (core->store.splitter.n_oversized + 1, HR_MAX_OVERSIZED);
+  core->membership.status_sent_at = 0; /* tell at once */
 }
--- a/src/bookkeeping/record_writer.c
+++ b/src/bookkeeping/record_writer.c
@@ -18,335 +18,343 @@
   gsize bytes; /* of the value */
 } Write;
 
-static void send_write (HrCore *c, Write *w);
+static void send_write (HrCore *core, Write *write);
 
 static void
-write_free (Write *w)
+write_free (Write *write)
 {
-  g_free (w->tag);
-  json_decref (w->conditions);
-  json_decref (w->writes);
-  g_free (w);
+  g_free (write->tag);
+  json_decref (write->conditions);
+  json_decref (write->writes);
+  g_free (write);
 }
 
 /* The page of a write that is still under way, or NULL when it was overtaken. */
 static HrRecordPage *
-page_under_write (HrCore *c, Write *w)
+page_under_write (HrCore *core, Write *write)
 {
-  HrJob *j = c->store.tables.jobs->pdata[w->job];
-  if (w->replica_generation != c->store.replica.generation || w->page >= j->record.n_pages ||
-      g_strcmp0 (j->record.pages[w->page].write_tag, w->tag))
+  HrJob *job = core->store.tables.jobs->pdata[write->job];
+  if (write->replica_generation != core->store.replica.generation ||
+      write->page >= job->record.n_pages ||
+      g_strcmp0 (job->record.pages[write->page].write_tag, write->tag))
     return NULL;
-  return &j->record.pages[w->page];
+  return &job->record.pages[write->page];
 }
 
 static void
-page_range (const HrJob *j, const HrRecordPage *p, guint32 *from, guint32 *to)
+page_range (const HrJob *job, const HrRecordPage *page, guint32 *from, guint32 *to)
 {
-  guint n = p - j->record.pages;
-  *from = j->record.tasks_per_page ? n * j->record.tasks_per_page : 0;
-  *to = j->record.tasks_per_page ? MIN (*from + j->record.tasks_per_page, j->n_tasks) : j->n_tasks;
+  guint n = page - job->record.pages;
+  *from = job->record.tasks_per_page ? n * job->record.tasks_per_page : 0;
+  *to = job->record.tasks_per_page ? MIN (*from + job->record.tasks_per_page, job->n_tasks)
+                                   : job->n_tasks;
 }
 
 static void
-mark_page (HrCore *c, HrJob *j, HrRecordPage *p)
+mark_page (HrCore *core, HrJob *job, HrRecordPage *page)
 {
-  if (p->is_dirty)
+  if (page->is_dirty)
     return;
-  p->is_dirty = TRUE;
-  HrDirtyPage d = {j->index, p - j->record.pages};
-  g_array_append_val (c->store.writer.dirty_pages, d);
+  page->is_dirty = TRUE;
+  HrDirtyPage dirty = {job->index, page - job->record.pages};
+  g_array_append_val (core->store.writer.dirty_pages, dirty);
 }
 
 void
-hr_record_writer_mark (HrCore *c, HrJob *j, guint32 task)
+hr_record_writer_mark (HrCore *core, HrJob *job, guint32 task_index)
 {
-  if (j->record.pages)
-    mark_page (c, j, hr_job_page (j, task));
+  if (job->record.pages)
+    mark_page (core, job, hr_job_page (job, task_index));
 }
 
 /* Our write of this page is in the ledger, at this stamp. */
 void
-hr_record_writer_confirmed (HrCore *c, HrJob *j, HrRecordPage *p, guint64 revision)
+hr_record_writer_confirmed (HrCore *core, HrJob *job, HrRecordPage *page, guint64 revision)
 {
   guint32 from, to;
-  page_range (j, p, &from, &to);
-  gboolean final = p->write_is_final;
-  j->record.next_write_at = j->record.back_off_s = 0;
-  p->revision = revision;
-  p->write_is_final = FALSE;
-  if (!j->record.tasks_per_page || final) {
-    j->record.revision = revision;
-    g_free (j->record.tag);
-    j->record.tag = g_strdup (p->write_tag);
+  page_range (job, page, &from, &to);
+  gboolean final = page->write_is_final;
+  job->record.next_write_at = job->record.back_off_s = 0;
+  page->revision = revision;
+  page->write_is_final = FALSE;
+  if (!job->record.tasks_per_page || final) {
+    job->record.revision = revision;
+    g_free (job->record.tag);
+    job->record.tag = g_strdup (page->write_tag);
   }
-  g_clear_pointer (&p->write_tag, g_free);
+  g_clear_pointer (&page->write_tag, g_free);
   for (guint32 i = from; i < to; i++) {
-    HrTask *t = &j->tasks[i];
-    if (!t->write_in_flight)
+    HrTask *task = &job->tasks[i];
+    if (!task->write_in_flight)
       continue;
-    t->write_in_flight = 0;
-    if (t->state == HR_TASK_ASSIGNING) {
-      t->recorded.machine = t->placement.machine;
-      t->recorded.incarnation = t->placement.incarnation;
-      t->recorded.attempt = t->placement.attempt;
-      hr_task_bound (c, j, i);
-    } else if (t->state == HR_TASK_DONE && !t->done_recorded) {
-      t->done_recorded = 1;
-      j->n_recorded_done++;
+    task->write_in_flight = 0;
+    if (task->state == HR_TASK_ASSIGNING) {
+      task->recorded.machine = task->placement.machine;
+      task->recorded.incarnation = task->placement.incarnation;
+      task->recorded.attempt = task->placement.attempt;
+      hr_task_bound (core, job, i);
+    } else if (task->state == HR_TASK_DONE && !task->done_recorded) {
+      task->done_recorded = 1;
+      job->n_recorded_done++;
     }
   }
   if (final) {
-    if (j->state == HR_JOB_QUEUED) {
-      j->state = HR_JOB_DONE;
-      g_info ("%s is done", j->id);
+    if (job->state == HR_JOB_QUEUED) {
+      job->state = HR_JOB_DONE;
+      g_info ("%s is done", job->id);
     }
-    j->record.is_compacted = TRUE;
-    hr_garbage_add_job (c, j);
-    hr_job_compact (j);
-    hr_dependencies_job_final (c, j);
-  } else if (j->state == HR_JOB_QUEUED && j->n_recorded_done == j->n_tasks)
-    mark_page (c, j, j->record.pages);
-  c->scheduling.plan_is_stale = TRUE;
+    job->record.is_compacted = TRUE;
+    hr_garbage_add_job (core, job);
+    hr_job_compact (job);
+    hr_dependencies_job_final (core, job);
+  } else if (job->state == HR_JOB_QUEUED && job->n_recorded_done == job->n_tasks)
+    mark_page (core, job, job->record.pages);
+  core->scheduling.plan_is_stale = TRUE;
 }
 
 /* What was under way did not happen. */
 static void
-write_failed (HrCore *c, HrJob *j, HrRecordPage *p)
+write_failed (HrCore *core, HrJob *job, HrRecordPage *page)
 {
   guint32 from, to;
-  page_range (j, p, &from, &to);
-  g_clear_pointer (&p->write_tag, g_free);
-  p->write_is_final = FALSE;
+  page_range (job, page, &from, &to);
+  g_clear_pointer (&page->write_tag, g_free);
+  page->write_is_final = FALSE;
   for (guint32 i = from; i < to; i++) {
-    HrTask *t = &j->tasks[i];
-    if (!t->write_in_flight)
+    HrTask *task = &job->tasks[i];
+    if (!task->write_in_flight)
       continue;
-    t->write_in_flight = 0;
-    if (t->state == HR_TASK_ASSIGNING && j->state != HR_JOB_QUEUED)
-      hr_task_unassign (c, j, i);
+    task->write_in_flight = 0;
+    if (task->state == HR_TASK_ASSIGNING && job->state != HR_JOB_QUEUED)
+      hr_task_unassign (core, job, i);
   }
-  mark_page (c, j, p); /* what is still meant is written anew */
+  mark_page (core, job, page); /* what is still meant is written anew */
 }
 
 void
-hr_record_writer_back_off (HrCore *c, HrJob *j)
+hr_record_writer_back_off (HrCore *core, HrJob *job)
 {
-  j->record.back_off_s = CLAMP (2 * j->record.back_off_s, BACK_OFF_S, MAX_BACK_OFF_S);
-  j->record.next_write_at = c->now + j->record.back_off_s;
+  job->record.back_off_s = CLAMP (2 * job->record.back_off_s, BACK_OFF_S, MAX_BACK_OFF_S);
+  job->record.next_write_at = core->now + job->record.back_off_s;
 }
 
 /* What was to be written is larger than the state service takes: it is not sent. Endings wait
  * for the split; assignments wait too, or are given up where none is possible yet. */
 static void
-handle_oversized (HrCore *c, HrJob *j, HrRecordPage *p, guint32 from, guint32 to)
+handle_oversized (HrCore *core, HrJob *job, HrRecordPage *page, guint32 from, guint32 to)
 {
-  gboolean split = hr_record_split_is_possible (c, j);
+  gboolean split = hr_record_split_is_possible (core, job);
   for (guint32 i = from; i < to; i++) {
-    j->tasks[i].write_in_flight = 0;
-    if (!split && j->tasks[i].state == HR_TASK_ASSIGNING)
-      hr_task_unassign (c, j, i);
+    job->tasks[i].write_in_flight = 0;
+    if (!split && job->tasks[i].state == HR_TASK_ASSIGNING)
+      hr_task_unassign (core, job, i);
   }
   if (split) {
-    hr_record_split_request (c, j, FALSE);
+    hr_record_split_request (core, job, FALSE);
     return; /* the split marks what is still meant */
   }
-  if (!j->record.back_off_s)
+  if (!job->record.back_off_s)
     g_warning ("%s: its record is too large, and not every member is known to read a split one",
-               j->id);
-  hr_record_writer_back_off (c, j);
-  j->run.retry_at = MAX (j->run.retry_at, j->record.next_write_at);
-  mark_page (c, j, p);
+               job->id);
+  hr_record_writer_back_off (core, job);
+  job->run.retry_at = MAX (job->run.retry_at, job->record.next_write_at);
+  mark_page (core, job, page);
 }
 
 /* Tombstones are small: they never wait. */
 static gboolean
-is_backing_off (const HrCore *c, const HrJob *j)
+is_backing_off (const HrCore *core, const HrJob *job)
 {
-  if (c->now >= j->record.next_write_at)
+  if (core->now >= job->record.next_write_at)
     return FALSE;
-  return j->state == HR_JOB_QUEUED ? j->n_done < j->n_tasks : j->run.n_live > 0;
+  return job->state == HR_JOB_QUEUED ? job->n_done < job->n_tasks : job->run.n_live > 0;
 }
 
 static void
-on_record_reread (HrCore *c, int status, json_t *body, double sent, gpointer data)
+on_record_reread (HrCore *core, int status, json_t *body, double sent, gpointer data)
 {
-  Write *w = data;
-  HrRecordPage *p = page_under_write (c, w);
-  HrJob *j = c->store.tables.jobs->pdata[w->job];
+  Write *write = data;
+  HrRecordPage *page = page_under_write (core, write);
+  HrJob *job = core->store.tables.jobs->pdata[write->job];
   guint64 revision = 0;
-  if (p && status != 200 && status != 404) {
-    send_write (c, w); /* still unknown: the same write again, it holds on the same stamps */
+  if (page && status != 200 && status != 404) {
+    send_write (core, write); /* still unknown: the same write again, it holds on the same stamps */
     return;
   }
-  if (p) {
-    const json_t *v = json_object_get (body, "value");
-    const char *tag = hr_json_str (v, "w");
+  if (page) {
+    const json_t *value = json_object_get (body, "value");
+    const char *tag = hr_json_str (value, "w");
     hr_json_count (body, "stamp", G_MAXINT64, &revision);
-    if (tag && g_str_equal (tag, w->tag))
-      hr_record_writer_confirmed (c, j, p, revision);
+    if (tag && g_str_equal (tag, write->tag))
+      hr_record_writer_confirmed (core, job, page, revision);
     else {
-      if (!j->record.tasks_per_page || p->write_is_final) {
-        if (v)
-          hr_replica_apply_job (c, j, v, revision);
-      } else if (revision > p->revision)
-        p->revision = revision;
-      if (page_under_write (c, w))
-        write_failed (c, j, p);
+      if (!job->record.tasks_per_page || page->write_is_final) {
+        if (value)
+          hr_replica_apply_job (core, job, value, revision);
+      } else if (revision > page->revision)
+        page->revision = revision;
+      if (page_under_write (core, write))
+        write_failed (core, job, page);
     }
   }
-  write_free (w);
+  write_free (write);
 }
 
 static void
-reread_record (HrCore *c, Write *w)
+reread_record (HrCore *core, Write *write)
 {
-  HrJob *j = c->store.tables.jobs->pdata[w->job];
-  gboolean main = !j->record.tasks_per_page || j->record.pages[w->page].write_is_final;
-  g_autofree char *key = main ? hr_job_record_key (j) : hr_record_page_key (j, w->page);
-  hr_core_call (c, HR_TO_STORE, NULL, HR_GET, g_strconcat ("/kv/", key, NULL), NULL,
-                WRITE_TIMEOUT_S, on_record_reread, w);
+  HrJob *job = core->store.tables.jobs->pdata[write->job];
+  gboolean main = !job->record.tasks_per_page || job->record.pages[write->page].write_is_final;
+  g_autofree char *key = main ? hr_job_record_key (job) : hr_record_page_key (job, write->page);
+  hr_core_call (core, HR_TO_STORE, NULL, HR_GET, g_strconcat ("/kv/", key, NULL), NULL,
+                WRITE_TIMEOUT_S, on_record_reread, write);
 }
 
 static void
-on_replica_fresh (HrCore *c, gboolean ok, gpointer data)
+on_replica_fresh (HrCore *core, gboolean ok, gpointer data)
 {
-  Write *w = data;
-  if (page_under_write (c, w))
-    reread_record (c, w);
+  Write *write = data;
+  if (page_under_write (core, write))
+    reread_record (core, write);
   else
-    write_free (w);
+    write_free (write);
 }
 
 static void
-on_written (HrCore *c, int status, json_t *body, double sent, gpointer data)
+on_written (HrCore *core, int status, json_t *body, double sent, gpointer data)
 {
-  Write *w = data;
-  HrRecordPage *p = page_under_write (c, w);
+  Write *write = data;
+  HrRecordPage *page = page_under_write (core, write);
   guint64 store_revision;
-  if (!p) {
-    write_free (w);
+  if (!page) {
+    write_free (write);
     return;
   }
   if (status == 200 && hr_json_count (body, "epoch", G_MAXINT64, &store_revision)) {
-    hr_record_writer_confirmed (c, c->store.tables.jobs->pdata[w->job], p, store_revision);
-    write_free (w);
+    hr_record_writer_confirmed (core, core->store.tables.jobs->pdata[write->job], page,
+                                store_revision);
+    write_free (write);
   } else if (status == 409) {
     /* A 409 may come from our own earlier try whose answer was lost: the record
      * tells. The map may have moved too: read on before judging. */
-    hr_replica_read (c, on_replica_fresh, w);
+    hr_replica_read (core, on_replica_fresh, write);
   } else if (status == 400) {
     g_warning ("%s: the state service refuses the record: %s",
-               ((HrJob *)c->store.tables.jobs->pdata[w->job])->id, hr_json_str (body, "error"));
-    if (c->store.format.supported) {
-      c->store.format.planned_limits_in_force |= w->bytes > hr_record_layout_planned_bytes (c);
-      hr_record_writer_back_off (c, c->store.tables.jobs->pdata[w->job]);
+               ((HrJob *)core->store.tables.jobs->pdata[write->job])->id,
+               hr_json_str (body, "error"));
+    if (core->store.format.supported) {
+      core->store.format.planned_limits_in_force |=
+          write->bytes > hr_record_layout_planned_bytes (core);
+      hr_record_writer_back_off (core, core->store.tables.jobs->pdata[write->job]);
     }
-    write_failed (c, c->store.tables.jobs->pdata[w->job], p);
-    write_free (w);
+    write_failed (core, core->store.tables.jobs->pdata[write->job], page);
+    write_free (write);
   } else
-    send_write (c, w); /* unknown, or not carried out: the same write again */
+    send_write (core, write); /* unknown, or not carried out: the same write again */
 }
 
 static void
-send_write (HrCore *c, Write *w)
+send_write (HrCore *core, Write *write)
 {
-  hr_transaction_submit (c, w->kind, json_incref (w->conditions), json_incref (w->writes), 1,
-                         WRITE_TIMEOUT_S, on_written, w);
+  hr_transaction_submit (core, write->kind, json_incref (write->conditions),
+                         json_incref (write->writes), 1, WRITE_TIMEOUT_S, on_written, write);
 }
 
 static void
-write_page (HrCore *c, HrJob *j, HrRecordPage *p)
+write_page (HrCore *core, HrJob *job, HrRecordPage *page)
 {
   guint32 from, to;
-  guint n = p - j->record.pages;
+  guint n = page - job->record.pages;
   gboolean launch = FALSE, change = FALSE;
-  if (j->cancellation.told_by_peer)
+  if (job->cancellation.told_by_peer)
     return; /* its record has changed, and is read before it is written again */
-  page_range (j, p, &from, &to);
+  page_range (job, page, &from, &to);
   for (guint32 i = from; i < to; i++) {
-    HrTask *t = &j->tasks[i];
+    HrTask *task = &job->tasks[i];
     /* A job that waits for others has no task: the last guard, here and before launches. */
-    gboolean assign = t->state == HR_TASK_ASSIGNING && j->state == HR_JOB_QUEUED &&
-                      !hr_job_has_unfinished_dependencies (j);
-    t->write_in_flight = assign || (t->state == HR_TASK_DONE && !t->done_recorded);
+    gboolean assign = task->state == HR_TASK_ASSIGNING && job->state == HR_JOB_QUEUED &&
+                      !hr_job_has_unfinished_dependencies (job);
+    task->write_in_flight = assign || (task->state == HR_TASK_DONE && !task->done_recorded);
     launch |= assign;
-    change |= t->write_in_flight;
+    change |= task->write_in_flight;
   }
   /* The last ending and the tombstone are one write where the tasks stand inline. */
-  gboolean done = j->state == HR_JOB_QUEUED &&
-                  (j->record.tasks_per_page ? j->n_recorded_done : j->n_done) == j->n_tasks &&
-                  (!j->record.tasks_per_page || n == 0);
+  gboolean done =
+      job->state == HR_JOB_QUEUED &&
+      (job->record.tasks_per_page ? job->n_recorded_done : job->n_done) == job->n_tasks &&
+      (!job->record.tasks_per_page || n == 0);
   gboolean gone =
-      j->state != HR_JOB_QUEUED && j->run.n_live == 0 && !j->record.is_compacted && n == 0;
+      job->state != HR_JOB_QUEUED && job->run.n_live == 0 && !job->record.is_compacted && n == 0;
   if (!change && !done && !gone)
     return;
-  g_autofree char *tag = hr_core_new_tag (c);
-  char *text = done || gone ? hr_record_tombstone (j, done ? HR_JOB_DONE : j->state, tag)
-               : !j->record.tasks_per_page
-                   ? hr_record_main (j, c->names, &c->store.tables.machine_ids, j->state, tag, TRUE)
-                   : hr_record_page (j, n, &c->store.tables.machine_ids, tag, TRUE);
+  g_autofree char *tag = hr_core_new_tag (core);
+  char *text = done || gone ? hr_record_tombstone (job, done ? HR_JOB_DONE : job->state, tag)
+               : !job->record.tasks_per_page
+                   ? hr_record_main (job, core->names, &core->store.tables.machine_ids, job->state,
+                                     tag, TRUE)
+                   : hr_record_page (job, n, &core->store.tables.machine_ids, tag, TRUE);
   gsize bytes = strlen (text);
-  if (bytes > hr_record_layout_max_bytes (c) && !done && !gone) {
+  if (bytes > hr_record_layout_max_bytes (core) && !done && !gone) {
     g_free (text);
-    handle_oversized (c, j, p, from, to);
+    handle_oversized (core, job, page, from, to);
     return;
   }
-  Write *w = g_new0 (Write, 1);
-  w->job = j->index;
-  w->page = n;
-  w->replica_generation = c->store.replica.generation;
-  w->bytes = bytes;
-  w->tag = g_steal_pointer (&tag);
-  w->conditions = json_array ();
-  w->writes = json_array ();
+  Write *write = g_new0 (Write, 1);
+  write->job = job->index;
+  write->page = n;
+  write->replica_generation = core->store.replica.generation;
+  write->bytes = bytes;
+  write->tag = g_steal_pointer (&tag);
+  write->conditions = json_array ();
+  write->writes = json_array ();
   /* Those that await the job start once its end is recorded. */
   gboolean awaited =
-      j->dependencies.dependents && j->state == HR_JOB_QUEUED && j->n_done == j->n_tasks;
-  w->kind = launch || awaited ? HR_TRANSACTION_LAUNCH : HR_TRANSACTION_BOOKKEEPING;
-  p->write_tag = g_strdup (w->tag);
-  p->write_is_final = done || gone;
-  g_autofree char *key = hr_job_record_key (j);
-  hr_transaction_require (w->conditions, "h/map", c->leadership.record_revision);
-  hr_transaction_require (w->conditions, key, j->record.revision);
-  if (p->write_is_final || !j->record.tasks_per_page)
-    hr_transaction_put (w->writes, key, text, 0);
+      job->dependencies.dependents && job->state == HR_JOB_QUEUED && job->n_done == job->n_tasks;
+  write->kind = launch || awaited ? HR_TRANSACTION_LAUNCH : HR_TRANSACTION_BOOKKEEPING;
+  page->write_tag = g_strdup (write->tag);
+  page->write_is_final = done || gone;
+  g_autofree char *key = hr_job_record_key (job);
+  hr_transaction_require (write->conditions, "h/map", core->leadership.record_revision);
+  hr_transaction_require (write->conditions, key, job->record.revision);
+  if (page->write_is_final || !job->record.tasks_per_page)
+    hr_transaction_put (write->writes, key, text, 0);
   else {
-    g_autofree char *pkey = hr_record_page_key (j, n);
-    hr_transaction_require (w->conditions, pkey, p->revision);
-    hr_transaction_put (w->writes, pkey, text, 0);
+    g_autofree char *pkey = hr_record_page_key (job, n);
+    hr_transaction_require (write->conditions, pkey, page->revision);
+    hr_transaction_put (write->writes, pkey, text, 0);
   }
-  send_write (c, w);
+  send_write (core, write);
 }
 
 void
-hr_record_writer_tick (HrCore *c)
+hr_record_writer_tick (HrCore *core)
 {
-  if (c->leadership.is_leader && c->store.writer.dirty_pages->len &&
-      !c->leadership.token_raise_in_flight) {
-    g_autoptr (GArray) list = c->store.writer.dirty_pages;
-    c->store.writer.dirty_pages = g_array_new (FALSE, TRUE, sizeof (HrDirtyPage));
+  if (core->leadership.is_leader && core->store.writer.dirty_pages->len &&
+      !core->leadership.token_raise_in_flight) {
+    g_autoptr (GArray) list = core->store.writer.dirty_pages;
+    core->store.writer.dirty_pages = g_array_new (FALSE, TRUE, sizeof (HrDirtyPage));
     for (guint i = 0; i < list->len; i++) {
-      HrDirtyPage *d = &g_array_index (list, HrDirtyPage, i);
-      HrJob *j = c->store.tables.jobs->pdata[d->job];
-      if (d->page >= j->record.n_pages)
+      HrDirtyPage *dirty = &g_array_index (list, HrDirtyPage, i);
+      HrJob *job = core->store.tables.jobs->pdata[dirty->job];
+      if (dirty->page >= job->record.n_pages)
         continue;
-      HrRecordPage *p = &j->record.pages[d->page];
-      if (p->write_tag || j->record.split_in_flight ||
-          is_backing_off (c, j)) { /* one write at a time */
-        g_array_append_val (c->store.writer.dirty_pages, *d);
+      HrRecordPage *page = &job->record.pages[dirty->page];
+      if (page->write_tag || job->record.split_in_flight ||
+          is_backing_off (core, job)) { /* one write at a time */
+        g_array_append_val (core->store.writer.dirty_pages, *dirty);
         continue;
       }
-      p->is_dirty = FALSE;
-      write_page (c, j, p);
+      page->is_dirty = FALSE;
+      write_page (core, job, page);
     }
   }
-  if (c->leadership.is_leader && !c->leadership.token_raise_in_flight &&
-      c->store.replica.state == HR_REPLICA_FOLLOWING)
-    hr_record_split_tick (c);
-  if (!c->store.replica.is_unavailable || c->now - c->store.transactions.paused_until > 0.5) {
-    if (c->store.replica.is_unavailable)
-      c->store.transactions.paused_until = c->now; /* an outage: try on, but gently */
-    hr_transactions_send (c);
+  if (core->leadership.is_leader && !core->leadership.token_raise_in_flight &&
+      core->store.replica.state == HR_REPLICA_FOLLOWING)
+    hr_record_split_tick (core);
+  if (!core->store.replica.is_unavailable ||
+      core->now - core->store.transactions.paused_until > 0.5) {
+    if (core->store.replica.is_unavailable)
+      core->store.transactions.paused_until = core->now; /* an outage: try on, but gently */
+    hr_transactions_send (core);
   }
 }
--- a/src/bookkeeping/tables.c
+++ b/src/bookkeeping/tables.c
@@ -4,70 +4,71 @@
 #define EPS 1e-6
 
 void
-hr_job_free (HrJob *j)
+hr_job_free (HrJob *job)
 {
-  hr_job_compact (j);
-  g_free (j->dependencies.awaited);
-  if (j->dependencies.dependents)
-    g_ptr_array_unref (j->dependencies.dependents);
-  g_free (j->record.tag);
-  g_free (j);
+  hr_job_compact (job);
+  g_free (job->dependencies.awaited);
+  if (job->dependencies.dependents)
+    g_ptr_array_unref (job->dependencies.dependents);
+  g_free (job->record.tag);
+  g_free (job);
 }
 
 void
-hr_job_compact (HrJob *j)
+hr_job_compact (HrJob *job)
 {
-  g_clear_pointer (&j->tasks, g_free);
-  for (guint i = 0; i < j->record.n_pages; i++)
-    g_free (j->record.pages[i].write_tag);
-  g_clear_pointer (&j->record.pages, g_free);
-  j->record.n_pages = 0;
-  for (guint i = 0; j->record.staged_pages && i < j->record.staged_pages->len; i++)
-    json_decref (g_array_index (j->record.staged_pages, HrStagedPage, i).value);
-  g_clear_pointer (&j->record.staged_pages, g_array_unref);
-  g_clear_pointer (&j->record.unknown_members, json_decref);
-  j->record.split_wanted = j->record.split_in_flight = FALSE;
+  g_clear_pointer (&job->tasks, g_free);
+  for (guint i = 0; i < job->record.n_pages; i++)
+    g_free (job->record.pages[i].write_tag);
+  g_clear_pointer (&job->record.pages, g_free);
+  job->record.n_pages = 0;
+  for (guint i = 0; job->record.staged_pages && i < job->record.staged_pages->len; i++)
+    json_decref (g_array_index (job->record.staged_pages, HrStagedPage, i).value);
+  g_clear_pointer (&job->record.staged_pages, g_array_unref);
+  g_clear_pointer (&job->record.unknown_members, json_decref);
+  job->record.split_wanted = job->record.split_in_flight = FALSE;
 }
 
 void
-hr_job_set_spec (HrJob *j, const HrJobSpec *s, guint tasks_per_page)
-{
-  hr_job_compact (j);
-  j->spec = *s;
-  j->plan.priority = s->priority;
-  j->n_tasks = s->tasks;
-  j->record.tasks_per_page = tasks_per_page;
-  j->record.sized_page_keys = FALSE;
-  j->record.next_write_at = j->record.back_off_s = 0;
-  j->record.n_pages = tasks_per_page ? (s->tasks + tasks_per_page - 1) / tasks_per_page : 1;
-  j->record.pages = g_new0 (HrRecordPage, j->record.n_pages);
-  j->tasks = g_new0 (HrTask, s->tasks);
-  for (guint i = 0; i < s->tasks; i++) {
-    j->tasks[i].recorded.machine = j->tasks[i].placement.machine = HR_NONE;
-    j->tasks[i].reported_state = HR_NOT_REPORTED;
+hr_job_set_spec (HrJob *job, const HrJobSpec *spec, guint tasks_per_page)
+{
+  hr_job_compact (job);
+  job->spec = *spec;
+  job->plan.priority = spec->priority;
+  job->n_tasks = spec->tasks;
+  job->record.tasks_per_page = tasks_per_page;
+  job->record.sized_page_keys = FALSE;
+  job->record.next_write_at = job->record.back_off_s = 0;
+  job->record.n_pages = tasks_per_page ? (spec->tasks + tasks_per_page - 1) / tasks_per_page : 1;
+  job->record.pages = g_new0 (HrRecordPage, job->record.n_pages);
+  job->tasks = g_new0 (HrTask, spec->tasks);
+  for (guint i = 0; i < spec->tasks; i++) {
+    job->tasks[i].recorded.machine = job->tasks[i].placement.machine = HR_NONE;
+    job->tasks[i].reported_state = HR_NOT_REPORTED;
   }
-  j->run.failed_machine = HR_NONE;
+  job->run.failed_machine = HR_NONE;
 }
 
 gboolean
-hr_job_has_unfinished_dependencies (const HrJob *j)
+hr_job_has_unfinished_dependencies (const HrJob *job)
 {
-  for (guint i = 0; i < j->dependencies.n_awaited; i++)
-    if (j->dependencies.awaited[i]->state != HR_JOB_DONE)
+  for (guint i = 0; i < job->dependencies.n_awaited; i++)
+    if (job->dependencies.awaited[i]->state != HR_JOB_DONE)
       return TRUE;
   return FALSE;
 }
 
 double
-hr_job_eligible_since (const HrJob *j)
+hr_job_eligible_since (const HrJob *job)
 {
-  return j->dependencies.n_awaited ? j->dependencies.ready_since : j->submitted_at;
+  return job->dependencies.n_awaited ? job->dependencies.ready_since : job->submitted_at;
 }
 
 HrRecordPage *
-hr_job_page (HrJob *j, guint32 task)
+hr_job_page (HrJob *job, guint32 task_index)
 {
-  return &j->record.pages[j->record.tasks_per_page ? task / j->record.tasks_per_page : 0];
+  return &job->record
+              .pages[job->record.tasks_per_page ? task_index / job->record.tasks_per_page : 0];
 }
 
 guint
@@ -79,131 +80,132 @@
 }
 
 void
-hr_class_use_image (HrClassStats *s, guint32 image, guint tasks)
+hr_class_use_image (HrClassStats *stats, guint32 image, guint tasks)
 {
-  guint at = s->n_images;
-  for (guint i = 0; i < s->n_images; i++) {
-    s->images[i].weight *= 0.97;
-    if (s->images[i].image == image)
+  guint at = stats->n_images;
+  for (guint i = 0; i < stats->n_images; i++) {
+    stats->images[i].weight *= 0.97;
+    if (stats->images[i].image == image)
       at = i;
   }
-  if (at == s->n_images) {
-    if (s->n_images < G_N_ELEMENTS (s->images))
-      s->n_images++;
+  if (at == stats->n_images) {
+    if (stats->n_images < G_N_ELEMENTS (stats->images))
+      stats->n_images++;
     else
       at--; /* the least used one gives way */
-    s->images[at] = (HrImageUse){image, 0};
+    stats->images[at] = (HrImageUse){image, 0};
   }
-  s->images[at].weight += tasks;
-  for (; at > 0 && s->images[at - 1].weight < s->images[at].weight; at--) {
-    HrImageUse u = s->images[at];
-    s->images[at] = s->images[at - 1];
-    s->images[at - 1] = u;
+  stats->images[at].weight += tasks;
+  for (; at > 0 && stats->images[at - 1].weight < stats->images[at].weight; at--) {
+    HrImageUse use = stats->images[at];
+    stats->images[at] = stats->images[at - 1];
+    stats->images[at - 1] = use;
   }
 }
 
 gboolean
-hr_machine_has_image (const HrMachine *m, guint32 image)
+hr_machine_has_image (const HrMachine *machine, guint32 image)
 {
-  for (guint i = 0; i < m->n_images; i++)
-    if (m->images[i] == image)
+  for (guint i = 0; i < machine->n_images; i++)
+    if (machine->images[i] == image)
       return TRUE;
   return FALSE;
 }
 
 void
-hr_machine_touch_image (HrMachine *m, guint32 image)
+hr_machine_touch_image (HrMachine *machine, guint32 image)
 {
   guint i;
-  for (i = 0; i < m->n_images; i++)
-    if (m->images[i] == image)
+  for (i = 0; i < machine->n_images; i++)
+    if (machine->images[i] == image)
       break;
-  if (i == m->n_images) {
-    if (m->n_images < G_N_ELEMENTS (m->images))
-      m->n_images++;
+  if (i == machine->n_images) {
+    if (machine->n_images < G_N_ELEMENTS (machine->images))
+      machine->n_images++;
     else
       i--;
   }
-  memmove (m->images + 1, m->images, i * sizeof m->images[0]);
-  m->images[0] = image;
+  memmove (machine->images + 1, machine->images, i * sizeof machine->images[0]);
+  machine->images[0] = image;
 }
 
 void
-hr_machine_forget_image (HrMachine *m, guint32 image)
+hr_machine_forget_image (HrMachine *machine, guint32 image)
 {
   guint n = 0;
-  for (guint i = 0; i < m->n_images; i++)
-    if (m->images[i] != image)
-      m->images[n++] = m->images[i];
-  m->n_images = n;
+  for (guint i = 0; i < machine->n_images; i++)
+    if (machine->images[i] != image)
+      machine->images[n++] = machine->images[i];
+  machine->n_images = n;
 }
 
 void
-hr_machine_describe (HrMachine *m, const HrMachineType *t, guint32 zone, gboolean spot)
+hr_machine_describe (HrMachine *machine, const HrMachineType *type, guint32 zone, gboolean spot)
 {
-  if (m->type != HR_NONE)
+  if (machine->type != HR_NONE)
     return;
-  m->type = t->type;
-  m->zone = zone;
-  m->is_spot = spot;
-  m->free.cpus += t->cpus;
-  m->free.gpus += t->gpus;
-  m->free.memory_gb += t->memory_gb;
+  machine->type = type->type;
+  machine->zone = zone;
+  machine->is_spot = spot;
+  machine->free.cpus += type->cpus;
+  machine->free.gpus += type->gpus;
+  machine->free.memory_gb += type->memory_gb;
 }
 
 gboolean
-hr_machine_fits (const HrMachine *m, const HrJobSpec *s)
+hr_machine_fits (const HrMachine *machine, const HrJobSpec *spec)
 {
-  return s->cpus <= m->free.cpus - m->unrecognized.cpus + EPS &&
-         s->gpus <= m->free.gpus - m->unrecognized.gpus + EPS &&
-         s->memory_gb <= m->free.memory_gb - m->unrecognized.memory_gb + EPS;
+  return spec->cpus <= machine->free.cpus - machine->unrecognized.cpus + EPS &&
+         spec->gpus <= machine->free.gpus - machine->unrecognized.gpus + EPS &&
+         spec->memory_gb <= machine->free.memory_gb - machine->unrecognized.memory_gb + EPS;
 }
 
 gboolean
-hr_machine_has_unreserved (const HrMachine *m, double cpus, double gpus, double mem)
+hr_machine_has_unreserved (const HrMachine *machine, double cpus, double gpus, double memory_gb)
 {
-  return cpus <= m->free.cpus - m->unrecognized.cpus - m->reserved.cpus + EPS &&
-         gpus <= m->free.gpus - m->unrecognized.gpus - m->reserved.gpus + EPS &&
-         mem <= m->free.memory_gb - m->unrecognized.memory_gb - m->reserved.memory_gb + EPS;
+  return cpus <= machine->free.cpus - machine->unrecognized.cpus - machine->reserved.cpus + EPS &&
+         gpus <= machine->free.gpus - machine->unrecognized.gpus - machine->reserved.gpus + EPS &&
+         memory_gb <= machine->free.memory_gb - machine->unrecognized.memory_gb -
+                          machine->reserved.memory_gb + EPS;
 }
 
 gboolean
-hr_machine_fits_unreserved (const HrMachine *m, const HrJobSpec *s)
+hr_machine_fits_unreserved (const HrMachine *machine, const HrJobSpec *spec)
 {
-  return hr_machine_has_unreserved (m, s->cpus, s->gpus, s->memory_gb);
+  return hr_machine_has_unreserved (machine, spec->cpus, spec->gpus, spec->memory_gb);
 }
 
 void
-hr_machine_allocate (HrMachine *m, const HrJobSpec *s, HrTaskRef r)
+hr_machine_allocate (HrMachine *machine, const HrJobSpec *spec, HrTaskRef ref)
 {
-  g_array_append_val (m->tasks, r);
-  m->free.cpus -= s->cpus;
-  m->free.gpus -= s->gpus;
-  m->free.memory_gb -= s->memory_gb;
-  m->idle_since = 0;
+  g_array_append_val (machine->tasks, ref);
+  machine->free.cpus -= spec->cpus;
+  machine->free.gpus -= spec->gpus;
+  machine->free.memory_gb -= spec->memory_gb;
+  machine->idle_since = 0;
 }
 
 void
-hr_machine_release (HrMachine *m, const HrJobSpec *s, HrTaskRef r)
-{
-  for (guint i = 0; i < m->tasks->len; i++) {
-    HrTaskRef *x = &g_array_index (m->tasks, HrTaskRef, i);
-    if (x->job == r.job && x->task == r.task) {
-      g_array_remove_index_fast (m->tasks, i);
-      m->free.cpus += s->cpus;
-      m->free.gpus += s->gpus;
-      m->free.memory_gb += s->memory_gb;
+hr_machine_release (HrMachine *machine, const HrJobSpec *spec, HrTaskRef ref)
+{
+  for (guint i = 0; i < machine->tasks->len; i++) {
+    HrTaskRef *first = &g_array_index (machine->tasks, HrTaskRef, i);
+    if (first->job == ref.job && first->task == ref.task) {
+      g_array_remove_index_fast (machine->tasks, i);
+      machine->free.cpus += spec->cpus;
+      machine->free.gpus += spec->gpus;
+      machine->free.memory_gb += spec->memory_gb;
       return;
     }
   }
 }
 
 void
-hr_machine_free (HrMachine *m)
+hr_machine_free (HrMachine *machine)
 {
-  g_free (m->address);
-  g_array_unref (m->tasks);
-  g_array_unref (m->agent.direct_launches);
-  g_array_unref (m->plan.list);
-  g_free (m);
+  g_free (machine->address);
+  g_array_unref (machine->tasks);
+  g_array_unref (machine->agent.direct_launches);
+  g_array_unref (machine->plan.list);
+  g_free (machine);
 }
--- a/src/bookkeeping/tables.h
+++ b/src/bookkeeping/tables.h
@@ -267,31 +267,33 @@
   GArray *open_jobs;             /* guint32: jobs that are not final, or not compacted */
 } HrTables;
 
-void hr_job_free (HrJob *j);
-void hr_machine_free (HrMachine *m);
-void hr_job_set_spec (HrJob *j, const HrJobSpec *s, guint tasks_per_page);
+void hr_job_free (HrJob *job);
+void hr_machine_free (HrMachine *machine);
+void hr_job_set_spec (HrJob *job, const HrJobSpec *spec, guint tasks_per_page);
 /* Drops what a final job no longer needs. */
-void hr_job_compact (HrJob *j);
+void hr_job_compact (HrJob *job);
 /* Is some job that it awaits not recorded as done? One that was not read yet is not. */
-gboolean hr_job_has_unfinished_dependencies (const HrJob *j);
+gboolean hr_job_has_unfinished_dependencies (const HrJob *job);
 /* Time of day from which its times other than `due_s` count. */
-double hr_job_eligible_since (const HrJob *j);
-HrRecordPage *hr_job_page (HrJob *j, guint32 task);
+double hr_job_eligible_since (const HrJob *job);
+HrRecordPage *hr_job_page (HrJob *job, guint32 task_index);
 /* A placed task takes a machine's name, a session and an attempt: room for long names. */
 #define HR_PLACED_TASK_BYTES 48
 /* How many tasks a record or page of production holds. */
 guint hr_tasks_per_page (double value_kb);
 /* Counts tasks that use the image; older ones count less and less. */
-void hr_class_use_image (HrClassStats *s, guint32 image, guint tasks);
-gboolean hr_machine_has_image (const HrMachine *m, guint32 image);
-void hr_machine_touch_image (HrMachine *m, guint32 image);
-void hr_machine_forget_image (HrMachine *m, guint32 image);
+void hr_class_use_image (HrClassStats *stats, guint32 image, guint tasks);
+gboolean hr_machine_has_image (const HrMachine *machine, guint32 image);
+void hr_machine_touch_image (HrMachine *machine, guint32 image);
+void hr_machine_forget_image (HrMachine *machine, guint32 image);
 /* What a machine is; its capacity counts from here on. Does nothing when that is known. */
-void hr_machine_describe (HrMachine *m, const HrMachineType *t, guint32 zone, gboolean spot);
+void hr_machine_describe (HrMachine *machine, const HrMachineType *type, guint32 zone,
+                          gboolean spot);
 /* Room for a task, as meant. */
-gboolean hr_machine_fits (const HrMachine *m, const HrJobSpec *s);
+gboolean hr_machine_fits (const HrMachine *machine, const HrJobSpec *spec);
 /* Room for an amount beside what is kept for services. */
-gboolean hr_machine_has_unreserved (const HrMachine *m, double cpus, double gpus, double mem);
-gboolean hr_machine_fits_unreserved (const HrMachine *m, const HrJobSpec *s);
-void hr_machine_allocate (HrMachine *m, const HrJobSpec *s, HrTaskRef r);
-void hr_machine_release (HrMachine *m, const HrJobSpec *s, HrTaskRef r);
+gboolean hr_machine_has_unreserved (const HrMachine *machine, double cpus, double gpus,
+                                    double memory_gb);
+gboolean hr_machine_fits_unreserved (const HrMachine *machine, const HrJobSpec *spec);
+void hr_machine_allocate (HrMachine *machine, const HrJobSpec *spec, HrTaskRef ref);
+void hr_machine_release (HrMachine *machine, const HrJobSpec *spec, HrTaskRef ref);
--- a/src/client/history.c
+++ b/src/client/history.c
@@ -16,14 +16,14 @@
   g_autofree char *file = history_file ();
   g_autofree char *folder = g_path_get_dirname (file);
   g_mkdir_with_parents (folder, 0700);
-  FILE *f = g_fopen (file, "a");
-  if (!f) {
+  FILE *stream = g_fopen (file, "a");
+  if (!stream) {
     fprintf (stderr, "hoprock: %s: %s; the job is not in `hoprock list`\n", file,
              g_strerror (errno));
     return;
   }
-  fprintf (f, "%" G_GINT64_FORMAT " %s\n", g_get_real_time () / G_USEC_PER_SEC, id);
-  fclose (f);
+  fprintf (stream, "%" G_GINT64_FORMAT " %s\n", g_get_real_time () / G_USEC_PER_SEC, id);
+  fclose (stream);
 }
 
 GPtrArray *
--- a/src/client/hoprock.c
+++ b/src/client/hoprock.c
@@ -41,69 +41,71 @@
 
 /* Says why there is no good answer. Returns the exit code. */
 static int
-explain (const HrAnswer *a)
+explain (const HrAnswer *answer)
 {
   gsize size;
-  const char *text = hr_answer_text (a, &size);
+  const char *text = hr_answer_text (answer, &size);
   g_autofree char *why = hr_error_text (text, size);
-  if (a->status == 400 || a->status == 404 || a->status == 422) {
-    fprintf (stderr, "hoprock: refused (%u): %s\n", a->status, why);
+  if (answer->status == 400 || answer->status == 404 || answer->status == 422) {
+    fprintf (stderr, "hoprock: refused (%u): %s\n", answer->status, why);
     return EXIT_REFUSED;
   }
-  fprintf (stderr, "hoprock: no node could say within a minute; the last one: %u %s\n", a->status,
-           a->status ? why : "no answer");
+  fprintf (stderr, "hoprock: no node could say within a minute; the last one: %u %s\n",
+           answer->status, answer->status ? why : "no answer");
   return EXIT_GAVE_UP;
 }
 
 static void
-print_state (const Options *o, const HrJobStatus *s)
+print_state (const Options *options, const HrJobStatus *status)
 {
-  if (o->json) {
-    json_t *line = json_pack ("{sssssIsI}", "id", s->id, "state", s->state, "done",
-                              (json_int_t)s->done, "running", (json_int_t)s->running);
-    if (s->reason)
-      json_object_set_new (line, "reason", json_string (s->reason));
+  if (options->json) {
+    json_t *line = json_pack ("{sssssIsI}", "id", status->id, "state", status->state, "done",
+                              (json_int_t)status->done, "running", (json_int_t)status->running);
+    if (status->reason)
+      json_object_set_new (line, "reason", json_string (status->reason));
     g_autofree char *text = hr_json_take_text (line);
     printf ("%s\n", text);
   } else
-    printf ("%s %s, %" G_GUINT64_FORMAT " tasks done, %" G_GUINT64_FORMAT " running%s%s\n", s->id,
-            s->state, s->done, s->running, s->reason ? ": " : "", s->reason ? s->reason : "");
+    printf ("%s %s, %" G_GUINT64_FORMAT " tasks done, %" G_GUINT64_FORMAT " running%s%s\n",
+            status->id, status->state, status->done, status->running, status->reason ? ": " : "",
+            status->reason ? status->reason : "");
   fflush (stdout);
 }
 
 /* Reads and prints the state; returns the exit code. */
 static int
-show (const Options *o, const HrAnswer *a, HrJobStatus *s)
+show (const Options *options, const HrAnswer *answer, HrJobStatus *status)
 {
   gsize size;
-  const char *text = hr_answer_text (a, &size);
-  if ((a->status != 200 && a->status != 201) || !hr_job_status_read (text, size, s))
-    return explain (a);
-  print_state (o, s);
+  const char *text = hr_answer_text (answer, &size);
+  if ((answer->status != 200 && answer->status != 201) || !hr_job_status_read (text, size, status))
+    return explain (answer);
+  print_state (options, status);
   return 0;
 }
 
 static int
-ask_and_show (const Options *o, HrClient *c, const char *method, const char *path, guint answer_s)
+ask_and_show (const Options *options, HrClient *client, const char *method, const char *path,
+              guint answer_s)
 {
-  g_auto (HrAnswer) a = hr_client_ask (c, method, path, NULL, answer_s);
-  g_auto (HrJobStatus) s = {0};
-  return show (o, &a, &s);
+  g_auto (HrAnswer) answer = hr_client_ask (client, method, path, NULL, answer_s);
+  g_auto (HrJobStatus) status = {0};
+  return show (options, &answer, &status);
 }
 
 /* ---- commands ---- */
 
 static char *
-submission (Options *o, char **error)
+submission (Options *options, char **error)
 {
   char *body = NULL;
-  if (o->file) {
-    g_autoptr (GError) e = NULL;
-    if (!g_file_get_contents (o->file, &body, NULL, &e))
-      *error = g_strdup (e->message);
+  if (options->file) {
+    g_autoptr (GError) failure = NULL;
+    if (!g_file_get_contents (options->file, &body, NULL, &failure))
+      *error = g_strdup (failure->message);
     return body;
   }
-  HrSubmission *job = &o->job;
+  HrSubmission *job = &options->job;
   if (!job->job_class || !job->team || !job->image || job->cpus <= 0) {
     *error = g_strdup ("--class, --team, --image and --cpus are needed, or --file");
     return NULL;
@@ -116,63 +118,63 @@
 }
 
 static int
-submit (Options *o, HrClient *c, const char *unused)
+submit (Options *options, HrClient *client, const char *unused)
 {
   g_autofree char *error = NULL;
-  g_autofree char *body = submission (o, &error);
+  g_autofree char *body = submission (options, &error);
   if (!body)
     return wrong_use (error);
   g_autofree char *id = hr_submission_id (body, strlen (body));
   if (!id)
     return wrong_use ("the job has no valid id: `job-` and letters, digits, - _ .");
-  g_auto (HrAnswer) a = hr_client_ask (c, "POST", HR_JOBS_PATH, body, SUBMIT_ANSWER_S);
-  g_auto (HrJobStatus) s = {0};
-  int code = show (o, &a, &s);
+  g_auto (HrAnswer) answer = hr_client_ask (client, "POST", HR_JOBS_PATH, body, SUBMIT_ANSWER_S);
+  g_auto (HrJobStatus) status = {0};
+  int code = show (options, &answer, &status);
   if (code == 0 || code == EXIT_GAVE_UP) /* without an answer it may have been accepted */
     hr_history_add (id);
   return code;
 }
 
 static int
-status (Options *o, HrClient *c, const char *id)
+status (Options *options, HrClient *client, const char *id)
 {
   g_autofree char *path = hr_job_path (id);
-  if (!o->watch)
-    return ask_and_show (o, c, "GET", path, POLL_ANSWER_S);
+  if (!options->watch)
+    return ask_and_show (options, client, "GET", path, POLL_ANSWER_S);
   g_autofree char *last = NULL;
   for (;;) {
-    g_auto (HrAnswer) a = hr_client_ask (c, "GET", path, NULL, POLL_ANSWER_S);
-    g_auto (HrJobStatus) s = {0};
+    g_auto (HrAnswer) answer = hr_client_ask (client, "GET", path, NULL, POLL_ANSWER_S);
+    g_auto (HrJobStatus) read = {0};
     gsize size;
-    const char *text = hr_answer_text (&a, &size);
+    const char *text = hr_answer_text (&answer, &size);
     g_autofree char *now = g_strndup (text ? text : "", size);
-    if (a.status != 200 || !hr_job_status_read (text, size, &s))
-      return explain (&a);
+    if (answer.status != 200 || !hr_job_status_read (text, size, &read))
+      return explain (&answer);
     if (g_strcmp0 (now, last) != 0)
-      print_state (o, &s);
+      print_state (options, &read);
     g_free (last);
     last = g_steal_pointer (&now);
-    if (hr_job_status_is_final (&s))
-      return hr_job_status_is_cancelled (&s) ? EXIT_CANCELLED : 0;
+    if (hr_job_status_is_final (&read))
+      return hr_job_status_is_cancelled (&read) ? EXIT_CANCELLED : 0;
     g_usleep ((gulong)WATCH_EVERY_S * G_USEC_PER_SEC);
   }
 }
 
 static int
-cancel (Options *o, HrClient *c, const char *id)
+cancel (Options *options, HrClient *client, const char *id)
 {
   g_autofree char *path = hr_cancel_path (id);
-  return ask_and_show (o, c, "POST", path, SUBMIT_ANSWER_S);
+  return ask_and_show (options, client, "POST", path, SUBMIT_ANSWER_S);
 }
 
 static int
-list (Options *o, HrClient *c, const char *unused)
+list (Options *options, HrClient *client, const char *unused)
 {
   g_autoptr (GPtrArray) ids = hr_history_ids ();
   int code = 0;
   for (guint i = 0; i < ids->len; i++) {
     g_autofree char *path = hr_job_path (ids->pdata[i]);
-    int one = ask_and_show (o, c, "GET", path, POLL_ANSWER_S);
+    int one = ask_and_show (options, client, "GET", path, POLL_ANSWER_S);
     code = MAX (code, one);
     if (one == EXIT_GAVE_UP)
       break; /* the others would not be answered either */
@@ -182,10 +184,10 @@
 
 /* The value of a metric; -1 when the node's text has none. */
 static double
-metric (const HrAnswer *a, const char *name)
+metric (const HrAnswer *answer, const char *name)
 {
   gsize size;
-  const char *text = hr_answer_text (a, &size);
+  const char *text = hr_answer_text (answer, &size);
   g_autofree char *copy = g_strndup (text ? text : "", size);
   g_auto (GStrv) lines = g_strsplit (copy, "\n", -1);
   for (guint i = 0; lines[i]; i++)
@@ -195,11 +197,11 @@
 }
 
 static void
-print_node (const Options *o, const char *server, gboolean answers, gboolean ready,
+print_node (const Options *options, const char *server, gboolean answers, gboolean ready,
             const HrAnswer *metrics)
 {
   gboolean leads = metric (metrics, "hoprock_leads") == 1;
-  if (o->json) {
+  if (options->json) {
     json_t *line = json_pack ("{sssbsbsb}", "server", server, "answers", answers, "ready", ready,
                               "leads", leads);
     g_autofree char *text = hr_json_take_text (line);
@@ -213,14 +215,16 @@
 }
 
 static int
-nodes (Options *o, HrClient *c, const char *unused)
+nodes (Options *options, HrClient *client, const char *unused)
 {
   guint ready = 0;
-  for (guint i = 0; c->servers[i]; i++) {
-    g_auto (HrAnswer) probe = hr_client_ask_node (c, c->servers[i], "/ready", POLL_ANSWER_S);
-    g_auto (HrAnswer) metrics = hr_client_ask_node (c, c->servers[i], "/metrics", POLL_ANSWER_S);
+  for (guint i = 0; client->servers[i]; i++) {
+    g_auto (HrAnswer) probe =
+        hr_client_ask_node (client, client->servers[i], "/ready", POLL_ANSWER_S);
+    g_auto (HrAnswer) metrics =
+        hr_client_ask_node (client, client->servers[i], "/metrics", POLL_ANSWER_S);
     ready += probe.status == 200;
-    print_node (o, c->servers[i], probe.status != 0, probe.status == 200, &metrics);
+    print_node (options, client->servers[i], probe.status != 0, probe.status == 200, &metrics);
   }
   return ready ? 0 : EXIT_GAVE_UP;
 }
@@ -230,7 +234,7 @@
 typedef struct {
   const char *name;
   gboolean takes_id;
-  int (*run) (Options *o, HrClient *c, const char *id);
+  int (*run) (Options *options, HrClient *client, const char *id);
 } Command;
 
 static const Command commands[] = {{"submit", FALSE, submit},
@@ -240,32 +244,37 @@
                                    {"nodes", FALSE, nodes}};
 
 static GOptionGroup *
-job_options (HrSubmission *j)
+job_options (HrSubmission *submission)
 {
   const GOptionEntry entries[] = {
-      {"id", 0, 0, G_OPTION_ARG_STRING, &j->id, "its id; default: drawn", "job-NAME"},
-      {"class", 0, 0, G_OPTION_ARG_STRING, &j->job_class, "class of jobs", "NAME"},
-      {"team", 0, 0, G_OPTION_ARG_STRING, &j->team, "team", "NAME"},
-      {"shape", 0, 0, G_OPTION_ARG_STRING, &j->shape, "batch, ensemble or daemon", "SHAPE"},
-      {"rank", 0, 0, G_OPTION_ARG_STRING, &j->priority, "production, urgent, normal or low",
-       "RANK"},
-      {"tasks", 0, 0, G_OPTION_ARG_INT, &j->tasks, "number of tasks", "N"},
-      {"cpus", 0, 0, G_OPTION_ARG_DOUBLE, &j->cpus, "CPUs of each task", "N"},
-      {"gpus", 0, 0, G_OPTION_ARG_DOUBLE, &j->accelerators, "accelerators of each task", "N"},
-      {"memory", 0, 0, G_OPTION_ARG_DOUBLE, &j->memory_gb, "memory of each task", "GB"},
-      {"image", 0, 0, G_OPTION_ARG_STRING, &j->image, "image", "NAME"},
-      {"image-size", 0, 0, G_OPTION_ARG_DOUBLE, &j->image_gb, "its size", "GB"},
-      {"type", 0, 0, G_OPTION_ARG_STRING_ARRAY, &j->types, "allowed machine type, repeatable",
-       "NAME"},
-      {"zone", 0, 0, G_OPTION_ARG_STRING, &j->zone, "the only allowed zone", "NAME"},
-      {"together", 0, 0, G_OPTION_ARG_NONE, &j->one_zone, "all tasks in one zone", NULL},
-      {"apart", 0, 0, G_OPTION_ARG_NONE, &j->spread, "at most half of the tasks in a zone", NULL},
-      {"spot", 0, 0, G_OPTION_ARG_NONE, &j->allows_spot, "may use spot machines", NULL},
-      {"estimate", 0, 0, G_OPTION_ARG_DOUBLE, &j->estimate_s, "run time of a task", "S"},
-      {"checkpoint", 0, 0, G_OPTION_ARG_DOUBLE, &j->checkpoint_s, "between checkpoints", "S"},
-      {"save", 0, 0, G_OPTION_ARG_DOUBLE, &j->save_s, "time to save when stopped", "S"},
-      {"due", 0, 0, G_OPTION_ARG_DOUBLE, &j->deadline_s, "deadline, from now", "S"},
-      {"await", 0, 0, G_OPTION_ARG_STRING_ARRAY, &j->awaits, "job to wait for, repeatable", "ID"},
+      {"id", 0, 0, G_OPTION_ARG_STRING, &submission->id, "its id; default: drawn", "job-NAME"},
+      {"class", 0, 0, G_OPTION_ARG_STRING, &submission->job_class, "class of jobs", "NAME"},
+      {"team", 0, 0, G_OPTION_ARG_STRING, &submission->team, "team", "NAME"},
+      {"shape", 0, 0, G_OPTION_ARG_STRING, &submission->shape, "batch, ensemble or daemon",
+       "SHAPE"},
+      {"rank", 0, 0, G_OPTION_ARG_STRING, &submission->priority,
+       "production, urgent, normal or low", "RANK"},
+      {"tasks", 0, 0, G_OPTION_ARG_INT, &submission->tasks, "number of tasks", "N"},
+      {"cpus", 0, 0, G_OPTION_ARG_DOUBLE, &submission->cpus, "CPUs of each task", "N"},
+      {"gpus", 0, 0, G_OPTION_ARG_DOUBLE, &submission->accelerators, "accelerators of each task",
+       "N"},
+      {"memory", 0, 0, G_OPTION_ARG_DOUBLE, &submission->memory_gb, "memory of each task", "GB"},
+      {"image", 0, 0, G_OPTION_ARG_STRING, &submission->image, "image", "NAME"},
+      {"image-size", 0, 0, G_OPTION_ARG_DOUBLE, &submission->image_gb, "its size", "GB"},
+      {"type", 0, 0, G_OPTION_ARG_STRING_ARRAY, &submission->types,
+       "allowed machine type, repeatable", "NAME"},
+      {"zone", 0, 0, G_OPTION_ARG_STRING, &submission->zone, "the only allowed zone", "NAME"},
+      {"together", 0, 0, G_OPTION_ARG_NONE, &submission->one_zone, "all tasks in one zone", NULL},
+      {"apart", 0, 0, G_OPTION_ARG_NONE, &submission->spread, "at most half of the tasks in a zone",
+       NULL},
+      {"spot", 0, 0, G_OPTION_ARG_NONE, &submission->allows_spot, "may use spot machines", NULL},
+      {"estimate", 0, 0, G_OPTION_ARG_DOUBLE, &submission->estimate_s, "run time of a task", "S"},
+      {"checkpoint", 0, 0, G_OPTION_ARG_DOUBLE, &submission->checkpoint_s, "between checkpoints",
+       "S"},
+      {"save", 0, 0, G_OPTION_ARG_DOUBLE, &submission->save_s, "time to save when stopped", "S"},
+      {"due", 0, 0, G_OPTION_ARG_DOUBLE, &submission->deadline_s, "deadline, from now", "S"},
+      {"await", 0, 0, G_OPTION_ARG_STRING_ARRAY, &submission->awaits, "job to wait for, repeatable",
+       "ID"},
       {NULL}};
   GOptionGroup *group =
       g_option_group_new ("job", "Options of submit:", "Show the options of submit", NULL, NULL);
@@ -274,19 +283,20 @@
 }
 
 static gboolean
-parse (Options *o, int *argc, char ***argv)
+parse (Options *options, int *argc, char ***argv)
 {
   const GOptionEntry entries[] = {
-      {"server", 's', 0, G_OPTION_ARG_STRING, &o->server,
+      {"server", 's', 0, G_OPTION_ARG_STRING, &options->server,
        "nodes or load balancer; default: $HOPROCK_SERVER, or 127.0.0.1:8080", "HOST:PORT,..."},
-      {"json", 'j', 0, G_OPTION_ARG_NONE, &o->json, "one JSON object a line", NULL},
-      {"quiet", 'q', 0, G_OPTION_ARG_NONE, &o->quiet, "say nothing about retries", NULL},
-      {"watch", 'w', 0, G_OPTION_ARG_NONE, &o->watch, "status: until the job ends", NULL},
-      {"file", 'f', 0, G_OPTION_ARG_FILENAME, &o->file, "submit: a submission in JSON", "FILE"},
+      {"json", 'j', 0, G_OPTION_ARG_NONE, &options->json, "one JSON object a line", NULL},
+      {"quiet", 'q', 0, G_OPTION_ARG_NONE, &options->quiet, "say nothing about retries", NULL},
+      {"watch", 'w', 0, G_OPTION_ARG_NONE, &options->watch, "status: until the job ends", NULL},
+      {"file", 'f', 0, G_OPTION_ARG_FILENAME, &options->file, "submit: a submission in JSON",
+       "FILE"},
       {NULL}};
   g_autoptr (GOptionContext) context = g_option_context_new (usage);
   g_option_context_add_main_entries (context, entries, NULL);
-  g_option_context_add_group (context, job_options (&o->job));
+  g_option_context_add_group (context, job_options (&options->job));
   g_autoptr (GError) error = NULL;
   if (g_option_context_parse (context, argc, argv, &error))
     return TRUE;
@@ -304,15 +314,16 @@
 }
 
 static void
-options_clear (Options *o)
+options_clear (Options *options)
 {
-  HrSubmission *j = &o->job;
-  char *texts[] = {o->server, o->file,     j->id,    j->job_class, j->team,
-                   j->shape,  j->priority, j->image, j->zone};
+  HrSubmission *submission = &options->job;
+  char *texts[] = {options->server,       options->file,     submission->id,
+                   submission->job_class, submission->team,  submission->shape,
+                   submission->priority,  submission->image, submission->zone};
   for (guint i = 0; i < G_N_ELEMENTS (texts); i++)
     g_free (texts[i]);
-  g_strfreev (j->types);
-  g_strfreev (j->awaits);
+  g_strfreev (submission->types);
+  g_strfreev (submission->awaits);
 }
 
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (Options, options_clear)
@@ -320,9 +331,9 @@
 int
 main (int argc, char **argv)
 {
-  g_auto (Options) o = {.job = {.tasks = 1}};
+  g_auto (Options) options = {.job = {.tasks = 1}};
   HrClient client = {0};
-  if (!parse (&o, &argc, &argv))
+  if (!parse (&options, &argc, &argv))
     return EXIT_WRONG_USE;
   const Command *command = command_of (argc > 1 ? argv[1] : NULL);
   if (!command)
@@ -331,10 +342,10 @@
     return wrong_use (command->takes_id ? "one job's id is needed" : "unexpected argument");
   if (command->takes_id && !hr_job_id_valid (argv[2]))
     return wrong_use ("not a job's id: `job-` and letters, digits, - _ .");
-  const char *set = g_getenv ("HOPROCK_SERVER");
-  const char *servers = o.server ? o.server : set ? set : "127.0.0.1:8080";
-  int code = hr_client_begin (&client, servers, o.quiet)
-                 ? command->run (&o, &client, command->takes_id ? argv[2] : NULL)
+  const char *settings = g_getenv ("HOPROCK_SERVER");
+  const char *servers = options.server ? options.server : settings ? settings : "127.0.0.1:8080";
+  int code = hr_client_begin (&client, servers, options.quiet)
+                 ? command->run (&options, &client, command->takes_id ? argv[2] : NULL)
                  : wrong_use ("--server names no node");
   hr_client_end (&client);
   return code;
--- a/src/client/requests.h
+++ b/src/client/requests.h
@@ -17,15 +17,16 @@
 } HrAnswer;
 
 /* servers: separated by commas. FALSE: there is none. */
-gboolean hr_client_begin (HrClient *c, const char *servers, gboolean quiet);
-void hr_client_end (HrClient *c);
+gboolean hr_client_begin (HrClient *client, const char *servers, gboolean quiet);
+void hr_client_end (HrClient *client);
 /* Asks until the answer is final: any of 200, 201, 400, 404, 405, 422. Others, and none, are asked
  * again 1 s later, or after Retry-After (30 s at the most), at the next node; for 60 s in all. A
  * line on standard error says what is waited for. answer_s: how long to wait for each answer. */
-HrAnswer hr_client_ask (HrClient *c, const char *method, const char *path, const char *body,
+HrAnswer hr_client_ask (HrClient *client, const char *method, const char *path, const char *body,
                         guint answer_s);
 /* One question to this very node, asked once. */
-HrAnswer hr_client_ask_node (HrClient *c, const char *server, const char *path, guint answer_s);
-void hr_answer_clear (HrAnswer *a);
+HrAnswer hr_client_ask_node (HrClient *client, const char *server, const char *path,
+                             guint answer_s);
+void hr_answer_clear (HrAnswer *answer);
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (HrAnswer, hr_answer_clear)
-const char *hr_answer_text (const HrAnswer *a, gsize *size);
+const char *hr_answer_text (const HrAnswer *answer, gsize *size);
--- a/src/coordination/agents/direct_orders.c
+++ b/src/coordination/agents/direct_orders.c
@@ -15,81 +15,85 @@
 } Direct;
 
 static void
-on_direct_answer (HrCore *c, int status, json_t *body, double sent, gpointer data)
+on_direct_answer (HrCore *core, int status, json_t *body, double sent, gpointer data)
 {
-  g_autofree Direct *d = data;
-  HrMachine *m = c->store.tables.machines->pdata[d->machine];
-  if (!c->leadership.is_leader || d->term_began_at != c->leadership.term_began_at)
+  g_autofree Direct *call = data;
+  HrMachine *machine = core->store.tables.machines->pdata[call->machine];
+  if (!core->leadership.is_leader || call->term_began_at != core->leadership.term_began_at)
     return; /* of an earlier term: its token is void */
-  m->agent.direct_calls_in_flight--;
-  c->metrics.counters.direct_unanswered += status != 200 && status != 409;
-  c->metrics.counters.direct_refused += status == 409;
+  machine->agent.direct_calls_in_flight--;
+  core->metrics.counters.direct_unanswered += status != 200 && status != 409;
+  core->metrics.counters.direct_refused += status == 409;
   if (status != 200)
-    g_debug ("direct: machine=%s result=%s", m->name, status == 409 ? "refused" : "unanswered");
+    g_debug ("direct: machine=%s result=%s", machine->name,
+             status == 409 ? "refused" : "unanswered");
   if (status != 200 && status != 409) {
-    if (d->launch && m->agent.incarnation == d->incarnation)
-      m->agent.unanswered_launch_token = MAX (m->agent.unanswered_launch_token, d->fencing_token);
-    m->agent.direct_paused_until = c->now + PAUSE_S;
+    if (call->launch && machine->agent.incarnation == call->incarnation)
+      machine->agent.unanswered_launch_token =
+          MAX (machine->agent.unanswered_launch_token, call->fencing_token);
+    machine->agent.direct_paused_until = core->now + PAUSE_S;
     return;
   }
   g_autofree char *text = json_dumps (body, JSON_COMPACT);
   g_autofree char *why = NULL;
-  g_autoptr (HrHeartbeat) r = hr_heartbeat_parse (text, text ? strlen (text) : 0, &why);
-  if (r)
-    hr_heartbeat_direct_answer (c, m, r);
+  g_autoptr (HrHeartbeat) heartbeat = hr_heartbeat_parse (text, text ? strlen (text) : 0, &why);
+  if (heartbeat)
+    hr_heartbeat_direct_answer (core, machine, heartbeat);
 }
 
 /* Looked at again with the next step. */
 static void
-postpone (HrCore *c, HrMachine *m)
+postpone (HrCore *core, HrMachine *machine)
 {
-  c->agents.has_urgent_orders = TRUE;
-  if (m->agent.orders_postponed)
+  core->agents.has_urgent_orders = TRUE;
+  if (machine->agent.orders_postponed)
     return;
-  m->agent.orders_postponed = TRUE;
-  c->metrics.counters.direct_put_off++;
-  g_debug ("direct: machine=%s result=put_off out=%u pause=%.2f", m->name,
-           m->agent.direct_calls_in_flight, MAX (0, m->agent.direct_paused_until - c->now));
+  machine->agent.orders_postponed = TRUE;
+  core->metrics.counters.direct_put_off++;
+  g_debug ("direct: machine=%s result=put_off out=%u pause=%.2f", machine->name,
+           machine->agent.direct_calls_in_flight,
+           MAX (0, machine->agent.direct_paused_until - core->now));
 }
 
 static void
-send_orders (HrCore *c, HrMachine *m)
+send_orders (HrCore *core, HrMachine *machine)
 {
   json_t *orders = json_array ();
-  gboolean launch = hr_orders_recorded (c, m, orders, TRUE);
+  gboolean launch = hr_orders_recorded (core, machine, orders, TRUE);
   if (!json_array_size (orders)) {
     json_decref (orders);
     return;
   }
-  Direct *d = g_new0 (Direct, 1);
-  *d = (Direct){m->index, c->leadership.fencing_token, m->agent.incarnation,
-                c->leadership.term_began_at, launch};
-  m->agent.direct_calls_in_flight++;
-  c->metrics.counters.direct_calls++;
+  Direct *call = g_new0 (Direct, 1);
+  *call = (Direct){machine->index, core->leadership.fencing_token, machine->agent.incarnation,
+                   core->leadership.term_began_at, launch};
+  machine->agent.direct_calls_in_flight++;
+  core->metrics.counters.direct_calls++;
   g_debug ("direct: machine=%s session=%u token=%" G_GUINT64_FORMAT " stops=%u launches=%u",
-           m->name, m->agent.incarnation, c->leadership.fencing_token,
+           machine->name, machine->agent.incarnation, core->leadership.fencing_token,
            hr_orders_count (orders, "kill"), hr_orders_count (orders, "launch"));
-  hr_core_call (c, HR_TO_WORKER, m->address, HR_POST, g_strdup ("/do"),
-                hr_orders_text (c->leadership.fencing_token, m->agent.incarnation, orders),
-                DIRECT_TIMEOUT_S, on_direct_answer, d);
+  hr_core_call (core, HR_TO_WORKER, machine->address, HR_POST, g_strdup ("/do"),
+                hr_orders_text (core->leadership.fencing_token, machine->agent.incarnation, orders),
+                DIRECT_TIMEOUT_S, on_direct_answer, call);
 }
 
 void
-hr_direct_orders_send (HrCore *c)
+hr_direct_orders_send (HrCore *core)
 {
-  if (!c->leadership.is_leader || !c->agents.has_urgent_orders || c->policy.direct_launch < 1)
+  if (!core->leadership.is_leader || !core->agents.has_urgent_orders ||
+      core->policy.direct_launch < 1)
     return;
-  c->agents.has_urgent_orders = FALSE;
-  for (guint i = 0; i < c->scaling.fleet->len; i++) {
-    HrMachine *m = c->scaling.fleet->pdata[i];
-    if (!m->agent.has_urgent_orders)
+  core->agents.has_urgent_orders = FALSE;
+  for (guint i = 0; i < core->scaling.fleet->len; i++) {
+    HrMachine *machine = core->scaling.fleet->pdata[i];
+    if (!machine->agent.has_urgent_orders)
       continue;
-    if (m->agent.direct_calls_in_flight || c->now < m->agent.direct_paused_until) {
-      postpone (c, m);
+    if (machine->agent.direct_calls_in_flight || core->now < machine->agent.direct_paused_until) {
+      postpone (core, machine);
       continue;
     }
-    m->agent.has_urgent_orders = m->agent.orders_postponed = FALSE;
-    if (m->state == HR_MACHINE_UP && m->address && m->agent.heard_at)
-      send_orders (c, m);
+    machine->agent.has_urgent_orders = machine->agent.orders_postponed = FALSE;
+    if (machine->state == HR_MACHINE_UP && machine->address && machine->agent.heard_at)
+      send_orders (core, machine);
   }
 }
--- a/src/coordination/agents/heartbeats.c
+++ b/src/coordination/agents/heartbeats.c
@@ -9,338 +9,349 @@
 
 /* Fills in what a machine is and where; FALSE while its type is not known. */
 static gboolean
-describe (HrCore *c, HrMachine *m, const HrHeartbeat *r)
+describe (HrCore *core, HrMachine *machine, const HrHeartbeat *heartbeat)
 {
-  guint32 type = hr_intern_find (&c->names->types, r->type);
-  const HrMachineType *t = type == HR_NONE ? NULL : hr_machine_type_find (c, type);
-  if (!t)
+  guint32 type = hr_intern_find (&core->names->types, heartbeat->type);
+  const HrMachineType *machine_type = type == HR_NONE ? NULL : hr_machine_type_find (core, type);
+  if (!machine_type)
     return FALSE;
-  hr_machine_describe (m, t, hr_intern (&c->names->zones, r->zone), r->is_spot);
-  if (g_strcmp0 (m->address, r->address) != 0) {
-    g_free (m->address);
-    m->address = g_strdup (r->address);
+  hr_machine_describe (machine, machine_type, hr_intern (&core->names->zones, heartbeat->zone),
+                       heartbeat->is_spot);
+  if (g_strcmp0 (machine->address, heartbeat->address) != 0) {
+    g_free (machine->address);
+    machine->address = g_strdup (heartbeat->address);
   }
   return TRUE;
 }
 
 static HrTask *
-find_reported_task (HrCore *c, HrMachine *m, const HrReportedTask *it, HrJob **job)
+find_reported_task (HrCore *core, HrMachine *machine, const HrReportedTask *reported, HrJob **job)
 {
-  HrJob *j = hr_job_find (c, it->job);
-  *job = j;
-  if (!j || !j->tasks || it->task >= j->n_tasks)
+  HrJob *found = hr_job_find (core, reported->job);
+  *job = found;
+  if (!found || !found->tasks || reported->task >= found->n_tasks)
     return NULL;
-  HrTask *t = &j->tasks[it->task];
-  return t->placement.machine == m->index && t->placement.incarnation == m->agent.incarnation &&
-                 t->placement.attempt == it->attempt
-             ? t
+  HrTask *task = &found->tasks[reported->task];
+  return task->placement.machine == machine->index &&
+                 task->placement.incarnation == machine->agent.incarnation &&
+                 task->placement.attempt == reported->attempt
+             ? task
              : NULL;
 }
 
 /* The item shows that the machine has the task's image. One that was stopped, or refused,
  * may have ended before that: the fetch is given up with it. */
 static gboolean
-had_image (const HrReportedTask *it)
+had_image (const HrReportedTask *reported)
 {
-  if (it->state == HR_REPORTED_EXITED)
-    return it->cause == HR_EXIT_DONE || it->cause == HR_EXIT_INCOMPLETE ||
-           it->cause == HR_EXIT_PEERS;
-  return it->state != HR_REPORTED_FETCHING;
+  if (reported->state == HR_REPORTED_EXITED)
+    return reported->cause == HR_EXIT_DONE || reported->cause == HR_EXIT_INCOMPLETE ||
+           reported->cause == HR_EXIT_PEERS;
+  return reported->state != HR_REPORTED_FETCHING;
 }
 
 static void
-note_exit (HrCore *c, HrJob *j, const HrReportedTask *it)
+note_exit (HrCore *core, HrJob *job, const HrReportedTask *reported)
 {
-  if (it->cause == HR_EXIT_DONE && j->state == HR_JOB_QUEUED)
-    hr_task_done (c, j, it->task);
+  if (reported->cause == HR_EXIT_DONE && job->state == HR_JOB_QUEUED)
+    hr_task_done (core, job, reported->task);
   else
-    hr_task_gone (c, j, it->task, it->cause, hr_exit_name (it->cause));
+    hr_task_gone (core, job, reported->task, reported->cause, hr_exit_name (reported->cause));
 }
 
 static void
-handle_unrecognized (HrCore *c, HrMachine *m, HrJob *j, const HrReportedTask *it, json_t *orders,
-                     guint *kept)
+handle_unrecognized (HrCore *core, HrMachine *machine, HrJob *job, const HrReportedTask *reported,
+                     json_t *orders, guint *kept)
 {
-  if (it->state == HR_REPORTED_EXITED) {
-    if (hr_termination_may_clear (c, m, j ? j->index : HR_NONE, it->task, it->attempt))
-      hr_orders_clear (c, m, orders, it->job, it->task, it->attempt);
+  if (reported->state == HR_REPORTED_EXITED) {
+    if (hr_termination_may_clear (core, machine, job ? job->index : HR_NONE, reported->task,
+                                  reported->attempt))
+      hr_orders_clear (core, machine, orders, reported->job, reported->task, reported->attempt);
     else if (++*kept >= MAX_UNCLEARED)
-      hr_leadership_raise_token (c,
+      hr_leadership_raise_token (core,
                                  "a worker holds many ended attempts that cannot be cleared yet");
     return;
   }
   /* It takes room until it is gone. */
-  if (j && j->is_known && j->n_tasks) {
-    m->unrecognized.cpus += j->spec.cpus;
-    m->unrecognized.gpus += j->spec.gpus;
-    m->unrecognized.memory_gb += j->spec.memory_gb;
+  if (job && job->is_known && job->n_tasks) {
+    machine->unrecognized.cpus += job->spec.cpus;
+    machine->unrecognized.gpus += job->spec.gpus;
+    machine->unrecognized.memory_gb += job->spec.memory_gb;
   }
-  hr_orders_stop (c, m, orders, it->job, it->task, it->attempt,
-                  j && j->state == HR_JOB_CANCELLED ? "withdrawn" : "not_recorded_here");
+  hr_orders_stop (core, machine, orders, reported->job, reported->task, reported->attempt,
+                  job && job->state == HR_JOB_CANCELLED ? "withdrawn" : "not_recorded_here");
 }
 
 /* Takes in a worker's task list. full: a report, whose silence about a task counts. */
 static void
-take_reported_tasks (HrCore *c, HrMachine *m, const HrHeartbeat *r, gboolean full, json_t *orders)
+take_reported_tasks (HrCore *core, HrMachine *machine, const HrHeartbeat *heartbeat, gboolean full,
+                     json_t *orders)
 {
-  g_autoptr (GArray) before = g_array_copy (m->tasks);
+  g_autoptr (GArray) before = g_array_copy (machine->tasks);
   g_autoptr (GHashTable) seen = g_hash_table_new (g_direct_hash, g_direct_equal);
   guint kept = 0;
-  m->unrecognized.cpus = m->unrecognized.gpus = m->unrecognized.memory_gb = 0;
-  for (guint i = 0; i < r->tasks->len; i++) {
-    HrReportedTask *it = &g_array_index (r->tasks, HrReportedTask, i);
-    HrJob *j;
-    HrTask *t = find_reported_task (c, m, it, &j);
-    if (t && t->state == HR_TASK_BOUND) {
-      g_hash_table_add (seen, t);
-      t->from_earlier_term = 0;
+  machine->unrecognized.cpus = machine->unrecognized.gpus = machine->unrecognized.memory_gb = 0;
+  for (guint i = 0; i < heartbeat->tasks->len; i++) {
+    HrReportedTask *reported = &g_array_index (heartbeat->tasks, HrReportedTask, i);
+    HrJob *job;
+    HrTask *task = find_reported_task (core, machine, reported, &job);
+    if (task && task->state == HR_TASK_BOUND) {
+      g_hash_table_add (seen, task);
+      task->from_earlier_term = 0;
       /* Records tell a new owner where an image should be; one that is still being fetched
        * at the second look is not there. */
-      if (it->state == HR_REPORTED_FETCHING && t->reported_state == HR_REPORTED_FETCHING)
-        hr_machine_forget_image (m, j->spec.image);
-      if (t->reported_state != it->state)
-        c->scheduling.plan_is_stale = TRUE;
-      t->reported_state = it->state;
-      if (it->state == HR_REPORTED_RUNNING && !t->running_since) {
-        t->running_since = c->now;
-        g_debug ("%s/%u runs on %s", j->id, it->task, m->name);
+      if (reported->state == HR_REPORTED_FETCHING && task->reported_state == HR_REPORTED_FETCHING)
+        hr_machine_forget_image (machine, job->spec.image);
+      if (task->reported_state != reported->state)
+        core->scheduling.plan_is_stale = TRUE;
+      task->reported_state = reported->state;
+      if (reported->state == HR_REPORTED_RUNNING && !task->running_since) {
+        task->running_since = core->now;
+        g_debug ("%s/%u runs on %s", job->id, reported->task, machine->name);
       }
-      if (had_image (it))
-        hr_machine_touch_image (m, j->spec.image);
-      if (it->state == HR_REPORTED_EXITED)
-        note_exit (c, j, it);
+      if (had_image (reported))
+        hr_machine_touch_image (machine, job->spec.image);
+      if (reported->state == HR_REPORTED_EXITED)
+        note_exit (core, job, reported);
       continue;
     }
-    if (t && t->state == HR_TASK_DONE && !t->done_recorded && !j->record.is_compacted)
+    if (task && task->state == HR_TASK_DONE && !task->done_recorded && !job->record.is_compacted)
       continue; /* its ending is still to be recorded: no clear before that */
-    if (t && t->state == HR_TASK_ASSIGNING)
+    if (task && task->state == HR_TASK_ASSIGNING)
       continue;
-    handle_unrecognized (c, m, j, it, orders, &kept);
+    handle_unrecognized (core, machine, job, reported, orders, &kept);
   }
   if (!full)
     return;
-  gboolean proof =
-      hr_termination_orders_settled (m) && r->fencing_token >= c->leadership.fencing_token;
+  gboolean proof = hr_termination_orders_settled (machine) &&
+                   heartbeat->fencing_token >= core->leadership.fencing_token;
   for (guint i = 0; i < before->len; i++) {
     HrTaskRef ref = g_array_index (before, HrTaskRef, i);
-    HrJob *j = c->store.tables.jobs->pdata[ref.job];
-    HrTask *t = j->tasks ? &j->tasks[ref.task] : NULL;
-    if (!t || t->state != HR_TASK_BOUND || t->placement.machine != m->index ||
-        t->placement.incarnation != m->agent.incarnation || g_hash_table_contains (seen, t))
+    HrJob *job = core->store.tables.jobs->pdata[ref.job];
+    HrTask *task = job->tasks ? &job->tasks[ref.task] : NULL;
+    if (!task || task->state != HR_TASK_BOUND || task->placement.machine != machine->index ||
+        task->placement.incarnation != machine->agent.incarnation ||
+        g_hash_table_contains (seen, task))
       continue;
-    t->reported_state = HR_NOT_REPORTED;
-    if (j->state == HR_JOB_QUEUED && !t->stop_wanted && !t->from_earlier_term &&
-        !j->run.attempt_ending)
+    task->reported_state = HR_NOT_REPORTED;
+    if (job->state == HR_JOB_QUEUED && !task->stop_wanted && !task->from_earlier_term &&
+        !job->run.attempt_ending)
       continue; /* it is launched (again) where it is recorded */
     if (proof)
-      hr_task_gone (c, j, ref.task, HR_EXIT_NONE, "its worker's report lacks it");
-    else if (m->agent.unanswered_launch_token)
-      hr_leadership_raise_token (c, "an order to a worker got no answer");
+      hr_task_gone (core, job, ref.task, HR_EXIT_NONE, "its worker's report lacks it");
+    else if (machine->agent.unanswered_launch_token)
+      hr_leadership_raise_token (core, "an order to a worker got no answer");
   }
 }
 
 static void
-take_preemption_notice (HrCore *c, HrMachine *m, const HrHeartbeat *r)
+take_preemption_notice (HrCore *core, HrMachine *machine, const HrHeartbeat *heartbeat)
 {
-  if (r->preemption_notice_s < 0)
+  if (heartbeat->preemption_notice_s < 0)
     return;
-  if (!m->instance.preempted_at)
-    g_info ("%s will be taken in about %.0f s", m->name, r->preemption_notice_s);
-  m->instance.preempted_at = c->now + r->preemption_notice_s;
-  m->is_draining = TRUE;
-  for (guint i = 0; i < m->tasks->len; i++) {
-    HrTaskRef ref = g_array_index (m->tasks, HrTaskRef, i);
-    HrJob *j = c->store.tables.jobs->pdata[ref.job];
-    HrTask *t = &j->tasks[ref.task];
-    if (t->state != HR_TASK_BOUND || t->stop_wanted)
+  if (!machine->instance.preempted_at)
+    g_info ("%s will be taken in about %.0f s", machine->name, heartbeat->preemption_notice_s);
+  machine->instance.preempted_at = core->now + heartbeat->preemption_notice_s;
+  machine->is_draining = TRUE;
+  for (guint i = 0; i < machine->tasks->len; i++) {
+    HrTaskRef ref = g_array_index (machine->tasks, HrTaskRef, i);
+    HrJob *job = core->store.tables.jobs->pdata[ref.job];
+    HrTask *task = &job->tasks[ref.task];
+    if (task->state != HR_TASK_BOUND || task->stop_wanted)
       continue;
-    if (j->spec.shape == HR_GANG) {
-      hr_gang_end_attempt (c, j, j->spec.save_s + 1);
+    if (job->spec.shape == HR_GANG) {
+      hr_gang_end_attempt (core, job, job->spec.save_s + 1);
       continue;
     }
-    double est = hr_estimate_run_time (c, j, m);
-    double left = t->running_since ? est - (c->now - t->running_since) : est;
+    double est = hr_estimate_run_time (core, job, machine);
+    double left = task->running_since ? est - (core->now - task->running_since) : est;
     /* What ends in time is left alone; what saves is stopped while it still
      * can; the rest is moved at once. */
-    if (left < r->preemption_notice_s * 0.7)
+    if (left < heartbeat->preemption_notice_s * 0.7)
       continue;
-    if (j->spec.checkpoint_s > 0 && r->preemption_notice_s > j->spec.save_s + 4 &&
-        t->reported_state == HR_REPORTED_RUNNING)
-      hr_task_stop (c, j, ref.task, j->spec.save_s + 1);
+    if (job->spec.checkpoint_s > 0 && heartbeat->preemption_notice_s > job->spec.save_s + 4 &&
+        task->reported_state == HR_REPORTED_RUNNING)
+      hr_task_stop (core, job, ref.task, job->spec.save_s + 1);
     else
-      hr_task_stop (c, j, ref.task, 0);
+      hr_task_stop (core, job, ref.task, 0);
   }
 }
 
 static void
-admit_machine (HrCore *c, HrMachine *m)
+admit_machine (HrCore *core, HrMachine *machine)
 {
-  if (m->state == HR_MACHINE_GONE) {
-    g_info ("%s reports and was not expected; it is taken on", m->name);
-    hr_fleet_add (c, m);
-  } else if (m->state == HR_MACHINE_BOOTING)
-    g_info ("%s is up after %.0f s", m->name, c->now - m->instance.requested_at);
-  m->state = HR_MACHINE_UP;
-  m->idle_since = m->tasks->len ? 0 : c->now;
-  c->scheduling.plan_is_stale = TRUE;
+  if (machine->state == HR_MACHINE_GONE) {
+    g_info ("%s reports and was not expected; it is taken on", machine->name);
+    hr_fleet_add (core, machine);
+  } else if (machine->state == HR_MACHINE_BOOTING)
+    g_info ("%s is up after %.0f s", machine->name, core->now - machine->instance.requested_at);
+  machine->state = HR_MACHINE_UP;
+  machine->idle_since = machine->tasks->len ? 0 : core->now;
+  core->scheduling.plan_is_stale = TRUE;
 }
 
 /* Not entitled to act for the controllers: the worker is sent to the one that is, if known. */
 static void
-redirect_to_leader (HrCore *c, HrCommand *cmd)
+redirect_to_leader (HrCore *core, HrCommand *command)
 {
   gboolean known = FALSE;
-  for (guint i = 0; i < c->settings->members->len; i++)
-    known |= g_strcmp0 (g_array_index (c->settings->members, HrMember, i).label,
-                        c->leadership.leader_label) == 0;
-  if (c->leadership.is_leader || !known)
-    hr_core_refuse (c, cmd->id, 503, 0, "this node may not act for the controllers now");
+  for (guint i = 0; i < core->settings->members->len; i++)
+    known |= g_strcmp0 (g_array_index (core->settings->members, HrMember, i).label,
+                        core->leadership.leader_label) == 0;
+  if (core->leadership.is_leader || !known)
+    hr_core_refuse (core, command->id, 503, 0, "this node may not act for the controllers now");
   else
-    hr_core_reply (c, cmd->id, 421, json_pack ("{ss}", "foreman", c->leadership.leader_label), 0);
+    hr_core_reply (core, command->id, 421,
+                   json_pack ("{ss}", "foreman", core->leadership.leader_label), 0);
 }
 
 static void
-begin_incarnation (HrCore *c, HrMachine *m, guint32 session)
+begin_incarnation (HrCore *core, HrMachine *machine, guint32 incarnation)
 {
   /* A session that ends within a lease of our answer shows that the answer was not
    * received: reports come from there, but nothing that we say arrives. Once may also be
    * a report that a cut held back; such ones come in a bunch, not a lease apart. */
-  gboolean unreceived =
-      m->agent.lease_renewed_at && c->now - m->agent.lease_renewed_at < c->settings->lease_s - 1;
-  if (unreceived && m->agent.answer_unreceived_at &&
-      c->now - m->agent.answer_unreceived_at > c->settings->lease_s / 2)
-    m->agent.unreachable_at = c->now;
-  if (!unreceived || !m->agent.answer_unreceived_at ||
-      c->now - m->agent.answer_unreceived_at > c->settings->lease_s / 2)
-    m->agent.answer_unreceived_at = unreceived ? c->now : 0;
-  m->agent.launch_answered_sequence = m->agent.unanswered_launch_token =
+  gboolean unreceived = machine->agent.lease_renewed_at &&
+                        core->now - machine->agent.lease_renewed_at < core->settings->lease_s - 1;
+  if (unreceived && machine->agent.answer_unreceived_at &&
+      core->now - machine->agent.answer_unreceived_at > core->settings->lease_s / 2)
+    machine->agent.unreachable_at = core->now;
+  if (!unreceived || !machine->agent.answer_unreceived_at ||
+      core->now - machine->agent.answer_unreceived_at > core->settings->lease_s / 2)
+    machine->agent.answer_unreceived_at = unreceived ? core->now : 0;
+  machine->agent.launch_answered_sequence = machine->agent.unanswered_launch_token =
       0; /* orders of the old session are void */
-  m->agent.incarnation = session;
-  g_array_set_size (m->agent.direct_launches, 0);
+  machine->agent.incarnation = incarnation;
+  g_array_set_size (machine->agent.direct_launches, 0);
 }
 
 /* The message is the newest one of its worker. Its session and number count from here on. */
 static void
-note_sequence (HrCore *c, HrMachine *m, const HrHeartbeat *r)
+note_sequence (HrCore *core, HrMachine *machine, const HrHeartbeat *heartbeat)
 {
-  if (r->incarnation > m->agent.incarnation)
-    begin_incarnation (c, m, r->incarnation);
+  if (heartbeat->incarnation > machine->agent.incarnation)
+    begin_incarnation (core, machine, heartbeat->incarnation);
   /* Not only when the session moves on: a new owner may know the session from
    * before, and read older ones in the records. */
-  hr_termination_incarnations_over (c, m, m->agent.incarnation - 1,
+  hr_termination_incarnations_over (core, machine, machine->agent.incarnation - 1,
                                     "its worker is in a later session");
-  m->agent.sequence = r->sequence;
-  m->agent.sequence_at = c->now;
-  m->agent.fencing_token = MAX (m->agent.fencing_token, r->fencing_token);
+  machine->agent.sequence = heartbeat->sequence;
+  machine->agent.sequence_at = core->now;
+  machine->agent.fencing_token = MAX (machine->agent.fencing_token, heartbeat->fencing_token);
 }
 
 /* The report is current: its list of tasks is what the machine has. */
 static void
-take_heartbeat (HrCore *c, HrMachine *m, const HrHeartbeat *r, json_t *orders)
+take_heartbeat (HrCore *core, HrMachine *machine, const HrHeartbeat *heartbeat, json_t *orders)
 {
-  if (m->state != HR_MACHINE_UP || !m->agent.heard_at)
-    admit_machine (c, m);
-  m->agent.heard_at = c->now;
-  if (r->sequence > m->agent.launch_answered_sequence)
-    m->agent.launch_answered_sequence = 0;
-  if (r->fencing_token > m->agent.unanswered_launch_token)
-    m->agent.unanswered_launch_token = 0;
-  take_reported_tasks (c, m, r, TRUE, orders);
-  take_preemption_notice (c, m, r);
+  if (machine->state != HR_MACHINE_UP || !machine->agent.heard_at)
+    admit_machine (core, machine);
+  machine->agent.heard_at = core->now;
+  if (heartbeat->sequence > machine->agent.launch_answered_sequence)
+    machine->agent.launch_answered_sequence = 0;
+  if (heartbeat->fencing_token > machine->agent.unanswered_launch_token)
+    machine->agent.unanswered_launch_token = 0;
+  take_reported_tasks (core, machine, heartbeat, TRUE, orders);
+  take_preemption_notice (core, machine, heartbeat);
 }
 
 static void
-refuse_heartbeat (HrCore *c, HrCommand *cmd, const HrHeartbeat *r, guint64 *counter,
+refuse_heartbeat (HrCore *core, HrCommand *command, const HrHeartbeat *heartbeat, guint64 *counter,
                   const char *reason, const char *text)
 {
   ++*counter;
-  hr_lease_renewal_log_refusal (c, r->machine, reason);
-  hr_core_refuse (c, cmd->id, 503, 0, text);
+  hr_lease_renewal_log_refusal (core, heartbeat->machine, reason);
+  hr_core_refuse (core, command->id, 503, 0, text);
 }
 
 /* May the machine be answered at all? If not, the report is refused. */
 static gboolean
-may_be_answered (HrCore *c, HrCommand *cmd, HrMachine *m, const HrHeartbeat *r)
+may_be_answered (HrCore *core, HrCommand *command, HrMachine *machine, const HrHeartbeat *heartbeat)
 {
-  if (m->state != HR_MACHINE_DELETING && !(m->state == HR_MACHINE_GONE && m->instance.is_deleted) &&
-      r->incarnation >= m->agent.incarnation && describe (c, m, r))
+  if (machine->state != HR_MACHINE_DELETING &&
+      !(machine->state == HR_MACHINE_GONE && machine->instance.is_deleted) &&
+      heartbeat->incarnation >= machine->agent.incarnation && describe (core, machine, heartbeat))
     return TRUE;
-  refuse_heartbeat (c, cmd, r, &c->metrics.counters.reports_refused_machine, "returned_or_unknown",
-                    "this machine is being returned, or not known yet");
+  refuse_heartbeat (core, command, heartbeat, &core->metrics.counters.reports_refused_machine,
+                    "returned_or_unknown", "this machine is being returned, or not known yet");
   return FALSE;
 }
 
 static void
-answer_heartbeat (HrCore *c, HrCommand *cmd, HrMachine *m, const HrHeartbeat *r)
+answer_heartbeat (HrCore *core, HrCommand *command, HrMachine *machine,
+                  const HrHeartbeat *heartbeat)
 {
   json_t *orders = json_array ();
-  if (r->incarnation == m->agent.incarnation && r->sequence <= m->agent.sequence) {
+  if (heartbeat->incarnation == machine->agent.incarnation &&
+      heartbeat->sequence <= machine->agent.sequence) {
     /* Overtaken by a newer list, of an answer to /do perhaps, or a late copy: nothing in
      * it counts. */
-    hr_lease_renewal_answer (c, cmd, m, r, HR_HEARTBEAT_OVERTAKEN, orders);
+    hr_lease_renewal_answer (core, command, machine, heartbeat, HR_HEARTBEAT_OVERTAKEN, orders);
     return;
   }
-  note_sequence (c, m, r);
-  if (r->fencing_token < c->leadership.term_token &&
-      !(m->state == HR_MACHINE_BOOTING && m->instance.requested_here)) {
+  note_sequence (core, machine, heartbeat);
+  if (heartbeat->fencing_token < core->leadership.term_token &&
+      !(machine->state == HR_MACHINE_BOOTING && machine->instance.requested_here)) {
     /* Sent before the worker heard from this owner, how long ago nobody knows: it may be
      * a late copy of a machine that is gone. Only its order counts. A worker that is
      * there gets our token now, and reports again because of it; but when, and whether we
      * are there by then, is open: so it is told now what must not run. */
-    hr_lease_renewal_answer (c, cmd, m, r, HR_HEARTBEAT_BEFORE_TOKEN, orders);
+    hr_lease_renewal_answer (core, command, machine, heartbeat, HR_HEARTBEAT_BEFORE_TOKEN, orders);
     return;
   }
-  take_heartbeat (c, m, r, orders);
-  hr_lease_renewal_answer (c, cmd, m, r, HR_HEARTBEAT_CURRENT, orders);
+  take_heartbeat (core, machine, heartbeat, orders);
+  hr_lease_renewal_answer (core, command, machine, heartbeat, HR_HEARTBEAT_CURRENT, orders);
 }
 
 void
-hr_heartbeat_received (HrCore *c, HrCommand *cmd)
+hr_heartbeat_received (HrCore *core, HrCommand *command)
 {
-  if (cmd->method != HR_POST) {
-    hr_core_refuse (c, cmd->id, 405, 0, "use POST");
+  if (command->method != HR_POST) {
+    hr_core_refuse (core, command->id, 405, 0, "use POST");
     return;
   }
-  c->membership.contacts_in_window++;
-  if (!hr_leadership_may_answer (c)) {
-    c->metrics.counters.reports_refused_not_entitled++;
-    hr_lease_renewal_log_refusal (c, NULL,
-                                  c->leadership.is_leader ? "reading_too_old" : "not_leader");
-    redirect_to_leader (c, cmd);
+  core->membership.contacts_in_window++;
+  if (!hr_leadership_may_answer (core)) {
+    core->metrics.counters.reports_refused_not_entitled++;
+    hr_lease_renewal_log_refusal (core, NULL,
+                                  core->leadership.is_leader ? "reading_too_old" : "not_leader");
+    redirect_to_leader (core, command);
     return;
   }
   gsize len = 0;
-  const char *data = cmd->body ? g_bytes_get_data (cmd->body, &len) : NULL;
+  const char *data = command->body ? g_bytes_get_data (command->body, &len) : NULL;
   g_autofree char *why = NULL;
-  g_autoptr (HrHeartbeat) r = hr_heartbeat_parse (data, len, &why);
-  if (!r) {
+  g_autoptr (HrHeartbeat) heartbeat = hr_heartbeat_parse (data, len, &why);
+  if (!heartbeat) {
     g_info ("a report was dropped: %s", why);
-    c->metrics.counters.reports_malformed++;
-    hr_core_refuse (c, cmd->id, 400, 0, why);
+    core->metrics.counters.reports_malformed++;
+    hr_core_refuse (core, command->id, 400, 0, why);
     return;
   }
-  if (r->fencing_token > c->leadership.fencing_token) {
-    g_info ("%s has seen baton %" G_GUINT64_FORMAT ", ours is older", r->machine, r->fencing_token);
-    refuse_heartbeat (c, cmd, r, &c->metrics.counters.reports_refused_token, "newer_token",
-                      "a newer baton is about");
+  if (heartbeat->fencing_token > core->leadership.fencing_token) {
+    g_info ("%s has seen baton %" G_GUINT64_FORMAT ", ours is older", heartbeat->machine,
+            heartbeat->fencing_token);
+    refuse_heartbeat (core, command, heartbeat, &core->metrics.counters.reports_refused_token,
+                      "newer_token", "a newer baton is about");
     return;
   }
-  HrMachine *m = hr_machine_get (c, r->machine);
-  if (may_be_answered (c, cmd, m, r))
-    answer_heartbeat (c, cmd, m, r);
+  HrMachine *machine = hr_machine_get (core, heartbeat->machine);
+  if (may_be_answered (core, command, machine, heartbeat))
+    answer_heartbeat (core, command, machine, heartbeat);
 }
 
 void
-hr_heartbeat_direct_answer (HrCore *c, HrMachine *m, const HrHeartbeat *r)
+hr_heartbeat_direct_answer (HrCore *core, HrMachine *machine, const HrHeartbeat *heartbeat)
 {
-  if (strcmp (r->machine, m->name) != 0 || m->state != HR_MACHINE_UP ||
-      r->incarnation != m->agent.incarnation || r->sequence <= m->agent.sequence)
+  if (strcmp (heartbeat->machine, machine->name) != 0 || machine->state != HR_MACHINE_UP ||
+      heartbeat->incarnation != machine->agent.incarnation ||
+      heartbeat->sequence <= machine->agent.sequence)
     return;
-  m->agent.sequence = r->sequence;
-  m->agent.sequence_at = c->now;
-  m->agent.fencing_token = MAX (m->agent.fencing_token, r->fencing_token);
+  machine->agent.sequence = heartbeat->sequence;
+  machine->agent.sequence_at = core->now;
+  machine->agent.fencing_token = MAX (machine->agent.fencing_token, heartbeat->fencing_token);
   json_t *orders = json_array ();
-  take_reported_tasks (c, m, r, FALSE,
+  take_reported_tasks (core, machine, heartbeat, FALSE,
                        orders); /* its orders go out with the next report's answer */
   json_decref (orders);
 }
--- a/src/coordination/agents/orders.c
+++ b/src/coordination/agents/orders.c
@@ -8,114 +8,116 @@
 #define SAVE_OVERDUE_S 10.0
 
 static gboolean
-launchable (const HrCore *c, const HrJob *j, const HrTask *t)
+launchable (const HrCore *core, const HrJob *job, const HrTask *task)
 {
   /* What an earlier owner recorded is not launched: it may have ended and made
    * place for others since. It is seen on its machine, or proven gone. */
-  return j->state == HR_JOB_QUEUED && !hr_job_has_unfinished_dependencies (j) && !t->stop_wanted &&
-         !t->from_earlier_term &&
-         (j->spec.shape != HR_GANG ||
-          (!j->run.attempt_ending && hr_gang_ready (j) && !hr_gang_delays_launch (c, j, t)));
+  return job->state == HR_JOB_QUEUED && !hr_job_has_unfinished_dependencies (job) &&
+         !task->stop_wanted && !task->from_earlier_term &&
+         (job->spec.shape != HR_GANG || (!job->run.attempt_ending && hr_gang_ready (job) &&
+                                         !hr_gang_delays_launch (core, job, task)));
 }
 
 /* While the state service refuses this owner alone, others confirm withdrawals that it cannot read:
  * it launches nothing. What is recorded may wait for long, a gang's task for others' fetches. In
  * an outage for all nobody confirms any. */
 static gboolean
-may_launch (const HrCore *c)
+may_launch (const HrCore *core)
 {
-  return hr_replica_is_served (c) || hr_membership_store_outage_for_all (c);
+  return hr_replica_is_served (core) || hr_membership_store_outage_for_all (core);
 }
 
 /* The order is about to be sent. why: of a stop, else NULL. */
 static void
-log_order (const char *order, const char *job, guint32 task, guint32 attempt, const HrMachine *m,
-           gboolean direct, const char *why)
+log_order (const char *order, const char *job_id, guint32 task_index, guint32 attempt,
+           const HrMachine *machine, gboolean direct, const char *why)
 {
-  g_debug ("%s: task=%s/%u try=%u machine=%s session=%u way=%s%s%s", order, job, task, attempt,
-           m->name, m->agent.incarnation, direct ? "direct" : "answer", why ? " why=" : "",
-           why ? why : "");
+  g_debug ("%s: task=%s/%u try=%u machine=%s session=%u way=%s%s%s", order, job_id, task_index,
+           attempt, machine->name, machine->agent.incarnation, direct ? "direct" : "answer",
+           why ? " why=" : "", why ? why : "");
 }
 
 static const char *
-stop_reason (const HrJob *j)
+stop_reason (const HrJob *job)
 {
-  return j->state == HR_JOB_CANCELLED ? "withdrawn"
-         : j->run.attempt_ending      ? "gang_over"
-                                      : "wanted";
+  return job->state == HR_JOB_CANCELLED ? "withdrawn"
+         : job->run.attempt_ending      ? "gang_over"
+                                        : "wanted";
 }
 
 static void
-append_launch (HrCore *c, HrMachine *m, json_t *orders, HrTaskRef r, gboolean direct)
+append_launch (HrCore *core, HrMachine *machine, json_t *orders, HrTaskRef ref, gboolean direct)
 {
-  HrJob *j = c->store.tables.jobs->pdata[r.job];
-  const HrTask *t = &j->tasks[r.task];
-  hr_order_launch (orders, j->id, r.task, t->placement.attempt);
+  HrJob *job = core->store.tables.jobs->pdata[ref.job];
+  const HrTask *task = &job->tasks[ref.task];
+  hr_order_launch (orders, job->id, ref.task, task->placement.attempt);
   if (direct)
-    hr_termination_note_direct_launch (m, r.job, r.task, t->placement.attempt,
-                                       c->leadership.fencing_token);
-  c->metrics.counters.starts++;
-  log_order ("start", j->id, r.task, t->placement.attempt, m, direct, NULL);
+    hr_termination_note_direct_launch (machine, ref.job, ref.task, task->placement.attempt,
+                                       core->leadership.fencing_token);
+  core->metrics.counters.starts++;
+  log_order ("start", job->id, ref.task, task->placement.attempt, machine, direct, NULL);
 }
 
 static void
-append_stop (HrCore *c, HrMachine *m, json_t *orders, HrTaskRef r, gboolean direct)
+append_stop (HrCore *core, HrMachine *machine, json_t *orders, HrTaskRef ref, gboolean direct)
 {
-  HrJob *j = c->store.tables.jobs->pdata[r.job];
-  HrTask *t = &j->tasks[r.task];
-  if (!t->stop_sent_at)
-    t->stop_sent_at = c->now;
-  gboolean overdue = c->now - t->stop_sent_at > t->stop_grace_s + SAVE_OVERDUE_S;
-  if (t->reported_state == HR_REPORTED_SAVING && !overdue && t->stop_grace_s > 0)
+  HrJob *job = core->store.tables.jobs->pdata[ref.job];
+  HrTask *task = &job->tasks[ref.task];
+  if (!task->stop_sent_at)
+    task->stop_sent_at = core->now;
+  gboolean overdue = core->now - task->stop_sent_at > task->stop_grace_s + SAVE_OVERDUE_S;
+  if (task->reported_state == HR_REPORTED_SAVING && !overdue && task->stop_grace_s > 0)
     return;
-  hr_order_stop (orders, j->id, r.task, t->placement.attempt, overdue ? 0 : t->stop_grace_s);
-  c->metrics.counters.stops++;
-  log_order ("stop", j->id, r.task, t->placement.attempt, m, direct, stop_reason (j));
+  hr_order_stop (orders, job->id, ref.task, task->placement.attempt,
+                 overdue ? 0 : task->stop_grace_s);
+  core->metrics.counters.stops++;
+  log_order ("stop", job->id, ref.task, task->placement.attempt, machine, direct,
+             stop_reason (job));
 }
 
 gboolean
-hr_orders_recorded (HrCore *c, HrMachine *m, json_t *orders, gboolean direct)
+hr_orders_recorded (HrCore *core, HrMachine *machine, json_t *orders, gboolean direct)
 {
-  gboolean launch = FALSE, may = may_launch (c);
-  for (guint i = 0; i < m->tasks->len; i++) {
-    HrTaskRef r = g_array_index (m->tasks, HrTaskRef, i);
-    HrJob *j = c->store.tables.jobs->pdata[r.job];
-    HrTask *t = &j->tasks[r.task];
-    if (t->state != HR_TASK_BOUND || t->placement.incarnation != m->agent.incarnation)
+  gboolean launch = FALSE, may = may_launch (core);
+  for (guint i = 0; i < machine->tasks->len; i++) {
+    HrTaskRef ref = g_array_index (machine->tasks, HrTaskRef, i);
+    HrJob *job = core->store.tables.jobs->pdata[ref.job];
+    HrTask *task = &job->tasks[ref.task];
+    if (task->state != HR_TASK_BOUND || task->placement.incarnation != machine->agent.incarnation)
       continue;
-    if (may && t->reported_state == HR_NOT_REPORTED && launchable (c, j, t)) {
-      append_launch (c, m, orders, r, direct);
+    if (may && task->reported_state == HR_NOT_REPORTED && launchable (core, job, task)) {
+      append_launch (core, machine, orders, ref, direct);
       launch = TRUE;
-    } else if (t->stop_wanted && (!direct || c->now - t->stop_sent_at > STOP_AGAIN_S))
-      append_stop (c, m, orders, r, direct);
+    } else if (task->stop_wanted && (!direct || core->now - task->stop_sent_at > STOP_AGAIN_S))
+      append_stop (core, machine, orders, ref, direct);
   }
   return launch;
 }
 
 void
-hr_orders_stop (HrCore *c, const HrMachine *m, json_t *orders, const char *job, guint32 task,
-                guint32 attempt, const char *why)
+hr_orders_stop (HrCore *core, const HrMachine *machine, json_t *orders, const char *job_id,
+                guint32 task_index, guint32 attempt, const char *why)
 {
-  hr_order_stop (orders, job, task, attempt, 0);
-  c->metrics.counters.stops++;
-  log_order ("stop", job, task, attempt, m, FALSE, why);
+  hr_order_stop (orders, job_id, task_index, attempt, 0);
+  core->metrics.counters.stops++;
+  log_order ("stop", job_id, task_index, attempt, machine, FALSE, why);
 }
 
 void
-hr_orders_clear (HrCore *c, const HrMachine *m, json_t *orders, const char *job, guint32 task,
-                 guint32 attempt)
+hr_orders_clear (HrCore *core, const HrMachine *machine, json_t *orders, const char *job_id,
+                 guint32 task_index, guint32 attempt)
 {
-  hr_order_clear (orders, job, task, attempt);
-  c->metrics.counters.clears++;
-  log_order ("clear", job, task, attempt, m, FALSE, NULL);
+  hr_order_clear (orders, job_id, task_index, attempt);
+  core->metrics.counters.clears++;
+  log_order ("clear", job_id, task_index, attempt, machine, FALSE, NULL);
 }
 
 gboolean
-hr_orders_name_stop (json_t *orders, const char *job, guint32 task, guint32 attempt)
+hr_orders_name_stop (json_t *orders, const char *job_id, guint32 task_index, guint32 attempt)
 {
   size_t i;
   json_t *order;
-  g_autofree char *piece = g_strdup_printf ("%s/%u", job, task);
+  g_autofree char *piece = g_strdup_printf ("%s/%u", job_id, task_index);
   json_array_foreach (orders, i, order)
   {
     if (strcmp (hr_json_str (order, "verb"), "kill") == 0 &&
--- a/src/coordination/command.c
+++ b/src/coordination/command.c
@@ -2,22 +2,22 @@
 #include <string.h>
 
 gboolean
-hr_named_cancellations_add (HrNamedCancellations *n, const char *id)
+hr_named_cancellations_add (HrNamedCancellations *named, const char *id)
 {
   gsize size = strlen (id) + 1;
-  if (size > sizeof n->ids - n->bytes)
+  if (size > sizeof named->ids - named->bytes)
     return FALSE;
-  memcpy (n->ids + n->bytes, id, size);
-  n->bytes += size;
-  n->count++;
+  memcpy (named->ids + named->bytes, id, size);
+  named->bytes += size;
+  named->count++;
   return TRUE;
 }
 
 const char *
-hr_named_cancellations_next (const HrNamedCancellations *n, const char *id)
+hr_named_cancellations_next (const HrNamedCancellations *named, const char *id)
 {
-  const char *next = id ? id + strlen (id) + 1 : n->ids;
-  return next < n->ids + n->bytes ? next : NULL;
+  const char *next = id ? id + strlen (id) + 1 : named->ids;
+  return next < named->ids + named->bytes ? next : NULL;
 }
 
 HrMethod
@@ -32,28 +32,28 @@
 HrCommand *
 hr_command_new (HrCommandKind kind)
 {
-  HrCommand *c = g_new0 (HrCommand, 1);
-  c->kind = kind;
+  HrCommand *command = g_new0 (HrCommand, 1);
+  command->kind = kind;
   if (kind == HR_COMMAND_PEER_STATUS)
-    c->peer_status = g_new0 (HrPeerStatus, 1);
-  return c;
+    command->peer_status = g_new0 (HrPeerStatus, 1);
+  return command;
 }
 
 void
-hr_command_free (HrCommand *c)
+hr_command_free (HrCommand *command)
 {
-  g_free (c->path);
-  g_clear_pointer (&c->body, g_bytes_unref);
-  g_free (c->peer_status);
-  g_free (c);
+  g_free (command->path);
+  g_clear_pointer (&command->body, g_bytes_unref);
+  g_free (command->peer_status);
+  g_free (command);
 }
 
 void
-hr_effect_free (HrEffect *e)
+hr_effect_free (HrEffect *effect)
 {
-  g_free (e->body);
-  g_free (e->addr);
-  g_free (e->path);
-  g_free (e->peer_status);
-  g_free (e);
+  g_free (effect->body);
+  g_free (effect->addr);
+  g_free (effect->path);
+  g_free (effect->peer_status);
+  g_free (effect);
 }
--- a/src/coordination/command.h
+++ b/src/coordination/command.h
@@ -86,13 +86,13 @@
 } HrEffect;
 
 /* Adds a job's id to those named; FALSE when there is no room. */
-gboolean hr_named_cancellations_add (HrNamedCancellations *n, const char *id);
+gboolean hr_named_cancellations_add (HrNamedCancellations *named, const char *id);
 /* The first id named, or the one after `id`; NULL after the last. */
-const char *hr_named_cancellations_next (const HrNamedCancellations *n, const char *id);
+const char *hr_named_cancellations_next (const HrNamedCancellations *named, const char *id);
 
 /* As it stands in a request line. */
 HrMethod hr_method_of (const char *name);
 /* With an empty hint when it is to be one. */
 HrCommand *hr_command_new (HrCommandKind kind);
-void hr_command_free (HrCommand *c);
-void hr_effect_free (HrEffect *e);
+void hr_command_free (HrCommand *command);
+void hr_effect_free (HrEffect *effect);
--- a/src/coordination/invariant.c
+++ b/src/coordination/invariant.c
@@ -15,13 +15,13 @@
 }
 
 void
-hr_invariant_violated (HrCore *c, const char *format, ...)
+hr_invariant_violated (HrCore *core, const char *format, ...)
 {
   va_list list;
   va_start (list, format);
   g_autofree char *text = g_strdup_vprintf (format, list);
   va_end (list);
-  c->metrics.counters.invariants_violated++;
+  core->metrics.counters.invariants_violated++;
   if (ends_the_process)
     g_error ("invariant: %s", text);
   g_warning ("invariant: %s", text);
--- a/src/coordination/jobs/dependencies.c
+++ b/src/coordination/jobs/dependencies.c
@@ -15,36 +15,36 @@
 
 /* As the ledger says: what a member told us of a job is not told on to those that await it. */
 static gboolean
-is_final (const HrJob *j)
+is_final (const HrJob *job)
 {
-  return j->is_known && j->state != HR_JOB_QUEUED && !j->cancellation.told_by_peer;
+  return job->is_known && job->state != HR_JOB_QUEUED && !job->cancellation.told_by_peer;
 }
 
 static void
-name_awaited (HrCore *c, HrJob *j, const char *const *ids)
+name_awaited (HrCore *core, HrJob *job, const char *const *ids)
 {
   guint n = ids ? g_strv_length ((GStrv)ids) : 0;
-  if (j->dependencies.n_awaited || !n)
+  if (job->dependencies.n_awaited || !n)
     return; /* what a job awaits never changes */
-  j->dependencies.awaited = g_new0 (HrJob *, n);
+  job->dependencies.awaited = g_new0 (HrJob *, n);
   for (guint i = 0; i < n; i++) {
-    HrJob *awaited = hr_job_get (c, ids[i]);
-    j->dependencies.awaited[i] = awaited;
+    HrJob *awaited = hr_job_get (core, ids[i]);
+    job->dependencies.awaited[i] = awaited;
     if (is_final (awaited))
       continue;
     if (!awaited->dependencies.dependents)
       awaited->dependencies.dependents = g_ptr_array_new ();
-    g_ptr_array_add (awaited->dependencies.dependents, j);
+    g_ptr_array_add (awaited->dependencies.dependents, job);
   }
-  j->dependencies.n_awaited = n;
+  job->dependencies.n_awaited = n;
 }
 
 /* The cancelled job that takes this one along, or NULL. */
 static HrJob *
-cancelled_before (const HrJob *j)
+cancelled_before (const HrJob *job)
 {
-  for (guint i = 0; i < j->dependencies.n_awaited; i++) {
-    HrJob *awaited = j->dependencies.awaited[i];
+  for (guint i = 0; i < job->dependencies.n_awaited; i++) {
+    HrJob *awaited = job->dependencies.awaited[i];
     if (is_final (awaited) && awaited->state == HR_JOB_CANCELLED)
       return awaited->cancellation.root ? awaited->cancellation.root : awaited;
   }
@@ -53,125 +53,127 @@
 
 /* Its record is to become a tombstone, when the allowance for changes has nothing else to do. */
 static void
-note_for_tombstone (HrCore *c, const HrJob *j)
+note_for_tombstone (HrCore *core, const HrJob *job)
 {
-  g_array_append_val (c->dependencies.to_tombstone, j->index);
+  g_array_append_val (core->dependencies.to_tombstone, job->index);
 }
 
 static void
-derive_cancelled (HrCore *c, HrJob *j, HrJob *root)
+derive_cancelled (HrCore *core, HrJob *job, HrJob *root)
 {
-  j->state = HR_JOB_CANCELLED;
-  j->cancellation.root = root;
-  g_debug ("%s is withdrawn with %s", j->id, root->id);
-  if (c->leadership.is_leader && j->run.n_live)
-    hr_job_cancelled (c, j); /* it cannot have a task; should it, that is stopped */
+  job->state = HR_JOB_CANCELLED;
+  job->cancellation.root = root;
+  g_debug ("%s is withdrawn with %s", job->id, root->id);
+  if (core->leadership.is_leader && job->run.n_live)
+    hr_job_cancelled (core, job); /* it cannot have a task; should it, that is stopped */
   else
-    note_for_tombstone (c, j);
+    note_for_tombstone (core, job);
 }
 
 static void
-become_ready (HrCore *c, HrJob *j)
+become_ready (HrCore *core, HrJob *job)
 {
-  g_debug ("%s waits for no other job any more", j->id);
-  hr_job_open (c, j);
-  c->scheduling.plan_is_stale = TRUE;
+  g_debug ("%s waits for no other job any more", job->id);
+  hr_job_open (core, job);
+  core->scheduling.plan_is_stale = TRUE;
 }
 
 void
-hr_dependencies_job_final (HrCore *c, HrJob *j)
+hr_dependencies_job_final (HrCore *core, HrJob *job)
 {
   g_autoptr (GPtrArray) todo = g_ptr_array_new ();
   g_autoptr (GPtrArray) cancelled = g_ptr_array_new ();
-  g_ptr_array_add (todo, j);
+  g_ptr_array_add (todo, job);
   while (todo->len) {
     HrJob *over = g_ptr_array_steal_index_fast (todo, todo->len - 1);
     g_autoptr (GPtrArray) dependents = g_steal_pointer (&over->dependencies.dependents);
     if (over->state == HR_JOB_CANCELLED)
       g_ptr_array_add (cancelled, over);
     for (guint i = 0; dependents && i < dependents->len; i++) {
-      HrJob *d = dependents->pdata[i];
-      if (d->state != HR_JOB_QUEUED)
+      HrJob *dependent = dependents->pdata[i];
+      if (dependent->state != HR_JOB_QUEUED)
         continue;
       if (over->state == HR_JOB_CANCELLED) {
-        derive_cancelled (c, d, over->cancellation.root ? over->cancellation.root : over);
-        g_ptr_array_add (todo, d);
-      } else if (!hr_job_has_unfinished_dependencies (d))
-        become_ready (c, d);
+        derive_cancelled (core, dependent,
+                          over->cancellation.root ? over->cancellation.root : over);
+        g_ptr_array_add (todo, dependent);
+      } else if (!hr_job_has_unfinished_dependencies (dependent))
+        become_ready (core, dependent);
     }
   }
-  hr_priority_inheritance_jobs_cancelled (c, cancelled);
+  hr_priority_inheritance_jobs_cancelled (core, cancelled);
 }
 
 void
-hr_dependencies_job_read (HrCore *c, HrJob *j, const char *const *ids)
+hr_dependencies_job_read (HrCore *core, HrJob *job, const char *const *ids)
 {
-  name_awaited (c, j, ids);
-  HrJob *root = j->state == HR_JOB_QUEUED ? cancelled_before (j) : NULL;
+  name_awaited (core, job, ids);
+  HrJob *root = job->state == HR_JOB_QUEUED ? cancelled_before (job) : NULL;
   if (root)
-    derive_cancelled (c, j, root);
-  else if (j->state == HR_JOB_CANCELLED && hr_job_has_unfinished_dependencies (j))
-    note_for_tombstone (c, j); /* it never was in the list of open jobs */
-  if (j->state == HR_JOB_CANCELLED && !j->cancellation.told_by_peer)
-    hr_dependencies_job_final (c, j);
-  hr_priority_inheritance_job_read (c, j);
+    derive_cancelled (core, job, root);
+  else if (job->state == HR_JOB_CANCELLED && hr_job_has_unfinished_dependencies (job))
+    note_for_tombstone (core, job); /* it never was in the list of open jobs */
+  if (job->state == HR_JOB_CANCELLED && !job->cancellation.told_by_peer)
+    hr_dependencies_job_final (core, job);
+  hr_priority_inheritance_job_read (core, job);
 }
 
 void
-hr_dependencies_tick (HrCore *c)
+hr_dependencies_tick (HrCore *core)
 {
   /* Only what is left over of the allowance: thousands may have been taken along at once. */
-  if (!c->leadership.is_leader || c->store.writer.dirty_pages->len || !hr_replica_is_served (c) ||
-      c->store.transactions.allowance.tokens < c->store.transactions.allowance.burst * 0.8)
+  if (!core->leadership.is_leader || core->store.writer.dirty_pages->len ||
+      !hr_replica_is_served (core) ||
+      core->store.transactions.allowance.tokens < core->store.transactions.allowance.burst * 0.8)
     return;
-  for (guint n = 0; n < TOMBSTONES_A_TICK && c->dependencies.to_tombstone->len;) {
-    guint32 last = g_array_index (c->dependencies.to_tombstone, guint32,
-                                  c->dependencies.to_tombstone->len - 1);
-    HrJob *j = c->store.tables.jobs->pdata[last];
-    g_array_set_size (c->dependencies.to_tombstone, c->dependencies.to_tombstone->len - 1);
-    if (j->record.is_compacted || !j->record.pages)
+  for (guint n = 0; n < TOMBSTONES_A_TICK && core->dependencies.to_tombstone->len;) {
+    guint32 last = g_array_index (core->dependencies.to_tombstone, guint32,
+                                  core->dependencies.to_tombstone->len - 1);
+    HrJob *job = core->store.tables.jobs->pdata[last];
+    g_array_set_size (core->dependencies.to_tombstone, core->dependencies.to_tombstone->len - 1);
+    if (job->record.is_compacted || !job->record.pages)
       continue;
-    hr_record_writer_mark (c, j, 0);
+    hr_record_writer_mark (core, job, 0);
     n++;
   }
 }
 
 const char *
-hr_dependencies_find_unknown (HrCore *c, GStrv ids)
+hr_dependencies_find_unknown (HrCore *core, GStrv ids)
 {
   for (guint i = 0; ids && ids[i]; i++)
-    if (!hr_job_find (c, ids[i]) && !hr_job_unreadable (c, ids[i]))
+    if (!hr_job_find (core, ids[i]) && !hr_job_unreadable (core, ids[i]))
       return ids[i];
   return NULL;
 }
 
 const char *
-hr_dependencies_find_service (HrCore *c, GStrv ids)
+hr_dependencies_find_service (HrCore *core, GStrv ids)
 {
   for (guint i = 0; ids && ids[i]; i++) {
-    const HrJob *j = hr_job_find (c, ids[i]);
-    if (j && j->is_known && j->state == HR_JOB_QUEUED && j->spec.shape == HR_SERVICE)
+    const HrJob *job = hr_job_find (core, ids[i]);
+    if (job && job->is_known && job->state == HR_JOB_QUEUED && job->spec.shape == HR_SERVICE)
       return ids[i];
   }
   return NULL;
 }
 
 char *
-hr_dependencies_reason (const HrJob *j)
+hr_dependencies_reason (const HrJob *job)
 {
-  if (j->state == HR_JOB_CANCELLED && j->cancellation.root)
+  if (job->state == HR_JOB_CANCELLED && job->cancellation.root)
     return g_strdup_printf ("withdrawn with %s, which it awaits, directly or through others, and "
                             "which its user withdrew",
-                            j->cancellation.root->id);
-  if (j->state != HR_JOB_QUEUED || !hr_job_has_unfinished_dependencies (j))
+                            job->cancellation.root->id);
+  if (job->state != HR_JOB_QUEUED || !hr_job_has_unfinished_dependencies (job))
     return NULL;
   guint n = 0;
   g_autoptr (GString) names = g_string_new (NULL);
-  for (guint i = 0; i < j->dependencies.n_awaited; i++) {
-    if (j->dependencies.awaited[i]->state == HR_JOB_DONE)
+  for (guint i = 0; i < job->dependencies.n_awaited; i++) {
+    if (job->dependencies.awaited[i]->state == HR_JOB_DONE)
       continue;
     if (++n <= NAMED_IN_REASON)
-      g_string_append_printf (names, "%s%s", n > 1 ? ", " : "", j->dependencies.awaited[i]->id);
+      g_string_append_printf (names, "%s%s", n > 1 ? ", " : "", job->dependencies.awaited[i]->id);
   }
   if (n > NAMED_IN_REASON)
     g_string_append_printf (names, " and %u more", n - NAMED_IN_REASON);
--- a/src/coordination/jobs/priority_inheritance.c
+++ b/src/coordination/jobs/priority_inheritance.c
@@ -10,66 +10,68 @@
 
 /* What the job's own description asks for, as time of day; INFINITY while that is not known. */
 static double
-own_deadline (const HrCore *c, const HrJob *j)
+own_deadline (const HrCore *core, const HrJob *job)
 {
-  if (j->spec.deadline_s >= 0)
-    return j->submitted_at + j->spec.deadline_s;
-  double since = hr_job_eligible_since (j);
-  if (j->dependencies.n_awaited && since <= 0)
+  if (job->spec.deadline_s >= 0)
+    return job->submitted_at + job->spec.deadline_s;
+  double since = hr_job_eligible_since (job);
+  if (job->dependencies.n_awaited && since <= 0)
     return INFINITY; /* counts from when it is ready */
-  double deadline = since + c->policy.default_deadline * MAX (j->spec.estimate_s, LEAST_ESTIMATE_S);
-  for (guint i = 0; i < c->settings->objectives->len; i++) {
-    const HrObjective *a = &g_array_index (c->settings->objectives, HrObjective, i);
-    if (a->job_class == j->spec.job_class && a->kind == HR_OBJECTIVE_FINISHED && a->within_s > 0)
-      deadline = MIN (deadline, since + a->within_s);
+  double deadline =
+      since + core->policy.default_deadline * MAX (job->spec.estimate_s, LEAST_ESTIMATE_S);
+  for (guint i = 0; i < core->settings->objectives->len; i++) {
+    const HrObjective *objective = &g_array_index (core->settings->objectives, HrObjective, i);
+    if (objective->job_class == job->spec.job_class && objective->kind == HR_OBJECTIVE_FINISHED &&
+        objective->within_s > 0)
+      deadline = MIN (deadline, since + objective->within_s);
   }
   return deadline;
 }
 
 static gboolean
-is_counted (const HrJob *j)
+is_counted (const HrJob *job)
 {
-  return j->is_known && j->tasks && j->state == HR_JOB_QUEUED;
+  return job->is_known && job->tasks && job->state == HR_JOB_QUEUED;
 }
 
 static void
-set (HrCore *c, HrJob *j, HrPriority priority, double deadline)
+set (HrCore *core, HrJob *job, HrPriority priority, double deadline)
 {
-  if (j->plan.deadline != deadline)
-    hr_job_unplan (c, j); /* lists are in the order of deadlines */
-  j->plan.priority = priority;
-  j->plan.deadline = deadline;
-  c->scheduling.plan_is_stale = TRUE;
+  if (job->plan.deadline != deadline)
+    hr_job_unplan (core, job); /* lists are in the order of deadlines */
+  job->plan.priority = priority;
+  job->plan.deadline = deadline;
+  core->scheduling.plan_is_stale = TRUE;
 }
 
 /* Takes over what one that needs the job asks for. Did anything change? */
 static gboolean
-take_over_urgency (HrCore *c, HrJob *j, const HrJob *dependent)
+take_over_urgency (HrCore *core, HrJob *job, const HrJob *dependent)
 {
   double latest = dependent->plan.deadline - dependent->spec.estimate_s;
-  HrPriority priority = MIN (j->plan.priority, dependent->plan.priority);
-  if (priority == j->plan.priority && latest >= j->plan.deadline)
+  HrPriority priority = MIN (job->plan.priority, dependent->plan.priority);
+  if (priority == job->plan.priority && latest >= job->plan.deadline)
     return FALSE;
-  set (c, j, priority, MIN (j->plan.deadline, latest));
+  set (core, job, priority, MIN (job->plan.deadline, latest));
   return TRUE;
 }
 
 /* From the job's own description and all that need it. Did anything change? */
 static gboolean
-recompute (HrCore *c, HrJob *j)
+recompute (HrCore *core, HrJob *job)
 {
-  HrPriority priority = j->spec.priority;
-  double deadline = own_deadline (c, j);
-  for (guint i = 0; j->dependencies.dependents && i < j->dependencies.dependents->len; i++) {
-    const HrJob *d = j->dependencies.dependents->pdata[i];
-    if (!is_counted (d))
+  HrPriority priority = job->spec.priority;
+  double deadline = own_deadline (core, job);
+  for (guint i = 0; job->dependencies.dependents && i < job->dependencies.dependents->len; i++) {
+    const HrJob *dependent = job->dependencies.dependents->pdata[i];
+    if (!is_counted (dependent))
       continue;
-    priority = MIN (priority, d->plan.priority);
-    deadline = MIN (deadline, d->plan.deadline - d->spec.estimate_s);
+    priority = MIN (priority, dependent->plan.priority);
+    deadline = MIN (deadline, dependent->plan.deadline - dependent->spec.estimate_s);
   }
-  if (priority == j->plan.priority && deadline == j->plan.deadline)
+  if (priority == job->plan.priority && deadline == job->plan.deadline)
     return FALSE;
-  set (c, j, priority, deadline);
+  set (core, job, priority, deadline);
   return TRUE;
 }
 
@@ -90,26 +92,26 @@
 } Walk;
 
 static void
-enter (Walk *walk, HrJob *j)
+enter (Walk *walk, HrJob *job)
 {
-  VisitStep step = {j, 0};
-  g_hash_table_insert (walk->visits, j, GINT_TO_POINTER (VISIT_OPEN));
+  VisitStep step = {job, 0};
+  g_hash_table_insert (walk->visits, job, GINT_TO_POINTER (VISIT_OPEN));
   g_array_append_val (walk->path, step);
 }
 
 /* Submissions name only jobs that were accepted before, so the records that this service wrote
  * hold no circle. One that was read all the same is cut where it closes. */
 static void
-visit_awaited (Walk *walk, HrJob *j)
+visit_awaited (Walk *walk, HrJob *job)
 {
-  if (!is_counted (j))
+  if (!is_counted (job))
     return;
-  Visit visit = GPOINTER_TO_INT (g_hash_table_lookup (walk->visits, j));
+  Visit visit = GPOINTER_TO_INT (g_hash_table_lookup (walk->visits, job));
   if (visit == VISIT_OPEN)
     g_warning ("%s awaits itself through other jobs, as its record says; it will never start",
-               j->id);
+               job->id);
   else if (visit == VISIT_NONE)
-    enter (walk, j);
+    enter (walk, job);
 }
 
 /* The seeds, and what they await, directly or through others: each job before those that it
@@ -146,12 +148,12 @@
 /* Hands on what a job asks for to those that it awaits. Did any of them change? changed: HrJob;
  * those that did are added. */
 static gboolean
-hand_on (HrCore *c, const HrJob *j, GHashTable *changed)
+hand_on (HrCore *core, const HrJob *job, GHashTable *changed)
 {
   gboolean any = FALSE;
-  for (guint i = 0; i < j->dependencies.n_awaited; i++) {
-    HrJob *awaited = j->dependencies.awaited[i];
-    if (!is_counted (awaited) || !take_over_urgency (c, awaited, j))
+  for (guint i = 0; i < job->dependencies.n_awaited; i++) {
+    HrJob *awaited = job->dependencies.awaited[i];
+    if (!is_counted (awaited) || !take_over_urgency (core, awaited, job))
       continue;
     any = TRUE;
     if (changed)
@@ -161,28 +163,28 @@
 }
 
 void
-hr_priority_inheritance_job_read (HrCore *c, HrJob *j)
+hr_priority_inheritance_job_read (HrCore *core, HrJob *job)
 {
-  if (!is_counted (j))
+  if (!is_counted (job))
     return;
-  recompute (c, j);
-  if (!hand_on (c, j, NULL))
+  recompute (core, job);
+  if (!hand_on (core, job, NULL))
     return; /* mostly: nobody else needs to be looked at */
   g_autoptr (GPtrArray) seeds = g_ptr_array_new ();
-  for (guint i = 0; i < j->dependencies.n_awaited; i++)
-    if (is_counted (j->dependencies.awaited[i]))
-      g_ptr_array_add (seeds, j->dependencies.awaited[i]);
+  for (guint i = 0; i < job->dependencies.n_awaited; i++)
+    if (is_counted (job->dependencies.awaited[i]))
+      g_ptr_array_add (seeds, job->dependencies.awaited[i]);
   g_autoptr (GHashTable) changed = g_hash_table_new (g_direct_hash, g_direct_equal);
   for (guint i = 0; i < seeds->len; i++)
     g_hash_table_add (changed, seeds->pdata[i]);
   g_autoptr (GPtrArray) order = dependents_first (seeds);
   for (guint i = 0; i < order->len; i++)
     if (g_hash_table_contains (changed, order->pdata[i]))
-      hand_on (c, order->pdata[i], changed);
+      hand_on (core, order->pdata[i], changed);
 }
 
 void
-hr_priority_inheritance_jobs_cancelled (HrCore *c, const GPtrArray *jobs)
+hr_priority_inheritance_jobs_cancelled (HrCore *core, const GPtrArray *jobs)
 {
   g_autoptr (GHashTable) affected = g_hash_table_new (g_direct_hash, g_direct_equal);
   g_autoptr (GPtrArray) seeds = g_ptr_array_new ();
@@ -195,11 +197,11 @@
   }
   g_autoptr (GPtrArray) order = dependents_first (seeds);
   for (guint i = 0; i < order->len; i++) {
-    HrJob *j = order->pdata[i];
-    if (!g_hash_table_contains (affected, j) || !recompute (c, j))
+    HrJob *job = order->pdata[i];
+    if (!g_hash_table_contains (affected, job) || !recompute (core, job))
       continue;
-    for (guint k = 0; k < j->dependencies.n_awaited; k++)
-      if (is_counted (j->dependencies.awaited[k]))
-        g_hash_table_add (affected, j->dependencies.awaited[k]);
+    for (guint k = 0; k < job->dependencies.n_awaited; k++)
+      if (is_counted (job->dependencies.awaited[k]))
+        g_hash_table_add (affected, job->dependencies.awaited[k]);
   }
 }
--- a/src/coordination/jobs/task_lifecycle.c
+++ b/src/coordination/jobs/task_lifecycle.c
@@ -7,112 +7,113 @@
 #define CORRECTION_WINDOW 40
 
 static HrMachine *
-machine_of (HrCore *c, const HrTask *t)
+machine_of (HrCore *core, const HrTask *task)
 {
-  return c->store.tables.machines->pdata[t->placement.machine];
+  return core->store.tables.machines->pdata[task->placement.machine];
 }
 
 /* Its orders go out with the next step. */
 static void
-mark_urgent (HrCore *c, HrMachine *m)
+mark_urgent (HrCore *core, HrMachine *machine)
 {
-  m->agent.has_urgent_orders = c->agents.has_urgent_orders = TRUE;
+  machine->agent.has_urgent_orders = core->agents.has_urgent_orders = TRUE;
 }
 
 static void
-note_freed (HrCore *c, HrMachine *m)
+note_freed (HrCore *core, HrMachine *machine)
 {
-  if (m->tasks->len == 0)
-    m->idle_since = c->now;
-  c->scheduling.plan_is_stale = TRUE;
+  if (machine->tasks->len == 0)
+    machine->idle_since = core->now;
+  core->scheduling.plan_is_stale = TRUE;
 }
 
 guint32
-hr_job_next_attempt (const HrJob *j)
+hr_job_next_attempt (const HrJob *job)
 {
-  guint32 a = 0;
-  for (guint32 i = 0; i < j->n_tasks; i++)
-    a = MAX (a, MAX (j->tasks[i].placement.attempt, j->tasks[i].recorded.attempt));
-  return a + 1;
+  guint32 attempt = 0;
+  for (guint32 i = 0; i < job->n_tasks; i++)
+    attempt = MAX (attempt, MAX (job->tasks[i].placement.attempt, job->tasks[i].recorded.attempt));
+  return attempt + 1;
 }
 
 void
-hr_task_assign (HrCore *c, HrJob *j, guint32 task, HrMachine *m, guint32 attempt)
+hr_task_assign (HrCore *core, HrJob *job, guint32 task_index, HrMachine *machine, guint32 attempt)
 {
-  HrTask *t = &j->tasks[task];
-  HrTaskRef r = {j->index, task};
-  t->placement.machine = m->index;
-  t->placement.incarnation = m->agent.incarnation;
-  t->placement.attempt = attempt;
-  t->state = HR_TASK_ASSIGNING;
-  t->reported_state = HR_NOT_REPORTED;
-  t->stop_wanted = t->from_earlier_term = 0;
-  t->stop_sent_at = t->running_since = 0;
-  t->bound_since = c->now;
-  t->expected_fetch_s = hr_estimate_fetch_time (c, j, m);
-  j->run.n_live++;
-  hr_machine_allocate (m, &j->spec, r);
-  hr_record_writer_mark (c, j, task);
-  g_debug ("%s/%u try %u goes to %s", j->id, task, attempt, m->name);
+  HrTask *task = &job->tasks[task_index];
+  HrTaskRef ref = {job->index, task_index};
+  task->placement.machine = machine->index;
+  task->placement.incarnation = machine->agent.incarnation;
+  task->placement.attempt = attempt;
+  task->state = HR_TASK_ASSIGNING;
+  task->reported_state = HR_NOT_REPORTED;
+  task->stop_wanted = task->from_earlier_term = 0;
+  task->stop_sent_at = task->running_since = 0;
+  task->bound_since = core->now;
+  task->expected_fetch_s = hr_estimate_fetch_time (core, job, machine);
+  job->run.n_live++;
+  hr_machine_allocate (machine, &job->spec, ref);
+  hr_record_writer_mark (core, job, task_index);
+  g_debug ("%s/%u try %u goes to %s", job->id, task_index, attempt, machine->name);
 }
 
 /* Takes the task off its machine's books. */
 static void
-release_machine (HrCore *c, HrJob *j, guint32 task)
+release_machine (HrCore *core, HrJob *job, guint32 task_index)
 {
-  HrTask *t = &j->tasks[task];
-  HrMachine *m = machine_of (c, t);
-  HrTaskRef r = {j->index, task};
-  hr_machine_release (m, &j->spec, r);
-  j->run.n_live--;
-  t->stop_wanted = 0;
-  note_freed (c, m);
-  if (j->run.n_live)
+  HrTask *task = &job->tasks[task_index];
+  HrMachine *machine = machine_of (core, task);
+  HrTaskRef ref = {job->index, task_index};
+  hr_machine_release (machine, &job->spec, ref);
+  job->run.n_live--;
+  task->stop_wanted = 0;
+  note_freed (core, machine);
+  if (job->run.n_live)
     return;
-  j->run.attempt_ending = FALSE;
-  j->run.gang_incomplete_since = 0;
-  if (j->state != HR_JOB_QUEUED)
-    hr_record_writer_mark (c, j, 0); /* all are gone: the record can shrink */
+  job->run.attempt_ending = FALSE;
+  job->run.gang_incomplete_since = 0;
+  if (job->state != HR_JOB_QUEUED)
+    hr_record_writer_mark (core, job, 0); /* all are gone: the record can shrink */
 }
 
 void
-hr_task_unassign (HrCore *c, HrJob *j, guint32 task)
+hr_task_unassign (HrCore *core, HrJob *job, guint32 task_index)
 {
-  j->tasks[task].state = HR_TASK_IDLE;
-  release_machine (c, j, task);
+  job->tasks[task_index].state = HR_TASK_IDLE;
+  release_machine (core, job, task_index);
 }
 
 gboolean
-hr_gang_ready (const HrJob *j)
+hr_gang_ready (const HrJob *job)
 {
-  for (guint32 i = 0; i < j->n_tasks; i++)
-    if (j->tasks[i].state != HR_TASK_BOUND ||
-        j->tasks[i].placement.attempt != j->tasks[0].placement.attempt)
+  for (guint32 i = 0; i < job->n_tasks; i++)
+    if (job->tasks[i].state != HR_TASK_BOUND ||
+        job->tasks[i].placement.attempt != job->tasks[0].placement.attempt)
       return FALSE;
   return TRUE;
 }
 
 void
-hr_task_bound (HrCore *c, HrJob *j, guint32 task)
+hr_task_bound (HrCore *core, HrJob *job, guint32 task_index)
 {
-  HrTask *t = &j->tasks[task];
-  HrMachine *m = machine_of (c, t);
-  t->state = HR_TASK_BOUND;
-  if (m->state != HR_MACHINE_UP || m->agent.incarnation != t->placement.incarnation) {
+  HrTask *task = &job->tasks[task_index];
+  HrMachine *machine = machine_of (core, task);
+  task->state = HR_TASK_BOUND;
+  if (machine->state != HR_MACHINE_UP ||
+      machine->agent.incarnation != task->placement.incarnation) {
     /* The machine went, or began a new session, while we wrote; nothing was sent. */
-    hr_task_gone (c, j, task, HR_EXIT_NONE, "its machine changed before the launch");
+    hr_task_gone (core, job, task_index, HR_EXIT_NONE, "its machine changed before the launch");
     return;
   }
-  if (j->spec.shape == HR_GANG && j->n_done) {
+  if (job->spec.shape == HR_GANG && job->n_done) {
     /* A replacement for a gang that turned out to be done while we wrote; nothing was sent. */
-    hr_task_done (c, j, task);
+    hr_task_done (core, job, task_index);
     return;
   }
-  mark_urgent (c, m);
-  if (j->spec.shape == HR_GANG && hr_gang_ready (j)) {
-    j->run.gang_ready_at = c->now;
-    for (guint32 i = 0; i < j->n_tasks; i++)
-      mark_urgent (c, machine_of (c, &j->tasks[i]));
+  mark_urgent (core, machine);
+  if (job->spec.shape == HR_GANG && hr_gang_ready (job)) {
+    job->run.gang_ready_at = core->now;
+    for (guint32 i = 0; i < job->n_tasks; i++)
+      mark_urgent (core, machine_of (core, &job->tasks[i]));
   }
 }
 
@@ -120,191 +121,193 @@
  * gang_wait_s; with it they would lose their fetches, attempt after attempt. So it is
  * launched later: half of that wait before the longest fetch should end. */
 gboolean
-hr_gang_delays_launch (const HrCore *c, const HrJob *j, const HrTask *t)
+hr_gang_delays_launch (const HrCore *core, const HrJob *job, const HrTask *task)
 {
   double longest = 0;
-  for (guint32 i = 0; i < j->n_tasks; i++)
-    if (j->tasks[i].reported_state == HR_NOT_REPORTED ||
-        j->tasks[i].reported_state == HR_REPORTED_FETCHING)
-      longest = MAX (longest, j->tasks[i].expected_fetch_s);
-  return c->now <
-         j->run.gang_ready_at + longest - t->expected_fetch_s - c->settings->gang_wait_s / 2;
+  for (guint32 i = 0; i < job->n_tasks; i++)
+    if (job->tasks[i].reported_state == HR_NOT_REPORTED ||
+        job->tasks[i].reported_state == HR_REPORTED_FETCHING)
+      longest = MAX (longest, job->tasks[i].expected_fetch_s);
+  return core->now < job->run.gang_ready_at + longest - task->expected_fetch_s -
+                         core->settings->gang_wait_s / 2;
 }
 
 void
-hr_gang_end_attempt (HrCore *c, HrJob *j, double grace)
+hr_gang_end_attempt (HrCore *core, HrJob *job, double grace)
 {
-  j->run.attempt_ending = TRUE;
-  j->run.gang_incomplete_since = 0;
-  for (guint32 i = 0; i < j->n_tasks; i++) {
-    HrTask *t = &j->tasks[i];
-    if (t->state == HR_TASK_ASSIGNING && !t->write_in_flight)
-      hr_task_unassign (c, j, i);
-    else if (t->state == HR_TASK_BOUND && !t->stop_wanted)
-      hr_task_stop (c, j, i, grace);
+  job->run.attempt_ending = TRUE;
+  job->run.gang_incomplete_since = 0;
+  for (guint32 i = 0; i < job->n_tasks; i++) {
+    HrTask *task = &job->tasks[i];
+    if (task->state == HR_TASK_ASSIGNING && !task->write_in_flight)
+      hr_task_unassign (core, job, i);
+    else if (task->state == HR_TASK_BOUND && !task->stop_wanted)
+      hr_task_stop (core, job, i, grace);
   }
 }
 
 static void
-note_failure (HrCore *c, HrJob *j, HrMachine *m, HrExitCause why)
+note_failure (HrCore *core, HrJob *job, HrMachine *machine, HrExitCause why)
 {
-  j->run.last_failure = why;
-  j->run.failed_machine = m->index;
-  j->run.failures++;
+  job->run.last_failure = why;
+  job->run.failed_machine = machine->index;
+  job->run.failures++;
   /* Mostly the machine is at fault, so the first try elsewhere is at once; a job
    * that keeps failing waits longer and longer. */
-  j->run.retry_pause_s = j->run.failures < 2
-                             ? 0
-                             : MIN (c->policy.retry_most_s,
-                                    c->policy.retry_s * pow (2, MIN (j->run.failures - 2, 20)));
-  j->run.retry_at = c->now + j->run.retry_pause_s;
-  j->run.failed_machine_avoided_until = c->now + MAX (60, 2 * j->run.retry_pause_s);
-  if (m->last_failed_job != j->index) {
-    m->last_failed_job = j->index;
-    m->failures++;
+  job->run.retry_pause_s =
+      job->run.failures < 2 ? 0
+                            : MIN (core->policy.retry_most_s,
+                                   core->policy.retry_s * pow (2, MIN (job->run.failures - 2, 20)));
+  job->run.retry_at = core->now + job->run.retry_pause_s;
+  job->run.failed_machine_avoided_until = core->now + MAX (60, 2 * job->run.retry_pause_s);
+  if (machine->last_failed_job != job->index) {
+    machine->last_failed_job = job->index;
+    machine->failures++;
   }
-  g_info ("%s failed on %s (%s), %u in a row; next try in %.0f s", j->id, m->name,
-          hr_exit_name (why), j->run.failures, j->run.retry_pause_s);
-  if (m->failures >= c->policy.error_limit && !m->is_draining) {
-    g_message ("%s fails task after task; it is drained and returned", m->name);
-    m->is_draining = TRUE;
+  g_info ("%s failed on %s (%s), %u in a row; next try in %.0f s", job->id, machine->name,
+          hr_exit_name (why), job->run.failures, job->run.retry_pause_s);
+  if (machine->failures >= core->policy.error_limit && !machine->is_draining) {
+    g_message ("%s fails task after task; it is drained and returned", machine->name);
+    machine->is_draining = TRUE;
   }
 }
 
 /* Has the attempt begun, as far as its workers have said? */
 static gboolean
-gang_has_begun (const HrJob *j)
+gang_has_begun (const HrJob *job)
 {
-  for (guint32 i = 0; i < j->n_tasks; i++)
-    if (j->tasks[i].state == HR_TASK_BOUND &&
-        (j->tasks[i].running_since || j->tasks[i].from_earlier_term || j->tasks[i].stop_wanted))
+  for (guint32 i = 0; i < job->n_tasks; i++)
+    if (job->tasks[i].state == HR_TASK_BOUND &&
+        (job->tasks[i].running_since || job->tasks[i].from_earlier_term ||
+         job->tasks[i].stop_wanted))
       return TRUE;
   return FALSE;
 }
 
 void
-hr_task_gone (HrCore *c, HrJob *j, guint32 task, HrExitCause why, const char *proof)
+hr_task_gone (HrCore *core, HrJob *job, guint32 task_index, HrExitCause why, const char *proof)
 {
-  HrTask *t = &j->tasks[task];
-  HrMachine *m = machine_of (c, t);
-  if (t->state != HR_TASK_BOUND)
+  HrTask *task = &job->tasks[task_index];
+  HrMachine *machine = machine_of (core, task);
+  if (task->state != HR_TASK_BOUND)
     return;
   /* The others of a gang that has not begun keep waiting; a replacement with the same
    * attempt number completes it. A task that failed would most likely fail again. */
-  gboolean replace = (why == HR_EXIT_NONE || why == HR_EXIT_FULL) && !gang_has_begun (j);
-  g_debug ("%s/%u try %u is off %s: %s", j->id, task, t->placement.attempt, m->name, proof);
-  t->state = HR_TASK_IDLE;
+  gboolean replace = (why == HR_EXIT_NONE || why == HR_EXIT_FULL) && !gang_has_begun (job);
+  g_debug ("%s/%u try %u is off %s: %s", job->id, task_index, task->placement.attempt,
+           machine->name, proof);
+  task->state = HR_TASK_IDLE;
   if (why == HR_EXIT_ERROR || why == HR_EXIT_UNKNOWN)
-    note_failure (c, j, m, why);
+    note_failure (core, job, machine, why);
   else if (why == HR_EXIT_FULL || why == HR_EXIT_IN_USE) {
-    m->full_until = c->now + 3;
-    j->run.last_failure = why;
+    machine->full_until = core->now + 3;
+    job->run.last_failure = why;
   }
-  gboolean gang = j->spec.shape == HR_GANG && j->run.n_live > 1;
-  if (j->spec.shape == HR_SERVICE)
-    c->scheduling.planned_at = 0; /* a replica is down: plan at once */
-  release_machine (c, j, task);
-  if (!gang || j->run.attempt_ending || j->state != HR_JOB_QUEUED)
+  gboolean gang = job->spec.shape == HR_GANG && job->run.n_live > 1;
+  if (job->spec.shape == HR_SERVICE)
+    core->scheduling.planned_at = 0; /* a replica is down: plan at once */
+  release_machine (core, job, task_index);
+  if (!gang || job->run.attempt_ending || job->state != HR_JOB_QUEUED)
     return;
   if (!replace)
-    hr_gang_end_attempt (c, j, 0);
-  else if (!j->run.gang_incomplete_since)
-    j->run.gang_incomplete_since = c->now;
+    hr_gang_end_attempt (core, job, 0);
+  else if (!job->run.gang_incomplete_since)
+    job->run.gang_incomplete_since = core->now;
 }
 
 static void
-learn_run_time (HrCore *c, HrJob *j, HrTask *t, HrMachine *m)
+learn_run_time (HrCore *core, HrJob *job, HrTask *task, HrMachine *machine)
 {
-  HrClassStats *s = hr_class_stats (c, j->spec.job_class);
-  double ran = c->now - t->running_since;
-  if (!t->running_since || j->spec.estimate_s <= 0 || j->spec.shape == HR_SERVICE)
+  HrClassStats *stats = hr_class_stats (core, job->spec.job_class);
+  double ran = core->now - task->running_since;
+  if (!task->running_since || job->spec.estimate_s <= 0 || job->spec.shape == HR_SERVICE)
     return;
-  double ratio =
-      CLAMP (ran / j->spec.estimate_s, c->policy.correction_least, c->policy.correction_most);
+  double ratio = CLAMP (ran / job->spec.estimate_s, core->policy.correction_least,
+                        core->policy.correction_most);
   /* One task counts little: jobs differ far more than a class drifts. */
-  s->run_time_samples++;
-  double k = 1.0 / MIN (2 * s->run_time_samples + 1, CORRECTION_WINDOW);
-  s->run_time_correction += k * (ratio - s->run_time_correction);
+  stats->run_time_samples++;
+  double k = 1.0 / MIN (2 * stats->run_time_samples + 1, CORRECTION_WINDOW);
+  stats->run_time_correction += k * (ratio - stats->run_time_correction);
 }
 
 void
-hr_gang_done (HrCore *c, HrJob *j, guint32 attempt, gboolean any)
+hr_gang_done (HrCore *core, HrJob *job, guint32 attempt, gboolean any)
 {
-  for (guint32 i = 0; i < j->n_tasks; i++) {
-    HrTask *t = &j->tasks[i];
-    if (t->placement.attempt != attempt && !any)
+  for (guint32 i = 0; i < job->n_tasks; i++) {
+    HrTask *task = &job->tasks[i];
+    if (task->placement.attempt != attempt && !any)
       continue;
-    if (t->state == HR_TASK_ASSIGNING && !t->write_in_flight)
-      hr_task_unassign (c, j, i);
-    if (t->state == HR_TASK_BOUND)
-      hr_task_done (c, j, i);
-    else if (t->state == HR_TASK_IDLE) {
-      t->state = HR_TASK_DONE;
-      j->n_done++;
-      hr_record_writer_mark (c, j, i);
+    if (task->state == HR_TASK_ASSIGNING && !task->write_in_flight)
+      hr_task_unassign (core, job, i);
+    if (task->state == HR_TASK_BOUND)
+      hr_task_done (core, job, i);
+    else if (task->state == HR_TASK_IDLE) {
+      task->state = HR_TASK_DONE;
+      job->n_done++;
+      hr_record_writer_mark (core, job, i);
     }
   }
 }
 
 void
-hr_task_done (HrCore *c, HrJob *j, guint32 task)
+hr_task_done (HrCore *core, HrJob *job, guint32 task_index)
 {
-  HrTask *t = &j->tasks[task];
-  if (t->state != HR_TASK_BOUND)
+  HrTask *task = &job->tasks[task_index];
+  if (task->state != HR_TASK_BOUND)
     return;
-  HrMachine *m = machine_of (c, t);
-  learn_run_time (c, j, t, m);
-  m->failures = 0;
-  m->last_failed_job = HR_NONE;
-  j->run.failures = 0;
-  g_debug ("%s/%u ends on %s", j->id, task, m->name);
-  t->state = HR_TASK_DONE;
-  j->n_done++;
-  release_machine (c, j, task);
-  hr_record_writer_mark (c, j, task);
-  if (j->spec.shape == HR_GANG)
-    hr_gang_done (c, j, t->placement.attempt, FALSE);
+  HrMachine *machine = machine_of (core, task);
+  learn_run_time (core, job, task, machine);
+  machine->failures = 0;
+  machine->last_failed_job = HR_NONE;
+  job->run.failures = 0;
+  g_debug ("%s/%u ends on %s", job->id, task_index, machine->name);
+  task->state = HR_TASK_DONE;
+  job->n_done++;
+  release_machine (core, job, task_index);
+  hr_record_writer_mark (core, job, task_index);
+  if (job->spec.shape == HR_GANG)
+    hr_gang_done (core, job, task->placement.attempt, FALSE);
 }
 
 void
-hr_task_stop (HrCore *c, HrJob *j, guint32 task, double grace)
+hr_task_stop (HrCore *core, HrJob *job, guint32 task_index, double grace)
 {
-  HrTask *t = &j->tasks[task];
-  if (t->state != HR_TASK_BOUND || (t->stop_wanted && t->stop_grace_s <= grace))
+  HrTask *task = &job->tasks[task_index];
+  if (task->state != HR_TASK_BOUND || (task->stop_wanted && task->stop_grace_s <= grace))
     return;
-  t->stop_wanted = 1;
-  t->stop_grace_s = grace;
-  t->stop_sent_at = 0;
-  mark_urgent (c, machine_of (c, t));
+  task->stop_wanted = 1;
+  task->stop_grace_s = grace;
+  task->stop_sent_at = 0;
+  mark_urgent (core, machine_of (core, task));
 }
 
 guint
-hr_job_bound_tasks (const HrJob *j)
+hr_job_bound_tasks (const HrJob *job)
 {
   guint n = 0;
-  for (guint32 i = 0; i < j->n_tasks; i++)
-    n += j->tasks[i].state == HR_TASK_BOUND;
+  for (guint32 i = 0; i < job->n_tasks; i++)
+    n += job->tasks[i].state == HR_TASK_BOUND;
   return n;
 }
 
 void
-hr_job_cancelled (HrCore *c, HrJob *j)
+hr_job_cancelled (HrCore *core, HrJob *job)
 {
-  g_info ("%s is withdrawn", j->id);
-  c->metrics.counters.withdrawals++;
-  if (!j->cancellation.unknown_until)
-    j->cancellation.unknown_until =
-        c->store.replica.confirmed_at; /* of the last reading that did not show it */
-  g_info ("withdrawn: job=%s epoch=%" G_GUINT64_FORMAT " reading_age=%.2f bound=%u", j->id,
-          c->store.replica.applied_revision, c->now - c->store.replica.confirmed_at,
-          hr_job_bound_tasks (j));
-  for (guint32 i = 0; i < j->n_tasks; i++) {
-    HrTask *t = &j->tasks[i];
-    if (t->state == HR_TASK_ASSIGNING && !t->write_in_flight)
-      hr_task_unassign (c, j, i);
-    else if (t->state == HR_TASK_BOUND)
-      hr_task_stop (c, j, i, 0);
+  g_info ("%s is withdrawn", job->id);
+  core->metrics.counters.withdrawals++;
+  if (!job->cancellation.unknown_until)
+    job->cancellation.unknown_until =
+        core->store.replica.confirmed_at; /* of the last reading that did not show it */
+  g_info ("withdrawn: job=%s epoch=%" G_GUINT64_FORMAT " reading_age=%.2f bound=%u", job->id,
+          core->store.replica.applied_revision, core->now - core->store.replica.confirmed_at,
+          hr_job_bound_tasks (job));
+  for (guint32 i = 0; i < job->n_tasks; i++) {
+    HrTask *task = &job->tasks[i];
+    if (task->state == HR_TASK_ASSIGNING && !task->write_in_flight)
+      hr_task_unassign (core, job, i);
+    else if (task->state == HR_TASK_BOUND)
+      hr_task_stop (core, job, i, 0);
   }
-  if (!j->run.n_live)
-    hr_record_writer_mark (c, j, 0);
+  if (!job->run.n_live)
+    hr_record_writer_mark (core, job, 0);
 }
--- a/src/coordination/jobs/user_requests.c
+++ b/src/coordination/jobs/user_requests.c
@@ -15,7 +15,7 @@
 /* Who asks waits 5 s. After so long no further try is made for him. */
 #define GIVE_UP_S 2.5
 
-static const char *const stances[] = {"queued", "done", "withdrawn"};
+static const char *const state_names[] = {"queued", "done", "withdrawn"};
 
 void
 hr_request_free (HrUserRequest *request)
@@ -28,119 +28,121 @@
 }
 
 void
-hr_request_refuse_later (HrCore *c, HrUserRequest *request, int status, const char *why)
+hr_request_refuse_later (HrCore *core, HrUserRequest *request, int status, const char *why)
 {
-  hr_core_refuse (c, request->reply_id, status, c->store.replica.is_unavailable ? 2 : 1, why);
+  hr_core_refuse (core, request->reply_id, status, core->store.replica.is_unavailable ? 2 : 1, why);
   hr_request_free (request);
 }
 
 /* Why the job is where it is, for the person who waits for it. */
 static char *
-status_reason (HrCore *c, HrJob *j)
+status_reason (HrCore *core, HrJob *job)
 {
-  if (j->state == HR_JOB_DONE)
+  if (job->state == HR_JOB_DONE)
     return g_strdup ("all tasks are done");
-  char *others = hr_dependencies_reason (j);
+  char *others = hr_dependencies_reason (job);
   if (others)
     return others;
-  if (j->state == HR_JOB_CANCELLED)
+  if (job->state == HR_JOB_CANCELLED)
     return g_strdup ("withdrawn by its user");
-  if (!c->leadership.is_leader)
-    return g_strdup_printf ("%s plans this job", c->leadership.leader_label
-                                                     ? c->leadership.leader_label
+  if (!core->leadership.is_leader)
+    return g_strdup_printf ("%s plans this job", core->leadership.leader_label
+                                                     ? core->leadership.leader_label
                                                      : "no controller yet");
-  if (j->run.failures && j->run.retry_at > c->now)
-    return g_strdup_printf ("failed %u times in a row (%s), last on %s; next try in %.0f s",
-                            j->run.failures, hr_exit_name (j->run.last_failure),
-                            hr_intern_name (&c->store.tables.machine_ids, j->run.failed_machine),
-                            j->run.retry_at - c->now);
-  if (j->run.attempt_ending)
+  if (job->run.failures && job->run.retry_at > core->now)
+    return g_strdup_printf (
+        "failed %u times in a row (%s), last on %s; next try in %.0f s", job->run.failures,
+        hr_exit_name (job->run.last_failure),
+        hr_intern_name (&core->store.tables.machine_ids, job->run.failed_machine),
+        job->run.retry_at - core->now);
+  if (job->run.attempt_ending)
     return g_strdup ("an attempt of the gang has ended; waiting for its last tasks to exit");
-  if (j->run.n_live + j->n_done == j->n_tasks)
+  if (job->run.n_live + job->n_done == job->n_tasks)
     return g_strdup ("every task has a machine");
-  if (j->plan.next_scale_out_at > c->now)
+  if (job->plan.next_scale_out_at > core->now)
     return g_strdup_printf ("needs %u machines at once, more than the cloud has given; more are "
                             "asked for in %.0f s",
-                            j->n_tasks, j->plan.next_scale_out_at - c->now);
+                            job->n_tasks, job->plan.next_scale_out_at - core->now);
   return g_strdup_printf ("%u tasks wait for room; %u of them stand in a machine's plan; "
                           "%u machines are starting",
-                          j->n_tasks - j->run.n_live - j->n_done, j->plan.n_listed,
-                          c->scheduling.booting_machines);
+                          job->n_tasks - job->run.n_live - job->n_done, job->plan.n_listed,
+                          core->scheduling.booting_machines);
 }
 
 void
-hr_request_answer (HrCore *c, HrUserRequest *request, HrJob *j, int status)
+hr_request_answer (HrCore *core, HrUserRequest *request, HrJob *job, int status)
 {
-  guint32 running = 0, done = j->state == HR_JOB_DONE ? j->n_tasks : j->n_recorded_done;
-  for (guint32 i = 0; j->tasks && i < j->n_tasks && j->state == HR_JOB_QUEUED; i++)
-    running += !j->tasks[i].done_recorded &&
-               (c->leadership.is_leader ? j->tasks[i].state == HR_TASK_BOUND &&
-                                              j->tasks[i].reported_state == HR_REPORTED_RUNNING
-                                        : j->tasks[i].recorded.machine != HR_NONE);
-  const char *st = j->state == HR_JOB_QUEUED && running ? "running" : stances[j->state];
-  g_autofree char *why = status_reason (c, j);
-  hr_core_reply (c, request->reply_id, status,
-                 json_pack ("{sssssisiss}", "name_id", request->id, "stance", st, "done", (int)done,
-                            "running", (int)running, "reason", why),
+  guint32 running = 0, done = job->state == HR_JOB_DONE ? job->n_tasks : job->n_recorded_done;
+  for (guint32 i = 0; job->tasks && i < job->n_tasks && job->state == HR_JOB_QUEUED; i++)
+    running += !job->tasks[i].done_recorded &&
+               (core->leadership.is_leader ? job->tasks[i].state == HR_TASK_BOUND &&
+                                                 job->tasks[i].reported_state == HR_REPORTED_RUNNING
+                                           : job->tasks[i].recorded.machine != HR_NONE);
+  const char *state_name =
+      job->state == HR_JOB_QUEUED && running ? "running" : state_names[job->state];
+  g_autofree char *why = status_reason (core, job);
+  hr_core_reply (core, request->reply_id, status,
+                 json_pack ("{sssssisiss}", "name_id", request->id, "stance", state_name, "done",
+                            (int)done, "running", (int)running, "reason", why),
                  0);
   hr_request_free (request);
 }
 
 double
-hr_request_timeout (const HrCore *c, const HrUserRequest *request)
+hr_request_timeout (const HrCore *core, const HrUserRequest *request)
 {
   double least = request->attempts < SHORT_ATTEMPTS ? SHORT_TIMEOUT_S : LATER_TIMEOUT_S;
-  return CLAMP (LATENCIES * c->store.replica.read_latency_s, least, MAX_TIMEOUT_S);
+  return CLAMP (LATENCIES * core->store.replica.read_latency_s, least, MAX_TIMEOUT_S);
 }
 
 gboolean
-hr_request_may_try_again (HrCore *c, HrUserRequest *request, int status)
+hr_request_may_try_again (HrCore *core, HrUserRequest *request, int status)
 {
   return (status == 0 || status == 409 || status == 429) && ++request->attempts < MAX_ATTEMPTS &&
-         c->wall_time - request->asked < GIVE_UP_S;
+         core->wall_time - request->asked < GIVE_UP_S;
 }
 
-static void send_cancel (HrCore *c, HrUserRequest *request);
+static void send_cancel (HrCore *core, HrUserRequest *request);
 
 void
-hr_request_on_read (HrCore *c, gboolean ok, gpointer data)
+hr_request_on_read (HrCore *core, gboolean ok, gpointer data)
 {
   HrUserRequest *request = data;
-  HrJob *j = hr_job_find (c, request->id);
+  HrJob *job = hr_job_find (core, request->id);
   if (!ok) {
-    hr_request_refuse_later (c, request, 503,
+    hr_request_refuse_later (core, request, 503,
                              "the state service cannot be read just now; ask again");
     return;
   }
-  if (hr_job_unreadable (c, request->id)) {
+  if (hr_job_unreadable (core, request->id)) {
     /* It was accepted, and neither 404 nor an older state may be said of it. */
-    hr_request_refuse_later (c, request, 503, "its record cannot be read; ask again");
+    hr_request_refuse_later (core, request, 503, "its record cannot be read; ask again");
     return;
   }
-  if (!j) {
+  if (!job) {
     if (request->refusal) {
-      hr_core_refuse (c, request->reply_id, request->refusal, 0, request->why_not);
+      hr_core_refuse (core, request->reply_id, request->refusal, 0, request->why_not);
       hr_request_free (request);
     } else if (request->kind == HR_REQUEST_SUBMIT)
       /* It gets here after a 409, so its record exists. */
-      hr_request_refuse_later (c, request, 503, "its record is being written; ask again");
+      hr_request_refuse_later (core, request, 503, "its record is being written; ask again");
     else {
-      hr_core_refuse (c, request->reply_id, 404, 0, "no such job was accepted");
+      hr_core_refuse (core, request->reply_id, 404, 0, "no such job was accepted");
       hr_request_free (request);
     }
-  } else if (request->kind == HR_REQUEST_CANCEL && j->state == HR_JOB_QUEUED)
-    send_cancel (c, request);
+  } else if (request->kind == HR_REQUEST_CANCEL && job->state == HR_JOB_QUEUED)
+    send_cancel (core, request);
   else
-    hr_request_answer (c, request, j, 200);
+    hr_request_answer (core, request, job, 200);
 }
 
 gboolean
-hr_request_answer_final (HrCore *c, HrUserRequest *request)
+hr_request_answer_final (HrCore *core, HrUserRequest *request)
 {
-  HrJob *j = hr_job_find (c, request->id);
-  if (!j || j->state == HR_JOB_QUEUED || j->cancellation.told_by_peer)
+  HrJob *job = hr_job_find (core, request->id);
+  if (!job || job->state == HR_JOB_QUEUED || job->cancellation.told_by_peer)
     return FALSE;
-  hr_request_answer (c, request, j, 200);
+  hr_request_answer (core, request, job, 200);
   return TRUE;
 }
 
@@ -149,118 +151,119 @@
 /* The record with its tasks is larger than the state service takes. Its user asks again, and
  * meanwhile the leader splits it. */
 static void
-split_first (HrCore *c, HrUserRequest *request, HrJob *j)
+split_first (HrCore *core, HrUserRequest *request, HrJob *job)
 {
-  hr_record_format_note_oversized (c, j);
-  hr_request_refuse_later (c, request, 503, "the job's record is being split; ask again");
+  hr_record_format_note_oversized (core, job);
+  hr_request_refuse_later (core, request, 503, "the job's record is being split; ask again");
 }
 
 static void
-on_cancel (HrCore *c, int status, json_t *body, double sent, gpointer data)
+on_cancel (HrCore *core, int status, json_t *body, double sent, gpointer data)
 {
   HrUserRequest *request = data;
-  HrJob *j = hr_job_find (c, request->id);
+  HrJob *job = hr_job_find (core, request->id);
   guint64 store_revision;
-  if (status == 200 && j && hr_json_count (body, "epoch", G_MAXINT64, &store_revision)) {
-    hr_cancellation_log_append (c, j, store_revision);
-    if (j->state == HR_JOB_QUEUED && store_revision > j->record.revision) {
-      j->state = HR_JOB_CANCELLED;
-      j->record.revision = store_revision;
-      if (!j->record.tasks_per_page && j->record.pages)
-        j->record.pages[0].revision = store_revision;
-      if (c->leadership.is_leader)
-        hr_job_cancelled (c, j);
-      hr_dependencies_job_final (c, j);
+  if (status == 200 && job && hr_json_count (body, "epoch", G_MAXINT64, &store_revision)) {
+    hr_cancellation_log_append (core, job, store_revision);
+    if (job->state == HR_JOB_QUEUED && store_revision > job->record.revision) {
+      job->state = HR_JOB_CANCELLED;
+      job->record.revision = store_revision;
+      if (!job->record.tasks_per_page && job->record.pages)
+        job->record.pages[0].revision = store_revision;
+      if (core->leadership.is_leader)
+        hr_job_cancelled (core, job);
+      hr_dependencies_job_final (core, job);
     }
-    hr_request_answer (c, request, j, 200);
-  } else if (status == 400 && c->store.format.supported && j && j->tasks) {
-    c->store.format.planned_limits_in_force |= request->bytes > hr_record_layout_planned_bytes (c);
-    split_first (c, request, j);
-  } else if (hr_request_may_try_again (c, request, status))
-    hr_replica_read (c, hr_request_on_read,
+    hr_request_answer (core, request, job, 200);
+  } else if (status == 400 && core->store.format.supported && job && job->tasks) {
+    core->store.format.planned_limits_in_force |=
+        request->bytes > hr_record_layout_planned_bytes (core);
+    split_first (core, request, job);
+  } else if (hr_request_may_try_again (core, request, status))
+    hr_replica_read (core, hr_request_on_read,
                      request); /* the record may have moved on: read, then try again */
   else
-    hr_request_refuse_later (c, request, 503, "the cancellation is not confirmed; ask again");
+    hr_request_refuse_later (core, request, 503, "the cancellation is not confirmed; ask again");
 }
 
 static void
-send_cancel (HrCore *c, HrUserRequest *request)
+send_cancel (HrCore *core, HrUserRequest *request)
 {
-  HrJob *j = hr_job_find (c, request->id);
-  g_autofree char *key = hr_job_record_key (j);
+  HrJob *job = hr_job_find (core, request->id);
+  g_autofree char *key = hr_job_record_key (job);
   g_free (request->tag);
-  request->tag = hr_core_new_tag (c);
-  char *text = hr_record_main (j, c->names, &c->store.tables.machine_ids, HR_JOB_CANCELLED,
+  request->tag = hr_core_new_tag (core);
+  char *text = hr_record_main (job, core->names, &core->store.tables.machine_ids, HR_JOB_CANCELLED,
                                request->tag, FALSE);
   request->bytes = strlen (text);
-  if (request->bytes > hr_record_layout_max_bytes (c)) {
+  if (request->bytes > hr_record_layout_max_bytes (core)) {
     g_free (text);
-    split_first (c, request, j);
+    split_first (core, request, job);
     return;
   }
-  json_t *when = hr_transaction_require (json_array (), key, j->record.revision);
+  json_t *when = hr_transaction_require (json_array (), key, job->record.revision);
   json_t *writes = hr_transaction_put (json_array (), key, text, 0);
-  hr_transaction_submit (c, HR_TRANSACTION_USER, when, writes, 1, hr_request_timeout (c, request),
-                         on_cancel, request);
+  hr_transaction_submit (core, HR_TRANSACTION_USER, when, writes, 1,
+                         hr_request_timeout (core, request), on_cancel, request);
 }
 
 /* ---- the door ---- */
 
 static void
-answer_readiness (HrCore *c, HrCommand *cmd)
+answer_readiness (HrCore *core, HrCommand *command)
 {
-  if (!c->scaling.machine_types || !c->store.replica.synced_once)
-    hr_core_refuse (c, cmd->id, 503, 1, "still reading the ledger and the machine types");
-  else if (!hr_replica_is_served (c) && !hr_membership_store_outage_for_all (c))
-    hr_core_refuse (c, cmd->id, 503, 1, "the state service does not answer this node");
+  if (!core->scaling.machine_types || !core->store.replica.synced_once)
+    hr_core_refuse (core, command->id, 503, 1, "still reading the ledger and the machine types");
+  else if (!hr_replica_is_served (core) && !hr_membership_store_outage_for_all (core))
+    hr_core_refuse (core, command->id, 503, 1, "the state service does not answer this node");
   else
-    hr_core_reply (c, cmd->id, 200, json_pack ("{sb}", "ready", 1), 0);
+    hr_core_reply (core, command->id, 200, json_pack ("{sb}", "ready", 1), 0);
 }
 
 void
-hr_user_request_received (HrCore *c, HrCommand *cmd)
+hr_user_request_received (HrCore *core, HrCommand *command)
 {
-  const char *p = cmd->path;
-  if (strcmp (p, "/ready") == 0) {
-    if (cmd->method == HR_GET)
-      answer_readiness (c, cmd);
+  const char *text = command->path;
+  if (strcmp (text, "/ready") == 0) {
+    if (command->method == HR_GET)
+      answer_readiness (core, command);
     else
-      hr_core_refuse (c, cmd->id, 405, 0, "use GET");
+      hr_core_refuse (core, command->id, 405, 0, "use GET");
     return;
   }
-  if (strcmp (p, HR_JOBS_PATH) == 0) {
-    if (cmd->method != HR_POST)
-      hr_core_refuse (c, cmd->id, 405, 0, "use POST");
-    else if (cmd->too_large)
-      hr_core_refuse (c, cmd->id, 400, 0, "the body is larger than 64 KiB");
+  if (strcmp (text, HR_JOBS_PATH) == 0) {
+    if (command->method != HR_POST)
+      hr_core_refuse (core, command->id, 405, 0, "use POST");
+    else if (command->too_large)
+      hr_core_refuse (core, command->id, 400, 0, "the body is larger than 64 KiB");
     else
-      hr_submit (c, cmd);
+      hr_submit (core, command);
     return;
   }
-  if (!g_str_has_prefix (p, HR_JOBS_PATH "/")) {
-    hr_core_refuse (c, cmd->id, 404, 0, "no such path");
+  if (!g_str_has_prefix (text, HR_JOBS_PATH "/")) {
+    hr_core_refuse (core, command->id, 404, 0, "no such path");
     return;
   }
-  g_autofree char *id = g_strdup (p + strlen (HR_JOBS_PATH "/"));
+  g_autofree char *id = g_strdup (text + strlen (HR_JOBS_PATH "/"));
   gboolean abort = g_str_has_suffix (id, "/abort");
   if (abort)
     id[strlen (id) - strlen ("/abort")] = 0;
-  if (strchr (id, '/') || cmd->method != (abort ? HR_POST : HR_GET)) {
-    hr_core_refuse (c, cmd->id, strchr (id, '/') ? 404 : 405, 0,
+  if (strchr (id, '/') || command->method != (abort ? HR_POST : HR_GET)) {
+    hr_core_refuse (core, command->id, strchr (id, '/') ? 404 : 405, 0,
                     strchr (id, '/') ? "no such path"
                     : abort          ? "use POST"
                                      : "use GET");
     return;
   }
   if (!hr_job_id_valid (id)) {
-    hr_core_refuse (c, cmd->id, 404, 0, "no such job was accepted");
+    hr_core_refuse (core, command->id, 404, 0, "no such job was accepted");
     return;
   }
   HrUserRequest *request = g_new0 (HrUserRequest, 1);
-  request->reply_id = cmd->id;
+  request->reply_id = command->id;
   request->kind = abort ? HR_REQUEST_CANCEL : HR_REQUEST_POLL;
   request->id = g_steal_pointer (&id);
-  request->asked = c->wall_time;
-  if (!hr_request_answer_final (c, request))
-    hr_replica_read (c, hr_request_on_read, request);
+  request->asked = core->wall_time;
+  if (!hr_request_answer_final (core, request))
+    hr_replica_read (core, hr_request_on_read, request);
 }
--- a/src/coordination/jobs/user_requests.h
+++ b/src/coordination/jobs/user_requests.h
@@ -20,18 +20,18 @@
 
 void hr_request_free (HrUserRequest *request);
 /* The answers below take the request. */
-void hr_request_refuse_later (HrCore *c, HrUserRequest *request, int status, const char *why);
-void hr_request_answer (HrCore *c, HrUserRequest *request, HrJob *j, int status);
+void hr_request_refuse_later (HrCore *core, HrUserRequest *request, int status, const char *why);
+void hr_request_answer (HrCore *core, HrUserRequest *request, HrJob *job, int status);
 /* Final states never change, so they need no reading; but what a member said is not told to users
  * before its record is read. FALSE: not answered. */
-gboolean hr_request_answer_final (HrCore *c, HrUserRequest *request);
+gboolean hr_request_answer_final (HrCore *core, HrUserRequest *request);
 /* For hr_replica_read: answers from what was read, or goes on with what is left to do. */
-void hr_request_on_read (HrCore *c, gboolean ok, gpointer request);
+void hr_request_on_read (HrCore *core, gboolean ok, gpointer request);
 /* How long its next write waits for an answer, in seconds. */
-double hr_request_timeout (const HrCore *c, const HrUserRequest *request);
+double hr_request_timeout (const HrCore *core, const HrUserRequest *request);
 /* Was the write not carried out, or is that unknown, and is there time for another? The same write
  * may be sent again at any time, for it holds on the record's stamp: whichever copy is carried out
  * second fails. */
-gboolean hr_request_may_try_again (HrCore *c, HrUserRequest *request, int status);
+gboolean hr_request_may_try_again (HrCore *core, HrUserRequest *request, int status);
 
-void hr_submit (HrCore *c, HrCommand *cmd);
+void hr_submit (HrCore *core, HrCommand *command);
