--- a/src/coordination/leadership/leadership.c
+++ b/src/coordination/leadership/leadership.c
@@ -11,23 +11,23 @@
 #define STATUS_SOON_INTERVAL_S 0.2
 
 static gboolean
-peer_is_fresh (const HrCore *c, const HrPeer *p)
+peer_is_fresh (const HrCore *core, const HrPeer *peer)
 {
-  return c->now - p->received_at < 3.5;
+  return core->now - peer->received_at < 3.5;
 }
 
 /* A node that hears no other cannot tell an outage from a cut of its own. It takes it
  * for a cut: not ready, so that users go elsewhere, and soon silent to workers. */
 gboolean
-hr_membership_store_outage_for_all (const HrCore *c)
+hr_membership_store_outage_for_all (const HrCore *core)
 {
-  gboolean heard = c->settings->members->len == 0;
-  for (guint i = 0; i < c->membership.peers->len; i++) {
-    const HrPeer *p = &g_array_index (c->membership.peers, HrPeer, i);
-    if (!peer_is_fresh (c, p))
+  gboolean heard = core->settings->members->len == 0;
+  for (guint i = 0; i < core->membership.peers->len; i++) {
+    const HrPeer *peer = &g_array_index (core->membership.peers, HrPeer, i);
+    if (!peer_is_fresh (core, peer))
       continue;
     heard = TRUE;
-    if (p->status.store_served)
+    if (peer->status.store_served)
       return FALSE;
   }
   return heard;
@@ -37,18 +37,18 @@
  * the owner: each of the other members said so, after it had heard our clock. With none,
  * there is nobody who could. */
 static double
-attested_until (const HrCore *c)
+attested_until (const HrCore *core)
 {
-  double t = c->now;
-  if (!c->store.replica.synced_once)
+  double t = core->now;
+  if (!core->store.replica.synced_once)
     return 0;
-  for (guint i = 0; i < c->settings->members->len; i++) {
-    const char *label = g_array_index (c->settings->members, HrMember, i).label;
+  for (guint i = 0; i < core->settings->members->len; i++) {
+    const char *label = g_array_index (core->settings->members, HrMember, i).label;
     double said = 0;
-    for (guint k = 0; k < c->membership.peers->len; k++) {
-      const HrPeer *p = &g_array_index (c->membership.peers, HrPeer, k);
-      if (g_str_equal (p->status.label, label))
-        said = p->attested_at;
+    for (guint k = 0; k < core->membership.peers->len; k++) {
+      const HrPeer *peer = &g_array_index (core->membership.peers, HrPeer, k);
+      if (g_str_equal (peer->status.label, label))
+        said = peer->attested_at;
     }
     t = MIN (t, said);
   }
@@ -61,368 +61,373 @@
  * alike stops sooner: another leads by then, and while its workers still hear us they do
  * not look for that one. */
 gboolean
-hr_leadership_may_answer (const HrCore *c)
+hr_leadership_may_answer (const HrCore *core)
 {
-  double hold = c->policy.hold_s;
-  if (!hr_membership_store_outage_for_all (c))
-    hold = MIN (hold, c->policy.alone_s);
-  return c->leadership.is_leader &&
-         c->now - MAX (c->store.replica.confirmed_at, attested_until (c)) <= hold;
+  double hold = core->policy.hold_s;
+  if (!hr_membership_store_outage_for_all (core))
+    hold = MIN (hold, core->policy.alone_s);
+  return core->leadership.is_leader &&
+         core->now - MAX (core->store.replica.confirmed_at, attested_until (core)) <= hold;
 }
 
 static void
-begin_term (HrCore *c)
+begin_term (HrCore *core)
 {
-  c->leadership.is_leader = TRUE;
-  c->leadership.term_began_at = c->now;
-  c->leadership.term_token = c->leadership.fencing_token;
-  c->scaling.list_is_complete = FALSE;
-  c->scaling.list_requested_at = 0;
-  c->scaling.paused_until = c->now;
-  c->metrics.counters.terms++;
-  hr_failover_take_over (c);
+  core->leadership.is_leader = TRUE;
+  core->leadership.term_began_at = core->now;
+  core->leadership.term_token = core->leadership.fencing_token;
+  core->scaling.list_is_complete = FALSE;
+  core->scaling.list_requested_at = 0;
+  core->scaling.paused_until = core->now;
+  core->metrics.counters.terms++;
+  hr_failover_take_over (core);
 }
 
 void
-hr_leadership_step_down (HrCore *c, const char *why)
+hr_leadership_step_down (HrCore *core, const char *why)
 {
-  if (c->leadership.is_leader)
+  if (core->leadership.is_leader)
     g_message ("this node no longer leads: %s; token=%" G_GUINT64_FORMAT " reading_age=%.2f", why,
-               c->leadership.fencing_token, c->now - c->store.replica.confirmed_at);
-  c->leadership.is_leader = FALSE;
-  c->leadership.token_raise_wanted = FALSE;
-  c->leadership.token_raise_in_flight = FALSE;
+               core->leadership.fencing_token, core->now - core->store.replica.confirmed_at);
+  core->leadership.is_leader = FALSE;
+  core->leadership.token_raise_wanted = FALSE;
+  core->leadership.token_raise_in_flight = FALSE;
   /* Our view goes beyond the record: read everything anew. */
-  hr_replica_reset (c);
+  hr_replica_reset (core);
 }
 
 /* After every reading: does the map name this very process? */
 void
-hr_leadership_record_read (HrCore *c)
+hr_leadership_record_read (HrCore *core)
 {
-  gboolean mine = c->leadership.record_revision &&
-                  g_strcmp0 (c->leadership.leader_incarnation, c->incarnation) == 0 &&
-                  c->leadership.fencing_token > c->leadership.resigned_token;
-  if (mine && !c->leadership.is_leader)
-    begin_term (c);
-  else if (!mine && c->leadership.is_leader)
-    hr_leadership_step_down (c, "the map names another owner");
+  gboolean mine = core->leadership.record_revision &&
+                  g_strcmp0 (core->leadership.leader_incarnation, core->incarnation) == 0 &&
+                  core->leadership.fencing_token > core->leadership.resigned_token;
+  if (mine && !core->leadership.is_leader)
+    begin_term (core);
+  else if (!mine && core->leadership.is_leader)
+    hr_leadership_step_down (core, "the map names another owner");
 }
 
 static char *
-leader_record_text (HrCore *c, guint64 baton)
+leader_record_text (HrCore *core, guint64 fencing_token)
 {
-  return hr_json_take_text (
-      json_pack ("{sIssss}", "b", (json_int_t)baton, "o", c->settings->label, "i", c->incarnation));
+  return hr_json_take_text (json_pack ("{sIssss}", "b", (json_int_t)fencing_token, "o",
+                                       core->settings->label, "i", core->incarnation));
 }
 
 static void
-on_reread (HrCore *c, gboolean ok, gpointer data)
+on_reread (HrCore *core, gboolean ok, gpointer data)
 {
-  c->leadership.election_in_flight = c->leadership.token_raise_in_flight = FALSE;
+  core->leadership.election_in_flight = core->leadership.token_raise_in_flight = FALSE;
 }
 
 static void
-on_leader_record_written (HrCore *c, int status, json_t *body, double sent, gpointer data)
+on_leader_record_written (HrCore *core, int status, json_t *body, double sent, gpointer data)
 {
   if (status == 400)
-    c->leadership.lock_lease_id = 0;
-  c->leadership.next_election_at = c->now + g_rand_double_range (c->random, 0.3, 0.8);
+    core->leadership.lock_lease_id = 0;
+  core->leadership.next_election_at = core->now + g_rand_double_range (core->random, 0.3, 0.8);
   /* Won, lost or unknown: the next reading says who owns the map. */
-  hr_replica_read (c, on_reread, NULL);
+  hr_replica_read (core, on_reread, NULL);
 }
 
 static void
-on_lock_lease_granted (HrCore *c, int status, json_t *body, double sent, gpointer data)
+on_lock_lease_granted (HrCore *core, int status, json_t *body, double sent, gpointer data)
 {
-  c->leadership.lock_lease_requested_at = 0;
-  guint64 claim;
-  if (status == 200 && hr_json_count (body, "claim", G_MAXINT64, &claim) && claim) {
-    c->leadership.lock_lease_id = claim;
-    c->leadership.lock_lease_renewed_at = sent;
+  core->leadership.lock_lease_requested_at = 0;
+  guint64 lease_id;
+  if (status == 200 && hr_json_count (body, "claim", G_MAXINT64, &lease_id) && lease_id) {
+    core->leadership.lock_lease_id = lease_id;
+    core->leadership.lock_lease_renewed_at = sent;
   } else
-    c->leadership.next_election_at = c->now + g_rand_double_range (c->random, 0.5, 1);
+    core->leadership.next_election_at = core->now + g_rand_double_range (core->random, 0.5, 1);
 }
 
 static void
-on_lock_lease_renewed (HrCore *c, int status, json_t *body, double sent, gpointer data)
+on_lock_lease_renewed (HrCore *core, int status, json_t *body, double sent, gpointer data)
 {
-  c->leadership.lock_lease_renewal_in_flight = FALSE;
+  core->leadership.lock_lease_renewal_in_flight = FALSE;
   if (status == 200)
-    c->leadership.lock_lease_renewed_at = sent;
+    core->leadership.lock_lease_renewed_at = sent;
   else if (status == 404)
-    c->leadership.lock_lease_id = 0; /* the key is gone with it; we may stand again */
+    core->leadership.lock_lease_id = 0; /* the key is gone with it; we may stand again */
 }
 
 /* The owner of the map is there and only lost its key, in a cut of us all perhaps. It
  * takes the key again at once; to change owners would cost time and proofs. */
 static gboolean
-incumbent_returns (const HrCore *c)
+incumbent_returns (const HrCore *core)
 {
-  if (c->leadership.is_leader || c->now - c->leadership.leaderless_since > 2)
+  if (core->leadership.is_leader || core->now - core->leadership.leaderless_since > 2)
     return FALSE;
-  for (guint i = 0; i < c->membership.peers->len; i++) {
-    const HrPeer *p = &g_array_index (c->membership.peers, HrPeer, i);
-    if (peer_is_fresh (c, p) && p->status.is_leader &&
-        g_strcmp0 (p->status.incarnation, c->leadership.leader_incarnation) == 0)
-      return p->status.store_served || c->now - c->store.replica.served_since < 2;
+  for (guint i = 0; i < core->membership.peers->len; i++) {
+    const HrPeer *peer = &g_array_index (core->membership.peers, HrPeer, i);
+    if (peer_is_fresh (core, peer) && peer->status.is_leader &&
+        g_strcmp0 (peer->status.incarnation, core->leadership.leader_incarnation) == 0)
+      return peer->status.store_served || core->now - core->store.replica.served_since < 2;
   }
   return FALSE;
 }
 
 static void
-consider_election (HrCore *c)
+consider_election (HrCore *core)
 {
   /* A key of our own label and another incarnation is of a process that ended. */
-  gboolean ours_of_old = c->leadership.lock_revision &&
-                         g_strcmp0 (c->leadership.lock_label, c->settings->label) == 0 &&
-                         g_strcmp0 (c->leadership.lock_incarnation, c->incarnation) != 0;
-  if ((c->leadership.lock_revision && !ours_of_old) || c->leadership.election_in_flight ||
-      c->now < c->leadership.next_election_at || c->now < c->leadership.abstains_until ||
-      c->now - c->store.replica.confirmed_at > 2 || !c->scaling.machine_types ||
-      incumbent_returns (c))
+  gboolean ours_of_old = core->leadership.lock_revision &&
+                         g_strcmp0 (core->leadership.lock_label, core->settings->label) == 0 &&
+                         g_strcmp0 (core->leadership.lock_incarnation, core->incarnation) != 0;
+  if ((core->leadership.lock_revision && !ours_of_old) || core->leadership.election_in_flight ||
+      core->now < core->leadership.next_election_at ||
+      core->now < core->leadership.abstains_until ||
+      core->now - core->store.replica.confirmed_at > 2 || !core->scaling.machine_types ||
+      incumbent_returns (core))
     return;
-  if (!c->leadership.lock_lease_id) {
-    if (!c->leadership.lock_lease_requested_at) {
-      c->leadership.lock_lease_requested_at = c->now;
-      hr_core_call (c, HR_TO_STORE, NULL, HR_POST, g_strdup ("/leases"),
-                    g_strdup_printf ("{\"life_ms\":%d}", (int)(c->policy.leader_lease_s * 1000)), 2,
-                    on_lock_lease_granted, NULL);
+  if (!core->leadership.lock_lease_id) {
+    if (!core->leadership.lock_lease_requested_at) {
+      core->leadership.lock_lease_requested_at = core->now;
+      hr_core_call (core, HR_TO_STORE, NULL, HR_POST, g_strdup ("/leases"),
+                    g_strdup_printf ("{\"life_ms\":%d}", (int)(core->policy.leader_lease_s * 1000)),
+                    2, on_lock_lease_granted, NULL);
     }
     return;
   }
-  c->leadership.election_in_flight = TRUE;
+  core->leadership.election_in_flight = TRUE;
   json_t *when = hr_transaction_require (
-      hr_transaction_require (json_array (), "h/leader", c->leadership.lock_revision), "h/map",
-      c->leadership.record_revision);
-  json_t *writes = hr_transaction_put (json_array (), "h/leader", leader_record_text (c, 0),
-                                       c->leadership.lock_lease_id);
+      hr_transaction_require (json_array (), "h/leader", core->leadership.lock_revision), "h/map",
+      core->leadership.record_revision);
+  json_t *writes = hr_transaction_put (json_array (), "h/leader", leader_record_text (core, 0),
+                                       core->leadership.lock_lease_id);
   hr_transaction_put (
       writes, "h/map",
-      leader_record_text (c, MAX (c->leadership.fencing_token, c->leadership.resigned_token) + 1),
+      leader_record_text (
+          core, MAX (core->leadership.fencing_token, core->leadership.resigned_token) + 1),
       0);
-  hr_transaction_submit (c, HR_TRANSACTION_USER, when, writes, 2, 2, on_leader_record_written,
+  hr_transaction_submit (core, HR_TRANSACTION_USER, when, writes, 2, 2, on_leader_record_written,
                          NULL);
 }
 
 /* A new token makes every order sent with an older one void wherever it is seen. */
 void
-hr_leadership_raise_token (HrCore *c, const char *why)
+hr_leadership_raise_token (HrCore *core, const char *why)
 {
-  if (!c->leadership.token_raise_wanted)
+  if (!core->leadership.token_raise_wanted)
     g_info ("the baton is to be raised: %s", why);
-  c->leadership.token_raise_wanted = TRUE;
+  core->leadership.token_raise_wanted = TRUE;
 }
 
 static void
-consider_token_raise (HrCore *c)
+consider_token_raise (HrCore *core)
 {
-  if (!c->leadership.token_raise_wanted || c->leadership.token_raise_in_flight ||
-      c->leadership.election_in_flight || c->now - c->leadership.token_raised_at < 3 ||
-      c->store.replica.is_unavailable)
+  if (!core->leadership.token_raise_wanted || core->leadership.token_raise_in_flight ||
+      core->leadership.election_in_flight || core->now - core->leadership.token_raised_at < 3 ||
+      core->store.replica.is_unavailable)
     return;
-  c->leadership.token_raise_wanted = FALSE;
-  c->leadership.token_raise_in_flight = TRUE;
-  c->leadership.token_raised_at = c->now;
-  json_t *when = hr_transaction_require (json_array (), "h/map", c->leadership.record_revision);
-  json_t *writes = hr_transaction_put (json_array (), "h/map",
-                                       leader_record_text (c, c->leadership.fencing_token + 1), 0);
-  hr_transaction_submit (c, HR_TRANSACTION_USER, when, writes, 1, 2, on_leader_record_written,
+  core->leadership.token_raise_wanted = FALSE;
+  core->leadership.token_raise_in_flight = TRUE;
+  core->leadership.token_raised_at = core->now;
+  json_t *when = hr_transaction_require (json_array (), "h/map", core->leadership.record_revision);
+  json_t *writes = hr_transaction_put (
+      json_array (), "h/map", leader_record_text (core, core->leadership.fencing_token + 1), 0);
+  hr_transaction_submit (core, HR_TRANSACTION_USER, when, writes, 1, 2, on_leader_record_written,
                          NULL);
 }
 
 static guint
-count_contacts (HrCore *c)
+count_contacts (HrCore *core)
 {
-  if (c->now - c->membership.contact_window_began_at >= CONTACT_WINDOW) {
-    c->membership.contacts_in_last_window =
-        c->now - c->membership.contact_window_began_at < 2 * CONTACT_WINDOW
-            ? c->membership.contacts_in_window
+  if (core->now - core->membership.contact_window_began_at >= CONTACT_WINDOW) {
+    core->membership.contacts_in_last_window =
+        core->now - core->membership.contact_window_began_at < 2 * CONTACT_WINDOW
+            ? core->membership.contacts_in_window
             : 0;
-    c->membership.contacts_in_window = 0;
-    c->membership.contact_window_began_at = c->now;
+    core->membership.contacts_in_window = 0;
+    core->membership.contact_window_began_at = core->now;
   }
-  return MAX (c->membership.contacts_in_window, c->membership.contacts_in_last_window);
+  return MAX (core->membership.contacts_in_window, core->membership.contacts_in_last_window);
 }
 
 static gboolean
-is_candidate (const HrCore *c, const HrPeer *p)
+is_candidate (const HrCore *core, const HrPeer *peer)
 {
-  return peer_is_fresh (c, p) && p->status.store_served;
+  return peer_is_fresh (core, peer) && peer->status.store_served;
 }
 
 /* A leader that hears no worker while others do stands back, early enough for the workers to
  * find the next one within their leases. */
 static void
-consider_resigning (HrCore *c)
+consider_resigning (HrCore *core)
 {
   guint up = 0, heard = 0, elsewhere = 0;
-  for (guint i = 0; i < c->scaling.fleet->len; i++) {
-    HrMachine *m = c->scaling.fleet->pdata[i];
-    up += m->state == HR_MACHINE_UP;
-    heard += m->state == HR_MACHINE_UP && c->now - m->agent.heard_at < c->policy.overdue_s;
+  for (guint i = 0; i < core->scaling.fleet->len; i++) {
+    HrMachine *machine = core->scaling.fleet->pdata[i];
+    up += machine->state == HR_MACHINE_UP;
+    heard += machine->state == HR_MACHINE_UP &&
+             core->now - machine->agent.heard_at < core->policy.overdue_s;
   }
-  for (guint i = 0; i < c->membership.peers->len; i++) {
-    HrPeer *p = &g_array_index (c->membership.peers, HrPeer, i);
-    if (is_candidate (c, p))
-      elsewhere = MAX (elsewhere, p->status.worker_contacts);
+  for (guint i = 0; i < core->membership.peers->len; i++) {
+    HrPeer *peer = &g_array_index (core->membership.peers, HrPeer, i);
+    if (is_candidate (core, peer))
+      elsewhere = MAX (elsewhere, peer->status.worker_contacts);
   }
   /* After a cut of us all, workers may try the others first. */
-  double since = MAX (c->leadership.term_began_at, c->store.replica.served_since);
-  if (up >= 2 && !heard && elsewhere >= 2 && c->now - since >= 2 * CONTACT_WINDOW)
-    hr_leadership_resign (c, "no worker reaches this node, others are reached");
+  double since = MAX (core->leadership.term_began_at, core->store.replica.served_since);
+  if (up >= 2 && !heard && elsewhere >= 2 && core->now - since >= 2 * CONTACT_WINDOW)
+    hr_leadership_resign (core, "no worker reaches this node, others are reached");
 }
 
 /* No order of ours counts any more, and the key is free at once. */
 static void
-release_lock (HrCore *c)
+release_lock (HrCore *core)
 {
-  c->leadership.resigned_token = c->leadership.fencing_token;
-  if (c->leadership.lock_lease_id)
-    hr_core_call (c, HR_TO_STORE, NULL, HR_DELETE,
-                  g_strdup_printf ("/leases/%" G_GUINT64_FORMAT, c->leadership.lock_lease_id), NULL,
-                  2, on_lock_lease_renewed, NULL);
-  c->leadership.lock_lease_id = 0;
+  core->leadership.resigned_token = core->leadership.fencing_token;
+  if (core->leadership.lock_lease_id)
+    hr_core_call (core, HR_TO_STORE, NULL, HR_DELETE,
+                  g_strdup_printf ("/leases/%" G_GUINT64_FORMAT, core->leadership.lock_lease_id),
+                  NULL, 2, on_lock_lease_renewed, NULL);
+  core->leadership.lock_lease_id = 0;
 }
 
 /* A leader that reads the ledger anew has forgotten which of its orders are still on their way.
  * The map names it all the same; under the same token a late launch would count, of a task that
  * has been placed elsewhere since. So it leads again only by a new map. */
 void
-hr_leadership_reset (HrCore *c, const char *why)
+hr_leadership_reset (HrCore *core, const char *why)
 {
-  if (c->leadership.is_leader)
-    release_lock (c);
-  hr_leadership_step_down (c, why);
+  if (core->leadership.is_leader)
+    release_lock (core);
+  hr_leadership_step_down (core, why);
 }
 
 void
-hr_leadership_resign (HrCore *c, const char *why)
+hr_leadership_resign (HrCore *core, const char *why)
 {
   gboolean other = FALSE;
-  for (guint i = 0; i < c->membership.peers->len; i++)
-    other |= is_candidate (c, &g_array_index (c->membership.peers, HrPeer, i));
+  for (guint i = 0; i < core->membership.peers->len; i++)
+    other |= is_candidate (core, &g_array_index (core->membership.peers, HrPeer, i));
   if (!other)
     return; /* better a poor leader than none */
-  c->leadership.abstains_until = c->now + 15;
-  release_lock (c);
-  hr_leadership_step_down (c, why);
+  core->leadership.abstains_until = core->now + 15;
+  release_lock (core);
+  hr_leadership_step_down (core, why);
 }
 
 static void
-broadcast_status (HrCore *c)
+broadcast_status (HrCore *core)
 {
-  c->membership.status_sent_at = c->now;
-  c->membership.status_due_soon = FALSE;
-  HrEffect *e = g_new0 (HrEffect, 1);
-  e->kind = HR_EFFECT_PEER_STATUS;
-  HrPeerStatus *h = e->peer_status = g_new0 (HrPeerStatus, 1);
-  g_strlcpy (h->label, c->settings->label, sizeof h->label);
-  g_strlcpy (h->incarnation, c->incarnation, sizeof h->incarnation);
-  h->fencing_token = c->leadership.fencing_token;
-  h->leader_record_revision = c->leadership.record_revision;
-  h->store_served = c->store.replica.synced_once && c->now - c->store.replica.confirmed_at < 2.5;
-  h->is_leader = c->leadership.is_leader;
-  h->worker_contacts = count_contacts (c);
-  h->clock = c->now;
-  h->synced = c->store.replica.synced_once;
-  h->latest_cancellation = c->cancellations.latest_revision;
-  hr_record_format_fill_status (c, h);
-  h->applied_revision = c->store.replica.applied_revision;
-  hr_cancellation_log_fill_status (c, h);
-  for (guint i = 0; i < MIN (c->membership.peers->len, HR_MAX_ECHOES); i++) {
-    const HrPeer *p = &g_array_index (c->membership.peers, HrPeer, i);
-    HrEcho *o = &h->echoes[h->n_echoes++];
-    g_strlcpy (o->label, p->status.label, sizeof o->label);
-    g_strlcpy (o->incarnation, p->status.incarnation, sizeof o->incarnation);
-    o->clock = p->status.clock;
-    o->cancellations_taken = p->cancellations_taken;
+  core->membership.status_sent_at = core->now;
+  core->membership.status_due_soon = FALSE;
+  HrEffect *effect = g_new0 (HrEffect, 1);
+  effect->kind = HR_EFFECT_PEER_STATUS;
+  HrPeerStatus *status = effect->peer_status = g_new0 (HrPeerStatus, 1);
+  g_strlcpy (status->label, core->settings->label, sizeof status->label);
+  g_strlcpy (status->incarnation, core->incarnation, sizeof status->incarnation);
+  status->fencing_token = core->leadership.fencing_token;
+  status->leader_record_revision = core->leadership.record_revision;
+  status->store_served =
+      core->store.replica.synced_once && core->now - core->store.replica.confirmed_at < 2.5;
+  status->is_leader = core->leadership.is_leader;
+  status->worker_contacts = count_contacts (core);
+  status->clock = core->now;
+  status->synced = core->store.replica.synced_once;
+  status->latest_cancellation = core->cancellations.latest_revision;
+  hr_record_format_fill_status (core, status);
+  status->applied_revision = core->store.replica.applied_revision;
+  hr_cancellation_log_fill_status (core, status);
+  for (guint i = 0; i < MIN (core->membership.peers->len, HR_MAX_ECHOES); i++) {
+    const HrPeer *peer = &g_array_index (core->membership.peers, HrPeer, i);
+    HrEcho *echo = &status->echoes[status->n_echoes++];
+    g_strlcpy (echo->label, peer->status.label, sizeof echo->label);
+    g_strlcpy (echo->incarnation, peer->status.incarnation, sizeof echo->incarnation);
+    echo->clock = peer->status.clock;
+    echo->cancellations_taken = peer->cancellations_taken;
   }
-  g_ptr_array_add (c->effects, e);
+  g_ptr_array_add (core->effects, effect);
 }
 
 /* Takes note of what a member states, and of when by our clock it was still so: that it knows
  * of no newer owner and of no withdrawal that we have neither read nor been told. Whether the state
  * service serves it does not matter: what it decides or reads later is in what it states later. */
 static void
-note_attestation (HrCore *c, HrPeer *p)
+note_attestation (HrCore *core, HrPeer *peer)
 {
-  const HrPeerStatus *h = &p->status;
-  if (!h->synced || h->fencing_token > c->leadership.fencing_token ||
-      (h->latest_cancellation > c->store.replica.applied_revision &&
-       !hr_cancellation_log_all_taken (c, p)))
+  const HrPeerStatus *status = &peer->status;
+  if (!status->synced || status->fencing_token > core->leadership.fencing_token ||
+      (status->latest_cancellation > core->store.replica.applied_revision &&
+       !hr_cancellation_log_all_taken (core, peer)))
     return;
-  for (guint i = 0; i < h->n_echoes; i++) {
-    const HrEcho *e = &h->echoes[i];
-    if (g_str_equal (e->label, c->settings->label) &&
-        g_str_equal (e->incarnation, c->incarnation) && e->clock <= c->now)
-      p->attested_at = MAX (p->attested_at, e->clock);
+  for (guint i = 0; i < status->n_echoes; i++) {
+    const HrEcho *echo = &status->echoes[i];
+    if (g_str_equal (echo->label, core->settings->label) &&
+        g_str_equal (echo->incarnation, core->incarnation) && echo->clock <= core->now)
+      peer->attested_at = MAX (peer->attested_at, echo->clock);
   }
 }
 
 void
-hr_membership_status_received (HrCore *c, const HrPeerStatus *h)
+hr_membership_status_received (HrCore *core, const HrPeerStatus *status)
 {
   gboolean member = FALSE;
-  for (guint i = 0; i < c->settings->members->len; i++)
-    member |= g_str_equal (g_array_index (c->settings->members, HrMember, i).label, h->label);
+  for (guint i = 0; i < core->settings->members->len; i++)
+    member |=
+        g_str_equal (g_array_index (core->settings->members, HrMember, i).label, status->label);
   if (!member) {
-    g_info ("a hint from %s, which is no member; dropped", h->label);
+    g_info ("a hint from %s, which is no member; dropped", status->label);
     return;
   }
-  HrPeer *p = NULL;
-  for (guint i = 0; i < c->membership.peers->len && !p; i++)
-    if (g_str_equal (g_array_index (c->membership.peers, HrPeer, i).status.label, h->label))
-      p = &g_array_index (c->membership.peers, HrPeer, i);
-  if (!p) {
-    g_array_set_size (c->membership.peers, c->membership.peers->len + 1);
-    p = &g_array_index (c->membership.peers, HrPeer, c->membership.peers->len - 1);
+  HrPeer *peer = NULL;
+  for (guint i = 0; i < core->membership.peers->len && !peer; i++)
+    if (g_str_equal (g_array_index (core->membership.peers, HrPeer, i).status.label, status->label))
+      peer = &g_array_index (core->membership.peers, HrPeer, i);
+  if (!peer) {
+    g_array_set_size (core->membership.peers, core->membership.peers->len + 1);
+    peer = &g_array_index (core->membership.peers, HrPeer, core->membership.peers->len - 1);
   }
-  if (strcmp (p->status.incarnation, h->incarnation) != 0)
-    p->cancellations_taken = 0; /* positions count anew in each process */
-  p->status = *h;
-  p->received_at = c->now;
-  hr_cancellation_log_take_named (c, p);
-  hr_cancellation_log_acknowledged (c, p);
-  note_attestation (c, p);
-  hr_record_format_status_received (c, h);
+  if (strcmp (peer->status.incarnation, status->incarnation) != 0)
+    peer->cancellations_taken = 0; /* positions count anew in each process */
+  peer->status = *status;
+  peer->received_at = core->now;
+  hr_cancellation_log_take_named (core, peer);
+  hr_cancellation_log_acknowledged (core, peer);
+  note_attestation (core, peer);
+  hr_record_format_status_received (core, status);
   /* A member that the state service serves has read a newer map, and we, who
    * think we own it, have not: whoever is refused steps down at once. */
-  if (c->leadership.is_leader && h->store_served &&
-      h->fencing_token > c->leadership.fencing_token &&
-      c->now - c->store.replica.confirmed_at > 1.5) {
-    c->leadership.resigned_token = c->leadership.fencing_token;
-    hr_leadership_step_down (c, "a member has read a newer map");
+  if (core->leadership.is_leader && status->store_served &&
+      status->fencing_token > core->leadership.fencing_token &&
+      core->now - core->store.replica.confirmed_at > 1.5) {
+    core->leadership.resigned_token = core->leadership.fencing_token;
+    hr_leadership_step_down (core, "a member has read a newer map");
   }
 }
 
 void
-hr_leadership_tick (HrCore *c)
+hr_leadership_tick (HrCore *core)
 {
-  count_contacts (c);
-  if (c->leadership.lock_lease_id &&
-      c->now - c->leadership.lock_lease_renewed_at > c->policy.leader_lease_s &&
-      !c->leadership.is_leader && !c->leadership.election_in_flight)
-    c->leadership.lock_lease_id = 0; /* not kept alive while there is nothing to hold */
-  if (c->leadership.lock_lease_id &&
-      (c->leadership.is_leader || c->leadership.election_in_flight) &&
-      !c->leadership.lock_lease_renewal_in_flight &&
-      c->now - c->leadership.lock_lease_renewal_sent_at > c->policy.leader_lease_s / 4) {
-    c->leadership.lock_lease_renewal_in_flight = TRUE;
-    c->leadership.lock_lease_renewal_sent_at = c->now;
+  count_contacts (core);
+  if (core->leadership.lock_lease_id &&
+      core->now - core->leadership.lock_lease_renewed_at > core->policy.leader_lease_s &&
+      !core->leadership.is_leader && !core->leadership.election_in_flight)
+    core->leadership.lock_lease_id = 0; /* not kept alive while there is nothing to hold */
+  if (core->leadership.lock_lease_id &&
+      (core->leadership.is_leader || core->leadership.election_in_flight) &&
+      !core->leadership.lock_lease_renewal_in_flight &&
+      core->now - core->leadership.lock_lease_renewal_sent_at > core->policy.leader_lease_s / 4) {
+    core->leadership.lock_lease_renewal_in_flight = TRUE;
+    core->leadership.lock_lease_renewal_sent_at = core->now;
     hr_core_call (
-        c, HR_TO_STORE, NULL, HR_POST,
-        g_strdup_printf ("/leases/%" G_GUINT64_FORMAT "/touch", c->leadership.lock_lease_id), NULL,
-        c->policy.leader_lease_s / 4, on_lock_lease_renewed, NULL);
+        core, HR_TO_STORE, NULL, HR_POST,
+        g_strdup_printf ("/leases/%" G_GUINT64_FORMAT "/touch", core->leadership.lock_lease_id),
+        NULL, core->policy.leader_lease_s / 4, on_lock_lease_renewed, NULL);
   }
-  if (c->store.replica.state == HR_REPLICA_FOLLOWING) {
-    consider_election (c);
-    if (c->leadership.is_leader) {
-      consider_token_raise (c);
-      consider_resigning (c);
+  if (core->store.replica.state == HR_REPLICA_FOLLOWING) {
+    consider_election (core);
+    if (core->leadership.is_leader) {
+      consider_token_raise (core);
+      consider_resigning (core);
     }
   }
-  if (c->now - c->membership.status_sent_at >=
-      (c->membership.status_due_soon ? STATUS_SOON_INTERVAL_S : STATUS_INTERVAL_S))
-    broadcast_status (c);
+  if (core->now - core->membership.status_sent_at >=
+      (core->membership.status_due_soon ? STATUS_SOON_INTERVAL_S : STATUS_INTERVAL_S))
+    broadcast_status (core);
 }
--- a/src/coordination/membership/cancellation_log.c
+++ b/src/coordination/membership/cancellation_log.c
@@ -11,76 +11,78 @@
 
 /* The leader, as it says itself; NULL when none is known that can be told. */
 static const HrPeer *
-reachable_leader (const HrCore *c)
+reachable_leader (const HrCore *core)
 {
   const HrPeer *leader = NULL;
-  for (guint i = 0; i < c->membership.peers->len; i++) {
-    const HrPeer *p = &g_array_index (c->membership.peers, HrPeer, i);
-    if (p->status.is_leader && p->status.cancellations.is_stated &&
-        (!leader || p->status.fencing_token > leader->status.fencing_token))
-      leader = p;
+  for (guint i = 0; i < core->membership.peers->len; i++) {
+    const HrPeer *peer = &g_array_index (core->membership.peers, HrPeer, i);
+    if (peer->status.is_leader && peer->status.cancellations.is_stated &&
+        (!leader || peer->status.fencing_token > leader->status.fencing_token))
+      leader = peer;
   }
   return leader;
 }
 
 static void
-drop_oldest (HrCore *c, guint n)
+drop_oldest (HrCore *core, guint n)
 {
   for (guint i = 0; i < n; i++)
-    c->cancellations.dropped_revision =
-        MAX (c->cancellations.dropped_revision,
-             g_array_index (c->cancellations.entries, HrCancellation, i).revision);
-  g_array_remove_range (c->cancellations.entries, 0, n);
-  c->cancellations.begin += n;
+    core->cancellations.dropped_revision =
+        MAX (core->cancellations.dropped_revision,
+             g_array_index (core->cancellations.entries, HrCancellation, i).revision);
+  g_array_remove_range (core->cancellations.entries, 0, n);
+  core->cancellations.begin += n;
 }
 
 /* Drops what the leader has read, from the beginning on. Whoever led at the map that we read,
  * or leads after it, has read the ledger up to that map. */
 static void
-drop_read_by_leader (HrCore *c, const HrPeer *leader)
+drop_read_by_leader (HrCore *core, const HrPeer *leader)
 {
-  guint64 read = MAX (c->leadership.record_revision, leader ? leader->status.applied_revision : 0);
+  guint64 read =
+      MAX (core->leadership.record_revision, leader ? leader->status.applied_revision : 0);
   guint n = 0;
-  while (n < c->cancellations.entries->len &&
-         g_array_index (c->cancellations.entries, HrCancellation, n).revision <= read)
+  while (n < core->cancellations.entries->len &&
+         g_array_index (core->cancellations.entries, HrCancellation, n).revision <= read)
     n++;
   if (n)
-    drop_oldest (c, n);
+    drop_oldest (core, n);
 }
 
 static guint64
-log_end (const HrCore *c)
+log_end (const HrCore *core)
 {
-  return c->cancellations.begin + c->cancellations.entries->len;
+  return core->cancellations.begin + core->cancellations.entries->len;
 }
 
 /* Notes a withdrawal that we confirmed or read: before its user is told, and before any hint
  * states its stamp. */
 void
-hr_cancellation_log_append (HrCore *c, const HrJob *j, guint64 revision)
+hr_cancellation_log_append (HrCore *core, const HrJob *job, guint64 revision)
 {
-  const HrPeer *leader = reachable_leader (c);
-  HrCancellation entry = {j->index, revision};
-  c->cancellations.latest_revision = MAX (c->cancellations.latest_revision, revision);
+  const HrPeer *leader = reachable_leader (core);
+  HrCancellation entry = {job->index, revision};
+  core->cancellations.latest_revision = MAX (core->cancellations.latest_revision, revision);
   if (leader && revision <= leader->status.applied_revision) {
-    c->cancellations.dropped_revision = MAX (c->cancellations.dropped_revision, revision);
+    core->cancellations.dropped_revision = MAX (core->cancellations.dropped_revision, revision);
     return;
   }
-  if (c->cancellations.entries->len == MAX_LOG)
-    drop_oldest (c, MAX_LOG / 4);
-  g_array_append_val (c->cancellations.entries, entry);
+  if (core->cancellations.entries->len == MAX_LOG)
+    drop_oldest (core, MAX_LOG / 4);
+  g_array_append_val (core->cancellations.entries, entry);
   if (leader && !leader->status.store_served)
-    c->membership.status_due_soon = TRUE;
+    core->membership.status_due_soon = TRUE;
 }
 
 /* Position up to which the leader has taken in the log of this process. */
 static guint64
-acknowledged (const HrCore *c, const HrPeer *leader)
+acknowledged (const HrCore *core, const HrPeer *leader)
 {
   for (guint i = 0; i < leader->status.n_echoes; i++) {
-    const HrEcho *e = &leader->status.echoes[i];
-    if (g_str_equal (e->label, c->settings->label) && g_str_equal (e->incarnation, c->incarnation))
-      return e->cancellations_taken;
+    const HrEcho *echo = &leader->status.echoes[i];
+    if (g_str_equal (echo->label, core->settings->label) &&
+        g_str_equal (echo->incarnation, core->incarnation))
+      return echo->cancellations_taken;
   }
   return 0;
 }
@@ -88,22 +90,23 @@
 /* States our log in a hint, and names what of it the leader has neither read nor taken in, as
  * far as there is room. */
 void
-hr_cancellation_log_fill_status (HrCore *c, HrPeerStatus *h)
+hr_cancellation_log_fill_status (HrCore *core, HrPeerStatus *status)
 {
-  const HrPeer *leader = reachable_leader (c);
-  HrNamedCancellations *n = &h->cancellations;
-  drop_read_by_leader (c, leader);
-  n->is_stated = TRUE;
-  n->dropped_revision = c->cancellations.dropped_revision;
-  n->log_begin = n->first_position = c->cancellations.begin;
-  n->log_end = log_end (c);
-  if (!leader || c->leadership.is_leader)
+  const HrPeer *leader = reachable_leader (core);
+  HrNamedCancellations *named = &status->cancellations;
+  drop_read_by_leader (core, leader);
+  named->is_stated = TRUE;
+  named->dropped_revision = core->cancellations.dropped_revision;
+  named->log_begin = named->first_position = core->cancellations.begin;
+  named->log_end = log_end (core);
+  if (!leader || core->leadership.is_leader)
     return;
-  n->first_position = CLAMP (acknowledged (c, leader), n->log_begin, n->log_end);
-  for (guint64 at = n->first_position; at < n->log_end; at++) {
-    const HrCancellation *w =
-        &g_array_index (c->cancellations.entries, HrCancellation, at - n->log_begin);
-    if (!hr_named_cancellations_add (n, hr_intern_name (&c->store.tables.job_ids, w->job)))
+  named->first_position = CLAMP (acknowledged (core, leader), named->log_begin, named->log_end);
+  for (guint64 at = named->first_position; at < named->log_end; at++) {
+    const HrCancellation *cancellation =
+        &g_array_index (core->cancellations.entries, HrCancellation, at - named->log_begin);
+    if (!hr_named_cancellations_add (
+            named, hr_intern_name (&core->store.tables.job_ids, cancellation->job)))
       break;
   }
 }
@@ -111,59 +114,60 @@
 /* A member says that the job is withdrawn: its tasks are stopped as if its record had been
  * read. The record itself is as ever: no write of ours holds on a stamp before we read it. */
 static void
-cancel_as_told (HrCore *c, const char *id)
+cancel_as_told (HrCore *core, const char *id)
 {
   if (!hr_job_id_valid (id))
     return;
-  HrJob *j = hr_job_get (c, id);
-  if (j->state != HR_JOB_QUEUED || j->cancellation.told_by_peer)
+  HrJob *job = hr_job_get (core, id);
+  if (job->state != HR_JOB_QUEUED || job->cancellation.told_by_peer)
     return;
-  j->cancellation.told_by_peer = TRUE;
-  if (!j->is_known)
+  job->cancellation.told_by_peer = TRUE;
+  if (!job->is_known)
     return; /* should its submission still be read, it is withdrawn already */
   g_info ("%s is withdrawn, as a member says", id);
-  j->state = HR_JOB_CANCELLED;
-  if (j->tasks)
-    hr_job_cancelled (c, j);
-  c->scheduling.plan_is_stale = TRUE;
+  job->state = HR_JOB_CANCELLED;
+  if (job->tasks)
+    hr_job_cancelled (core, job);
+  core->scheduling.plan_is_stale = TRUE;
 }
 
 /* Takes in what a member names, when nothing is missing between that and what was taken in
  * before, but for withdrawals that we have read. */
 void
-hr_cancellation_log_take_named (HrCore *c, HrPeer *p)
+hr_cancellation_log_take_named (HrCore *core, HrPeer *peer)
 {
-  const HrNamedCancellations *n = &p->status.cancellations;
-  if (!c->leadership.is_leader || !n->is_stated)
+  const HrNamedCancellations *named = &peer->status.cancellations;
+  if (!core->leadership.is_leader || !named->is_stated)
     return;
-  if (n->dropped_revision <= c->store.replica.applied_revision)
-    p->cancellations_taken = MAX (p->cancellations_taken, n->log_begin);
-  if (n->first_position > p->cancellations_taken ||
-      n->first_position + n->count <= p->cancellations_taken)
+  if (named->dropped_revision <= core->store.replica.applied_revision)
+    peer->cancellations_taken = MAX (peer->cancellations_taken, named->log_begin);
+  if (named->first_position > peer->cancellations_taken ||
+      named->first_position + named->count <= peer->cancellations_taken)
     return;
-  for (const char *id = hr_named_cancellations_next (n, NULL); id;
-       id = hr_named_cancellations_next (n, id))
-    cancel_as_told (c, id);
-  p->cancellations_taken = n->first_position + n->count;
-  c->membership.status_due_soon = TRUE; /* the member goes on from there */
+  for (const char *id = hr_named_cancellations_next (named, NULL); id;
+       id = hr_named_cancellations_next (named, id))
+    cancel_as_told (core, id);
+  peer->cancellations_taken = named->first_position + named->count;
+  core->membership.status_due_soon = TRUE; /* the member goes on from there */
 }
 
 /* Do we know all withdrawals that the member knew of when it made its latest hint? */
 gboolean
-hr_cancellation_log_all_taken (const HrCore *c, const HrPeer *p)
+hr_cancellation_log_all_taken (const HrCore *core, const HrPeer *peer)
 {
-  const HrNamedCancellations *n = &p->status.cancellations;
-  return c->leadership.is_leader && n->is_stated &&
-         n->dropped_revision <= c->store.replica.applied_revision &&
-         n->log_end <= p->cancellations_taken;
+  const HrNamedCancellations *named = &peer->status.cancellations;
+  return core->leadership.is_leader && named->is_stated &&
+         named->dropped_revision <= core->store.replica.applied_revision &&
+         named->log_end <= peer->cancellations_taken;
 }
 
 /* A leader that is not served has taken in a part of our log: the rest follows at once. */
 void
-hr_cancellation_log_acknowledged (HrCore *c, const HrPeer *p)
+hr_cancellation_log_acknowledged (HrCore *core, const HrPeer *peer)
 {
-  if (p->status.is_leader && p->status.cancellations.is_stated && !p->status.store_served &&
-      !c->leadership.is_leader && c->cancellations.latest_revision > p->status.applied_revision &&
-      acknowledged (c, p) < log_end (c))
-    c->membership.status_due_soon = TRUE;
+  if (peer->status.is_leader && peer->status.cancellations.is_stated &&
+      !peer->status.store_served && !core->leadership.is_leader &&
+      core->cancellations.latest_revision > peer->status.applied_revision &&
+      acknowledged (core, peer) < log_end (core))
+    core->membership.status_due_soon = TRUE;
 }
--- a/src/coordination/metrics/counters.c
+++ b/src/coordination/metrics/counters.c
@@ -6,17 +6,18 @@
 #define PRINT_S 10.0
 
 void
-hr_counters_tick (HrCore *c)
+hr_counters_tick (HrCore *core)
 {
-  if (c->now - c->metrics.counters_printed_at < PRINT_S ||
-      memcmp (&c->metrics.counters, &c->metrics.counters_printed, sizeof c->metrics.counters) == 0)
+  if (core->now - core->metrics.counters_printed_at < PRINT_S ||
+      memcmp (&core->metrics.counters, &core->metrics.counters_printed,
+              sizeof core->metrics.counters) == 0)
     return;
-  c->metrics.counters_printed_at = c->now;
-  c->metrics.counters_printed = c->metrics.counters;
+  core->metrics.counters_printed_at = core->now;
+  core->metrics.counters_printed = core->metrics.counters;
   g_autoptr (GString) line = g_string_new ("counters:");
 #define X(name, meaning)                                                                           \
-  if (c->metrics.counters.name)                                                                    \
-    g_string_append_printf (line, " " #name "=%" G_GUINT64_FORMAT, c->metrics.counters.name);
+  if (core->metrics.counters.name)                                                                 \
+    g_string_append_printf (line, " " #name "=%" G_GUINT64_FORMAT, core->metrics.counters.name);
   HR_COUNTERS (X)
 #undef X
   g_info ("%s", line->str);
--- a/src/coordination/metrics/counters.h
+++ b/src/coordination/metrics/counters.h
@@ -31,4 +31,4 @@
 } HrCounters;
 
 /* Prints the counters when it is time and one has changed. */
-void hr_counters_tick (HrCore *c);
+void hr_counters_tick (HrCore *core);
--- a/src/coordination/metrics/histogram.h
+++ b/src/coordination/metrics/histogram.h
@@ -10,6 +10,7 @@
   double sum;                               /* seconds */
 } HrHistogram;
 
-void hr_histogram_add (HrHistogram *h, double seconds);
+void hr_histogram_add (HrHistogram *histogram, double seconds);
 /* Appends the histogram in the Prometheus text format. */
-void hr_histogram_print (const HrHistogram *h, GString *text, const char *name, const char *help);
+void hr_histogram_print (const HrHistogram *histogram, GString *text, const char *name,
+                         const char *help);
--- a/src/coordination/metrics/metrics.c
+++ b/src/coordination/metrics/metrics.c
@@ -2,14 +2,14 @@
 #include "coordination/state.h"
 
 static void
-append_counters (const HrCore *c, GString *text)
+append_counters (const HrCore *core, GString *text)
 {
 #define X(name, meaning)                                                                           \
   g_string_append_printf (text,                                                                    \
                           "# HELP hoprock_" #name "_total " meaning "\n"                           \
                           "# TYPE hoprock_" #name "_total counter\n"                               \
                           "hoprock_" #name "_total %" G_GUINT64_FORMAT "\n",                       \
-                          c->metrics.counters.name);
+                          core->metrics.counters.name);
   HR_COUNTERS (X)
 #undef X
 }
@@ -22,36 +22,37 @@
 }
 
 static void
-append_leadership (const HrCore *c, GString *text)
+append_leadership (const HrCore *core, GString *text)
 {
-  append_gauge (text, "leads", "1 while this node leads", c->leadership.is_leader);
+  append_gauge (text, "leads", "1 while this node leads", core->leadership.is_leader);
   append_gauge (text, "may_answer", "1 while it may renew workers' leases",
-                hr_leadership_may_answer (c));
+                hr_leadership_may_answer (core));
   append_gauge (text, "token", "fencing token of the map that it has read",
-                (double)c->leadership.fencing_token);
+                (double)core->leadership.fencing_token);
   append_gauge (text, "epoch", "revision up to which it has read the ledger",
-                (double)c->store.replica.applied_revision);
+                (double)core->store.replica.applied_revision);
   append_gauge (text, "state_served", "1 while the state service answers it",
-                hr_replica_is_served (c));
+                hr_replica_is_served (core));
   append_gauge (text, "reading_age_seconds", "age of its last confirmed reading",
-                c->store.replica.synced_once ? c->now - c->store.replica.confirmed_at : -1);
+                core->store.replica.synced_once ? core->now - core->store.replica.confirmed_at
+                                                : -1);
 }
 
 static void
-append_work (const HrCore *c, GString *text)
+append_work (const HrCore *core, GString *text)
 {
   guint queued = 0, bound = 0, cancelled = 0;
-  for (guint i = 0; i < c->store.tables.open_jobs->len; i++) {
-    const HrJob *j =
-        c->store.tables.jobs->pdata[g_array_index (c->store.tables.open_jobs, guint32, i)];
-    queued += j->state == HR_JOB_QUEUED;
-    for (guint32 k = 0; j->tasks && k < j->n_tasks; k++) {
-      gboolean there = j->tasks[k].state == HR_TASK_BOUND;
+  for (guint i = 0; i < core->store.tables.open_jobs->len; i++) {
+    const HrJob *job =
+        core->store.tables.jobs->pdata[g_array_index (core->store.tables.open_jobs, guint32, i)];
+    queued += job->state == HR_JOB_QUEUED;
+    for (guint32 k = 0; job->tasks && k < job->n_tasks; k++) {
+      gboolean there = job->tasks[k].state == HR_TASK_BOUND;
       bound += there;
-      cancelled += there && j->state == HR_JOB_CANCELLED;
+      cancelled += there && job->state == HR_JOB_CANCELLED;
     }
   }
-  append_gauge (text, "jobs_known", "jobs whose records it has read", c->store.tables.jobs->len);
+  append_gauge (text, "jobs_known", "jobs whose records it has read", core->store.tables.jobs->len);
   append_gauge (text, "jobs_queued", "jobs that are not final and wait for none", queued);
   append_gauge (text, "tasks_bound", "tasks recorded on machines, as the leader knows", bound);
   append_gauge (text, "tasks_withdrawn", "of these, tasks of withdrawn jobs that are to go",
@@ -59,33 +60,33 @@
 }
 
 static void
-append_fleet (const HrCore *c, GString *text)
+append_fleet (const HrCore *core, GString *text)
 {
   static const char *const states[] = {"booting", "up", "returned"};
   guint counts[G_N_ELEMENTS (states)] = {0};
-  for (guint i = 0; i < c->scaling.fleet->len; i++) {
-    const HrMachine *m = c->scaling.fleet->pdata[i];
-    if (m->state < G_N_ELEMENTS (states))
-      counts[m->state]++;
+  for (guint i = 0; i < core->scaling.fleet->len; i++) {
+    const HrMachine *machine = core->scaling.fleet->pdata[i];
+    if (machine->state < G_N_ELEMENTS (states))
+      counts[machine->state]++;
   }
   g_string_append (text, "# HELP hoprock_machines machines of the leader's fleet, by state\n"
                          "# TYPE hoprock_machines gauge\n");
   for (guint i = 0; i < G_N_ELEMENTS (states); i++)
     g_string_append_printf (text, "hoprock_machines{state=\"%s\"} %u\n", states[i],
-                            c->leadership.is_leader ? counts[i] : 0);
+                            core->leadership.is_leader ? counts[i] : 0);
 }
 
 char *
-hr_metrics_text (const HrCore *c)
+hr_metrics_text (const HrCore *core)
 {
   GString *text = g_string_new (NULL);
-  append_leadership (c, text);
-  append_work (c, text);
-  append_fleet (c, text);
-  append_counters (c, text);
-  hr_histogram_print (&c->metrics.read_latency, text, "hoprock_reading_seconds",
+  append_leadership (core, text);
+  append_work (core, text);
+  append_fleet (core, text);
+  append_counters (core, text);
+  hr_histogram_print (&core->metrics.read_latency, text, "hoprock_reading_seconds",
                       "how long readings of the state service took");
-  hr_histogram_print (&c->metrics.renewal_age, text, "hoprock_renewal_reading_age_seconds",
+  hr_histogram_print (&core->metrics.renewal_age, text, "hoprock_renewal_reading_age_seconds",
                       "age of the reading that each renewal of a worker's lease went by");
   return g_string_free (text, FALSE);
 }
--- a/src/coordination/metrics/metrics.h
+++ b/src/coordination/metrics/metrics.h
@@ -6,4 +6,4 @@
 #define HR_METRICS_PATH "/metrics"
 
 /* To be freed. */
-char *hr_metrics_text (const HrCore *c);
+char *hr_metrics_text (const HrCore *core);
--- a/src/coordination/scaling/instance_list.c
+++ b/src/coordination/scaling/instance_list.c
@@ -3,98 +3,100 @@
 #include "coordination/state.h"
 #include "protocol/json_util.h"
 
-static void on_list (HrCore *c, int status, json_t *body, double sent, gpointer data);
+static void on_list (HrCore *core, int status, json_t *body, double sent, gpointer data);
 
 static void
-ask_list (HrCore *c)
+ask_list (HrCore *core)
 {
-  c->scaling.list_in_flight = TRUE;
-  char *path = c->scaling.list_cursor
-                   ? g_strdup_printf ("/rentals?after=%s&limit=500", c->scaling.list_cursor)
+  core->scaling.list_in_flight = TRUE;
+  char *path = core->scaling.list_cursor
+                   ? g_strdup_printf ("/rentals?after=%s&limit=500", core->scaling.list_cursor)
                    : g_strdup ("/rentals?limit=500");
-  hr_core_call (c, HR_TO_CLOUD, NULL, HR_GET, path, NULL, 5, on_list, NULL);
+  hr_core_call (core, HR_TO_CLOUD, NULL, HR_GET, path, NULL, 5, on_list, NULL);
 }
 
 static void
-listed (HrCore *c, const HrListedInstance *e)
+listed (HrCore *core, const HrListedInstance *entry)
 {
-  HrMachine *m = hr_machine_get (c, e->name);
-  if (m->instance.is_deleted || m->state == HR_MACHINE_DELETING)
+  HrMachine *machine = hr_machine_get (core, entry->name);
+  if (machine->instance.is_deleted || machine->state == HR_MACHINE_DELETING)
     return; /* lists lag: it is being returned, or was */
-  if (e->state == HR_INSTANCE_FAILED) {
-    if (m->state == HR_MACHINE_GONE)
-      hr_fleet_add (c, m);
-    m->state = HR_MACHINE_UP;
-    hr_fleet_delete (c, m, "it failed");
+  if (entry->state == HR_INSTANCE_FAILED) {
+    if (machine->state == HR_MACHINE_GONE)
+      hr_fleet_add (core, machine);
+    machine->state = HR_MACHINE_UP;
+    hr_fleet_delete (core, machine, "it failed");
     return;
   }
-  guint32 type = hr_intern_find (&c->names->types, e->type);
-  const HrMachineType *t = type == HR_NONE ? NULL : hr_machine_type_find (c, type);
-  if (!t)
+  guint32 type = hr_intern_find (&core->names->types, entry->type);
+  const HrMachineType *machine_type = type == HR_NONE ? NULL : hr_machine_type_find (core, type);
+  if (!machine_type)
     return;
   /* Also of a machine that only records name so far: its zone counts for others. */
-  hr_machine_describe (m, t, hr_intern (&c->names->zones, e->zone), e->is_spot);
-  if (m->state != HR_MACHINE_GONE) {
-    m->instance.listed_at = c->scaling.list_requested_at;
+  hr_machine_describe (machine, machine_type, hr_intern (&core->names->zones, entry->zone),
+                       entry->is_spot);
+  if (machine->state != HR_MACHINE_GONE) {
+    machine->instance.listed_at = core->scaling.list_requested_at;
     return;
   }
-  m->state = HR_MACHINE_BOOTING; /* until its worker reports */
-  m->instance.requested_at = c->now - MIN (e->age, t->boot_s * 0.6);
-  if (e->state == HR_INSTANCE_STARTING)
-    m->instance.requested_at = c->now - e->age;
-  hr_fleet_add (c, m);
-  m->instance.listed_at = c->scaling.list_requested_at;
-  c->scheduling.plan_is_stale = TRUE;
-  g_info ("%s is in the cloud's list and was not expected; it is taken on", m->name);
+  machine->state = HR_MACHINE_BOOTING; /* until its worker reports */
+  machine->instance.requested_at = core->now - MIN (entry->age, machine_type->boot_s * 0.6);
+  if (entry->state == HR_INSTANCE_STARTING)
+    machine->instance.requested_at = core->now - entry->age;
+  hr_fleet_add (core, machine);
+  machine->instance.listed_at = core->scaling.list_requested_at;
+  core->scheduling.plan_is_stale = TRUE;
+  g_info ("%s is in the cloud's list and was not expected; it is taken on", machine->name);
 }
 
 static void
-on_list (HrCore *c, int status, json_t *body, double sent, gpointer data)
+on_list (HrCore *core, int status, json_t *body, double sent, gpointer data)
 {
-  c->scaling.list_in_flight = FALSE;
-  if (!c->leadership.is_leader) {
-    g_clear_pointer (&c->scaling.list_cursor,
+  core->scaling.list_in_flight = FALSE;
+  if (!core->leadership.is_leader) {
+    g_clear_pointer (&core->scaling.list_cursor,
                      g_free); /* the next term begins with a pass of its own */
     return;
   }
-  json_t *list = json_object_get (body, "rockhands"), *o;
+  json_t *list = json_object_get (body, "rockhands"), *object;
   if (status != 200 || !json_is_array (list)) {
-    g_clear_pointer (&c->scaling.list_cursor, g_free);
+    g_clear_pointer (&core->scaling.list_cursor, g_free);
     return;
   }
   gboolean more = FALSE;
   size_t i;
   hr_json_bool (body, "more", &more);
-  json_array_foreach (list, i, o)
+  json_array_foreach (list, i, object)
   {
-    HrListedInstance e;
-    if (!hr_listed_instance_parse (o, &e)) {
+    HrListedInstance entry;
+    if (!hr_listed_instance_parse (object, &entry)) {
       g_info ("an entry of the cloud's list makes no sense; dropped");
       continue;
     }
-    listed (c, &e);
-    g_free (c->scaling.list_cursor);
-    c->scaling.list_cursor = g_strdup (e.name);
+    listed (core, &entry);
+    g_free (core->scaling.list_cursor);
+    core->scaling.list_cursor = g_strdup (entry.name);
   }
   if (more && json_array_size (list)) {
-    ask_list (c);
+    ask_list (core);
     return;
   }
-  g_clear_pointer (&c->scaling.list_cursor, g_free);
-  c->scaling.listed_at = c->scaling.list_requested_at;
-  if (c->scaling.list_requested_at >= c->leadership.term_began_at + c->settings->list_lag_s)
-    c->scaling.list_is_complete = TRUE;
+  g_clear_pointer (&core->scaling.list_cursor, g_free);
+  core->scaling.listed_at = core->scaling.list_requested_at;
+  if (core->scaling.list_requested_at >=
+      core->leadership.term_began_at + core->settings->list_lag_s)
+    core->scaling.list_is_complete = TRUE;
 }
 
 /* Passes through the list follow one another; until one is complete since the term began, at once.
  */
 void
-hr_instance_list_tick (HrCore *c)
+hr_instance_list_tick (HrCore *core)
 {
-  double gap = c->scaling.list_is_complete ? MAX (4, c->settings->list_lag_s) : 1;
-  if (!c->scaling.list_in_flight && c->now - c->scaling.list_requested_at > gap &&
-      hr_token_bucket_take (&c->scaling.allowance, c->now, 1, 1)) {
-    c->scaling.list_requested_at = c->now;
-    ask_list (c);
+  double gap = core->scaling.list_is_complete ? MAX (4, core->settings->list_lag_s) : 1;
+  if (!core->scaling.list_in_flight && core->now - core->scaling.list_requested_at > gap &&
+      hr_token_bucket_take (&core->scaling.allowance, core->now, 1, 1)) {
+    core->scaling.list_requested_at = core->now;
+    ask_list (core);
   }
 }
--- a/src/coordination/scaling/instance_requests.c
+++ b/src/coordination/scaling/instance_requests.c
@@ -7,39 +7,42 @@
 #define CAPACITY_REFUSAL_S 8.0
 
 gboolean
-hr_capacity_is_refused (const HrCore *c, guint32 type, guint32 zone, gboolean spot)
+hr_capacity_is_refused (const HrCore *core, guint32 type, guint32 zone, gboolean spot)
 {
-  const HrMachineType *t = hr_machine_type_find (c, type);
+  const HrMachineType *machine_type = hr_machine_type_find (core, type);
   if (zone == HR_NONE) {
-    for (guint i = 0; t && i < t->zones->len; i++)
-      if (!hr_capacity_is_refused (c, type, g_array_index (t->zones, guint32, i), spot))
+    for (guint i = 0; machine_type && i < machine_type->zones->len; i++)
+      if (!hr_capacity_is_refused (core, type, g_array_index (machine_type->zones, guint32, i),
+                                   spot))
         return FALSE;
     return TRUE;
   }
-  for (guint i = 0; i < c->scaling.capacity_refusals->len; i++) {
-    const HrCapacityRefusal *r =
-        &g_array_index (c->scaling.capacity_refusals, HrCapacityRefusal, i);
-    if (r->type == type && r->zone == zone && r->is_spot == spot && c->now < r->until)
+  for (guint i = 0; i < core->scaling.capacity_refusals->len; i++) {
+    const HrCapacityRefusal *refusal =
+        &g_array_index (core->scaling.capacity_refusals, HrCapacityRefusal, i);
+    if (refusal->type == type && refusal->zone == zone && refusal->is_spot == spot &&
+        core->now < refusal->until)
       return TRUE;
   }
   return FALSE;
 }
 
 static void
-note_capacity_refusal (HrCore *c, guint32 type, guint32 zone, gboolean spot)
+note_capacity_refusal (HrCore *core, guint32 type, guint32 zone, gboolean spot)
 {
-  HrCapacityRefusal *r = NULL;
-  for (guint i = 0; i < c->scaling.capacity_refusals->len && !r; i++) {
-    HrCapacityRefusal *x = &g_array_index (c->scaling.capacity_refusals, HrCapacityRefusal, i);
-    if (x->type == type && x->zone == zone && x->is_spot == spot)
-      r = x;
+  HrCapacityRefusal *refusal = NULL;
+  for (guint i = 0; i < core->scaling.capacity_refusals->len && !refusal; i++) {
+    HrCapacityRefusal *other =
+        &g_array_index (core->scaling.capacity_refusals, HrCapacityRefusal, i);
+    if (other->type == type && other->zone == zone && other->is_spot == spot)
+      refusal = other;
   }
-  if (!r) {
-    g_array_set_size (c->scaling.capacity_refusals, c->scaling.capacity_refusals->len + 1);
-    r = &g_array_index (c->scaling.capacity_refusals, HrCapacityRefusal,
-                        c->scaling.capacity_refusals->len - 1);
+  if (!refusal) {
+    g_array_set_size (core->scaling.capacity_refusals, core->scaling.capacity_refusals->len + 1);
+    refusal = &g_array_index (core->scaling.capacity_refusals, HrCapacityRefusal,
+                              core->scaling.capacity_refusals->len - 1);
   }
-  *r = (HrCapacityRefusal){type, zone, spot, c->now + CAPACITY_REFUSAL_S};
+  *refusal = (HrCapacityRefusal){type, zone, spot, core->now + CAPACITY_REFUSAL_S};
 }
 
 typedef struct {
@@ -50,104 +53,107 @@
   guint count;
 } Rental;
 
-static void send_instance_request (HrCore *c, Rental *r);
+static void send_instance_request (HrCore *core, Rental *request);
 
 static void
-instance_request_free (HrCore *c, Rental *r)
+instance_request_free (HrCore *core, Rental *request)
 {
-  c->scaling.instances_requested -= r->count;
-  g_free (r->name);
-  g_free (r);
+  core->scaling.instances_requested -= request->count;
+  g_free (request->name);
+  g_free (request);
 }
 
 static void
-on_instances_answer (HrCore *c, int status, json_t *body, double sent, gpointer data)
+on_instances_answer (HrCore *core, int status, json_t *body, double sent, gpointer data)
 {
-  Rental *r = data;
-  if (!c->leadership.is_leader || r->term_began_at != c->leadership.term_began_at) {
-    instance_request_free (c, r); /* what it rented shows up in the list */
+  Rental *request = data;
+  if (!core->leadership.is_leader || request->term_began_at != core->leadership.term_began_at) {
+    instance_request_free (core, request); /* what it rented shows up in the list */
     return;
   }
   if (status == 200) {
-    json_t *list = json_object_get (body, "rockhands"), *e;
+    json_t *list = json_object_get (body, "rockhands"), *entry;
     size_t i;
-    json_array_foreach (list, i, e)
+    json_array_foreach (list, i, entry)
     {
-      const char *name = json_string_value (e);
-      HrMachine *m = name ? hr_machine_get (c, name) : NULL;
-      if (!m || m->state != HR_MACHINE_GONE || m->instance.is_deleted)
+      const char *name = json_string_value (entry);
+      HrMachine *machine = name ? hr_machine_get (core, name) : NULL;
+      if (!machine || machine->state != HR_MACHINE_GONE || machine->instance.is_deleted)
         continue; /* it may have reported before this answer came */
-      hr_machine_describe (m, hr_machine_type_find (c, r->type), r->zone, r->is_spot);
-      m->state = HR_MACHINE_BOOTING;
-      m->instance.requested_here = TRUE;
-      m->instance.requested_at = sent;
-      hr_fleet_add (c, m);
+      hr_machine_describe (machine, hr_machine_type_find (core, request->type), request->zone,
+                           request->is_spot);
+      machine->state = HR_MACHINE_BOOTING;
+      machine->instance.requested_here = TRUE;
+      machine->instance.requested_at = sent;
+      hr_fleet_add (core, machine);
     }
-    g_info ("rented %zu of %u %s%s in %s", json_array_size (list), r->count,
-            r->is_spot ? "spot " : "", hr_intern_name (&c->names->types, r->type),
-            hr_intern_name (&c->names->zones, r->zone));
-    if (json_array_size (list) < r->count)
-      note_capacity_refusal (c, r->type, r->zone, r->is_spot);
-    c->scheduling.plan_is_stale = TRUE;
+    g_info ("rented %zu of %u %s%s in %s", json_array_size (list), request->count,
+            request->is_spot ? "spot " : "", hr_intern_name (&core->names->types, request->type),
+            hr_intern_name (&core->names->zones, request->zone));
+    if (json_array_size (list) < request->count)
+      note_capacity_refusal (core, request->type, request->zone, request->is_spot);
+    core->scheduling.plan_is_stale = TRUE;
   } else if (status == 503 && g_strcmp0 (hr_json_str (body, "error"), "no capacity") == 0) {
-    g_info ("no capacity for %s%s in %s", r->is_spot ? "spot " : "",
-            hr_intern_name (&c->names->types, r->type), hr_intern_name (&c->names->zones, r->zone));
-    note_capacity_refusal (c, r->type, r->zone, r->is_spot);
-    c->scheduling.plan_is_stale = TRUE;
+    g_info ("no capacity for %s%s in %s", request->is_spot ? "spot " : "",
+            hr_intern_name (&core->names->types, request->type),
+            hr_intern_name (&core->names->zones, request->zone));
+    note_capacity_refusal (core, request->type, request->zone, request->is_spot);
+    core->scheduling.plan_is_stale = TRUE;
   } else if (status == 400)
     g_warning ("the cloud calls a rental malformed");
   else {
     /* No answer, trouble or too many calls: the same name again, which rents once. Not at once: a
      * cloud in trouble answers in no time, and the calls would use up those of the next minutes. */
-    c->scaling.paused_until = c->now + g_rand_double_range (c->random, 0.5, 1.5);
-    g_queue_push_tail (&c->scaling.requests_to_retry, r);
+    core->scaling.paused_until = core->now + g_rand_double_range (core->random, 0.5, 1.5);
+    g_queue_push_tail (&core->scaling.requests_to_retry, request);
     return;
   }
-  instance_request_free (c, r);
+  instance_request_free (core, request);
 }
 
 /* One call of the cloud's allowance was taken for it. */
 static void
-send_instance_request (HrCore *c, Rental *r)
+send_instance_request (HrCore *core, Rental *request)
 {
-  hr_core_call (c, HR_TO_CLOUD, NULL, HR_POST, g_strdup ("/rentals"),
-                hr_json_take_text (json_pack ("{sssssssbsi}", "ask", r->name, "hull",
-                                              hr_intern_name (&c->names->types, r->type), "quarry",
-                                              hr_intern_name (&c->names->zones, r->zone), "loaners",
-                                              r->is_spot, "count", (int)r->count)),
-                6, on_instances_answer, r);
+  hr_core_call (
+      core, HR_TO_CLOUD, NULL, HR_POST, g_strdup ("/rentals"),
+      hr_json_take_text (json_pack ("{sssssssbsi}", "ask", request->name, "hull",
+                                    hr_intern_name (&core->names->types, request->type), "quarry",
+                                    hr_intern_name (&core->names->zones, request->zone), "loaners",
+                                    request->is_spot, "count", (int)request->count)),
+      6, on_instances_answer, request);
 }
 
 void
-hr_demand_add (HrCore *c, guint32 type, guint32 zone, gboolean spot, guint count)
+hr_demand_add (HrCore *core, guint32 type, guint32 zone, gboolean spot, guint count)
 {
-  HrDemand w = {type, zone, spot, count};
+  HrDemand demand = {type, zone, spot, count};
   if (count)
-    g_array_append_val (c->scaling.demand, w);
+    g_array_append_val (core->scaling.demand, demand);
 }
 
 /* The zone with capacity that holds the fewest of our machines, those asked for in this
  * round (by zone) included. The controllers' own zone takes twice its share: behind a cut
  * of it, its workers still hear the owner (hr_leadership_may_answer). */
 static guint32
-best_zone (HrCore *c, const HrMachineType *t, gboolean spot, const guint *asked)
+best_zone (HrCore *core, const HrMachineType *type, gboolean spot, const guint *asked)
 {
   guint32 best = HR_NONE;
   guint least = G_MAXUINT;
-  for (guint i = 0; i < t->zones->len; i++) {
-    guint32 z = g_array_index (t->zones, guint32, i);
-    guint n = asked[z];
-    if (hr_capacity_is_refused (c, t->type, z, spot))
+  for (guint i = 0; i < type->zones->len; i++) {
+    guint32 zone = g_array_index (type->zones, guint32, i);
+    guint n = asked[zone];
+    if (hr_capacity_is_refused (core, type->type, zone, spot))
       continue;
-    for (guint k = 0; k < c->scaling.fleet->len; k++) {
-      HrMachine *m = c->scaling.fleet->pdata[k];
-      n += m->type == t->type && m->zone == z;
+    for (guint k = 0; k < core->scaling.fleet->len; k++) {
+      HrMachine *machine = core->scaling.fleet->pdata[k];
+      n += machine->type == type->type && machine->zone == zone;
     }
-    if (z == c->settings->home)
+    if (zone == core->settings->home)
       n /= 2;
     if (n < least) {
       least = n;
-      best = z;
+      best = zone;
     }
   }
   return best;
@@ -155,66 +161,69 @@
 
 /* Rentals without a clear answer, once their pause is over. */
 void
-hr_instance_requests_retry (HrCore *c)
+hr_instance_requests_retry (HrCore *core)
 {
-  while (!g_queue_is_empty (&c->scaling.requests_to_retry) && c->now >= c->scaling.paused_until) {
-    Rental *r = g_queue_peek_head (&c->scaling.requests_to_retry);
-    if (r->term_began_at == c->leadership.term_began_at &&
-        !hr_token_bucket_take (&c->scaling.allowance, c->now, 1, 0))
+  while (!g_queue_is_empty (&core->scaling.requests_to_retry) &&
+         core->now >= core->scaling.paused_until) {
+    Rental *request = g_queue_peek_head (&core->scaling.requests_to_retry);
+    if (request->term_began_at == core->leadership.term_began_at &&
+        !hr_token_bucket_take (&core->scaling.allowance, core->now, 1, 0))
       return;
-    g_queue_pop_head (&c->scaling.requests_to_retry);
-    if (r->term_began_at == c->leadership.term_began_at)
-      send_instance_request (c, r);
+    g_queue_pop_head (&core->scaling.requests_to_retry);
+    if (request->term_began_at == core->leadership.term_began_at)
+      send_instance_request (core, request);
     else
-      instance_request_free (c, r);
+      instance_request_free (core, request);
   }
 }
 
 void
-hr_instance_requests_clear (HrCore *c)
+hr_instance_requests_clear (HrCore *core)
 {
-  Rental *r;
-  while ((r = g_queue_pop_head (&c->scaling.requests_to_retry)))
-    instance_request_free (c, r);
+  Rental *request;
+  while ((request = g_queue_pop_head (&core->scaling.requests_to_retry)))
+    instance_request_free (core, request);
 }
 
 void
-hr_instance_requests_send (HrCore *c)
+hr_instance_requests_send (HrCore *core)
 {
   /* What an earlier owner rented shows in the list: look before renting. The
    * very first owner has nothing to look for. */
-  gboolean looked = c->leadership.term_token == 1 ||
-                    (c->scaling.list_is_complete &&
-                     c->now - c->leadership.term_began_at > c->settings->list_lag_s);
-  if (!looked || c->scaling.instances_requested || c->now < c->scaling.paused_until ||
-      !hr_replica_is_served (c))
+  gboolean looked = core->leadership.term_token == 1 ||
+                    (core->scaling.list_is_complete &&
+                     core->now - core->leadership.term_began_at > core->settings->list_lag_s);
+  if (!looked || core->scaling.instances_requested || core->now < core->scaling.paused_until ||
+      !hr_replica_is_served (core))
     return;
-  g_autofree guint *asked = g_new0 (guint, c->names->zones.names->len + 1);
-  for (guint i = 0; i < c->scaling.demand->len; i++) {
-    HrDemand *w = &g_array_index (c->scaling.demand, HrDemand, i);
-    const HrMachineType *t = hr_machine_type_find (c, w->type);
-    guint share = t ? MAX (1, (w->count + t->zones->len - 1) / t->zones->len) : 0;
-    while (t && w->count && hr_token_bucket_take (&c->scaling.allowance, c->now, 1, 0)) {
-      guint32 z = w->zone == HR_NONE ? best_zone (c, t, w->is_spot, asked) : w->zone;
-      if (z == HR_NONE || hr_capacity_is_refused (c, w->type, z, w->is_spot))
+  g_autofree guint *asked = g_new0 (guint, core->names->zones.names->len + 1);
+  for (guint i = 0; i < core->scaling.demand->len; i++) {
+    HrDemand *demand = &g_array_index (core->scaling.demand, HrDemand, i);
+    const HrMachineType *type = hr_machine_type_find (core, demand->type);
+    guint share = type ? MAX (1, (demand->count + type->zones->len - 1) / type->zones->len) : 0;
+    while (type && demand->count &&
+           hr_token_bucket_take (&core->scaling.allowance, core->now, 1, 0)) {
+      guint32 zone =
+          demand->zone == HR_NONE ? best_zone (core, type, demand->is_spot, asked) : demand->zone;
+      if (zone == HR_NONE || hr_capacity_is_refused (core, demand->type, zone, demand->is_spot))
         break;
       /* Spread over the zones: a zone may be short, or fall away. */
-      guint n = MIN (w->count, 50);
-      if (w->zone == HR_NONE && t->zones->len > 1)
+      guint n = MIN (demand->count, 50);
+      if (demand->zone == HR_NONE && type->zones->len > 1)
         n = MIN (n, share);
-      asked[z] += n;
-      Rental *r = g_new0 (Rental, 1);
-      r->term_began_at = c->leadership.term_began_at;
-      r->name = g_strdup_printf ("%s.%s.%" G_GUINT64_FORMAT, c->settings->label, c->incarnation,
-                                 ++c->scaling.last_request);
-      r->type = w->type;
-      r->zone = z;
-      r->is_spot = w->is_spot;
-      r->count = n;
-      c->scaling.instances_requested += n;
-      w->count -= n;
-      send_instance_request (c, r);
+      asked[zone] += n;
+      Rental *request = g_new0 (Rental, 1);
+      request->term_began_at = core->leadership.term_began_at;
+      request->name = g_strdup_printf ("%s.%s.%" G_GUINT64_FORMAT, core->settings->label,
+                                       core->incarnation, ++core->scaling.last_request);
+      request->type = demand->type;
+      request->zone = zone;
+      request->is_spot = demand->is_spot;
+      request->count = n;
+      core->scaling.instances_requested += n;
+      demand->count -= n;
+      send_instance_request (core, request);
     }
   }
-  g_array_set_size (c->scaling.demand, 0);
+  g_array_set_size (core->scaling.demand, 0);
 }
--- a/src/coordination/scheduling/guarantees.c
+++ b/src/coordination/scheduling/guarantees.c
@@ -3,12 +3,12 @@
 #include "coordination/scheduling/free_capacity.h"
 
 int
-hr_by_submission (gconstpointer a, gconstpointer b)
+hr_by_submission (gconstpointer left, gconstpointer right)
 {
-  const HrJob *x = *(HrJob *const *)a, *y = *(HrJob *const *)b;
-  if (x->submitted_at != y->submitted_at)
-    return x->submitted_at < y->submitted_at ? -1 : 1;
-  return x->index < y->index ? -1 : x->index > y->index;
+  const HrJob *first = *(HrJob *const *)left, *second = *(HrJob *const *)right;
+  if (first->submitted_at != second->submitted_at)
+    return first->submitted_at < second->submitted_at ? -1 : 1;
+  return first->index < second->index ? -1 : first->index > second->index;
 }
 
 /* What a job within its team's guarantee may keep others waiting for, s: by then what was
@@ -20,56 +20,57 @@
 
 /* May the others borrow nothing, as this job waits? */
 static gboolean
-is_reclaiming (HrCore *c, HrJob *j)
+is_reclaiming (HrCore *core, HrJob *job)
 {
-  if (!j->quota.within_guarantee || j->run.n_live + j->n_done >= j->n_tasks ||
-      c->now < j->run.retry_at || !hr_quotas_granted (c, j)) {
-    j->quota.reclaiming_since = 0;
+  if (!job->quota.within_guarantee || job->run.n_live + job->n_done >= job->n_tasks ||
+      core->now < job->run.retry_at || !hr_quotas_granted (core, job)) {
+    job->quota.reclaiming_since = 0;
     return FALSE;
   }
-  if (c->now < j->quota.next_reclaim_at)
+  if (core->now < job->quota.next_reclaim_at)
     return FALSE;
-  if (!j->quota.reclaiming_since)
-    j->quota.reclaiming_since = c->now;
-  if (c->now - j->quota.reclaiming_since <= RECLAIM_S)
+  if (!job->quota.reclaiming_since)
+    job->quota.reclaiming_since = core->now;
+  if (core->now - job->quota.reclaiming_since <= RECLAIM_S)
     return TRUE;
-  j->quota.reclaiming_since = 0;
-  j->quota.reclaim_pause_s =
-      CLAMP (2 * j->quota.reclaim_pause_s, RECLAIM_PAUSE_S, MAX_RECLAIM_PAUSE_S);
-  j->quota.next_reclaim_at = c->now + j->quota.reclaim_pause_s;
+  job->quota.reclaiming_since = 0;
+  job->quota.reclaim_pause_s =
+      CLAMP (2 * job->quota.reclaim_pause_s, RECLAIM_PAUSE_S, MAX_RECLAIM_PAUSE_S);
+  job->quota.next_reclaim_at = core->now + job->quota.reclaim_pause_s;
   g_message ("%s is within its team's guarantee and finds no machine; others go on for %.0f s",
-             j->id, j->quota.reclaim_pause_s);
+             job->id, job->quota.reclaim_pause_s);
   return FALSE;
 }
 
 /* Marks the jobs that fit into their team's guarantee together with its earlier unfinished
  * ones: they need not wait for other teams. With one team there is nobody to wait for. */
 void
-hr_guarantees_mark_jobs (HrCore *c)
+hr_guarantees_mark_jobs (HrCore *core)
 {
-  c->scheduling.guaranteed_job_waits = FALSE;
-  if (c->settings->teams->len < 2)
+  core->scheduling.guaranteed_job_waits = FALSE;
+  if (core->settings->teams->len < 2)
     return;
   g_autoptr (GPtrArray) jobs = g_ptr_array_new ();
-  for (guint i = 0; i < c->store.tables.open_jobs->len; i++) {
-    HrJob *j = c->store.tables.jobs->pdata[g_array_index (c->store.tables.open_jobs, guint32, i)];
-    j->quota.within_guarantee = j->quota.reclaims_guarantee = FALSE;
-    if (j->state == HR_JOB_QUEUED && j->tasks)
-      g_ptr_array_add (jobs, j);
+  for (guint i = 0; i < core->store.tables.open_jobs->len; i++) {
+    HrJob *job =
+        core->store.tables.jobs->pdata[g_array_index (core->store.tables.open_jobs, guint32, i)];
+    job->quota.within_guarantee = job->quota.reclaims_guarantee = FALSE;
+    if (job->state == HR_JOB_QUEUED && job->tasks)
+      g_ptr_array_add (jobs, job);
   }
   g_ptr_array_sort (jobs, hr_by_submission);
-  for (guint k = 0; k < c->settings->teams->len; k++) {
-    const HrTeam *t = &g_array_index (c->settings->teams, HrTeam, k);
+  for (guint k = 0; k < core->settings->teams->len; k++) {
+    const HrTeam *team = &g_array_index (core->settings->teams, HrTeam, k);
     double cpus = 0, gpus = 0;
     for (guint i = 0; i < jobs->len; i++) {
-      HrJob *j = jobs->pdata[i];
-      if (j->spec.team != t->team)
+      HrJob *job = jobs->pdata[i];
+      if (job->spec.team != team->team)
         continue;
-      cpus += (j->n_tasks - j->n_done) * j->spec.cpus;
-      gpus += (j->n_tasks - j->n_done) * j->spec.gpus;
-      j->quota.within_guarantee = cpus <= t->cpus + 1e-6 && gpus <= t->gpus + 1e-6;
-      j->quota.reclaims_guarantee = is_reclaiming (c, j);
-      c->scheduling.guaranteed_job_waits |= j->quota.reclaims_guarantee;
+      cpus += (job->n_tasks - job->n_done) * job->spec.cpus;
+      gpus += (job->n_tasks - job->n_done) * job->spec.gpus;
+      job->quota.within_guarantee = cpus <= team->cpus + 1e-6 && gpus <= team->gpus + 1e-6;
+      job->quota.reclaims_guarantee = is_reclaiming (core, job);
+      core->scheduling.guaranteed_job_waits |= job->quota.reclaims_guarantee;
     }
   }
 }
@@ -77,39 +78,41 @@
 /* What a team is guaranteed it gets from those that run beyond theirs. Gangs of several tasks
  * begin when all their places are there, so a part of them makes room for nothing. */
 void
-hr_guarantees_preempt (HrCore *c, HrFreeCapacity *capacities)
+hr_guarantees_preempt (HrCore *core, HrFreeCapacity *capacities)
 {
-  for (guint i = 0; c->scheduling.guaranteed_job_waits && i < c->store.tables.open_jobs->len; i++) {
-    HrJob *j = c->store.tables.jobs->pdata[g_array_index (c->store.tables.open_jobs, guint32, i)];
-    if (!j->quota.reclaims_guarantee || j->state != HR_JOB_QUEUED || j->spec.shape == HR_SERVICE ||
-        j->run.attempt_ending || c->now < j->run.retry_at)
+  for (guint i = 0; core->scheduling.guaranteed_job_waits && i < core->store.tables.open_jobs->len;
+       i++) {
+    HrJob *job =
+        core->store.tables.jobs->pdata[g_array_index (core->store.tables.open_jobs, guint32, i)];
+    if (!job->quota.reclaims_guarantee || job->state != HR_JOB_QUEUED ||
+        job->spec.shape == HR_SERVICE || job->run.attempt_ending || core->now < job->run.retry_at)
       continue;
-    for (guint32 k = j->run.n_live + j->n_done; k < j->n_tasks; k++)
-      if (!hr_preempt (c, j, capacities, TRUE))
+    for (guint32 k = job->run.n_live + job->n_done; k < job->n_tasks; k++)
+      if (!hr_preempt (core, job, capacities, TRUE))
         break;
   }
 }
 
 /* May n more tasks of the job be on machines, as far as limits and guarantees go? */
 gboolean
-hr_team_allows_start (HrCore *c, const HrJob *j, guint n)
+hr_team_allows_start (HrCore *core, const HrJob *job, guint n)
 {
   /* While a job within its team's guarantee waits, the others borrow nothing more: what is
    * stopped or ends makes room for that job. */
-  if (c->scheduling.guaranteed_job_waits && !j->quota.within_guarantee &&
-      hr_team_exceeds_guarantee (c, j, n))
+  if (core->scheduling.guaranteed_job_waits && !job->quota.within_guarantee &&
+      hr_team_exceeds_guarantee (core, job, n))
     return FALSE;
-  return hr_quotas_granted (c, j) >= n;
+  return hr_quotas_granted (core, job) >= n;
 }
 
 /* Does the team run more than it is guaranteed (over), or would n more tasks stay within? */
 gboolean
-hr_team_exceeds_guarantee (HrCore *c, const HrJob *j, guint n)
+hr_team_exceeds_guarantee (HrCore *core, const HrJob *job, guint n)
 {
-  const HrTeam *t = hr_team (c, j->spec.team);
-  if (!t)
+  const HrTeam *team = hr_team (core, job->spec.team);
+  if (!team)
     return TRUE;
-  HrQuota used = hr_team_usage (c, j->spec.team)->used;
-  return used.cpus + n * j->spec.cpus > t->cpus + 1e-6 ||
-         used.gpus + n * j->spec.gpus > t->gpus + 1e-6;
+  HrQuota used = hr_team_usage (core, job->spec.team)->used;
+  return used.cpus + n * job->spec.cpus > team->cpus + 1e-6 ||
+         used.gpus + n * job->spec.gpus > team->gpus + 1e-6;
 }
--- a/src/coordination/scheduling/plan.h
+++ b/src/coordination/scheduling/plan.h
@@ -9,20 +9,21 @@
   double tardiness;
 } HrListScore;
 
-gboolean hr_list_score_better (HrListScore a, HrListScore b);
+gboolean hr_list_score_better (HrListScore left, HrListScore right);
 
-HrJob *hr_job_of_task (HrCore *c, HrTaskRef r);
-gboolean hr_machine_is_plannable (const HrCore *c, const HrMachine *m);
+HrJob *hr_job_of_task (HrCore *core, HrTaskRef ref);
+gboolean hr_machine_is_plannable (const HrCore *core, const HrMachine *machine);
 /* Where a job belongs in a list by its deadline. */
-guint hr_list_position (HrCore *c, HrMachine *m, const HrJob *j);
-void hr_list_insert (HrCore *c, HrMachine *m, HrTaskRef r);
+guint hr_list_position (HrCore *core, HrMachine *machine, const HrJob *job);
+void hr_list_insert (HrCore *core, HrMachine *machine, HrTaskRef ref);
 /* For the projected starts of a list; the owner of all state is a single thread. */
 double *hr_projection_scratch (guint n);
 
 /* The lists that may take the job's tasks, earliest-starting first. */
-GPtrArray *hr_mtedf_order (HrCore *c, GPtrArray *lists, HrJob *j);
+GPtrArray *hr_mtedf_order (HrCore *core, GPtrArray *lists, HrJob *job);
 /* tries: how many lists a task is tried in. */
-gboolean hr_mtedf_task (HrCore *c, GPtrArray *order, HrJob *j, guint32 task, guint tries);
-void hr_mtedf_gang (HrCore *c, GPtrArray *lists, HrJob *j, guint tries);
-void hr_tabu_search (HrCore *c, GPtrArray *lists);
-void hr_reserve_for_services (HrCore *c);
+gboolean hr_mtedf_task (HrCore *core, GPtrArray *order, HrJob *job, guint32 task_index,
+                        guint tries);
+void hr_mtedf_gang (HrCore *core, GPtrArray *lists, HrJob *job, guint tries);
+void hr_tabu_search (HrCore *core, GPtrArray *lists);
+void hr_reserve_for_services (HrCore *core);
--- a/src/coordination/scheduling/planner.c
+++ b/src/coordination/scheduling/planner.c
@@ -7,97 +7,99 @@
 #define WINDOW 64 /* tasks of one job that stand in lists at a time */
 
 static gboolean
-stands (HrCore *c, HrMachine *m, HrTaskRef r)
+stands (HrCore *core, HrMachine *machine, HrTaskRef ref)
 {
-  HrJob *j = hr_job_of_task (c, r);
-  return j->tasks && j->state == HR_JOB_QUEUED && j->tasks[r.task].state == HR_TASK_IDLE &&
-         !j->run.attempt_ending && hr_job_allows_machine (c, j, m) && hr_job_allows_zone (c, j, m);
+  HrJob *job = hr_job_of_task (core, ref);
+  return job->tasks && job->state == HR_JOB_QUEUED && job->tasks[ref.task].state == HR_TASK_IDLE &&
+         !job->run.attempt_ending && hr_job_allows_machine (core, job, machine) &&
+         hr_job_allows_zone (core, job, machine);
 }
 
 /* Lists hold what the team's limit lets start; what it holds back would seem late there. */
 static guint
-most_listed (HrCore *c, const HrJob *j)
+most_listed (HrCore *core, const HrJob *job)
 {
-  return MIN (WINDOW, hr_quotas_granted (c, j));
+  return MIN (WINDOW, hr_quotas_granted (core, job));
 }
 
 static int
-by_deadline (gconstpointer a, gconstpointer b)
+by_deadline (gconstpointer left, gconstpointer right)
 {
-  const HrJob *x = *(HrJob *const *)a, *y = *(HrJob *const *)b;
-  if (x->plan.deadline != y->plan.deadline)
-    return x->plan.deadline < y->plan.deadline ? -1 : 1;
-  return x->index < y->index ? -1 : x->index > y->index;
+  const HrJob *first = *(HrJob *const *)left, *second = *(HrJob *const *)right;
+  if (first->plan.deadline != second->plan.deadline)
+    return first->plan.deadline < second->plan.deadline ? -1 : 1;
+  return first->index < second->index ? -1 : first->index > second->index;
 }
 
 void
-hr_planner_pass (HrCore *c)
+hr_planner_pass (HrCore *core)
 {
   g_autoptr (GPtrArray) lists = g_ptr_array_new ();
   guint queued = 0;
-  hr_shards_assign (c);
-  hr_reserve_for_services (c);
-  for (guint i = 0; i < c->scaling.fleet->len; i++) {
-    HrMachine *m = c->scaling.fleet->pdata[i];
-    for (guint k = 0; k < m->plan.list->len;) {
-      HrTaskRef r = g_array_index (m->plan.list, HrTaskRef, k);
-      HrJob *j = hr_job_of_task (c, r);
+  hr_shards_assign (core);
+  hr_reserve_for_services (core);
+  for (guint i = 0; i < core->scaling.fleet->len; i++) {
+    HrMachine *machine = core->scaling.fleet->pdata[i];
+    for (guint k = 0; k < machine->plan.list->len;) {
+      HrTaskRef ref = g_array_index (machine->plan.list, HrTaskRef, k);
+      HrJob *job = hr_job_of_task (core, ref);
       /* Gangs are placed anew in each pass: their common start moves with every list. */
-      if (hr_machine_is_plannable (c, m) && stands (c, m, r) && j->spec.shape != HR_GANG &&
-          j->plan.n_listed <= hr_quotas_granted (c, j)) {
+      if (hr_machine_is_plannable (core, machine) && stands (core, machine, ref) &&
+          job->spec.shape != HR_GANG && job->plan.n_listed <= hr_quotas_granted (core, job)) {
         k++;
         continue;
       }
-      hr_task_unplan (j, r.task);
-      g_array_remove_index (m->plan.list, k);
+      hr_task_unplan (job, ref.task);
+      g_array_remove_index (machine->plan.list, k);
     }
-    if (hr_machine_is_plannable (c, m)) {
-      hr_project_list (c, m, NULL);
-      g_ptr_array_add (lists, m);
+    if (hr_machine_is_plannable (core, machine)) {
+      hr_project_list (core, machine, NULL);
+      g_ptr_array_add (lists, machine);
     }
   }
   g_autoptr (GPtrArray) fresh = g_ptr_array_new ();
-  for (guint i = 0; i < c->store.tables.open_jobs->len;) {
-    HrJob *j = c->store.tables.jobs->pdata[g_array_index (c->store.tables.open_jobs, guint32, i)];
-    if (j->record.is_compacted || !j->tasks) {
-      j->run.is_open = FALSE;
-      g_array_remove_index_fast (c->store.tables.open_jobs, i);
+  for (guint i = 0; i < core->store.tables.open_jobs->len;) {
+    HrJob *job =
+        core->store.tables.jobs->pdata[g_array_index (core->store.tables.open_jobs, guint32, i)];
+    if (job->record.is_compacted || !job->tasks) {
+      job->run.is_open = FALSE;
+      g_array_remove_index_fast (core->store.tables.open_jobs, i);
       continue;
     }
     i++;
-    if (!j->plan.shard_chosen ||
-        (j->plan.shard != HR_NONE && j->plan.shard >= c->scheduling.n_shards))
-      hr_shard_choose (c, j);
-    if (j->state == HR_JOB_QUEUED && j->spec.shape != HR_SERVICE && !j->run.attempt_ending &&
-        j->run.retry_at <= c->now && hr_team_allows_start (c, j, 1) &&
-        j->run.n_live + j->n_done < j->n_tasks) {
-      g_ptr_array_add (fresh, j);
-      guint left = j->n_tasks - j->run.n_live - j->n_done - j->plan.n_listed;
-      queued += j->spec.shape == HR_GANG ? 1 : MIN (left, most_listed (c, j));
+    if (!job->plan.shard_chosen ||
+        (job->plan.shard != HR_NONE && job->plan.shard >= core->scheduling.n_shards))
+      hr_shard_choose (core, job);
+    if (job->state == HR_JOB_QUEUED && job->spec.shape != HR_SERVICE && !job->run.attempt_ending &&
+        job->run.retry_at <= core->now && hr_team_allows_start (core, job, 1) &&
+        job->run.n_live + job->n_done < job->n_tasks) {
+      g_ptr_array_add (fresh, job);
+      guint left = job->n_tasks - job->run.n_live - job->n_done - job->plan.n_listed;
+      queued += job->spec.shape == HR_GANG ? 1 : MIN (left, most_listed (core, job));
     }
   }
   g_ptr_array_sort (fresh, by_deadline);
   /* Trials are what a pass costs: with more to place, each task gets fewer. */
-  guint tries = MAX (c->policy.sample_lists, c->policy.pass_trials / MAX (1, queued));
+  guint tries = MAX (core->policy.sample_lists, core->policy.pass_trials / MAX (1, queued));
   for (guint i = 0; i < fresh->len; i++) {
-    HrJob *j = fresh->pdata[i];
-    if (j->spec.shape == HR_GANG) {
-      if (j->run.n_live == 0)
-        hr_mtedf_gang (c, lists, j, MAX (tries, 2 * j->n_tasks));
+    HrJob *job = fresh->pdata[i];
+    if (job->spec.shape == HR_GANG) {
+      if (job->run.n_live == 0)
+        hr_mtedf_gang (core, lists, job, MAX (tries, 2 * job->n_tasks));
       continue;
     }
     g_autoptr (GPtrArray) order = NULL;
-    guint most = most_listed (c, j);
-    for (guint32 k = 0; k < j->n_tasks && j->plan.n_listed < most; k++) {
-      if (j->tasks[k].state != HR_TASK_IDLE || j->tasks[k].is_listed)
+    guint most = most_listed (core, job);
+    for (guint32 k = 0; k < job->n_tasks && job->plan.n_listed < most; k++) {
+      if (job->tasks[k].state != HR_TASK_IDLE || job->tasks[k].is_listed)
         continue;
       if (!order)
-        order = hr_mtedf_order (c, lists, j);
-      if (!hr_mtedf_task (c, order, j, k, tries)) {
-        j->plan.shard = HR_NONE; /* its part cannot hold it after all: any list may */
+        order = hr_mtedf_order (core, lists, job);
+      if (!hr_mtedf_task (core, order, job, k, tries)) {
+        job->plan.shard = HR_NONE; /* its part cannot hold it after all: any list may */
         break;
       }
     }
   }
-  hr_tabu_search (c, lists);
+  hr_tabu_search (core, lists);
 }
--- a/src/coordination/scheduling/preemption.c
+++ b/src/coordination/scheduling/preemption.c
@@ -3,74 +3,78 @@
 #include <math.h>
 
 gboolean
-hr_free_capacity_take (HrFreeCapacity *r, double cpus, double gpus, double mem)
+hr_free_capacity_take (HrFreeCapacity *capacity, double cpus, double gpus, double memory_gb)
 {
-  if (cpus > r->cpus + 1e-6 || gpus > r->gpus + 1e-6 || mem > r->memory_gb + 1e-6)
+  if (cpus > capacity->cpus + 1e-6 || gpus > capacity->gpus + 1e-6 ||
+      memory_gb > capacity->memory_gb + 1e-6)
     return FALSE;
-  r->cpus -= cpus;
-  r->gpus -= gpus;
-  r->memory_gb -= mem;
+  capacity->cpus -= cpus;
+  capacity->gpus -= gpus;
+  capacity->memory_gb -= memory_gb;
   return TRUE;
 }
 
 static gboolean
-may_stop (HrCore *c, const HrJob *victim, const HrJob *j)
+may_stop (HrCore *core, const HrJob *victim, const HrJob *job)
 {
-  if (hr_job_priority (victim) > hr_job_priority (j))
+  if (hr_job_priority (victim) > hr_job_priority (job))
     return TRUE;
-  return victim->spec.team != j->spec.team && hr_team_exceeds_guarantee (c, victim, 0) &&
-         !hr_team_exceeds_guarantee (c, j, 1);
+  return victim->spec.team != job->spec.team && hr_team_exceeds_guarantee (core, victim, 0) &&
+         !hr_team_exceeds_guarantee (core, job, 1);
 }
 
 double
-hr_preemption_loss (HrCore *c, const HrJob *v, const HrTask *t)
+hr_preemption_loss (HrCore *core, const HrJob *victim, const HrTask *task)
 {
-  double ran = t->running_since ? c->now - t->running_since : 0;
-  if (v->spec.checkpoint_s > 0)
-    ran = MIN (ran, v->spec.save_s + 5);
-  return ran + 1 + (v->spec.shape == HR_GANG ? 1000 : 0);
+  double ran = task->running_since ? core->now - task->running_since : 0;
+  if (victim->spec.checkpoint_s > 0)
+    ran = MIN (ran, victim->spec.save_s + 5);
+  return ran + 1 + (victim->spec.shape == HR_GANG ? 1000 : 0);
 }
 
 void
-hr_preempt_task (HrCore *c, HrJob *v, guint32 task)
+hr_preempt_task (HrCore *core, HrJob *victim, guint32 task_index)
 {
-  const HrTask *t = &v->tasks[task];
-  double grace =
-      v->spec.checkpoint_s > 0 && t->reported_state == HR_REPORTED_RUNNING ? v->spec.save_s + 1 : 0;
-  if (v->spec.shape == HR_GANG)
-    hr_gang_end_attempt (c, v, v->spec.save_s + 1);
+  const HrTask *task = &victim->tasks[task_index];
+  double grace = victim->spec.checkpoint_s > 0 && task->reported_state == HR_REPORTED_RUNNING
+                     ? victim->spec.save_s + 1
+                     : 0;
+  if (victim->spec.shape == HR_GANG)
+    hr_gang_end_attempt (core, victim, victim->spec.save_s + 1);
   else
-    hr_task_stop (c, v, task, grace);
+    hr_task_stop (core, victim, task_index, grace);
 }
 
 /* Batch tasks of the machine that would have to stop for the job, the sum of what is
  * lost with them; INFINITY when that makes no room. stop: stop them. */
 static double
-preemption_cost (HrCore *c, HrJob *j, HrMachine *m, gboolean stop)
+preemption_cost (HrCore *core, HrJob *job, HrMachine *machine, gboolean stop)
 {
-  double cpus = m->free.cpus - m->unrecognized.cpus, gpus = m->free.gpus - m->unrecognized.gpus,
-         mem = m->free.memory_gb - m->unrecognized.memory_gb, cost = 0;
-  for (guint k = 0; k < m->tasks->len; k++) {
-    if (cpus + 1e-6 >= j->spec.cpus && gpus + 1e-6 >= j->spec.gpus &&
-        mem + 1e-6 >= j->spec.memory_gb)
+  double cpus = machine->free.cpus - machine->unrecognized.cpus,
+         gpus = machine->free.gpus - machine->unrecognized.gpus,
+         memory_gb = machine->free.memory_gb - machine->unrecognized.memory_gb, cost = 0;
+  for (guint k = 0; k < machine->tasks->len; k++) {
+    if (cpus + 1e-6 >= job->spec.cpus && gpus + 1e-6 >= job->spec.gpus &&
+        memory_gb + 1e-6 >= job->spec.memory_gb)
       break;
-    HrTaskRef x = g_array_index (m->tasks, HrTaskRef, k);
-    HrJob *v = c->store.tables.jobs->pdata[x.job];
-    HrTask *t = &v->tasks[x.task];
-    if (t->state != HR_TASK_BOUND || t->stop_wanted || v->spec.shape != HR_BATCH ||
-        !may_stop (c, v, j))
+    HrTaskRef ref = g_array_index (machine->tasks, HrTaskRef, k);
+    HrJob *victim = core->store.tables.jobs->pdata[ref.job];
+    HrTask *task = &victim->tasks[ref.task];
+    if (task->state != HR_TASK_BOUND || task->stop_wanted || victim->spec.shape != HR_BATCH ||
+        !may_stop (core, victim, job))
       continue;
-    cpus += v->spec.cpus;
-    gpus += v->spec.gpus;
-    mem += v->spec.memory_gb;
-    cost += hr_preemption_loss (c, v, t);
+    cpus += victim->spec.cpus;
+    gpus += victim->spec.gpus;
+    memory_gb += victim->spec.memory_gb;
+    cost += hr_preemption_loss (core, victim, task);
     if (stop) {
-      g_info ("%s/%u on %s makes room for %s, whose image is there", v->id, x.task, m->name, j->id);
-      hr_task_stop (c, v, x.task, 0);
+      g_info ("%s/%u on %s makes room for %s, whose image is there", victim->id, ref.task,
+              machine->name, job->id);
+      hr_task_stop (core, victim, ref.task, 0);
     }
   }
-  return cpus + 1e-6 >= j->spec.cpus && gpus + 1e-6 >= j->spec.gpus &&
-                 mem + 1e-6 >= j->spec.memory_gb
+  return cpus + 1e-6 >= job->spec.cpus && gpus + 1e-6 >= job->spec.gpus &&
+                 memory_gb + 1e-6 >= job->spec.memory_gb
              ? cost
              : INFINITY;
 }
@@ -78,76 +82,77 @@
 /* A machine that has the image, where stopping the batch tasks that lose least makes
  * room. Their stop goes out before the launch, so the launch finds the room. */
 HrMachine *
-hr_preempt_for_cached_image (HrCore *c, HrJob *j)
+hr_preempt_for_cached_image (HrCore *core, HrJob *job)
 {
   HrMachine *best = NULL;
   double least = INFINITY;
-  for (guint i = 0; i < c->scaling.fleet->len; i++) {
-    HrMachine *m = c->scaling.fleet->pdata[i];
-    if (!hr_machine_has_image (m, j->spec.image) || !hr_machine_is_reachable (c, m) ||
-        c->now < m->full_until || !hr_job_allows_machine (c, j, m) || !hr_job_allows_zone (c, j, m))
+  for (guint i = 0; i < core->scaling.fleet->len; i++) {
+    HrMachine *machine = core->scaling.fleet->pdata[i];
+    if (!hr_machine_has_image (machine, job->spec.image) ||
+        !hr_machine_is_reachable (core, machine) || core->now < machine->full_until ||
+        !hr_job_allows_machine (core, job, machine) || !hr_job_allows_zone (core, job, machine))
       continue;
-    double cost = preemption_cost (c, j, m, FALSE);
+    double cost = preemption_cost (core, job, machine, FALSE);
     if (cost < least) {
       least = cost;
-      best = m;
+      best = machine;
     }
   }
   if (best)
-    preemption_cost (c, j, best, TRUE);
+    preemption_cost (core, job, best, TRUE);
   return best;
 }
 
 /* Stops the tasks of one machine whose loss is least, so that the job fits there. */
 gboolean
-hr_preempt (HrCore *c, HrJob *j, HrFreeCapacity *capacities, gboolean others)
+hr_preempt (HrCore *core, HrJob *job, HrFreeCapacity *capacities, gboolean others)
 {
   HrFreeCapacity *best = NULL;
   double least = INFINITY;
-  for (guint i = 0; i < c->scaling.fleet->len; i++) {
-    HrFreeCapacity *r = &capacities[i];
-    HrMachine *m = r->machine;
-    if (m->state != HR_MACHINE_UP || !hr_job_allows_machine (c, j, m) ||
-        !hr_job_allows_zone (c, j, m))
+  for (guint i = 0; i < core->scaling.fleet->len; i++) {
+    HrFreeCapacity *capacity = &capacities[i];
+    HrMachine *machine = capacity->machine;
+    if (machine->state != HR_MACHINE_UP || !hr_job_allows_machine (core, job, machine) ||
+        !hr_job_allows_zone (core, job, machine))
       continue;
-    double cpus = r->cpus, gpus = r->gpus, mem = r->memory_gb, cost = 0;
-    for (guint k = 0; k < m->tasks->len; k++) {
-      HrTaskRef x = g_array_index (m->tasks, HrTaskRef, k);
-      HrJob *v = c->store.tables.jobs->pdata[x.job];
-      HrTask *t = &v->tasks[x.task];
-      if (cpus >= j->spec.cpus && gpus >= j->spec.gpus && mem >= j->spec.memory_gb)
+    double cpus = capacity->cpus, gpus = capacity->gpus, memory_gb = capacity->memory_gb, cost = 0;
+    for (guint k = 0; k < machine->tasks->len; k++) {
+      HrTaskRef ref = g_array_index (machine->tasks, HrTaskRef, k);
+      HrJob *victim = core->store.tables.jobs->pdata[ref.job];
+      HrTask *task = &victim->tasks[ref.task];
+      if (cpus >= job->spec.cpus && gpus >= job->spec.gpus && memory_gb >= job->spec.memory_gb)
         break;
-      if (t->state != HR_TASK_BOUND || t->stop_wanted || (others && v->spec.team == j->spec.team) ||
-          !may_stop (c, v, j))
+      if (task->state != HR_TASK_BOUND || task->stop_wanted ||
+          (others && victim->spec.team == job->spec.team) || !may_stop (core, victim, job))
         continue;
-      cpus += v->spec.cpus;
-      gpus += v->spec.gpus;
-      mem += v->spec.memory_gb;
-      cost += hr_preemption_loss (c, v, t);
+      cpus += victim->spec.cpus;
+      gpus += victim->spec.gpus;
+      memory_gb += victim->spec.memory_gb;
+      cost += hr_preemption_loss (core, victim, task);
     }
-    if (cpus + 1e-6 >= j->spec.cpus && gpus + 1e-6 >= j->spec.gpus &&
-        mem + 1e-6 >= j->spec.memory_gb && cost < least) {
+    if (cpus + 1e-6 >= job->spec.cpus && gpus + 1e-6 >= job->spec.gpus &&
+        memory_gb + 1e-6 >= job->spec.memory_gb && cost < least) {
       least = cost;
-      best = r;
+      best = capacity;
     }
   }
   if (!best)
     return FALSE;
   for (guint k = 0; k < best->machine->tasks->len; k++) {
-    HrTaskRef x = g_array_index (best->machine->tasks, HrTaskRef, k);
-    HrJob *v = c->store.tables.jobs->pdata[x.job];
-    HrTask *t = &v->tasks[x.task];
-    if (best->cpus + 1e-6 >= j->spec.cpus && best->gpus + 1e-6 >= j->spec.gpus &&
-        best->memory_gb + 1e-6 >= j->spec.memory_gb)
+    HrTaskRef ref = g_array_index (best->machine->tasks, HrTaskRef, k);
+    HrJob *victim = core->store.tables.jobs->pdata[ref.job];
+    HrTask *task = &victim->tasks[ref.task];
+    if (best->cpus + 1e-6 >= job->spec.cpus && best->gpus + 1e-6 >= job->spec.gpus &&
+        best->memory_gb + 1e-6 >= job->spec.memory_gb)
       break;
-    if (t->state != HR_TASK_BOUND || t->stop_wanted || (others && v->spec.team == j->spec.team) ||
-        !may_stop (c, v, j))
+    if (task->state != HR_TASK_BOUND || task->stop_wanted ||
+        (others && victim->spec.team == job->spec.team) || !may_stop (core, victim, job))
       continue;
-    g_info ("%s/%u on %s makes room for %s", v->id, x.task, best->machine->name, j->id);
-    best->cpus += v->spec.cpus;
-    best->gpus += v->spec.gpus;
-    best->memory_gb += v->spec.memory_gb;
-    hr_preempt_task (c, v, x.task);
+    g_info ("%s/%u on %s makes room for %s", victim->id, ref.task, best->machine->name, job->id);
+    best->cpus += victim->spec.cpus;
+    best->gpus += victim->spec.gpus;
+    best->memory_gb += victim->spec.memory_gb;
+    hr_preempt_task (core, victim, ref.task);
   }
-  return hr_free_capacity_take (best, j->spec.cpus, j->spec.gpus, j->spec.memory_gb);
+  return hr_free_capacity_take (best, job->spec.cpus, job->spec.gpus, job->spec.memory_gb);
 }
--- a/src/coordination/scheduling/projection.c
+++ b/src/coordination/scheduling/projection.c
@@ -4,59 +4,63 @@
 #include <math.h>
 
 HrJob *
-hr_job_of_task (HrCore *c, HrTaskRef r)
+hr_job_of_task (HrCore *core, HrTaskRef ref)
 {
-  return c->store.tables.jobs->pdata[r.job];
+  return core->store.tables.jobs->pdata[ref.job];
 }
 
 gboolean
-hr_machine_is_plannable (const HrCore *c, const HrMachine *m)
+hr_machine_is_plannable (const HrCore *core, const HrMachine *machine)
 {
-  if (m->is_draining || m->type == HR_NONE)
+  if (machine->is_draining || machine->type == HR_NONE)
     return FALSE;
-  return m->state == HR_MACHINE_BOOTING ||
-         (m->state == HR_MACHINE_UP &&
-          c->now - MAX (m->agent.heard_at, c->leadership.term_began_at) < 2 * c->policy.silent_s);
+  return machine->state == HR_MACHINE_BOOTING ||
+         (machine->state == HR_MACHINE_UP &&
+          core->now - MAX (machine->agent.heard_at, core->leadership.term_began_at) <
+              2 * core->policy.silent_s);
 }
 
 /* Type, zone and kind, apart from where the job's other tasks are. */
 gboolean
-hr_job_allows_machine (const HrCore *c, const HrJob *j, const HrMachine *m)
+hr_job_allows_machine (const HrCore *core, const HrJob *job, const HrMachine *machine)
 {
-  const HrJobSpec *s = &j->spec;
-  const HrMachineType *t = hr_machine_is_plannable (c, m) ? hr_machine_type_of (c, m) : NULL;
+  const HrJobSpec *spec = &job->spec;
+  const HrMachineType *type =
+      hr_machine_is_plannable (core, machine) ? hr_machine_type_of (core, machine) : NULL;
   /* Where it failed last it is not tried again at once, if there is any other place. */
-  if (m->index == j->run.failed_machine && c->now < j->run.failed_machine_avoided_until)
+  if (machine->index == job->run.failed_machine &&
+      core->now < job->run.failed_machine_avoided_until)
     return FALSE;
-  if (j->plan.shard != HR_NONE && j->plan.shard < c->scheduling.n_shards &&
-      m->plan.shard != j->plan.shard)
+  if (job->plan.shard != HR_NONE && job->plan.shard < core->scheduling.n_shards &&
+      machine->plan.shard != job->plan.shard)
     return FALSE;
-  return t && (!s->types || (s->types >> m->type & 1)) &&
-         (s->zone == HR_NONE || s->zone == m->zone) && (s->allows_spot || !m->is_spot) &&
-         s->cpus <= t->cpus + 1e-6 && s->gpus <= t->gpus + 1e-6 &&
-         s->memory_gb <= t->memory_gb + 1e-6;
+  return type && (!spec->types || (spec->types >> machine->type & 1)) &&
+         (spec->zone == HR_NONE || spec->zone == machine->zone) &&
+         (spec->allows_spot || !machine->is_spot) && spec->cpus <= type->cpus + 1e-6 &&
+         spec->gpus <= type->gpus + 1e-6 && spec->memory_gb <= type->memory_gb + 1e-6;
 }
 
 /* Images that a machine fetches at the same time share its rate; tasks of one image
  * share the fetch. */
 double
-hr_estimate_fetch_time (const HrCore *c, const HrJob *j, const HrMachine *m)
+hr_estimate_fetch_time (const HrCore *core, const HrJob *job, const HrMachine *machine)
 {
-  const HrMachineType *t = hr_machine_type_of (c, m);
-  if (!t || hr_machine_has_image (m, j->spec.image))
+  const HrMachineType *type = hr_machine_type_of (core, machine);
+  if (!type || hr_machine_has_image (machine, job->spec.image))
     return 0;
-  double own = j->spec.image_gb / t->fetch_rate, others = 0;
+  double own = job->spec.image_gb / type->fetch_rate, others = 0;
   guint32 last = HR_NONE;
-  for (guint i = 0; i < m->tasks->len; i++) {
-    HrTaskRef r = g_array_index (m->tasks, HrTaskRef, i);
-    const HrJob *o = hr_job_of_task ((HrCore *)c, r);
-    if (o->spec.image == last || hr_machine_has_image (m, o->spec.image))
+  for (guint i = 0; i < machine->tasks->len; i++) {
+    HrTaskRef ref = g_array_index (machine->tasks, HrTaskRef, i);
+    const HrJob *other = hr_job_of_task ((HrCore *)core, ref);
+    if (other->spec.image == last || hr_machine_has_image (machine, other->spec.image))
       continue;
-    last = o->spec.image;
+    last = other->spec.image;
     /* A machine that boots has fetched nothing yet. */
-    double since = m->state == HR_MACHINE_UP ? c->now - o->tasks[r.task].bound_since : 0;
-    double left = MAX (0.5, o->spec.image_gb / t->fetch_rate - since);
-    if (o->spec.image == j->spec.image)
+    double since =
+        machine->state == HR_MACHINE_UP ? core->now - other->tasks[ref.task].bound_since : 0;
+    double left = MAX (0.5, other->spec.image_gb / type->fetch_rate - since);
+    if (other->spec.image == job->spec.image)
       own = MIN (own, left);
     else
       others += left;
@@ -66,11 +70,11 @@
 
 /* Expected run time with the image fetch. */
 double
-hr_estimate_run_time (HrCore *c, const HrJob *j, const HrMachine *m)
+hr_estimate_run_time (HrCore *core, const HrJob *job, const HrMachine *machine)
 {
-  double run = j->spec.estimate_s > 0 ? j->spec.estimate_s : 60;
-  run *= hr_class_stats (c, j->spec.job_class)->run_time_correction;
-  return run + hr_estimate_fetch_time (c, j, m);
+  double run = job->spec.estimate_s > 0 ? job->spec.estimate_s : 60;
+  run *= hr_class_stats (core, job->spec.job_class)->run_time_correction;
+  return run + hr_estimate_fetch_time (core, job, machine);
 }
 
 typedef struct {
@@ -78,204 +82,209 @@
 } Busy;
 
 static void
-add_busy (GArray *busy, double end, const HrJobSpec *s)
+add_busy (GArray *busy, double end, const HrJobSpec *spec)
 {
-  Busy b = {end, s->cpus, s->gpus, s->memory_gb};
+  Busy busy_task = {end, spec->cpus, spec->gpus, spec->memory_gb};
   guint i = busy->len;
-  g_array_append_val (busy, b);
+  g_array_append_val (busy, busy_task);
   for (; i > 0 && g_array_index (busy, Busy, i - 1).end > end; i--)
     g_array_index (busy, Busy, i) = g_array_index (busy, Busy, i - 1);
-  g_array_index (busy, Busy, i) = b;
+  g_array_index (busy, Busy, i) = busy_task;
 }
 
 double
-hr_estimate_running_end (HrCore *c, const HrJob *j, const HrTask *t, const HrMachine *m)
+hr_estimate_running_end (HrCore *core, const HrJob *job, const HrTask *task,
+                         const HrMachine *machine)
 {
-  if (j->spec.shape == HR_SERVICE)
+  if (job->spec.shape == HR_SERVICE)
     return INFINITY;
-  const HrMachineType *ty = hr_machine_type_of (c, m);
-  double est = j->spec.estimate_s > 0 ? j->spec.estimate_s : 60;
-  est *= hr_class_stats (c, j->spec.job_class)->run_time_correction;
-  if (!t->running_since && ty && !hr_machine_has_image (m, j->spec.image))
-    est += j->spec.image_gb / ty->fetch_rate;
-  double end = (t->running_since ? t->running_since : t->bound_since) + est;
+  const HrMachineType *type = hr_machine_type_of (core, machine);
+  double est = job->spec.estimate_s > 0 ? job->spec.estimate_s : 60;
+  est *= hr_class_stats (core, job->spec.job_class)->run_time_correction;
+  if (!task->running_since && type && !hr_machine_has_image (machine, job->spec.image))
+    est += job->spec.image_gb / type->fetch_rate;
+  double end = (task->running_since ? task->running_since : task->bound_since) + est;
   /* Past its estimate: never in the past, and the longer over the longer to go. */
-  return MAX (end, c->now + MAX (2, 0.2 * (c->now - t->bound_since)));
+  return MAX (end, core->now + MAX (2, 0.2 * (core->now - task->bound_since)));
 }
 
 /* When a task of `s` can start on an idle-from-then machine; fills starts when given. */
 void
-hr_project_list (HrCore *c, HrMachine *m, double *starts)
+hr_project_list (HrCore *core, HrMachine *machine, double *starts)
 {
   static GArray *busy;
   if (!busy)
     busy = g_array_new (FALSE, FALSE, sizeof (Busy));
   g_array_set_size (busy, 0);
-  const HrMachineType *ty = hr_machine_type_of (c, m);
-  double cpus = m->free.cpus - m->unrecognized.cpus - m->reserved.cpus,
-         gpus = m->free.gpus - m->unrecognized.gpus - m->reserved.gpus,
-         mem = m->free.memory_gb - m->unrecognized.memory_gb - m->reserved.memory_gb;
-  double at = c->now;
-  if (m->state == HR_MACHINE_BOOTING)
-    at = MAX (c->now + 2, m->instance.requested_at + ty->boot_s);
-  for (guint i = 0; i < m->tasks->len; i++) {
-    HrTaskRef r = g_array_index (m->tasks, HrTaskRef, i);
-    HrJob *j = hr_job_of_task (c, r);
-    add_busy (busy, hr_estimate_running_end (c, j, &j->tasks[r.task], m), &j->spec);
+  const HrMachineType *type = hr_machine_type_of (core, machine);
+  double cpus = machine->free.cpus - machine->unrecognized.cpus - machine->reserved.cpus,
+         gpus = machine->free.gpus - machine->unrecognized.gpus - machine->reserved.gpus,
+         memory_gb = machine->free.memory_gb - machine->unrecognized.memory_gb -
+                     machine->reserved.memory_gb;
+  double at = core->now;
+  if (machine->state == HR_MACHINE_BOOTING)
+    at = MAX (core->now + 2, machine->instance.requested_at + type->boot_s);
+  for (guint i = 0; i < machine->tasks->len; i++) {
+    HrTaskRef ref = g_array_index (machine->tasks, HrTaskRef, i);
+    HrJob *job = hr_job_of_task (core, ref);
+    add_busy (busy, hr_estimate_running_end (core, job, &job->tasks[ref.task], machine),
+              &job->spec);
   }
-  m->plan.late_count = 0;
-  m->plan.tardiness = 0;
-  m->plan.ready_at = at;
+  machine->plan.late_count = 0;
+  machine->plan.tardiness = 0;
+  machine->plan.ready_at = at;
   double from = at;
-  for (guint i = 0; i < m->plan.list->len; i++) {
-    HrTaskRef r = g_array_index (m->plan.list, HrTaskRef, i);
-    HrJob *j = hr_job_of_task (c, r);
-    const HrJobSpec *s = &j->spec;
+  for (guint i = 0; i < machine->plan.list->len; i++) {
+    HrTaskRef ref = g_array_index (machine->plan.list, HrTaskRef, i);
+    HrJob *job = hr_job_of_task (core, ref);
+    const HrJobSpec *spec = &job->spec;
     double start = from;
-    if (s->shape == HR_GANG)
-      start = MAX (start, j->plan.gang_start);
-    start = MAX (start, j->run.retry_at);
+    if (spec->shape == HR_GANG)
+      start = MAX (start, job->plan.gang_start);
+    start = MAX (start, job->run.retry_at);
     while (busy->len) {
-      Busy b = g_array_index (busy, Busy, 0);
-      gboolean fits =
-          s->cpus <= cpus + 1e-6 && s->gpus <= gpus + 1e-6 && s->memory_gb <= mem + 1e-6;
-      if (b.end > start && (fits || !isfinite (b.end)))
+      Busy busy_task = g_array_index (busy, Busy, 0);
+      gboolean fits = spec->cpus <= cpus + 1e-6 && spec->gpus <= gpus + 1e-6 &&
+                      spec->memory_gb <= memory_gb + 1e-6;
+      if (busy_task.end > start && (fits || !isfinite (busy_task.end)))
         break;
-      cpus += b.cpus;
-      gpus += b.gpus;
-      mem += b.memory_gb;
-      start = MAX (start, b.end);
+      cpus += busy_task.cpus;
+      gpus += busy_task.gpus;
+      memory_gb += busy_task.memory_gb;
+      start = MAX (start, busy_task.end);
       g_array_remove_index (busy, 0);
     }
-    if (!(s->cpus <= cpus + 1e-6 && s->gpus <= gpus + 1e-6 && s->memory_gb <= mem + 1e-6))
-      start = c->now + 1e6; /* behind services for good: as good as never */
+    if (!(spec->cpus <= cpus + 1e-6 && spec->gpus <= gpus + 1e-6 &&
+          spec->memory_gb <= memory_gb + 1e-6))
+      start = core->now + 1e6; /* behind services for good: as good as never */
     else {
-      cpus -= s->cpus;
-      gpus -= s->gpus;
-      mem -= s->memory_gb;
-      add_busy (busy, start + hr_estimate_run_time (c, j, m), s);
+      cpus -= spec->cpus;
+      gpus -= spec->gpus;
+      memory_gb -= spec->memory_gb;
+      add_busy (busy, start + hr_estimate_run_time (core, job, machine), spec);
       from = start; /* deadline order: nobody starts before the one ahead of him */
     }
     if (starts)
       starts[i] = start;
     if (i == 0)
-      m->plan.ready_at = start;
-    double over =
-        start + hr_estimate_run_time (c, j, m) - (j->plan.deadline - c->wall_time + c->now);
+      machine->plan.ready_at = start;
+    double over = start + hr_estimate_run_time (core, job, machine) -
+                  (job->plan.deadline - core->wall_time + core->now);
     if (over > 0) {
-      m->plan.late_count++;
-      m->plan.tardiness += over;
+      machine->plan.late_count++;
+      machine->plan.tardiness += over;
     }
   }
-  if (!m->plan.list->len && busy->len && m->free.cpus < 1)
-    m->plan.ready_at =
-        MAX (m->plan.ready_at, MIN (g_array_index (busy, Busy, 0).end, c->now + 1e6));
+  if (!machine->plan.list->len && busy->len && machine->free.cpus < 1)
+    machine->plan.ready_at =
+        MAX (machine->plan.ready_at, MIN (g_array_index (busy, Busy, 0).end, core->now + 1e6));
 }
 
 guint
-hr_list_position (HrCore *c, HrMachine *m, const HrJob *j)
+hr_list_position (HrCore *core, HrMachine *machine, const HrJob *job)
 {
   guint i = 0;
-  while (i < m->plan.list->len &&
-         hr_job_of_task (c, g_array_index (m->plan.list, HrTaskRef, i))->plan.deadline <=
-             j->plan.deadline)
+  while (i < machine->plan.list->len &&
+         hr_job_of_task (core, g_array_index (machine->plan.list, HrTaskRef, i))->plan.deadline <=
+             job->plan.deadline)
     i++;
   return i;
 }
 
 void
-hr_list_insert (HrCore *c, HrMachine *m, HrTaskRef r)
+hr_list_insert (HrCore *core, HrMachine *machine, HrTaskRef ref)
 {
-  HrJob *j = hr_job_of_task (c, r);
-  guint at = hr_list_position (c, m, j);
-  g_array_insert_val (m->plan.list, at, r);
-  j->plan.n_listed += !j->tasks[r.task].is_listed;
-  j->tasks[r.task].is_listed = 1;
-  j->tasks[r.task].listed_on = m->index;
+  HrJob *job = hr_job_of_task (core, ref);
+  guint at = hr_list_position (core, machine, job);
+  g_array_insert_val (machine->plan.list, at, ref);
+  job->plan.n_listed += !job->tasks[ref.task].is_listed;
+  job->tasks[ref.task].is_listed = 1;
+  job->tasks[ref.task].listed_on = machine->index;
 }
 
 void
-hr_task_unplan (HrJob *j, guint32 task)
+hr_task_unplan (HrJob *job, guint32 task_index)
 {
-  if (!j->tasks || !j->tasks[task].is_listed)
+  if (!job->tasks || !job->tasks[task_index].is_listed)
     return;
-  j->tasks[task].is_listed = 0;
-  j->plan.n_listed--;
+  job->tasks[task_index].is_listed = 0;
+  job->plan.n_listed--;
 }
 
 /* For the projected starts of a list; the owner of all state is a single thread. */
 double *
 hr_projection_scratch (guint n)
 {
-  static GArray *a;
-  if (!a)
-    a = g_array_new (FALSE, FALSE, sizeof (double));
-  if (a->len < n)
-    g_array_set_size (a, n);
-  return (double *)a->data;
+  static GArray *array;
+  if (!array)
+    array = g_array_new (FALSE, FALSE, sizeof (double));
+  if (array->len < n)
+    g_array_set_size (array, n);
+  return (double *)array->data;
 }
 
 void
-hr_list_remove (HrMachine *m, HrTaskRef r)
+hr_list_remove (HrMachine *machine, HrTaskRef ref)
 {
-  for (guint i = 0; i < m->plan.list->len; i++) {
-    HrTaskRef *x = &g_array_index (m->plan.list, HrTaskRef, i);
-    if (x->job == r.job && x->task == r.task) {
-      g_array_remove_index (m->plan.list, i);
+  for (guint i = 0; i < machine->plan.list->len; i++) {
+    HrTaskRef *first = &g_array_index (machine->plan.list, HrTaskRef, i);
+    if (first->job == ref.job && first->task == ref.task) {
+      g_array_remove_index (machine->plan.list, i);
       return;
     }
   }
 }
 
 void
-hr_job_unplan (HrCore *c, HrJob *j)
+hr_job_unplan (HrCore *core, HrJob *job)
 {
-  for (guint32 i = 0; j->tasks && j->plan.n_listed && i < j->n_tasks; i++) {
-    if (!j->tasks[i].is_listed)
+  for (guint32 i = 0; job->tasks && job->plan.n_listed && i < job->n_tasks; i++) {
+    if (!job->tasks[i].is_listed)
       continue;
-    hr_list_remove (c->store.tables.machines->pdata[j->tasks[i].listed_on],
-                    (HrTaskRef){j->index, i});
-    hr_task_unplan (j, i);
+    hr_list_remove (core->store.tables.machines->pdata[job->tasks[i].listed_on],
+                    (HrTaskRef){job->index, i});
+    hr_task_unplan (job, i);
   }
 }
 
 /* Is the machine ruled out by where the job's other tasks are, or stand? */
 gboolean
-hr_job_allows_zone (HrCore *c, HrJob *j, HrMachine *m)
+hr_job_allows_zone (HrCore *core, HrJob *job, HrMachine *machine)
 {
-  if (!j->spec.one_zone && !j->spec.spread)
+  if (!job->spec.one_zone && !job->spec.spread)
     return TRUE;
   guint here = 0;
-  for (guint32 i = 0; i < j->n_tasks; i++) {
-    HrTask *t = &j->tasks[i];
-    if (t->state != HR_TASK_ASSIGNING && t->state != HR_TASK_BOUND)
+  for (guint32 i = 0; i < job->n_tasks; i++) {
+    HrTask *task = &job->tasks[i];
+    if (task->state != HR_TASK_ASSIGNING && task->state != HR_TASK_BOUND)
       continue;
-    guint32 zone = ((HrMachine *)c->store.tables.machines->pdata[t->placement.machine])->zone;
+    guint32 zone = ((HrMachine *)core->store.tables.machines->pdata[task->placement.machine])->zone;
     if (zone == HR_NONE)
       return FALSE; /* known from a record alone: nothing is placed beside it blindly */
-    gboolean same = zone == m->zone;
-    if (j->spec.one_zone && !same)
+    gboolean same = zone == machine->zone;
+    if (job->spec.one_zone && !same)
       return FALSE;
     here += same;
   }
-  return !j->spec.spread || here < (j->n_tasks + 1) / 2;
+  return !job->spec.spread || here < (job->n_tasks + 1) / 2;
 }
 
 void
-hr_list_append (HrCore *c, HrMachine *m, GArray *listed)
+hr_list_append (HrCore *core, HrMachine *machine, GArray *listed)
 {
-  if (!m->plan.list->len)
+  if (!machine->plan.list->len)
     return;
-  double *starts = hr_projection_scratch (m->plan.list->len);
-  hr_project_list (c, m, starts);
-  for (guint k = 0; k < m->plan.list->len; k++) {
-    HrListedTask t = {g_array_index (m->plan.list, HrTaskRef, k), m, starts[k]};
-    g_array_append_val (listed, t);
+  double *starts = hr_projection_scratch (machine->plan.list->len);
+  hr_project_list (core, machine, starts);
+  for (guint k = 0; k < machine->plan.list->len; k++) {
+    HrListedTask listed_task = {g_array_index (machine->plan.list, HrTaskRef, k), machine,
+                                starts[k]};
+    g_array_append_val (listed, listed_task);
   }
 }
 
 HrJob *
-hr_listed_job (HrCore *c, GArray *listed, guint i)
+hr_listed_job (HrCore *core, GArray *listed, guint i)
 {
-  return hr_job_of_task (c, g_array_index (listed, HrListedTask, i).task);
+  return hr_job_of_task (core, g_array_index (listed, HrListedTask, i).task);
 }
--- a/src/coordination/scheduling/quota.h
+++ b/src/coordination/scheduling/quota.h
@@ -10,47 +10,47 @@
 
 /* Of n tasks. */
 static inline HrQuota
-hr_quota_of (const HrJobSpec *s, guint n)
+hr_quota_of (const HrJobSpec *spec, guint n)
 {
-  return (HrQuota){n * s->cpus, n * s->gpus};
+  return (HrQuota){n * spec->cpus, n * spec->gpus};
 }
 
 static inline void
-hr_quota_add (HrQuota *a, HrQuota b)
+hr_quota_add (HrQuota *left, HrQuota right)
 {
-  a->cpus += b.cpus;
-  a->gpus += b.gpus;
+  left->cpus += right.cpus;
+  left->gpus += right.gpus;
 }
 
 static inline void
-hr_quota_subtract (HrQuota *a, HrQuota b)
+hr_quota_subtract (HrQuota *left, HrQuota right)
 {
-  a->cpus -= b.cpus;
-  a->gpus -= b.gpus;
+  left->cpus -= right.cpus;
+  left->gpus -= right.gpus;
 }
 
 /* Does b fit into a? */
 static inline gboolean
-hr_quota_covers (HrQuota a, HrQuota b)
+hr_quota_covers (HrQuota left, HrQuota right)
 {
-  return b.cpus <= a.cpus + 1e-6 && b.gpus <= a.gpus + 1e-6;
+  return right.cpus <= left.cpus + 1e-6 && right.gpus <= left.gpus + 1e-6;
 }
 
 /* The smaller one of each. */
 static inline HrQuota
-hr_quota_min (HrQuota a, HrQuota b)
+hr_quota_min (HrQuota left, HrQuota right)
 {
-  return (HrQuota){MIN (a.cpus, b.cpus), MIN (a.gpus, b.gpus)};
+  return (HrQuota){MIN (left.cpus, right.cpus), MIN (left.gpus, right.gpus)};
 }
 
 /* How many times it fits, at most n. */
 static inline guint
-hr_quota_multiples (HrQuota a, HrQuota one, guint n)
+hr_quota_multiples (HrQuota left, HrQuota one, guint n)
 {
   double most = n;
   if (one.cpus > 0)
-    most = MIN (most, floor ((a.cpus + 1e-6) / one.cpus));
+    most = MIN (most, floor ((left.cpus + 1e-6) / one.cpus));
   if (one.gpus > 0)
-    most = MIN (most, floor ((a.gpus + 1e-6) / one.gpus));
+    most = MIN (most, floor ((left.gpus + 1e-6) / one.gpus));
   return most > 0 ? most : 0;
 }
--- a/src/coordination/scheduling/quota_preemption.c
+++ b/src/coordination/scheduling/quota_preemption.c
@@ -15,43 +15,43 @@
 } Stoppable;
 
 static gboolean
-may_stop (const HrCore *c, const HrJob *victim, guint32 task, const HrJob *j)
+may_stop (const HrCore *core, const HrJob *victim, guint32 task_index, const HrJob *job)
 {
-  const HrTask *t = &victim->tasks[task];
-  return victim->spec.team == j->spec.team && hr_job_priority (victim) > hr_job_priority (j) &&
+  const HrTask *task = &victim->tasks[task_index];
+  return victim->spec.team == job->spec.team && hr_job_priority (victim) > hr_job_priority (job) &&
          victim->state == HR_JOB_QUEUED && !victim->run.attempt_ending &&
-         t->state == HR_TASK_BOUND && !t->stop_wanted;
+         task->state == HR_TASK_BOUND && !task->stop_wanted;
 }
 
 static int
-by_loss (gconstpointer a, gconstpointer b)
+by_loss (gconstpointer left, gconstpointer right)
 {
-  double x = ((const Stoppable *)a)->loss, y = ((const Stoppable *)b)->loss;
-  return x < y ? -1 : x > y;
+  double first = ((const Stoppable *)left)->loss, second = ((const Stoppable *)right)->loss;
+  return first < second ? -1 : first > second;
 }
 
 /* The machines with such work, those first where least is lost: stopped machine by machine,
  * it leaves room that a large task fits in. */
 static GArray *
-stoppable (HrCore *c, const HrJob *j, HrQuota *all)
+stoppable (HrCore *core, const HrJob *job, HrQuota *all)
 {
   GArray *found = g_array_new (FALSE, FALSE, sizeof (Stoppable));
   *all = (HrQuota){0, 0};
-  for (guint i = 0; i < c->scaling.fleet->len; i++) {
-    Stoppable s = {c->scaling.fleet->pdata[i], 0, 0};
-    for (guint k = 0; k < s.machine->tasks->len; k++) {
-      HrTaskRef r = g_array_index (s.machine->tasks, HrTaskRef, k);
-      const HrJob *victim = c->store.tables.jobs->pdata[r.job];
-      if (!may_stop (c, victim, r.task, j))
+  for (guint i = 0; i < core->scaling.fleet->len; i++) {
+    Stoppable stoppable_here = {core->scaling.fleet->pdata[i], 0, 0};
+    for (guint k = 0; k < stoppable_here.machine->tasks->len; k++) {
+      HrTaskRef ref = g_array_index (stoppable_here.machine->tasks, HrTaskRef, k);
+      const HrJob *victim = core->store.tables.jobs->pdata[ref.job];
+      if (!may_stop (core, victim, ref.task, job))
         continue;
       hr_quota_add (all, hr_quota_of (&victim->spec, 1));
-      s.loss += hr_preemption_loss (c, victim, &victim->tasks[r.task]);
-      s.n++;
+      stoppable_here.loss += hr_preemption_loss (core, victim, &victim->tasks[ref.task]);
+      stoppable_here.n++;
     }
-    if (!s.n)
+    if (!stoppable_here.n)
       continue;
-    s.loss /= s.n;
-    g_array_append_val (found, s);
+    stoppable_here.loss /= stoppable_here.n;
+    g_array_append_val (found, stoppable_here);
   }
   g_array_sort (found, by_loss);
   return found;
@@ -59,27 +59,27 @@
 
 /* Stops work until the pool holds the need. What is stopped joins the pool. */
 static gboolean
-stop_lower (HrCore *c, HrJob *j, HrQuota *pool, HrQuota need)
+stop_lower (HrCore *core, HrJob *job, HrQuota *pool, HrQuota need)
 {
   HrQuota all;
-  g_autoptr (GArray) found = stoppable (c, j, &all);
+  g_autoptr (GArray) found = stoppable (core, job, &all);
   hr_quota_add (&all, *pool);
   if (!hr_quota_covers (all, need))
     return FALSE;
   for (guint i = 0; i < found->len && !hr_quota_covers (*pool, need); i++) {
-    HrMachine *m = g_array_index (found, Stoppable, i).machine;
-    for (guint k = 0; k < m->tasks->len && !hr_quota_covers (*pool, need);) {
-      HrTaskRef r = g_array_index (m->tasks, HrTaskRef, k);
-      HrJob *victim = c->store.tables.jobs->pdata[r.job];
-      if (!may_stop (c, victim, r.task, j)) {
+    HrMachine *machine = g_array_index (found, Stoppable, i).machine;
+    for (guint k = 0; k < machine->tasks->len && !hr_quota_covers (*pool, need);) {
+      HrTaskRef ref = g_array_index (machine->tasks, HrTaskRef, k);
+      HrJob *victim = core->store.tables.jobs->pdata[ref.job];
+      if (!may_stop (core, victim, ref.task, job)) {
         k++;
         continue;
       }
-      g_info ("%s/%u on %s makes room for %s within their team's limit", victim->id, r.task,
-              m->name, j->id);
+      g_info ("%s/%u on %s makes room for %s within their team's limit", victim->id, ref.task,
+              machine->name, job->id);
       hr_quota_add (pool, hr_quota_of (&victim->spec,
                                        victim->spec.shape == HR_GANG ? victim->run.n_live : 1));
-      hr_preempt_task (c, victim, r.task);
+      hr_preempt_task (core, victim, ref.task);
       k = 0; /* a gang's other tasks may have left the machine */
     }
   }
@@ -88,36 +88,38 @@
 
 /* Stops what the job's tasks without a grant need, as far as that is enough for them. */
 static void
-preempt_for_job (HrCore *c, HrTeamUsage *u, HrJob *j)
+preempt_for_job (HrCore *core, HrTeamUsage *usage, HrJob *job)
 {
-  guint size = hr_job_start_unit (j), idle = hr_job_idle_tasks (j);
-  HrQuota need = hr_quota_of (&j->spec, size);
-  gboolean soon = j->spec.shape != HR_SERVICE && u->shadow_time - c->now <= PATIENCE_S;
-  hr_quota_subtract (&u->reclaimed, hr_quota_of (&j->spec, j->quota.granted));
-  for (guint n = idle - MIN (j->quota.granted, idle); n >= size && !u->is_exhausted; n -= size) {
+  guint size = hr_job_start_unit (job), idle = hr_job_idle_tasks (job);
+  HrQuota need = hr_quota_of (&job->spec, size);
+  gboolean soon = job->spec.shape != HR_SERVICE && usage->shadow_time - core->now <= PATIENCE_S;
+  hr_quota_subtract (&usage->reclaimed, hr_quota_of (&job->spec, job->quota.granted));
+  for (guint n = idle - MIN (job->quota.granted, idle); n >= size && !usage->is_exhausted;
+       n -= size) {
     /* What is stopped for a later job would go to this one, or be filled by shorter work and
      * stopped again. */
-    if (!hr_quota_covers (u->reclaimed, need) && (soon || !stop_lower (c, j, &u->reclaimed, need)))
-      u->is_exhausted = TRUE;
+    if (!hr_quota_covers (usage->reclaimed, need) &&
+        (soon || !stop_lower (core, job, &usage->reclaimed, need)))
+      usage->is_exhausted = TRUE;
     else
-      hr_quota_subtract (&u->reclaimed, need);
+      hr_quota_subtract (&usage->reclaimed, need);
   }
 }
 
 void
-hr_quotas_preempt (HrCore *c)
+hr_quotas_preempt (HrCore *core)
 {
-  for (guint i = 0; i < c->scheduling.team_usage->len; i++) {
-    HrTeamUsage *u = &g_array_index (c->scheduling.team_usage, HrTeamUsage, i);
-    u->reclaimed = u->is_limited ? u->limit : (HrQuota){INFINITY, INFINITY};
-    hr_quota_subtract (&u->reclaimed, u->used);
-    hr_quota_add (&u->reclaimed, u->ending);
+  for (guint i = 0; i < core->scheduling.team_usage->len; i++) {
+    HrTeamUsage *usage = &g_array_index (core->scheduling.team_usage, HrTeamUsage, i);
+    usage->reclaimed = usage->is_limited ? usage->limit : (HrQuota){INFINITY, INFINITY};
+    hr_quota_subtract (&usage->reclaimed, usage->used);
+    hr_quota_add (&usage->reclaimed, usage->ending);
   }
-  for (guint i = 0; i < c->scheduling.waiting_jobs->len; i++) {
-    HrJob *j = c->scheduling.waiting_jobs->pdata[i];
-    HrTeamUsage *u = hr_team_usage (c, j->spec.team);
+  for (guint i = 0; i < core->scheduling.waiting_jobs->len; i++) {
+    HrJob *job = core->scheduling.waiting_jobs->pdata[i];
+    HrTeamUsage *usage = hr_team_usage (core, job->spec.team);
     /* One that is lent lacks a machine, and others use its share meanwhile. */
-    if (!u->is_exhausted && !j->quota.grant_lent)
-      preempt_for_job (c, u, j);
+    if (!usage->is_exhausted && !job->quota.grant_lent)
+      preempt_for_job (core, usage, job);
   }
 }
--- a/src/coordination/scheduling/quotas.h
+++ b/src/coordination/scheduling/quotas.h
@@ -3,16 +3,16 @@
 #include "coordination/state.h"
 
 /* Hands out what the limits leave to the jobs that wait. Begins each pass. */
-void hr_quotas_pass (HrCore *c);
+void hr_quotas_pass (HrCore *core);
 /* A task of the job was assigned. */
-void hr_quotas_task_started (HrCore *c, HrJob *j);
+void hr_quotas_task_started (HrCore *core, HrJob *job);
 /* How many tasks more of the job its team's limit lets start now; G_MAXUINT: no limit. */
-guint hr_quotas_granted (HrCore *c, const HrJob *j);
+guint hr_quotas_granted (HrCore *core, const HrJob *job);
 /* Stops work of lower rank for jobs that their own team's limit holds back. */
-void hr_quotas_preempt (HrCore *c);
+void hr_quotas_preempt (HrCore *core);
 /* Tasks of the job that are neither on a machine nor done, and how many of them start at once
  * or not at all. */
-guint hr_job_idle_tasks (const HrJob *j);
-guint hr_job_start_unit (const HrJob *j);
+guint hr_job_idle_tasks (const HrJob *job);
+guint hr_job_start_unit (const HrJob *job);
 /* The team, as counted in this pass. */
-HrTeamUsage *hr_team_usage (HrCore *c, guint32 team);
+HrTeamUsage *hr_team_usage (HrCore *core, guint32 team);
--- a/src/coordination/scheduling/service_replicas.h
+++ b/src/coordination/scheduling/service_replicas.h
@@ -4,4 +4,4 @@
 
 /* Starts the replicas that wait, where there is room or room can be made. services: HrJob, in the
  * order in which they are served. */
-void hr_replicas_start (HrCore *c, GPtrArray *services);
+void hr_replicas_start (HrCore *core, GPtrArray *services);
--- a/src/coordination/scheduling/service_reservations.c
+++ b/src/coordination/scheduling/service_reservations.c
@@ -4,12 +4,12 @@
 
 /* Takes the room of up to n tasks off a machine for services. */
 static guint
-reserve_on_machine (HrMachine *m, double cpus, double gpus, double mem, guint n)
+reserve_on_machine (HrMachine *machine, double cpus, double gpus, double memory_gb, guint n)
 {
-  while (n && hr_machine_has_unreserved (m, cpus, gpus, mem)) {
-    m->reserved.cpus += cpus;
-    m->reserved.gpus += gpus;
-    m->reserved.memory_gb += mem;
+  while (n && hr_machine_has_unreserved (machine, cpus, gpus, memory_gb)) {
+    machine->reserved.cpus += cpus;
+    machine->reserved.gpus += gpus;
+    machine->reserved.memory_gb += memory_gb;
     n--;
   }
   return n;
@@ -18,14 +18,15 @@
 /* Keeps room for n tasks of a class on machines that are up, with this image if any is
  * named, on busy ones only if asked for. Returns how many found none. */
 static guint
-reserve_capacity (HrCore *c, const HrClassStats *s, guint32 image, gboolean busy, guint n)
+reserve_capacity (HrCore *core, const HrClassStats *stats, guint32 image, gboolean busy, guint n)
 {
-  for (guint k = 0; k < c->scaling.fleet->len && n; k++) {
-    HrMachine *m = c->scaling.fleet->pdata[k];
-    if (m->state == HR_MACHINE_UP && hr_machine_is_plannable (c, m) &&
-        (!m->is_spot || s->allows_spot) && (!s->types || s->types >> m->type & 1) &&
-        (!busy || m->tasks->len) && (image == HR_NONE || hr_machine_has_image (m, image)))
-      n = reserve_on_machine (m, s->cpus, s->gpus, s->memory_gb, n);
+  for (guint k = 0; k < core->scaling.fleet->len && n; k++) {
+    HrMachine *machine = core->scaling.fleet->pdata[k];
+    if (machine->state == HR_MACHINE_UP && hr_machine_is_plannable (core, machine) &&
+        (!machine->is_spot || stats->allows_spot) &&
+        (!stats->types || stats->types >> machine->type & 1) && (!busy || machine->tasks->len) &&
+        (image == HR_NONE || hr_machine_has_image (machine, image)))
+      n = reserve_on_machine (machine, stats->cpus, stats->gpus, stats->memory_gb, n);
   }
   return n;
 }
@@ -34,46 +35,49 @@
  * that come up next, and some room is kept for the next arrivals; the lists are
  * projected, and started, without that room. */
 void
-hr_reserve_for_services (HrCore *c)
+hr_reserve_for_services (HrCore *core)
 {
-  for (guint i = 0; i < c->scaling.fleet->len; i++) {
-    HrMachine *m = c->scaling.fleet->pdata[i];
-    m->reserved.cpus = m->reserved.gpus = m->reserved.memory_gb = 0;
-    m->services.cpus = m->services.gpus = m->services.memory_gb = 0;
-    for (guint k = 0; k < m->tasks->len; k++) {
-      const HrJobSpec *s = &hr_job_of_task (c, g_array_index (m->tasks, HrTaskRef, k))->spec;
-      if (s->shape != HR_SERVICE)
+  for (guint i = 0; i < core->scaling.fleet->len; i++) {
+    HrMachine *machine = core->scaling.fleet->pdata[i];
+    machine->reserved.cpus = machine->reserved.gpus = machine->reserved.memory_gb = 0;
+    machine->services.cpus = machine->services.gpus = machine->services.memory_gb = 0;
+    for (guint k = 0; k < machine->tasks->len; k++) {
+      const HrJobSpec *spec =
+          &hr_job_of_task (core, g_array_index (machine->tasks, HrTaskRef, k))->spec;
+      if (spec->shape != HR_SERVICE)
         continue;
-      m->services.cpus += s->cpus;
-      m->services.gpus += s->gpus;
-      m->services.memory_gb += s->memory_gb;
+      machine->services.cpus += spec->cpus;
+      machine->services.gpus += spec->gpus;
+      machine->services.memory_gb += spec->memory_gb;
     }
   }
-  for (guint i = 0; i < c->store.tables.open_jobs->len; i++) {
-    HrJob *j = c->store.tables.jobs->pdata[g_array_index (c->store.tables.open_jobs, guint32, i)];
-    const HrJobSpec *s = &j->spec;
-    if (j->state != HR_JOB_QUEUED || s->shape != HR_SERVICE || !j->tasks)
+  for (guint i = 0; i < core->store.tables.open_jobs->len; i++) {
+    HrJob *job =
+        core->store.tables.jobs->pdata[g_array_index (core->store.tables.open_jobs, guint32, i)];
+    const HrJobSpec *spec = &job->spec;
+    if (job->state != HR_JOB_QUEUED || spec->shape != HR_SERVICE || !job->tasks)
       continue;
-    guint left = MIN (j->n_tasks - j->run.n_live, hr_quotas_granted (c, j));
-    for (guint k = 0; k < c->scaling.fleet->len && left; k++) {
-      HrMachine *m = c->scaling.fleet->pdata[k];
-      if (m->state == HR_MACHINE_BOOTING && hr_job_allows_machine (c, j, m))
-        left = reserve_on_machine (m, s->cpus, s->gpus, s->memory_gb, left);
+    guint left = MIN (job->n_tasks - job->run.n_live, hr_quotas_granted (core, job));
+    for (guint k = 0; k < core->scaling.fleet->len && left; k++) {
+      HrMachine *machine = core->scaling.fleet->pdata[k];
+      if (machine->state == HR_MACHINE_BOOTING && hr_job_allows_machine (core, job, machine))
+        left = reserve_on_machine (machine, spec->cpus, spec->gpus, spec->memory_gb, left);
     }
   }
-  for (guint i = 0; i < c->scheduling.class_stats->len; i++) {
-    HrClassStats *s = &g_array_index (c->scheduling.class_stats, HrClassStats, i);
-    guint left = s->is_seen && s->shape == HR_SERVICE ? hr_headroom (c, i) : 0, all = left;
+  for (guint i = 0; i < core->scheduling.class_stats->len; i++) {
+    HrClassStats *stats = &g_array_index (core->scheduling.class_stats, HrClassStats, i);
+    guint left = stats->is_seen && stats->shape == HR_SERVICE ? hr_headroom (core, i) : 0,
+          all = left;
     double weight = 0;
-    for (guint k = 0; k < s->n_images; k++)
-      weight += s->images[k].weight;
+    for (guint k = 0; k < stats->n_images; k++)
+      weight += stats->images[k].weight;
     /* Where an image is that the next arrivals may need: a replica starts there at once. */
-    for (guint k = 0; k < s->n_images && left; k++) {
-      guint want = MIN (left, (guint)(all * s->images[k].weight / weight + 0.5));
-      left -= want - reserve_capacity (c, s, s->images[k].image, FALSE, want);
+    for (guint k = 0; k < stats->n_images && left; k++) {
+      guint wanted = MIN (left, (guint)(all * stats->images[k].weight / weight + 0.5));
+      left -= wanted - reserve_capacity (core, stats, stats->images[k].image, FALSE, wanted);
     }
     /* Then where others run already: whole machines are for those who need them. */
-    left = reserve_capacity (c, s, HR_NONE, TRUE, left);
-    reserve_capacity (c, s, HR_NONE, FALSE, left);
+    left = reserve_capacity (core, stats, HR_NONE, TRUE, left);
+    reserve_capacity (core, stats, HR_NONE, FALSE, left);
   }
 }
--- a/src/coordination/scheduling/starvation_guard.c
+++ b/src/coordination/scheduling/starvation_guard.c
@@ -15,81 +15,83 @@
 #define CHECK_INTERVAL_S 1.0
 
 static gboolean
-is_waiting (HrCore *c, const HrJob *j)
+is_waiting (HrCore *core, const HrJob *job)
 {
-  return j->state == HR_JOB_QUEUED && j->tasks && j->spec.shape == HR_BATCH &&
-         j->run.n_live + j->n_done < j->n_tasks && c->now >= j->run.retry_at &&
-         hr_team_allows_start (c, j, 1);
+  return job->state == HR_JOB_QUEUED && job->tasks && job->spec.shape == HR_BATCH &&
+         job->run.n_live + job->n_done < job->n_tasks && core->now >= job->run.retry_at &&
+         hr_team_allows_start (core, job, 1);
 }
 
 /* The machine with room where the job's next task would be done first; NULL: there is none.
  * first: any one will do. */
 static HrMachine *
-find_free_machine (HrCore *c, HrJob *j, const GPtrArray *capacities, gboolean first)
+find_free_machine (HrCore *core, HrJob *job, const GPtrArray *capacities, gboolean first)
 {
   HrMachine *best = NULL;
-  guint32 part = j->plan.shard;
-  j->plan.shard = HR_NONE; /* room in any part of the fleet counts */
+  guint32 shard = job->plan.shard;
+  job->plan.shard = HR_NONE; /* room in any part of the fleet counts */
   for (guint i = 0; i < capacities->len && !(best && first); i++) {
-    HrMachine *m = capacities->pdata[i];
-    if (hr_dispatch_fits_now (c, j, m) && (!best || hr_dispatch_batch_better (c, j, m, best)))
-      best = m;
+    HrMachine *machine = capacities->pdata[i];
+    if (hr_dispatch_fits_now (core, job, machine) &&
+        (!best || hr_dispatch_batch_better (core, job, machine, best)))
+      best = machine;
   }
-  j->plan.shard = part;
+  job->plan.shard = shard;
   return best;
 }
 
 /* Starts as many of the job's tasks as there is room for. */
 static void
-start_on_free_capacity (HrCore *c, HrJob *j, const GPtrArray *capacities)
+start_on_free_capacity (HrCore *core, HrJob *job, const GPtrArray *capacities)
 {
   guint started = 0;
-  for (guint32 k = 0; k < j->n_tasks && hr_team_allows_start (c, j, 1); k++) {
-    if (j->tasks[k].state != HR_TASK_IDLE)
+  for (guint32 k = 0; k < job->n_tasks && hr_team_allows_start (core, job, 1); k++) {
+    if (job->tasks[k].state != HR_TASK_IDLE)
       continue;
-    HrMachine *m = find_free_machine (c, j, capacities, FALSE);
-    if (!m)
+    HrMachine *machine = find_free_machine (core, job, capacities, FALSE);
+    if (!machine)
       break;
-    hr_dispatch_start (c, j, k, m);
+    hr_dispatch_start (core, job, k, machine);
     started++;
   }
-  g_info ("%s waited %.0f s beside free room; %u of its tasks start there", j->id,
+  g_info ("%s waited %.0f s beside free room; %u of its tasks start there", job->id,
           STARVATION_LIMIT_S, started);
 }
 
 /* Does the job ask for at least as much as one that found no room, with no wider choice? */
 static gboolean
-is_harder_to_place (const HrJobSpec *s, const HrJobSpec *failed)
+is_harder_to_place (const HrJobSpec *spec, const HrJobSpec *failed)
 {
-  return s->cpus >= failed->cpus && s->gpus >= failed->gpus && s->memory_gb >= failed->memory_gb &&
-         (failed->allows_spot || !s->allows_spot) && failed->zone == HR_NONE && !failed->types &&
-         !failed->one_zone && !failed->spread;
+  return spec->cpus >= failed->cpus && spec->gpus >= failed->gpus &&
+         spec->memory_gb >= failed->memory_gb && (failed->allows_spot || !spec->allows_spot) &&
+         failed->zone == HR_NONE && !failed->types && !failed->one_zone && !failed->spread;
 }
 
 void
-hr_starvation_guard_tick (HrCore *c)
+hr_starvation_guard_tick (HrCore *core)
 {
-  if (c->now < c->scheduling.next_starvation_check_at)
+  if (core->now < core->scheduling.next_starvation_check_at)
     return;
-  c->scheduling.next_starvation_check_at = c->now + CHECK_INTERVAL_S;
-  g_autoptr (GPtrArray) capacities = hr_dispatch_open_machines (c);
+  core->scheduling.next_starvation_check_at = core->now + CHECK_INTERVAL_S;
+  g_autoptr (GPtrArray) capacities = hr_dispatch_open_machines (core);
   /* Of the latest job without room: where many wait, others like it follow. */
   const HrJobSpec *failed = NULL;
-  for (guint i = 0; i < c->store.tables.open_jobs->len; i++) {
-    HrJob *j = c->store.tables.jobs->pdata[g_array_index (c->store.tables.open_jobs, guint32, i)];
-    if (!is_waiting (c, j)) {
-      j->quota.starving_since = 0;
+  for (guint i = 0; i < core->store.tables.open_jobs->len; i++) {
+    HrJob *job =
+        core->store.tables.jobs->pdata[g_array_index (core->store.tables.open_jobs, guint32, i)];
+    if (!is_waiting (core, job)) {
+      job->quota.starving_since = 0;
       continue;
     }
-    if ((failed && is_harder_to_place (&j->spec, failed)) ||
-        !find_free_machine (c, j, capacities, TRUE)) {
-      failed = &j->spec;
-      j->quota.starving_since = 0;
+    if ((failed && is_harder_to_place (&job->spec, failed)) ||
+        !find_free_machine (core, job, capacities, TRUE)) {
+      failed = &job->spec;
+      job->quota.starving_since = 0;
       continue;
     }
-    if (!j->quota.starving_since)
-      j->quota.starving_since = c->now;
-    if (c->now - j->quota.starving_since >= STARVATION_LIMIT_S)
-      start_on_free_capacity (c, j, capacities);
+    if (!job->quota.starving_since)
+      job->quota.starving_since = core->now;
+    if (core->now - job->quota.starving_since >= STARVATION_LIMIT_S)
+      start_on_free_capacity (core, job, capacities);
   }
 }
--- a/src/coordination/scheduling/starvation_guard.h
+++ b/src/coordination/scheduling/starvation_guard.h
@@ -4,4 +4,4 @@
 
 /* Called in each planning pass once the plan's own starts are made, by a leader that may record
  * starts. */
-void hr_starvation_guard_tick (HrCore *c);
+void hr_starvation_guard_tick (HrCore *core);
--- a/src/emulator/balancer.c
+++ b/src/emulator/balancer.c
@@ -23,31 +23,31 @@
 } Probe;
 
 static void
-on_probed (World *w, int status, json_t *body, gpointer data)
+on_probed (World *world, int status, json_t *body, gpointer data)
 {
-  g_autofree Probe *p = data;
-  p->balancer->healthy[p->node] = status == 200;
+  g_autofree Probe *probe = data;
+  probe->balancer->healthy[probe->node] = status == 200;
 }
 
 static void
-probe_all (World *w, gpointer data)
+probe_all (World *world, gpointer data)
 {
-  Balancer *b = data;
-  for (int i = 0; i < w->n; i++) {
-    Probe *p = g_new (Probe, 1);
-    *p = (Probe){b, i};
-    w_ask (w, i, -1, HR_GET, "/ready", NULL, PROBE_ANSWER_S, on_probed, p);
+  Balancer *balancer = data;
+  for (int i = 0; i < world->n; i++) {
+    Probe *probe = g_new (Probe, 1);
+    *probe = (Probe){balancer, i};
+    w_ask (world, i, -1, HR_GET, "/ready", NULL, PROBE_ANSWER_S, on_probed, probe);
   }
-  w_at (w, w->now + PROBE_EVERY_S, probe_all, b);
+  w_at (world, world->now + PROBE_EVERY_S, probe_all, balancer);
 }
 
 /* The healthy node with the fewest open requests; -1: none is healthy. */
 static int
-choose (const Balancer *b)
+choose (const Balancer *balancer)
 {
   int best = -1;
-  for (int i = 0; i < b->live->w->n; i++)
-    if (b->healthy[i] && (best < 0 || b->open[i] < b->open[best]))
+  for (int i = 0; i < balancer->live->world->n; i++)
+    if (balancer->healthy[i] && (best < 0 || balancer->open[i] < balancer->open[best]))
       best = i;
   return best;
 }
@@ -69,16 +69,16 @@
 }
 
 static void
-on_answered (World *w, int status, json_t *body, gpointer data)
+on_answered (World *world, int status, json_t *body, gpointer data)
 {
-  g_autofree Passed *p = data;
-  g_autofree Question *question = p->question;
-  g_autoptr (SoupServerMessage) msg = p->msg;
+  g_autofree Passed *passed = data;
+  g_autofree Question *question = passed->question;
+  g_autoptr (SoupServerMessage) msg = passed->msg;
   g_autofree char *text = body ? hr_json_take_text (json_incref (body)) : g_strdup ("{}");
-  p->balancer->open[p->node]--;
+  passed->balancer->open[passed->node]--;
   if (question && (status == 200 || status == 201)) {
     question->job->accepted = TRUE;
-    answer_check (w, question, status, body);
+    answer_check (world, question, status, body);
   }
   reply (msg, status ? status : 504, status ? text : "{\"error\":\"the node does not answer\"}");
   soup_server_message_unpause (msg);
@@ -86,53 +86,53 @@
 
 /* The stand-ins know a job from its first submission on. */
 static SJob *
-job_asked_for (World *w, const char *path, const char *body)
+job_asked_for (World *world, const char *path, const char *body)
 {
   static const char jobs[] = "/v1/jobs/";
   guint32 index;
   if (body && strcmp (path, "/v1/jobs") == 0)
-    return job_adopt (w, body);
+    return job_adopt (world, body);
   if (!g_str_has_prefix (path, jobs))
     return NULL;
   const char *rest = path + strlen (jobs);
   g_autofree char *id = g_strndup (rest, strcspn (rest, "/"));
-  SJob *j = job_by_id (w, id, &index);
-  if (j && g_str_has_suffix (path, "/abort"))
-    j->asked_cancel = TRUE;
-  return j;
+  SJob *job = job_by_id (world, id, &index);
+  if (job && g_str_has_suffix (path, "/abort"))
+    job->asked_cancel = TRUE;
+  return job;
 }
 
 static void
 on_request (SoupServer *server, SoupServerMessage *msg, const char *path, GHashTable *query,
             gpointer data)
 {
-  Balancer *b = data;
-  World *w = b->live->w;
-  live_catch_up (b->live);
+  Balancer *balancer = data;
+  World *world = balancer->live->world;
+  live_catch_up (balancer->live);
   g_autoptr (GBytes) bytes = soup_message_body_flatten (soup_server_message_get_request_body (msg));
   gsize size = g_bytes_get_size (bytes);
   g_autofree char *body = size ? g_strndup (g_bytes_get_data (bytes, NULL), size) : NULL;
   const char *method = soup_server_message_get_method (msg);
-  if (control_request (b->live, msg, path, body))
+  if (control_request (balancer->live, msg, path, body))
     return;
-  int node = choose (b);
+  int node = choose (balancer);
   if (node < 0) {
     reply (msg, 503, "{\"error\":\"no controller is ready\"}");
     return;
   }
-  SJob *j = job_asked_for (w, path, body);
-  Passed *p = g_new (Passed, 1);
-  *p = (Passed){b, node, g_object_ref (msg), j ? question_new (w, j) : NULL};
-  b->open[node]++;
+  SJob *job = job_asked_for (world, path, body);
+  Passed *passed = g_new (Passed, 1);
+  *passed = (Passed){balancer, node, g_object_ref (msg), job ? question_new (world, job) : NULL};
+  balancer->open[node]++;
   soup_server_message_pause (msg);
   HrMethod kind = strcmp (method, "GET") == 0    ? HR_GET
                   : strcmp (method, "POST") == 0 ? HR_POST
                                                  : HR_OTHER_METHOD;
-  w_ask (w, node, -1, kind, path, g_steal_pointer (&body), ANSWER_S, on_answered, p);
+  w_ask (world, node, -1, kind, path, g_steal_pointer (&body), ANSWER_S, on_answered, passed);
 }
 
 Balancer *
-balancer_new (Live *s, const char *address, GError **error)
+balancer_new (Live *live, const char *address, GError **error)
 {
   g_autoptr (GSocketConnectable) net = g_network_address_parse (address, 0, error);
   if (!net)
@@ -144,22 +144,22 @@
     g_set_error (error, G_IO_ERROR, G_IO_ERROR_INVALID_ARGUMENT, "%s is no IP address", address);
     return NULL;
   }
-  Balancer *b = g_new0 (Balancer, 1);
-  b->live = s;
-  b->server = soup_server_new (NULL, NULL);
-  soup_server_add_handler (b->server, NULL, on_request, b, NULL);
-  if (!soup_server_listen (b->server, listen, 0, error)) {
-    balancer_free (b);
+  Balancer *balancer = g_new0 (Balancer, 1);
+  balancer->live = live;
+  balancer->server = soup_server_new (NULL, NULL);
+  soup_server_add_handler (balancer->server, NULL, on_request, balancer, NULL);
+  if (!soup_server_listen (balancer->server, listen, 0, error)) {
+    balancer_free (balancer);
     return NULL;
   }
-  w_at (s->w, 0.1, probe_all, b);
-  return b;
+  w_at (live->world, 0.1, probe_all, balancer);
+  return balancer;
 }
 
 void
-balancer_free (Balancer *b)
+balancer_free (Balancer *balancer)
 {
-  soup_server_disconnect (b->server);
-  g_object_unref (b->server);
-  g_free (b);
+  soup_server_disconnect (balancer->server);
+  g_object_unref (balancer->server);
+  g_free (balancer);
 }
--- a/src/emulator/balancer.h
+++ b/src/emulator/balancer.h
@@ -6,5 +6,5 @@
 typedef struct Balancer Balancer;
 
 /* Listens on address (IP:PORT). NULL: it cannot, and *error says why. */
-Balancer *balancer_new (Live *s, const char *address, GError **error);
-void balancer_free (Balancer *b);
+Balancer *balancer_new (Live *live, const char *address, GError **error);
+void balancer_free (Balancer *balancer);
--- a/src/emulator/control.c
+++ b/src/emulator/control.c
@@ -11,58 +11,58 @@
 }
 
 static json_t *
-describe (const World *w)
+describe (const World *world)
 {
   guint up = 0, tasks = 0, done = 0;
   json_t *nodes = json_array (), *broken = json_array ();
-  for (guint i = 0; i < w->machines->len; i++) {
-    const SMachine *m = w->machines->pdata[i];
-    up += m->up && !m->gone;
-    for (guint k = 0; k < m->tasks->len; k++)
-      tasks += !m->gone && g_array_index (m->tasks, STask, k).on;
+  for (guint i = 0; i < world->machines->len; i++) {
+    const SMachine *machine = world->machines->pdata[i];
+    up += machine->up && !machine->gone;
+    for (guint k = 0; k < machine->tasks->len; k++)
+      tasks += !machine->gone && g_array_index (machine->tasks, STask, k).on;
   }
-  for (guint i = 0; i < w->jobs->len; i++)
-    done += ((const SJob *)w->jobs->pdata[i])->told_done > 0;
-  for (int i = 0; i < w->n; i++)
-    json_array_append_new (nodes, json_boolean (w->nodes[i].up));
-  for (guint i = 0; i < w->broken->len; i++)
-    json_array_append_new (broken, json_string (w->broken->pdata[i]));
-  return json_pack ("{sfsososisisisisi}", "seconds", w->now, "controllers_up", nodes, "broken",
-                    broken, "machines", (int)up, "tasks", (int)tasks, "jobs", (int)w->jobs->len,
-                    "jobs_done", (int)done, "terms", (int)w->troubles.leaders);
+  for (guint i = 0; i < world->jobs->len; i++)
+    done += ((const SJob *)world->jobs->pdata[i])->told_done > 0;
+  for (int i = 0; i < world->n; i++)
+    json_array_append_new (nodes, json_boolean (world->nodes[i].up));
+  for (guint i = 0; i < world->broken->len; i++)
+    json_array_append_new (broken, json_string (world->broken->pdata[i]));
+  return json_pack ("{sfsososisisisisi}", "seconds", world->now, "controllers_up", nodes, "broken",
+                    broken, "machines", (int)up, "tasks", (int)tasks, "jobs", (int)world->jobs->len,
+                    "jobs_done", (int)done, "terms", (int)world->troubles.leaders);
 }
 
 gboolean
-control_plan (Live *s, const char *text, GError **error)
+control_plan (Live *live, const char *text, GError **error)
 {
   g_auto (GStrv) lines = g_strsplit (text, "\n", -1);
   g_autoptr (GArray) day = g_array_new (FALSE, FALSE, sizeof (HrTrouble));
   for (guint i = 0; lines[i]; i++) {
-    HrTrouble t;
+    HrTrouble trouble;
     g_strstrip (lines[i]);
     if (!*lines[i] || *lines[i] == '#')
       continue;
-    if (!trouble_parse (lines[i], &t)) {
+    if (!trouble_parse (lines[i], &trouble)) {
       g_set_error (error, G_IO_ERROR, G_IO_ERROR_INVALID_DATA, "line %u is no trouble: %s", i + 1,
                    lines[i]);
       return FALSE;
     }
-    t.at_s += s->w->now;
-    g_array_append_val (day, t);
+    trouble.at_s += live->world->now;
+    g_array_append_val (day, trouble);
   }
-  troubles_plan (s->w, (const HrTrouble *)day->data, day->len);
+  troubles_plan (live->world, (const HrTrouble *)day->data, day->len);
   return TRUE;
 }
 
 gboolean
-control_request (Live *s, SoupServerMessage *msg, const char *path, const char *body)
+control_request (Live *live, SoupServerMessage *msg, const char *path, const char *body)
 {
   g_autoptr (GError) error = NULL;
   if (strcmp (path, "/emulator") == 0)
-    reply (msg, 200, describe (s->w));
+    reply (msg, 200, describe (live->world));
   else if (strcmp (path, "/emulator/troubles") != 0)
     return FALSE;
-  else if (control_plan (s, body ? body : "", &error))
+  else if (control_plan (live, body ? body : "", &error))
     reply (msg, 200, json_object ());
   else
     reply (msg, 400, json_pack ("{ss}", "error", error->message));
--- a/src/emulator/control.h
+++ b/src/emulator/control.h
@@ -6,7 +6,7 @@
 #include "emulator/live.h"
 
 /* Answers the request if it is one of these. */
-gboolean control_request (Live *s, SoupServerMessage *msg, const char *path, const char *body);
+gboolean control_request (Live *live, SoupServerMessage *msg, const char *path, const char *body);
 /* Plans the troubles of a text, one a line; empty lines and those that begin with # count for
  * nothing. FALSE: *error names the line, and none is planned. */
-gboolean control_plan (Live *s, const char *text, GError **error);
+gboolean control_plan (Live *live, const char *text, GError **error);
--- a/src/emulator/live.c
+++ b/src/emulator/live.c
@@ -5,32 +5,32 @@
 #define STEP_MS 4
 
 void
-live_catch_up (Live *s)
+live_catch_up (Live *live)
 {
-  double now = (g_get_monotonic_time () - s->began) / 1e6;
-  s->longest_gap = MAX (s->longest_gap, now - s->w->now);
-  world_run (s->w, now);
+  double now = (g_get_monotonic_time () - live->began) / 1e6;
+  live->longest_gap = MAX (live->longest_gap, now - live->world->now);
+  world_run (live->world, now);
 }
 
 void
-live_prepare (Live *s, guint32 seed, int nodes)
+live_prepare (Live *live, guint32 seed, int nodes)
 {
   g_autoptr (GError) error = NULL;
-  s->dir = g_dir_make_tmp ("hoprock-live-XXXXXX", &error);
-  if (!s->dir)
+  live->dir = g_dir_make_tmp ("hoprock-live-XXXXXX", &error);
+  if (!live->dir)
     g_error ("emulator: %s", error->message);
-  s->w = world_prepare (seed, nodes);
-  s->w->controllers = &live_controllers;
-  s->w->controllers_data = s;
-  live_wire_prepare (s);
-  live_processes_prepare (s);
+  live->world = world_prepare (seed, nodes);
+  live->world->controllers = &live_controllers;
+  live->world->controllers_data = live;
+  live_wire_prepare (live);
+  live_processes_prepare (live);
 }
 
 void
-live_begin (Live *s)
+live_begin (Live *live)
 {
-  s->began = g_get_monotonic_time ();
-  world_begin (s->w);
+  live->began = g_get_monotonic_time ();
+  world_begin (live->world);
 }
 
 static gboolean
@@ -41,22 +41,22 @@
 }
 
 void
-live_run (Live *s, double until)
+live_run (Live *live, double until)
 {
-  guint step = g_timeout_add (STEP_MS, on_step, s);
-  while (s->w->now < until && !s->stop)
+  guint step = g_timeout_add (STEP_MS, on_step, live);
+  while (live->world->now < until && !live->stop)
     g_main_context_iteration (NULL, TRUE);
   g_source_remove (step);
 }
 
 void
-live_end (Live *s)
+live_end (Live *live)
 {
-  for (int i = 0; i < s->w->n; i++)
-    node_kill (s->w, i);
-  live_wire_end (s);
-  live_processes_end (s);
-  if (s->remove_files && g_rmdir (s->dir) != 0)
-    g_warning ("emulator: %s is left behind: %s", s->dir, g_strerror (errno));
-  g_free (s->dir);
+  for (int i = 0; i < live->world->n; i++)
+    node_kill (live->world, i);
+  live_wire_end (live);
+  live_processes_end (live);
+  if (live->remove_files && g_rmdir (live->dir) != 0)
+    g_warning ("emulator: %s is left behind: %s", live->dir, g_strerror (errno));
+  g_free (live->dir);
 }
--- a/src/emulator/live.h
+++ b/src/emulator/live.h
@@ -30,7 +30,7 @@
 } LiveNode;
 
 struct Live {
-  World *w;
+  World *world;
   gint64 began; /* microseconds of the steady clock */
   const char *daemon, *policy;
   const char *old_daemon; /* of controllers that are not upgraded yet; NULL: there are none */
@@ -47,33 +47,33 @@
 };
 
 /* live.c. Between live_prepare and live_begin the world's figures may be changed. */
-void live_prepare (Live *s, guint32 seed, int nodes);
-void live_begin (Live *s);
+void live_prepare (Live *live, guint32 seed, int nodes);
+void live_begin (Live *live);
 /* Lets the main loop run until that time. */
-void live_run (Live *s, double until);
+void live_run (Live *live, double until);
 /* Ends all controllers; the world is still there to be looked at. */
-void live_end (Live *s);
+void live_end (Live *live);
 /* Brings the world to the present: before anything of outside is handed to it. */
-void live_catch_up (Live *s);
+void live_catch_up (Live *live);
 
 /* processes.c: controllers as processes. */
 extern const WControllers live_controllers;
-void live_processes_prepare (Live *s);
+void live_processes_prepare (Live *live);
 /* Ends those that run; none is left behind. */
-void live_processes_end (Live *s);
+void live_processes_end (Live *live);
 
 /* wire.c: HTTP between controllers and stand-ins. */
-void live_wire_prepare (Live *s);
-void live_wire_end (Live *s);
-LiveListener *live_listen (Live *s, int node, HrTarget target);
-void live_listener_free (LiveListener *l);
-void live_push (World *w, int node, HrCommand *cmd);
-char *live_worker_address (World *w, guint machine);
+void live_wire_prepare (Live *live);
+void live_wire_end (Live *live);
+LiveListener *live_listen (Live *live, int node, HrTarget target);
+void live_listener_free (LiveListener *listener);
+void live_push (World *world, int node, HrCommand *command);
+char *live_worker_address (World *world, guint machine);
 
 /* relay.c: the ways between controllers, which cuts close. */
 /* Returns IP:PORT where controller `from` reaches controller `to`. */
-char *live_relay (Live *s, int from, int to);
+char *live_relay (Live *live, int from, int to);
 void live_relay_free (gpointer relay);
 
 /* An address on loopback with a port that the kernel picked. */
-char *live_address (GInetSocketAddress *a);
+char *live_address (GInetSocketAddress *address);
--- a/src/emulator/main.c
+++ b/src/emulator/main.c
@@ -36,30 +36,30 @@
                                FIGURE (cancel_s, 5, 3600),         FIGURE (seed, 0, 4e9)};
 
 static gboolean
-take_figure (Figures *f, const char *key, const json_t *value)
+take_figure (Figures *figures, const char *key, const json_t *value)
 {
   for (guint i = 0; i < G_N_ELEMENTS (known); i++) {
     double number = json_is_number (value) ? json_number_value (value) : -1;
     if (!g_str_equal (known[i].key, key))
       continue;
-    *(double *)((char *)f + known[i].offset) = number;
+    *(double *)((char *)figures + known[i].offset) = number;
     return number >= known[i].least && number <= known[i].most;
   }
   return FALSE;
 }
 
 static gboolean
-read_settings (const char *file, Figures *f)
+read_settings (const char *file, Figures *figures)
 {
-  json_error_t e;
-  json_t *root = json_load_file (file, 0, &e), *value;
+  json_error_t error;
+  json_t *root = json_load_file (file, 0, &error), *value;
   const char *key;
   gboolean good = json_is_object (root);
   if (!good)
-    fprintf (stderr, "hoprock-emulator: %s:%d: %s\n", file, e.line, e.text);
+    fprintf (stderr, "hoprock-emulator: %s:%d: %s\n", file, error.line, error.text);
   json_object_foreach (root, key, value)
   {
-    if (!good || take_figure (f, key, value))
+    if (!good || take_figure (figures, key, value))
       continue;
     fprintf (stderr, "hoprock-emulator: %s: %s is not known, or out of range\n", file, key);
     good = FALSE;
@@ -69,22 +69,23 @@
 }
 
 static gboolean
-parse (Options *o, int *argc, char ***argv)
+parse (Options *options, int *argc, char ***argv)
 {
   const GOptionEntry entries[] = {
-      {"daemon", 0, 0, G_OPTION_ARG_FILENAME, &o->daemon, "the controller's program", "FILE"},
-      {"policy", 0, 0, G_OPTION_ARG_FILENAME, &o->policy, "its policy", "FILE"},
-      {"settings", 0, 0, G_OPTION_ARG_FILENAME, &o->settings, "figures, in JSON", "FILE"},
-      {"troubles", 0, 0, G_OPTION_ARG_FILENAME, &o->troubles, "one trouble a line", "FILE"},
-      {"listen", 0, 0, G_OPTION_ARG_STRING, &o->listen, "users' address; default 127.0.0.1:8080",
-       "IP:PORT"},
-      {"seconds", 0, 0, G_OPTION_ARG_DOUBLE, &o->seconds, "end by itself after so long", "S"},
+      {"daemon", 0, 0, G_OPTION_ARG_FILENAME, &options->daemon, "the controller's program", "FILE"},
+      {"policy", 0, 0, G_OPTION_ARG_FILENAME, &options->policy, "its policy", "FILE"},
+      {"settings", 0, 0, G_OPTION_ARG_FILENAME, &options->settings, "figures, in JSON", "FILE"},
+      {"troubles", 0, 0, G_OPTION_ARG_FILENAME, &options->troubles, "one trouble a line", "FILE"},
+      {"listen", 0, 0, G_OPTION_ARG_STRING, &options->listen,
+       "users' address; default 127.0.0.1:8080", "IP:PORT"},
+      {"seconds", 0, 0, G_OPTION_ARG_DOUBLE, &options->seconds, "end by itself after so long", "S"},
       {NULL}};
   g_autoptr (GError) error = NULL;
   g_autoptr (GOptionContext) context =
       g_option_context_new ("- a whole hoprock deployment on this machine");
   g_option_context_add_main_entries (context, entries, NULL);
-  if (g_option_context_parse (context, argc, argv, &error) && *argc == 1 && o->daemon && o->policy)
+  if (g_option_context_parse (context, argc, argv, &error) && *argc == 1 && options->daemon &&
+      options->policy)
     return TRUE;
   fprintf (stderr, "hoprock-emulator: %s\n",
            error ? error->message : "--daemon and --policy are needed; see --help");
@@ -99,23 +100,23 @@
 }
 
 static void
-set_figures (World *w, const Figures *f)
+set_figures (World *world, const Figures *figures)
 {
-  w->capacity = (guint)f->machines;
-  w->report_s = f->report_s;
-  w->lease_s = f->lease_s;
-  w->cancel_s = f->cancel_s;
-  w->loss = w->dup = 0; /* what goes wrong is what the troubles say */
+  world->capacity = (guint)figures->machines;
+  world->report_s = figures->report_s;
+  world->lease_s = figures->lease_s;
+  world->cancel_s = figures->cancel_s;
+  world->loss = world->dup = 0; /* what goes wrong is what the troubles say */
 }
 
 static gboolean
-plan_file (Live *s, const char *file)
+plan_file (Live *live, const char *file)
 {
   g_autofree char *text = NULL;
   g_autoptr (GError) error = NULL;
   if (!file)
     return TRUE;
-  if (g_file_get_contents (file, &text, NULL, &error) && control_plan (s, text, &error))
+  if (g_file_get_contents (file, &text, NULL, &error) && control_plan (live, text, &error))
     return TRUE;
   fprintf (stderr, "hoprock-emulator: %s\n", error->message);
   return FALSE;
@@ -123,46 +124,48 @@
 
 /* Runs until it is told to end. Returns the exit code: 1 when a rule was broken. */
 static int
-emulate (Live *s, const Options *o)
+emulate (Live *live, const Options *options)
 {
   g_autoptr (GError) error = NULL;
-  const char *listen = o->listen ? o->listen : "127.0.0.1:8080";
-  users_init (s->w, 0, 0);
-  Balancer *b = balancer_new (s, listen, &error);
-  if (!b) {
+  const char *listen = options->listen ? options->listen : "127.0.0.1:8080";
+  users_init (live->world, 0, 0);
+  Balancer *balancer = balancer_new (live, listen, &error);
+  if (!balancer) {
     fprintf (stderr, "hoprock-emulator: %s\n", error->message);
     return 2;
   }
-  if (!plan_file (s, o->troubles))
+  if (!plan_file (live, options->troubles))
     return 2;
-  printf ("%d controllers; users at %s; logs in %s\n", s->w->n, listen, s->dir);
+  printf ("%d controllers; users at %s; logs in %s\n", live->world->n, listen, live->dir);
   fflush (stdout);
-  live_run (s, o->seconds > 0 ? o->seconds : FOREVER_S);
-  guint broken = s->w->broken->len;
+  live_run (live, options->seconds > 0 ? options->seconds : FOREVER_S);
+  guint broken = live->world->broken->len;
   for (guint i = 0; i < broken; i++)
-    printf ("broken rule: %s\n", (char *)s->w->broken->pdata[i]);
-  printf ("ended after %.0f s: %u starts, %u rules broken\n", s->w->now, s->w->starts, broken);
-  balancer_free (b);
+    printf ("broken rule: %s\n", (char *)live->world->broken->pdata[i]);
+  printf ("ended after %.0f s: %u starts, %u rules broken\n", live->world->now, live->world->starts,
+          broken);
+  balancer_free (balancer);
   return broken > 0;
 }
 
 int
 main (int argc, char **argv)
 {
-  Options o = {0};
-  Figures f = {3, 24, 2.5, 14, 36, 1};
+  Options options = {0};
+  Figures figures = {3, 24, 2.5, 14, 36, 1};
   Live live = {0};
-  if (!parse (&o, &argc, &argv) || (o.settings && !read_settings (o.settings, &f)))
+  if (!parse (&options, &argc, &argv) ||
+      (options.settings && !read_settings (options.settings, &figures)))
     return 2;
   sim_log_init ();
-  live.daemon = o.daemon;
-  live.policy = o.policy;
-  live_prepare (&live, (guint32)f.seed, (int)f.controllers);
-  set_figures (live.w, &f);
+  live.daemon = options.daemon;
+  live.policy = options.policy;
+  live_prepare (&live, (guint32)figures.seed, (int)figures.controllers);
+  set_figures (live.world, &figures);
   live_begin (&live);
   g_unix_signal_add (SIGTERM, on_signal, &live);
   g_unix_signal_add (SIGINT, on_signal, &live);
-  int code = emulate (&live, &o);
+  int code = emulate (&live, &options);
   live_end (&live);
   return code;
 }
--- a/src/emulator/processes.c
+++ b/src/emulator/processes.c
@@ -27,42 +27,44 @@
 }
 
 void
-live_processes_prepare (Live *s)
+live_processes_prepare (Live *live)
 {
-  s->relays = g_ptr_array_new_with_free_func (live_relay_free);
-  for (int i = 0; i < s->w->n; i++) {
-    s->nodes[i].held[0] = hold_port (&s->nodes[i].front);
-    s->nodes[i].held[1] = hold_port (&s->nodes[i].back);
-    s->nodes[i].log = g_strdup_printf ("%s/c%d.log", s->dir, i);
+  live->relays = g_ptr_array_new_with_free_func (live_relay_free);
+  for (int i = 0; i < live->world->n; i++) {
+    live->nodes[i].held[0] = hold_port (&live->nodes[i].front);
+    live->nodes[i].held[1] = hold_port (&live->nodes[i].back);
+    live->nodes[i].log = g_strdup_printf ("%s/c%d.log", live->dir, i);
   }
-  for (int i = 0; i < s->w->n; i++)
-    for (int k = 0; k < s->w->n; k++)
+  for (int i = 0; i < live->world->n; i++)
+    for (int k = 0; k < live->world->n; k++)
       if (k != i)
-        s->nodes[i].peers[k] = live_relay (s, i, k);
+        live->nodes[i].peers[k] = live_relay (live, i, k);
 }
 
 static char *
-settings_file (const Live *s, int i)
+settings_file (const Live *live, int i)
 {
-  return g_strdup_printf ("%s/c%d.json", s->dir, i);
+  return g_strdup_printf ("%s/c%d.json", live->dir, i);
 }
 
 static char *
-write_settings (Live *s, int i)
+write_settings (Live *live, int i)
 {
-  const LiveNode *n = &s->nodes[i];
-  json_t *root = node_settings (s->w, i), *member;
-  json_object_set_new (root, "front", json_string (n->front));
-  json_object_set_new (root, "back", json_string (n->back));
-  json_object_set_new (json_object_get (root, "outside"), "cloud", json_string (n->cloud->address));
-  json_object_set_new (json_object_get (root, "outside"), "state", json_string (n->state->address));
+  const LiveNode *node = &live->nodes[i];
+  json_t *root = node_settings (live->world, i), *member;
+  json_object_set_new (root, "front", json_string (node->front));
+  json_object_set_new (root, "back", json_string (node->back));
+  json_object_set_new (json_object_get (root, "outside"), "cloud",
+                       json_string (node->cloud->address));
+  json_object_set_new (json_object_get (root, "outside"), "state",
+                       json_string (node->state->address));
   size_t at;
   json_array_foreach (json_object_get (root, "members"), at, member)
   {
     int k = json_string_value (json_object_get (member, "label"))[1] - '0';
-    json_object_set_new (member, "endpoint", json_string (n->peers[k]));
+    json_object_set_new (member, "endpoint", json_string (node->peers[k]));
   }
-  char *file = settings_file (s, i);
+  char *file = settings_file (live, i);
   if (json_dump_file (root, file, JSON_INDENT (1)) != 0)
     g_error ("emulator: %s cannot be written", file);
   json_decref (root);
@@ -85,67 +87,67 @@
 on_ended (GObject *source, GAsyncResult *result, gpointer data)
 {
   g_autofree Watched *watched = data;
-  Live *s = watched->live;
+  Live *live = watched->live;
   g_subprocess_wait_finish (G_SUBPROCESS (source), result, NULL);
-  if (!s->w || s->nodes[watched->node].process != G_SUBPROCESS (source))
+  if (!live->world || live->nodes[watched->node].process != G_SUBPROCESS (source))
     return; /* ended by us */
-  live_catch_up (s);
-  w_broken (s->w, "ended", "c%d ended by itself", watched->node);
-  node_kill (s->w, watched->node);
-  node_start_at (s->w, watched->node, s->w->now + 1);
+  live_catch_up (live);
+  w_broken (live->world, "ended", "c%d ended by itself", watched->node);
+  node_kill (live->world, watched->node);
+  node_start_at (live->world, watched->node, live->world->now + 1);
 }
 
 /* Its ports are free from here on. Waited for only when they are needed: a process with sanitizers
  * takes a while to go, and the stand-ins must not stand still meanwhile. */
 static void
-await_end (LiveNode *n)
+await_end (LiveNode *node)
 {
-  if (n->ending)
-    g_subprocess_wait (n->ending, NULL, NULL);
-  g_clear_object (&n->ending);
+  if (node->ending)
+    g_subprocess_wait (node->ending, NULL, NULL);
+  g_clear_object (&node->ending);
 }
 
 /* A controller that ends before its turn comes back old. */
 static const char *
-program_of (const Live *s, int i)
+program_of (const Live *live, int i)
 {
-  return s->old_daemon && !s->w->nodes[i].upgraded ? s->old_daemon : s->daemon;
+  return live->old_daemon && !live->world->nodes[i].upgraded ? live->old_daemon : live->daemon;
 }
 
 static void
-start (World *w, int i)
+start (World *world, int i)
 {
-  Live *s = w->controllers_data;
-  LiveNode *n = &s->nodes[i];
-  g_autofree char *settings = write_settings (s, i);
-  await_end (n);
+  Live *live = world->controllers_data;
+  LiveNode *node = &live->nodes[i];
+  g_autofree char *settings = write_settings (live, i);
+  await_end (node);
   g_autoptr (GError) error = NULL;
   g_autoptr (GSubprocessLauncher) launcher = g_subprocess_launcher_new (G_SUBPROCESS_FLAGS_NONE);
   g_subprocess_launcher_setenv (launcher, "LOG_LEVEL", "debug", TRUE);
   g_subprocess_launcher_unsetenv (launcher, "G_MESSAGES_DEBUG");
   g_subprocess_launcher_set_child_setup (launcher, end_with_parent, NULL, NULL);
-  int log = g_open (n->log, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
+  int log = g_open (node->log, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
   g_subprocess_launcher_take_stderr_fd (launcher, log);
-  n->process = g_subprocess_launcher_spawn (launcher, &error, program_of (s, i), "--policy",
-                                            s->policy, "--config", settings, NULL);
-  if (!n->process)
+  node->process = g_subprocess_launcher_spawn (launcher, &error, program_of (live, i), "--policy",
+                                               live->policy, "--config", settings, NULL);
+  if (!node->process)
     g_error ("emulator: %s", error->message);
   Watched *watched = g_new (Watched, 1);
-  *watched = (Watched){s, i};
-  g_subprocess_wait_async (n->process, NULL, on_ended, watched);
+  *watched = (Watched){live, i};
+  g_subprocess_wait_async (node->process, NULL, on_ended, watched);
 }
 
 static void
-end (World *w, int i)
+end (World *world, int i)
 {
-  Live *s = w->controllers_data;
-  GSubprocess *process = g_steal_pointer (&s->nodes[i].process);
+  Live *live = world->controllers_data;
+  GSubprocess *process = g_steal_pointer (&live->nodes[i].process);
   if (!process)
     return;
-  s->kills++;
+  live->kills++;
   g_subprocess_force_exit (process);
-  await_end (&s->nodes[i]);
-  s->nodes[i].ending = process;
+  await_end (&live->nodes[i]);
+  live->nodes[i].ending = process;
 }
 
 typedef struct {
@@ -154,23 +156,23 @@
 } Stopped;
 
 static void
-go_on (World *w, gpointer data)
+go_on (World *world, gpointer data)
 {
   g_autofree Stopped *stopped = data;
-  Live *s = w->controllers_data;
-  if (w->nodes[stopped->node].up && w->nodes[stopped->node].gen == stopped->gen)
-    g_subprocess_send_signal (s->nodes[stopped->node].process, SIGCONT);
+  Live *live = world->controllers_data;
+  if (world->nodes[stopped->node].up && world->nodes[stopped->node].gen == stopped->gen)
+    g_subprocess_send_signal (live->nodes[stopped->node].process, SIGCONT);
 }
 
 static void
-freeze (World *w, int i, double for_s)
+freeze (World *world, int i, double for_s)
 {
-  Live *s = w->controllers_data;
-  s->freezes++;
-  g_subprocess_send_signal (s->nodes[i].process, SIGSTOP);
+  Live *live = world->controllers_data;
+  live->freezes++;
+  g_subprocess_send_signal (live->nodes[i].process, SIGSTOP);
   Stopped *stopped = g_new (Stopped, 1);
-  *stopped = (Stopped){i, w->nodes[i].gen};
-  w_at (w, w->now + for_s, go_on, stopped);
+  *stopped = (Stopped){i, world->nodes[i].gen};
+  w_at (world, world->now + for_s, go_on, stopped);
 }
 
 const WControllers live_controllers = {start, end, live_push, freeze, live_worker_address};
@@ -183,28 +185,28 @@
 }
 
 static void
-remove_files (const Live *s, int i)
+remove_files (const Live *live, int i)
 {
-  g_autofree char *settings = settings_file (s, i);
+  g_autofree char *settings = settings_file (live, i);
   remove_file (settings);
-  remove_file (s->nodes[i].log);
+  remove_file (live->nodes[i].log);
 }
 
 void
-live_processes_end (Live *s)
+live_processes_end (Live *live)
 {
-  for (int i = 0; i < s->w->n; i++) {
-    LiveNode *n = &s->nodes[i];
-    await_end (n);
+  for (int i = 0; i < live->world->n; i++) {
+    LiveNode *node = &live->nodes[i];
+    await_end (node);
     for (int k = 0; k < 2; k++)
-      g_object_unref (n->held[k]);
-    for (int k = 0; k < s->w->n; k++)
-      g_free (n->peers[k]);
-    if (s->remove_files)
-      remove_files (s, i);
-    g_free (n->front);
-    g_free (n->back);
-    g_free (n->log);
+      g_object_unref (node->held[k]);
+    for (int k = 0; k < live->world->n; k++)
+      g_free (node->peers[k]);
+    if (live->remove_files)
+      remove_files (live, i);
+    g_free (node->front);
+    g_free (node->back);
+    g_free (node->log);
   }
-  g_ptr_array_unref (s->relays);
+  g_ptr_array_unref (live->relays);
 }
--- a/src/hoprockd.c
+++ b/src/hoprockd.c
@@ -28,49 +28,49 @@
 
 /* The core has no view of its process. */
 static void
-add_process_metrics (HrEffect *e)
+add_process_metrics (HrEffect *effect)
 {
-  GString *text = g_string_new (e->body);
+  GString *text = g_string_new (effect->body);
   hr_process_metrics_append (text);
-  g_free (e->body);
-  e->body = g_string_free (text, FALSE);
+  g_free (effect->body);
+  effect->body = g_string_free (text, FALSE);
 }
 
 static gboolean
 run_batch (gpointer data)
 {
-  Daemon *d = data;
-  d->pending = 0;
-  g_autoptr (GPtrArray) batch = g_steal_pointer (&d->queue);
-  d->queue = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_command_free);
+  Daemon *daemon = data;
+  daemon->pending = 0;
+  g_autoptr (GPtrArray) batch = g_steal_pointer (&daemon->queue);
+  daemon->queue = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_command_free);
   g_autoptr (GPtrArray) effects = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_effect_free);
   gint64 begun = g_get_monotonic_time ();
-  hr_core_step (d->core, begun / 1e6, g_get_real_time () / 1e6, batch, effects);
-  hr_core_step_took (d->core, (g_get_monotonic_time () - begun) / 1e6);
+  hr_core_step (daemon->core, begun / 1e6, g_get_real_time () / 1e6, batch, effects);
+  hr_core_step_took (daemon->core, (g_get_monotonic_time () - begun) / 1e6);
   for (guint i = 0; i < effects->len; i++) {
-    HrEffect *e = effects->pdata[i];
-    if (e->plain)
-      add_process_metrics (e);
-    if (e->kind == HR_EFFECT_REPLY)
-      hr_http_server_reply (d->server, e);
-    else if (e->kind == HR_EFFECT_CALL)
-      hr_http_client_call (d->client, e);
+    HrEffect *effect = effects->pdata[i];
+    if (effect->plain)
+      add_process_metrics (effect);
+    if (effect->kind == HR_EFFECT_REPLY)
+      hr_http_server_reply (daemon->server, effect);
+    else if (effect->kind == HR_EFFECT_CALL)
+      hr_http_client_call (daemon->client, effect);
     else
-      hr_peers_tell (d->peers, e->peer_status);
+      hr_peers_tell (daemon->peers, effect->peer_status);
   }
-  hr_http_server_flush (d->server);
+  hr_http_server_flush (daemon->server);
   return G_SOURCE_REMOVE;
 }
 
 static void
-sink (HrCommand *c, gpointer data)
+sink (HrCommand *command, gpointer data)
 {
-  Daemon *d = data;
-  g_ptr_array_add (d->queue, c);
+  Daemon *daemon = data;
+  g_ptr_array_add (daemon->queue, command);
   /* At the sockets' own priority: when the loop is busy, commands gather into
    * larger batches, but the owner of the state is never starved. */
-  if (!d->pending)
-    d->pending = g_idle_add_full (G_PRIORITY_DEFAULT, run_batch, d, NULL);
+  if (!daemon->pending)
+    daemon->pending = g_idle_add_full (G_PRIORITY_DEFAULT, run_batch, daemon, NULL);
 }
 
 static gboolean
@@ -95,11 +95,11 @@
 
 /* What our own calls leave, but half at the least. */
 static guint
-server_share (const HrSettings *s)
+server_share (const HrSettings *settings)
 {
-  guint own =
-      hr_http_client_sockets (s->sockets) + OTHER_SOCKETS + MEMBER_SOCKETS * s->members->len;
-  return MAX (s->sockets / 2, s->sockets - MIN (own, s->sockets));
+  guint own = hr_http_client_sockets (settings->sockets) + OTHER_SOCKETS +
+              MEMBER_SOCKETS * settings->members->len;
+  return MAX (settings->sockets / 2, settings->sockets - MIN (own, settings->sockets));
 }
 
 static int
@@ -107,13 +107,14 @@
 {
   g_autoptr (GHashTable) vars = hr_policy_vars_new ();
   g_autoptr (GError) error = NULL;
-  HrPolicy p;
+  HrPolicy policy;
   hr_core_policy_vars (NULL, vars);
-  if (!hr_policy_load (file, vars, &p, &error) || !hr_core_policy_check (&p, vars, &error)) {
+  if (!hr_policy_load (file, vars, &policy, &error) ||
+      !hr_core_policy_check (&policy, vars, &error)) {
     fprintf (stderr, "hoprockd: %s\n", error->message);
     return 1;
   }
-  g_autofree char *text = hr_policy_describe (&p);
+  g_autofree char *text = hr_policy_describe (&policy);
   printf ("%s is valid. With the figures of a sample platform:\n%s", file, text);
   return 0;
 }
@@ -129,17 +130,18 @@
 
 /* Says what would be started, without starting it. */
 static void
-print_config (const HrSettings *s, const HrPolicy *p)
+print_config (const HrSettings *settings, const HrPolicy *policy)
 {
-  printf ("%s: users and workers at %s, other controllers at %s\n", s->label, s->front, s->back);
-  for (guint i = 0; i < s->members->len; i++) {
-    const HrMember *m = &g_array_index (s->members, HrMember, i);
-    printf ("member %s (%s) at %s\n", m->label, m->zone, m->endpoint);
+  printf ("%s: users and workers at %s, other controllers at %s\n", settings->label,
+          settings->front, settings->back);
+  for (guint i = 0; i < settings->members->len; i++) {
+    const HrMember *member = &g_array_index (settings->members, HrMember, i);
+    printf ("member %s (%s) at %s\n", member->label, member->zone, member->endpoint);
   }
-  printf ("state service at %s, cloud at %s\n", s->state, s->cloud);
+  printf ("state service at %s, cloud at %s\n", settings->state, settings->cloud);
   printf ("workers report every %g s, lease %g s, cancellations within %g s; a leader without a "
           "reading goes on for %g s\n",
-          s->report_s, s->lease_s, s->cancel_s, p->hold_s);
+          settings->report_s, settings->lease_s, settings->cancel_s, policy->hold_s);
   printf ("the settings and the policy are valid\n");
 }
 
@@ -149,30 +151,30 @@
 } Options;
 
 static void
-options_clear (Options *o)
+options_clear (Options *options)
 {
-  g_free (o->config);
-  g_free (o->policy);
-  g_free (o->check_policy);
-  g_free (o->log_format);
+  g_free (options->config);
+  g_free (options->policy);
+  g_free (options->check_policy);
+  g_free (options->log_format);
 }
 
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (Options, options_clear)
 
 static gboolean
-parse_options (Options *o, int *argc, char ***argv)
+parse_options (Options *options, int *argc, char ***argv)
 {
   const GOptionEntry entries[] = {
-      {"config", 'c', 0, G_OPTION_ARG_FILENAME, &o->config, "the platform's settings (JSON)",
+      {"config", 'c', 0, G_OPTION_ARG_FILENAME, &options->config, "the platform's settings (JSON)",
        "FILE"},
-      {"policy", 'p', 0, G_OPTION_ARG_FILENAME, &o->policy, "the operators' policy", "FILE"},
-      {"check-policy", 0, 0, G_OPTION_ARG_FILENAME, &o->check_policy,
+      {"policy", 'p', 0, G_OPTION_ARG_FILENAME, &options->policy, "the operators' policy", "FILE"},
+      {"check-policy", 0, 0, G_OPTION_ARG_FILENAME, &options->check_policy,
        "check a policy file and leave", "FILE"},
-      {"check-config", 0, 0, G_OPTION_ARG_NONE, &o->check_config,
+      {"check-config", 0, 0, G_OPTION_ARG_NONE, &options->check_config,
        "check settings and policy, say what they mean, and leave", NULL},
-      {"log-format", 0, 0, G_OPTION_ARG_STRING, &o->log_format,
+      {"log-format", 0, 0, G_OPTION_ARG_STRING, &options->log_format,
        "text (the default), or json: one object a line", "FORMAT"},
-      {"version", 0, 0, G_OPTION_ARG_NONE, &o->version, "show the version and leave", NULL},
+      {"version", 0, 0, G_OPTION_ARG_NONE, &options->version, "show the version and leave", NULL},
       {NULL}};
   g_autoptr (GOptionContext) ctx =
       g_option_context_new ("- a controller of the hoprock cluster scheduler");
@@ -187,11 +189,12 @@
 }
 
 static gboolean
-begin_log (const Options *o)
+begin_log (const Options *options)
 {
-  gboolean json = g_strcmp0 (o->log_format, "json") == 0;
-  if (o->log_format && !json && !g_str_equal (o->log_format, "text")) {
-    fprintf (stderr, "hoprockd: --log-format: expected text or json, not %s\n", o->log_format);
+  gboolean json = g_strcmp0 (options->log_format, "json") == 0;
+  if (options->log_format && !json && !g_str_equal (options->log_format, "text")) {
+    fprintf (stderr, "hoprockd: --log-format: expected text or json, not %s\n",
+             options->log_format);
     return FALSE;
   }
   if (!hr_log_writer_begin (g_getenv ("LOG_LEVEL"), json ? HR_LOG_JSON : HR_LOG_TEXT)) {
@@ -206,26 +209,28 @@
 serve (const HrSettings *settings, const HrPolicy *policy, HrNames *names)
 {
   g_autoptr (GError) error = NULL;
-  Daemon d = {0};
-  d.queue = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_command_free);
+  Daemon daemon = {0};
+  daemon.queue = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_command_free);
   /* The incarnation tells this process from every earlier one of the same label. */
   g_autofree char *uuid = g_uuid_string_random ();
   uuid[8] = 0;
   g_autofree char *incarnation =
       g_strdup_printf ("%" G_GINT64_FORMAT "-%s", g_get_real_time (), uuid);
-  d.core = hr_core_new (settings, policy, names, incarnation, g_random_int ());
-  d.client = hr_http_client_new (settings->state, settings->cloud, settings->sockets, sink, &d);
-  d.peers = hr_peers_new (settings, sink, &d, &error);
-  if (d.peers)
-    d.server = hr_http_server_new (settings->front, server_share (settings), sink, &d, &error);
-  if (!d.server) {
+  daemon.core = hr_core_new (settings, policy, names, incarnation, g_random_int ());
+  daemon.client =
+      hr_http_client_new (settings->state, settings->cloud, settings->sockets, sink, &daemon);
+  daemon.peers = hr_peers_new (settings, sink, &daemon, &error);
+  if (daemon.peers)
+    daemon.server =
+        hr_http_server_new (settings->front, server_share (settings), sink, &daemon, &error);
+  if (!daemon.server) {
     fprintf (stderr, "hoprockd: cannot listen: %s\n", error->message);
     return 1;
   }
   g_info ("hoprockd %s: %s, incarnation %s", HR_VERSION, settings->label, incarnation);
   g_main_context_set_poll_func (g_main_context_default (), poll_in_batches);
-  g_timeout_add (TICK_MS, on_tick, &d);
-  on_tick (&d);
+  g_timeout_add (TICK_MS, on_tick, &daemon);
+  on_tick (&daemon);
   g_autoptr (GMainLoop) loop = g_main_loop_new (NULL, FALSE);
   g_main_loop_run (loop);
   return 0;
@@ -238,31 +243,31 @@
    */
   g_setenv ("GIO_MODULE_DIR", "/nonexistent", TRUE);
   g_setenv ("GIO_USE_VFS", "local", TRUE);
-  g_auto (Options) o = {0};
-  if (!parse_options (&o, &argc, &argv))
+  g_auto (Options) options = {0};
+  if (!parse_options (&options, &argc, &argv))
     return 2;
-  if (o.version) {
+  if (options.version) {
     printf ("hoprockd %s\n", HR_VERSION);
     return 0;
   }
-  if (!begin_log (&o))
+  if (!begin_log (&options))
     return 2;
-  if (o.check_policy)
-    return check_policy (o.check_policy);
-  if (!o.config || !o.policy) {
+  if (options.check_policy)
+    return check_policy (options.check_policy);
+  if (!options.config || !options.policy) {
     fprintf (stderr, "hoprockd: --config FILE and --policy FILE are needed; see --help\n");
     return 2;
   }
   g_autoptr (GError) error = NULL;
   HrNames names;
   hr_names_init (&names);
-  g_autoptr (HrSettings) settings = hr_settings_load (o.config, &names, &error);
+  g_autoptr (HrSettings) settings = hr_settings_load (options.config, &names, &error);
   HrPolicy policy;
-  if (!settings || !load_policy (o.policy, settings, &policy, &error)) {
+  if (!settings || !load_policy (options.policy, settings, &policy, &error)) {
     fprintf (stderr, "hoprockd: %s\n", error->message);
     return 1;
   }
-  if (o.check_config) {
+  if (options.check_config) {
     print_config (settings, &policy);
     return 0;
   }
--- a/src/policy/policy.c
+++ b/src/policy/policy.c
@@ -29,7 +29,7 @@
 typedef struct {
   GScanner *scan;
   const char *file;
-  GHashTable *vars, *set; /* set: tunables already given */
+  GHashTable *vars, *assigned; /* set: tunables already given */
   HrPolicy *out;
   GError **error;
   gboolean failed;
@@ -53,208 +53,210 @@
 };
 
 static double
-fail (Parser *p, const char *expected)
+fail (Parser *parser, const char *expected)
 {
-  if (!p->failed) {
-    g_scanner_get_next_token (p->scan);
-    g_set_error (p->error, G_IO_ERROR, G_IO_ERROR_INVALID_DATA, "%s:%u:%u: expected %s", p->file,
-                 g_scanner_cur_line (p->scan), g_scanner_cur_position (p->scan), expected);
+  if (!parser->failed) {
+    g_scanner_get_next_token (parser->scan);
+    g_set_error (parser->error, G_IO_ERROR, G_IO_ERROR_INVALID_DATA, "%s:%u:%u: expected %s",
+                 parser->file, g_scanner_cur_line (parser->scan),
+                 g_scanner_cur_position (parser->scan), expected);
   }
-  p->failed = TRUE;
+  parser->failed = TRUE;
   return 0;
 }
 
 static gboolean
-accept (Parser *p, guint token)
+accept (Parser *parser, guint token)
 {
-  if (p->failed || g_scanner_peek_next_token (p->scan) != token)
+  if (parser->failed || g_scanner_peek_next_token (parser->scan) != token)
     return FALSE;
-  g_scanner_get_next_token (p->scan);
+  g_scanner_get_next_token (parser->scan);
   return TRUE;
 }
 
 static void
-need (Parser *p, guint token, const char *expected)
+need (Parser *parser, guint token, const char *expected)
 {
-  if (!p->failed && !accept (p, token))
-    fail (p, expected);
+  if (!parser->failed && !accept (parser, token))
+    fail (parser, expected);
 }
 
-static double expr (Parser *p);
+static double expr (Parser *parser);
 
 static double
-named (Parser *p)
+named (Parser *parser)
 {
-  g_autofree char *name = g_strdup (p->scan->next_value.v_identifier);
-  const double *v = g_hash_table_lookup (p->vars, name);
+  g_autofree char *name = g_strdup (parser->scan->next_value.v_identifier);
+  const double *variable = g_hash_table_lookup (parser->vars, name);
   gboolean least = g_str_equal (name, "min");
-  if (v) {
-    g_scanner_get_next_token (p->scan);
-    return *v;
+  if (variable) {
+    g_scanner_get_next_token (parser->scan);
+    return *variable;
   }
   for (gsize i = 0; i < G_N_ELEMENTS (tunables); i++)
-    if (g_str_equal (tunables[i].name, name) && g_hash_table_contains (p->set, name)) {
-      g_scanner_get_next_token (p->scan);
-      return G_STRUCT_MEMBER (double, p->out, tunables[i].offset);
+    if (g_str_equal (tunables[i].name, name) && g_hash_table_contains (parser->assigned, name)) {
+      g_scanner_get_next_token (parser->scan);
+      return G_STRUCT_MEMBER (double, parser->out, tunables[i].offset);
     }
   if (!least && !g_str_equal (name, "max"))
-    return fail (p, "a figure of the platform, or a tunable set further up");
-  g_scanner_get_next_token (p->scan);
-  need (p, '(', "'('");
-  double r = expr (p);
-  while (accept (p, ',')) {
-    double x = expr (p);
-    r = least ? MIN (r, x) : MAX (r, x);
+    return fail (parser, "a figure of the platform, or a tunable set further up");
+  g_scanner_get_next_token (parser->scan);
+  need (parser, '(', "'('");
+  double right = expr (parser);
+  while (accept (parser, ',')) {
+    double left = expr (parser);
+    right = least ? MIN (right, left) : MAX (right, left);
   }
-  need (p, ')', "')' or ','");
-  return r;
+  need (parser, ')', "')' or ','");
+  return right;
 }
 
 static double
-unary (Parser *p)
+unary (Parser *parser)
 {
-  if (p->failed)
+  if (parser->failed)
     return 0;
-  if (++p->depth > 200)
-    return fail (p, "fewer nested parts");
-  double r = 0;
-  if (accept (p, '-'))
-    r = -unary (p);
-  else if (accept (p, '!'))
-    r = !unary (p);
-  else if (accept (p, G_TOKEN_FLOAT))
-    r = p->scan->value.v_float;
-  else if (accept (p, '(')) {
-    r = expr (p);
-    need (p, ')', "')'");
-  } else if (g_scanner_peek_next_token (p->scan) == G_TOKEN_IDENTIFIER)
-    r = named (p);
+  if (++parser->depth > 200)
+    return fail (parser, "fewer nested parts");
+  double right = 0;
+  if (accept (parser, '-'))
+    right = -unary (parser);
+  else if (accept (parser, '!'))
+    right = !unary (parser);
+  else if (accept (parser, G_TOKEN_FLOAT))
+    right = parser->scan->value.v_float;
+  else if (accept (parser, '(')) {
+    right = expr (parser);
+    need (parser, ')', "')'");
+  } else if (g_scanner_peek_next_token (parser->scan) == G_TOKEN_IDENTIFIER)
+    right = named (parser);
   else
-    r = fail (p, "a number, a name or '('");
-  p->depth--;
-  return r;
+    right = fail (parser, "a number, a name or '('");
+  parser->depth--;
+  return right;
 }
 
 static double
-product (Parser *p)
+product (Parser *parser)
 {
-  double r = unary (p);
-  while (!p->failed) {
-    if (accept (p, '*'))
-      r *= unary (p);
-    else if (accept (p, '/')) {
-      double d = unary (p);
-      if (!p->failed && d == 0)
-        return fail (p, "a divisor other than 0");
-      r /= d;
+  double right = unary (parser);
+  while (!parser->failed) {
+    if (accept (parser, '*'))
+      right *= unary (parser);
+    else if (accept (parser, '/')) {
+      double d = unary (parser);
+      if (!parser->failed && d == 0)
+        return fail (parser, "a divisor other than 0");
+      right /= d;
     } else
       break;
   }
-  return r;
+  return right;
 }
 
 static double
-sum (Parser *p)
+sum (Parser *parser)
 {
-  double r = product (p);
-  while (!p->failed) {
-    if (accept (p, '+'))
-      r += product (p);
-    else if (accept (p, '-'))
-      r -= product (p);
+  double right = product (parser);
+  while (!parser->failed) {
+    if (accept (parser, '+'))
+      right += product (parser);
+    else if (accept (parser, '-'))
+      right -= product (parser);
     else
       break;
   }
-  return r;
+  return right;
 }
 
 static double
-compare (Parser *p)
+compare (Parser *parser)
 {
-  double l = sum (p);
-  if (accept (p, '<'))
-    return accept (p, '=') ? l <= sum (p) : l < sum (p);
-  if (accept (p, '>'))
-    return accept (p, '=') ? l >= sum (p) : l > sum (p);
-  if (accept (p, '=')) {
-    need (p, '=', "'=='");
-    return l == sum (p);
+  double left = sum (parser);
+  if (accept (parser, '<'))
+    return accept (parser, '=') ? left <= sum (parser) : left < sum (parser);
+  if (accept (parser, '>'))
+    return accept (parser, '=') ? left >= sum (parser) : left > sum (parser);
+  if (accept (parser, '=')) {
+    need (parser, '=', "'=='");
+    return left == sum (parser);
   }
-  if (accept (p, '!')) {
-    need (p, '=', "'!='");
-    return l != sum (p);
+  if (accept (parser, '!')) {
+    need (parser, '=', "'!='");
+    return left != sum (parser);
   }
-  return l;
+  return left;
 }
 
 static double
-both (Parser *p)
+both (Parser *parser)
 {
-  double l = compare (p);
-  while (accept (p, '&')) {
-    need (p, '&', "'&&'");
-    double r = compare (p);
-    l = l != 0 && r != 0;
+  double left = compare (parser);
+  while (accept (parser, '&')) {
+    need (parser, '&', "'&&'");
+    double right = compare (parser);
+    left = left != 0 && right != 0;
   }
-  return l;
+  return left;
 }
 
 static double
-either (Parser *p)
+either (Parser *parser)
 {
-  double l = both (p);
-  while (accept (p, '|')) {
-    need (p, '|', "'||'");
-    double r = both (p);
-    l = l != 0 || r != 0;
+  double left = both (parser);
+  while (accept (parser, '|')) {
+    need (parser, '|', "'||'");
+    double right = both (parser);
+    left = left != 0 || right != 0;
   }
-  return l;
+  return left;
 }
 
 static double
-expr (Parser *p)
+expr (Parser *parser)
 {
-  double c = either (p);
-  if (!accept (p, '?'))
-    return c;
-  double a = expr (p);
-  need (p, ':', "':'");
-  double b = expr (p);
-  return c != 0 ? a : b;
+  double value = either (parser);
+  if (!accept (parser, '?'))
+    return value;
+  double a = expr (parser);
+  need (parser, ':', "':'");
+  double b = expr (parser);
+  return value != 0 ? a : b;
 }
 
 static void
-assignment (Parser *p)
+assignment (Parser *parser)
 {
-  if (g_scanner_peek_next_token (p->scan) != G_TOKEN_IDENTIFIER) {
-    fail (p, "the name of a tunable");
+  if (g_scanner_peek_next_token (parser->scan) != G_TOKEN_IDENTIFIER) {
+    fail (parser, "the name of a tunable");
     return;
   }
-  const Tunable *t = NULL;
+  const Tunable *tunable = NULL;
   for (gsize i = 0; i < G_N_ELEMENTS (tunables); i++)
-    if (g_str_equal (tunables[i].name, p->scan->next_value.v_identifier))
-      t = &tunables[i];
-  if (!t || g_hash_table_contains (p->set, t->name)) {
-    fail (p, t ? "each tunable once" : "a tunable that exists (see docs/operations.md)");
+    if (g_str_equal (tunables[i].name, parser->scan->next_value.v_identifier))
+      tunable = &tunables[i];
+  if (!tunable || g_hash_table_contains (parser->assigned, tunable->name)) {
+    fail (parser, tunable ? "each tunable once" : "a tunable that exists (see docs/operations.md)");
     return;
   }
-  g_scanner_get_next_token (p->scan);
-  need (p, '=', "'='");
-  double v = expr (p);
-  if (p->failed)
+  g_scanner_get_next_token (parser->scan);
+  need (parser, '=', "'='");
+  double value = expr (parser);
+  if (parser->failed)
     return;
-  if (!isfinite (v) || v < t->lo || v > t->hi) {
-    g_autofree char *want = g_strdup_printf ("%s from %g to %g, not %g", t->name, t->lo, t->hi, v);
-    fail (p, want);
+  if (!isfinite (value) || value < tunable->lo || value > tunable->hi) {
+    g_autofree char *want = g_strdup_printf ("%s from %g to %g, not %g", tunable->name, tunable->lo,
+                                             tunable->hi, value);
+    fail (parser, want);
     return;
   }
-  need (p, ';', "';'");
-  G_STRUCT_MEMBER (double, p->out, t->offset) = v;
-  g_hash_table_add (p->set, (gpointer)t->name);
+  need (parser, ';', "';'");
+  G_STRUCT_MEMBER (double, parser->out, tunable->offset) = value;
+  g_hash_table_add (parser->assigned, (gpointer)tunable->name);
 }
 
 static void
-quiet (GScanner *s, gchar *message, gboolean is_error)
+quiet (GScanner *scanner, gchar *message, gboolean is_error)
 {
 }
 
@@ -262,21 +264,21 @@
 hr_policy_eval (const char *file, const char *text, GHashTable *vars, HrPolicy *out, GError **error)
 {
   memset (out, 0, sizeof *out);
-  Parser p = {
+  Parser parser = {
       .scan = g_scanner_new (&config), .file = file, .vars = vars, .out = out, .error = error};
-  p.set = g_hash_table_new (g_str_hash, g_str_equal);
-  p.scan->msg_handler = quiet;
-  g_scanner_input_text (p.scan, text, strlen (text));
-  while (!p.failed && g_scanner_peek_next_token (p.scan) != G_TOKEN_EOF)
-    assignment (&p);
-  for (gsize i = 0; !p.failed && i < G_N_ELEMENTS (tunables); i++)
-    if (!g_hash_table_contains (p.set, tunables[i].name)) {
+  parser.assigned = g_hash_table_new (g_str_hash, g_str_equal);
+  parser.scan->msg_handler = quiet;
+  g_scanner_input_text (parser.scan, text, strlen (text));
+  while (!parser.failed && g_scanner_peek_next_token (parser.scan) != G_TOKEN_EOF)
+    assignment (&parser);
+  for (gsize i = 0; !parser.failed && i < G_N_ELEMENTS (tunables); i++)
+    if (!g_hash_table_contains (parser.assigned, tunables[i].name)) {
       g_autofree char *want = g_strdup_printf ("a line that sets %s", tunables[i].name);
-      fail (&p, want);
+      fail (&parser, want);
     }
-  g_scanner_destroy (p.scan);
-  g_hash_table_unref (p.set);
-  return !p.failed;
+  g_scanner_destroy (parser.scan);
+  g_hash_table_unref (parser.assigned);
+  return !parser.failed;
 }
 
 gboolean
@@ -288,13 +290,13 @@
 }
 
 char *
-hr_policy_describe (const HrPolicy *p)
+hr_policy_describe (const HrPolicy *policy)
 {
-  GString *s = g_string_new (NULL);
+  GString *text = g_string_new (NULL);
   for (gsize i = 0; i < G_N_ELEMENTS (tunables); i++)
-    g_string_append_printf (s, "%-20s %10g   %s\n", tunables[i].name,
-                            G_STRUCT_MEMBER (double, p, tunables[i].offset), tunables[i].doc);
-  return g_string_free (s, FALSE);
+    g_string_append_printf (text, "%-20s %10g   %s\n", tunables[i].name,
+                            G_STRUCT_MEMBER (double, policy, tunables[i].offset), tunables[i].doc);
+  return g_string_free (text, FALSE);
 }
 
 GHashTable *
--- a/src/policy/policy.h
+++ b/src/policy/policy.h
@@ -46,7 +46,7 @@
                          GError **error);
 gboolean hr_policy_load (const char *file, GHashTable *vars, HrPolicy *out, GError **error);
 /* One line per tunable: its value, range and meaning. */
-char *hr_policy_describe (const HrPolicy *p);
+char *hr_policy_describe (const HrPolicy *policy);
 
 /* name -> double*, for figures of the platform. */
 GHashTable *hr_policy_vars_new (void);
--- a/src/protocol/cloud.h
+++ b/src/protocol/cloud.h
@@ -17,5 +17,5 @@
 } HrListedInstance;
 
 /* Entries that make no sense are left out; NULL when nothing usable is there. */
-GArray *hr_machine_types_parse (const json_t *o, HrNames *names); /* HrMachineType */
-gboolean hr_listed_instance_parse (const json_t *o, HrListedInstance *out);
+GArray *hr_machine_types_parse (const json_t *object, HrNames *names); /* HrMachineType */
+gboolean hr_listed_instance_parse (const json_t *object, HrListedInstance *out);
