--- a/src/protocol/intern.c
+++ b/src/protocol/intern.c
@@ -1,40 +1,40 @@
 #include "protocol/intern.h"
 
 void
-hr_intern_init (HrIntern *in)
+hr_intern_init (HrIntern *intern)
 {
-  in->names = g_ptr_array_new_with_free_func (g_free);
-  in->by_name = g_hash_table_new (g_str_hash, g_str_equal);
+  intern->names = g_ptr_array_new_with_free_func (g_free);
+  intern->by_name = g_hash_table_new (g_str_hash, g_str_equal);
 }
 
 void
-hr_intern_clear (HrIntern *in)
+hr_intern_clear (HrIntern *intern)
 {
-  g_clear_pointer (&in->by_name, g_hash_table_unref);
-  g_clear_pointer (&in->names, g_ptr_array_unref);
+  g_clear_pointer (&intern->by_name, g_hash_table_unref);
+  g_clear_pointer (&intern->names, g_ptr_array_unref);
 }
 
 guint32
-hr_intern (HrIntern *in, const char *name)
+hr_intern (HrIntern *intern, const char *name)
 {
-  guint32 i = hr_intern_find (in, name);
+  guint32 i = hr_intern_find (intern, name);
   if (i != HR_NONE)
     return i;
   char *own = g_strdup (name);
-  g_ptr_array_add (in->names, own);
-  g_hash_table_insert (in->by_name, own, GUINT_TO_POINTER (in->names->len));
-  return in->names->len - 1;
+  g_ptr_array_add (intern->names, own);
+  g_hash_table_insert (intern->by_name, own, GUINT_TO_POINTER (intern->names->len));
+  return intern->names->len - 1;
 }
 
 guint32
-hr_intern_find (const HrIntern *in, const char *name)
+hr_intern_find (const HrIntern *intern, const char *name)
 {
-  guint v = GPOINTER_TO_UINT (g_hash_table_lookup (in->by_name, name));
+  guint v = GPOINTER_TO_UINT (g_hash_table_lookup (intern->by_name, name));
   return v ? v - 1 : HR_NONE;
 }
 
 const char *
-hr_intern_name (const HrIntern *in, guint32 i)
+hr_intern_name (const HrIntern *intern, guint32 i)
 {
-  return i < in->names->len ? in->names->pdata[i] : "";
+  return i < intern->names->len ? intern->names->pdata[i] : "";
 }
--- a/src/protocol/intern.h
+++ b/src/protocol/intern.h
@@ -9,8 +9,8 @@
   GPtrArray *names;
 } HrIntern;
 
-void hr_intern_init (HrIntern *in);
-void hr_intern_clear (HrIntern *in);
-guint32 hr_intern (HrIntern *in, const char *name);
-guint32 hr_intern_find (const HrIntern *in, const char *name);
-const char *hr_intern_name (const HrIntern *in, guint32 i);
+void hr_intern_init (HrIntern *intern);
+void hr_intern_clear (HrIntern *intern);
+guint32 hr_intern (HrIntern *intern, const char *name);
+guint32 hr_intern_find (const HrIntern *intern, const char *name);
+const char *hr_intern_name (const HrIntern *intern, guint32 i);
--- a/src/protocol/jobspec.h
+++ b/src/protocol/jobspec.h
@@ -21,8 +21,8 @@
   HrIntern classes, teams, images, types, zones;
 } HrNames;
 
-void hr_names_init (HrNames *n);
-void hr_names_clear (HrNames *n);
+void hr_names_init (HrNames *names);
+void hr_names_clear (HrNames *names);
 
 typedef struct {
   guint32 job_class, team, image, zone; /* zone: HR_NONE for any */
@@ -38,12 +38,12 @@
 /* `job-` and a name; what a key of the state service can hold. */
 gboolean hr_job_id_valid (const char *id);
 /* Parses the body of a submission. On failure *reason says which field and why. */
-gboolean hr_jobspec_parse (const json_t *o, HrNames *names, HrJobSpec *out, const char **id,
+gboolean hr_jobspec_parse (const json_t *object, HrNames *names, HrJobSpec *out, const char **id,
                            char **reason);
 /* The ids that a submission's `awaits` names, each once and in order; NULL in *out when there
  * are none. On failure *reason says why. */
-gboolean hr_jobspec_awaits (const json_t *o, GStrv *out, char **reason);
+gboolean hr_jobspec_awaits (const json_t *object, GStrv *out, char **reason);
 /* An array of well-formed job ids; NULL when it is anything else. */
-GStrv hr_job_ids_read (const json_t *a);
-json_t *hr_jobspec_pack (const HrJobSpec *s, const HrNames *names);
-gboolean hr_jobspec_unpack (const json_t *a, HrNames *names, HrJobSpec *out);
+GStrv hr_job_ids_read (const json_t *array);
+json_t *hr_jobspec_pack (const HrJobSpec *spec, const HrNames *names);
+gboolean hr_jobspec_unpack (const json_t *array, HrNames *names, HrJobSpec *out);
--- a/src/protocol/json_util.c
+++ b/src/protocol/json_util.c
@@ -2,12 +2,12 @@
 #include <math.h>
 
 gboolean
-hr_json_num (const json_t *o, const char *key, double *out)
+hr_json_num (const json_t *object, const char *key, double *out)
 {
-  const json_t *v = json_object_get (o, key);
-  if (!json_is_number (v))
+  const json_t *value = json_object_get (object, key);
+  if (!json_is_number (value))
     return FALSE;
-  double d = json_number_value (v);
+  double d = json_number_value (value);
   if (!isfinite (d))
     return FALSE;
   *out = d;
@@ -15,12 +15,12 @@
 }
 
 gboolean
-hr_json_count (const json_t *o, const char *key, guint64 max, guint64 *out)
+hr_json_count (const json_t *object, const char *key, guint64 max, guint64 *out)
 {
-  const json_t *v = json_object_get (o, key);
-  if (!json_is_integer (v))
+  const json_t *value = json_object_get (object, key);
+  if (!json_is_integer (value))
     return FALSE;
-  json_int_t i = json_integer_value (v);
+  json_int_t i = json_integer_value (value);
   if (i < 0 || (guint64)i > max)
     return FALSE;
   *out = (guint64)i;
@@ -28,36 +28,36 @@
 }
 
 const char *
-hr_json_str (const json_t *o, const char *key)
+hr_json_str (const json_t *object, const char *key)
 {
-  return json_string_value (json_object_get (o, key));
+  return json_string_value (json_object_get (object, key));
 }
 
 gboolean
-hr_json_bool (const json_t *o, const char *key, gboolean *out)
+hr_json_bool (const json_t *object, const char *key, gboolean *out)
 {
-  const json_t *v = json_object_get (o, key);
-  if (!json_is_boolean (v))
+  const json_t *value = json_object_get (object, key);
+  if (!json_is_boolean (value))
     return FALSE;
-  *out = json_is_true (v);
+  *out = json_is_true (value);
   return TRUE;
 }
 
 json_t *
 hr_json_parse (const char *data, gsize len, char **error)
 {
-  json_error_t e;
-  json_t *v = json_loadb (data ? data : "", data ? len : 0, JSON_REJECT_DUPLICATES, &e);
-  if (!v && error)
-    *error = g_strdup_printf ("not valid JSON at byte %d: %s", e.position, e.text);
-  return v;
+  json_error_t failure;
+  json_t *value = json_loadb (data ? data : "", data ? len : 0, JSON_REJECT_DUPLICATES, &failure);
+  if (!value && error)
+    *error = g_strdup_printf ("not valid JSON at byte %d: %s", failure.position, failure.text);
+  return value;
 }
 
 char *
-hr_json_take_text (json_t *v)
+hr_json_take_text (json_t *value)
 {
-  char *raw = json_dumps (v, JSON_COMPACT | JSON_ENCODE_ANY);
-  json_decref (v);
+  char *raw = json_dumps (value, JSON_COMPACT | JSON_ENCODE_ANY);
+  json_decref (value);
   char *out = g_strdup (raw ? raw : "null");
   free (raw);
   return out;
--- a/src/protocol/messages.c
+++ b/src/protocol/messages.c
@@ -23,90 +23,92 @@
 }
 
 char *
-hr_submission_text (const HrSubmission *s)
+hr_submission_text (const HrSubmission *submission)
 {
-  json_t *o = json_object ();
-  json_object_set_new (o, "name_id", json_string (s->id));
-  json_object_set_new (o, "jobclass", json_string (s->job_class));
-  json_object_set_new (o, "crew", json_string (s->team));
-  json_object_set_new (o, "shape", json_string (s->shape));
-  json_object_set_new (o, "rank", json_string (s->priority));
-  json_object_set_new (o, "pieces", json_integer (s->tasks));
-  json_object_set_new (o, "vcpus", json_real (s->cpus));
-  json_object_set_new (o, "accelerators", json_real (s->accelerators));
-  json_object_set_new (o, "memory_gb", json_real (s->memory_gb));
-  json_object_set_new (o, "bundle", json_string (s->image));
-  json_object_set_new (o, "size_gb", json_real (s->image_gb));
-  json_object_set_new (o, "hulls", list_or_null (s->types));
-  json_object_set_new (o, "quarry", text_or_null (s->zone));
-  json_object_set_new (o, "together", json_boolean (s->one_zone));
-  json_object_set_new (o, "apart", json_boolean (s->spread));
-  json_object_set_new (o, "loaners", json_boolean (s->allows_spot));
-  json_object_set_new (o, "guess_s", json_real (s->estimate_s));
-  json_object_set_new (o, "cairn_s", json_real (s->checkpoint_s));
-  json_object_set_new (o, "stash_s", json_real (s->save_s));
-  json_object_set_new (o, "due_s", s->deadline_s > 0 ? json_real (s->deadline_s) : json_null ());
-  if (s->awaits && s->awaits[0])
-    json_object_set_new (o, "awaits", list_or_null (s->awaits));
-  return hr_json_take_text (o);
+  json_t *object = json_object ();
+  json_object_set_new (object, "name_id", json_string (submission->id));
+  json_object_set_new (object, "jobclass", json_string (submission->job_class));
+  json_object_set_new (object, "crew", json_string (submission->team));
+  json_object_set_new (object, "shape", json_string (submission->shape));
+  json_object_set_new (object, "rank", json_string (submission->priority));
+  json_object_set_new (object, "pieces", json_integer (submission->tasks));
+  json_object_set_new (object, "vcpus", json_real (submission->cpus));
+  json_object_set_new (object, "accelerators", json_real (submission->accelerators));
+  json_object_set_new (object, "memory_gb", json_real (submission->memory_gb));
+  json_object_set_new (object, "bundle", json_string (submission->image));
+  json_object_set_new (object, "size_gb", json_real (submission->image_gb));
+  json_object_set_new (object, "hulls", list_or_null (submission->types));
+  json_object_set_new (object, "quarry", text_or_null (submission->zone));
+  json_object_set_new (object, "together", json_boolean (submission->one_zone));
+  json_object_set_new (object, "apart", json_boolean (submission->spread));
+  json_object_set_new (object, "loaners", json_boolean (submission->allows_spot));
+  json_object_set_new (object, "guess_s", json_real (submission->estimate_s));
+  json_object_set_new (object, "cairn_s", json_real (submission->checkpoint_s));
+  json_object_set_new (object, "stash_s", json_real (submission->save_s));
+  json_object_set_new (object, "due_s",
+                       submission->deadline_s > 0 ? json_real (submission->deadline_s)
+                                                  : json_null ());
+  if (submission->awaits && submission->awaits[0])
+    json_object_set_new (object, "awaits", list_or_null (submission->awaits));
+  return hr_json_take_text (object);
 }
 
 char *
 hr_submission_id (const char *body, gsize size)
 {
-  json_t *o = hr_json_parse (body, size, NULL);
-  const char *id = hr_json_str (o, "name_id");
+  json_t *object = hr_json_parse (body, size, NULL);
+  const char *id = hr_json_str (object, "name_id");
   char *copy = hr_job_id_valid (id) ? g_strdup (id) : NULL;
-  json_decref (o);
+  json_decref (object);
   return copy;
 }
 
 gboolean
 hr_job_status_read (const char *body, gsize size, HrJobStatus *out)
 {
-  json_t *o = hr_json_parse (body, size, NULL);
-  const char *id = hr_json_str (o, "name_id"), *state = hr_json_str (o, "stance");
+  json_t *object = hr_json_parse (body, size, NULL);
+  const char *id = hr_json_str (object, "name_id"), *state = hr_json_str (object, "stance");
   gboolean good = id && state;
   memset (out, 0, sizeof *out);
   if (good) {
     out->id = g_strdup (id);
     out->state = g_strdup (state);
-    out->reason = g_strdup (hr_json_str (o, "reason"));
-    hr_json_count (o, "done", G_MAXINT64, &out->done);
-    hr_json_count (o, "running", G_MAXINT64, &out->running);
+    out->reason = g_strdup (hr_json_str (object, "reason"));
+    hr_json_count (object, "done", G_MAXINT64, &out->done);
+    hr_json_count (object, "running", G_MAXINT64, &out->running);
   }
-  json_decref (o);
+  json_decref (object);
   return good;
 }
 
 void
-hr_job_status_clear (HrJobStatus *s)
+hr_job_status_clear (HrJobStatus *status)
 {
-  g_free (s->id);
-  g_free (s->state);
-  g_free (s->reason);
+  g_free (status->id);
+  g_free (status->state);
+  g_free (status->reason);
 }
 
 gboolean
-hr_job_status_is_cancelled (const HrJobStatus *s)
+hr_job_status_is_cancelled (const HrJobStatus *status)
 {
-  return g_str_equal (s->state, "withdrawn");
+  return g_str_equal (status->state, "withdrawn");
 }
 
 gboolean
-hr_job_status_is_final (const HrJobStatus *s)
+hr_job_status_is_final (const HrJobStatus *status)
 {
-  return hr_job_status_is_cancelled (s) || g_str_equal (s->state, "done");
+  return hr_job_status_is_cancelled (status) || g_str_equal (status->state, "done");
 }
 
 char *
 hr_error_text (const char *body, gsize size)
 {
-  json_t *o = hr_json_parse (body, size, NULL);
-  const char *error = hr_json_str (o, "error");
+  json_t *object = hr_json_parse (body, size, NULL);
+  const char *error = hr_json_str (object, "error");
   g_autofree char *start = g_strndup (body ? body : "", MIN (size, SHOWN_BYTES));
   char *text = error ? g_strdup (error) : g_utf8_make_valid (start, -1);
-  json_decref (o);
+  json_decref (object);
   return text;
 }
 
--- a/src/protocol/messages.h
+++ b/src/protocol/messages.h
@@ -19,16 +19,16 @@
 } HrJobStatus;
 
 /* The body of a submission, to be freed. */
-char *hr_submission_text (const HrSubmission *s);
+char *hr_submission_text (const HrSubmission *submission);
 /* The id that a body of a submission names, to be freed; NULL when it names none that is valid. */
 char *hr_submission_id (const char *body, gsize size);
 /* Reads an answer of 200 or 201. FALSE: it makes no sense. */
 gboolean hr_job_status_read (const char *body, gsize size, HrJobStatus *out);
-void hr_job_status_clear (HrJobStatus *s);
+void hr_job_status_clear (HrJobStatus *status);
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (HrJobStatus, hr_job_status_clear)
 /* Done or withdrawn: it stays so. */
-gboolean hr_job_status_is_final (const HrJobStatus *s);
-gboolean hr_job_status_is_cancelled (const HrJobStatus *s);
+gboolean hr_job_status_is_final (const HrJobStatus *status);
+gboolean hr_job_status_is_cancelled (const HrJobStatus *status);
 /* The reason in an answer of another status; the start of the body when it has none. To be freed.
  */
 char *hr_error_text (const char *body, gsize size);
--- a/src/protocol/settings.h
+++ b/src/protocol/settings.h
@@ -49,5 +49,5 @@
 
 HrSettings *hr_settings_load (const char *path, HrNames *names, GError **error);
 HrSettings *hr_settings_parse (const json_t *root, HrNames *names, GError **error);
-void hr_settings_free (HrSettings *s);
+void hr_settings_free (HrSettings *settings);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (HrSettings, hr_settings_free)
--- a/src/protocol/worker.h
+++ b/src/protocol/worker.h
@@ -42,13 +42,14 @@
 } HrHeartbeat;
 
 HrHeartbeat *hr_heartbeat_parse (const char *data, gsize len, char **reason);
-void hr_heartbeat_free (HrHeartbeat *r);
+void hr_heartbeat_free (HrHeartbeat *heartbeat);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (HrHeartbeat, hr_heartbeat_free)
-const char *hr_exit_name (HrExitCause x);
+const char *hr_exit_name (HrExitCause cause);
 
 /* One order, appended to a list of orders. */
-void hr_order_launch (json_t *orders, const char *job, guint32 task, guint32 attempt);
-void hr_order_stop (json_t *orders, const char *job, guint32 task, guint32 attempt, double grace);
-void hr_order_clear (json_t *orders, const char *job, guint32 task, guint32 attempt);
+void hr_order_launch (json_t *orders, const char *job_id, guint32 task_index, guint32 attempt);
+void hr_order_stop (json_t *orders, const char *job_id, guint32 task_index, guint32 attempt,
+                    double grace);
+void hr_order_clear (json_t *orders, const char *job_id, guint32 task_index, guint32 attempt);
 /* {"baton":..,"orders":[..]}, with "tenure" when session > 0. Steals orders. */
-char *hr_orders_text (guint64 token, guint64 session, json_t *orders);
+char *hr_orders_text (guint64 token, guint64 incarnation, json_t *orders);
--- a/src/transport/http_client.c
+++ b/src/transport/http_client.c
@@ -30,19 +30,19 @@
 static void
 give_result (Call *call, guint status, GBytes *body)
 {
-  HrCommand *c = hr_command_new (HR_COMMAND_RESULT);
-  c->id = call->id;
-  c->status = status;
-  c->body = body;
-  call->client->sink (c, call->client->data);
+  HrCommand *command = hr_command_new (HR_COMMAND_RESULT);
+  command->id = call->id;
+  command->status = status;
+  command->body = body;
+  call->client->sink (command, call->client->data);
 }
 
 /* The result is given here, not when libsoup has carried the cancellation out: that
  * may take until other calls of the session have ended. */
 static gboolean
-on_deadline (gpointer p)
+on_deadline (gpointer data)
 {
-  Call *call = p;
+  Call *call = data;
   call->timer = 0;
   give_result (call, 0, NULL);
   g_cancellable_cancel (call->cancel);
@@ -50,9 +50,9 @@
 }
 
 static void
-on_done (GObject *src, GAsyncResult *res, gpointer p)
+on_done (GObject *src, GAsyncResult *res, gpointer data)
 {
-  Call *call = p;
+  Call *call = data;
   g_autoptr (GError) error = NULL;
   GBytes *body = soup_session_send_and_read_finish (SOUP_SESSION (src), res, &error);
   if (call->timer) { /* else its deadline came first */
@@ -89,61 +89,61 @@
 hr_http_client_new (const char *store, const char *cloud, guint sockets, HrCommandSink sink,
                     gpointer data)
 {
-  HrHttpClient *c = g_new0 (HrHttpClient, 1);
-  c->store = g_strdup (store);
-  c->cloud = g_strdup (cloud);
-  c->sink = sink;
-  c->data = data;
+  HrHttpClient *client = g_new0 (HrHttpClient, 1);
+  client->store = g_strdup (store);
+  client->cloud = g_strdup (cloud);
+  client->sink = sink;
+  client->data = data;
   for (int i = 0; i < S_COUNT; i++) {
     guint most = pool_size (i, sockets);
-    c->sessions[i] = soup_session_new_with_options ("max-conns", most, "max-conns-per-host",
-                                                    i == S_WORKERS ? 2 : most, "timeout", 75,
-                                                    "idle-timeout", i == S_WORKERS ? 2 : 20, NULL);
-    soup_session_set_proxy_resolver (c->sessions[i], NULL);
+    client->sessions[i] = soup_session_new_with_options (
+        "max-conns", most, "max-conns-per-host", i == S_WORKERS ? 2 : most, "timeout", 75,
+        "idle-timeout", i == S_WORKERS ? 2 : 20, NULL);
+    soup_session_set_proxy_resolver (client->sessions[i], NULL);
   }
-  return c;
+  return client;
 }
 
 void
-hr_http_client_call (HrHttpClient *c, const HrEffect *e)
+hr_http_client_call (HrHttpClient *client, const HrEffect *effect)
 {
   static const char *const methods[] = {"GET", "POST", "DELETE"};
-  const char *host = e->target == HR_TO_STORE   ? c->store
-                     : e->target == HR_TO_CLOUD ? c->cloud
-                                                : e->addr;
-  g_autofree char *uri = g_strdup_printf ("http://%s%s", host, e->path);
+  const char *host = effect->target == HR_TO_STORE   ? client->store
+                     : effect->target == HR_TO_CLOUD ? client->cloud
+                                                     : effect->addr;
+  g_autofree char *uri = g_strdup_printf ("http://%s%s", host, effect->path);
   Call *call = g_new0 (Call, 1);
-  call->client = c;
-  call->id = e->id;
-  call->msg = soup_message_new (methods[e->method], uri);
+  call->client = client;
+  call->id = effect->id;
+  call->msg = soup_message_new (methods[effect->method], uri);
   if (!call->msg) { /* an address that makes no sense, from a worker's report perhaps */
-    HrCommand *r = hr_command_new (HR_COMMAND_RESULT);
-    r->id = e->id;
+    HrCommand *command = hr_command_new (HR_COMMAND_RESULT);
+    command->id = effect->id;
     g_free (call);
-    c->sink (r, c->data);
+    client->sink (command, client->data);
     return;
   }
   soup_message_add_flags (call->msg, SOUP_MESSAGE_NO_REDIRECT);
-  if (e->body) {
-    g_autoptr (GBytes) b = g_bytes_new (e->body, strlen (e->body));
-    soup_message_set_request_body_from_bytes (call->msg, "application/json", b);
+  if (effect->body) {
+    g_autoptr (GBytes) body = g_bytes_new (effect->body, strlen (effect->body));
+    soup_message_set_request_body_from_bytes (call->msg, "application/json", body);
   }
   call->cancel = g_cancellable_new ();
-  call->timer = g_timeout_add (MAX (1, (guint)(e->timeout_s * 1000)), on_deadline, call);
-  SessionKind kind = e->target == HR_TO_WORKER  ? S_WORKERS
-                     : e->target == HR_TO_CLOUD ? S_CLOUD
-                     : e->timeout_s > WATCH_S   ? S_WATCH
-                                                : S_STORE;
-  soup_session_send_and_read_async (c->sessions[kind], call->msg, G_PRIORITY_DEFAULT, call->cancel,
-                                    on_done, call);
+  call->timer = g_timeout_add (MAX (1, (guint)(effect->timeout_s * 1000)), on_deadline, call);
+  SessionKind kind = effect->target == HR_TO_WORKER  ? S_WORKERS
+                     : effect->target == HR_TO_CLOUD ? S_CLOUD
+                     : effect->timeout_s > WATCH_S   ? S_WATCH
+                                                     : S_STORE;
+  soup_session_send_and_read_async (client->sessions[kind], call->msg, G_PRIORITY_DEFAULT,
+                                    call->cancel, on_done, call);
 }
 
 void
-hr_http_client_free (HrHttpClient *c)
+hr_http_client_free (HrHttpClient *client)
 {
   for (int i = 0; i < S_COUNT; i++)
-    g_clear_object (&c->sessions[i]);
-  g_free (c->store);
-  g_free (c->cloud);
-  g_free (c);
+    g_clear_object (&client->sessions[i]);
+  g_free (client->store);
+  g_free (client->cloud);
+  g_free (client);
 }
--- a/src/transport/http_client.h
+++ b/src/transport/http_client.h
@@ -9,5 +9,5 @@
 /* sockets: how many the process may hold. */
 HrHttpClient *hr_http_client_new (const char *store, const char *cloud, guint sockets,
                                   HrCommandSink sink, gpointer data);
-void hr_http_client_call (HrHttpClient *c, const HrEffect *e);
-void hr_http_client_free (HrHttpClient *c);
+void hr_http_client_call (HrHttpClient *client, const HrEffect *effect);
+void hr_http_client_free (HrHttpClient *client);
--- a/src/transport/http_server.c
+++ b/src/transport/http_server.c
@@ -45,70 +45,70 @@
 } Request;
 
 static void
-request_free (Request *r)
+request_free (Request *request)
 {
-  if (r->body)
-    g_byte_array_unref (r->body);
-  if (r->response)
-    MHD_destroy_response (r->response);
-  g_free (r);
+  if (request->body)
+    g_byte_array_unref (request->body);
+  if (request->response)
+    MHD_destroy_response (request->response);
+  g_free (request);
 }
 
 static void
 on_completed (void *data, struct MHD_Connection *conn, void **state,
               enum MHD_RequestTerminationCode why)
 {
-  HrHttpServer *s = data;
-  Request *r = *state;
-  if (!r)
+  HrHttpServer *server = data;
+  Request *request = *state;
+  if (!request)
     return;
-  if (r->id && s->open)
-    g_hash_table_remove (s->open, &r->id);
-  request_free (r);
+  if (request->id && server->open)
+    g_hash_table_remove (server->open, &request->id);
+  request_free (request);
   *state = NULL;
 }
 
 /* Past the limit nothing is kept: a huge body must not cost its size in memory. */
 static void
-take_body (Request *r, const char *data, gsize size)
+take_body (Request *request, const char *data, gsize size)
 {
-  gsize have = r->body ? r->body->len : 0;
-  if (r->too_large || have + size > HR_MAX_BODY) {
-    r->too_large = TRUE;
-    g_clear_pointer (&r->body, g_byte_array_unref);
+  gsize have = request->body ? request->body->len : 0;
+  if (request->too_large || have + size > HR_MAX_BODY) {
+    request->too_large = TRUE;
+    g_clear_pointer (&request->body, g_byte_array_unref);
     return;
   }
-  if (!r->body)
-    r->body = g_byte_array_sized_new (size);
-  g_byte_array_append (r->body, (const guint8 *)data, size);
+  if (!request->body)
+    request->body = g_byte_array_sized_new (size);
+  g_byte_array_append (request->body, (const guint8 *)data, size);
 }
 
 static gboolean
-crowded (HrHttpServer *s)
+crowded (HrHttpServer *server)
 {
   const union MHD_DaemonInfo *i =
-      MHD_get_daemon_info (s->daemon, MHD_DAEMON_INFO_CURRENT_CONNECTIONS);
-  return i && i->num_connections > s->connections * SHED_SHARE;
+      MHD_get_daemon_info (server->daemon, MHD_DAEMON_INFO_CURRENT_CONNECTIONS);
+  return i && i->num_connections > server->connections * SHED_SHARE;
 }
 
 static enum MHD_Result
-send_away (HrHttpServer *s, struct MHD_Connection *conn)
+send_away (HrHttpServer *server, struct MHD_Connection *conn)
 {
   static const char body[] = "{\"error\":\"this node has hardly a free socket; ask again\"}";
-  struct MHD_Response *r =
+  struct MHD_Response *response =
       MHD_create_response_from_buffer (sizeof body - 1, (void *)body, MHD_RESPMEM_PERSISTENT);
-  MHD_add_response_header (r, "Content-Type", "application/json");
-  MHD_add_response_header (r, "Retry-After", SHED_RETRY);
-  MHD_add_response_header (r, "Connection", "close");
-  enum MHD_Result ok = MHD_queue_response (conn, 503, r);
-  MHD_destroy_response (r);
+  MHD_add_response_header (response, "Content-Type", "application/json");
+  MHD_add_response_header (response, "Retry-After", SHED_RETRY);
+  MHD_add_response_header (response, "Connection", "close");
+  enum MHD_Result ok = MHD_queue_response (conn, 503, response);
+  MHD_destroy_response (response);
   gint64 now = g_get_monotonic_time ();
-  s->shed++;
-  if (now - s->shed_at > (gint64)SHED_LOG_S * G_USEC_PER_SEC) {
+  server->shed++;
+  if (now - server->shed_at > (gint64)SHED_LOG_S * G_USEC_PER_SEC) {
     g_warning ("nearly all of %u connections are in use: %u users' requests sent away",
-               s->connections, s->shed);
-    s->shed_at = now;
-    s->shed = 0;
+               server->connections, server->shed);
+    server->shed_at = now;
+    server->shed = 0;
   }
   return ok;
 }
@@ -117,36 +117,36 @@
 on_request (void *data, struct MHD_Connection *conn, const char *url, const char *method,
             const char *version, const char *upload, size_t *upload_size, void **state)
 {
-  HrHttpServer *s = data;
-  Request *r = *state;
-  if (!r) { /* the headers only */
-    if (g_str_has_prefix (url, HR_JOBS_PATH) && crowded (s))
-      return send_away (s, conn);
-    r = g_new0 (Request, 1);
-    r->server = s;
-    r->conn = conn;
-    *state = r;
+  HrHttpServer *server = data;
+  Request *request = *state;
+  if (!request) { /* the headers only */
+    if (g_str_has_prefix (url, HR_JOBS_PATH) && crowded (server))
+      return send_away (server, conn);
+    request = g_new0 (Request, 1);
+    request->server = server;
+    request->conn = conn;
+    *state = request;
     return MHD_YES;
   }
   if (*upload_size) {
-    take_body (r, upload, *upload_size);
+    take_body (request, upload, *upload_size);
     *upload_size = 0;
     return MHD_YES;
   }
-  if (r->response)
-    return MHD_queue_response (conn, r->status, r->response);
-  if (r->id)
+  if (request->response)
+    return MHD_queue_response (conn, request->status, request->response);
+  if (request->id)
     return MHD_YES;
-  HrCommand *c = hr_command_new (HR_COMMAND_REQUEST);
-  c->id = r->id = ++s->next;
-  c->method = hr_method_of (method);
-  c->path = g_utf8_make_valid (url, -1);
-  c->too_large = r->too_large;
-  if (r->body)
-    c->body = g_byte_array_free_to_bytes (g_steal_pointer (&r->body));
-  g_hash_table_insert (s->open, &r->id, r);
+  HrCommand *command = hr_command_new (HR_COMMAND_REQUEST);
+  command->id = request->id = ++server->next;
+  command->method = hr_method_of (method);
+  command->path = g_utf8_make_valid (url, -1);
+  command->too_large = request->too_large;
+  if (request->body)
+    command->body = g_byte_array_free_to_bytes (g_steal_pointer (&request->body));
+  g_hash_table_insert (server->open, &request->id, request);
   MHD_suspend_connection (conn);
-  s->sink (c, s->data);
+  server->sink (command, server->data);
   return MHD_YES;
 }
 
@@ -172,13 +172,13 @@
 source_check (GSource *source)
 {
   MHD_UNSIGNED_LONG_LONG ms;
-  Source *s = (Source *)source;
-  return g_source_query_unix_fd (source, s->fd) ||
-         (MHD_get_timeout (s->server->daemon, &ms) == MHD_YES && ms == 0);
+  Source *server_source = (Source *)source;
+  return g_source_query_unix_fd (source, server_source->fd) ||
+         (MHD_get_timeout (server_source->server->daemon, &ms) == MHD_YES && ms == 0);
 }
 
 static gboolean
-source_dispatch (GSource *source, GSourceFunc fn, gpointer data)
+source_dispatch (GSource *source, GSourceFunc callback, gpointer data)
 {
   MHD_run (((Source *)source)->server->daemon);
   return G_SOURCE_CONTINUE;
@@ -193,82 +193,83 @@
   g_autoptr (GSocketConnectable) net = g_network_address_parse (address, 0, error);
   if (!net)
     return NULL;
-  struct sockaddr_in sa = {.sin_family = AF_INET};
-  sa.sin_port = htons (g_network_address_get_port (G_NETWORK_ADDRESS (net)));
-  if (inet_pton (AF_INET, g_network_address_get_hostname (G_NETWORK_ADDRESS (net)), &sa.sin_addr) !=
-      1) {
+  struct sockaddr_in listen_address = {.sin_family = AF_INET};
+  listen_address.sin_port = htons (g_network_address_get_port (G_NETWORK_ADDRESS (net)));
+  if (inet_pton (AF_INET, g_network_address_get_hostname (G_NETWORK_ADDRESS (net)),
+                 &listen_address.sin_addr) != 1) {
     g_set_error (error, G_IO_ERROR, G_IO_ERROR_INVALID_ARGUMENT, "%s is not an IPv4 address",
                  address);
     return NULL;
   }
-  HrHttpServer *s = g_new0 (HrHttpServer, 1);
-  s->sink = sink;
-  s->data = data;
-  s->connections = connections;
-  s->open = g_hash_table_new (g_int64_hash, g_int64_equal);
-  s->daemon = MHD_start_daemon (
-      MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL, on_request, s, MHD_OPTION_SOCK_ADDR,
-      &sa, MHD_OPTION_NOTIFY_COMPLETED, on_completed, s, MHD_OPTION_CONNECTION_TIMEOUT,
-      (unsigned int)IDLE_S, MHD_OPTION_CONNECTION_LIMIT, (unsigned int)connections,
-      MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)CONNECTION_MEMORY,
+  HrHttpServer *server = g_new0 (HrHttpServer, 1);
+  server->sink = sink;
+  server->data = data;
+  server->connections = connections;
+  server->open = g_hash_table_new (g_int64_hash, g_int64_equal);
+  server->daemon = MHD_start_daemon (
+      MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL, on_request, server,
+      MHD_OPTION_SOCK_ADDR, &listen_address, MHD_OPTION_NOTIFY_COMPLETED, on_completed, server,
+      MHD_OPTION_CONNECTION_TIMEOUT, (unsigned int)IDLE_S, MHD_OPTION_CONNECTION_LIMIT,
+      (unsigned int)connections, MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)CONNECTION_MEMORY,
       MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u, MHD_OPTION_END);
-  if (!s->daemon) {
+  if (!server->daemon) {
     g_set_error (error, G_IO_ERROR, G_IO_ERROR_FAILED, "%s: %s", address, g_strerror (errno));
-    hr_http_server_free (s);
+    hr_http_server_free (server);
     return NULL;
   }
-  s->source = g_source_new (&source_funcs, sizeof (Source));
-  Source *src = (Source *)s->source;
-  src->server = s;
+  server->source = g_source_new (&source_funcs, sizeof (Source));
+  Source *src = (Source *)server->source;
+  src->server = server;
   src->fd = g_source_add_unix_fd (
-      s->source, MHD_get_daemon_info (s->daemon, MHD_DAEMON_INFO_EPOLL_FD)->epoll_fd, G_IO_IN);
-  g_source_attach (s->source, NULL);
-  return s;
+      server->source, MHD_get_daemon_info (server->daemon, MHD_DAEMON_INFO_EPOLL_FD)->epoll_fd,
+      G_IO_IN);
+  g_source_attach (server->source, NULL);
+  return server;
 }
 
 void
-hr_http_server_reply (HrHttpServer *s, const HrEffect *e)
+hr_http_server_reply (HrHttpServer *server, const HrEffect *effect)
 {
-  Request *r = g_hash_table_lookup (s->open, &e->id);
-  if (!r)
+  Request *request = g_hash_table_lookup (server->open, &effect->id);
+  if (!request)
     return; /* the asker is gone */
-  g_hash_table_remove (s->open, &e->id);
-  const char *body = e->body ? e->body : "{}";
-  r->status = e->status;
-  r->response =
+  g_hash_table_remove (server->open, &effect->id);
+  const char *body = effect->body ? effect->body : "{}";
+  request->status = effect->status;
+  request->response =
       MHD_create_response_from_buffer (strlen (body), (void *)body, MHD_RESPMEM_MUST_COPY);
-  MHD_add_response_header (r->response, "Content-Type",
-                           e->plain ? "text/plain; version=0.0.4" : "application/json");
-  if (e->retry_after > 0) {
-    g_autofree char *v = g_strdup_printf ("%d", e->retry_after);
-    MHD_add_response_header (r->response, "Retry-After", v);
+  MHD_add_response_header (request->response, "Content-Type",
+                           effect->plain ? "text/plain; version=0.0.4" : "application/json");
+  if (effect->retry_after > 0) {
+    g_autofree char *value = g_strdup_printf ("%d", effect->retry_after);
+    MHD_add_response_header (request->response, "Retry-After", value);
   }
-  MHD_resume_connection (r->conn);
+  MHD_resume_connection (request->conn);
 }
 
 void
-hr_http_server_flush (HrHttpServer *s)
+hr_http_server_flush (HrHttpServer *server)
 {
-  MHD_run (s->daemon);
+  MHD_run (server->daemon);
 }
 
 void
-hr_http_server_free (HrHttpServer *s)
+hr_http_server_free (HrHttpServer *server)
 {
-  if (s->source) {
-    g_source_destroy (s->source);
-    g_source_unref (s->source);
+  if (server->source) {
+    g_source_destroy (server->source);
+    g_source_unref (server->source);
   }
-  if (s->daemon) {
+  if (server->daemon) {
     /* What waits for an answer has to be resumed before the daemon can end. */
-    GHashTableIter it;
-    gpointer r;
-    g_hash_table_iter_init (&it, s->open);
-    while (g_hash_table_iter_next (&it, NULL, &r))
-      MHD_resume_connection (((Request *)r)->conn);
-    g_clear_pointer (&s->open, g_hash_table_unref);
-    MHD_stop_daemon (s->daemon);
+    GHashTableIter iter;
+    gpointer data;
+    g_hash_table_iter_init (&iter, server->open);
+    while (g_hash_table_iter_next (&iter, NULL, &data))
+      MHD_resume_connection (((Request *)data)->conn);
+    g_clear_pointer (&server->open, g_hash_table_unref);
+    MHD_stop_daemon (server->daemon);
   }
-  g_clear_pointer (&s->open, g_hash_table_unref);
-  g_free (s);
+  g_clear_pointer (&server->open, g_hash_table_unref);
+  g_free (server);
 }
--- a/src/transport/peer.h
+++ b/src/transport/peer.h
@@ -5,6 +5,7 @@
 
 typedef struct HrPeers HrPeers;
 
-HrPeers *hr_peers_new (const HrSettings *s, HrCommandSink sink, gpointer data, GError **error);
-void hr_peers_tell (HrPeers *p, const HrPeerStatus *h);
-void hr_peers_free (HrPeers *p);
+HrPeers *hr_peers_new (const HrSettings *settings, HrCommandSink sink, gpointer data,
+                       GError **error);
+void hr_peers_tell (HrPeers *peers, const HrPeerStatus *status);
+void hr_peers_free (HrPeers *peers);
--- a/src/transport/peer_status_frame.c
+++ b/src/transport/peer_status_frame.c
@@ -6,105 +6,106 @@
 #define SHORTEST_ID 6
 
 static void
-pack_cancellations (const HrNamedCancellations *n, Hr__Cancellations *m, char **jobs)
+pack_cancellations (const HrNamedCancellations *named, Hr__Cancellations *message, char **jobs)
 {
-  hr__cancellations__init (m);
-  m->dropped_revision = n->dropped_revision;
-  m->log_begin = n->log_begin;
-  m->log_end = n->log_end;
-  m->first_position = n->first_position;
-  m->jobs = jobs;
-  for (const char *id = hr_named_cancellations_next (n, NULL); id;
-       id = hr_named_cancellations_next (n, id))
-    jobs[m->n_jobs++] = (char *)id;
+  hr__cancellations__init (message);
+  message->dropped_revision = named->dropped_revision;
+  message->log_begin = named->log_begin;
+  message->log_end = named->log_end;
+  message->first_position = named->first_position;
+  message->jobs = jobs;
+  for (const char *id = hr_named_cancellations_next (named, NULL); id;
+       id = hr_named_cancellations_next (named, id))
+    jobs[message->n_jobs++] = (char *)id;
 }
 
 gsize
-hr_peer_status_pack (const HrPeerStatus *h, guint8 frame[HR_MAX_FRAME])
+hr_peer_status_pack (const HrPeerStatus *status, guint8 frame[HR_MAX_FRAME])
 {
-  Hr__PeerStatus m = HR__PEER_STATUS__INIT;
-  m.label = (char *)h->label;
-  m.incarnation = (char *)h->incarnation;
-  m.fencing_token = h->fencing_token;
-  m.leader_record_revision = h->leader_record_revision;
-  m.store_served = h->store_served;
-  m.is_leader = h->is_leader;
-  m.worker_contacts = h->worker_contacts;
-  m.clock = h->clock;
-  m.synced = h->synced;
-  m.latest_cancellation = h->latest_cancellation;
-  m.applied_revision = h->applied_revision;
+  Hr__PeerStatus message = HR__PEER_STATUS__INIT;
+  message.label = (char *)status->label;
+  message.incarnation = (char *)status->incarnation;
+  message.fencing_token = status->fencing_token;
+  message.leader_record_revision = status->leader_record_revision;
+  message.store_served = status->store_served;
+  message.is_leader = status->is_leader;
+  message.worker_contacts = status->worker_contacts;
+  message.clock = status->clock;
+  message.synced = status->synced;
+  message.latest_cancellation = status->latest_cancellation;
+  message.applied_revision = status->applied_revision;
   Hr__Echo echoes[HR_MAX_ECHOES], *list[HR_MAX_ECHOES];
-  for (guint i = 0; i < h->n_echoes; i++) {
+  for (guint i = 0; i < status->n_echoes; i++) {
     hr__echo__init (&echoes[i]);
-    echoes[i].label = (char *)h->echoes[i].label;
-    echoes[i].incarnation = (char *)h->echoes[i].incarnation;
-    echoes[i].clock = h->echoes[i].clock;
-    echoes[i].cancellations_taken = h->echoes[i].cancellations_taken;
+    echoes[i].label = (char *)status->echoes[i].label;
+    echoes[i].incarnation = (char *)status->echoes[i].incarnation;
+    echoes[i].clock = status->echoes[i].clock;
+    echoes[i].cancellations_taken = status->echoes[i].cancellations_taken;
     list[i] = &echoes[i];
   }
-  m.n_echoes = h->n_echoes;
-  m.echoes = list;
+  message.n_echoes = status->n_echoes;
+  message.echoes = list;
   Hr__Cancellations cancellations;
   char *jobs[HR_NAMED_CANCELLATIONS_BYTES / SHORTEST_ID + 1];
-  if (h->cancellations.is_stated && h->cancellations.count < G_N_ELEMENTS (jobs)) {
-    pack_cancellations (&h->cancellations, &cancellations, jobs);
-    m.cancellations = &cancellations;
+  if (status->cancellations.is_stated && status->cancellations.count < G_N_ELEMENTS (jobs)) {
+    pack_cancellations (&status->cancellations, &cancellations, jobs);
+    message.cancellations = &cancellations;
   }
-  m.format = h->format;
+  message.format = status->format;
   char *oversized[HR_MAX_OVERSIZED];
-  for (guint i = 0; i < h->n_oversized; i++)
-    oversized[i] = (char *)h->oversized[i];
-  m.n_oversized = h->n_oversized;
-  m.oversized = oversized;
-  gsize len = hr__peer_status__get_packed_size (&m);
-  return len <= HR_MAX_FRAME ? hr__peer_status__pack (&m, frame) : 0;
+  for (guint i = 0; i < status->n_oversized; i++)
+    oversized[i] = (char *)status->oversized[i];
+  message.n_oversized = status->n_oversized;
+  message.oversized = oversized;
+  gsize len = hr__peer_status__get_packed_size (&message);
+  return len <= HR_MAX_FRAME ? hr__peer_status__pack (&message, frame) : 0;
 }
 
 /* Of a list that is longer than we keep only the beginning counts. */
 static void
-unpack_cancellations (HrNamedCancellations *n, const Hr__Cancellations *m)
+unpack_cancellations (HrNamedCancellations *named, const Hr__Cancellations *message)
 {
-  n->is_stated = TRUE;
-  n->dropped_revision = m->dropped_revision;
-  n->log_begin = m->log_begin;
-  n->log_end = m->log_end;
-  n->first_position = m->first_position;
-  for (gsize i = 0; i < m->n_jobs; i++)
-    if (!hr_named_cancellations_add (n, m->jobs[i]))
+  named->is_stated = TRUE;
+  named->dropped_revision = message->dropped_revision;
+  named->log_begin = message->log_begin;
+  named->log_end = message->log_end;
+  named->first_position = message->first_position;
+  for (gsize i = 0; i < message->n_jobs; i++)
+    if (!hr_named_cancellations_add (named, message->jobs[i]))
       break;
 }
 
 gboolean
-hr_peer_status_unpack (HrPeerStatus *h, const guint8 *frame, gsize len)
+hr_peer_status_unpack (HrPeerStatus *status, const guint8 *frame, gsize len)
 {
-  Hr__PeerStatus *m = hr__peer_status__unpack (NULL, len, frame);
-  if (!m)
+  Hr__PeerStatus *message = hr__peer_status__unpack (NULL, len, frame);
+  if (!message)
     return FALSE;
-  g_strlcpy (h->label, m->label, sizeof h->label);
-  g_strlcpy (h->incarnation, m->incarnation, sizeof h->incarnation);
-  h->fencing_token = m->fencing_token;
-  h->leader_record_revision = m->leader_record_revision;
-  h->store_served = m->store_served;
-  h->is_leader = m->is_leader;
-  h->worker_contacts = m->worker_contacts;
-  h->clock = m->clock;
-  h->synced = m->synced;
-  h->latest_cancellation = m->latest_cancellation;
-  h->applied_revision = m->applied_revision;
-  for (gsize i = 0; i < m->n_echoes && h->n_echoes < HR_MAX_ECHOES; i++) {
-    HrEcho *e = &h->echoes[h->n_echoes++];
-    g_strlcpy (e->label, m->echoes[i]->label, sizeof e->label);
-    g_strlcpy (e->incarnation, m->echoes[i]->incarnation, sizeof e->incarnation);
-    e->clock = m->echoes[i]->clock;
-    e->cancellations_taken = m->echoes[i]->cancellations_taken;
+  g_strlcpy (status->label, message->label, sizeof status->label);
+  g_strlcpy (status->incarnation, message->incarnation, sizeof status->incarnation);
+  status->fencing_token = message->fencing_token;
+  status->leader_record_revision = message->leader_record_revision;
+  status->store_served = message->store_served;
+  status->is_leader = message->is_leader;
+  status->worker_contacts = message->worker_contacts;
+  status->clock = message->clock;
+  status->synced = message->synced;
+  status->latest_cancellation = message->latest_cancellation;
+  status->applied_revision = message->applied_revision;
+  for (gsize i = 0; i < message->n_echoes && status->n_echoes < HR_MAX_ECHOES; i++) {
+    HrEcho *echo = &status->echoes[status->n_echoes++];
+    g_strlcpy (echo->label, message->echoes[i]->label, sizeof echo->label);
+    g_strlcpy (echo->incarnation, message->echoes[i]->incarnation, sizeof echo->incarnation);
+    echo->clock = message->echoes[i]->clock;
+    echo->cancellations_taken = message->echoes[i]->cancellations_taken;
   }
-  if (m->cancellations)
-    unpack_cancellations (&h->cancellations, m->cancellations);
-  h->format = m->format;
-  for (gsize i = 0; i < m->n_oversized && h->n_oversized < HR_MAX_OVERSIZED; i++)
-    if (strlen (m->oversized[i]) <= HR_JOB_ID_MOST)
-      g_strlcpy (h->oversized[h->n_oversized++], m->oversized[i], HR_JOB_ID_MOST + 1);
-  hr__peer_status__free_unpacked (m, NULL);
+  if (message->cancellations)
+    unpack_cancellations (&status->cancellations, message->cancellations);
+  status->format = message->format;
+  for (gsize i = 0; i < message->n_oversized && status->n_oversized < HR_MAX_OVERSIZED; i++)
+    if (strlen (message->oversized[i]) <= HR_JOB_ID_MOST)
+      g_strlcpy (status->oversized[status->n_oversized++], message->oversized[i],
+                 HR_JOB_ID_MOST + 1);
+  hr__peer_status__free_unpacked (message, NULL);
   return TRUE;
 }
--- a/src/transport/peer_status_frame.h
+++ b/src/transport/peer_status_frame.h
@@ -6,6 +6,6 @@
 #define HR_MAX_FRAME 4096
 
 /* Writes the hint; returns the bytes used, 0 when it does not fit. */
-gsize hr_peer_status_pack (const HrPeerStatus *h, guint8 frame[HR_MAX_FRAME]);
+gsize hr_peer_status_pack (const HrPeerStatus *status, guint8 frame[HR_MAX_FRAME]);
 /* FALSE: these bytes are no hint. What is too long or too much is left out. */
-gboolean hr_peer_status_unpack (HrPeerStatus *h, const guint8 *frame, gsize len);
+gboolean hr_peer_status_unpack (HrPeerStatus *status, const guint8 *frame, gsize len);
--- a/src/transport/process_metrics.c
+++ b/src/transport/process_metrics.c
@@ -2,9 +2,9 @@
 #include <sys/resource.h>
 
 static double
-seconds (struct timeval t)
+seconds (struct timeval time)
 {
-  return t.tv_sec + t.tv_usec / 1e6;
+  return time.tv_sec + time.tv_usec / 1e6;
 }
 
 void
--- a/tests/bench_core.c
+++ b/tests/bench_core.c
@@ -41,99 +41,100 @@
 static void
 answer (Bench *b, guint64 id, int status, char *text)
 {
-  HrCommand *c = hr_command_new (HR_COMMAND_RESULT);
-  c->id = id;
-  c->status = status;
-  c->body = g_bytes_new_take (text, strlen (text));
-  g_ptr_array_add (b->inbox, c);
+  HrCommand *command = hr_command_new (HR_COMMAND_RESULT);
+  command->id = id;
+  command->status = status;
+  command->body = g_bytes_new_take (text, strlen (text));
+  g_ptr_array_add (b->inbox, command);
 }
 
 static void
 obey (Bench *b, const char *machine, const char *body)
 {
-  json_t *o = json_loads (body, 0, NULL), *e;
-  GHashTable *set = g_hash_table_lookup (b->on, machine);
+  json_t *object = json_loads (body, 0, NULL), *entry;
+  GHashTable *settings = g_hash_table_lookup (b->on, machine);
   size_t i;
-  json_array_foreach (json_object_get (o, "orders"), i, e)
+  json_array_foreach (json_object_get (object, "orders"), i, entry)
   {
-    const char *verb = json_string_value (json_object_get (e, "verb"));
-    g_autofree char *key = g_strdup_printf ("\"piece\":\"%s\",\"try\":%d",
-                                            json_string_value (json_object_get (e, "piece")),
-                                            (int)json_integer_value (json_object_get (e, "try")));
+    const char *verb = json_string_value (json_object_get (entry, "verb"));
+    g_autofree char *key = g_strdup_printf (
+        "\"piece\":\"%s\",\"try\":%d", json_string_value (json_object_get (entry, "piece")),
+        (int)json_integer_value (json_object_get (entry, "try")));
     if (strcmp (verb, "launch") == 0)
-      g_hash_table_add (set, g_steal_pointer (&key));
+      g_hash_table_add (settings, g_steal_pointer (&key));
     else
-      g_hash_table_remove (set, key);
+      g_hash_table_remove (settings, key);
   }
-  json_decref (o);
+  json_decref (object);
 }
 
 static char *
 report (Bench *b, const char *machine)
 {
-  GString *s = g_string_new (NULL);
-  GHashTableIter it;
+  GString *text = g_string_new (NULL);
+  GHashTableIter iter;
   gpointer k;
   const char *sep = "";
-  g_string_printf (s,
+  g_string_printf (text,
                    "{\"rockhand\":\"%s\",\"addr\":\"%s\",\"hull\":\"g2\",\"quarry\":"
                    "\"z0\",\"loaners\":false,\"tenure\":1,\"tally\":%u,\"baton\":1,\"warning_s\":"
                    "null,\"pieces\":[",
                    machine, machine, ++b->tally);
-  g_hash_table_iter_init (&it, g_hash_table_lookup (b->on, machine));
-  while (g_hash_table_iter_next (&it, &k, NULL)) {
-    g_string_append_printf (s, "%s{%s,\"stance\":\"running\"}", sep, (char *)k);
+  g_hash_table_iter_init (&iter, g_hash_table_lookup (b->on, machine));
+  while (g_hash_table_iter_next (&iter, &k, NULL)) {
+    g_string_append_printf (text, "%s{%s,\"stance\":\"running\"}", sep, (char *)k);
     sep = ",";
   }
-  g_string_append (s, "]}");
-  return g_string_free (s, FALSE);
+  g_string_append (text, "]}");
+  return g_string_free (text, FALSE);
 }
 
 static void
-call (Bench *b, HrEffect *e)
+call (Bench *b, HrEffect *effect)
 {
-  if (e->target == HR_TO_WORKER) {
-    obey (b, e->addr, e->body);
-    answer (b, e->id, 200, report (b, e->addr));
+  if (effect->target == HR_TO_WORKER) {
+    obey (b, effect->addr, effect->body);
+    answer (b, effect->id, 200, report (b, effect->addr));
     return;
   }
-  if (strcmp (e->path, "/commit") == 0) {
-    json_t *o = json_loads (e->body, 0, NULL), *w;
+  if (strcmp (effect->path, "/commit") == 0) {
+    json_t *object = json_loads (effect->body, 0, NULL), *workers;
     size_t i;
     b->epoch++;
-    json_array_foreach (json_object_get (o, "writes"), i, w)
+    json_array_foreach (json_object_get (object, "writes"), i, workers)
     {
-      g_autofree char *v =
-          json_dumps (json_object_get (w, "value"), JSON_COMPACT | JSON_ENCODE_ANY);
+      g_autofree char *value =
+          json_dumps (json_object_get (workers, "value"), JSON_COMPACT | JSON_ENCODE_ANY);
       b->writes++;
       g_string_append_printf (
           b->log, "%s{\"set\":\"%s\",\"value\":%s,\"stamp\":%" G_GUINT64_FORMAT "}",
-          b->log->len ? "," : "", json_string_value (json_object_get (w, "set")), v, b->epoch);
+          b->log->len ? "," : "", json_string_value (json_object_get (workers, "set")), value,
+          b->epoch);
     }
-    json_decref (o);
-    answer (b, e->id, 200, g_strdup_printf ("{\"epoch\":%" G_GUINT64_FORMAT "}", b->epoch));
-  } else if (g_str_has_prefix (e->path, "/changes?")) {
-    if (strstr (e->path, "hold_ms=0")) {
-      answer (b, e->id, 200,
+    json_decref (object);
+    answer (b, effect->id, 200, g_strdup_printf ("{\"epoch\":%" G_GUINT64_FORMAT "}", b->epoch));
+  } else if (g_str_has_prefix (effect->path, "/changes?")) {
+    if (strstr (effect->path, "hold_ms=0")) {
+      answer (b, effect->id, 200,
               g_strdup_printf ("{\"epoch\":%" G_GUINT64_FORMAT ",\"log\":[%s]}", b->epoch,
                                b->log->str));
       g_string_truncate (b->log, 0);
     }
-  } else if (strcmp (e->path, "/leases") == 0)
-    answer (b, e->id, 200, g_strdup ("{\"claim\":1}"));
-  else if (g_str_has_prefix (e->path, "/kv?"))
+  } else if (strcmp (effect->path, "/leases") == 0)
+    answer (b, effect->id, 200, g_strdup ("{\"claim\":1}"));
+  else if (g_str_has_prefix (effect->path, "/kv?"))
     answer (
-        b, e->id, 200,
+        b, effect->id, 200,
         g_strdup_printf ("{\"rows\":[],\"more\":false,\"epoch\":%" G_GUINT64_FORMAT "}", b->epoch));
-  else if (strcmp (e->path, "/machine_types") == 0)
-    answer (b, e->id, 200,
+  else if (strcmp (effect->path, "/machine_types") == 0)
+    answer (b, effect->id, 200,
             g_strdup ("{\"hulls\":[{\"sku\":\"g2\",\"vcpus\":12,\"accelerators\":2,\"memory_gb\":"
                       "96,\"cache_gb\":100,\"fetch_gb_per_s\":0.3,\"hourly\":5.0,\"low_price\":"
                       "2.0,\"startup_s\":40,\"quarries\":[\"z0\"]}]}"));
-  else if (strcmp (e->path, "/rentals") == 0 || g_str_has_prefix (e->path, "/rentals?"))
-    answer (b, e->id, 503, g_strdup ("{\"error\":\"no capacity\"}"));
+  else if (strcmp (effect->path, "/rentals") == 0 || g_str_has_prefix (effect->path, "/rentals?"))
+    answer (b, effect->id, 503, g_strdup ("{\"error\":\"no capacity\"}"));
   else
-    answer (b, e->id, 200, g_strdup ("{}"));
+    answer (b, effect->id, 200, g_strdup ("{}"));
 }
 
 /* One step with these commands (taken), then the answers to what it asked for. */
@@ -150,11 +151,11 @@
     f->most = MAX (f->most, t);
     f->n += first ? 1 : commands->len;
     for (guint i = 0; i < out->len; i++) {
-      HrEffect *e = out->pdata[i];
-      if (e->kind == HR_EFFECT_CALL)
-        call (b, e);
-      else if (e->kind == HR_EFFECT_REPLY && machine && e->status == 200 && first)
-        obey (b, machine, e->body);
+      HrEffect *effect = out->pdata[i];
+      if (effect->kind == HR_EFFECT_CALL)
+        call (b, effect);
+      else if (effect->kind == HR_EFFECT_REPLY && machine && effect->status == 200 && first)
+        obey (b, machine, effect->body);
     }
     g_ptr_array_set_size (commands, 0);
     for (guint i = 0; i < b->inbox->len; i++)
@@ -168,13 +169,13 @@
 request (Bench *b, HrMethod m, const char *path, char *body, int figure, const char *machine)
 {
   g_autoptr (GPtrArray) q = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_command_free);
-  HrCommand *c = hr_command_new (HR_COMMAND_REQUEST);
+  HrCommand *command = hr_command_new (HR_COMMAND_REQUEST);
   static guint64 id;
-  c->id = ++id;
-  c->method = m;
-  c->path = g_strdup (path);
-  c->body = body ? g_bytes_new_take (body, strlen (body)) : NULL;
-  g_ptr_array_add (q, c);
+  command->id = ++id;
+  command->method = m;
+  command->path = g_strdup (path);
+  command->body = body ? g_bytes_new_take (body, strlen (body)) : NULL;
+  g_ptr_array_add (q, command);
   step (b, q, figure, machine);
 }
 
@@ -216,8 +217,8 @@
         jobs = argc > 2 ? (guint)atoi (argv[2]) : 300;
   Bench b = {.now = 1, .machines = machines, .epoch = 1};
   HrNames names;
-  HrPolicy pol;
-  g_autoptr (GError) e = NULL;
+  HrPolicy policy;
+  g_autoptr (GError) error = NULL;
   g_autoptr (GHashTable) vars = hr_policy_vars_new ();
   g_log_set_writer_func (silent, NULL, NULL);
   b.inbox = g_ptr_array_new ();
@@ -233,15 +234,15 @@
       "\"gang_peer_s\":4,\"cancel_s\":36},\"state\":{\"rps\":1e6,\"write_rps\":1e5,\"value_kb\":4,"
       "\"txn_ops\":12},\"cloud\":{\"rps\":8,\"list_lag_s\":3}}}",
       0, NULL);
-  HrSettings *set = hr_settings_parse (root, &names, &e);
+  HrSettings *settings = hr_settings_parse (root, &names, &error);
   json_decref (root);
-  if (set)
-    hr_core_policy_vars (set, vars);
-  if (!set || !hr_policy_load (SOURCE_ROOT "/deploy/policy.hop", vars, &pol, &e)) {
-    fprintf (stderr, "bench_core: %s\n", e->message);
+  if (settings)
+    hr_core_policy_vars (settings, vars);
+  if (!settings || !hr_policy_load (SOURCE_ROOT "/deploy/policy.hop", vars, &policy, &error)) {
+    fprintf (stderr, "bench_core: %s\n", error->message);
     return 1;
   }
-  b.core = hr_core_new (set, &pol, &names, "bench", 1);
+  b.core = hr_core_new (settings, &policy, &names, "bench", 1);
   for (int i = 0; i < 100; i++)
     tick (&b, 0.1);
   guint tasks = 0, all = 0;
--- a/tests/meetings.h
+++ b/tests/meetings.h
@@ -12,7 +12,7 @@
 static guint other_from, other_to;
 
 static void
-play_seeds (guint from, guint to, const MeetingSetting *set, const HrTrouble *day, guint n)
+play_seeds (guint from, guint to, const MeetingSetting *settings, const HrTrouble *day, guint n)
 {
   guint broken = 0;
   if (other_to > other_from) {
@@ -20,7 +20,7 @@
     to = other_to;
   }
   for (guint s = from; s < to; s++)
-    broken += meeting_play (s, set, day, n);
+    broken += meeting_play (s, settings, day, n);
   assert_int_equal (broken, 0);
 }
 
--- a/tests/script.c
+++ b/tests/script.c
@@ -8,9 +8,9 @@
 /* ---- calls ---- */
 
 static void
-call_free (gpointer p)
+call_free (gpointer data)
 {
-  ScriptCall *call = p;
+  ScriptCall *call = data;
   g_free (call->addr);
   g_free (call->path);
   g_free (call->body);
@@ -19,9 +19,9 @@
 }
 
 static void
-hold_free (gpointer p)
+hold_free (gpointer data)
 {
-  ScriptHold *h = p;
+  ScriptHold *h = data;
   g_free (h->path);
   g_free (h->text);
   g_free (h);
@@ -35,39 +35,39 @@
 }
 
 static void
-reply_free (gpointer p)
+reply_free (gpointer data)
 {
-  ScriptReply *r = p;
+  ScriptReply *r = data;
   json_decref (r->body);
   g_free (r);
 }
 
 static void
-take_effect (Script *s, int node, HrEffect *e)
+take_effect (Script *s, int node, HrEffect *effect)
 {
   ScriptNode *n = &s->nodes[node];
-  if (e->kind == HR_EFFECT_PEER_STATUS) {
-    n->hint = *e->peer_status;
+  if (effect->kind == HR_EFFECT_PEER_STATUS) {
+    n->hint = *effect->peer_status;
     n->hinted = TRUE;
-  } else if (e->kind == HR_EFFECT_REPLY) {
+  } else if (effect->kind == HR_EFFECT_REPLY) {
     ScriptReply *r = g_new0 (ScriptReply, 1);
-    r->status = e->status;
-    r->retry_after = e->retry_after;
-    r->body = json_loads (e->body, JSON_DECODE_ANY, NULL);
+    r->status = effect->status;
+    r->retry_after = effect->retry_after;
+    r->body = json_loads (effect->body, JSON_DECODE_ANY, NULL);
     r->at = s->now;
-    g_hash_table_insert (n->replies, g_memdup2 (&e->id, sizeof e->id), r);
+    g_hash_table_insert (n->replies, g_memdup2 (&effect->id, sizeof effect->id), r);
   } else {
     ScriptCall *call = g_new0 (ScriptCall, 1);
     call->node = node;
     call->process = n->process;
-    call->id = e->id;
-    call->target = e->target;
-    call->method = e->method;
-    call->addr = g_strdup (e->addr);
-    call->path = g_strdup (e->path);
-    call->body = g_strdup (e->body);
+    call->id = effect->id;
+    call->target = effect->target;
+    call->method = effect->method;
+    call->addr = g_strdup (effect->addr);
+    call->path = g_strdup (effect->path);
+    call->body = g_strdup (effect->body);
     call->sent = s->now;
-    call->timeout = e->timeout_s;
+    call->timeout = effect->timeout_s;
     for (guint i = 0; i < s->holds->len; i++) {
       ScriptHold *h = s->holds->pdata[i];
       call->held |= matches (call, h->node, h->path, h->text);
@@ -77,11 +77,11 @@
 }
 
 void
-script_step (Script *s, int node, HrCommand *cmd)
+script_step (Script *s, int node, HrCommand *command)
 {
   g_autoptr (GPtrArray) in = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_command_free);
   g_autoptr (GPtrArray) out = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_effect_free);
-  g_ptr_array_add (in, cmd);
+  g_ptr_array_add (in, command);
   if (!s->nodes[node].core)
     return;
   hr_core_step (s->nodes[node].core, s->now, WALL_AT_0 + s->now, in, out);
@@ -121,19 +121,19 @@
 give_result (Script *s, ScriptCall *call, int status, const char *body)
 {
   guint at;
-  HrCommand *cmd = hr_command_new (HR_COMMAND_RESULT);
-  cmd->id = call->id;
-  cmd->status = status;
+  HrCommand *command = hr_command_new (HR_COMMAND_RESULT);
+  command->id = call->id;
+  command->status = status;
   if (body)
-    cmd->body = g_bytes_new (body, strlen (body));
+    command->body = g_bytes_new (body, strlen (body));
   int node = call->node;
   gboolean alive = call->process == s->nodes[node].process;
   if (g_ptr_array_find (s->calls, call, &at))
     g_ptr_array_remove_index (s->calls, at);
   if (alive)
-    script_step (s, node, cmd);
+    script_step (s, node, command);
   else
-    hr_command_free (cmd);
+    hr_command_free (command);
 }
 
 void
@@ -249,9 +249,9 @@
     for (int to = 0; to < s->n && s->hints; to++) {
       if (to == from)
         continue;
-      HrCommand *cmd = hr_command_new (HR_COMMAND_PEER_STATUS);
-      *cmd->peer_status = s->nodes[from].hint;
-      script_step (s, to, cmd);
+      HrCommand *command = hr_command_new (HR_COMMAND_PEER_STATUS);
+      *command->peer_status = s->nodes[from].hint;
+      script_step (s, to, command);
     }
   }
 }
@@ -295,12 +295,12 @@
 guint64
 script_request (Script *s, int node, HrMethod method, const char *path, const char *body)
 {
-  HrCommand *cmd = hr_command_new (HR_COMMAND_REQUEST);
-  guint64 id = cmd->id = ++s->next_request;
-  cmd->method = method;
-  cmd->path = g_strdup (path);
-  cmd->body = body ? g_bytes_new (body, strlen (body)) : NULL;
-  script_step (s, node, cmd);
+  HrCommand *command = hr_command_new (HR_COMMAND_REQUEST);
+  guint64 id = command->id = ++s->next_request;
+  command->method = method;
+  command->path = g_strdup (path);
+  command->body = body ? g_bytes_new (body, strlen (body)) : NULL;
+  script_step (s, node, command);
   return id;
 }
 
@@ -327,12 +327,12 @@
   json_t *root = json_pack ("{sssssssss{ssss}soso}", "label", label, "area", "z0", "front",
                             "127.0.0.1:1", "back", "127.0.0.1:2", "outside", "cloud", "127.0.0.1:3",
                             "state", "127.0.0.1:4", "members", members, "facts", facts);
-  g_autoptr (GError) e = NULL;
-  HrSettings *set = hr_settings_parse (root, names, &e);
+  g_autoptr (GError) error = NULL;
+  HrSettings *settings = hr_settings_parse (root, names, &error);
   json_decref (root);
-  if (!set)
-    g_error ("script: %s", e->message);
-  return set;
+  if (!settings)
+    g_error ("script: %s", error->message);
+  return settings;
 }
 
 void
@@ -345,10 +345,10 @@
   n->set = settings_of (s, node, &n->names);
   if (s->pol.hold_s == 0) {
     g_autoptr (GHashTable) vars = hr_policy_vars_new ();
-    g_autoptr (GError) e = NULL;
+    g_autoptr (GError) error = NULL;
     hr_core_policy_vars (n->set, vars);
-    if (!hr_policy_load (SOURCE_ROOT "/deploy/policy.hop", vars, &s->pol, &e))
-      g_error ("script: %s", e->message);
+    if (!hr_policy_load (SOURCE_ROOT "/deploy/policy.hop", vars, &s->pol, &error))
+      g_error ("script: %s", error->message);
   }
   g_autofree char *incarnation = g_strdup_printf ("i%d-%u", node, n->process);
   n->core = hr_core_new (n->set, &s->pol, &n->names, incarnation, 1 + node);
--- a/tests/script.h
+++ b/tests/script.h
@@ -125,7 +125,7 @@
 int script_late (Script *s, ScriptCall *call);
 
 /* One batch of a single command (taken). */
-void script_step (Script *s, int node, HrCommand *cmd);
+void script_step (Script *s, int node, HrCommand *command);
 guint64 script_request (Script *s, int node, HrMethod method, const char *path, const char *body);
 guint64 script_submit (Script *s, int node, const char *id, guint tasks);
 guint64 script_poll (Script *s, int node, const char *id);
@@ -149,7 +149,7 @@
 int script_direct (Script *s, ScriptWorker *w, const ScriptCall *call);
 /* All its tasks have ended with this cause. */
 void script_worker_ends (ScriptWorker *w, const char *cause);
-gboolean script_worker_has (const ScriptWorker *w, const char *job);
+gboolean script_worker_has (const ScriptWorker *w, const char *job_id);
 
 /* The node that the map names; -1: none. */
 int script_leader (Script *s);
--- a/tests/script_scene.c
+++ b/tests/script_scene.c
@@ -28,9 +28,9 @@
 /* ---- tasks ---- */
 
 static void
-task_free (gpointer p)
+task_free (gpointer data)
 {
-  SceneTask *t = p;
+  SceneTask *t = data;
   g_free (t->piece);
   g_free (t);
 }
@@ -133,10 +133,10 @@
   SceneTask *t = g_new0 (SceneTask, 1);
   t->piece = g_strdup (piece);
   t->attempt = attempt;
-  g_autofree char *job = job_of (piece);
+  g_autofree char *job_id = job_of (piece);
   if (scene_count (scene, piece))
     broken (scene, "ran_twice: %s try %u starts on %s", piece, attempt, m->name);
-  const double *told = g_hash_table_lookup (scene->withdrawn, job);
+  const double *told = g_hash_table_lookup (scene->withdrawn, job_id);
   if (told && scene->s->now > *told + scene->cancel_s)
     broken (scene, "ran_cancelled: %s starts on %s", piece, m->name);
   g_ptr_array_add (m->tasks, t);
@@ -147,11 +147,11 @@
 obey (SceneMachine *m, json_t *orders)
 {
   size_t i;
-  json_t *o;
-  json_array_foreach (orders, i, o)
+  json_t *object;
+  json_array_foreach (orders, i, object)
   {
-    const char *verb = hr_json_str (o, "verb"), *piece = hr_json_str (o, "piece");
-    guint attempt = json_integer_value (json_object_get (o, "try")), at;
+    const char *verb = hr_json_str (object, "verb"), *piece = hr_json_str (object, "piece");
+    guint attempt = json_integer_value (json_object_get (object, "try")), at;
     if (g_str_equal (verb, "launch")) {
       launch (m, piece, attempt);
       continue;
@@ -173,11 +173,11 @@
   json_t *pieces = json_array ();
   for (guint i = 0; i < m->tasks->len; i++) {
     const SceneTask *t = m->tasks->pdata[i];
-    json_t *o = json_pack ("{sssiss}", "piece", t->piece, "try", (int)t->attempt, "stance",
-                           t->exited ? "exited" : "running");
+    json_t *object = json_pack ("{sssiss}", "piece", t->piece, "try", (int)t->attempt, "stance",
+                                t->exited ? "exited" : "running");
     if (t->exited)
-      json_object_set_new (o, "cause", json_string (t->cause));
-    json_array_append_new (pieces, o);
+      json_object_set_new (object, "cause", json_string (t->cause));
+    json_array_append_new (pieces, object);
   }
   json_t *notice = m->notice > 0 ? json_real (m->notice) : json_null ();
   return json_pack ("{sssssssssbsisisIsoso}", "rockhand", m->name, "addr", m->name, "hull", "g2",
@@ -227,15 +227,15 @@
     next_node (m, m->hears ? r : NULL);
     return status;
   }
-  guint64 baton = json_integer_value (json_object_get (r->body, "baton"));
-  if (baton < m->baton || tenure != m->tenure)
+  guint64 fencing_token = json_integer_value (json_object_get (r->body, "baton"));
+  if (fencing_token < m->baton || tenure != m->tenure)
     return status;
   /* A higher token is a change, at most once in half of a lease. */
-  if (baton > m->baton && s->now - m->token_told > m->scene->lease_s / 2) {
+  if (fencing_token > m->baton && s->now - m->token_told > m->scene->lease_s / 2) {
     m->token_told = s->now;
     m->report_at = s->now + 0.5;
   }
-  m->baton = baton;
+  m->baton = fencing_token;
   m->lease_at = s->now;
   obey (m, json_object_get (r->body, "orders"));
   return status;
@@ -271,15 +271,15 @@
 int
 scene_obey_direct (SceneMachine *m, const char *body)
 {
-  json_t *o = json_loads (body, 0, NULL);
-  guint64 baton = json_integer_value (json_object_get (o, "baton"));
-  gboolean ok = !m->gone && baton >= m->baton &&
-                json_integer_value (json_object_get (o, "tenure")) == (json_int_t)m->tenure;
+  json_t *object = json_loads (body, 0, NULL);
+  guint64 fencing_token = json_integer_value (json_object_get (object, "baton"));
+  gboolean ok = !m->gone && fencing_token >= m->baton &&
+                json_integer_value (json_object_get (object, "tenure")) == (json_int_t)m->tenure;
   if (ok) {
-    m->baton = baton;
-    obey (m, json_object_get (o, "orders"));
+    m->baton = fencing_token;
+    obey (m, json_object_get (object, "orders"));
   }
-  json_decref (o);
+  json_decref (object);
   return ok ? 200 : 409;
 }
 
@@ -357,8 +357,8 @@
     SceneMachine *m = scene->machines->pdata[i];
     for (guint k = 0; k < m->tasks->len && !m->gone; k++) {
       const SceneTask *t = m->tasks->pdata[k];
-      g_autofree char *job = job_of (t->piece);
-      const double *told = g_hash_table_lookup (scene->withdrawn, job);
+      g_autofree char *job_id = job_of (t->piece);
+      const double *told = g_hash_table_lookup (scene->withdrawn, job_id);
       if (told && !t->exited && scene->s->now > *told + scene->cancel_s)
         broken (scene, "ran_cancelled: %s is on %s", t->piece, m->name);
     }
@@ -448,9 +448,9 @@
 /* ---- users ---- */
 
 static void
-job_free (gpointer p)
+job_free (gpointer data)
 {
-  SceneJob *job = p;
+  SceneJob *job = data;
   g_hash_table_unref (job->done);
   g_free (job);
 }
@@ -531,9 +531,9 @@
 }
 
 gboolean
-scene_recorded (Scene *scene, const char *job, const char *text)
+scene_recorded (Scene *scene, const char *job_id, const char *text)
 {
-  g_autofree char *key = g_strconcat ("h/j/", job, NULL);
+  g_autofree char *key = g_strconcat ("h/j/", job_id, NULL);
   const char *value = script_value (scene->s, key);
   return value && strstr (value, text);
 }
@@ -561,9 +561,9 @@
 }
 
 static void
-machine_free (gpointer p)
+machine_free (gpointer data)
 {
-  SceneMachine *m = p;
+  SceneMachine *m = data;
   g_ptr_array_unref (m->tasks);
   g_free (m->name);
   g_free (m);
@@ -579,10 +579,10 @@
   scene->jobs = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, job_free);
   scene->broken = g_ptr_array_new_with_free_func (g_free);
   scene->cloud_deletes = TRUE;
-  const HrSettings *set = scene->s->nodes[0].set;
-  scene->lease_s = set->lease_s;
-  scene->cancel_s = set->cancel_s;
-  scene->report_s = set->report_s;
+  const HrSettings *settings = scene->s->nodes[0].set;
+  scene->lease_s = settings->lease_s;
+  scene->cancel_s = settings->cancel_s;
+  scene->report_s = settings->report_s;
   /* Machines that wait for the test have nothing to do; they stay. */
   scene->s->pol.idle_s = 1000;
   for (int i = 0; i < nodes; i++) {
--- a/tests/script_scene.h
+++ b/tests/script_scene.h
@@ -100,7 +100,7 @@
 guint scene_count (const Scene *scene, const char *piece); /* machines that it is on */
 void scene_exit (SceneMachine *m, const char *piece, const char *cause);
 /* The machine that a job's record names, as text in it. */
-gboolean scene_recorded (Scene *scene, const char *job, const char *text);
+gboolean scene_recorded (Scene *scene, const char *job_id, const char *text);
 
 /* What the test held with script_hold is served as it comes. */
 void scene_release (Scene *scene);
--- a/tests/script_store.c
+++ b/tests/script_store.c
@@ -20,19 +20,19 @@
 } Lease;
 
 static void
-key_free (gpointer p)
+key_free (gpointer data)
 {
-  Key *k = p;
+  Key *k = data;
   g_free (k->text);
   g_free (k);
 }
 
 static void
-change_clear (gpointer p)
+change_clear (gpointer data)
 {
-  Change *c = p;
-  g_free (c->path);
-  g_free (c->text);
+  Change *core = data;
+  g_free (core->path);
+  g_free (core->text);
 }
 
 void
@@ -53,10 +53,10 @@
 }
 
 static void
-change (Script *s, const char *path, char *text, guint64 claim)
+change (Script *s, const char *path, char *text, guint64 lease_id)
 {
-  Change c = {g_strdup (path), g_strdup (text), s->epoch};
-  g_array_append_val (s->log, c);
+  Change core = {g_strdup (path), g_strdup (text), s->epoch};
+  g_array_append_val (s->log, core);
   if (!text) {
     g_hash_table_remove (s->keys, path);
     return;
@@ -64,7 +64,7 @@
   Key *k = g_new0 (Key, 1);
   k->text = text;
   k->stamp = s->epoch;
-  k->claim = claim;
+  k->claim = lease_id;
   g_hash_table_replace (s->keys, g_strdup (path), k);
 }
 
@@ -72,10 +72,10 @@
 end_lease (Script *s, const Lease *lease)
 {
   g_autoptr (GPtrArray) dead = g_ptr_array_new_with_free_func (g_free);
-  GHashTableIter it;
+  GHashTableIter iter;
   gpointer path, key;
-  g_hash_table_iter_init (&it, s->keys);
-  while (g_hash_table_iter_next (&it, &path, &key))
+  g_hash_table_iter_init (&iter, s->keys);
+  while (g_hash_table_iter_next (&iter, &path, &key))
     if (((Key *)key)->claim == lease->id)
       g_ptr_array_add (dead, g_strdup (path));
   s->epoch += dead->len > 0;
@@ -107,11 +107,11 @@
 claims_hold (Script *s, json_t *writes)
 {
   size_t i;
-  json_t *e;
-  json_array_foreach (writes, i, e)
+  json_t *entry;
+  json_array_foreach (writes, i, entry)
   {
-    guint64 claim = json_integer_value (json_object_get (e, "claim"));
-    if (claim && !g_hash_table_contains (s->leases, &claim))
+    guint64 lease_id = json_integer_value (json_object_get (entry, "claim"));
+    if (lease_id && !g_hash_table_contains (s->leases, &lease_id))
       return FALSE;
   }
   return TRUE;
@@ -136,54 +136,54 @@
 static char *
 commit (Script *s, const ScriptCall *call, int *status)
 {
-  json_t *o = json_loads (call->body, 0, NULL), *e, *failed = json_array ();
-  json_t *writes = json_object_get (o, "writes");
+  json_t *object = json_loads (call->body, 0, NULL), *entry, *failed = json_array ();
+  json_t *writes = json_object_get (object, "writes");
   size_t i;
   if (!allowed (s, json_array_size (writes))) {
     *status = 429;
     json_decref (failed);
-    json_decref (o);
+    json_decref (object);
     return g_strdup ("{\"error\":\"too many changes\"}");
   }
   if (!claims_hold (s, writes)) {
     *status = 400;
     json_decref (failed);
-    json_decref (o);
+    json_decref (object);
     return g_strdup ("{\"error\":\"no such lease\"}");
   }
-  json_array_foreach (json_object_get (o, "when"), i, e)
+  json_array_foreach (json_object_get (object, "when"), i, entry)
   {
-    const char *path = hr_json_str (e, "path");
-    if ((guint64)json_integer_value (json_object_get (e, "stamp")) != script_stamp (s, path))
+    const char *path = hr_json_str (entry, "path");
+    if ((guint64)json_integer_value (json_object_get (entry, "stamp")) != script_stamp (s, path))
       json_array_append_new (failed, json_string (path));
   }
   *status = json_array_size (failed) ? 409 : 200;
   if (*status == 200 && json_array_size (writes)) {
     s->epoch++;
     s->carried_out++;
-    json_array_foreach (writes, i, e)
+    json_array_foreach (writes, i, entry)
     {
-      const char *set = hr_json_str (e, "set");
-      if (set)
-        change (s, set, hr_json_take_text (json_incref (json_object_get (e, "value"))),
-                json_integer_value (json_object_get (e, "claim")));
+      const char *settings = hr_json_str (entry, "set");
+      if (settings)
+        change (s, settings, hr_json_take_text (json_incref (json_object_get (entry, "value"))),
+                json_integer_value (json_object_get (entry, "claim")));
       else
-        change (s, hr_json_str (e, "delete"), NULL, 0);
+        change (s, hr_json_str (entry, "delete"), NULL, 0);
     }
   }
-  json_decref (o);
+  json_decref (object);
   return hr_json_take_text (json_pack ("{sosI}", "failed", failed, "epoch", (json_int_t)s->epoch));
 }
 
 static char *
 query (const char *path, const char *name)
 {
-  const char *q = strchr (path, '?');
+  const char *text = strchr (path, '?');
   g_autofree char *want = g_strconcat (name, "=", NULL);
-  g_auto (GStrv) parts = g_strsplit (q ? q + 1 : "", "&", -1);
-  for (guint i = 0; parts[i]; i++)
-    if (g_str_has_prefix (parts[i], want))
-      return g_strdup (parts[i] + strlen (want));
+  g_auto (GStrv) fields = g_strsplit (text ? text + 1 : "", "&", -1);
+  for (guint i = 0; fields[i]; i++)
+    if (g_str_has_prefix (fields[i], want))
+      return g_strdup (fields[i] + strlen (want));
   return NULL;
 }
 
@@ -200,14 +200,14 @@
   }
   json_t *log = json_array ();
   for (guint i = 0; i < s->log->len; i++) {
-    Change *c = &g_array_index (s->log, Change, i);
-    if (c->stamp <= after || !g_str_has_prefix (c->path, prefix))
+    Change *core = &g_array_index (s->log, Change, i);
+    if (core->stamp <= after || !g_str_has_prefix (core->path, prefix))
       continue;
-    json_t *o =
-        json_pack ("{sssI}", c->text ? "set" : "delete", c->path, "stamp", (json_int_t)c->stamp);
-    if (c->text)
-      json_object_set_new (o, "value", value_of (c->text));
-    json_array_append_new (log, o);
+    json_t *object = json_pack ("{sssI}", core->text ? "set" : "delete", core->path, "stamp",
+                                (json_int_t)core->stamp);
+    if (core->text)
+      json_object_set_new (object, "value", value_of (core->text));
+    json_array_append_new (log, object);
   }
   if (!json_array_size (log) && ends > s->now) {
     json_decref (log);
@@ -245,13 +245,13 @@
 {
   *status = 200;
   if (strcmp (call->path, "/leases") == 0) {
-    json_t *o = json_loads (call->body, 0, NULL);
+    json_t *object = json_loads (call->body, 0, NULL);
     Lease *l = g_new0 (Lease, 1);
     l->id = ++s->claims;
-    l->life = json_integer_value (json_object_get (o, "life_ms")) / 1000.0;
+    l->life = json_integer_value (json_object_get (object, "life_ms")) / 1000.0;
     l->ends = s->now + l->life;
     g_hash_table_insert (s->leases, &l->id, l);
-    json_decref (o);
+    json_decref (object);
     return g_strdup_printf ("{\"claim\":%" G_GUINT64_FORMAT "}", l->id);
   }
   guint64 id = g_ascii_strtoull (call->path + strlen ("/leases/"), NULL, 10);
@@ -331,10 +331,10 @@
 script_leader (Script *s)
 {
   const char *text = script_value (s, "h/map");
-  json_t *o = text ? value_of (text) : NULL;
-  const char *label = hr_json_str (o, "o");
+  json_t *object = text ? value_of (text) : NULL;
+  const char *label = hr_json_str (object, "o");
   int node = label ? label[1] - '0' : -1;
-  json_decref (o);
+  json_decref (object);
   return node;
 }
 
--- a/tests/script_worker.c
+++ b/tests/script_worker.c
@@ -4,9 +4,9 @@
 #include <string.h>
 
 void
-script_worker_free (gpointer p)
+script_worker_free (gpointer data)
 {
-  ScriptWorker *w = p;
+  ScriptWorker *w = data;
   g_ptr_array_unref (w->tasks);
   g_free (w->name);
   g_free (w);
@@ -60,16 +60,16 @@
 int
 script_direct (Script *s, ScriptWorker *w, const ScriptCall *call)
 {
-  json_t *o = json_loads (call->body, 0, NULL), *order;
-  guint64 baton = json_integer_value (json_object_get (o, "baton"));
-  guint64 tenure = json_integer_value (json_object_get (o, "tenure"));
-  gboolean counts = baton >= w->baton && tenure == w->tenure;
+  json_t *object = json_loads (call->body, 0, NULL), *order;
+  guint64 fencing_token = json_integer_value (json_object_get (object, "baton"));
+  guint64 tenure = json_integer_value (json_object_get (object, "tenure"));
+  gboolean counts = fencing_token >= w->baton && tenure == w->tenure;
   size_t i;
   if (counts) {
-    w->baton = baton;
-    json_array_foreach (json_object_get (o, "orders"), i, order) obey (w, order);
+    w->baton = fencing_token;
+    json_array_foreach (json_object_get (object, "orders"), i, order) obey (w, order);
   }
-  json_decref (o);
+  json_decref (object);
   return counts ? 200 : 409;
 }
 
@@ -82,10 +82,10 @@
   const ScriptReply *r = script_reply (s, node, id);
   if (!r || r->status != 200)
     return r ? r->status : 0;
-  guint64 baton = json_integer_value (json_object_get (r->body, "baton"));
-  if (baton < w->baton)
+  guint64 fencing_token = json_integer_value (json_object_get (r->body, "baton"));
+  if (fencing_token < w->baton)
     return r->status;
-  w->baton = baton;
+  w->baton = fencing_token;
   size_t i;
   json_array_foreach (json_object_get (r->body, "orders"), i, order) obey (w, order);
   return r->status;
@@ -116,9 +116,9 @@
 }
 
 gboolean
-script_worker_has (const ScriptWorker *w, const char *job)
+script_worker_has (const ScriptWorker *w, const char *job_id)
 {
-  g_autofree char *prefix = g_strconcat (job, "/", NULL);
+  g_autofree char *prefix = g_strconcat (job_id, "/", NULL);
   for (guint i = 0; i < w->tasks->len; i++) {
     json_t *task = w->tasks->pdata[i];
     if (g_str_has_prefix (hr_json_str (task, "piece"), prefix) &&
--- a/tests/scripted.c
+++ b/tests/scripted.c
@@ -5,12 +5,12 @@
 static void
 answer (Script *s, guint64 id, int status, char *text)
 {
-  HrCommand *c = hr_command_new (HR_COMMAND_RESULT);
-  c->id = id;
-  c->status = status;
+  HrCommand *command = hr_command_new (HR_COMMAND_RESULT);
+  command->id = id;
+  command->status = status;
   if (text)
-    c->body = g_bytes_new_take (text, strlen (text));
-  g_ptr_array_add (s->inbox, c);
+    command->body = g_bytes_new_take (text, strlen (text));
+  g_ptr_array_add (s->inbox, command);
 }
 
 void
@@ -26,10 +26,10 @@
 latest (const Script *s, const char *key)
 {
   for (guint i = s->log->len; i-- > 0;) {
-    json_t *o = json_loads (s->log->pdata[i], 0, NULL);
-    if (strcmp (hr_json_str (o, "set"), key) == 0)
-      return o;
-    json_decref (o);
+    json_t *object = json_loads (s->log->pdata[i], 0, NULL);
+    if (strcmp (hr_json_str (object, "set"), key) == 0)
+      return object;
+    json_decref (object);
   }
   return NULL;
 }
@@ -38,11 +38,11 @@
 script_withdraw (Script *s, const char *id)
 {
   g_autofree char *key = g_strconcat ("h/j/", id, NULL);
-  json_t *o = latest (s, key), *v = json_object_get (o, "value");
-  json_object_set_new (v, "s", json_integer (2));
-  json_object_set_new (v, "w", json_string ("another"));
-  g_autofree char *text = json_dumps (v, JSON_COMPACT);
-  json_decref (o);
+  json_t *object = latest (s, key), *value = json_object_get (object, "value");
+  json_object_set_new (value, "s", json_integer (2));
+  json_object_set_new (value, "w", json_string ("another"));
+  g_autofree char *text = json_dumps (value, JSON_COMPACT);
+  json_decref (object);
   script_write (s, key, text);
   return s->epoch;
 }
@@ -50,14 +50,14 @@
 static gboolean
 holds (const Script *s, json_t *when)
 {
-  json_t *e;
+  json_t *entry;
   size_t i;
-  json_array_foreach (when, i, e)
+  json_array_foreach (when, i, entry)
   {
-    json_t *o = latest (s, hr_json_str (e, "path"));
-    gboolean same = json_integer_value (json_object_get (o, "stamp")) ==
-                    json_integer_value (json_object_get (e, "stamp"));
-    json_decref (o);
+    json_t *object = latest (s, hr_json_str (entry, "path"));
+    gboolean same = json_integer_value (json_object_get (object, "stamp")) ==
+                    json_integer_value (json_object_get (entry, "stamp"));
+    json_decref (object);
     if (!same)
       return FALSE;
   }
@@ -67,18 +67,18 @@
 static void
 commit (Script *s, const HrEffect *call)
 {
-  json_t *o = json_loads (call->body, 0, NULL), *e;
+  json_t *object = json_loads (call->body, 0, NULL), *entry;
   size_t i;
-  if (!holds (s, json_object_get (o, "when"))) {
+  if (!holds (s, json_object_get (object, "when"))) {
     answer (s, call->id, 409, g_strdup ("{\"failed\":[],\"epoch\":1}"));
   } else {
     guint64 store_revision = s->epoch + 1;
-    json_array_foreach (json_object_get (o, "writes"), i, e)
+    json_array_foreach (json_object_get (object, "writes"), i, entry)
     {
-      g_autofree char *v =
-          json_dumps (json_object_get (e, "value"), JSON_COMPACT | JSON_ENCODE_ANY);
+      g_autofree char *value =
+          json_dumps (json_object_get (entry, "value"), JSON_COMPACT | JSON_ENCODE_ANY);
       s->epoch = store_revision - 1; /* all changes of a transaction have one stamp */
-      script_write (s, hr_json_str (e, "set"), v);
+      script_write (s, hr_json_str (entry, "set"), value);
     }
     if (s->loses_writes) {
       s->served &= !s->out_after_loss;
@@ -86,7 +86,7 @@
     } else
       answer (s, call->id, 200, g_strdup_printf ("{\"epoch\":%" G_GUINT64_FORMAT "}", s->epoch));
   }
-  json_decref (o);
+  json_decref (object);
 }
 
 static void
@@ -99,12 +99,12 @@
   g_string_printf (text, "{\"epoch\":%" G_GUINT64_FORMAT ",\"log\":[", s->epoch);
   const char *sep = "";
   for (guint i = 0; i < s->log->len; i++) {
-    json_t *o = json_loads (s->log->pdata[i], 0, NULL);
-    if ((guint64)json_integer_value (json_object_get (o, "stamp")) > after) {
+    json_t *object = json_loads (s->log->pdata[i], 0, NULL);
+    if ((guint64)json_integer_value (json_object_get (object, "stamp")) > after) {
       g_string_append_printf (text, "%s%s", sep, (char *)s->log->pdata[i]);
       sep = ",";
     }
-    json_decref (o);
+    json_decref (object);
   }
   g_string_append (text, "]}");
   answer (s, call->id, 200, g_string_free (text, FALSE));
@@ -113,8 +113,8 @@
 static void
 store (Script *s, const HrEffect *call)
 {
-  g_autofree char *set = g_strdup_printf ("\"set\":\"%s\"", s->watched ? s->watched : "");
-  s->watched_writes += strcmp (call->path, "/commit") == 0 && strstr (call->body, set) != NULL;
+  g_autofree char *settings = g_strdup_printf ("\"set\":\"%s\"", s->watched ? s->watched : "");
+  s->watched_writes += strcmp (call->path, "/commit") == 0 && strstr (call->body, settings) != NULL;
   if (!s->served)
     answer (s, call->id, 503, g_strdup ("{\"error\":\"trouble\"}"));
   else if (strcmp (call->path, "/commit") == 0)
@@ -126,9 +126,10 @@
   else if (g_str_has_prefix (call->path, "/kv?"))
     answer (s, call->id, 200, g_strdup ("{\"rows\":[],\"more\":false,\"epoch\":1}"));
   else if (g_str_has_prefix (call->path, "/kv/")) {
-    json_t *o = latest (s, call->path + strlen ("/kv/"));
-    answer (s, call->id, o ? 200 : 404, o ? json_dumps (o, JSON_COMPACT) : g_strdup ("{}"));
-    json_decref (o);
+    json_t *object = latest (s, call->path + strlen ("/kv/"));
+    answer (s, call->id, object ? 200 : 404,
+            object ? json_dumps (object, JSON_COMPACT) : g_strdup ("{}"));
+    json_decref (object);
   } else
     answer (s, call->id, 200, g_strdup ("{}"));
 }
@@ -148,29 +149,30 @@
 static void
 obey (Script *s, const char *body)
 {
-  json_t *o = json_loads (body, 0, NULL), *e;
+  json_t *object = json_loads (body, 0, NULL), *entry;
   size_t i;
-  s->token = MAX (s->token, (guint64)json_integer_value (json_object_get (o, "baton")));
-  json_array_foreach (json_object_get (o, "orders"), i, e)
+  s->token = MAX (s->token, (guint64)json_integer_value (json_object_get (object, "baton")));
+  json_array_foreach (json_object_get (object, "orders"), i, entry)
   {
-    const char *piece = hr_json_str (e, "piece");
-    if (strcmp (hr_json_str (e, "verb"), "launch") == 0)
-      g_hash_table_insert (s->on, g_strdup (piece),
-                           GINT_TO_POINTER ((int)json_integer_value (json_object_get (e, "try"))));
+    const char *piece = hr_json_str (entry, "piece");
+    if (strcmp (hr_json_str (entry, "verb"), "launch") == 0)
+      g_hash_table_insert (
+          s->on, g_strdup (piece),
+          GINT_TO_POINTER ((int)json_integer_value (json_object_get (entry, "try"))));
     else
       g_hash_table_remove (s->on, piece);
   }
-  json_decref (o);
+  json_decref (object);
 }
 
 static char *
 report_text (Script *s)
 {
   json_t *pieces = json_array ();
-  GHashTableIter it;
+  GHashTableIter iter;
   gpointer piece, attempt;
-  g_hash_table_iter_init (&it, s->on);
-  while (g_hash_table_iter_next (&it, &piece, &attempt))
+  g_hash_table_iter_init (&iter, s->on);
+  while (g_hash_table_iter_next (&iter, &piece, &attempt))
     json_array_append_new (pieces, json_pack ("{sssiss}", "piece", piece, "try",
                                               GPOINTER_TO_INT (attempt), "stance", "running"));
   return hr_json_take_text (json_pack ("{sssssssssbsisisIso}", "rockhand", "m-000001", "addr",
@@ -192,21 +194,21 @@
 }
 
 static void
-perform (Script *s, const HrEffect *e)
+perform (Script *s, const HrEffect *effect)
 {
-  if (e->kind == HR_EFFECT_PEER_STATUS) {
-    s->said = *e->peer_status;
+  if (effect->kind == HR_EFFECT_PEER_STATUS) {
+    s->said = *effect->peer_status;
     s->hint_at = s->now;
-  } else if (e->kind == HR_EFFECT_REPLY) {
-    s->status = e->status;
+  } else if (effect->kind == HR_EFFECT_REPLY) {
+    s->status = effect->status;
     g_free (s->answer);
-    s->answer = g_strdup (e->body);
-  } else if (e->target == HR_TO_STORE)
-    store (s, e);
-  else if (e->target == HR_TO_CLOUD)
-    cloud (s, e);
+    s->answer = g_strdup (effect->body);
+  } else if (effect->target == HR_TO_STORE)
+    store (s, effect);
+  else if (effect->target == HR_TO_CLOUD)
+    cloud (s, effect);
   else
-    worker (s, e);
+    worker (s, effect);
 }
 
 /* One step with this command, then steps with the answers to what it asked for. */
@@ -225,11 +227,11 @@
 }
 
 void
-script_hint (Script *s, HrPeerStatus *h)
+script_hint (Script *s, HrPeerStatus *status)
 {
-  HrCommand *c = hr_command_new (HR_COMMAND_PEER_STATUS);
-  *c->peer_status = *h;
-  step (s, c);
+  HrCommand *command = hr_command_new (HR_COMMAND_PEER_STATUS);
+  *command->peer_status = *status;
+  step (s, command);
 }
 
 static void
@@ -266,13 +268,13 @@
 request (Script *s, HrMethod method, const char *path, char *body)
 {
   static guint64 id;
-  HrCommand *c = hr_command_new (HR_COMMAND_REQUEST);
-  c->id = ++id;
-  c->method = method;
-  c->path = g_strdup (path);
-  c->body = body ? g_bytes_new_take (body, strlen (body)) : NULL;
+  HrCommand *command = hr_command_new (HR_COMMAND_REQUEST);
+  command->id = ++id;
+  command->method = method;
+  command->path = g_strdup (path);
+  command->body = body ? g_bytes_new_take (body, strlen (body)) : NULL;
   s->status = 0;
-  step (s, c);
+  step (s, command);
   for (int i = 0; !s->status && i < 30; i++)
     script_run (s, 0.1);
   return s->status;
@@ -327,7 +329,7 @@
 static void
 settings (Script *s)
 {
-  g_autoptr (GError) e = NULL;
+  g_autoptr (GError) error = NULL;
   g_autoptr (GHashTable) vars = hr_policy_vars_new ();
   json_t *root = json_loads (
       "{\"label\":\"c0\",\"area\":\"z0\",\"front\":\"127.0.0.1:1\",\"back\":\"127.0.0.1:2\","
@@ -339,13 +341,13 @@
       "\"gang_peer_s\":4,\"cancel_s\":36},\"state\":{\"rps\":1e6,\"write_rps\":1e5,\"value_kb\":4,"
       "\"txn_ops\":12},\"cloud\":{\"rps\":8,\"list_lag_s\":3}}}",
       0, NULL);
-  s->set = hr_settings_parse (root, &s->names, &e);
+  s->set = hr_settings_parse (root, &s->names, &error);
   json_decref (root);
   if (!s->set)
-    g_error ("the settings: %s", e->message);
+    g_error ("the settings: %s", error->message);
   hr_core_policy_vars (s->set, vars);
-  if (!hr_policy_load (SOURCE_ROOT "/deploy/policy.hop", vars, &s->pol, &e))
-    g_error ("the policy: %s", e->message);
+  if (!hr_policy_load (SOURCE_ROOT "/deploy/policy.hop", vars, &s->pol, &error))
+    g_error ("the policy: %s", error->message);
 }
 
 Script *
--- a/tests/scripted.h
+++ b/tests/scripted.h
@@ -57,7 +57,7 @@
 /* The same again and again for so long; returns the status of the last one. */
 int script_report_for (Script *s, double seconds);
 /* c0 gets this hint, with its own clock echoed. */
-void script_hint (Script *s, HrPeerStatus *h);
+void script_hint (Script *s, HrPeerStatus *status);
 /* Somebody else changes the ledger. */
 void script_write (Script *s, const char *key, const char *value);
 /* Somebody else withdraws the job; its stamp is returned. */
--- a/tests/sim/answers.c
+++ b/tests/sim/answers.c
@@ -6,18 +6,18 @@
 #include <string.h>
 
 Question *
-question_new (World *w, SJob *j)
+question_new (World *world, SJob *job)
 {
   Question *q = g_new (Question, 1);
-  *q = (Question){j, ++w->answers, w->now};
+  *q = (Question){job, ++world->answers, world->now};
   return q;
 }
 
 gboolean
-job_all_done (const SJob *j)
+job_all_done (const SJob *job)
 {
-  for (guint i = 0; i < j->tasks; i++)
-    if (!j->done[i])
+  for (guint i = 0; i < job->tasks; i++)
+    if (!job->done[i])
       return FALSE;
   return TRUE;
 }
@@ -30,64 +30,64 @@
 
 /* Of what only one can ever be true, no controller may tell both, in whatever order. */
 static void
-check_final (World *w, const SJob *j, gboolean done, gboolean cancelled)
+check_final (World *world, const SJob *job, gboolean done, gboolean cancelled)
 {
-  if ((done && j->heard_withdrawn) || (cancelled && j->heard_done))
-    w_broken (w, "went_back", "%s is called %s, and was called %s", j->id,
+  if ((done && job->heard_withdrawn) || (cancelled && job->heard_done))
+    w_broken (world, "went_back", "%s is called %s, and was called %s", job->id,
               done ? "done" : "withdrawn", done ? "withdrawn" : "done");
 }
 
 void
-answer_check (World *w, const Question *q, int status, json_t *body)
+answer_check (World *world, const Question *q, int status, json_t *body)
 {
-  SJob *j = q->job;
+  SJob *job = q->job;
   const char *state = json_string_value (json_object_get (body, "stance"));
   const char *id = json_string_value (json_object_get (body, "name_id"));
-  w->answers++;
-  if (!state || g_strcmp0 (id, j->id) != 0) {
-    w_broken (w, "status", "%s: an answer of %d about %s without a state of its own", j->id, status,
-              id ? id : "no job");
+  world->answers++;
+  if (!state || g_strcmp0 (id, job->id) != 0) {
+    w_broken (world, "status", "%s: an answer of %d about %s without a state of its own", job->id,
+              status, id ? id : "no job");
     return;
   }
   if (!json_object_get (body, "reason"))
-    w_broken (w, "reason", "%s: an answer without a reason", j->id);
+    w_broken (world, "reason", "%s: an answer without a reason", job->id);
   gboolean done = strcmp (state, "done") == 0, cancelled = strcmp (state, "withdrawn") == 0;
-  if (done && (j->shape == HR_SERVICE || !job_all_done (j)))
-    w_broken (w, "not_done", "%s is called done", j->id);
-  if (cancelled && !pipeline_cancel_asked (j))
-    w_broken (w, "went_back", "%s is called withdrawn, nobody asked for that", j->id);
-  if ((heard_before (j->heard_done, q) && !done) ||
-      (heard_before (j->heard_withdrawn, q) && !cancelled))
-    w_broken (w, "went_back", "%s is called %s", j->id, state);
-  check_final (w, j, done, cancelled);
-  pipeline_told (w, j, state, q->sent_at);
-  if (status == 201 && heard_before (j->heard_accepted, q))
-    w_broken (w, "status", "%s is accepted as new a second time", j->id);
-  gboolean first = !j->heard_accepted;
-  gboolean news = first || (done && !j->heard_done) || (cancelled && !j->heard_withdrawn);
+  if (done && (job->shape == HR_SERVICE || !job_all_done (job)))
+    w_broken (world, "not_done", "%s is called done", job->id);
+  if (cancelled && !pipeline_cancel_asked (job))
+    w_broken (world, "went_back", "%s is called withdrawn, nobody asked for that", job->id);
+  if ((heard_before (job->heard_done, q) && !done) ||
+      (heard_before (job->heard_withdrawn, q) && !cancelled))
+    w_broken (world, "went_back", "%s is called %s", job->id, state);
+  check_final (world, job, done, cancelled);
+  pipeline_told (world, job, state, q->sent_at);
+  if (status == 201 && heard_before (job->heard_accepted, q))
+    w_broken (world, "status", "%s is accepted as new a second time", job->id);
+  gboolean first = !job->heard_accepted;
+  gboolean news = first || (done && !job->heard_done) || (cancelled && !job->heard_withdrawn);
   if (first)
-    j->heard_accepted = w->answers;
-  if (done && !j->told_done) {
-    j->heard_done = w->answers;
-    j->told_done = w->now;
+    job->heard_accepted = world->answers;
+  if (done && !job->told_done) {
+    job->heard_done = world->answers;
+    job->told_done = world->now;
   }
-  if (cancelled && !j->told_withdrawn) {
-    j->heard_withdrawn = w->answers;
-    j->told_withdrawn = w->now;
-    judge_withdrawn (w, j);
+  if (cancelled && !job->told_withdrawn) {
+    job->heard_withdrawn = world->answers;
+    job->told_withdrawn = world->now;
+    judge_withdrawn (world, job);
   }
-  j->ok_at = w->now;
+  job->ok_at = world->now;
   if (news)
-    troubles_told (w, j, first && !done && !cancelled);
+    troubles_told (world, job, first && !done && !cancelled);
 }
 
 void
-answer_unknown (World *w, const Question *q, const char *what, int status)
+answer_unknown (World *world, const Question *q, const char *what, int status)
 {
-  SJob *j = q->job;
-  w->answers++;
-  if (heard_before (j->heard_accepted, q))
-    w_broken (w, "forgotten", "%s: %s gets %d", j->id, what, status);
+  SJob *job = q->job;
+  world->answers++;
+  if (heard_before (job->heard_accepted, q))
+    w_broken (world, "forgotten", "%s: %s gets %d", job->id, what, status);
   else if (status != 404)
-    w_broken (w, "status", "%s: %s gets %d", j->id, what, status);
+    w_broken (world, "status", "%s: %s gets %d", job->id, what, status);
 }
--- a/tests/sim/cloud.c
+++ b/tests/sim/cloud.c
@@ -10,207 +10,214 @@
 static const char *const zones[] = {"z0", "z1"};
 
 void
-machine_end (World *w, SMachine *m)
+machine_end (World *world, SMachine *machine)
 {
-  if (m->gone)
+  if (machine->gone)
     return;
-  machine_stop_all (w, m, NULL);
-  m->gone = TRUE;
-  m->up = FALSE;
-  m->gone_at = w->now;
+  machine_stop_all (world, machine, NULL);
+  machine->gone = TRUE;
+  machine->up = FALSE;
+  machine->gone_at = world->now;
 }
 
 /* The cloud takes it, with no notice. */
 static void
-taken (World *w, gpointer p)
+taken (World *world, gpointer data)
 {
-  machine_end (w, p);
+  machine_end (world, data);
 }
 
 void
-machine_take (World *w, SMachine *m)
+machine_take (World *world, SMachine *machine)
 {
-  if (m->gone || m->warned)
+  if (machine->gone || machine->warned)
     return;
-  if (w_rand (w, 0, 1) < 0.5) {
-    machine_end (w, m);
+  if (w_rand (world, 0, 1) < 0.5) {
+    machine_end (world, machine);
     return;
   }
-  m->warned = w->now + w_rand (w, 6, 18);
-  w_at (w, m->warned, taken, m);
+  machine->warned = world->now + w_rand (world, 6, 18);
+  w_at (world, machine->warned, taken, machine);
 }
 
 static void
-boot (World *w, gpointer p)
+boot (World *world, gpointer data)
 {
-  SMachine *m = p;
-  if (m->gone)
+  SMachine *machine = data;
+  if (machine->gone)
     return;
-  m->up = TRUE;
-  worker_boot (w, m);
+  machine->up = TRUE;
+  worker_boot (world, machine);
 }
 
 static void
-rent (World *w, Req *r)
+rent (World *world, Req *request)
 {
-  json_t *o = json_loads (r->body, 0, NULL);
-  const char *ask = json_string_value (json_object_get (o, "ask"));
-  const char *zone = json_string_value (json_object_get (o, "quarry"));
-  guint n = json_integer_value (json_object_get (o, "count"));
-  gboolean spot = json_is_true (json_object_get (o, "loaners"));
-  char *known = g_hash_table_lookup (w->asks, ask);
+  json_t *object = json_loads (request->body, 0, NULL);
+  const char *ask = json_string_value (json_object_get (object, "ask"));
+  const char *zone = json_string_value (json_object_get (object, "quarry"));
+  guint n = json_integer_value (json_object_get (object, "count"));
+  gboolean spot = json_is_true (json_object_get (object, "loaners"));
+  char *known = g_hash_table_lookup (world->asks, ask);
   if (known) {
-    w_answer (w, r, 200, g_strdup (known));
-    json_decref (o);
+    w_answer (world, request, 200, g_strdup (known));
+    json_decref (object);
     return;
   }
   guint live = 0;
-  for (guint i = 0; i < w->machines->len; i++) {
-    SMachine *m = w->machines->pdata[i];
-    live += !m->gone && m->spot == spot;
+  for (guint i = 0; i < world->machines->len; i++) {
+    SMachine *machine = world->machines->pdata[i];
+    live += !machine->gone && machine->spot == spot;
   }
-  guint capacity = spot ? w->capacity / 3 : w->capacity;
+  guint capacity = spot ? world->capacity / 3 : world->capacity;
   n = MIN (n, capacity > live ? capacity - live : 0);
   if (!n) {
-    w_answer (w, r, 503, g_strdup ("{\"error\":\"no capacity\"}"));
-    json_decref (o);
+    w_answer (world, request, 503, g_strdup ("{\"error\":\"no capacity\"}"));
+    json_decref (object);
     return;
   }
   json_t *names = json_array ();
   for (guint i = 0; i < n; i++) {
-    SMachine *m = g_new0 (SMachine, 1);
-    m->name = g_strdup_printf (w->long_names ? "m-%06u-of-the-eastern-render-hall" : "m-%06u",
-                               w->machines->len);
-    m->addr = w->controllers ? w->controllers->worker_address (w, w->machines->len)
-                             : g_strdup_printf ("10.1.0.%u:9000", w->machines->len);
-    m->zone = strcmp (zone, "z1") == 0;
-    m->spot = spot;
-    m->rented = w->now;
-    m->faulty = w_rand (w, 0, 1) < 0.03;
-    m->tasks = g_array_new (FALSE, TRUE, sizeof (STask));
-    m->images = g_hash_table_new (g_direct_hash, g_direct_equal);
-    double b = w_rand (w, 0, 1) < 0.05 ? 1 : w_rand (w, 12, 30);
-    m->boots = troubles_boots (w, w_rand (w, 0, 1) < 0.04 ? 1e9 : w->now + b);
-    g_ptr_array_add (w->machines, m);
-    json_array_append_new (names, json_string (m->name));
-    if (m->boots < 1e8)
-      w_at (w, m->boots, boot, m);
+    SMachine *machine = g_new0 (SMachine, 1);
+    machine->name = g_strdup_printf (
+        world->long_names ? "m-%06u-of-the-eastern-render-hall" : "m-%06u", world->machines->len);
+    machine->addr = world->controllers
+                        ? world->controllers->worker_address (world, world->machines->len)
+                        : g_strdup_printf ("10.1.0.%u:9000", world->machines->len);
+    machine->zone = strcmp (zone, "z1") == 0;
+    machine->spot = spot;
+    machine->rented = world->now;
+    machine->faulty = w_rand (world, 0, 1) < 0.03;
+    machine->tasks = g_array_new (FALSE, TRUE, sizeof (STask));
+    machine->images = g_hash_table_new (g_direct_hash, g_direct_equal);
+    double b = w_rand (world, 0, 1) < 0.05 ? 1 : w_rand (world, 12, 30);
+    machine->boots = troubles_boots (world, w_rand (world, 0, 1) < 0.04 ? 1e9 : world->now + b);
+    g_ptr_array_add (world->machines, machine);
+    json_array_append_new (names, json_string (machine->name));
+    if (machine->boots < 1e8)
+      w_at (world, machine->boots, boot, machine);
   }
-  json_t *a = json_pack ("{so}", "rockhands", names);
-  char *text = hr_json_take_text (a);
-  g_hash_table_insert (w->asks, g_strdup (ask), g_strdup (text));
-  json_decref (o);
-  w_answer (w, r, 200, text);
+  json_t *array = json_pack ("{so}", "rockhands", names);
+  char *text = hr_json_take_text (array);
+  g_hash_table_insert (world->asks, g_strdup (ask), g_strdup (text));
+  json_decref (object);
+  w_answer (world, request, 200, text);
 }
 
 static void
-del (World *w, Req *r)
+del (World *world, Req *request)
 {
-  json_t *o = json_loads (r->body, 0, NULL), *e;
+  json_t *object = json_loads (request->body, 0, NULL), *entry;
   size_t i;
-  json_array_foreach (json_object_get (o, "rockhands"), i, e)
+  json_array_foreach (json_object_get (object, "rockhands"), i, entry)
   {
-    for (guint k = 0; k < w->machines->len; k++) {
-      SMachine *m = w->machines->pdata[k];
-      if (strcmp (m->name, json_string_value (e)) != 0)
+    for (guint k = 0; k < world->machines->len; k++) {
+      SMachine *machine = world->machines->pdata[k];
+      if (strcmp (machine->name, json_string_value (entry)) != 0)
         continue;
       /* Longer than any outage, and no record names it, or did of late: the owner's view is
        * that of an earlier term of his. */
-      if (!r->answered && m->gone && w->now - MAX (m->gone_at, m->named_at) > 90 &&
-          !store_names (w, m->name))
-        w_broken (w, "stale", "%s is returned %.0f s after it went", m->name, w->now - m->gone_at);
-      if (!m->asked_gone)
-        m->asked_gone = w->now;
-      machine_end (w, m);
+      if (!request->answered && machine->gone &&
+          world->now - MAX (machine->gone_at, machine->named_at) > 90 &&
+          !store_names (world, machine->name))
+        w_broken (world, "stale", "%s is returned %.0f s after it went", machine->name,
+                  world->now - machine->gone_at);
+      if (!machine->asked_gone)
+        machine->asked_gone = world->now;
+      machine_end (world, machine);
     }
   }
-  json_decref (o);
-  w_answer (w, r, 200, g_strdup ("{}"));
+  json_decref (object);
+  w_answer (world, request, 200, g_strdup ("{}"));
 }
 
 static void
-list (World *w, Req *r)
+list (World *world, Req *request)
 {
-  double at = w->now - w_rand (w, 0.5, 2) * LAG;
-  const char *after = strstr (r->path, "after=");
+  double at = world->now - w_rand (world, 0.5, 2) * LAG;
+  const char *after = strstr (request->path, "after=");
   g_autofree char *from = after ? g_strndup (after + 6, strcspn (after + 6, "&")) : g_strdup ("");
   json_t *rows = json_array ();
   gboolean more = FALSE;
-  for (guint i = 0; i < w->machines->len; i++) {
-    SMachine *m = w->machines->pdata[i];
-    if (m->rented > at || (m->gone && m->gone_at < at) || strcmp (m->name, from) <= 0)
+  for (guint i = 0; i < world->machines->len; i++) {
+    SMachine *machine = world->machines->pdata[i];
+    if (machine->rented > at || (machine->gone && machine->gone_at < at) ||
+        strcmp (machine->name, from) <= 0)
       continue;
-    if (json_array_size (rows) == (w->capacity > 100 ? 500 : 10)) {
+    if (json_array_size (rows) == (world->capacity > 100 ? 500 : 10)) {
       more = TRUE;
       break;
     }
-    json_array_append_new (
-        rows, json_pack ("{sssssssssbsssf}", "name_id", m->name, "addr", m->addr, "hull", "g2",
-                         "quarry", zones[m->zone], "loaners", m->spot, "stance",
-                         m->boots > at ? "starting" : "running", "age_s", at - m->rented));
+    json_array_append_new (rows, json_pack ("{sssssssssbsssf}", "name_id", machine->name, "addr",
+                                            machine->addr, "hull", "g2", "quarry",
+                                            zones[machine->zone], "loaners", machine->spot,
+                                            "stance", machine->boots > at ? "starting" : "running",
+                                            "age_s", at - machine->rented));
   }
-  json_t *a = json_pack ("{sosb}", "rockhands", rows, "more", more);
-  w_answer (w, r, 200, hr_json_take_text (a));
+  json_t *array = json_pack ("{sosb}", "rockhands", rows, "more", more);
+  w_answer (world, request, 200, hr_json_take_text (array));
 }
 
 /* More calls than the cloud allows, also while it is in trouble, take away from those that matter
  * when that is over. Late copies are not the controllers' doing. */
 static void
-check_rate (World *w, const Req *r)
+check_rate (World *world, const Req *request)
 {
-  if (r->answered)
+  if (request->answered)
     return;
-  w->cloud_calls = MAX (0, w->cloud_calls - (w->now - w->cloud_called) * CALLS_PER_S) + 1;
-  w->cloud_called = w->now;
-  if (w->cloud_calls > CALLS_BURST) {
-    w_broken (w, "cloud_rate", "c%d calls %s, more often than the cloud allows", r->node, r->path);
-    w->cloud_calls = 0;
+  world->cloud_calls =
+      MAX (0, world->cloud_calls - (world->now - world->cloud_called) * CALLS_PER_S) + 1;
+  world->cloud_called = world->now;
+  if (world->cloud_calls > CALLS_BURST) {
+    w_broken (world, "cloud_rate", "c%d calls %s, more often than the cloud allows", request->node,
+              request->path);
+    world->cloud_calls = 0;
   }
 }
 
 void
-cloud_request (World *w, Req *r)
+cloud_request (World *world, Req *request)
 {
-  check_rate (w, r);
-  if (w->cloud_outage > w->now)
-    w_answer (w, r, 503, g_strdup ("{\"error\":\"trouble\"}"));
-  else if (strcmp (r->path, "/machine_types") == 0)
-    w_answer (w, r, 200,
+  check_rate (world, request);
+  if (world->cloud_outage > world->now)
+    w_answer (world, request, 503, g_strdup ("{\"error\":\"trouble\"}"));
+  else if (strcmp (request->path, "/machine_types") == 0)
+    w_answer (world, request, 200,
               g_strdup ("{\"hulls\":[{\"sku\":\"g2\",\"vcpus\":12,\"accelerators\":2,\"memory_gb\":"
                         "96,\"cache_gb\":100,\"fetch_gb_per_s\":1.0,\"hourly\":5.0,\"low_price\":"
                         "2.0,\"startup_s\":20,\"quarries\":[\"z0\",\"z1\"]}]}"));
-  else if (strcmp (r->path, "/rentals") == 0)
-    rent (w, r);
-  else if (strcmp (r->path, "/rentals/delete") == 0)
-    del (w, r);
-  else if (g_str_has_prefix (r->path, "/rentals?"))
-    list (w, r);
+  else if (strcmp (request->path, "/rentals") == 0)
+    rent (world, request);
+  else if (strcmp (request->path, "/rentals/delete") == 0)
+    del (world, request);
+  else if (g_str_has_prefix (request->path, "/rentals?"))
+    list (world, request);
   else
-    w_broken (w, "protocol", "the cloud was asked for %s", r->path);
+    w_broken (world, "protocol", "the cloud was asked for %s", request->path);
 }
 
 static void
-machine_free (gpointer p)
+machine_free (gpointer data)
 {
-  SMachine *m = p;
-  g_free (m->name);
-  g_free (m->addr);
-  g_array_unref (m->tasks);
-  g_hash_table_unref (m->images);
-  g_free (m);
+  SMachine *machine = data;
+  g_free (machine->name);
+  g_free (machine->addr);
+  g_array_unref (machine->tasks);
+  g_hash_table_unref (machine->images);
+  g_free (machine);
 }
 
 void
-cloud_init (World *w)
+cloud_init (World *world)
 {
-  w->machines = g_ptr_array_new_with_free_func (machine_free);
-  w->asks = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  w->capacity = 24;
+  world->machines = g_ptr_array_new_with_free_func (machine_free);
+  world->asks = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  world->capacity = 24;
 }
 
 void
-cloud_free (World *w)
+cloud_free (World *world)
 {
-  g_ptr_array_unref (w->machines);
-  g_hash_table_unref (w->asks);
+  g_ptr_array_unref (world->machines);
+  g_hash_table_unref (world->asks);
 }
--- a/tests/sim/fate.c
+++ b/tests/sim/fate.c
@@ -10,35 +10,35 @@
 #define AWAY_S 7.0
 
 static void
-end_process (World *w, gpointer node)
+end_process (World *world, gpointer node)
 {
-  node_kill (w, GPOINTER_TO_INT (node));
+  node_kill (world, GPOINTER_TO_INT (node));
 }
 
 /* The request that a copy is made of may be answered and gone by then. */
 static Req *
-copy_of (const Req *r)
+copy_of (const Req *request)
 {
-  Req *c = g_new0 (Req, 1);
-  *c = *r;
-  c->addr = g_strdup (r->addr);
-  c->path = g_strdup (r->path);
-  c->body = g_strdup (r->body);
-  c->answered = TRUE; /* nobody waits for it */
-  c->refs = 1;
-  return c;
+  Req *core = g_new0 (Req, 1);
+  *core = *request;
+  core->addr = g_strdup (request->addr);
+  core->path = g_strdup (request->path);
+  core->body = g_strdup (request->body);
+  core->answered = TRUE; /* nobody waits for it */
+  core->refs = 1;
+  return core;
 }
 
 static void
-end_and_return (World *w, const Req *r, double at, double away)
+end_and_return (World *world, const Req *request, double at, double away)
 {
-  gpointer node = GINT_TO_POINTER (r->node >= 0 ? r->node : r->to);
-  w_at (w, at, end_process, node);
-  node_start_at (w, GPOINTER_TO_INT (node), at + away);
+  gpointer node = GINT_TO_POINTER (request->node >= 0 ? request->node : request->to);
+  w_at (world, at, end_process, node);
+  node_start_at (world, GPOINTER_TO_INT (node), at + away);
 }
 
 void
-w_meet_fate (World *w, Req *r, WFate fate, double t)
+w_meet_fate (World *world, Req *request, WFate fate, double t)
 {
   /* The answer takes at least as long: the process ends before it comes. */
   const double carried_out = t + 1e-5;
@@ -46,23 +46,23 @@
   case FATE_LOST:
     return;
   case FATE_ANSWER_LOST:
-    r->answer_lost = TRUE;
+    request->answer_lost = TRUE;
     break;
   case FATE_LATE:
     t += LATE_S;
     break;
   case FATE_COPIED:
-    w_at (w, t + COPY_S, req_arrive, copy_of (r));
+    w_at (world, t + COPY_S, req_arrive, copy_of (request));
     break;
   case FATE_ENDS_BACK:
-    end_and_return (w, r, carried_out, BACK_S);
+    end_and_return (world, request, carried_out, BACK_S);
     break;
   case FATE_ENDS_AWAY:
-    end_and_return (w, r, carried_out, AWAY_S);
+    end_and_return (world, request, carried_out, AWAY_S);
     break;
   default:
     break;
   }
-  r->refs++;
-  w_at (w, t, req_arrive, r);
+  request->refs++;
+  w_at (world, t, req_arrive, request);
 }
--- a/tests/sim/faults.c
+++ b/tests/sim/faults.c
@@ -2,110 +2,113 @@
 #include "sim/faults.h"
 
 void
-fault_crash (World *w, int i)
+fault_crash (World *world, int i)
 {
-  node_kill (w, i);
+  node_kill (world, i);
   /* Back after a while, now and then within a fraction of a second. */
-  node_start_at (w, i,
-                 w->now + (w_rand (w, 0, 1) < 0.3 ? w_rand (w, 0.05, 0.5) : w_rand (w, 3, 7)));
+  node_start_at (
+      world, i,
+      world->now + (w_rand (world, 0, 1) < 0.3 ? w_rand (world, 0.05, 0.5) : w_rand (world, 3, 7)));
 }
 
 /* Again and again, each time back within a fraction of a second. */
 void
-fault_stumble (World *w, gpointer p)
+fault_stumble (World *world, gpointer data)
 {
-  int i = GPOINTER_TO_INT (p);
-  node_kill (w, i);
-  node_start_at (w, GPOINTER_TO_INT (p), w->now + w_rand (w, 0.05, 0.5));
+  int i = GPOINTER_TO_INT (data);
+  node_kill (world, i);
+  node_start_at (world, GPOINTER_TO_INT (data), world->now + w_rand (world, 0.05, 0.5));
 }
 
 static void
-fault (World *w, gpointer p)
-{
-  int i = g_rand_int_range (w->rand, 0, w->n);
-  Node *n = &w->nodes[i];
-  SMachine *m =
-      w->machines->len ? w->machines->pdata[g_rand_int_range (w->rand, 0, w->machines->len)] : NULL;
-  double d = w_rand (w, 3, 40);
-  gboolean hold = w_rand (w, 0, 1) < 0.5;
-  int kind = g_rand_int_range (w->rand, 0, 20);
-  sim_log_time = w->now;
-  g_debug ("fault %d on c%d or %s for %.1f s, %s", kind, i, m ? m->name : "-", d,
+fault (World *world, gpointer data)
+{
+  int i = g_rand_int_range (world->rand, 0, world->n);
+  Node *n = &world->nodes[i];
+  SMachine *machine =
+      world->machines->len
+          ? world->machines->pdata[g_rand_int_range (world->rand, 0, world->machines->len)]
+          : NULL;
+  double d = w_rand (world, 3, 40);
+  gboolean hold = w_rand (world, 0, 1) < 0.5;
+  int kind = g_rand_int_range (world->rand, 0, 20);
+  sim_log_time = world->now;
+  g_debug ("fault %d on c%d or %s for %.1f s, %s", kind, i, machine ? machine->name : "-", d,
            hold ? "held" : "lost");
   switch (kind) {
   case 0:
   case 1:
-    fault_crash (w, i);
+    fault_crash (world, i);
     break;
   case 2:
-    for (int k = 0; k < w->n; k++)
-      fault_crash (w, k);
+    for (int k = 0; k < world->n; k++)
+      fault_crash (world, k);
     break;
   case 3:
-    w->outage = w->now + MIN (d, 28);
+    world->outage = world->now + MIN (d, 28);
     break;
   case 4:
-    n->refused = w->now + d;
+    n->refused = world->now + d;
     break;
   case 5:
-    n->cut_workers = w->now + d;
+    n->cut_workers = world->now + d;
     n->hold = hold;
     break;
   case 6:
-    n->cut_store = w->now + d;
+    n->cut_store = world->now + d;
     n->hold = hold;
     break;
   case 7:
-    n->cut_workers = n->cut_store = n->cut_peers = n->cut_users = w->now + d;
-    n->alone_at = w->now;
+    n->cut_workers = n->cut_store = n->cut_peers = n->cut_users = world->now + d;
+    n->alone_at = world->now;
     n->hold = hold;
     break;
   case 8:
-    if (m) {
-      m->cut = w->now + d;
-      m->hold = hold;
+    if (machine) {
+      machine->cut = world->now + d;
+      machine->hold = hold;
     }
     break;
   case 9:
-    if (m)
-      m->hang = w->now + d;
+    if (machine)
+      machine->hang = world->now + d;
     break;
   case 10:
-    for (guint k = 0; k < w->machines->len; k++)
-      if (((SMachine *)w->machines->pdata[k])->spot && w_rand (w, 0, 1) < 0.5)
-        machine_take (w, w->machines->pdata[k]);
+    for (guint k = 0; k < world->machines->len; k++)
+      if (((SMachine *)world->machines->pdata[k])->spot && w_rand (world, 0, 1) < 0.5)
+        machine_take (world, world->machines->pdata[k]);
     break;
   case 11:
-    w->cloud_outage = w->now + d;
+    world->cloud_outage = world->now + d;
     break;
   case 12:
-    w->outage = w->now + MIN (d, 28);
-    for (int k = 0; k < w->n; k++)
-      fault_crash (w, k);
+    world->outage = world->now + MIN (d, 28);
+    for (int k = 0; k < world->n; k++)
+      fault_crash (world, k);
     break;
   case 13:
   case 14: /* several, so that it looks like a trouble of the controller's */
-    for (guint k = 0; k < w->machines->len; k++) {
-      SMachine *x = w->machines->pdata[k];
-      if (x == m || (kind == 14 && w_rand (w, 0, 1) < 0.3))
-        x->deaf = w->now + d;
+    for (guint k = 0; k < world->machines->len; k++) {
+      SMachine *x = world->machines->pdata[k];
+      if (x == machine || (kind == 14 && w_rand (world, 0, 1) < 0.3))
+        x->deaf = world->now + d;
     }
     break;
   case 15: /* but not its workers and users */
-    n->cut_store = n->cut_peers = w->now + d;
-    n->alone_at = w->now;
+    n->cut_store = n->cut_peers = world->now + d;
+    n->alone_at = world->now;
     n->hold = hold;
     break;
   case 16:
   case 17:
-    for (int k = 0; k < (kind == 17 ? w->n : 1); k++)
-      for (double t = 0; t < 6; t += w_rand (w, 0.6, 2.5))
-        w_at (w, w->now + t, fault_stumble, GINT_TO_POINTER ((i + k) % w->n));
+    for (int k = 0; k < (kind == 17 ? world->n : 1); k++)
+      for (double t = 0; t < 6; t += w_rand (world, 0.6, 2.5))
+        w_at (world, world->now + t, fault_stumble, GINT_TO_POINTER ((i + k) % world->n));
     break;
   case 18:
   case 19:
-    for (int k = 0; k < (kind == 19 ? w->n : 1); k++)
-      node_freeze (w, (i + k) % w->n, d);
+    for (int k = 0; k < (kind == 19 ? world->n : 1); k++)
+      node_freeze (world, (i + k) % world->n, d);
     break;
   }
 }
@@ -116,127 +119,128 @@
 } Freeze;
 
 static void
-freeze (World *w, gpointer p)
+freeze (World *world, gpointer data)
 {
-  Freeze *f = p;
-  int owner = MAX (0, store_owner (w));
-  for (int k = 0; k < w->n; k++)
+  Freeze *f = data;
+  int owner = MAX (0, store_owner (world));
+  for (int k = 0; k < world->n; k++)
     if (f->who == FREEZE_ALL || (f->who == FREEZE_OWNER) == (k == owner))
-      node_freeze (w, k, f->for_s);
+      node_freeze (world, k, f->for_s);
   g_free (f);
 }
 
 void
-faults_freeze (World *w, double at, FreezeWho who, double for_s)
+faults_freeze (World *world, double at, FreezeWho who, double for_s)
 {
   Freeze *f = g_new (Freeze, 1);
   *f = (Freeze){who, for_s};
-  w_at (w, at, freeze, f);
+  w_at (world, at, freeze, f);
 }
 
 /* The busiest machine hears nothing for long: it must be gone well before that is over,
  * or whatever is placed on it never runs. */
 static void
-still_there (World *w, gpointer p)
+still_there (World *world, gpointer data)
 {
-  SMachine *m = p;
-  if (!m->gone)
-    w_broken (w, "deaf", "%s hears nothing and is kept", m->name);
+  SMachine *machine = data;
+  if (!machine->gone)
+    w_broken (world, "deaf", "%s hears nothing and is kept", machine->name);
 }
 
 static void
-deafen (World *w, gpointer p)
+deafen (World *world, gpointer data)
 {
-  SMachine *m = NULL;
-  for (guint i = 0; i < w->machines->len; i++) {
-    SMachine *x = w->machines->pdata[i];
-    if (x->up && !x->gone && !x->warned && (!m || x->tasks->len > m->tasks->len))
-      m = x;
+  SMachine *machine = NULL;
+  for (guint i = 0; i < world->machines->len; i++) {
+    SMachine *x = world->machines->pdata[i];
+    if (x->up && !x->gone && !x->warned && (!machine || x->tasks->len > machine->tasks->len))
+      machine = x;
   }
-  if (!m)
+  if (!machine)
     return;
-  m->deaf = w->now + 200;
-  w_at (w, w->now + 60, still_there, m);
+  machine->deaf = world->now + 200;
+  w_at (world, world->now + 60, still_there, machine);
 }
 
 void
-faults_deaf (World *w, double at)
+faults_deaf (World *world, double at)
 {
-  w_at (w, at, deafen, NULL);
+  w_at (world, at, deafen, NULL);
 }
 
 /* Of the machines marked for it when a trouble began: how many there are, and for how many it is
  * so. */
 guint
-fault_marked (World *w, gboolean (*is) (const SMachine *), guint *all)
+fault_marked (World *world, gboolean (*is) (const SMachine *), guint *all)
 {
   guint n = 0;
   *all = 0;
-  for (guint i = 0; i < w->machines->len; i++) {
-    const SMachine *m = w->machines->pdata[i];
-    *all += m->through_cut;
-    n += m->through_cut && is (m);
+  for (guint i = 0; i < world->machines->len; i++) {
+    const SMachine *machine = world->machines->pdata[i];
+    *all += machine->through_cut;
+    n += machine->through_cut && is (machine);
   }
   return n;
 }
 
 static gboolean
-is_gone (const SMachine *m)
+is_gone (const SMachine *machine)
 {
-  return m->gone;
+  return machine->gone;
 }
 
 /* All controllers behind one cut, which holds back what is sent to them; they hear one
  * another. Nothing that was up before may be given away because of it. */
 static void
-kept (World *w, gpointer p)
+kept (World *world, gpointer data)
 {
-  guint up, lost = fault_marked (w, is_gone, &up);
+  guint up, lost = fault_marked (world, is_gone, &up);
   if (!up || lost * 3 > up)
-    w_broken (w, "kept", "%u of %u machines are given away after a cut", lost, up);
+    w_broken (world, "kept", "%u of %u machines are given away after a cut", lost, up);
 }
 
 static void
-cut_ends (World *w, gpointer p)
+cut_ends (World *world, gpointer data)
 {
-  for (guint i = 0; i < w->machines->len; i++) {
-    SMachine *m = w->machines->pdata[i];
-    m->through_cut = m->up && !m->gone && m->tasks->len == 0 && m->tenure > 1;
+  for (guint i = 0; i < world->machines->len; i++) {
+    SMachine *machine = world->machines->pdata[i];
+    machine->through_cut =
+        machine->up && !machine->gone && machine->tasks->len == 0 && machine->tenure > 1;
   }
 }
 
 static void
-cut_all (World *w, gpointer p)
+cut_all (World *world, gpointer data)
 {
-  for (int k = 0; k < w->n; k++) {
-    Node *n = &w->nodes[k];
-    n->cut_workers = n->cut_store = n->cut_users = w->now + 30;
+  for (int k = 0; k < world->n; k++) {
+    Node *n = &world->nodes[k];
+    n->cut_workers = n->cut_store = n->cut_users = world->now + 30;
     n->hold = TRUE;
   }
-  w_at (w, w->now + 29.5, cut_ends, NULL);
-  w_at (w, w->now + 42, kept, NULL);
+  w_at (world, world->now + 29.5, cut_ends, NULL);
+  w_at (world, world->now + 42, kept, NULL);
 }
 
 void
-faults_held_cut (World *w, double at)
+faults_held_cut (World *world, double at)
 {
-  w_at (w, at, cut_all, NULL);
+  w_at (world, at, cut_all, NULL);
 }
 
 void
-world_calm (World *w, gpointer unused)
+world_calm (World *world, gpointer unused)
 {
-  if (w->now < MAX (w->faults_to, w->troubles.over_at))
+  if (world->now < MAX (world->faults_to, world->troubles.over_at))
     return;
-  w->calm = TRUE;
-  w->calm_at = w->now;
+  world->calm = TRUE;
+  world->calm_at = world->now;
 }
 
 void
-faults_init (World *w, guint n, double from, double to)
+faults_init (World *world, guint n, double from, double to)
 {
   for (guint i = 0; i < n; i++)
-    w_at (w, w_rand (w, from, to), fault, NULL);
-  w->faults_to = to;
-  w_at (w, to, world_calm, NULL);
+    w_at (world, w_rand (world, from, to), fault, NULL);
+  world->faults_to = to;
+  w_at (world, to, world_calm, NULL);
 }
--- a/tests/sim/faults_fleet.c
+++ b/tests/sim/faults_fleet.c
@@ -2,201 +2,202 @@
 #include "sim/faults.h"
 
 static gboolean
-is_kept (const SMachine *m)
+is_kept (const SMachine *machine)
 {
-  return !m->asked_gone;
+  return !machine->asked_gone;
 }
 
 /* That half of all is silent looks like a trouble of the new owner's own, and proof by time
  * takes it hold_s and a lease. The cloud's list tells sooner. */
 static void
-proven (World *w, gpointer p)
+proven (World *world, gpointer data)
 {
-  guint gone, kept = fault_marked (w, is_kept, &gone);
+  guint gone, kept = fault_marked (world, is_kept, &gone);
   if (!gone || kept)
-    w_broken (w, "proof", "%u of %u machines that went are not asked to be deleted", kept, gone);
+    w_broken (world, "proof", "%u of %u machines that went are not asked to be deleted", kept,
+              gone);
 }
 
 static void
-half_gone (World *w, gpointer p)
+half_gone (World *world, gpointer data)
 {
-  int owner = store_owner (w);
+  int owner = store_owner (world);
   guint n = 0;
-  for (guint i = 0; i < w->machines->len; i++) {
-    SMachine *m = w->machines->pdata[i];
-    m->through_cut = m->up && !m->gone && m->tasks->len && n++ % 2;
-    if (m->through_cut)
-      machine_end (w, m);
+  for (guint i = 0; i < world->machines->len; i++) {
+    SMachine *machine = world->machines->pdata[i];
+    machine->through_cut = machine->up && !machine->gone && machine->tasks->len && n++ % 2;
+    if (machine->through_cut)
+      machine_end (world, machine);
   }
   if (owner >= 0)
-    fault_crash (w, owner);
-  w_at (w, w->now + 26, proven, NULL);
+    fault_crash (world, owner);
+  w_at (world, world->now + 26, proven, NULL);
 }
 
 void
-faults_half_gone (World *w, double at)
+faults_half_gone (World *world, double at)
 {
-  w_at (w, at, half_gone, NULL);
+  w_at (world, at, half_gone, NULL);
 }
 
 static void
-owner_ends (World *w, gpointer p)
+owner_ends (World *world, gpointer data)
 {
-  int owner = store_owner (w);
+  int owner = store_owner (world);
   if (owner >= 0)
-    fault_crash (w, owner);
+    fault_crash (world, owner);
 }
 
 static void
-all_end (World *w, gpointer p)
+all_end (World *world, gpointer data)
 {
-  for (int k = 0; k < w->n; k++)
-    fault_crash (w, k);
+  for (int k = 0; k < world->n; k++)
+    fault_crash (world, k);
 }
 
 static void
-all_unserved (World *w, gpointer p)
+all_unserved (World *world, gpointer data)
 {
-  for (int k = 0; k < w->n; k++)
-    fault_store_away (w, k);
+  for (int k = 0; k < world->n; k++)
+    fault_store_away (world, k);
 }
 
 static void
-two_owners (World *w, gpointer p)
+two_owners (World *world, gpointer data)
 {
-  int owner = store_owner (w);
+  int owner = store_owner (world);
   if (owner < 0)
     return;
-  Node *n = &w->nodes[owner];
-  n->cut_store = n->cut_peers = w->now + 7.9;
-  n->alone_at = w->now;
+  Node *n = &world->nodes[owner];
+  n->cut_store = n->cut_peers = world->now + 7.9;
+  n->alone_at = world->now;
   n->hold = FALSE;
-  w_at (w, w->now + 5, all_unserved, NULL);
+  w_at (world, world->now + 5, all_unserved, NULL);
 }
 
 void
-faults_two_owners (World *w, double at)
+faults_two_owners (World *world, double at)
 {
-  w_at (w, at, two_owners, NULL);
+  w_at (world, at, two_owners, NULL);
 }
 
 static void
-tear (World *w, gpointer p)
+tear (World *world, gpointer data)
 {
-  all_end (w, NULL);
-  if (!store_tear (w))
-    w_broken (w, "unreadable", "no page is there");
+  all_end (world, NULL);
+  if (!store_tear (world))
+    w_broken (world, "unreadable", "no page is there");
 }
 
 void
-faults_unreadable_pages (World *w, double at)
+faults_unreadable_pages (World *world, double at)
 {
-  w_at (w, at, tear, NULL);
+  w_at (world, at, tear, NULL);
 }
 
 static void
-mass (World *w, gpointer p)
+mass (World *world, gpointer data)
 {
   guint n = 0, dead = 0, hung = 0;
-  for (guint i = 0; i < w->machines->len; i++) {
-    SMachine *m = w->machines->pdata[i];
-    if (!m->up || m->gone)
+  for (guint i = 0; i < world->machines->len; i++) {
+    SMachine *machine = world->machines->pdata[i];
+    if (!machine->up || machine->gone)
       continue;
     n++;
     if (n % 4 == 0) {
-      m->cut = w->now + 45;
-      m->hold = TRUE;
+      machine->cut = world->now + 45;
+      machine->hold = TRUE;
     } else if (n % 4 == 1 && dead++ < 100)
-      machine_end (w, m);
+      machine_end (world, machine);
     else if (n % 4 == 2 && hung++ < 100) /* some past their lease */
-      m->hang = w->now + (n % 8 < 4 ? 20 : 35);
+      machine->hang = world->now + (n % 8 < 4 ? 20 : 35);
   }
 }
 
 void
-faults_mass (World *w, double at)
+faults_mass (World *world, double at)
 {
-  w_at (w, at, mass, NULL);
-  w_at (w, at + 4, owner_ends, NULL);
-  w_at (w, at + 80, all_end, NULL);
-  w_at (w, at + 130, all_end, NULL);
-  faults_freeze (w, at + 170, FREEZE_OWNER, 20);
+  w_at (world, at, mass, NULL);
+  w_at (world, at + 4, owner_ends, NULL);
+  w_at (world, at + 80, all_end, NULL);
+  w_at (world, at + 130, all_end, NULL);
+  faults_freeze (world, at + 170, FREEZE_OWNER, 20);
 }
 
 static void
-lose_places (World *w, gpointer p)
+lose_places (World *world, gpointer data)
 {
-  double *to = p;
-  for (guint i = 0; w->jobs && i < w->jobs->len; i++) {
-    SJob *j = w->jobs->pdata[i];
+  double *to = data;
+  for (guint i = 0; world->jobs && i < world->jobs->len; i++) {
+    SJob *job = world->jobs->pdata[i];
     SMachine *last = NULL;
     guint here = 0;
-    for (guint k = 0; k < w->machines->len; k++) {
-      SMachine *m = w->machines->pdata[k];
-      for (guint n = 0; !m->gone && n < m->tasks->len; n++) {
-        STask *t = &g_array_index (m->tasks, STask, n);
+    for (guint k = 0; k < world->machines->len; k++) {
+      SMachine *machine = world->machines->pdata[k];
+      for (guint n = 0; !machine->gone && n < machine->tasks->len; n++) {
+        STask *t = &g_array_index (machine->tasks, STask, n);
         if (t->job == i && t->state == S_FETCH) {
           here++;
-          last = m;
+          last = machine;
         }
       }
     }
-    if (here == j->tasks && !j->lost_place) {
-      j->lost_place = TRUE;
-      machine_end (w, last);
+    if (here == job->tasks && !job->lost_place) {
+      job->lost_place = TRUE;
+      machine_end (world, last);
     }
   }
-  if (w->now < *to)
-    w_at (w, w->now + 0.5, lose_places, p);
+  if (world->now < *to)
+    w_at (world, world->now + 0.5, lose_places, data);
   else
-    g_free (p);
+    g_free (data);
 }
 
 void
-faults_lost_places (World *w, double from, double to)
+faults_lost_places (World *world, double from, double to)
 {
-  w_at (w, from, lose_places, g_memdup2 (&to, sizeof to));
+  w_at (world, from, lose_places, g_memdup2 (&to, sizeof to));
 }
 
 void
-faults_owner_ends (World *w, double at)
+faults_owner_ends (World *world, double at)
 {
-  w_at (w, at, owner_ends, NULL);
+  w_at (world, at, owner_ends, NULL);
 }
 
 static void
-change_owner (World *w, gpointer p)
+change_owner (World *world, gpointer data)
 {
   /* Whoever leads: all but one go, one after the other, so that a node that knows
    * nothing leads next. */
-  int i = g_rand_int_range (w->rand, 0, w->n);
-  for (int k = 0; k < w->n - 1; k++)
-    fault_crash (w, (i + k) % w->n);
-  for (guint k = 0; k < w->machines->len; k++) {
-    SMachine *m = w->machines->pdata[k];
-    if (m->up && !m->gone && w_rand (w, 0, 1) < 0.2)
-      machine_end (w, m);
+  int i = g_rand_int_range (world->rand, 0, world->n);
+  for (int k = 0; k < world->n - 1; k++)
+    fault_crash (world, (i + k) % world->n);
+  for (guint k = 0; k < world->machines->len; k++) {
+    SMachine *machine = world->machines->pdata[k];
+    if (machine->up && !machine->gone && w_rand (world, 0, 1) < 0.2)
+      machine_end (world, machine);
   }
 }
 
 static void
-changes_gone (World *w, gpointer p)
+changes_gone (World *world, gpointer data)
 {
-  int owner = store_owner (w);
+  int owner = store_owner (world);
   if (owner >= 0)
-    w->nodes[owner].too_old = w->epoch;
+    world->nodes[owner].too_old = world->epoch;
 }
 
 void
-faults_changes_gone (World *w, double from, double to)
+faults_changes_gone (World *world, double from, double to)
 {
   for (double t = from; t < to; t += 10)
-    w_at (w, t, changes_gone, NULL);
+    w_at (world, t, changes_gone, NULL);
 }
 
 void
-faults_owners (World *w, double from, double to)
+faults_owners (World *world, double from, double to)
 {
   for (double t = from; t < to; t += 35)
-    w_at (w, t, change_owner, NULL);
+    w_at (world, t, change_owner, NULL);
 }
--- a/tests/sim/faults_members.c
+++ b/tests/sim/faults_members.c
@@ -2,9 +2,9 @@
 #include "sim/faults.h"
 
 static gboolean
-is_lost (const SMachine *m)
+is_lost (const SMachine *machine)
 {
-  return m->gone || m->tenure > 1;
+  return machine->gone || machine->tenure > 1;
 }
 
 /* ---- what members tell the owner in a cut of them all ---- */
@@ -12,148 +12,150 @@
 #define CUT_ALL_S 50.0
 
 static void
-still_held (World *w, gpointer p)
+still_held (World *world, gpointer data)
 {
   guint up = 0, lost = 0;
-  for (guint i = 0; i < w->machines->len; i++) {
-    SMachine *m = w->machines->pdata[i];
-    up += m->through_cut && !m->gone;
-    lost += m->through_cut && !m->gone && m->tenure > 1;
+  for (guint i = 0; i < world->machines->len; i++) {
+    SMachine *machine = world->machines->pdata[i];
+    up += machine->through_cut && !machine->gone;
+    lost += machine->through_cut && !machine->gone && machine->tenure > 1;
   }
   if (!up || lost)
-    w_broken (w, "attestation", "%u of %u machines lost their lease, though no member was served",
-              lost, up);
+    w_broken (world, "attestation",
+              "%u of %u machines lost their lease, though no member was served", lost, up);
 }
 
 void
-fault_store_away (World *w, int node)
+fault_store_away (World *world, int node)
 {
-  w->nodes[node].cut_store = w->now + CUT_ALL_S;
-  w->nodes[node].hold = FALSE;
+  world->nodes[node].cut_store = world->now + CUT_ALL_S;
+  world->nodes[node].hold = FALSE;
 }
 
 /* Leases are to last until just before the cut ends. */
 static void
-watch_leases (World *w)
+watch_leases (World *world)
 {
-  for (guint i = 0; i < w->machines->len; i++) {
-    SMachine *m = w->machines->pdata[i];
-    m->through_cut = m->up && !m->gone && !m->spot && m->tenure == 1;
+  for (guint i = 0; i < world->machines->len; i++) {
+    SMachine *machine = world->machines->pdata[i];
+    machine->through_cut = machine->up && !machine->gone && !machine->spot && machine->tenure == 1;
   }
-  w_at (w, w->now + CUT_ALL_S - 2, still_held, NULL);
+  w_at (world, world->now + CUT_ALL_S - 2, still_held, NULL);
 }
 
 static void
-all_away (World *w, gpointer p)
+all_away (World *world, gpointer data)
 {
-  for (int k = 0; k < w->n; k++)
-    fault_store_away (w, k);
-  watch_leases (w);
+  for (int k = 0; k < world->n; k++)
+    fault_store_away (world, k);
+  watch_leases (world);
 }
 
 void
-faults_cut_from_store (World *w, double at)
+faults_cut_from_store (World *world, double at)
 {
-  w_at (w, at, all_away, NULL);
+  w_at (world, at, all_away, NULL);
 }
 
 /* All but one node miss a withdrawal that this one confirms just before it is cut off too,
  * and perhaps restarts: its attestation must not keep the job's tasks alive, but those of
  * others, as long as it can name that job to the owner. */
 static void
-others_away (World *w, gpointer p)
+others_away (World *world, gpointer data)
 {
-  int other = GPOINTER_TO_INT (p) % MAX_NODES;
-  for (int k = 0; k < w->n; k++)
-    if (w->nodes[k].cut_store < w->now)
-      fault_store_away (w, k);
-  if (GPOINTER_TO_INT (p) >= MAX_NODES)
-    fault_stumble (w, GINT_TO_POINTER (other));
-  else if (w->nodes[store_owner (w)].frozen <= w->now) /* else that costs leases by itself */
-    watch_leases (w);
+  int other = GPOINTER_TO_INT (data) % MAX_NODES;
+  for (int k = 0; k < world->n; k++)
+    if (world->nodes[k].cut_store < world->now)
+      fault_store_away (world, k);
+  if (GPOINTER_TO_INT (data) >= MAX_NODES)
+    fault_stumble (world, GINT_TO_POINTER (other));
+  else if (world->nodes[store_owner (world)].frozen <=
+           world->now) /* else that costs leases by itself */
+    watch_leases (world);
 }
 
 static void
-missed_withdrawal (World *w, gpointer p)
+missed_withdrawal (World *world, gpointer data)
 {
-  int owner = store_owner (w);
+  int owner = store_owner (world);
   if (owner < 0)
     return;
-  int other = (owner + 1) % w->n;
-  for (int k = 0; k < w->n; k++)
+  int other = (owner + 1) % world->n;
+  for (int k = 0; k < world->n; k++)
     if (k != other)
-      fault_store_away (w, k);
-  users_withdraw_at (w, other);
-  w_at (w, w->now + 0.8, others_away, GINT_TO_POINTER (other + (p ? MAX_NODES : 0)));
+      fault_store_away (world, k);
+  users_withdraw_at (world, other);
+  w_at (world, world->now + 0.8, others_away, GINT_TO_POINTER (other + (data ? MAX_NODES : 0)));
 }
 
 void
-faults_missed_withdrawal (World *w, double at, gboolean restart)
+faults_missed_withdrawal (World *world, double at, gboolean restart)
 {
-  w_at (w, at, missed_withdrawal, GINT_TO_POINTER (restart));
+  w_at (world, at, missed_withdrawal, GINT_TO_POINTER (restart));
 }
 
 static void
-withdraw_elsewhere (World *w, gpointer p)
+withdraw_elsewhere (World *world, gpointer data)
 {
-  int owner = store_owner (w);
-  for (int k = 0; k < w->n; k++)
+  int owner = store_owner (world);
+  for (int k = 0; k < world->n; k++)
     if (k != owner)
-      users_withdraw_at (w, k);
+      users_withdraw_at (world, k);
 }
 
 static void
-outage_for_all (World *w, gpointer p)
+outage_for_all (World *world, gpointer data)
 {
-  w->outage = w->now + CUT_ALL_S;
-  watch_leases (w);
+  world->outage = world->now + CUT_ALL_S;
+  watch_leases (world);
 }
 
 static void
-withdrawal_gap (World *w, gpointer p)
+withdrawal_gap (World *world, gpointer data)
 {
-  int owner = store_owner (w);
+  int owner = store_owner (world);
   if (owner < 0)
     return;
-  w->nodes[owner].refused = w->now + 14;
+  world->nodes[owner].refused = world->now + 14;
   for (double t = 0.3; t < 1.5; t += 0.4)
-    w_at (w, w->now + t, withdraw_elsewhere, NULL);
-  w_at (w, w->now + 2, outage_for_all, NULL);
+    w_at (world, world->now + t, withdraw_elsewhere, NULL);
+  w_at (world, world->now + 2, outage_for_all, NULL);
 }
 
 void
-faults_withdrawal_gap (World *w, double at)
+faults_withdrawal_gap (World *world, double at)
 {
-  w_at (w, at, withdrawal_gap, NULL);
+  w_at (world, at, withdrawal_gap, NULL);
 }
 
 /* Nothing that runs may be given away because its reports do not reach the owner. */
 static void
-reached_again (World *w, gpointer p)
+reached_again (World *world, gpointer data)
 {
-  guint up, lost = fault_marked (w, is_lost, &up);
+  guint up, lost = fault_marked (world, is_lost, &up);
   if (!up || lost)
-    w_broken (w, "kept", "%u of %u machines are lost with the owner's way to its workers", lost,
+    w_broken (world, "kept", "%u of %u machines are lost with the owner's way to its workers", lost,
               up);
 }
 
 static void
-owner_unreached (World *w, gpointer p)
+owner_unreached (World *world, gpointer data)
 {
-  int owner = store_owner (w);
+  int owner = store_owner (world);
   if (owner < 0)
     return;
-  w->nodes[owner].cut_workers = w->now + 40;
-  w->nodes[owner].hold = p != NULL;
-  for (guint i = 0; i < w->machines->len; i++) {
-    SMachine *m = w->machines->pdata[i];
-    m->through_cut = m->up && !m->gone && m->tenure == 1 && m->tasks->len;
+  world->nodes[owner].cut_workers = world->now + 40;
+  world->nodes[owner].hold = data != NULL;
+  for (guint i = 0; i < world->machines->len; i++) {
+    SMachine *machine = world->machines->pdata[i];
+    machine->through_cut =
+        machine->up && !machine->gone && machine->tenure == 1 && machine->tasks->len;
   }
-  w_at (w, w->now + 39, reached_again, NULL);
+  w_at (world, world->now + 39, reached_again, NULL);
 }
 
 void
-faults_owner_unreached (World *w, double at, gboolean hold)
+faults_owner_unreached (World *world, double at, gboolean hold)
 {
-  w_at (w, at, owner_unreached, GINT_TO_POINTER (hold));
+  w_at (world, at, owner_unreached, GINT_TO_POINTER (hold));
 }
--- a/tests/sim/limits.h
+++ b/tests/sim/limits.h
@@ -15,8 +15,8 @@
   const char *team; /* NULL: the first one */
 } HrLimitJob;
 
-void limits_submit (World *w, const HrLimitJob *jobs, guint n);
+void limits_submit (World *world, const HrLimitJob *jobs, guint n);
 /* Gangs of one task, each gap_s after the one before. */
-void limits_stream (World *w, double from, double to, double gap_s, double run_s);
+void limits_stream (World *world, double from, double to, double gap_s, double run_s);
 /* The nth job of the plan, as submitted. */
-SJob *limits_job (World *w, guint n);
+SJob *limits_job (World *world, guint n);
--- a/tests/sim/lone_node.c
+++ b/tests/sim/lone_node.c
@@ -21,9 +21,9 @@
 /* ---- the state service ---- */
 
 static void
-change_clear (gpointer p)
+change_clear (gpointer data)
 {
-  Change *change = p;
+  Change *change = data;
   g_free (change->path);
   g_free (change->text);
 }
@@ -83,13 +83,13 @@
     const Change *change = &g_array_index (l->log, Change, i);
     if (change->stamp <= after || (rows && stamp_of (l, change->path) != change->stamp))
       continue;
-    json_t *o = json_pack ("{sssosI}", rows ? "path" : "set", change->path, "value",
-                           json_loads (change->text, JSON_DECODE_ANY, NULL), "stamp",
-                           (json_int_t)change->stamp);
+    json_t *object = json_pack ("{sssosI}", rows ? "path" : "set", change->path, "value",
+                                json_loads (change->text, JSON_DECODE_ANY, NULL), "stamp",
+                                (json_int_t)change->stamp);
     if (rows && l->backwards)
-      json_array_insert_new (list, 0, o);
+      json_array_insert_new (list, 0, object);
     else
-      json_array_append_new (list, o);
+      json_array_append_new (list, object);
   }
   return hr_json_take_text (
       json_pack ("{sosbsI}", rows ? "rows" : "log", list, "more", FALSE, "epoch", l->epoch));
@@ -98,25 +98,25 @@
 static int
 commit (Ledger *l, const char *body, char **text)
 {
-  json_t *o = json_loads (body, 0, NULL), *e;
+  json_t *object = json_loads (body, 0, NULL), *entry;
   size_t i;
   int status = 200;
-  json_array_foreach (json_object_get (o, "when"), i, e)
+  json_array_foreach (json_object_get (object, "when"), i, entry)
   {
-    guint64 want = json_integer_value (json_object_get (e, "stamp"));
-    if (stamp_of (l, hr_json_str (e, "path")) != want)
+    guint64 want = json_integer_value (json_object_get (entry, "stamp"));
+    if (stamp_of (l, hr_json_str (entry, "path")) != want)
       status = 409;
   }
   l->epoch += status == 200;
-  json_array_foreach (json_object_get (o, "writes"), i, e)
+  json_array_foreach (json_object_get (object, "writes"), i, entry)
   {
-    if (status != 200 || !hr_json_str (e, "set"))
+    if (status != 200 || !hr_json_str (entry, "set"))
       continue;
-    g_autofree char *value = json_dumps (json_object_get (e, "value"), JSON_COMPACT);
+    g_autofree char *value = json_dumps (json_object_get (entry, "value"), JSON_COMPACT);
     assert_true (strlen (value) <= 4096);
-    ledger_set (l, hr_json_str (e, "set"), value);
+    ledger_set (l, hr_json_str (entry, "set"), value);
   }
-  json_decref (o);
+  json_decref (object);
   *text = g_strdup_printf ("{\"epoch\":%" G_GUINT64_FORMAT ",\"failed\":[]}", l->epoch);
   return status;
 }
@@ -161,32 +161,33 @@
 static void
 result (LoneNode *n, guint64 id, int status, char *text)
 {
-  HrCommand *cmd = hr_command_new (HR_COMMAND_RESULT);
-  cmd->id = id;
-  cmd->status = status;
-  cmd->body = g_bytes_new_take (text, strlen (text));
-  g_ptr_array_add (n->inbox, cmd);
+  HrCommand *command = hr_command_new (HR_COMMAND_RESULT);
+  command->id = id;
+  command->status = status;
+  command->body = g_bytes_new_take (text, strlen (text));
+  g_ptr_array_add (n->inbox, command);
 }
 
 static void
-call (LoneNode *n, const HrEffect *e)
+call (LoneNode *n, const HrEffect *effect)
 {
   Ledger *l = n->ledger;
   char *text = NULL;
-  if (e->target == HR_TO_CLOUD)
-    result (n, e->id, strcmp (e->path, "/machine_types") == 0 ? 200 : 503, g_strdup (TYPES));
+  if (effect->target == HR_TO_CLOUD)
+    result (n, effect->id, strcmp (effect->path, "/machine_types") == 0 ? 200 : 503,
+            g_strdup (TYPES));
   else if (l->down)
-    result (n, e->id, 503, g_strdup ("{}"));
-  else if (g_str_has_prefix (e->path, "/kv?"))
-    result (n, e->id, 200, changes (l, 0, TRUE));
-  else if (g_str_has_prefix (e->path, "/leases"))
-    result (n, e->id, 200, g_strdup ("{\"claim\":1}"));
-  else if (strcmp (e->path, "/commit") == 0) {
-    int status = commit (l, e->body, &text);
-    result (n, e->id, status, text);
-  } else if (g_str_has_suffix (e->path, "hold_ms=0")) {
-    const char *after = strstr (e->path, "after=") + strlen ("after=");
-    result (n, e->id, 200, changes (l, g_ascii_strtoull (after, NULL, 10), FALSE));
+    result (n, effect->id, 503, g_strdup ("{}"));
+  else if (g_str_has_prefix (effect->path, "/kv?"))
+    result (n, effect->id, 200, changes (l, 0, TRUE));
+  else if (g_str_has_prefix (effect->path, "/leases"))
+    result (n, effect->id, 200, g_strdup ("{\"claim\":1}"));
+  else if (strcmp (effect->path, "/commit") == 0) {
+    int status = commit (l, effect->body, &text);
+    result (n, effect->id, status, text);
+  } else if (g_str_has_suffix (effect->path, "hold_ms=0")) {
+    const char *after = strstr (effect->path, "after=") + strlen ("after=");
+    result (n, effect->id, 200, changes (l, g_ascii_strtoull (after, NULL, 10), FALSE));
   } /* a watch stays open */
 }
 
@@ -199,14 +200,14 @@
   g_ptr_array_add (batch, hr_command_new (HR_COMMAND_TICK));
   hr_core_step (n->core, n->now, 1e9 + n->now, batch, out);
   for (guint i = 0; i < out->len; i++) {
-    const HrEffect *e = out->pdata[i];
-    if (e->kind == HR_EFFECT_CALL)
-      call (n, e);
-    else if (e->kind == HR_EFFECT_REPLY) {
-      g_hash_table_insert (n->answers, g_memdup2 (&e->id, sizeof e->id),
-                           GINT_TO_POINTER (e->status));
+    const HrEffect *effect = out->pdata[i];
+    if (effect->kind == HR_EFFECT_CALL)
+      call (n, effect);
+    else if (effect->kind == HR_EFFECT_REPLY) {
+      g_hash_table_insert (n->answers, g_memdup2 (&effect->id, sizeof effect->id),
+                           GINT_TO_POINTER (effect->status));
       json_decref (n->body);
-      n->body = e->body ? json_loads (e->body, 0, NULL) : NULL;
+      n->body = effect->body ? json_loads (effect->body, 0, NULL) : NULL;
     }
   }
   n->now += 0.1;
@@ -222,14 +223,14 @@
 int
 node_ask (LoneNode *n, HrMethod method, const char *path, char *body)
 {
-  HrCommand *cmd = hr_command_new (HR_COMMAND_REQUEST);
+  HrCommand *command = hr_command_new (HR_COMMAND_REQUEST);
   guint64 id = ++n->next;
   gpointer status = NULL;
-  cmd->id = id;
-  cmd->method = method;
-  cmd->path = g_strdup (path);
-  cmd->body = body ? g_bytes_new_take (body, strlen (body)) : NULL;
-  g_ptr_array_add (n->inbox, cmd);
+  command->id = id;
+  command->method = method;
+  command->path = g_strdup (path);
+  command->body = body ? g_bytes_new_take (body, strlen (body)) : NULL;
+  g_ptr_array_add (n->inbox, command);
   for (guint i = 0; i < 600 && !status; i++) {
     step (n);
     status = g_hash_table_lookup (n->answers, &id);
@@ -291,9 +292,9 @@
 gboolean
 node_opens (LoneNode *n, const char *id)
 {
-  const HrJob *j = hr_job_find (n->core, id);
-  for (guint i = 0; j && i < n->core->store.tables.open_jobs->len; i++)
-    if (g_array_index (n->core->store.tables.open_jobs, guint32, i) == j->index)
+  const HrJob *job = hr_job_find (n->core, id);
+  for (guint i = 0; job && i < n->core->store.tables.open_jobs->len; i++)
+    if (g_array_index (n->core->store.tables.open_jobs, guint32, i) == job->index)
       return TRUE;
   return FALSE;
 }
@@ -309,12 +310,12 @@
 HrMachine *
 node_machine (LoneNode *n)
 {
-  HrMachine *m = hr_machine_get (n->core, "m-1");
-  m->state = HR_MACHINE_UP;
-  m->agent.incarnation = 1;
-  m->agent.heard_at = n->now;
-  hr_machine_describe (m, &g_array_index (n->core->scaling.machine_types, HrMachineType, 0),
+  HrMachine *machine = hr_machine_get (n->core, "m-1");
+  machine->state = HR_MACHINE_UP;
+  machine->agent.incarnation = 1;
+  machine->agent.heard_at = n->now;
+  hr_machine_describe (machine, &g_array_index (n->core->scaling.machine_types, HrMachineType, 0),
                        HR_NONE, FALSE);
-  hr_fleet_add (n->core, m);
-  return m;
+  hr_fleet_add (n->core, machine);
+  return machine;
 }
--- a/tests/sim/messages.c
+++ b/tests/sim/messages.c
@@ -3,21 +3,22 @@
 #include <string.h>
 
 double
-net_delay (World *w)
+net_delay (World *world)
 {
-  double usual = w_rand (w, 0, 1) < 0.02 ? w_rand (w, 0.1, 0.5) : w_rand (w, 0.001, 0.01);
-  return usual + troubles_link_delay (w);
+  double usual =
+      w_rand (world, 0, 1) < 0.02 ? w_rand (world, 0.1, 0.5) : w_rand (world, 0.001, 0.01);
+  return usual + troubles_link_delay (world);
 }
 
 void
-req_unref (Req *r)
+req_unref (Req *request)
 {
-  if (--r->refs)
+  if (--request->refs)
     return;
-  g_free (r->addr);
-  g_free (r->path);
-  g_free (r->body);
-  g_free (r);
+  g_free (request->addr);
+  g_free (request->path);
+  g_free (request->body);
+  g_free (request);
 }
 
 /* ---- answers ---- */
@@ -30,263 +31,272 @@
 
 /* The state service answered this node; has it read what others decided? */
 static void
-served (World *w, const Req *r, const char *body)
+served (World *world, const Req *request, const char *body)
 {
-  Node *n = &w->nodes[r->node];
-  n->store_at = w->now;
-  if (!g_str_has_prefix (r->path, "/changes"))
+  Node *n = &world->nodes[request->node];
+  n->store_at = world->now;
+  if (!g_str_has_prefix (request->path, "/changes"))
     return;
-  json_t *o = json_loads (body, 0, NULL);
-  guint64 store_revision = json_integer_value (json_object_get (o, "epoch"));
+  json_t *object = json_loads (body, 0, NULL);
+  guint64 store_revision = json_integer_value (json_object_get (object, "epoch"));
   if (store_revision >= n->behind_epoch)
     n->behind_at = 0;
   n->epoch_sent = MAX (n->epoch_sent, store_revision);
-  Reading reading = {w->now, n->epoch_sent};
+  Reading reading = {world->now, n->epoch_sent};
   g_array_append_val (n->readings, reading);
-  json_decref (o);
+  json_decref (object);
 }
 
 static void
-deliver_answer (World *w, gpointer p)
+deliver_answer (World *world, gpointer data)
 {
-  Answer *a = p;
-  Req *r = a->r;
-  if (!r->answered) {
-    r->answered = TRUE;
-    if (r->node >= 0) {
-      Node *n = &w->nodes[r->node];
-      if (n->up && n->gen == r->gen) {
-        HrCommand *c = hr_command_new (HR_COMMAND_RESULT);
-        c->id = r->call;
-        c->status = a->status;
-        if (r->target == HR_TO_STORE && a->status == 200)
-          served (w, r, a->body);
-        if (r->target == HR_TO_STORE && strcmp (r->path, "/commit") == 0)
-          troubles_moment (w, ON_WRITE_ANSWERED);
+  Answer *a = data;
+  Req *request = a->r;
+  if (!request->answered) {
+    request->answered = TRUE;
+    if (request->node >= 0) {
+      Node *n = &world->nodes[request->node];
+      if (n->up && n->gen == request->gen) {
+        HrCommand *command = hr_command_new (HR_COMMAND_RESULT);
+        command->id = request->call;
+        command->status = a->status;
+        if (request->target == HR_TO_STORE && a->status == 200)
+          served (world, request, a->body);
+        if (request->target == HR_TO_STORE && strcmp (request->path, "/commit") == 0)
+          troubles_moment (world, ON_WRITE_ANSWERED);
         if (a->body)
-          c->body = g_bytes_new (a->body, strlen (a->body));
-        node_push (w, r->node, c);
+          command->body = g_bytes_new (a->body, strlen (a->body));
+        node_push (world, request->node, command);
       }
     } else {
-      json_t *v = a->body ? json_loads (a->body, JSON_DECODE_ANY, NULL) : NULL;
-      r->done (w, a->status, v, r->data);
-      json_decref (v);
+      json_t *value = a->body ? json_loads (a->body, JSON_DECODE_ANY, NULL) : NULL;
+      request->done (world, a->status, value, request->data);
+      json_decref (value);
     }
   }
-  req_unref (r);
+  req_unref (request);
   g_free (a->body);
   g_free (a);
 }
 
 static SMachine *
-machine_at (World *w, const char *addr)
+machine_at (World *world, const char *addr)
 {
-  for (guint i = 0; i < w->machines->len; i++) {
-    SMachine *m = w->machines->pdata[i];
-    if (strcmp (m->addr, addr) == 0)
-      return m;
+  for (guint i = 0; i < world->machines->len; i++) {
+    SMachine *machine = world->machines->pdata[i];
+    if (strcmp (machine->addr, addr) == 0)
+      return machine;
   }
   return NULL;
 }
 
 /* Until when the way between a controller and what it talks to is cut. */
 static double
-cut_until (World *w, Req *r, gboolean *hold)
+cut_until (World *world, Req *request, gboolean *hold)
 {
-  Node *n = &w->nodes[r->node >= 0 ? r->node : r->to];
+  Node *n = &world->nodes[request->node >= 0 ? request->node : request->to];
   double t = 0;
   *hold = n->hold;
-  SMachine *worker = r->machine >= 0                             ? w->machines->pdata[r->machine]
-                     : r->target == HR_TO_WORKER && r->node >= 0 ? machine_at (w, r->addr)
-                                                                 : NULL;
-  double zone = troubles_zone_cut (w, r, worker);
-  if (zone > w->now) {
-    *hold = w->troubles.zone_hold;
+  SMachine *worker = request->machine >= 0 ? world->machines->pdata[request->machine]
+                     : request->target == HR_TO_WORKER && request->node >= 0
+                         ? machine_at (world, request->addr)
+                         : NULL;
+  double zone = troubles_zone_cut (world, request, worker);
+  if (zone > world->now) {
+    *hold = world->troubles.zone_hold;
     return zone;
   }
-  if (r->node < 0) {
-    t = r->machine >= 0 ? n->cut_workers : n->cut_users;
-    if (r->machine >= 0) {
-      SMachine *m = w->machines->pdata[r->machine];
-      if (m->cut > t) {
-        t = m->cut;
-        *hold = m->hold;
+  if (request->node < 0) {
+    t = request->machine >= 0 ? n->cut_workers : n->cut_users;
+    if (request->machine >= 0) {
+      SMachine *machine = world->machines->pdata[request->machine];
+      if (machine->cut > t) {
+        t = machine->cut;
+        *hold = machine->hold;
       }
     }
-  } else if (r->target == HR_TO_STORE)
+  } else if (request->target == HR_TO_STORE)
     t = n->cut_store;
-  else if (r->target == HR_TO_WORKER) {
-    SMachine *m = machine_at (w, r->addr);
+  else if (request->target == HR_TO_WORKER) {
+    SMachine *machine = machine_at (world, request->addr);
     t = n->cut_workers;
-    if (m && m->cut > t) {
-      t = m->cut;
-      *hold = m->hold;
+    if (machine && machine->cut > t) {
+      t = machine->cut;
+      *hold = machine->hold;
     }
   }
   return t;
 }
 
 void
-w_answer (World *w, Req *r, int status, char *body)
+w_answer (World *world, Req *request, int status, char *body)
 {
   gboolean hold;
-  double cut = cut_until (w, r, &hold), t = w->now + net_delay (w) + troubles_delay (w, r);
-  if (r->answer_lost || (r->node < 0 && r->machine >= 0 &&
-                         ((SMachine *)w->machines->pdata[r->machine])->deaf > w->now)) {
+  double cut = cut_until (world, request, &hold),
+         t = world->now + net_delay (world) + troubles_delay (world, request);
+  if (request->answer_lost ||
+      (request->node < 0 && request->machine >= 0 &&
+       ((SMachine *)world->machines->pdata[request->machine])->deaf > world->now)) {
     g_free (body);
     return;
   }
-  if (cut > w->now) {
+  if (cut > world->now) {
     if (!hold) {
       g_free (body);
       return;
     }
-    t = cut + net_delay (w);
+    t = cut + net_delay (world);
   }
-  if (r->answer_lost || (!w->calm && w_rand (w, 0, 1) < w->loss)) {
+  if (request->answer_lost || (!world->calm && w_rand (world, 0, 1) < world->loss)) {
     g_free (body);
     return;
   }
   Answer *a = g_new (Answer, 1);
-  *a = (Answer){r, status, body};
-  r->refs++;
-  w_at (w, t, deliver_answer, a);
+  *a = (Answer){request, status, body};
+  request->refs++;
+  w_at (world, t, deliver_answer, a);
 }
 
 /* ---- requests ---- */
 
 void
-req_arrive (World *w, gpointer p)
+req_arrive (World *world, gpointer data)
 {
-  Req *r = p;
-  if (r->node >= 0) {
-    if (r->target == HR_TO_STORE)
-      store_request (w, r);
-    else if (r->target == HR_TO_CLOUD)
-      cloud_request (w, r);
+  Req *request = data;
+  if (request->node >= 0) {
+    if (request->target == HR_TO_STORE)
+      store_request (world, request);
+    else if (request->target == HR_TO_CLOUD)
+      cloud_request (world, request);
     else
-      worker_request (w, r);
+      worker_request (world, request);
   } else {
-    Node *n = &w->nodes[r->to];
+    Node *n = &world->nodes[request->to];
     if (!n->up)
-      w_answer (w, r, 0, NULL); /* refused */
+      w_answer (world, request, 0, NULL); /* refused */
     else {
-      HrCommand *c = hr_command_new (HR_COMMAND_REQUEST);
-      c->id = ++n->next;
-      c->method = r->method;
-      c->path = g_strdup (r->path);
-      c->body = r->body ? g_bytes_new (r->body, strlen (r->body)) : NULL;
+      HrCommand *command = hr_command_new (HR_COMMAND_REQUEST);
+      command->id = ++n->next;
+      command->method = request->method;
+      command->path = g_strdup (request->path);
+      command->body = request->body ? g_bytes_new (request->body, strlen (request->body)) : NULL;
       guint64 *key = g_new (guint64, 1);
-      *key = c->id;
-      r->refs++;
-      g_hash_table_insert (n->open, key, r);
-      if (w->controllers && r->machine >= 0)
-        node_note_report (w, r->to, c->id, ((SMachine *)w->machines->pdata[r->machine])->name);
-      node_push (w, r->to, c);
+      *key = command->id;
+      request->refs++;
+      g_hash_table_insert (n->open, key, request);
+      if (world->controllers && request->machine >= 0)
+        node_note_report (world, request->to, command->id,
+                          ((SMachine *)world->machines->pdata[request->machine])->name);
+      node_push (world, request->to, command);
     }
   }
-  req_unref (r);
+  req_unref (request);
 }
 
 static void
-expire (World *w, gpointer p)
+expire (World *world, gpointer data)
 {
-  Req *r = p;
+  Req *request = data;
   Answer *a = g_new0 (Answer, 1);
-  a->r = r;
-  deliver_answer (w, a); /* no answer came; drops the reference too */
+  a->r = request;
+  deliver_answer (world, a); /* no answer came; drops the reference too */
 }
 
 Req *
-req_copy (const Req *r, int to)
+req_copy (const Req *request, int to)
 {
-  Req *c = g_new0 (Req, 1);
-  c->node = -1;
-  c->to = to;
-  c->machine = r->machine;
-  c->method = r->method;
-  c->path = g_strdup (r->path);
-  c->body = g_strdup (r->body);
-  c->answered = TRUE;
-  c->refs = 1;
-  return c;
+  Req *core = g_new0 (Req, 1);
+  core->node = -1;
+  core->to = to;
+  core->machine = request->machine;
+  core->method = request->method;
+  core->path = g_strdup (request->path);
+  core->body = g_strdup (request->body);
+  core->answered = TRUE;
+  core->refs = 1;
+  return core;
 }
 
 void
-req_stray (World *w, Req *r, double t)
+req_stray (World *world, Req *request, double t)
 {
-  w->stray_until = MAX (w->stray_until, t);
-  w_at (w, t, req_arrive, r);
+  world->stray_until = MAX (world->stray_until, t);
+  w_at (world, t, req_arrive, request);
 }
 
 /* A copy of a report comes seconds to well over a lease later. Nobody waits for its answer. */
 static void
-late_copy (World *w, Req *r)
+late_copy (World *world, Req *request)
 {
-  req_stray (w, req_copy (r, r->to), w->now + w_rand (w, 1, 90));
+  req_stray (world, req_copy (request, request->to), world->now + w_rand (world, 1, 90));
 }
 
 void
-req_send (World *w, Req *r)
+req_send (World *world, Req *request)
 {
   gboolean hold;
-  double cut = cut_until (w, r, &hold), t = w->now + net_delay (w);
-  if (r->node >= 0 && r->target == HR_TO_STORE && strcmp (r->path, "/commit") == 0)
-    troubles_moment (w, ON_WRITE_SENT);
-  r->refs++;
-  w_at (w, w->now + r->timeout, expire, r);
-  SMachine *worker = r->node >= 0 && r->target == HR_TO_WORKER ? machine_at (w, r->addr) : NULL;
-  if (worker && worker->deaf > w->now)
+  double cut = cut_until (world, request, &hold), t = world->now + net_delay (world);
+  if (request->node >= 0 && request->target == HR_TO_STORE &&
+      strcmp (request->path, "/commit") == 0)
+    troubles_moment (world, ON_WRITE_SENT);
+  request->refs++;
+  w_at (world, world->now + request->timeout, expire, request);
+  SMachine *worker = request->node >= 0 && request->target == HR_TO_WORKER
+                         ? machine_at (world, request->addr)
+                         : NULL;
+  if (worker && worker->deaf > world->now)
     return;
-  if (!w->calm && r->node < 0 && r->machine >= 0 && w_rand (w, 0, 1) < w->copies)
-    late_copy (w, r);
-  if (cut > w->now) {
+  if (!world->calm && request->node < 0 && request->machine >= 0 &&
+      w_rand (world, 0, 1) < world->copies)
+    late_copy (world, request);
+  if (cut > world->now) {
     if (!hold)
       return;
-    t = cut + net_delay (w);
+    t = cut + net_delay (world);
   }
-  if (troubles_take (w, r, t))
+  if (troubles_take (world, request, t))
     return;
-  if (w->choose) {
-    w_meet_fate (w, r, w->choose (w, r, w->choose_data), t);
+  if (world->choose) {
+    w_meet_fate (world, request, world->choose (world, request, world->choose_data), t);
     return;
   }
-  if (!w->calm && worker && w->late_orders > 0 && w_rand (w, 0, 1) < w->late_orders) {
-    r->refs++;
-    req_stray (w, r, t + w_rand (w, 30, 75));
+  if (!world->calm && worker && world->late_orders > 0 &&
+      w_rand (world, 0, 1) < world->late_orders) {
+    request->refs++;
+    req_stray (world, request, t + w_rand (world, 30, 75));
     return;
   }
-  if (!w->calm && w_rand (w, 0, 1) < w->loss) {
-    if (r->node >= 0 && w_rand (w, 0, 1) < 0.5) { /* no answer, but carried out later */
-      r->refs++;
-      req_stray (w, r, t + w_rand (w, 3, w->late));
+  if (!world->calm && w_rand (world, 0, 1) < world->loss) {
+    if (request->node >= 0 && w_rand (world, 0, 1) < 0.5) { /* no answer, but carried out later */
+      request->refs++;
+      req_stray (world, request, t + w_rand (world, 3, world->late));
     }
     return;
   }
-  r->refs++;
-  w_at (w, t, req_arrive, r);
+  request->refs++;
+  w_at (world, t, req_arrive, request);
   /* Late copies: what was sent once may be carried out again, minutes later. */
-  if (!w->calm && r->node >= 0 && w_rand (w, 0, 1) < w->dup) {
-    r->refs++;
-    req_stray (w, r, t + w_rand (w, 0.05, w->late));
+  if (!world->calm && request->node >= 0 && w_rand (world, 0, 1) < world->dup) {
+    request->refs++;
+    req_stray (world, request, t + w_rand (world, 0.05, world->late));
   }
 }
 
 void
-w_ask (World *w, int node, int machine, HrMethod m, const char *path, char *body, double timeout,
-       void (*done) (World *, int, json_t *, gpointer), gpointer data)
+w_ask (World *world, int node, int machine, HrMethod m, const char *path, char *body,
+       double timeout, void (*done) (World *, int, json_t *, gpointer), gpointer data)
 {
-  Req *r = g_new0 (Req, 1);
-  r->node = -1;
-  r->to = node;
-  r->machine = machine;
-  r->method = m;
-  r->path = g_strdup (path);
-  r->body = body;
-  r->timeout = timeout;
-  r->done = done;
-  r->data = data;
-  r->refs = 1;
-  req_send (w, r);
-  req_unref (r);
+  Req *request = g_new0 (Req, 1);
+  request->node = -1;
+  request->to = node;
+  request->machine = machine;
+  request->method = m;
+  request->path = g_strdup (path);
+  request->body = body;
+  request->timeout = timeout;
+  request->done = done;
+  request->data = data;
+  request->refs = 1;
+  req_send (world, request);
+  req_unref (request);
 }
--- a/tests/sim/node_checks.c
+++ b/tests/sim/node_checks.c
@@ -5,31 +5,31 @@
 /* A process launches only what it recorded itself: what an earlier owner recorded
  * may have ended since, and others may use its place. */
 void
-node_check_launches (World *w, int i, const char *text)
+node_check_launches (World *world, int i, const char *text)
 {
-  json_t *o = json_loads (text, 0, NULL), *e;
+  json_t *object = json_loads (text, 0, NULL), *entry;
   size_t k;
-  const char *inc = w->nodes[i].incarnation;
-  json_array_foreach (json_object_get (o, "orders"), k, e)
+  const char *incarnation = world->nodes[i].incarnation;
+  json_array_foreach (json_object_get (object, "orders"), k, entry)
   {
     g_autofree char *key =
-        g_strdup_printf ("%s/%d", json_string_value (json_object_get (e, "piece")),
-                         (int)json_integer_value (json_object_get (e, "try")));
-    const char *by = g_hash_table_lookup (w->assigned, key);
-    if (strcmp (json_string_value (json_object_get (e, "verb")), "launch") == 0 &&
-        g_strcmp0 (by, inc) != 0)
-      w_broken (w, "launch", "c%d launches %s, recorded by %s", i, key, by ? by : "nobody");
+        g_strdup_printf ("%s/%d", json_string_value (json_object_get (entry, "piece")),
+                         (int)json_integer_value (json_object_get (entry, "try")));
+    const char *by = g_hash_table_lookup (world->assigned, key);
+    if (strcmp (json_string_value (json_object_get (entry, "verb")), "launch") == 0 &&
+        g_strcmp0 (by, incarnation) != 0)
+      w_broken (world, "launch", "c%d launches %s, recorded by %s", i, key, by ? by : "nobody");
   }
-  json_decref (o);
+  json_decref (object);
 }
 
 /* The job's record says that it is withdrawn or done. */
 static gboolean
-is_over (World *w, const char *piece)
+is_over (World *world, const char *piece)
 {
   g_autofree char *id = g_strndup (piece, strcspn (piece, "/"));
   g_autofree char *key = g_strconcat ("h/j/", id, NULL);
-  json_t *record = json_loads (store_text (w, key), 0, NULL);
+  json_t *record = json_loads (store_text (world, key), 0, NULL);
   gboolean over = json_integer_value (json_object_get (record, "s")) != 0;
   json_decref (record);
   return over;
@@ -38,14 +38,14 @@
 /* Orders on a report whose list of tasks does not count: stops alone, and of jobs alone that
  * are over by their record. */
 static gboolean
-only_final_stops (World *w, json_t *orders)
+only_final_stops (World *world, json_t *orders)
 {
   json_t *order;
   size_t k;
   json_array_foreach (orders, k, order)
   {
     if (strcmp (json_string_value (json_object_get (order, "verb")), "kill") != 0 ||
-        !is_over (w, json_string_value (json_object_get (order, "piece"))))
+        !is_over (world, json_string_value (json_object_get (order, "piece"))))
       return FALSE;
   }
   return TRUE;
@@ -53,21 +53,21 @@
 
 /* The newest report of the worker that the controller has answered; made where there is none. */
 static WNewest *
-newest_answered (World *w, int i, const char *machine)
+newest_answered (World *world, int i, const char *machine)
 {
-  WNewest *newest = g_hash_table_lookup (w->nodes[i].heard, machine);
+  WNewest *newest = g_hash_table_lookup (world->nodes[i].heard, machine);
   if (!newest) {
     newest = g_new0 (WNewest, 1);
-    g_hash_table_insert (w->nodes[i].heard, g_strdup (machine), newest);
+    g_hash_table_insert (world->nodes[i].heard, g_strdup (machine), newest);
   }
   return newest;
 }
 
 void
-node_note_report (World *w, int i, guint64 id, const char *machine)
+node_note_report (World *world, int i, guint64 id, const char *machine)
 {
-  const WNewest *newest = newest_answered (w, i, machine);
-  g_hash_table_insert (w->nodes[i].heard_before, g_memdup2 (&id, sizeof id),
+  const WNewest *newest = newest_answered (world, i, machine);
+  g_hash_table_insert (world->nodes[i].heard_before, g_memdup2 (&id, sizeof id),
                        g_memdup2 (newest, sizeof *newest));
 }
 
@@ -75,11 +75,11 @@
  * come over several connections, in any order: two reports that it has at the same time are
  * answered in the right order, and may be seen in the other one. */
 static WNewest
-answered_before (World *w, int i, guint64 id, const WNewest *newest)
+answered_before (World *world, int i, guint64 id, const WNewest *newest)
 {
-  const WNewest *before = g_hash_table_lookup (w->nodes[i].heard_before, &id);
-  WNewest answered = w->controllers ? (before ? *before : (WNewest){0, 0}) : *newest;
-  g_hash_table_remove (w->nodes[i].heard_before, &id);
+  const WNewest *before = g_hash_table_lookup (world->nodes[i].heard_before, &id);
+  WNewest answered = world->controllers ? (before ? *before : (WNewest){0, 0}) : *newest;
+  g_hash_table_remove (world->nodes[i].heard_before, &id);
   return answered;
 }
 
@@ -87,23 +87,23 @@
  * gets no answer that counts; an overtaken one, and one from before the leader's token, none but
  * stops that are right however old it is. */
 void
-node_check_order (World *w, int i, guint64 id, const char *report, const char *answer)
+node_check_order (World *world, int i, guint64 id, const char *report, const char *answer)
 {
-  json_t *r = json_loads (report, 0, NULL), *a = json_loads (answer, 0, NULL);
-  guint64 session = json_integer_value (json_object_get (r, "tenure")),
+  json_t *r = json_loads (report, 0, NULL), *array = json_loads (answer, 0, NULL);
+  guint64 incarnation = json_integer_value (json_object_get (r, "tenure")),
           n = json_integer_value (json_object_get (r, "tally"));
   const char *name = json_string_value (json_object_get (r, "rockhand"));
-  WNewest *newest = newest_answered (w, i, name);
-  WNewest before = answered_before (w, i, id, newest);
-  if (session < before.session)
-    w_broken (w, "order", "c%d answers %s in a session that is over", i, name);
-  else if (session == before.session && n < before.number &&
-           !only_final_stops (w, json_object_get (a, "orders")))
-    w_broken (w, "order", "c%d gives orders on an overtaken report of %s", i, name);
-  if (session > newest->session || (session == newest->session && n > newest->number))
-    *newest = (WNewest){session, n};
+  WNewest *newest = newest_answered (world, i, name);
+  WNewest before = answered_before (world, i, id, newest);
+  if (incarnation < before.session)
+    w_broken (world, "order", "c%d answers %s in a session that is over", i, name);
+  else if (incarnation == before.session && n < before.number &&
+           !only_final_stops (world, json_object_get (array, "orders")))
+    w_broken (world, "order", "c%d gives orders on an overtaken report of %s", i, name);
+  if (incarnation > newest->session || (incarnation == newest->session && n > newest->number))
+    *newest = (WNewest){incarnation, n};
   json_decref (r);
-  json_decref (a);
+  json_decref (array);
 }
 
 /* Of a process of its own a reading counts as known after so many seconds without standing still:
@@ -112,14 +112,14 @@
 
 /* Up to where the controller knew the ledger when it made what it sends now, at the least. */
 static guint64
-epoch_known (World *w, int i)
+epoch_known (World *world, int i)
 {
-  const Node *n = &w->nodes[i];
-  if (!w->controllers)
+  const Node *n = &world->nodes[i];
+  if (!world->controllers)
     return n->epoch_acting;
   for (guint k = n->readings->len; k > 0; k--) {
     const Reading *reading = &g_array_index (n->readings, Reading, k - 1);
-    if (w->now - MAX (reading->at, n->frozen) >= KNOWN_AFTER_S)
+    if (world->now - MAX (reading->at, n->frozen) >= KNOWN_AFTER_S)
       return reading->epoch;
   }
   return 0;
@@ -144,27 +144,27 @@
  * renews its lease, whatever report that answers: by a controller that has read the withdrawal,
  * and by any longer ago than an owner may go on without knowing. */
 void
-node_check_kills (World *w, int i, const char *report, const char *answer)
+node_check_kills (World *world, int i, const char *report, const char *answer)
 {
-  json_t *r = json_loads (report, 0, NULL), *a = json_loads (answer, 0, NULL), *item;
+  json_t *r = json_loads (report, 0, NULL), *array = json_loads (answer, 0, NULL), *item;
   size_t k;
   json_array_foreach (json_object_get (r, "pieces"), k, item)
   {
     const char *piece = json_string_value (json_object_get (item, "piece"));
     g_autofree char *id = g_strndup (piece, strrchr (piece, '/') - piece);
-    const guint64 *store_revision = g_hash_table_lookup (w->withdrawn, id);
-    guint32 idx;
-    SJob *j = job_by_id (w, id, &idx);
+    const guint64 *store_revision = g_hash_table_lookup (world->withdrawn, id);
+    guint32 index;
+    SJob *job = job_by_id (world, id, &index);
     if (strcmp (json_string_value (json_object_get (item, "stance")), "exited") == 0 ||
-        stop_named (a, item))
+        stop_named (array, item))
       continue;
-    if (store_revision && *store_revision <= epoch_known (w, i))
-      w_broken (w, "renewal", "c%d renews the lease of %s, and has read that it is withdrawn", i,
-                piece);
-    if (j && j->withdrawn_at && w->now - j->withdrawn_at > w->pol.hold_s + 3)
-      w_broken (w, "hold", "c%d lets %s go on %.1f s after its withdrawal", i, piece,
-                w->now - j->withdrawn_at);
+    if (store_revision && *store_revision <= epoch_known (world, i))
+      w_broken (world, "renewal", "c%d renews the lease of %s, and has read that it is withdrawn",
+                i, piece);
+    if (job && job->withdrawn_at && world->now - job->withdrawn_at > world->pol.hold_s + 3)
+      w_broken (world, "hold", "c%d lets %s go on %.1f s after its withdrawal", i, piece,
+                world->now - job->withdrawn_at);
   }
   json_decref (r);
-  json_decref (a);
+  json_decref (array);
 }
--- a/tests/sim/pipeline.h
+++ b/tests/sim/pipeline.h
@@ -12,20 +12,20 @@
                        together with the state service */
 } PipelineDay;
 
-void users_pipelines (World *w, const PipelineDay *day);
+void users_pipelines (World *world, const PipelineDay *day);
 /* The same beside other users, after users_init. */
-void users_pipelines_beside (World *w, const PipelineDay *day);
+void users_pipelines_beside (World *world, const PipelineDay *day);
 /* At the end of a day: every job has come to the end that it had to come to. */
-void pipelines_verdict (World *w);
+void pipelines_verdict (World *world);
 
 /* Has the user of the job, or of one before it, asked to withdraw that? */
-gboolean pipeline_cancel_asked (const SJob *j);
+gboolean pipeline_cancel_asked (const SJob *job);
 
 /* All that the job awaits is done, and no user was told that one before it is withdrawn. */
-gboolean pipeline_ready (const SJob *j);
+gboolean pipeline_ready (const SJob *job);
 
 /* Hooks of the stand-ins. */
-void pipeline_start (World *w, const SJob *j, guint32 task);
-void pipeline_on_machine (World *w, const SJob *j, guint32 task);
+void pipeline_start (World *world, const SJob *job, guint32 task_index);
+void pipeline_on_machine (World *world, const SJob *job, guint32 task_index);
 /* The job's user hears its stance; sent: when he asked. */
-void pipeline_told (World *w, SJob *j, const char *state, double sent);
+void pipeline_told (World *world, SJob *job, const char *state, double sent);
