--- a/tests/sim/store.c
+++ b/tests/sim/store.c
@@ -28,125 +28,125 @@
 } SWatch;
 
 static void
-key_free (gpointer p)
+key_free (gpointer data)
 {
-  SKey *k = p;
+  SKey *k = data;
   g_free (k->text);
   g_free (k);
 }
 
 /* Machines that went, named by a record until now. */
 static void
-note_named (World *w, const char *path)
+note_named (World *world, const char *path)
 {
-  SKey *old = g_hash_table_lookup (w->keys, path);
-  for (guint i = 0; old && i < w->machines->len; i++) {
-    SMachine *m = w->machines->pdata[i];
-    if (m->gone && strstr (old->text, m->name))
-      m->named_at = w->now;
+  SKey *old = g_hash_table_lookup (world->keys, path);
+  for (guint i = 0; old && i < world->machines->len; i++) {
+    SMachine *machine = world->machines->pdata[i];
+    if (machine->gone && strstr (old->text, machine->name))
+      machine->named_at = world->now;
   }
 }
 
 static void
-change (World *w, const char *path, char *text, guint64 claim)
+change (World *world, const char *path, char *text, guint64 lease_id)
 {
-  note_named (w, path);
-  SChange c = {g_strdup (path), g_strdup (text), w->epoch};
-  g_array_append_val (w->log, c);
+  note_named (world, path);
+  SChange core = {g_strdup (path), g_strdup (text), world->epoch};
+  g_array_append_val (world->log, core);
   if (!text) {
-    g_hash_table_remove (w->keys, path);
+    g_hash_table_remove (world->keys, path);
     return;
   }
   SKey *k = g_new0 (SKey, 1);
   k->text = text;
-  k->stamp = w->epoch;
-  k->claim = claim;
-  g_hash_table_replace (w->keys, g_strdup (path), k);
+  k->stamp = world->epoch;
+  k->claim = lease_id;
+  g_hash_table_replace (world->keys, g_strdup (path), k);
 }
 
 static char *
-changes_text (World *w, const char *prefix, guint64 after, guint *n)
+changes_text (World *world, const char *prefix, guint64 after, guint *n)
 {
   json_t *log = json_array ();
   *n = 0;
-  for (guint i = 0; i < w->log->len; i++) {
-    SChange *c = &g_array_index (w->log, SChange, i);
-    if (c->stamp <= after || !g_str_has_prefix (c->path, prefix))
+  for (guint i = 0; i < world->log->len; i++) {
+    SChange *core = &g_array_index (world->log, SChange, i);
+    if (core->stamp <= after || !g_str_has_prefix (core->path, prefix))
       continue;
-    json_t *o =
-        json_pack ("{sssI}", c->text ? "set" : "delete", c->path, "stamp", (json_int_t)c->stamp);
-    if (c->text)
-      json_object_set_new (o, "value", json_loads (c->text, JSON_DECODE_ANY, NULL));
-    json_array_append_new (log, o);
+    json_t *object = json_pack ("{sssI}", core->text ? "set" : "delete", core->path, "stamp",
+                                (json_int_t)core->stamp);
+    if (core->text)
+      json_object_set_new (object, "value", json_loads (core->text, JSON_DECODE_ANY, NULL));
+    json_array_append_new (log, object);
     ++*n;
   }
-  return hr_json_take_text (json_pack ("{sIso}", "epoch", (json_int_t)w->epoch, "log", log));
+  return hr_json_take_text (json_pack ("{sIso}", "epoch", (json_int_t)world->epoch, "log", log));
 }
 
 static void
-wake (World *w)
+wake (World *world)
 {
-  if (w->outage > w->now)
+  if (world->outage > world->now)
     return; /* open watches stay open */
-  for (guint i = 0; i < w->watches->len;) {
-    SWatch *s = w->watches->pdata[i];
+  for (guint i = 0; i < world->watches->len;) {
+    SWatch *s = world->watches->pdata[i];
     guint n;
-    g_autofree char *t = changes_text (w, s->prefix, s->after, &n);
-    Node *nd = &w->nodes[s->r->node];
-    if ((!n && s->ends > w->now) || nd->refused > w->now) {
+    g_autofree char *team_name = changes_text (world, s->prefix, s->after, &n);
+    Node *nd = &world->nodes[s->r->node];
+    if ((!n && s->ends > world->now) || nd->refused > world->now) {
       i++;
       continue;
     }
-    w_answer (w, s->r, 200, g_steal_pointer (&t));
+    w_answer (world, s->r, 200, g_steal_pointer (&team_name));
     req_unref (s->r);
     g_free (s->prefix);
     g_free (s);
-    g_ptr_array_remove_index (w->watches, i);
+    g_ptr_array_remove_index (world->watches, i);
   }
 }
 
 static void
-leases_tick (World *w, gpointer p)
+leases_tick (World *world, gpointer data)
 {
-  GHashTableIter it;
+  GHashTableIter iter;
   gpointer v;
   g_autoptr (GPtrArray) over = g_ptr_array_new ();
-  g_hash_table_iter_init (&it, w->leases);
-  while (g_hash_table_iter_next (&it, NULL, &v)) {
+  g_hash_table_iter_init (&iter, world->leases);
+  while (g_hash_table_iter_next (&iter, NULL, &v)) {
     SLease *l = v;
-    if (w->outage > w->now)
-      l->ends = w->outage + l->life; /* after an outage every lease has its full time again */
-    else if (l->ends < w->now)
+    if (world->outage > world->now)
+      l->ends = world->outage + l->life; /* after an outage every lease has its full time again */
+    else if (l->ends < world->now)
       g_ptr_array_add (over, l);
   }
   for (guint i = 0; i < over->len; i++) {
     SLease *l = over->pdata[i];
     g_autoptr (GPtrArray) dead = g_ptr_array_new_with_free_func (g_free);
     gpointer k;
-    g_hash_table_iter_init (&it, w->keys);
-    while (g_hash_table_iter_next (&it, &k, &v))
+    g_hash_table_iter_init (&iter, world->keys);
+    while (g_hash_table_iter_next (&iter, &k, &v))
       if (((SKey *)v)->claim == l->id)
         g_ptr_array_add (dead, g_strdup (k));
     if (dead->len)
-      w->epoch++;
+      world->epoch++;
     for (guint d = 0; d < dead->len; d++)
-      change (w, dead->pdata[d], NULL, 0);
-    g_hash_table_remove (w->leases, &l->id);
+      change (world, dead->pdata[d], NULL, 0);
+    g_hash_table_remove (world->leases, &l->id);
   }
-  wake (w);
-  w_at (w, w->now + 0.05, leases_tick, NULL);
+  wake (world);
+  w_at (world, world->now + 0.05, leases_tick, NULL);
 }
 
 /* Nothing is placed on a machine that went long ago, whatever late copies of its reports
  * say: longer than it may look alive, than an outage, and than a write may take. */
 static void
-check_place (World *w, const char *what, const char *machine)
+check_place (World *world, const char *what, const char *machine)
 {
-  for (guint i = 0; machine && i < w->machines->len; i++) {
-    SMachine *m = w->machines->pdata[i];
-    if (m->gone && w->now - m->gone_at > 45 && strcmp (m->name, machine) == 0)
-      w_broken (w, "stale", "%s is placed on %s, %.0f s after that went", what, machine,
-                w->now - m->gone_at);
+  for (guint i = 0; machine && i < world->machines->len; i++) {
+    SMachine *m = world->machines->pdata[i];
+    if (m->gone && world->now - m->gone_at > 45 && strcmp (m->name, machine) == 0)
+      w_broken (world, "stale", "%s is placed on %s, %.0f s after that went", what, machine,
+                world->now - m->gone_at);
   }
 }
 
@@ -159,39 +159,39 @@
 
 /* Tasks a page: in its key, or in the job's main record. */
 static guint
-page_size (World *w, const char *path, const char *id)
+page_size (World *world, const char *path, const char *id)
 {
   if (path[2] == 'u')
     return atoi (path + strlen ("h/u/") + strlen (id) + 1);
   g_autofree char *main = g_strconcat ("h/j/", id, NULL);
-  SKey *k = g_hash_table_lookup (w->keys, main);
-  json_t *o = k ? json_loads (k->text, 0, NULL) : NULL;
-  guint n = json_integer_value (json_object_get (o, "q"));
-  json_decref (o);
+  SKey *k = g_hash_table_lookup (world->keys, main);
+  json_t *object = k ? json_loads (k->text, 0, NULL) : NULL;
+  guint n = json_integer_value (json_object_get (object, "q"));
+  json_decref (object);
   return n;
 }
 
 /* Notes which process recorded each assignment first: its tag begins with its incarnation. */
 static void
-note_assignments (World *w, json_t *put)
+note_assignments (World *world, json_t *put)
 {
   const char *path = json_string_value (json_object_get (put, "set"));
-  json_t *value = json_object_get (put, "value"), *e;
+  json_t *value = json_object_get (put, "value"), *entry;
   const char *tag = json_string_value (json_object_get (value, "w"));
   size_t i;
   if (!path || !tag || !is_record (path))
     return;
   const char *page = path[2] == 'j' ? NULL : strrchr (path, '/');
   g_autofree char *id = g_strndup (path + 4, strcspn (path + 4, "/"));
-  guint first = page ? atoi (page + 1) * page_size (w, path, id) : 0;
-  json_array_foreach (json_object_get (value, "x"), i, e)
+  guint first = page ? atoi (page + 1) * page_size (world, path, id) : 0;
+  json_array_foreach (json_object_get (value, "x"), i, entry)
   {
     g_autofree char *key = g_strdup_printf ("%s/%u/%d", id, first + (guint)i,
-                                            (int)json_integer_value (json_array_get (e, 2)));
-    if (json_is_array (e) && !g_hash_table_contains (w->assigned, key))
-      check_place (w, key, json_string_value (json_array_get (e, 0)));
-    if (json_is_array (e) && !g_hash_table_contains (w->assigned, key))
-      g_hash_table_insert (w->assigned, g_steal_pointer (&key),
+                                            (int)json_integer_value (json_array_get (entry, 2)));
+    if (json_is_array (entry) && !g_hash_table_contains (world->assigned, key))
+      check_place (world, key, json_string_value (json_array_get (entry, 0)));
+    if (json_is_array (entry) && !g_hash_table_contains (world->assigned, key))
+      g_hash_table_insert (world->assigned, g_steal_pointer (&key),
                            g_strndup (tag, strcspn (tag, ".")));
   }
 }
@@ -199,195 +199,197 @@
 /* A write of the owner (tasks of a job that goes on) holds on the map's stamp, or a
  * former owner's late write would count. */
 static void
-check_fence (World *w, json_t *when, json_t *put)
+check_fence (World *world, json_t *when, json_t *put)
 {
   const char *path = json_string_value (json_object_get (put, "set"));
-  json_t *value = json_object_get (put, "value"), *e, *x = json_object_get (value, "x");
+  json_t *value = json_object_get (put, "value"), *entry, *tasks = json_object_get (value, "x");
   size_t i;
   gboolean bound = FALSE, fenced = FALSE;
   if (!path || !is_record (path) || json_integer_value (json_object_get (value, "s")) == 2)
     return;
-  json_array_foreach (x, i, e) bound |= json_is_array (e);
-  json_array_foreach (when, i, e) fenced |=
-      g_strcmp0 (json_string_value (json_object_get (e, "path")), "h/map") == 0;
+  json_array_foreach (tasks, i, entry) bound |= json_is_array (entry);
+  json_array_foreach (when, i, entry) fenced |=
+      g_strcmp0 (json_string_value (json_object_get (entry, "path")), "h/map") == 0;
   if (bound && !fenced)
-    w_broken (w, "fence", "%s is written without a hold on the map", path);
+    w_broken (world, "fence", "%s is written without a hold on the map", path);
 }
 
 /* A process of its own has written the map. */
 static void
-note_process (World *w, int node, json_t *map)
+note_process (World *world, int node, json_t *map)
 {
   guint64 token = json_integer_value (json_object_get (map, "b"));
-  g_free (w->nodes[node].incarnation);
-  w->nodes[node].incarnation = g_strdup (json_string_value (json_object_get (map, "i")));
-  g_hash_table_insert (w->token_nodes, g_memdup2 (&token, sizeof token), GINT_TO_POINTER (node));
+  g_free (world->nodes[node].incarnation);
+  world->nodes[node].incarnation = g_strdup (json_string_value (json_object_get (map, "i")));
+  g_hash_table_insert (world->token_nodes, g_memdup2 (&token, sizeof token),
+                       GINT_TO_POINTER (node));
 }
 
 /* The map's change, and a withdrawal, are what an owner must not miss for long: check_kills in
  * world.c sees to the latter. */
 static void
-note_decision (World *w, const Req *r, json_t *put)
+note_decision (World *world, const Req *request, json_t *put)
 {
   const char *path = json_string_value (json_object_get (put, "set"));
   json_t *s = json_object_get (json_object_get (put, "value"), "s");
   if (json_integer_value (s) == 2 && g_str_has_prefix (path, "h/j/")) {
-    guint32 idx;
-    SJob *j = job_by_id (w, path + strlen ("h/j/"), &idx);
-    if (j && !j->withdrawn_at)
-      j->withdrawn_at = w->now;
-    if (!g_hash_table_contains (w->withdrawn, path + 4))
-      g_hash_table_insert (w->withdrawn, g_strdup (path + 4),
-                           g_memdup2 (&w->epoch, sizeof w->epoch));
+    guint32 index;
+    SJob *job = job_by_id (world, path + strlen ("h/j/"), &index);
+    if (job && !job->withdrawn_at)
+      job->withdrawn_at = world->now;
+    if (!g_hash_table_contains (world->withdrawn, path + 4))
+      g_hash_table_insert (world->withdrawn, g_strdup (path + 4),
+                           g_memdup2 (&world->epoch, sizeof world->epoch));
   }
   if (g_strcmp0 (path, "h/map") != 0)
     return;
-  if (w->controllers)
-    note_process (w, r->node, json_object_get (put, "value"));
-  for (int k = 0; k < w->n; k++)
-    if (k != r->node) {
-      Node *n = &w->nodes[k];
+  if (world->controllers)
+    note_process (world, request->node, json_object_get (put, "value"));
+  for (int k = 0; k < world->n; k++)
+    if (k != request->node) {
+      Node *n = &world->nodes[k];
       if (!n->behind_at)
-        n->behind_at = w->now;
-      n->behind_epoch = w->epoch;
+        n->behind_at = world->now;
+      n->behind_epoch = world->epoch;
     }
 }
 
 /* Nothing that production would misread is written while one of its processes may be there. */
 static void
-check_form (World *w, json_t *put)
+check_form (World *world, json_t *put)
 {
   const char *path = json_string_value (json_object_get (put, "set"));
   gboolean form = path && (g_str_has_prefix (path, "h/u/") || strcmp (path, "h/format") == 0 ||
                            json_object_get (json_object_get (put, "value"), "u"));
-  for (int k = 0; form && k < w->n; k++)
-    if (!w->nodes[k].speaks)
-      w_broken (w, "form", "%s is written while c%d may be of production", path, k);
+  for (int k = 0; form && k < world->n; k++)
+    if (!world->nodes[k].speaks)
+      w_broken (world, "form", "%s is written while c%d may be of production", path, k);
 }
 
 static gboolean
-limits_fell (World *w)
+limits_fell (World *world)
 {
-  return w->limits_fall > 0 && w->now >= w->limits_fall;
+  return world->limits_fall > 0 && world->now >= world->limits_fall;
 }
 
 /* Values beyond the limit are refused; of the new version none is sent again and again. */
 static gboolean
-refuse_size (World *w, Req *r, json_t *put)
+refuse_size (World *world, Req *request, json_t *put)
 {
   if (!json_object_get (put, "value"))
     return FALSE;
   const char *path = json_string_value (json_object_get (put, "set"));
-  g_autofree char *t = hr_json_take_text (json_incref (json_object_get (put, "value")));
-  if (!w->production && strlen (t) > NEXT_VALUE_KB * 1024)
-    w_broken (w, "limit", "a value of %zu bytes for %s", strlen (t), path);
-  if (strlen (t) <= (limits_fell (w) ? NEXT_VALUE_KB : w->value_kb) * 1024)
+  g_autofree char *team_name = hr_json_take_text (json_incref (json_object_get (put, "value")));
+  if (!world->production && strlen (team_name) > NEXT_VALUE_KB * 1024)
+    w_broken (world, "limit", "a value of %zu bytes for %s", strlen (team_name), path);
+  if (strlen (team_name) <= (limits_fell (world) ? NEXT_VALUE_KB : world->value_kb) * 1024)
     return FALSE;
-  guint *times = g_hash_table_lookup (w->too_large, path);
+  guint *times = g_hash_table_lookup (world->too_large, path);
   if (!times) {
     times = g_new0 (guint, 1);
-    g_hash_table_insert (w->too_large, g_strdup (path), times);
+    g_hash_table_insert (world->too_large, g_strdup (path), times);
   }
-  if (++*times > 6 && w->nodes[r->node].speaks)
-    w_broken (w, "spin", "a value of %zu bytes for %s is sent for the %uth time", strlen (t), path,
-              *times);
+  if (++*times > 6 && world->nodes[request->node].speaks)
+    w_broken (world, "spin", "a value of %zu bytes for %s is sent for the %uth time",
+              strlen (team_name), path, *times);
   return TRUE;
 }
 
 static gboolean
-refuse_rate (World *w, guint changes)
+refuse_rate (World *world, guint changes)
 {
-  if (!limits_fell (w))
+  if (!limits_fell (world))
     return FALSE;
-  w->write_tokens =
-      MIN (NEXT_WRITE_RPS, w->write_tokens + (w->now - w->write_tokens_at) * NEXT_WRITE_RPS);
-  w->write_tokens_at = w->now;
-  if (w->write_tokens < changes)
+  world->write_tokens = MIN (
+      NEXT_WRITE_RPS, world->write_tokens + (world->now - world->write_tokens_at) * NEXT_WRITE_RPS);
+  world->write_tokens_at = world->now;
+  if (world->write_tokens < changes)
     return TRUE;
-  w->write_tokens -= changes;
+  world->write_tokens -= changes;
   return FALSE;
 }
 
 static void
-commit (World *w, Req *r)
+commit (World *world, Req *request)
 {
-  json_t *o = r->body ? json_loads (r->body, 0, NULL) : NULL, *e;
-  json_t *when = json_object_get (o, "when"), *writes = json_object_get (o, "writes");
+  json_t *object = request->body ? json_loads (request->body, 0, NULL) : NULL, *entry;
+  json_t *when = json_object_get (object, "when"), *writes = json_object_get (object, "writes");
   json_t *failed = json_array ();
   size_t i;
   gboolean lease_gone = FALSE, too_large = FALSE;
   guint changes = json_array_size (writes);
-  json_array_foreach (writes, i, e)
+  json_array_foreach (writes, i, entry)
   {
-    guint64 claim = json_integer_value (json_object_get (e, "claim"));
-    check_fence (w, when, e);
-    lease_gone |= claim && !g_hash_table_contains (w->leases, &claim);
-    check_form (w, e);
-    too_large |= refuse_size (w, r, e);
+    guint64 lease_id = json_integer_value (json_object_get (entry, "claim"));
+    check_fence (world, when, entry);
+    lease_gone |= lease_id && !g_hash_table_contains (world->leases, &lease_id);
+    check_form (world, entry);
+    too_large |= refuse_size (world, request, entry);
   }
-  too_large |= limits_fell (w) && changes > NEXT_TXN_OPS;
-  if (!w->production && changes > NEXT_TXN_OPS)
-    w_broken (w, "limit", "%u changes in a transaction", changes);
-  if (too_large || refuse_rate (w, changes)) {
-    w_answer (w, r, too_large ? 400 : 429,
+  too_large |= limits_fell (world) && changes > NEXT_TXN_OPS;
+  if (!world->production && changes > NEXT_TXN_OPS)
+    w_broken (world, "limit", "%u changes in a transaction", changes);
+  if (too_large || refuse_rate (world, changes)) {
+    w_answer (world, request, too_large ? 400 : 429,
               g_strdup (too_large ? "{\"error\":\"the value is too large\"}"
                                   : "{\"error\":\"too many changes\"}"));
     json_decref (failed);
-    json_decref (o);
+    json_decref (object);
     return;
   }
   if (lease_gone) {
-    w_answer (w, r, 400, g_strdup ("{\"error\":\"no such lease\"}"));
+    w_answer (world, request, 400, g_strdup ("{\"error\":\"no such lease\"}"));
     json_decref (failed);
-    json_decref (o);
+    json_decref (object);
     return;
   }
-  json_array_foreach (when, i, e)
+  json_array_foreach (when, i, entry)
   {
-    const char *path = json_string_value (json_object_get (e, "path"));
-    SKey *k = g_hash_table_lookup (w->keys, path);
-    if ((guint64)json_integer_value (json_object_get (e, "stamp")) != (k ? k->stamp : 0))
+    const char *path = json_string_value (json_object_get (entry, "path"));
+    SKey *k = g_hash_table_lookup (world->keys, path);
+    if ((guint64)json_integer_value (json_object_get (entry, "stamp")) != (k ? k->stamp : 0))
       json_array_append_new (failed, json_string (path));
   }
   if (json_array_size (failed)) {
-    w_answer (
-        w, r, 409,
-        hr_json_take_text (json_pack ("{sosI}", "failed", failed, "epoch", (json_int_t)w->epoch)));
-    json_decref (o);
+    w_answer (world, request, 409,
+              hr_json_take_text (
+                  json_pack ("{sosI}", "failed", failed, "epoch", (json_int_t)world->epoch)));
+    json_decref (object);
     return;
   }
   json_decref (failed);
   if (json_array_size (writes) > 12)
-    w_broken (w, "limit", "%zu changes in a transaction", json_array_size (writes));
+    w_broken (world, "limit", "%zu changes in a transaction", json_array_size (writes));
   if (json_array_size (writes))
-    w->epoch++;
-  json_array_foreach (writes, i, e)
+    world->epoch++;
+  json_array_foreach (writes, i, entry)
   {
-    const char *set = json_string_value (json_object_get (e, "set"));
-    note_assignments (w, e);
-    note_decision (w, r, e);
-    if (g_strcmp0 (set, "h/map") == 0)
-      troubles_map (w, json_object_get (e, "value"));
-    if (set)
-      change (w, set, hr_json_take_text (json_incref (json_object_get (e, "value"))),
-              json_integer_value (json_object_get (e, "claim")));
+    const char *settings = json_string_value (json_object_get (entry, "set"));
+    note_assignments (world, entry);
+    note_decision (world, request, entry);
+    if (g_strcmp0 (settings, "h/map") == 0)
+      troubles_map (world, json_object_get (entry, "value"));
+    if (settings)
+      change (world, settings, hr_json_take_text (json_incref (json_object_get (entry, "value"))),
+              json_integer_value (json_object_get (entry, "claim")));
     else
-      change (w, json_string_value (json_object_get (e, "delete")), NULL, 0);
+      change (world, json_string_value (json_object_get (entry, "delete")), NULL, 0);
   }
-  w_answer (w, r, 200, g_strdup_printf ("{\"epoch\":%" G_GUINT64_FORMAT "}", w->epoch));
-  json_decref (o);
-  troubles_moment (w, ON_WRITE_DONE);
-  wake (w);
+  w_answer (world, request, 200,
+            g_strdup_printf ("{\"epoch\":%" G_GUINT64_FORMAT "}", world->epoch));
+  json_decref (object);
+  troubles_moment (world, ON_WRITE_DONE);
+  wake (world);
 }
 
 /* Does any record name this machine? */
 gboolean
-store_names (World *w, const char *machine)
+store_names (World *world, const char *machine)
 {
-  GHashTableIter it;
+  GHashTableIter iter;
   gpointer k;
-  g_hash_table_iter_init (&it, w->keys);
-  while (g_hash_table_iter_next (&it, NULL, &k))
+  g_hash_table_iter_init (&iter, world->keys);
+  while (g_hash_table_iter_next (&iter, NULL, &k))
     if (strstr (((SKey *)k)->text, machine))
       return TRUE;
   return FALSE;
@@ -395,13 +397,13 @@
 
 /* Every page of tasks becomes one that cannot be read. */
 guint
-store_tear (World *w)
+store_tear (World *world)
 {
-  GHashTableIter it;
+  GHashTableIter iter;
   gpointer path, k;
   guint n = 0;
-  g_hash_table_iter_init (&it, w->keys);
-  while (g_hash_table_iter_next (&it, &path, &k))
+  g_hash_table_iter_init (&iter, world->keys);
+  while (g_hash_table_iter_next (&iter, &path, &k))
     if (g_str_has_prefix (path, "h/t/")) {
       g_free (((SKey *)k)->text);
       ((SKey *)k)->text = g_strdup ("{\"w\":\"torn\",\"x\":[0,\"m-0\",1]}");
@@ -412,236 +414,239 @@
 
 /* Pages in the ledger whose job is final. */
 guint
-store_garbage (World *w)
+store_garbage (World *world)
 {
-  GHashTableIter it;
+  GHashTableIter iter;
   gpointer path;
   guint n = 0;
-  g_hash_table_iter_init (&it, w->keys);
-  while (g_hash_table_iter_next (&it, &path, NULL)) {
+  g_hash_table_iter_init (&iter, world->keys);
+  while (g_hash_table_iter_next (&iter, &path, NULL)) {
     if (!is_record (path) || g_str_has_prefix (path, "h/j/"))
       continue;
     const char *rest = (char *)path + strlen ("h/t/");
     g_autofree char *id = g_strndup (rest, strcspn (rest, "/"));
     g_autofree char *main = g_strconcat ("h/j/", id, NULL);
-    SKey *k = g_hash_table_lookup (w->keys, main);
+    SKey *k = g_hash_table_lookup (world->keys, main);
     n += k && !strstr (k->text, "\"j\":"); /* a tombstone has no description */
   }
   return n;
 }
 
 guint
-store_large (World *w)
+store_large (World *world)
 {
-  GHashTableIter it;
+  GHashTableIter iter;
   gpointer path, k;
   guint n = 0;
-  g_hash_table_iter_init (&it, w->keys);
-  while (g_hash_table_iter_next (&it, &path, &k))
+  g_hash_table_iter_init (&iter, world->keys);
+  while (g_hash_table_iter_next (&iter, &path, &k))
     n += is_record (path) && strlen (((SKey *)k)->text) > NEXT_VALUE_KB * 1024;
   return n;
 }
 
 gboolean
-store_split (World *w, const char *id)
+store_split (World *world, const char *id)
 {
   g_autofree char *main = g_strconcat ("h/j/", id, NULL);
-  SKey *k = g_hash_table_lookup (w->keys, main);
+  SKey *k = g_hash_table_lookup (world->keys, main);
   return k && strstr (k->text, "\"u\":1");
 }
 
 void
-store_put (World *w, const char *path, const char *text)
+store_put (World *world, const char *path, const char *text)
 {
-  w->epoch++;
-  change (w, path, g_strdup (text), 0);
+  world->epoch++;
+  change (world, path, g_strdup (text), 0);
 }
 
 gboolean
-store_has (World *w, const char *path)
+store_has (World *world, const char *path)
 {
-  return g_hash_table_contains (w->keys, path);
+  return g_hash_table_contains (world->keys, path);
 }
 
 int
-store_owner (World *w)
+store_owner (World *world)
 {
-  SKey *k = g_hash_table_lookup (w->keys, "h/map");
-  json_t *o = k ? json_loads (k->text, 0, NULL) : NULL;
-  const char *label = json_string_value (json_object_get (o, "o"));
+  SKey *k = g_hash_table_lookup (world->keys, "h/map");
+  json_t *object = k ? json_loads (k->text, 0, NULL) : NULL;
+  const char *label = json_string_value (json_object_get (object, "o"));
   int node = label ? label[1] - '0' : -1;
-  json_decref (o);
+  json_decref (object);
   return node;
 }
 
 static char *
 query (const char *path, const char *name)
 {
-  const char *q = strchr (path, '?');
+  const char *text = strchr (path, '?');
   g_autofree char *want = g_strconcat (name, "=", NULL);
-  g_auto (GStrv) parts = g_strsplit (q ? q + 1 : "", "&", -1);
-  for (guint i = 0; parts[i]; i++)
-    if (g_str_has_prefix (parts[i], want))
-      return g_strdup (parts[i] + strlen (want));
+  g_auto (GStrv) fields = g_strsplit (text ? text + 1 : "", "&", -1);
+  for (guint i = 0; fields[i]; i++)
+    if (g_str_has_prefix (fields[i], want))
+      return g_strdup (fields[i] + strlen (want));
   return NULL;
 }
 
 static int
-by_text (gconstpointer a, gconstpointer b)
+by_text (gconstpointer left, gconstpointer right)
 {
-  return strcmp (*(char *const *)a, *(char *const *)b);
+  return strcmp (*(char *const *)left, *(char *const *)right);
 }
 
 static void
-range (World *w, Req *r)
+range (World *world, Req *request)
 {
-  g_autofree char *prefix = query (r->path, "starts"), *after = query (r->path, "after");
+  g_autofree char *prefix = query (request->path, "starts"),
+                  *after = query (request->path, "after");
   g_autoptr (GPtrArray) keys = g_ptr_array_new ();
   if (!after)
-    w->nodes[r->node].too_old = 0; /* it reads everything anew */
-  GHashTableIter it;
+    world->nodes[request->node].too_old = 0; /* it reads everything anew */
+  GHashTableIter iter;
   gpointer k;
-  g_hash_table_iter_init (&it, w->keys);
-  while (g_hash_table_iter_next (&it, &k, NULL))
+  g_hash_table_iter_init (&iter, world->keys);
+  while (g_hash_table_iter_next (&iter, &k, NULL))
     if (g_str_has_prefix (k, prefix) && (!after || strcmp (k, after) > 0))
       g_ptr_array_add (keys, k);
   g_ptr_array_sort (keys, by_text);
   json_t *rows = json_array ();
   for (guint i = 0; i < keys->len && i < 7; i++) { /* short pages, so that paging is tested */
-    SKey *s = g_hash_table_lookup (w->keys, keys->pdata[i]);
+    SKey *s = g_hash_table_lookup (world->keys, keys->pdata[i]);
     json_array_append_new (rows, json_pack ("{sssosI}", "path", keys->pdata[i], "value",
                                             json_loads (s->text, JSON_DECODE_ANY, NULL), "stamp",
                                             (json_int_t)s->stamp));
   }
-  w_answer (w, r, 200,
+  w_answer (world, request, 200,
             hr_json_take_text (json_pack ("{sosbsI}", "rows", rows, "more", keys->len > 7, "epoch",
-                                          (json_int_t)w->epoch)));
+                                          (json_int_t)world->epoch)));
 }
 
 static void
-lease (World *w, Req *r)
+lease (World *world, Req *request)
 {
   guint64 id = 0;
-  if (strcmp (r->path, "/leases") == 0) {
-    json_t *o = json_loads (r->body, 0, NULL);
+  if (strcmp (request->path, "/leases") == 0) {
+    json_t *object = json_loads (request->body, 0, NULL);
     SLease *l = g_new0 (SLease, 1);
-    l->id = ++w->claims;
-    l->life = json_integer_value (json_object_get (o, "life_ms")) / 1000.0;
-    l->ends = w->now + l->life;
-    json_decref (o);
-    g_hash_table_insert (w->leases, &l->id, l);
-    w_answer (w, r, 200, g_strdup_printf ("{\"claim\":%" G_GUINT64_FORMAT "}", l->id));
+    l->id = ++world->claims;
+    l->life = json_integer_value (json_object_get (object, "life_ms")) / 1000.0;
+    l->ends = world->now + l->life;
+    json_decref (object);
+    g_hash_table_insert (world->leases, &l->id, l);
+    w_answer (world, request, 200, g_strdup_printf ("{\"claim\":%" G_GUINT64_FORMAT "}", l->id));
     return;
   }
-  id = g_ascii_strtoull (r->path + strlen ("/leases/"), NULL, 10);
-  SLease *l = g_hash_table_lookup (w->leases, &id);
+  id = g_ascii_strtoull (request->path + strlen ("/leases/"), NULL, 10);
+  SLease *l = g_hash_table_lookup (world->leases, &id);
   if (!l) {
-    w_answer (w, r, 404, g_strdup ("{}"));
+    w_answer (world, request, 404, g_strdup ("{}"));
     return;
   }
-  l->ends = r->method == HR_DELETE ? w->now - 1 : w->now + l->life;
-  w_answer (w, r, 200, g_strdup ("{}"));
+  l->ends = request->method == HR_DELETE ? world->now - 1 : world->now + l->life;
+  w_answer (world, request, 200, g_strdup ("{}"));
 }
 
 void
-store_request (World *w, Req *r)
-{
-  if (w->outage > w->now || w->nodes[r->node].refused > w->now)
-    w_answer (w, r, 503, g_strdup ("{\"error\":\"trouble\"}"));
-  else if (strcmp (r->path, "/commit") == 0)
-    commit (w, r);
-  else if (g_str_has_prefix (r->path, "/leases"))
-    lease (w, r);
-  else if (g_str_has_prefix (r->path, "/kv?"))
-    range (w, r);
-  else if (g_str_has_prefix (r->path, "/kv/")) {
-    SKey *k = g_hash_table_lookup (w->keys, r->path + 4);
+store_request (World *world, Req *request)
+{
+  if (world->outage > world->now || world->nodes[request->node].refused > world->now)
+    w_answer (world, request, 503, g_strdup ("{\"error\":\"trouble\"}"));
+  else if (strcmp (request->path, "/commit") == 0)
+    commit (world, request);
+  else if (g_str_has_prefix (request->path, "/leases"))
+    lease (world, request);
+  else if (g_str_has_prefix (request->path, "/kv?"))
+    range (world, request);
+  else if (g_str_has_prefix (request->path, "/kv/")) {
+    SKey *k = g_hash_table_lookup (world->keys, request->path + 4);
     if (!k)
-      w_answer (w, r, 404, g_strdup_printf ("{\"epoch\":%" G_GUINT64_FORMAT "}", w->epoch));
+      w_answer (world, request, 404,
+                g_strdup_printf ("{\"epoch\":%" G_GUINT64_FORMAT "}", world->epoch));
     else
-      w_answer (w, r, 200,
-                hr_json_take_text (json_pack ("{sssosI}", "path", r->path + 4, "value",
+      w_answer (world, request, 200,
+                hr_json_take_text (json_pack ("{sssosI}", "path", request->path + 4, "value",
                                               json_loads (k->text, JSON_DECODE_ANY, NULL), "stamp",
                                               (json_int_t)k->stamp)));
-  } else if (g_str_has_prefix (r->path, "/changes?")) {
-    g_autofree char *after = query (r->path, "after"), *hold = query (r->path, "hold_ms");
-    guint64 too_old = w->nodes[r->node].too_old;
+  } else if (g_str_has_prefix (request->path, "/changes?")) {
+    g_autofree char *after = query (request->path, "after"),
+                    *hold = query (request->path, "hold_ms");
+    guint64 too_old = world->nodes[request->node].too_old;
     if (too_old && g_ascii_strtoull (after, NULL, 10) <= too_old) {
-      w_answer (w, r, 410, g_strdup ("{\"error\":\"too old\"}"));
+      w_answer (world, request, 410, g_strdup ("{\"error\":\"too old\"}"));
       return;
     }
     SWatch *s = g_new0 (SWatch, 1);
-    s->r = r;
-    r->refs++;
-    s->prefix = query (r->path, "starts");
+    s->r = request;
+    request->refs++;
+    s->prefix = query (request->path, "starts");
     s->after = g_ascii_strtoull (after, NULL, 10);
-    s->ends = w->now + g_ascii_strtod (hold, NULL) / 1000;
-    g_ptr_array_add (w->watches, s);
-    wake (w);
+    s->ends = world->now + g_ascii_strtod (hold, NULL) / 1000;
+    g_ptr_array_add (world->watches, s);
+    wake (world);
   } else
-    w_broken (w, "protocol", "the state service was asked for %s", r->path);
+    w_broken (world, "protocol", "the state service was asked for %s", request->path);
 }
 
 static void
-change_clear (gpointer p)
+change_clear (gpointer data)
 {
-  SChange *c = p;
-  g_free (c->path);
-  g_free (c->text);
+  SChange *core = data;
+  g_free (core->path);
+  g_free (core->text);
 }
 
 /* As after an upgrade long ago; an upgrade's own day begins without it. */
 void
-store_format (World *w, gboolean known)
+store_format (World *world, gboolean known)
 {
   if (!known) {
-    g_hash_table_remove (w->keys, "h/format");
+    g_hash_table_remove (world->keys, "h/format");
     return;
   }
   SKey *k = g_new0 (SKey, 1);
   k->text = g_strdup_printf ("{\"f\":%d}", HR_FORMAT);
-  k->stamp = ++w->epoch;
-  g_hash_table_replace (w->keys, g_strdup ("h/format"), k);
+  k->stamp = ++world->epoch;
+  g_hash_table_replace (world->keys, g_strdup ("h/format"), k);
 }
 
 void
-store_init (World *w)
+store_init (World *world)
 {
-  w->keys = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, key_free);
-  w->leases = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
-  w->log = g_array_new (FALSE, TRUE, sizeof (SChange));
-  g_array_set_clear_func (w->log, change_clear);
-  w->watches = g_ptr_array_new ();
-  w->too_large = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  w->token_nodes = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, NULL);
-  w->assigned = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  store_format (w, TRUE);
-  w->withdrawn = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  w_at (w, 0.05, leases_tick, NULL);
+  world->keys = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, key_free);
+  world->leases = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
+  world->log = g_array_new (FALSE, TRUE, sizeof (SChange));
+  g_array_set_clear_func (world->log, change_clear);
+  world->watches = g_ptr_array_new ();
+  world->too_large = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  world->token_nodes = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, NULL);
+  world->assigned = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  store_format (world, TRUE);
+  world->withdrawn = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  w_at (world, 0.05, leases_tick, NULL);
 }
 
 const char *
-store_text (World *w, const char *key)
+store_text (World *world, const char *key)
 {
-  const SKey *k = g_hash_table_lookup (w->keys, key);
+  const SKey *k = g_hash_table_lookup (world->keys, key);
   return k ? k->text : "";
 }
 
 void
-store_free (World *w)
+store_free (World *world)
 {
-  for (guint i = 0; i < w->watches->len; i++) {
-    SWatch *s = w->watches->pdata[i];
+  for (guint i = 0; i < world->watches->len; i++) {
+    SWatch *s = world->watches->pdata[i];
     g_free (s->prefix);
     req_unref (s->r);
     g_free (s);
   }
-  g_ptr_array_unref (w->watches);
-  g_hash_table_unref (w->keys);
-  g_hash_table_unref (w->leases);
-  g_array_unref (w->log);
-  g_hash_table_unref (w->token_nodes);
-  g_hash_table_unref (w->assigned);
-  g_hash_table_unref (w->too_large);
-  g_hash_table_unref (w->withdrawn);
+  g_ptr_array_unref (world->watches);
+  g_hash_table_unref (world->keys);
+  g_hash_table_unref (world->leases);
+  g_array_unref (world->log);
+  g_hash_table_unref (world->token_nodes);
+  g_hash_table_unref (world->assigned);
+  g_hash_table_unref (world->too_large);
+  g_hash_table_unref (world->withdrawn);
 }
--- a/tests/sim/trouble_draw.c
+++ b/tests/sim/trouble_draw.c
@@ -34,24 +34,24 @@
 HrTrouble
 trouble_draw (GRand *rand, HrTroubleKind kind, double at_s, double lease_s)
 {
-  HrTrouble t = {.at_s = at_s, .kind = kind};
-  t.for_s = g_rand_double_range (rand, LEAST_S, MOST_LEASES * lease_s);
-  t.who = g_rand_int_range (rand, WHO_LEADER, WHO_ALL + 1);
-  t.share = g_rand_double_range (rand, 0.1, 0.9);
-  t.hold = g_rand_boolean (rand);
-  t.at_once = g_rand_boolean (rand);
-  t.delay_s = g_rand_double_range (rand, 0.05, 0.4);
+  HrTrouble trouble = {.at_s = at_s, .kind = kind};
+  trouble.for_s = g_rand_double_range (rand, LEAST_S, MOST_LEASES * lease_s);
+  trouble.who = g_rand_int_range (rand, WHO_LEADER, WHO_ALL + 1);
+  trouble.share = g_rand_double_range (rand, 0.1, 0.9);
+  trouble.hold = g_rand_boolean (rand);
+  trouble.at_once = g_rand_boolean (rand);
+  trouble.delay_s = g_rand_double_range (rand, 0.05, 0.4);
   if (kind == TROUBLE_ZONE_CUT)
-    t.zone = ZONE (g_rand_int_range (rand, 0, 2));
+    trouble.zone = ZONE (g_rand_int_range (rand, 0, 2));
   if (kind == TROUBLE_MACHINE_CRASH)
-    t.count = 1;
+    trouble.count = 1;
   if (kind == TROUBLE_NODE_CUT)
-    draw_cut (rand, &t);
+    draw_cut (rand, &trouble);
   if (kind == TROUBLE_NODE_CRASH)
-    draw_crash (rand, &t);
+    draw_crash (rand, &trouble);
   if (kind == TROUBLE_CANCEL_NOW)
-    draw_cancel (rand, &t, lease_s);
-  t.for_next = kind == TROUBLE_LATE_REPORTS && g_rand_int_range (rand, 0, 3) == 0;
-  t.to_all = kind == TROUBLE_LATE_REPORTS && !t.for_next && g_rand_boolean (rand);
-  return t;
+    draw_cancel (rand, &trouble, lease_s);
+  trouble.for_next = kind == TROUBLE_LATE_REPORTS && g_rand_int_range (rand, 0, 3) == 0;
+  trouble.to_all = kind == TROUBLE_LATE_REPORTS && !trouble.for_next && g_rand_boolean (rand);
+  return trouble;
 }
--- a/tests/sim/trouble_messages.c
+++ b/tests/sim/trouble_messages.c
@@ -8,131 +8,132 @@
 /* ---- requests on their way ---- */
 
 static gboolean
-is_report (const Req *r)
+is_report (const Req *request)
 {
-  return r->node < 0 && r->machine >= 0 && strcmp (r->path, "/hello") == 0;
+  return request->node < 0 && request->machine >= 0 && strcmp (request->path, "/hello") == 0;
 }
 
 static void
-carry_out_late (World *w, Req *r, double t)
+carry_out_late (World *world, Req *request, double t)
 {
-  r->answer_lost = TRUE;
-  r->refs++;
-  req_stray (w, r, t);
+  request->answer_lost = TRUE;
+  request->refs++;
+  req_stray (world, request, t);
 }
 
 static gboolean
-take_write (World *w, Req *r, double t)
+take_write (World *world, Req *request, double t)
 {
-  HrTroubles *x = &w->troubles;
-  if (trouble_strikes (w, &x->lost_answers)) {
-    r->answer_lost = TRUE;
+  HrTroubles *x = &world->troubles;
+  if (trouble_strikes (world, &x->lost_answers)) {
+    request->answer_lost = TRUE;
     x->played[TROUBLE_LATE_WRITES]++;
     return FALSE;
   }
-  if (!trouble_strikes (w, &x->late_writes))
+  if (!trouble_strikes (world, &x->late_writes))
     return FALSE;
-  carry_out_late (w, r, t + trouble_rand (w, LATE_WRITE_MIN_S, LATE_WRITE_MAX_S));
+  carry_out_late (world, request, t + trouble_rand (world, LATE_WRITE_MIN_S, LATE_WRITE_MAX_S));
   x->played[TROUBLE_LATE_WRITES]++;
   return TRUE;
 }
 
 static gboolean
-take_command (World *w, Req *r, double t)
+take_command (World *world, Req *request, double t)
 {
-  if (!trouble_strikes (w, &w->troubles.late_commands))
+  if (!trouble_strikes (world, &world->troubles.late_commands))
     return FALSE;
-  carry_out_late (w, r, t + trouble_rand (w, LATE_COMMAND_MIN_S, LATE_COMMAND_MAX_S));
-  w->troubles.played[TROUBLE_LATE_COMMANDS]++;
+  carry_out_late (world, request, t + trouble_rand (world, LATE_COMMAND_MIN_S, LATE_COMMAND_MAX_S));
+  world->troubles.played[TROUBLE_LATE_COMMANDS]++;
   return TRUE;
 }
 
 static void
-copy_report (World *w, const Req *r)
+copy_report (World *world, const Req *request)
 {
-  HrTroubles *x = &w->troubles;
-  if (trouble_strikes (w, &x->late_reports)) {
-    double late = trouble_rand (w, LATE_REPORT_MIN_S, LATE_REPORT_MAX_LEASES * w->lease_s);
-    req_stray (w, req_copy (r, r->to), w->now + late);
+  HrTroubles *x = &world->troubles;
+  if (trouble_strikes (world, &x->late_reports)) {
+    double late = trouble_rand (world, LATE_REPORT_MIN_S, LATE_REPORT_MAX_LEASES * world->lease_s);
+    req_stray (world, req_copy (request, request->to), world->now + late);
     x->played[TROUBLE_LATE_REPORTS]++;
   }
-  if (trouble_strikes (w, &x->reports_for_next) && x->kept_next->len < KEPT_MAX)
-    g_ptr_array_add (x->kept_next, req_copy (r, r->to));
-  if (trouble_strikes (w, &x->reports_to_all) && x->kept_all->len < KEPT_MAX)
-    g_ptr_array_add (x->kept_all, req_copy (r, r->to));
+  if (trouble_strikes (world, &x->reports_for_next) && x->kept_next->len < KEPT_MAX)
+    g_ptr_array_add (x->kept_next, req_copy (request, request->to));
+  if (trouble_strikes (world, &x->reports_to_all) && x->kept_all->len < KEPT_MAX)
+    g_ptr_array_add (x->kept_all, req_copy (request, request->to));
 }
 
 gboolean
-troubles_take (World *w, Req *r, double t)
+troubles_take (World *world, Req *request, double t)
 {
-  if (r->node < 0 && r->machine >= 0) {
-    const SMachine *m = w->machines->pdata[r->machine];
-    if (m->mute > w->now)
+  if (request->node < 0 && request->machine >= 0) {
+    const SMachine *machine = world->machines->pdata[request->machine];
+    if (machine->mute > world->now)
       return TRUE;
-    if (is_report (r))
-      copy_report (w, r);
+    if (is_report (request))
+      copy_report (world, request);
     return FALSE;
   }
-  if (r->node >= 0 && r->target == HR_TO_STORE && strcmp (r->path, "/commit") == 0)
-    return take_write (w, r, t);
-  if (r->node >= 0 && r->target == HR_TO_WORKER)
-    return take_command (w, r, t);
+  if (request->node >= 0 && request->target == HR_TO_STORE &&
+      strcmp (request->path, "/commit") == 0)
+    return take_write (world, request, t);
+  if (request->node >= 0 && request->target == HR_TO_WORKER)
+    return take_command (world, request, t);
   return FALSE;
 }
 
 double
-troubles_delay (World *w, const Req *r)
+troubles_delay (World *world, const Req *request)
 {
-  const HrTroubles *x = &w->troubles;
-  if (r->node < 0 || r->target != HR_TO_STORE || x->state_slow_until <= w->now)
+  const HrTroubles *x = &world->troubles;
+  if (request->node < 0 || request->target != HR_TO_STORE || x->state_slow_until <= world->now)
     return 0;
-  return x->state_slow_s * trouble_rand (w, 0.3, 1.6);
+  return x->state_slow_s * trouble_rand (world, 0.3, 1.6);
 }
 
 double
-troubles_link_delay (World *w)
+troubles_link_delay (World *world)
 {
-  const HrTroubles *x = &w->troubles;
-  return x->links_slow_until > w->now ? x->links_slow_s * trouble_rand (w, 0.5, 1.5) : 0;
+  const HrTroubles *x = &world->troubles;
+  return x->links_slow_until > world->now ? x->links_slow_s * trouble_rand (world, 0.5, 1.5) : 0;
 }
 
 double
-troubles_zone_cut (World *w, const Req *r, const SMachine *m)
+troubles_zone_cut (World *world, const Req *request, const SMachine *machine)
 {
-  const HrTroubles *x = &w->troubles;
-  int node = r->node >= 0 ? r->node : r->to;
-  if (x->zone_cut_until <= w->now)
+  const HrTroubles *x = &world->troubles;
+  int node = request->node >= 0 ? request->node : request->to;
+  if (x->zone_cut_until <= world->now)
     return 0;
   gboolean parted;
-  if (m)
-    parted = (m->zone == x->zone_cut) != trouble_inside (w, node);
+  if (machine)
+    parted = (machine->zone == x->zone_cut) != trouble_inside (world, node);
   else /* users, the cloud and the state service are in no zone */
-    parted = trouble_inside (w, node);
+    parted = trouble_inside (world, node);
   return parted ? x->zone_cut_until : 0;
 }
 
 double
-troubles_boots (World *w, double at)
+troubles_boots (World *world, double at)
 {
-  if (w->troubles.fast_boot_until <= w->now)
+  if (world->troubles.fast_boot_until <= world->now)
     return at;
-  w->troubles.played[TROUBLE_FAST_BOOT]++;
-  return w->now + trouble_rand (w, 0.3, FAST_BOOT_S);
+  world->troubles.played[TROUBLE_FAST_BOOT]++;
+  return world->now + trouble_rand (world, 0.3, FAST_BOOT_S);
 }
 
 /* ---- copies of reports for a new leader ---- */
 
 static void
-let_go (World *w, Req *copy, int node, double within)
+let_go (World *world, Req *copy, int node, double within)
 {
-  req_stray (w, req_copy (copy, node), w->now + trouble_rand (w, 0, within));
-  w->troubles.played[TROUBLE_LATE_REPORTS]++;
+  req_stray (world, req_copy (copy, node), world->now + trouble_rand (world, 0, within));
+  world->troubles.played[TROUBLE_LATE_REPORTS]++;
 }
 
 void
-troubles_map (World *w, json_t *map)
+troubles_map (World *world, json_t *map)
 {
-  HrTroubles *x = &w->troubles;
+  HrTroubles *x = &world->troubles;
   const char *process = json_string_value (json_object_get (map, "i"));
   if (g_strcmp0 (process, x->leader_process) == 0)
     return;
@@ -140,27 +141,28 @@
   x->leader_process = g_strdup (process);
   x->leader_baton = json_integer_value (json_object_get (map, "b"));
   x->leaders++;
-  troubles_moment (w, ON_HAND_OVER);
+  troubles_moment (world, ON_HAND_OVER);
   for (guint i = 0; i < x->kept_all->len; i++)
-    for (int node = 0; node < w->n; node++)
-      let_go (w, x->kept_all->pdata[i], node, 0.1);
+    for (int node = 0; node < world->n; node++)
+      let_go (world, x->kept_all->pdata[i], node, 0.1);
   g_ptr_array_set_size (x->kept_all, 0);
 }
 
 void
-troubles_reply (World *w, int node, const char *answer)
+troubles_reply (World *world, int node, const char *answer)
 {
-  HrTroubles *x = &w->troubles;
-  troubles_moment (w, ON_REPORT_ANSWERED);
+  HrTroubles *x = &world->troubles;
+  troubles_moment (world, ON_REPORT_ANSWERED);
   if (x->leaders == x->leaders_acted || !x->kept_next->len)
     return;
-  json_t *o = json_loads (answer, 0, NULL);
-  gboolean acted = (guint64)json_integer_value (json_object_get (o, "baton")) >= x->leader_baton;
-  json_decref (o);
+  json_t *object = json_loads (answer, 0, NULL);
+  gboolean acted =
+      (guint64)json_integer_value (json_object_get (object, "baton")) >= x->leader_baton;
+  json_decref (object);
   if (!acted)
     return;
   x->leaders_acted = x->leaders;
   for (guint i = 0; i < x->kept_next->len; i++)
-    let_go (w, x->kept_next->pdata[i], node, 0.5);
+    let_go (world, x->kept_next->pdata[i], node, 0.5);
   g_ptr_array_set_size (x->kept_next, 0);
 }
--- a/tests/sim/trouble_parts.h
+++ b/tests/sim/trouble_parts.h
@@ -10,11 +10,11 @@
 #define LATE_REPORT_MIN_S 2.0
 #define LATE_REPORT_MAX_LEASES 2.5
 
-gboolean trouble_on (const World *w, const HrSwitch *s);
+gboolean trouble_on (const World *world, const HrSwitch *s);
 /* Whether it hits this one. Drawn only while it is on. */
-gboolean trouble_strikes (World *w, const HrSwitch *s);
-int trouble_any_node (World *w);
-void trouble_shuffle (World *w, GPtrArray *list);
+gboolean trouble_strikes (World *world, const HrSwitch *s);
+int trouble_any_node (World *world);
+void trouble_shuffle (World *world, GPtrArray *list);
 /* The controller is in the zone that is cut off. */
-gboolean trouble_inside (const World *w, int node);
-void trouble_cancel_now (World *w, const HrTrouble *t);
+gboolean trouble_inside (const World *world, int node);
+void trouble_cancel_now (World *world, const HrTrouble *t);
--- a/tests/sim/trouble_users.c
+++ b/tests/sim/trouble_users.c
@@ -16,105 +16,107 @@
 } PlannedAsk;
 
 static void
-planned_ask (World *w, gpointer p)
+planned_ask (World *world, gpointer data)
 {
-  PlannedAsk *a = p;
+  PlannedAsk *a = data;
   if (a->kind == ASK_POLL)
-    user_poll_at (w, a->job, a->node);
+    user_poll_at (world, a->job, a->node);
   else if (a->kind == ASK_SUBMIT)
-    user_submit_at (w, a->job, a->node);
+    user_submit_at (world, a->job, a->node);
   else
-    user_cancel_at (w, a->job, a->node);
+    user_cancel_at (world, a->job, a->node);
   g_free (a);
 }
 
 static void
-ask_after (World *w, SJob *j, AskKind kind, int node, double after)
+ask_after (World *world, SJob *job, AskKind kind, int node, double after)
 {
   PlannedAsk *a = g_new (PlannedAsk, 1);
-  *a = (PlannedAsk){j, kind, node};
-  w_at (w, w->now + after, planned_ask, a);
+  *a = (PlannedAsk){job, kind, node};
+  w_at (world, world->now + after, planned_ask, a);
 }
 
 static void
-look_closely (World *w, SJob *j)
+look_closely (World *world, SJob *job)
 {
-  for (int node = 0; node < w->n; node++) {
+  for (int node = 0; node < world->n; node++) {
     for (guint i = 0; i < 3; i++)
-      ask_after (w, j, ASK_POLL, node, trouble_rand (w, 0, LOOK_SPAN_S));
-    ask_after (w, j, ASK_POLL, node, trouble_rand (w, LOOK_SPAN_S, LOOK_LATER_S));
+      ask_after (world, job, ASK_POLL, node, trouble_rand (world, 0, LOOK_SPAN_S));
+    ask_after (world, job, ASK_POLL, node, trouble_rand (world, LOOK_SPAN_S, LOOK_LATER_S));
   }
-  ask_after (w, j, ASK_SUBMIT, trouble_any_node (w), trouble_rand (w, 0, LOOK_SPAN_S));
-  w->troubles.played[TROUBLE_CLOSE_LOOKS]++;
+  ask_after (world, job, ASK_SUBMIT, trouble_any_node (world),
+             trouble_rand (world, 0, LOOK_SPAN_S));
+  world->troubles.played[TROUBLE_CLOSE_LOOKS]++;
 }
 
 void
-troubles_told (World *w, SJob *j, gboolean accepted)
+troubles_told (World *world, SJob *job, gboolean accepted)
 {
-  const HrSwitch *looks = &w->troubles.close_looks;
-  if (accepted && w->troubles.odd_until > w->now)
-    odd_repeat (w, j);
-  if (!trouble_on (w, looks))
+  const HrSwitch *looks = &world->troubles.close_looks;
+  if (accepted && world->troubles.odd_until > world->now)
+    odd_repeat (world, job);
+  if (!trouble_on (world, looks))
     return;
-  look_closely (w, j);
-  if (accepted && trouble_rand (w, 0, 1) < looks->share)
-    ask_after (w, j, ASK_CANCEL, trouble_any_node (w), trouble_rand (w, 0, LOOK_SPAN_S));
+  look_closely (world, job);
+  if (accepted && trouble_rand (world, 0, 1) < looks->share)
+    ask_after (world, job, ASK_CANCEL, trouble_any_node (world),
+               trouble_rand (world, 0, LOOK_SPAN_S));
 }
 
 void
-troubles_job_ended (World *w, SJob *j)
+troubles_job_ended (World *world, SJob *job)
 {
-  if (trouble_on (w, &w->troubles.close_looks))
-    look_closely (w, j);
-  if (j->asked_cancel || !trouble_strikes (w, &w->troubles.cancel_at_end))
+  if (trouble_on (world, &world->troubles.close_looks))
+    look_closely (world, job);
+  if (job->asked_cancel || !trouble_strikes (world, &world->troubles.cancel_at_end))
     return;
-  double after = trouble_rand (w, -CANCEL_AT_END_SPAN_S, CANCEL_AT_END_SPAN_S);
-  ask_after (w, j, ASK_CANCEL, trouble_any_node (w), MAX (0, after));
-  w->troubles.played[TROUBLE_CANCEL_AT_END]++;
+  double after = trouble_rand (world, -CANCEL_AT_END_SPAN_S, CANCEL_AT_END_SPAN_S);
+  ask_after (world, job, ASK_CANCEL, trouble_any_node (world), MAX (0, after));
+  world->troubles.played[TROUBLE_CANCEL_AT_END]++;
 }
 
 /* It runs, and neither ends soon nor was called off. */
 static gboolean
-long_to_go (World *w, const STask *t)
+long_to_go (World *world, const STask *t)
 {
-  const SJob *j = w->jobs->pdata[t->job];
-  return t->state == S_RUN && j->accepted && !j->asked_cancel &&
-         (j->shape == HR_SERVICE || j->run - t->base - (w->now - t->since) > LONG_TO_GO_S);
+  const SJob *job = world->jobs->pdata[t->job];
+  return t->state == S_RUN && job->accepted && !job->asked_cancel &&
+         (job->shape == HR_SERVICE || job->run - t->base - (world->now - t->since) > LONG_TO_GO_S);
 }
 
 void
-trouble_cancel_now (World *w, const HrTrouble *t)
+trouble_cancel_now (World *world, const HrTrouble *t)
 {
   g_autoptr (GPtrArray) jobs = g_ptr_array_new ();
   g_autoptr (GPtrArray) machines = g_ptr_array_new ();
-  for (guint i = 0; w->jobs && i < w->machines->len; i++) {
-    SMachine *m = w->machines->pdata[i];
-    for (guint k = 0; !m->gone && k < m->tasks->len; k++) {
-      const STask *task = &g_array_index (m->tasks, STask, k);
-      SJob *j = w->jobs->pdata[task->job];
-      if (long_to_go (w, task) && !g_ptr_array_find (jobs, j, NULL))
-        g_ptr_array_add (jobs, j);
+  for (guint i = 0; world->jobs && i < world->machines->len; i++) {
+    SMachine *machine = world->machines->pdata[i];
+    for (guint k = 0; !machine->gone && k < machine->tasks->len; k++) {
+      const STask *task = &g_array_index (machine->tasks, STask, k);
+      SJob *job = world->jobs->pdata[task->job];
+      if (long_to_go (world, task) && !g_ptr_array_find (jobs, job, NULL))
+        g_ptr_array_add (jobs, job);
     }
   }
-  trouble_shuffle (w, jobs);
+  trouble_shuffle (world, jobs);
   g_ptr_array_set_size (jobs, MIN (jobs->len, t->count));
   for (guint i = 0; i < jobs->len; i++)
-    ask_after (w, jobs->pdata[i], ASK_CANCEL, trouble_any_node (w),
-               trouble_rand (w, 0, CANCEL_NOW_SPAN_S));
-  w->troubles.played[TROUBLE_CANCEL_NOW] += jobs->len;
+    ask_after (world, jobs->pdata[i], ASK_CANCEL, trouble_any_node (world),
+               trouble_rand (world, 0, CANCEL_NOW_SPAN_S));
+  world->troubles.played[TROUBLE_CANCEL_NOW] += jobs->len;
   if (t->hang_s <= 0)
     return;
-  for (guint i = 0; i < w->machines->len; i++) {
-    SMachine *m = w->machines->pdata[i];
-    for (guint k = 0; !m->gone && k < m->tasks->len; k++) {
-      const STask *task = &g_array_index (m->tasks, STask, k);
-      if (task->on && g_ptr_array_find (jobs, w->jobs->pdata[task->job], NULL)) {
-        g_ptr_array_add (machines, m);
+  for (guint i = 0; i < world->machines->len; i++) {
+    SMachine *machine = world->machines->pdata[i];
+    for (guint k = 0; !machine->gone && k < machine->tasks->len; k++) {
+      const STask *task = &g_array_index (machine->tasks, STask, k);
+      if (task->on && g_ptr_array_find (jobs, world->jobs->pdata[task->job], NULL)) {
+        g_ptr_array_add (machines, machine);
         break;
       }
     }
   }
-  trouble_shuffle (w, machines);
+  trouble_shuffle (world, machines);
   for (guint i = 0; i < MIN (machines->len, CANCEL_NOW_HANGS); i++)
-    ((SMachine *)machines->pdata[i])->hang = w->now + t->hang_s;
+    ((SMachine *)machines->pdata[i])->hang = world->now + t->hang_s;
 }
--- a/tests/sim/troubles.h
+++ b/tests/sim/troubles.h
@@ -150,9 +150,9 @@
 } HrTroubles;
 
 /* Plans them; when the last one is over the day is calm. Call it once a day. */
-void troubles_plan (World *w, const HrTrouble *day, guint n);
+void troubles_plan (World *world, const HrTrouble *day, guint n);
 /* It is this moment: what waits for it begins. */
-void troubles_moment (World *w, HrMoment moment);
+void troubles_moment (World *world, HrMoment moment);
 
 /* ---- trouble_text.c ---- */
 
--- a/tests/sim/upgrade.c
+++ b/tests/sim/upgrade.c
@@ -6,38 +6,38 @@
 #define DOWN_S 5.0
 
 void
-upgrade_init (World *w)
+upgrade_init (World *world)
 {
-  w->production = TRUE;
-  store_format (w, FALSE);
-  for (int i = 0; i < w->n; i++)
-    w->nodes[i].speaks = 0;
-  world_restart (w);
+  world->production = TRUE;
+  store_format (world, FALSE);
+  for (int i = 0; i < world->n; i++)
+    world->nodes[i].speaks = 0;
+  world_restart (world);
 }
 
 /* Its process ends, if it is there; from now on it comes back new. */
 static void
-turn (World *w, gpointer p)
+turn (World *world, gpointer data)
 {
-  int i = GPOINTER_TO_INT (p);
-  node_kill (w, i);
-  w->nodes[i].speaks = HR_FORMAT;
-  w->nodes[i].upgraded = TRUE;
-  node_start_at (w, GPOINTER_TO_INT (p), w->now + (i == 0 ? w->last_down : DOWN_S));
+  int i = GPOINTER_TO_INT (data);
+  node_kill (world, i);
+  world->nodes[i].speaks = HR_FORMAT;
+  world->nodes[i].upgraded = TRUE;
+  node_start_at (world, GPOINTER_TO_INT (data), world->now + (i == 0 ? world->last_down : DOWN_S));
 }
 
 /* The first node's turn is the last. */
 double
-upgrade_roll (World *w, double from, double gap, double last_down)
+upgrade_roll (World *world, double from, double gap, double last_down)
 {
-  w->last_down = last_down;
-  for (int i = 0; i < w->n; i++)
-    w_at (w, from + i * gap, turn, GINT_TO_POINTER ((i + 1) % w->n));
-  return from + (w->n - 1) * gap;
+  world->last_down = last_down;
+  for (int i = 0; i < world->n; i++)
+    w_at (world, from + i * gap, turn, GINT_TO_POINTER ((i + 1) % world->n));
+  return from + (world->n - 1) * gap;
 }
 
 void
-upgrade_limits_fall (World *w, double at)
+upgrade_limits_fall (World *world, double at)
 {
-  w->limits_fall = at;
+  world->limits_fall = at;
 }
--- a/tests/sim/world.c
+++ b/tests/sim/world.c
@@ -14,60 +14,60 @@
 } Event;
 
 static int
-by_time (gconstpointer a, gconstpointer b, gpointer d)
+by_time (gconstpointer left, gconstpointer right, gpointer d)
 {
-  const Event *x = a, *y = b;
+  const Event *x = left, *y = right;
   return x->t < y->t ? -1 : x->t > y->t ? 1 : x->seq < y->seq ? -1 : x->seq > y->seq;
 }
 
 void
-w_at (World *w, double t, WFn fn, gpointer data)
+w_at (World *world, double t, WFn callback, gpointer data)
 {
   Event *e = g_new (Event, 1);
-  *e = (Event){t, ++w->seq, fn, data};
-  g_sequence_insert_sorted (w->events, e, by_time, NULL);
+  *e = (Event){t, ++world->seq, callback, data};
+  g_sequence_insert_sorted (world->events, e, by_time, NULL);
 }
 
 void
-w_broken (World *w, const char *rule, const char *fmt, ...)
+w_broken (World *world, const char *rule, const char *fmt, ...)
 {
   va_list ap;
   va_start (ap, fmt);
   g_autofree char *what = g_strdup_vprintf (fmt, ap);
   va_end (ap);
-  g_ptr_array_add (w->broken, g_strdup_printf ("%.3f %s: %s", w->now, rule, what));
+  g_ptr_array_add (world->broken, g_strdup_printf ("%.3f %s: %s", world->now, rule, what));
 }
 
 double
-w_rand (World *w, double lo, double hi)
+w_rand (World *world, double lo, double hi)
 {
-  return g_rand_double_range (w->rand, lo, hi);
+  return g_rand_double_range (world->rand, lo, hi);
 }
 
-static void run_node (World *w, gpointer p);
+static void run_node (World *world, gpointer data);
 
 void
-node_push (World *w, int i, HrCommand *cmd)
+node_push (World *world, int i, HrCommand *command)
 {
-  Node *n = &w->nodes[i];
-  if (w->controllers) {
-    w->controllers->push (w, i, cmd);
+  Node *n = &world->nodes[i];
+  if (world->controllers) {
+    world->controllers->push (world, i, command);
     return;
   }
-  g_ptr_array_add (n->queue, cmd);
+  g_ptr_array_add (n->queue, command);
   if (!n->stepping) {
     n->stepping = TRUE;
-    w_at (w, w->now + 0.002, run_node, GINT_TO_POINTER (i + (int)n->gen * MAX_NODES));
+    w_at (world, world->now + 0.002, run_node, GINT_TO_POINTER (i + (int)n->gen * MAX_NODES));
   }
 }
 
 gboolean
-node_alone (World *w, int i)
+node_alone (World *world, int i)
 {
-  Node *n = &w->nodes[i];
-  double allowed = w->pol.alone_s + 4;
-  return w->n > 1 && n->cut_store > w->now && n->cut_peers > w->now &&
-         w->now - n->alone_at > allowed && w->now - n->store_at > allowed;
+  Node *n = &world->nodes[i];
+  double allowed = world->pol.alone_s + 4;
+  return world->n > 1 && n->cut_store > world->now && n->cut_peers > world->now &&
+         world->now - n->alone_at > allowed && world->now - n->store_at > allowed;
 }
 
 typedef struct {
@@ -76,69 +76,70 @@
 } Hint;
 
 static void
-deliver_hint (World *w, gpointer p)
+deliver_hint (World *world, gpointer data)
 {
-  Hint *h = p;
-  if (w->nodes[h->to].up) {
-    HrCommand *c = hr_command_new (HR_COMMAND_PEER_STATUS);
-    *c->peer_status = h->hint;
-    node_push (w, h->to, c);
+  Hint *h = data;
+  if (world->nodes[h->to].up) {
+    HrCommand *command = hr_command_new (HR_COMMAND_PEER_STATUS);
+    *command->peer_status = h->hint;
+    node_push (world, h->to, command);
   }
   g_free (h);
 }
 
 void
-node_perform (World *w, int i, HrEffect *e)
+node_perform (World *world, int i, HrEffect *effect)
 {
-  Node *n = &w->nodes[i];
-  if (e->kind == HR_EFFECT_REPLY) {
-    Req *r = g_hash_table_lookup (n->open, &e->id);
-    if (r) {
-      if (e->status >= 500 && e->status != 503)
-        w_broken (w, "status", "%s answered %d", r->path, e->status);
-      if (e->status == 200 && strcmp (r->path, "/hello") == 0) {
-        node_check_launches (w, i, e->body);
-        node_check_order (w, i, e->id, r->body, e->body);
-        if (!r->answered)
-          node_check_kills (w, i, r->body, e->body);
-        troubles_reply (w, i, e->body);
+  Node *n = &world->nodes[i];
+  if (effect->kind == HR_EFFECT_REPLY) {
+    Req *request = g_hash_table_lookup (n->open, &effect->id);
+    if (request) {
+      if (effect->status >= 500 && effect->status != 503)
+        w_broken (world, "status", "%s answered %d", request->path, effect->status);
+      if (effect->status == 200 && strcmp (request->path, "/hello") == 0) {
+        node_check_launches (world, i, effect->body);
+        node_check_order (world, i, effect->id, request->body, effect->body);
+        if (!request->answered)
+          node_check_kills (world, i, request->body, effect->body);
+        troubles_reply (world, i, effect->body);
       }
       /* An owner that has not read what others decided may have been replaced. */
-      if (e->status == 200 && strcmp (r->path, "/hello") == 0 && !r->answered && n->behind_at &&
-          w->now - n->behind_at > w->pol.hold_s + 3)
-        w_broken (w, "hold",
+      if (effect->status == 200 && strcmp (request->path, "/hello") == 0 && !request->answered &&
+          n->behind_at && world->now - n->behind_at > world->pol.hold_s + 3)
+        w_broken (world, "hold",
                   "c%d answers a worker %.1f s after another decided what it has not read", i,
-                  w->now - n->behind_at);
+                  world->now - n->behind_at);
       /* Others lead by then; workers that still hear this one do not look for them. */
-      if (e->status == 200 && strcmp (r->path, "/hello") == 0 && !r->answered && node_alone (w, i))
-        w_broken (w, "alone", "c%d answers a worker %.1f s after it was cut off", i,
-                  w->now - n->alone_at);
-      w_answer (w, r, e->status, g_strdup (e->body));
-      g_hash_table_remove (n->open, &e->id);
+      if (effect->status == 200 && strcmp (request->path, "/hello") == 0 && !request->answered &&
+          node_alone (world, i))
+        w_broken (world, "alone", "c%d answers a worker %.1f s after it was cut off", i,
+                  world->now - n->alone_at);
+      w_answer (world, request, effect->status, g_strdup (effect->body));
+      g_hash_table_remove (n->open, &effect->id);
     }
-  } else if (e->kind == HR_EFFECT_CALL) {
-    if (e->target == HR_TO_WORKER)
-      node_check_launches (w, i, e->body);
-    Req *r = g_new0 (Req, 1);
-    r->node = i;
-    r->gen = n->gen;
-    r->call = e->id;
-    r->target = e->target;
-    r->addr = g_strdup (e->addr);
-    r->method = e->method;
-    r->path = g_strdup (e->path);
-    r->body = g_strdup (e->body);
-    r->timeout = e->timeout_s;
-    r->machine = -1;
-    r->refs = 1;
-    req_send (w, r);
-    req_unref (r);
+  } else if (effect->kind == HR_EFFECT_CALL) {
+    if (effect->target == HR_TO_WORKER)
+      node_check_launches (world, i, effect->body);
+    Req *request = g_new0 (Req, 1);
+    request->node = i;
+    request->gen = n->gen;
+    request->call = effect->id;
+    request->target = effect->target;
+    request->addr = g_strdup (effect->addr);
+    request->method = effect->method;
+    request->path = g_strdup (effect->path);
+    request->body = g_strdup (effect->body);
+    request->timeout = effect->timeout_s;
+    request->machine = -1;
+    request->refs = 1;
+    req_send (world, request);
+    req_unref (request);
   } else
-    for (int k = 0; k < w->n; k++)
-      if (k != i && n->cut_peers <= w->now && w->nodes[k].cut_peers <= w->now) {
+    for (int k = 0; k < world->n; k++)
+      if (k != i && n->cut_peers <= world->now && world->nodes[k].cut_peers <= world->now) {
         Hint *h = g_new (Hint, 1);
-        *h = (Hint){k, *e->peer_status};
-        w_at (w, w->now + net_delay (w), deliver_hint, h);
+        *h = (Hint){k, *effect->peer_status};
+        w_at (world, world->now + net_delay (world), deliver_hint, h);
       }
 }
 
@@ -151,13 +152,13 @@
 } Held;
 
 static void
-let_go (World *w, gpointer p)
+let_go (World *world, gpointer data)
 {
-  Held *h = p;
-  Node *n = &w->nodes[h->node];
+  Held *h = data;
+  Node *n = &world->nodes[h->node];
   n->epoch_acting = h->epoch;
   for (guint k = 0; n->up && n->gen == h->gen && k < h->effects->len; k++)
-    node_perform (w, h->node, h->effects->pdata[k]);
+    node_perform (world, h->node, h->effects->pdata[k]);
   g_ptr_array_unref (h->effects);
   g_free (h);
 }
@@ -165,79 +166,80 @@
 /* For half of the time a process is stopped in the middle of a batch: with the time already
  * read, and its answers, calls and hints not sent. */
 void
-node_freeze (World *w, int i, double for_s)
+node_freeze (World *world, int i, double for_s)
 {
-  Node *n = &w->nodes[i];
-  if (!n->up || n->frozen > w->now)
+  Node *n = &world->nodes[i];
+  if (!n->up || n->frozen > world->now)
     return;
-  if (w->controllers) {
-    n->frozen = w->now + for_s;
-    w->controllers->freeze (w, i, for_s);
+  if (world->controllers) {
+    n->frozen = world->now + for_s;
+    world->controllers->freeze (world, i, for_s);
     return;
   }
-  if (w_rand (w, 0, 1) < 0.5)
+  if (w_rand (world, 0, 1) < 0.5)
     n->freeze_next = for_s;
   else
-    n->frozen = w->now + for_s;
+    n->frozen = world->now + for_s;
 }
 
 static void
-run_node (World *w, gpointer p)
+run_node (World *world, gpointer data)
 {
-  int i = GPOINTER_TO_INT (p) % MAX_NODES;
-  guint gen = GPOINTER_TO_INT (p) / MAX_NODES;
-  Node *n = &w->nodes[i];
+  int i = GPOINTER_TO_INT (data) % MAX_NODES;
+  guint gen = GPOINTER_TO_INT (data) / MAX_NODES;
+  Node *n = &world->nodes[i];
   if (!n->up || gen != n->gen)
     return;
-  if (n->frozen > w->now) { /* its sockets keep what comes */
-    w_at (w, n->frozen, run_node, p);
+  if (n->frozen > world->now) { /* its sockets keep what comes */
+    w_at (world, n->frozen, run_node, data);
     return;
   }
   n->stepping = FALSE;
   g_autoptr (GPtrArray) batch = n->queue;
   n->queue = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_command_free);
   g_autoptr (GPtrArray) out = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_effect_free);
-  sim_log_time = w->now;
+  sim_log_time = world->now;
   sim_log_node = i;
   /* Clocks of different machines drift, and the time of day wanders. */
-  hr_core_step (n->core, w->now * (1 + 0.0002 * i) + 100 * i, 1e9 + w->now + 0.05 * i, batch, out);
+  hr_core_step (n->core, world->now * (1 + 0.0002 * i) + 100 * i, 1e9 + world->now + 0.05 * i,
+                batch, out);
   for (guint k = 0; k < out->len; k++)
-    sim_digest_add (w->digest, w->now, i, out->pdata[k]);
-  judge_launches (w, i, n->epoch_read, out);
+    sim_digest_add (world->digest, world->now, i, out->pdata[k]);
+  judge_launches (world, i, n->epoch_read, out);
   n->epoch_acting = n->epoch_read;
   n->epoch_read = n->epoch_sent;
   if (n->freeze_next > 0) {
     Held *h = g_new (Held, 1);
     *h = (Held){i, gen, n->epoch_acting, g_ptr_array_ref (out)};
-    n->frozen = w->now + n->freeze_next;
+    n->frozen = world->now + n->freeze_next;
     n->freeze_next = 0;
-    w_at (w, n->frozen, let_go, h);
+    w_at (world, n->frozen, let_go, h);
     return;
   }
   for (guint k = 0; k < out->len; k++)
-    node_perform (w, i, out->pdata[k]);
+    node_perform (world, i, out->pdata[k]);
 }
 
 static void
-node_tick (World *w, gpointer p)
+node_tick (World *world, gpointer data)
 {
-  int i = GPOINTER_TO_INT (p) % MAX_NODES;
-  guint gen = GPOINTER_TO_INT (p) / MAX_NODES;
-  if (!w->nodes[i].up || gen != w->nodes[i].gen)
+  int i = GPOINTER_TO_INT (data) % MAX_NODES;
+  guint gen = GPOINTER_TO_INT (data) / MAX_NODES;
+  if (!world->nodes[i].up || gen != world->nodes[i].gen)
     return;
-  if (w->nodes[i].frozen > w->now) {
-    w_at (w, w->nodes[i].frozen, node_tick, p);
+  if (world->nodes[i].frozen > world->now) {
+    w_at (world, world->nodes[i].frozen, node_tick, data);
     return;
   }
-  node_push (w, i, hr_command_new (HR_COMMAND_TICK));
-  w_at (w, w->now + 0.1, node_tick, p);
+  node_push (world, i, hr_command_new (HR_COMMAND_TICK));
+  w_at (world, world->now + 0.1, node_tick, data);
 }
 
 json_t *
-node_settings (World *w, int i)
+node_settings (World *world, int i)
 {
   json_t *members = json_array ();
-  for (int k = 0; k < w->n; k++)
+  for (int k = 0; k < world->n; k++)
     if (k != i) {
       g_autofree char *l = g_strdup_printf ("c%d", k);
       json_array_append_new (
@@ -246,17 +248,17 @@
   g_autofree char *label = g_strdup_printf ("c%d", i);
   json_t *facts = json_pack (
       "{s[{sssfsfsfsf}]s[{sssssf}]s{sfsfsfsfsf}s{sfsfsfsis{sfsisf}}s{sfsf}}", "teams", "name",
-      "crew", "cpus", 0.0, "cpus_max", 0.0, "gpus", 0.0, "gpus_max", w->quota_gpus, "objectives",
-      "kind", "finished", "class", "gang", "within_s", 200.0, "workers", "report_s", w->report_s,
-      "lease_s", w->lease_s, "gang_wait_s", 30.0, "gang_peer_s", 4.0, "cancel_s", w->cancel_s,
-      "state", "rps", 250.0, "write_rps", 60.0, "value_kb", w->value_kb, "txn_ops", 12, "next",
-      "value_kb", NEXT_VALUE_KB, "txn_ops", NEXT_TXN_OPS, "write_rps", NEXT_WRITE_RPS, "cloud",
-      "rps", 8.0, "list_lag_s", 3.0);
-  if (w->guarantee_gpus > 0)
+      "crew", "cpus", 0.0, "cpus_max", 0.0, "gpus", 0.0, "gpus_max", world->quota_gpus,
+      "objectives", "kind", "finished", "class", "gang", "within_s", 200.0, "workers", "report_s",
+      world->report_s, "lease_s", world->lease_s, "gang_wait_s", 30.0, "gang_peer_s", 4.0,
+      "cancel_s", world->cancel_s, "state", "rps", 250.0, "write_rps", 60.0, "value_kb",
+      world->value_kb, "txn_ops", 12, "next", "value_kb", NEXT_VALUE_KB, "txn_ops", NEXT_TXN_OPS,
+      "write_rps", NEXT_WRITE_RPS, "cloud", "rps", 8.0, "list_lag_s", 3.0);
+  if (world->guarantee_gpus > 0)
     json_array_append_new (json_object_get (facts, "teams"),
                            json_pack ("{sssfsfsfsf}", "name", "guests", "cpus",
-                                      10 * w->guarantee_gpus, "cpus_max", 0.0, "gpus",
-                                      w->guarantee_gpus, "gpus_max", 0.0));
+                                      10 * world->guarantee_gpus, "cpus_max", 0.0, "gpus",
+                                      world->guarantee_gpus, "gpus_max", 0.0));
   return json_pack ("{sssssssss{ssss}soso}", "label", label, "area", "z0", "front", "127.0.0.1:1",
                     "back", "127.0.0.1:2", "outside", "cloud", "127.0.0.1:3", "state",
                     "127.0.0.1:4", "members", members, "facts", facts);
@@ -264,43 +266,43 @@
 
 /* Reads the settings as its process does, so that the policy's figures are known. */
 static void
-read_settings (World *w, int i)
+read_settings (World *world, int i)
 {
-  Node *n = &w->nodes[i];
-  json_t *root = node_settings (w, i);
-  g_autoptr (GError) e = NULL;
+  Node *n = &world->nodes[i];
+  json_t *root = node_settings (world, i);
+  g_autoptr (GError) error = NULL;
   hr_names_init (&n->names);
-  n->set = hr_settings_parse (root, &n->names, &e);
+  n->set = hr_settings_parse (root, &n->names, &error);
   if (!n->set)
-    g_error ("the simulated settings: %s", e->message);
+    g_error ("the simulated settings: %s", error->message);
   json_decref (root);
   g_autoptr (GHashTable) vars = hr_policy_vars_new ();
   hr_core_policy_vars (n->set, vars);
-  if (!hr_policy_load (SOURCE_ROOT "/deploy/policy.hop", vars, &w->pol, &e))
-    g_error ("the policy: %s", e->message);
-  if (w->machines_per_part > 0)
-    w->pol.machines_per_part = w->machines_per_part;
+  if (!hr_policy_load (SOURCE_ROOT "/deploy/policy.hop", vars, &world->pol, &error))
+    g_error ("the policy: %s", error->message);
+  if (world->machines_per_part > 0)
+    world->pol.machines_per_part = world->machines_per_part;
 }
 
 static void
-start_core (World *w, int i)
+start_core (World *world, int i)
 {
-  Node *n = &w->nodes[i];
+  Node *n = &world->nodes[i];
   n->queue = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_command_free);
   n->stepping = FALSE;
   n->incarnation = g_strdup_printf ("%d-%u", i, n->gen);
-  n->core = hr_core_new (n->set, &w->pol, &n->names, n->incarnation, g_rand_int (w->rand));
+  n->core = hr_core_new (n->set, &world->pol, &n->names, n->incarnation, g_rand_int (world->rand));
   hr_core_set_supported_format (n->core, n->speaks);
-  node_tick (w, GINT_TO_POINTER (i + (int)n->gen * MAX_NODES));
+  node_tick (world, GINT_TO_POINTER (i + (int)n->gen * MAX_NODES));
 }
 
 void
-node_start (World *w, int i)
+node_start (World *world, int i)
 {
-  Node *n = &w->nodes[i];
+  Node *n = &world->nodes[i];
   if (n->up)
     return;
-  read_settings (w, i);
+  read_settings (world, i);
   n->up = TRUE;
   n->gen++;
   n->open = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, (GDestroyNotify)req_unref);
@@ -309,45 +311,45 @@
   n->readings = g_array_new (FALSE, FALSE, sizeof (Reading));
   n->frozen = n->freeze_next = 0;
   n->epoch_sent = n->epoch_read = n->epoch_acting = 0;
-  n->store_at = w->now;
-  if (w->controllers)
-    w->controllers->start (w, i);
+  n->store_at = world->now;
+  if (world->controllers)
+    world->controllers->start (world, i);
   else
-    start_core (w, i);
+    start_core (world, i);
 }
 
 static void
-start_due (World *w, gpointer node)
+start_due (World *world, gpointer node)
 {
-  node_start (w, GPOINTER_TO_INT (node));
+  node_start (world, GPOINTER_TO_INT (node));
 }
 
 void
-node_start_at (World *w, int i, double at)
+node_start_at (World *world, int i, double at)
 {
-  w_at (w, at, start_due, GINT_TO_POINTER (i));
+  w_at (world, at, start_due, GINT_TO_POINTER (i));
 }
 
 void
-node_kill (World *w, int i)
+node_kill (World *world, int i)
 {
-  Node *n = &w->nodes[i];
+  Node *n = &world->nodes[i];
   if (!n->up)
     return;
   n->up = FALSE;
   /* Connections reset: whoever waits for an answer learns at once that none comes. */
-  GHashTableIter it;
+  GHashTableIter iter;
   gpointer v;
-  g_hash_table_iter_init (&it, n->open);
-  while (g_hash_table_iter_next (&it, NULL, &v))
-    w_answer (w, v, 0, NULL);
+  g_hash_table_iter_init (&iter, n->open);
+  while (g_hash_table_iter_next (&iter, NULL, &v))
+    w_answer (world, v, 0, NULL);
   g_hash_table_unref (n->open);
   g_hash_table_unref (n->heard);
   g_hash_table_unref (n->heard_before);
   g_array_unref (n->readings);
   g_clear_pointer (&n->incarnation, g_free);
-  if (w->controllers)
-    w->controllers->end (w, i);
+  if (world->controllers)
+    world->controllers->end (world, i);
   else {
     g_ptr_array_unref (n->queue);
     hr_core_free (n->core);
@@ -357,91 +359,91 @@
 }
 
 static void
-second (World *w, gpointer p)
+second (World *world, gpointer data)
 {
-  judge_tick (w);
-  w_at (w, w->now + 0.5, second, NULL);
+  judge_tick (world);
+  w_at (world, world->now + 0.5, second, NULL);
 }
 
 World *
 world_prepare (guint32 seed, int nodes)
 {
-  World *w = g_new0 (World, 1);
-  w->n = nodes;
-  w->report_s = 2.5;
-  w->lease_s = 14;
-  w->cancel_s = 36;
-  w->rand = g_rand_new_with_seed (seed);
-  w->digest = sim_digest_new ();
-  w->events = g_sequence_new (g_free);
-  w->broken = g_ptr_array_new_with_free_func (g_free);
-  w->loss = 0.002;
-  w->dup = 0.004;
-  w->late = 60;
-  w->value_kb = 4;
-  for (int i = 0; i < w->n; i++)
-    w->nodes[i].speaks = HR_FORMAT;
-  troubles_init (w, seed);
-  store_init (w);
-  cloud_init (w);
-  return w;
+  World *world = g_new0 (World, 1);
+  world->n = nodes;
+  world->report_s = 2.5;
+  world->lease_s = 14;
+  world->cancel_s = 36;
+  world->rand = g_rand_new_with_seed (seed);
+  world->digest = sim_digest_new ();
+  world->events = g_sequence_new (g_free);
+  world->broken = g_ptr_array_new_with_free_func (g_free);
+  world->loss = 0.002;
+  world->dup = 0.004;
+  world->late = 60;
+  world->value_kb = 4;
+  for (int i = 0; i < world->n; i++)
+    world->nodes[i].speaks = HR_FORMAT;
+  troubles_init (world, seed);
+  store_init (world);
+  cloud_init (world);
+  return world;
 }
 
 void
-world_begin (World *w)
+world_begin (World *world)
 {
-  for (int i = 0; i < w->n; i++)
-    node_start (w, i);
-  w_at (w, 0.5, second, NULL);
+  for (int i = 0; i < world->n; i++)
+    node_start (world, i);
+  w_at (world, 0.5, second, NULL);
 }
 
 World *
 world_new (guint32 seed, int nodes)
 {
-  World *w = world_prepare (seed, nodes);
-  world_begin (w);
-  return w;
+  World *world = world_prepare (seed, nodes);
+  world_begin (world);
+  return world;
 }
 
 void
-world_restart (World *w)
+world_restart (World *world)
 {
-  for (int i = 0; i < w->n; i++) {
-    node_kill (w, i);
-    node_start (w, i);
+  for (int i = 0; i < world->n; i++) {
+    node_kill (world, i);
+    node_start (world, i);
   }
 }
 
 void
-world_run (World *w, double until)
+world_run (World *world, double until)
 {
-  while (!g_sequence_is_empty (w->events)) {
-    GSequenceIter *it = g_sequence_get_begin_iter (w->events);
+  while (!g_sequence_is_empty (world->events)) {
+    GSequenceIter *it = g_sequence_get_begin_iter (world->events);
     Event *e = g_sequence_get (it);
     if (e->t > until)
       break;
-    w->now = MAX (w->now, e->t);
-    WFn fn = e->fn;
+    world->now = MAX (world->now, e->t);
+    WFn callback = e->fn;
     gpointer data = e->data;
     g_sequence_remove (it);
-    fn (w, data);
+    callback (world, data);
   }
-  w->now = until;
+  world->now = until;
 }
 
 void
-world_free (World *w)
+world_free (World *world)
 {
-  for (int i = 0; i < w->n; i++)
-    node_kill (w, i);
-  troubles_free (w);
-  store_free (w);
-  cloud_free (w);
-  if (w->jobs)
-    users_free (w);
-  g_sequence_free (w->events);
-  g_ptr_array_unref (w->broken);
-  g_rand_free (w->rand);
-  sim_digest_finish (w->digest);
-  g_free (w);
+  for (int i = 0; i < world->n; i++)
+    node_kill (world, i);
+  troubles_free (world);
+  store_free (world);
+  cloud_free (world);
+  if (world->jobs)
+    users_free (world);
+  g_sequence_free (world->events);
+  g_ptr_array_unref (world->broken);
+  g_rand_free (world->rand);
+  sim_digest_finish (world->digest);
+  g_free (world);
 }
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -7,18 +7,18 @@
 #include "sim/troubles.h"
 #include <jansson.h>
 
-typedef void (*WFn) (World *w, gpointer data);
+typedef void (*WFn) (World *world, gpointer data);
 
 /* How the controllers are run, where they are not cores in this process (tests/soak). Time is that
  * of the world, in seconds. */
 typedef struct {
-  void (*start) (World *w, int node);
-  void (*end) (World *w, int node);
+  void (*start) (World *world, int node);
+  void (*end) (World *world, int node);
   /* A request of a worker or user, or the answer to a call. Takes it over. */
-  void (*push) (World *w, int node, HrCommand *cmd);
-  void (*freeze) (World *w, int node, double for_s);
+  void (*push) (World *world, int node, HrCommand *command);
+  void (*freeze) (World *world, int node, double for_s);
   /* Where a new machine's worker takes direct orders: IP:PORT, to be freed. */
-  char *(*worker_address) (World *w, guint machine);
+  char *(*worker_address) (World *world, guint machine);
 } WControllers;
 
 /* What becomes of one request, where a search decides it instead of the drawn losses. */
@@ -52,7 +52,7 @@
   gboolean answer_lost; /* whatever it is answered does not arrive */
   int refs;
   int machine; /* of the asking worker, or -1 */
-  void (*done) (World *w, int status, json_t *body, gpointer data);
+  void (*done) (World *world, int status, json_t *body, gpointer data);
   gpointer data;
 } Req;
 
@@ -221,7 +221,7 @@
   guint started_withdrawn; /* starts after a confirmed cancellation */
   guint invented_asked;
   /* A search's choice for each request; NULL: losses are drawn. */
-  WFate (*choose) (World *w, const Req *r, gpointer data);
+  WFate (*choose) (World *world, const Req *request, gpointer data);
   gpointer choose_data;
 };
 
@@ -234,84 +234,84 @@
 World *world_new (guint32 seed, int nodes);
 /* The same, with nothing started: before world_begin its figures may be changed. */
 World *world_prepare (guint32 seed, int nodes);
-void world_begin (World *w);
+void world_begin (World *world);
 /* A controller's settings, with addresses that nobody listens on. */
-json_t *node_settings (World *w, int node);
+json_t *node_settings (World *world, int node);
 /* Starts all controllers anew: they read their settings then. */
-void world_restart (World *w);
-void world_run (World *w, double until);
-void world_free (World *w);
-void w_at (World *w, double t, WFn fn, gpointer data);
+void world_restart (World *world);
+void world_run (World *world, double until);
+void world_free (World *world);
+void w_at (World *world, double t, WFn callback, gpointer data);
 /* Cut off from state service and members for longer than it may go on as if it were not. */
-gboolean node_alone (World *w, int i);
-void w_broken (World *w, const char *rule, const char *fmt, ...) G_GNUC_PRINTF (3, 4);
-double w_rand (World *w, double lo, double hi);
+gboolean node_alone (World *world, int i);
+void w_broken (World *world, const char *rule, const char *fmt, ...) G_GNUC_PRINTF (3, 4);
+double w_rand (World *world, double lo, double hi);
 /* A worker's or user's request to a controller. */
-void w_ask (World *w, int node, int machine, HrMethod m, const char *path, char *body,
+void w_ask (World *world, int node, int machine, HrMethod m, const char *path, char *body,
             double timeout, void (*done) (World *, int, json_t *, gpointer), gpointer data);
 /* A server's answer. Takes the body text. */
-void w_answer (World *w, Req *r, int status, char *body);
-void req_unref (Req *r);
+void w_answer (World *world, Req *request, int status, char *body);
+void req_unref (Req *request);
 
 /* Announced for the state service in all days. */
 #define NEXT_VALUE_KB 2.0
 #define NEXT_TXN_OPS 4
 #define NEXT_WRITE_RPS 40.0
 /* fate.c: lets the request meet that fate; it would reach its receiver at time t. */
-void w_meet_fate (World *w, Req *r, WFate fate, double t);
+void w_meet_fate (World *world, Req *request, WFate fate, double t);
 
-void node_start (World *w, int i);
+void node_start (World *world, int i);
 /* Starts it then, unless it is up by that time. */
-void node_start_at (World *w, int i, double at);
-void node_kill (World *w, int i);
+void node_start_at (World *world, int i, double at);
+void node_kill (World *world, int i);
 
 /* Large arrays and services, some of which are withdrawn. */
-void users_arrays (World *w, double from, double to);
+void users_arrays (World *world, double from, double to);
 
 /* upgrade.c: controllers of production, which come back new one after the other */
-void upgrade_init (World *w);
+void upgrade_init (World *world);
 /* The last one stays away for so long. Returns when its turn begins. */
-double upgrade_roll (World *w, double from, double gap, double last_down);
-void upgrade_limits_fall (World *w, double at);
+double upgrade_roll (World *world, double from, double gap, double last_down);
+void upgrade_limits_fall (World *world, double at);
 
-void store_request (World *w, Req *r);
-void store_init (World *w);
-void store_format (World *w, gboolean known);
-gboolean store_names (World *w, const char *machine);
+void store_request (World *world, Req *request);
+void store_init (World *world);
+void store_format (World *world, gboolean known);
+gboolean store_names (World *world, const char *machine);
 /* The value of a key, as text; NULL: not there. */
-const char *store_text (World *w, const char *key);
-guint store_garbage (World *w);
+const char *store_text (World *world, const char *key);
+guint store_garbage (World *world);
 /* Records of open jobs that are larger than the announced limit. */
-guint store_large (World *w);
+guint store_large (World *world);
 /* A record of this job is in pages of a size that it was split into. */
-gboolean store_split (World *w, const char *id);
-gboolean store_has (World *w, const char *path);
+gboolean store_split (World *world, const char *id);
+gboolean store_has (World *world, const char *path);
 /* As if it had been written before the day began. */
-void store_put (World *w, const char *path, const char *text);
-guint store_tear (World *w);
-int store_owner (World *w); /* the node that the map names; -1: none */
-void store_free (World *w);
-void cloud_request (World *w, Req *r);
-void cloud_init (World *w);
-void cloud_free (World *w);
-void machine_take (World *w, SMachine *m);
-void machine_end (World *w, SMachine *m);
-void worker_request (World *w, Req *r);
-void worker_boot (World *w, SMachine *m);
-void machine_stop_all (World *w, SMachine *m, const char *why);
-void users_init (World *w, guint jobs, double span);
+void store_put (World *world, const char *path, const char *text);
+guint store_tear (World *world);
+int store_owner (World *world); /* the node that the map names; -1: none */
+void store_free (World *world);
+void cloud_request (World *world, Req *request);
+void cloud_init (World *world);
+void cloud_free (World *world);
+void machine_take (World *world, SMachine *machine);
+void machine_end (World *world, SMachine *machine);
+void worker_request (World *world, Req *request);
+void worker_boot (World *world, SMachine *machine);
+void machine_stop_all (World *world, SMachine *machine, const char *why);
+void users_init (World *world, guint jobs, double span);
 /* This user polls, submits again or cancels now, at that node (-1: any). */
-void user_poll_at (World *w, SJob *j, int node);
-void user_submit_at (World *w, SJob *j, int node);
-void user_cancel_at (World *w, SJob *j, int node);
-gboolean job_all_done (const SJob *j);
+void user_poll_at (World *world, SJob *job, int node);
+void user_submit_at (World *world, SJob *job, int node);
+void user_cancel_at (World *world, SJob *job, int node);
+gboolean job_all_done (const SJob *job);
 /* A request of a worker or user that has left arrives at its controller now, or if it has left
  * one at the server it asks. Takes a reference. */
-void req_arrive (World *w, gpointer req);
+void req_arrive (World *world, gpointer req);
 /* A copy of a worker's report, for whose answer nobody waits. */
-Req *req_copy (const Req *r, int to);
+Req *req_copy (const Req *request, int to);
 /* This request arrives then, later than messages usually do. Takes the reference over. */
-void req_stray (World *w, Req *r, double t);
+void req_stray (World *world, Req *request, double t);
 
 /* ---- answers.c: what users are told, by one clock of answers ---- */
 
@@ -321,149 +321,149 @@
   guint64 sent; /* World.answers then */
   double sent_at;
 } Question;
-Question *question_new (World *w, SJob *j);
+Question *question_new (World *world, SJob *job);
 /* An answer of 200 or 201 to this question: nothing older than was heard before it was sent. */
-void answer_check (World *w, const Question *q, int status, json_t *body);
+void answer_check (World *world, const Question *q, int status, json_t *body);
 /* 404, 400 or 422. */
-void answer_unknown (World *w, const Question *q, const char *what, int status);
+void answer_unknown (World *world, const Question *q, const char *what, int status);
 
 /* ---- odd.c: requests that must be turned away or change nothing ---- */
 
-void odd_begin (World *w);
+void odd_begin (World *world);
 /* The submission of a job just accepted is repeated with other content, at all controllers. */
-void odd_repeat (World *w, SJob *j);
+void odd_repeat (World *world, SJob *job);
 
 /* ---- judge.c ---- */
 
 /* At each start of a task, and every half second. */
-void judge_quota (World *w, double starting_gpus);
+void judge_quota (World *world, double starting_gpus);
 /* Every half second: jobs that wait beside room. */
-void judge_waits (World *w);
+void judge_waits (World *world);
 /* A user heard that the job is withdrawn: looks when its time is over. */
-void judge_withdrawn (World *w, SJob *j);
+void judge_withdrawn (World *world, SJob *job);
 /* Launches that a controller has just decided on, which know of changes up to this epoch. */
-void judge_launches (World *w, int node, guint64 known, const GPtrArray *effects);
+void judge_launches (World *world, int node, guint64 known, const GPtrArray *effects);
 
 /* ---- adopt.c ---- */
 
 /* A job of somebody outside, known from the body of its submission; NULL: the body names none. The
  * same again for a repeated one. Its tasks run as long as was estimated, give or take a third. */
-SJob *job_adopt (World *w, const char *body);
+SJob *job_adopt (World *world, const char *body);
 
 /* ---- crowds.c ---- */
 
-SJob *job_new (World *w);
+SJob *job_new (World *world);
 /* A gang whose tasks each want a whole machine. */
-SJob *job_gang (World *w, guint tasks, double image_gb, double run);
+SJob *job_gang (World *world, guint tasks, double image_gb, double run);
 /* The job is complete: its user submits it. Takes it over. */
-void job_submit (World *w, SJob *j);
+void job_submit (World *world, SJob *job);
 /* Arrays of one task, per_s a second; of these a share is called off within 30 s. */
-void users_singles (World *w, double from, double to, double per_s, double cancelled);
+void users_singles (World *world, double from, double to, double per_s, double cancelled);
 /* Jobs of all shapes bound to one zone each. */
-void users_bound (World *w, guint n, double span);
+void users_bound (World *world, guint n, double span);
 /* More work than room: arrays, urgent gangs and services, of three times the fleet. */
-void users_overload (World *w, double at);
+void users_overload (World *world, double at);
 /* Services take two thirds of a limit of twelve GPUs for good, a gang wants half of it for as
  * long as its user waits (350 s), and arrays that have room come after it. */
-void users_at_limit (World *w, double at);
+void users_at_limit (World *world, double at);
 
 /* ---- troubles.c: where the stand-ins meet them ---- */
 
-void troubles_init (World *w, guint32 seed);
-void troubles_free (World *w);
-double trouble_rand (World *w, double lo, double hi);
+void troubles_init (World *world, guint32 seed);
+void troubles_free (World *world);
+double trouble_rand (World *world, double lo, double hi);
 /* Takes over a request on its way (t: when it would arrive). FALSE: it goes on as always. */
-gboolean troubles_take (World *w, Req *r, double t);
+gboolean troubles_take (World *world, Req *request, double t);
 /* Until when a cut zone parts the two ends of this request; 0: it does not. m: the worker. */
-double troubles_zone_cut (World *w, const Req *r, const SMachine *m);
-double troubles_link_delay (World *w);
+double troubles_zone_cut (World *world, const Req *request, const SMachine *machine);
+double troubles_link_delay (World *world);
 /* How much later than usual this request's answer leaves. */
-double troubles_delay (World *w, const Req *r);
+double troubles_delay (World *world, const Req *request);
 /* A trouble of any kind still has its hold on something. */
-gboolean world_troubled (const World *w);
+gboolean world_troubled (const World *world);
 /* When a machine rented now is up. at: as the cloud has drawn it. */
-double troubles_boots (World *w, double at);
+double troubles_boots (World *world, double at);
 /* The map is written: who leads, and the token. */
-void troubles_map (World *w, json_t *map);
+void troubles_map (World *world, json_t *map);
 /* A controller answers a worker with 200. */
-void troubles_reply (World *w, int node, const char *answer);
+void troubles_reply (World *world, int node, const char *answer);
 /* The last task of this job has ended. */
-void troubles_job_ended (World *w, SJob *j);
+void troubles_job_ended (World *world, SJob *job);
 /* Users were first told that it is accepted, done or withdrawn. */
-void troubles_told (World *w, SJob *j, gboolean accepted);
+void troubles_told (World *world, SJob *job, gboolean accepted);
 /* ---- for other files of users ---- */
-SJob *job_new (World *w);
+SJob *job_new (World *world);
 /* A gang whose tasks each want a whole machine. */
-SJob *job_gang (World *w, guint tasks, double image_gb, double run);
+SJob *job_gang (World *world, guint tasks, double image_gb, double run);
 /* The job is complete: its user submits it. */
-void job_submit (World *w, SJob *j);
+void job_submit (World *world, SJob *job);
 
 /* Probes every controller as a load balancer does. */
-void users_probe (World *w);
+void users_probe (World *world);
 /* The user of a running service withdraws it, at this node. */
-void users_withdraw_at (World *w, int node);
+void users_withdraw_at (World *world, int node);
 /* Gangs of which one task has its image at once, and others after more than gang_wait_s.
  * fickle: one more is withdrawn while it fetches. */
-void users_long_fetches (World *w, gboolean fickle);
+void users_long_fetches (World *world, gboolean fickle);
 /* One array of equal tasks of `run` seconds each, sent in at `at`; withdrawn at `cancel_at` (0:
  * never). */
-void users_array (World *w, guint tasks, double run, double at, double cancel_at);
+void users_array (World *world, guint tasks, double run, double at, double cancel_at);
 /* Services that run until the end, of small images. */
-void users_services (World *w, guint n, guint tasks, double at);
+void users_services (World *world, guint n, guint tasks, double at);
 /* The first team fills the fleet with long work; later the second one wants what it is
  * guaranteed: tasks of an array, then a gang. */
-void users_two_teams (World *w, double later);
+void users_two_teams (World *world, double later);
 /* A job whose tasks stand in pages. */
-void users_paged (World *w, double at);
+void users_paged (World *world, double at);
 /* Jobs of all shapes for a fleet of hundreds. */
-void users_crowd (World *w, guint jobs, double span);
+void users_crowd (World *world, guint jobs, double span);
 /* A gang that no fleet of this cloud can hold. */
-void users_oversized (World *w, double at);
+void users_oversized (World *world, double at);
 /* Gangs of two tasks, one after the other. */
-void users_gangs (World *w, guint n, double from, double gap);
+void users_gangs (World *world, guint n, double from, double gap);
 /* A stream of small urgent gangs that alone would nearly fill the fleet, beside a few large jobs.
  */
-void users_stream (World *w, HrShape large, double from, double to);
-void users_free (World *w);
-void judge_start (World *w, SMachine *m, STask *t);
-void judge_tick (World *w);
-SJob *job_by_id (World *w, const char *id, guint32 *index);
-void faults_init (World *w, guint n, double from, double to);
+void users_stream (World *world, HrShape large, double from, double to);
+void users_free (World *world);
+void judge_start (World *world, SMachine *machine, STask *t);
+void judge_tick (World *world);
+SJob *job_by_id (World *world, const char *id, guint32 *index);
+void faults_init (World *world, guint n, double from, double to);
 /* No trouble begins any more, unless one is planned for later. */
-void world_calm (World *w, gpointer unused);
+void world_calm (World *world, gpointer unused);
 /* All controllers are behind a cut for 30 s that holds packets back. */
-void faults_held_cut (World *w, double at);
+void faults_held_cut (World *world, double at);
 /* The state service answers no controller for 50 s; they hear one another, and workers. */
-void faults_cut_from_store (World *w, double at);
+void faults_cut_from_store (World *world, double at);
 /* The same, after one of them confirmed a withdrawal that the owner did not read. Leases are to
  * last all the same, but where that member restarts. */
-void faults_missed_withdrawal (World *w, double at, gboolean restart);
+void faults_missed_withdrawal (World *world, double at, gboolean restart);
 /* The state service refuses the owner alone while all other members confirm withdrawals, and is
  * then down for all, for longer than a withdrawn job's tasks may live. */
-void faults_withdrawal_gap (World *w, double at);
+void faults_withdrawal_gap (World *world, double at);
 /* No worker reaches the owner for 40 s; other controllers do. */
-void faults_owner_unreached (World *w, double at, gboolean hold);
+void faults_owner_unreached (World *world, double at, gboolean hold);
 /* Half of the machines end without notice, and so does the process of the owner. */
-void faults_half_gone (World *w, double at);
+void faults_half_gone (World *world, double at);
 /* The pages of large jobs become unreadable while all controllers are away for a moment. */
-void faults_unreadable_pages (World *w, double at);
+void faults_unreadable_pages (World *world, double at);
 /* The owner is cut off from state service and members until another leads; then no controller
  * is served for 50 s, and all hear one another again. */
-void faults_two_owners (World *w, double at);
+void faults_two_owners (World *world, double at);
 /* A hundred machines end, a hundred hang, a quarter is cut off; the owner ends meanwhile. Then
  * all controllers end, twice, and one stands still. */
-void faults_mass (World *w, double at);
+void faults_mass (World *world, double at);
 /* Again and again the owner changes, and machines end without notice. */
-void faults_owners (World *w, double from, double to);
+void faults_owners (World *world, double from, double to);
 /* Each gang loses one task's machine once, while it fetches its image. */
-void faults_lost_places (World *w, double from, double to);
+void faults_lost_places (World *world, double from, double to);
 /* The process of the owner ends, and is back soon. */
-void faults_owner_ends (World *w, double at);
+void faults_owner_ends (World *world, double at);
 /* Again and again the changes that the owner has not read yet are no longer kept. */
-void faults_changes_gone (World *w, double from, double to);
+void faults_changes_gone (World *world, double from, double to);
 /* Controllers stand still while their clocks run on: the owner, another, or all of them. */
 typedef enum { FREEZE_OWNER, FREEZE_OTHER, FREEZE_ALL } FreezeWho;
-void faults_freeze (World *w, double at, FreezeWho who, double for_s);
-void node_freeze (World *w, int i, double for_s);
+void faults_freeze (World *world, double at, FreezeWho who, double for_s);
+void node_freeze (World *world, int i, double for_s);
 /* At that time the busiest machine stops hearing what it is told. */
-void faults_deaf (World *w, double at);
+void faults_deaf (World *world, double at);
--- a/tests/soak.c
+++ b/tests/soak.c
@@ -101,17 +101,17 @@
 /* ---- one run ---- */
 
 static void
-check_end (World *w)
+check_end (World *world)
 {
-  if (!w->starts)
-    w_broken (w, "nothing_ran", "no task was started");
-  for (guint i = 0; i < w->jobs->len; i++) {
-    const SJob *j = w->jobs->pdata[i];
-    if (j->accepted && w->now - MAX (j->ok_at, w->calm_at) > ANSWERED_WITHIN_S)
-      w_broken (w, "forgotten", "no question about %s is answered", j->id);
-    if (j->asked_cancel && j->accepted && !j->told_withdrawn && !j->told_done &&
-        w->now - MAX (j->asked_cancel_at, w->calm_at) > ANSWERED_WITHIN_S)
-      w_broken (w, "liveness", "%s was not withdrawn", j->id);
+  if (!world->starts)
+    w_broken (world, "nothing_ran", "no task was started");
+  for (guint i = 0; i < world->jobs->len; i++) {
+    const SJob *job = world->jobs->pdata[i];
+    if (job->accepted && world->now - MAX (job->ok_at, world->calm_at) > ANSWERED_WITHIN_S)
+      w_broken (world, "forgotten", "no question about %s is answered", job->id);
+    if (job->asked_cancel && job->accepted && !job->told_withdrawn && !job->told_done &&
+        world->now - MAX (job->asked_cancel_at, world->calm_at) > ANSWERED_WITHIN_S)
+      w_broken (world, "liveness", "%s was not withdrawn", job->id);
   }
 }
 
@@ -130,38 +130,39 @@
 }
 
 static gboolean
-is_void (const Live *s)
+is_void (const Live *live)
 {
-  return s->longest_gap > MOST_GAP_S;
+  return live->longest_gap > MOST_GAP_S;
 }
 
 static void
-report (Live *s, guint32 seed, const HrTrouble *day, guint n)
+report (Live *live, guint32 seed, const HrTrouble *day, guint n)
 {
-  World *w = s->w;
+  World *world = live->world;
   guint cancelled = 0;
-  for (guint i = 0; i < w->jobs->len; i++)
-    cancelled += ((SJob *)w->jobs->pdata[i])->told_withdrawn > 0;
+  for (guint i = 0; i < world->jobs->len; i++)
+    cancelled += ((SJob *)world->jobs->pdata[i])->told_withdrawn > 0;
   printf ("seed %u: %d controllers, %.0f s, %u jobs, %u withdrawn, %u starts, %u after a "
           "confirmed cancellation, %u terms, %u kills, %u pauses, %u requests: %s\n",
-          seed, w->n, w->now, w->jobs->len, cancelled, w->starts, w->started_withdrawn,
-          w->troubles.leaders, s->kills, s->freezes, s->requests,
-          is_void (s)      ? "VOID"
-          : w->broken->len ? "BROKEN"
-                           : "ok");
-  if (is_void (s))
+          seed, world->n, world->now, world->jobs->len, cancelled, world->starts,
+          world->started_withdrawn, world->troubles.leaders, live->kills, live->freezes,
+          live->requests,
+          is_void (live)       ? "VOID"
+          : world->broken->len ? "BROKEN"
+                               : "ok");
+  if (is_void (live))
     printf ("seed %u: no verdict, since this program stood still for %.1f s\n", seed,
-            s->longest_gap);
+            live->longest_gap);
   fflush (stdout);
-  if (!w->broken->len)
+  if (!world->broken->len)
     return;
-  for (guint i = 0; i < MIN (w->broken->len, 12); i++)
-    fprintf (stderr, "  broken: %s\n", (char *)w->broken->pdata[i]);
+  for (guint i = 0; i < MIN (world->broken->len, 12); i++)
+    fprintf (stderr, "  broken: %s\n", (char *)world->broken->pdata[i]);
   fprintf (stderr, "  troubles of seed %u:\n", seed);
   for (guint i = 0; i < n; i++)
     print_trouble (&day[i]);
-  for (int i = 0; i < w->n; i++)
-    print_tail (&s->nodes[i], i);
+  for (int i = 0; i < world->n; i++)
+    print_tail (&live->nodes[i], i);
 }
 
 typedef struct {
@@ -182,95 +183,95 @@
 
 /* Each one comes back in the version that it has by then. */
 static void
-end_all (World *w, gpointer unused)
+end_all (World *world, gpointer unused)
 {
-  for (int i = 0; i < w->n; i++) {
-    node_kill (w, i);
-    node_start_at (w, i, w->now + END_ALL_BACK_S);
+  for (int i = 0; i < world->n; i++) {
+    node_kill (world, i);
+    node_start_at (world, i, world->now + END_ALL_BACK_S);
   }
 }
 
 /* The controllers' turns, and users of pipelines beside the usual ones, until `end`. */
 static void
-plan_upgrade (World *w, GRand *rand, double end)
+plan_upgrade (World *world, GRand *rand, double end)
 {
   double first = FIRST_TURN_SHARE * end, last = LAST_TURN_SHARE * end;
-  double gap = w->n > 1 ? (last - first) / (w->n - 1) : 0;
-  upgrade_roll (w, first, gap, TURN_DOWN_S);
-  upgrade_limits_fall (w, last + TURN_DOWN_S + g_rand_double_range (rand, 0, LIMITS_FALL_S));
+  double gap = world->n > 1 ? (last - first) / (world->n - 1) : 0;
+  upgrade_roll (world, first, gap, TURN_DOWN_S);
+  upgrade_limits_fall (world, last + TURN_DOWN_S + g_rand_double_range (rand, 0, LIMITS_FALL_S));
   if (g_rand_double (rand) < END_ALL_SHARE)
-    w_at (w, first + (g_rand_int_range (rand, 0, w->n) + 0.5) * gap, end_all, NULL);
+    w_at (world, first + (g_rand_int_range (rand, 0, world->n) + 0.5) * gap, end_all, NULL);
   /* Nothing new is asked for before all have the new version; pipelines are new to those that know
    * no format of records. */
-  double from = w->production ? last + TURN_DOWN_S + 1 : 1;
+  double from = world->production ? last + TURN_DOWN_S + 1 : 1;
   const PipelineDay day = {(end - from) / PIPELINE_EVERY_S, from, end, PIPELINES_CANCELLED, FALSE};
-  users_pipelines_beside (w, &day);
+  users_pipelines_beside (world, &day);
 }
 
 /* All controllers begin old. */
 static void
-begin_old (World *w, guint format)
+begin_old (World *world, guint format)
 {
-  for (int i = 0; i < w->n; i++) {
-    w->nodes[i].upgraded = FALSE;
-    w->nodes[i].speaks = format;
+  for (int i = 0; i < world->n; i++) {
+    world->nodes[i].upgraded = FALSE;
+    world->nodes[i].speaks = format;
   }
   if (format)
     return;
-  w->production = TRUE;
-  store_format (w, FALSE);
+  world->production = TRUE;
+  store_format (world, FALSE);
 }
 
 /* Did every controller come to run the new version? */
 static void
-check_upgrade (World *w)
+check_upgrade (World *world)
 {
-  for (int i = 0; i < w->n; i++)
-    if (!w->nodes[i].upgraded)
-      w_broken (w, "upgrade", "c%d was not upgraded", i);
+  for (int i = 0; i < world->n; i++)
+    if (!world->nodes[i].upgraded)
+      w_broken (world, "upgrade", "c%d was not upgraded", i);
 }
 
 typedef enum { RUN_OK, RUN_BROKEN, RUN_VOID } Verdict;
 
 static Verdict
-run (const Options *o, guint32 seed)
+run (const Options *options, guint32 seed)
 {
   Live live = {0}, *s = &live;
   g_autoptr (GRand) rand = g_rand_new_with_seed (seed);
-  int nodes = o->controllers ? o->controllers : seed % 2 ? 3 : 5;
-  s->daemon = o->daemon;
-  s->policy = o->policy;
-  s->old_daemon = o->old_daemon;
+  int nodes = options->controllers ? options->controllers : seed % 2 ? 3 : 5;
+  s->daemon = options->daemon;
+  s->policy = options->policy;
+  s->old_daemon = options->old_daemon;
   live_prepare (s, seed, nodes);
-  World *w = s->w;
-  w->report_s = REPORT_S;
-  w->lease_s = LEASE_S;
-  w->cancel_s = CANCEL_S;
-  w->capacity = CAPACITY;
-  w->fickle = g_rand_boolean (rand);
-  if (o->old_daemon)
-    begin_old (w, o->old_format);
+  World *world = s->world;
+  world->report_s = REPORT_S;
+  world->lease_s = LEASE_S;
+  world->cancel_s = CANCEL_S;
+  world->capacity = CAPACITY;
+  world->fickle = g_rand_boolean (rand);
+  if (options->old_daemon)
+    begin_old (world, options->old_format);
   live_begin (s);
-  users_init (w, o->seconds * 3 / 4, o->seconds - CALM_S);
-  users_probe (w);
-  if (o->old_daemon)
-    plan_upgrade (w, rand, o->seconds - CALM_S);
-  HrTrouble day[MOST_TROUBLES] = {{.kind = TROUBLE_FAST_BOOT, .for_s = o->seconds}};
+  users_init (world, options->seconds * 3 / 4, options->seconds - CALM_S);
+  users_probe (world);
+  if (options->old_daemon)
+    plan_upgrade (world, rand, options->seconds - CALM_S);
+  HrTrouble day[MOST_TROUBLES] = {{.kind = TROUBLE_FAST_BOOT, .for_s = options->seconds}};
   guint n = 1;
-  double last = o->seconds - CALM_S - 1.3 * LEASE_S;
+  double last = options->seconds - CALM_S - 1.3 * LEASE_S;
   for (double at = TROUBLES_FROM_S; at < last && n + 3 < MOST_TROUBLES;
        at += g_rand_double_range (rand, 0, 2 * TROUBLE_EVERY_S))
     if (g_rand_double (rand) < ACROSS_TERMS_SHARE)
       n += draw_cancels_across_terms (rand, at, day + n);
     else
       day[n++] = trouble_draw (rand, draw_kind (rand), at, LEASE_S);
-  troubles_plan (w, day, n);
-  live_run (s, o->seconds);
-  check_end (w);
-  if (o->old_daemon)
-    check_upgrade (w);
+  troubles_plan (world, day, n);
+  live_run (s, options->seconds);
+  check_end (world);
+  if (options->old_daemon)
+    check_upgrade (world);
   report (s, seed, day, n);
-  Verdict verdict = is_void (s) ? RUN_VOID : w->broken->len ? RUN_BROKEN : RUN_OK;
+  Verdict verdict = is_void (s) ? RUN_VOID : world->broken->len ? RUN_BROKEN : RUN_OK;
   s->remove_files = verdict != RUN_BROKEN;
   live_end (s);
   end_callbacks ();
@@ -280,40 +281,41 @@
 int
 main (int argc, char **argv)
 {
-  Options o = {.seed = 1, .runs = 1, .seconds = 60, .old_format = HR_FORMAT};
+  Options options = {.seed = 1, .runs = 1, .seconds = 60, .old_format = HR_FORMAT};
   const GOptionEntry entries[] = {
-      {"daemon", 0, 0, G_OPTION_ARG_FILENAME, &o.daemon, "the controller's program", "FILE"},
-      {"old-daemon", 0, 0, G_OPTION_ARG_FILENAME, &o.old_daemon,
+      {"daemon", 0, 0, G_OPTION_ARG_FILENAME, &options.daemon, "the controller's program", "FILE"},
+      {"old-daemon", 0, 0, G_OPTION_ARG_FILENAME, &options.old_daemon,
        "the program that all controllers begin with; they are upgraded in turn", "FILE"},
-      {"old-format", 0, 0, G_OPTION_ARG_INT, &o.old_format,
+      {"old-format", 0, 0, G_OPTION_ARG_INT, &options.old_format,
        "the format of records that it understands (docs/upgrades.md); 0: none", "N"},
-      {"policy", 0, 0, G_OPTION_ARG_FILENAME, &o.policy, "its policy", "FILE"},
-      {"seed", 0, 0, G_OPTION_ARG_INT, &o.seed, "of the first run", "N"},
-      {"runs", 0, 0, G_OPTION_ARG_INT, &o.runs, "one after the other, seed after seed", "N"},
-      {"seconds", 0, 0, G_OPTION_ARG_INT, &o.seconds, "of each run (45 to 3600)", "S"},
-      {"controllers", 0, 0, G_OPTION_ARG_INT, &o.controllers, "1 to 5; default: 3 or 5 by seed",
-       "N"},
+      {"policy", 0, 0, G_OPTION_ARG_FILENAME, &options.policy, "its policy", "FILE"},
+      {"seed", 0, 0, G_OPTION_ARG_INT, &options.seed, "of the first run", "N"},
+      {"runs", 0, 0, G_OPTION_ARG_INT, &options.runs, "one after the other, seed after seed", "N"},
+      {"seconds", 0, 0, G_OPTION_ARG_INT, &options.seconds, "of each run (45 to 3600)", "S"},
+      {"controllers", 0, 0, G_OPTION_ARG_INT, &options.controllers,
+       "1 to 5; default: 3 or 5 by seed", "N"},
       {NULL}};
   g_autoptr (GError) error = NULL;
   g_autoptr (GOptionContext) context =
       g_option_context_new ("- real controllers under random troubles");
   g_option_context_add_main_entries (context, entries, NULL);
-  if (!g_option_context_parse (context, &argc, &argv, &error) || !o.daemon || !o.policy ||
-      o.seconds < 45 || o.seconds > 3600 || o.controllers < 0 || o.old_format < 0 ||
-      o.controllers > MAX_NODES) {
+  if (!g_option_context_parse (context, &argc, &argv, &error) || !options.daemon ||
+      !options.policy || options.seconds < 45 || options.seconds > 3600 ||
+      options.controllers < 0 || options.old_format < 0 || options.controllers > MAX_NODES) {
     fprintf (stderr, "hoprock-soak: %s\n",
              error ? error->message : "--daemon and --policy are needed; see --help");
     return 2;
   }
   sim_log_init ();
   guint broken = 0, voids = 0;
-  for (int i = 0; i < o.runs; i++) {
+  for (int i = 0; i < options.runs; i++) {
     Verdict verdict = RUN_VOID;
     for (int k = 0; k < TRIES && verdict == RUN_VOID; k++)
-      verdict = run (&o, o.seed + i);
+      verdict = run (&options, options.seed + i);
     broken += verdict == RUN_BROKEN;
     voids += verdict == RUN_VOID;
   }
-  printf ("%d runs, %u with a broken rule, %u not played to the end\n", o.runs, broken, voids);
+  printf ("%d runs, %u with a broken rule, %u not played to the end\n", options.runs, broken,
+          voids);
   return broken || voids;
 }
--- a/tests/test_allowance.c
+++ b/tests/test_allowance.c
@@ -82,9 +82,9 @@
 } Stream;
 
 static void
-stream_job_clear (gpointer p)
+stream_job_clear (gpointer data)
 {
-  g_free (((StreamJob *)p)->id);
+  g_free (((StreamJob *)data)->id);
 }
 
 static void
--- a/tests/test_attestation.c
+++ b/tests/test_attestation.c
@@ -38,10 +38,10 @@
 
 /* The member's log holds `ends` withdrawals, the first of which is named. */
 static void
-knows (HrPeerStatus *h, guint64 revision, guint64 ends)
+knows (HrPeerStatus *status, guint64 revision, guint64 ends)
 {
-  h->latest_cancellation = revision;
-  h->cancellations.log_end = ends;
+  status->latest_cancellation = revision;
+  status->cancellations.log_end = ends;
 }
 
 /* Longer than hold_s: on its own reading c0 would be silent by then. */
@@ -253,9 +253,9 @@
   g_autofree char *record = NULL;
   for (guint i = 0; i < s->log->len; i++)
     if (strstr (s->log->pdata[i], "h/j/" OTHER "\"") && !record) {
-      json_t *o = json_loads (s->log->pdata[i], 0, NULL);
-      record = json_dumps (json_object_get (o, "value"), JSON_COMPACT);
-      json_decref (o);
+      json_t *object = json_loads (s->log->pdata[i], 0, NULL);
+      record = json_dumps (json_object_get (object, "value"), JSON_COMPACT);
+      json_decref (object);
     }
   knows (k.c1, k.stamp, 2);
   hr_named_cancellations_add (&k.c1->cancellations, JOB);
--- a/tests/test_awaits.c
+++ b/tests/test_awaits.c
@@ -96,11 +96,11 @@
 static char *
 many_ids (guint n)
 {
-  GString *s = g_string_new ("[");
+  GString *text = g_string_new ("[");
   for (guint i = 0; i < n; i++)
-    g_string_append_printf (s, "%s\"job-%06u\"", i ? "," : "", i);
-  g_string_append_c (s, ']');
-  return g_string_free (s, FALSE);
+    g_string_append_printf (text, "%s\"job-%06u\"", i ? "," : "", i);
+  g_string_append_c (text, ']');
+  return g_string_free (text, FALSE);
 }
 
 /* A repeat at a node that has not read the job yet counts by its id alone, whatever it awaits. */
@@ -242,9 +242,9 @@
   g_autofree char *root = g_strdup (ledger_job (l, "job-r"));
   for (guint i = 0; i < n; i++) {
     g_autofree char *path = g_strdup_printf ("h/j/job-b%u", i);
-    json_t *o = json_loads (root, 0, NULL);
-    json_object_set_new (o, "a", json_pack ("[s]", "job-r"));
-    g_autofree char *text = hr_json_take_text (o);
+    json_t *object = json_loads (root, 0, NULL);
+    json_object_set_new (object, "a", json_pack ("[s]", "job-r"));
+    g_autofree char *text = hr_json_take_text (object);
     l->epoch++;
     ledger_set (l, path, text);
   }
@@ -281,16 +281,16 @@
   assert_int_equal (node_submit (n, "job-r", NULL, NULL), 201);
   assert_int_equal (node_submit (n, "job-e", NULL, NULL), 201);
   submit_many (l, 1000);
-  HrJob *j = hr_job_find (n->core, "job-e");
-  HrMachine *m = node_machine (n);
-  for (guint i = 0; i < j->n_tasks; i++)
-    hr_task_assign (n->core, j, i, m, 1);
+  HrJob *job = hr_job_find (n->core, "job-e");
+  HrMachine *machine = node_machine (n);
+  for (guint i = 0; i < job->n_tasks; i++)
+    hr_task_assign (n->core, job, i, machine, 1);
   node_run (n, 3);
   assert_int_equal (node_cancel (n, "job-r"), 200);
   node_run (n, 3);
-  for (guint i = 0; i < j->n_tasks; i++)
-    hr_task_done (n->core, j, i);
-  assert_int_equal (j->n_done, j->n_tasks);
+  for (guint i = 0; i < job->n_tasks; i++)
+    hr_task_done (n->core, job, i);
+  assert_int_equal (job->n_done, job->n_tasks);
   node_run (n, 2);
   assert_string_equal (node_poll (n, "job-e"), "done");
   node_free (n);
--- a/tests/test_exhaustive.c
+++ b/tests/test_exhaustive.c
@@ -61,67 +61,68 @@
 /* Renewals, lists and the readings that someone waits for always reach: a reading that is lost is
  * made again, one that a follower holds open leaves it behind. Users' own questions do too. */
 static gboolean
-is_point (const Req *r)
+is_point (const Req *request)
 {
-  if (r->node < 0)
-    return r->method == HR_POST;
-  if (r->target == HR_TO_STORE && r->method == HR_GET)
-    return g_str_has_suffix (r->path, "hold_ms=10000");
-  return r->method == HR_POST && (r->target == HR_TO_WORKER ||
-                                  (r->target == HR_TO_STORE && strcmp (r->path, "/commit") == 0));
+  if (request->node < 0)
+    return request->method == HR_POST;
+  if (request->target == HR_TO_STORE && request->method == HR_GET)
+    return g_str_has_suffix (request->path, "hold_ms=10000");
+  return request->method == HR_POST &&
+         (request->target == HR_TO_WORKER ||
+          (request->target == HR_TO_STORE && strcmp (request->path, "/commit") == 0));
 }
 
 /* What is recorded, what is on the machines and what users were told: not the cores' memory, so
  * equal digests do not end a search, they are only counted. */
 static char *
-digest (World *w)
+digest (World *world)
 {
   g_autoptr (GChecksum) sum = g_checksum_new (G_CHECKSUM_SHA256);
-  g_autoptr (GList) keys = g_list_sort (g_hash_table_get_keys (w->keys), (GCompareFunc)strcmp);
+  g_autoptr (GList) keys = g_list_sort (g_hash_table_get_keys (world->keys), (GCompareFunc)strcmp);
   for (GList *k = keys; k; k = k->next) {
-    const char *text = store_text (w, k->data);
+    const char *text = store_text (world, k->data);
     g_checksum_update (sum, k->data, -1);
     g_checksum_update (sum, (const guchar *)text, -1);
   }
-  for (guint i = 0; i < w->machines->len; i++) {
-    SMachine *m = w->machines->pdata[i];
-    for (guint t = 0; t < m->tasks->len; t++) {
-      const STask *task = &g_array_index (m->tasks, STask, t);
-      guint32 facts[] = {i, m->tenure, task->job, task->task, task->try, task->state};
+  for (guint i = 0; i < world->machines->len; i++) {
+    SMachine *machine = world->machines->pdata[i];
+    for (guint team = 0; team < machine->tasks->len; team++) {
+      const STask *task = &g_array_index (machine->tasks, STask, team);
+      guint32 facts[] = {i, machine->tenure, task->job, task->task, task->try, task->state};
       g_checksum_update (sum, (const guchar *)facts, sizeof facts);
     }
   }
-  for (guint i = 0; i < w->jobs->len; i++) {
-    const SJob *j = w->jobs->pdata[i];
-    guint32 told[] = {j->accepted, j->told_done > 0, j->told_withdrawn > 0};
+  for (guint i = 0; i < world->jobs->len; i++) {
+    const SJob *job = world->jobs->pdata[i];
+    guint32 told[] = {job->accepted, job->told_done > 0, job->told_withdrawn > 0};
     g_checksum_update (sum, (const guchar *)told, sizeof told);
   }
   return g_strdup (g_checksum_get_string (sum));
 }
 
 static void
-user_acts (World *w, gpointer choice)
+user_acts (World *world, gpointer choice)
 {
-  SJob *j = w->jobs->pdata[w->jobs->len - 1];
+  SJob *job = world->jobs->pdata[world->jobs->len - 1];
   guint action = GPOINTER_TO_UINT (choice);
   if (action != USER_ASKS_ALL) {
-    user_cancel_at (w, j, action - USER_WITHDRAWS_AT_0);
+    user_cancel_at (world, job, action - USER_WITHDRAWS_AT_0);
     return;
   }
-  for (int node = 0; node < w->n; node++) {
-    user_poll_at (w, j, node);
-    user_submit_at (w, j, node);
+  for (int node = 0; node < world->n; node++) {
+    user_poll_at (world, job, node);
+    user_submit_at (world, job, node);
   }
 }
 
 static WFate
-choose (World *w, const Req *r, gpointer data)
+choose (World *world, const Req *request, gpointer data)
 {
   Play *play = data;
-  if (w->now < play->scenario->from || w->now > play->scenario->to || !is_point (r))
+  if (world->now < play->scenario->from || world->now > play->scenario->to || !is_point (request))
     return FATE_DELIVERED;
   guint point = play->points++;
-  g_hash_table_add (play->states, digest (w));
+  g_hash_table_add (play->states, digest (world));
   for (guint i = 0; i < play->schedule->depth; i++) {
     const Deviation *d = &play->schedule->deviations[i];
     if (d->point != point)
@@ -129,31 +130,31 @@
     if (d->choice < FATE_COUNT)
       return d->choice;
     /* The request on its way comes first or second, as the network has it. */
-    w_at (w, w->now, user_acts, GUINT_TO_POINTER (d->choice));
+    w_at (world, world->now, user_acts, GUINT_TO_POINTER (d->choice));
   }
   return FATE_DELIVERED;
 }
 
 static void
-show (const Scenario *scenario, const Schedule *schedule, const World *w)
+show (const Scenario *scenario, const Schedule *schedule, const World *world)
 {
   fprintf (stderr, "%s replay", scenario->name);
   for (guint i = 0; i < schedule->depth; i++)
     fprintf (stderr, " %u:%u", schedule->deviations[i].point, schedule->deviations[i].choice);
-  for (guint i = 0; i < MIN (w->broken->len, 4); i++)
-    fprintf (stderr, "\n    %s", (char *)w->broken->pdata[i]);
+  for (guint i = 0; i < MIN (world->broken->len, 4); i++)
+    fprintf (stderr, "\n    %s", (char *)world->broken->pdata[i]);
   fprintf (stderr, "\n");
 }
 
 static void
-check_ends (World *w)
+check_ends (World *world)
 {
-  for (guint i = 0; i < w->jobs->len; i++) {
-    const SJob *j = w->jobs->pdata[i];
-    if (!j->accepted)
-      w_broken (w, "liveness", "%s was never accepted", j->id);
-    else if (!j->told_done && !j->told_withdrawn)
-      w_broken (w, "liveness", "%s came to no end", j->id);
+  for (guint i = 0; i < world->jobs->len; i++) {
+    const SJob *job = world->jobs->pdata[i];
+    if (!job->accepted)
+      w_broken (world, "liveness", "%s was never accepted", job->id);
+    else if (!job->told_done && !job->told_withdrawn)
+      w_broken (world, "liveness", "%s came to no end", job->id);
   }
 }
 
@@ -162,23 +163,23 @@
 play_schedule (const Scenario *scenario, const Schedule *schedule, Totals *totals)
 {
   Play play = {scenario, schedule, 0, totals->states};
-  World *w = world_new (SEED, 2);
-  w->loss = w->dup = 0;
-  w->capacity = 1;
-  w->choose = choose;
-  w->choose_data = &play;
-  users_init (w, 0, 0);
-  users_probe (w);
-  w->troubles.close_looks = (HrSwitch){END_S, 0};
-  users_array (w, 1, 8, 1, 0);
-  users_array (w, scenario->tasks, scenario->run, scenario->at, scenario->cancel_at);
-  world_run (w, END_S);
-  check_ends (w);
-  if (w->broken->len)
-    show (scenario, schedule, w);
-  totals->broken += w->broken->len > 0;
+  World *world = world_new (SEED, 2);
+  world->loss = world->dup = 0;
+  world->capacity = 1;
+  world->choose = choose;
+  world->choose_data = &play;
+  users_init (world, 0, 0);
+  users_probe (world);
+  world->troubles.close_looks = (HrSwitch){END_S, 0};
+  users_array (world, 1, 8, 1, 0);
+  users_array (world, scenario->tasks, scenario->run, scenario->at, scenario->cancel_at);
+  world_run (world, END_S);
+  check_ends (world);
+  if (world->broken->len)
+    show (scenario, schedule, world);
+  totals->broken += world->broken->len > 0;
   totals->schedules++;
-  world_free (w);
+  world_free (world);
   return play.points;
 }
 
--- a/tests/test_fixtures.c
+++ b/tests/test_fixtures.c
@@ -34,16 +34,16 @@
 static HrJob *
 named_job (const char *id)
 {
-  HrJob *j = g_new0 (HrJob, 1);
-  j->id = g_strdup (id);
-  return j;
+  HrJob *job = g_new0 (HrJob, 1);
+  job->id = g_strdup (id);
+  return job;
 }
 
 static void
-named_job_free (HrJob *j)
+named_job_free (HrJob *job)
 {
-  g_free ((char *)j->id);
-  g_free (j);
+  g_free ((char *)job->id);
+  g_free (job);
 }
 
 static void
@@ -52,9 +52,9 @@
   memset (r, 0, sizeof *r);
   hr_names_init (&r->names);
   hr_intern_init (&r->machines);
-  json_t *v = json_loads (text, 0, NULL);
+  json_t *value = json_loads (text, 0, NULL);
   r->job = g_new0 (HrJob, 1);
-  assert_true (hr_record_read (v, &r->names, &r->record));
+  assert_true (hr_record_read (value, &r->names, &r->record));
   if (!r->record.is_tombstone) {
     hr_job_set_spec (r->job, &r->record.spec, r->record.tasks_per_page);
     r->job->submitted_at = r->record.submitted_at;
@@ -71,7 +71,7 @@
   if (r->record.cancelled_with)
     r->job->cancellation.root = named_job (r->record.cancelled_with);
   r->job->record.unknown_members = g_steal_pointer (&r->record.extra);
-  json_decref (v);
+  json_decref (value);
 }
 
 static void
@@ -101,10 +101,10 @@
 static void
 check_page (char **lines, const char *key, const char *text)
 {
-  g_auto (GStrv) parts = g_strsplit (key, "/", -1);
-  g_autofree char *main = g_strdup_printf ("h/j/%s\t", parts[2]);
-  gboolean split = g_str_equal (parts[1], "u"); /* h/u/ID/SIZE/PAGE, else h/t/ID/PAGE */
-  guint page = atoi (parts[split ? 4 : 3]);
+  g_auto (GStrv) fields = g_strsplit (key, "/", -1);
+  g_autofree char *main = g_strdup_printf ("h/j/%s\t", fields[2]);
+  gboolean split = g_str_equal (fields[1], "u"); /* h/u/ID/SIZE/PAGE, else h/t/ID/PAGE */
+  guint page = atoi (fields[split ? 4 : 3]);
   for (guint i = 0; lines[i]; i++) {
     if (!g_str_has_prefix (lines[i], main))
       continue;
@@ -112,13 +112,14 @@
     read_main (&r, lines[i] + strlen (main));
     assert_int_equal (r.job->record.sized_page_keys, split);
     if (split)
-      assert_int_equal (r.job->record.tasks_per_page, atoi (parts[3]));
-    json_t *v = json_loads (text, 0, NULL);
+      assert_int_equal (r.job->record.tasks_per_page, atoi (fields[3]));
+    json_t *value = json_loads (text, 0, NULL);
     assert_true (hr_record_tasks (r.job, page * r.job->record.tasks_per_page,
-                                  json_object_get (v, "x"), &r.machines));
-    g_autofree char *back = hr_record_page (r.job, page, &r.machines, hr_json_str (v, "w"), FALSE);
+                                  json_object_get (value, "x"), &r.machines));
+    g_autofree char *back =
+        hr_record_page (r.job, page, &r.machines, hr_json_str (value, "w"), FALSE);
     assert_string_equal (back, text);
-    json_decref (v);
+    json_decref (value);
     read_clear (&r);
     return;
   }
@@ -182,9 +183,9 @@
 } Polls;
 
 static void
-on_poll (World *w, int status, json_t *body, gpointer p)
+on_poll (World *world, int status, json_t *body, gpointer data)
 {
-  Polls *polls = p;
+  Polls *polls = data;
   polls->left--;
   polls->known += status == 200 && json_object_get (body, "stance") != NULL;
 }
@@ -194,44 +195,44 @@
 {
   g_autofree char *all = fixture (file);
   g_auto (GStrv) lines = g_strsplit (all, "\n", -1);
-  World *w = world_new (7, 3);
+  World *world = world_new (7, 3);
   guint jobs = 0;
   Polls polls = {0};
-  w->production = !format;
-  w->calm = TRUE;
-  store_format (w, FALSE);
-  users_init (w, 0, 0);
+  world->production = !format;
+  world->calm = TRUE;
+  store_format (world, FALSE);
+  users_init (world, 0, 0);
   for (guint i = 0; lines[i]; i++) {
     g_auto (GStrv) row = g_strsplit (lines[i], "\t", 2);
-    store_put (w, row[0], row[1]);
+    store_put (world, row[0], row[1]);
   }
-  world_restart (w);
-  world_run (w, 20);
+  world_restart (world);
+  world_run (world, 20);
   for (guint i = 0; lines[i]; i++) {
     if (!g_str_has_prefix (lines[i], "h/j/"))
       continue;
     jobs++;
     g_auto (GStrv) row = g_strsplit (lines[i], "\t", 2);
     g_autofree char *path = g_strconcat ("/v1/jobs/", row[0] + strlen ("h/j/"), NULL);
-    for (int n = 0; n < w->n; n++) {
+    for (int n = 0; n < world->n; n++) {
       polls.left++;
-      w_ask (w, n, -1, HR_GET, path, NULL, 2, on_poll, &polls);
+      w_ask (world, n, -1, HR_GET, path, NULL, 2, on_poll, &polls);
     }
   }
-  world_run (w, 25);
+  world_run (world, 25);
   assert_int_equal (polls.left, 0);
-  assert_int_equal (polls.known, jobs * w->n);
+  assert_int_equal (polls.known, jobs * world->n);
   /* The same cloud's machine types are written as production wrote them; the map has its form. */
   for (guint i = 0; lines[i]; i++) {
     g_auto (GStrv) row = g_strsplit (lines[i], "\t", 2);
     if (strcmp (row[0], "h/types") == 0)
-      assert_string_equal (store_text (w, row[0]), row[1]);
+      assert_string_equal (store_text (world, row[0]), row[1]);
   }
   assert_true (g_regex_match_simple ("^\\{\"b\":[0-9]+,\"o\":\"c[0-2]\",\"i\":\"[0-2]-2\"\\}$",
-                                     store_text (w, "h/map"), 0, 0));
+                                     store_text (world, "h/map"), 0, 0));
   assert_true (g_regex_match_simple ("^\\{\"b\":0,\"o\":\"c[0-2]\",\"i\":\"[0-2]-2\"\\}$",
-                                     store_text (w, "h/leader"), 0, 0));
-  world_free (w);
+                                     store_text (world, "h/leader"), 0, 0));
+  world_free (world);
 }
 
 static void
@@ -254,19 +255,19 @@
 } Wire;
 
 static void
-on_hint (HrCommand *c, gpointer p)
+on_hint (HrCommand *command, gpointer data)
 {
-  Wire *wire = p;
-  wire->hint = *c->peer_status;
+  Wire *wire = data;
+  wire->hint = *command->peer_status;
   wire->heard = TRUE;
-  hr_command_free (c);
+  hr_command_free (command);
   g_main_loop_quit (wire->loop);
 }
 
 static void
-on_part (GObject *source, GAsyncResult *result, gpointer p)
+on_part (GObject *source, GAsyncResult *result, gpointer data)
 {
-  Wire *wire = p;
+  Wire *wire = data;
   gssize n = g_input_stream_read_finish (G_INPUT_STREAM (source), result, NULL);
   if (n > 0)
     g_string_append_len (wire->sent, (char *)wire->part, n);
@@ -278,9 +279,10 @@
 }
 
 static gboolean
-on_connection (GSocketService *service, GSocketConnection *connection, GObject *source, gpointer p)
+on_connection (GSocketService *service, GSocketConnection *connection, GObject *source,
+               gpointer data)
 {
-  Wire *wire = p;
+  Wire *wire = data;
   g_object_ref (connection);
   g_input_stream_read_async (g_io_stream_get_input_stream (G_IO_STREAM (connection)), wire->part,
                              sizeof wire->part, 0, NULL, on_part, wire);
@@ -288,17 +290,17 @@
 }
 
 static gboolean
-tell (gpointer p)
+tell (gpointer data)
 {
-  Wire *wire = p;
+  Wire *wire = data;
   hr_peers_tell (wire->peers, &wire->hint);
   return TRUE;
 }
 
 static gboolean
-too_late (gpointer p)
+too_late (gpointer data)
 {
-  g_main_loop_quit (((Wire *)p)->loop);
+  g_main_loop_quit (((Wire *)data)->loop);
   return FALSE;
 }
 
@@ -331,14 +333,14 @@
   g_autofree char *own = g_strdup_printf ("127.0.0.1:%u", port);
   g_autofree char *other = g_strdup_printf ("127.0.0.1:%u", port + 1);
   HrMember member = {"c0", "z0", other};
-  HrSettings set = {.back = own, .members = g_array_new (FALSE, TRUE, sizeof (HrMember))};
-  g_array_append_val (set.members, member);
-  wire.peers = hr_peers_new (&set, on_hint, &wire, NULL);
+  HrSettings settings = {.back = own, .members = g_array_new (FALSE, TRUE, sizeof (HrMember))};
+  g_array_append_val (settings.members, member);
+  wire.peers = hr_peers_new (&settings, on_hint, &wire, NULL);
   assert_non_null (wire.peers);
   g_autoptr (GSocketClient) client = g_socket_client_new ();
   g_socket_client_set_enable_proxy (client, FALSE);
   g_autoptr (GSocketConnection) to_us =
-      g_socket_client_connect_to_host (client, set.back, 0, NULL, NULL);
+      g_socket_client_connect_to_host (client, settings.back, 0, NULL, NULL);
   assert_non_null (to_us);
   assert_true (g_output_stream_write_all (g_io_stream_get_output_stream (G_IO_STREAM (to_us)),
                                           frame, n, NULL, NULL, NULL));
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -16,42 +16,43 @@
 static World *
 world_with_limit (guint32 seed, double gpus)
 {
-  World *w = world_new (seed, 3);
-  w->quota_gpus = gpus;
-  w->capacity = 200;
-  world_restart (w);
-  users_init (w, 0, 0);
-  return w;
+  World *world = world_new (seed, 3);
+  world->quota_gpus = gpus;
+  world->capacity = 200;
+  world_restart (world);
+  users_init (world, 0, 0);
+  return world;
 }
 
 static guint
-verdict (World *w, guint32 seed)
+verdict (World *world, guint32 seed)
 {
-  guint broken = w->broken->len;
+  guint broken = world->broken->len;
   for (guint i = 0; i < MIN (broken, 12); i++)
-    fprintf (stderr, "seed %u: %s\n", seed, (char *)w->broken->pdata[i]);
+    fprintf (stderr, "seed %u: %s\n", seed, (char *)world->broken->pdata[i]);
   if (g_getenv ("HR_SIM_VERBOSE"))
-    fprintf (stderr, "seed %u: %u jobs, %u starts, %u machines\n", seed, w->jobs->len, w->starts,
-             w->machines->len);
-  world_free (w);
+    fprintf (stderr, "seed %u: %u jobs, %u starts, %u machines\n", seed, world->jobs->len,
+             world->starts, world->machines->len);
+  world_free (world);
   return broken;
 }
 
 static void
-check_done (World *w)
+check_done (World *world)
 {
-  for (guint i = 0; i < w->jobs->len; i++) {
-    SJob *j = w->jobs->pdata[i];
-    if (j->asked_cancel ? !j->told_withdrawn && !j->told_done
-                        : j->shape != HR_SERVICE && !j->told_done)
-      w_broken (w, "liveness", "%s (%d, %u tasks) is not done", j->id, j->shape, j->tasks);
+  for (guint i = 0; i < world->jobs->len; i++) {
+    SJob *job = world->jobs->pdata[i];
+    if (job->asked_cancel ? !job->told_withdrawn && !job->told_done
+                          : job->shape != HR_SERVICE && !job->told_done)
+      w_broken (world, "liveness", "%s (%d, %u tasks) is not done", job->id, job->shape,
+                job->tasks);
   }
 }
 
 static double
-waited (const World *w, const SJob *j)
+waited (const World *world, const SJob *job)
 {
-  return (j->first > 0 ? j->first : w->now) - j->accepted_at;
+  return (job->first > 0 ? job->first : world->now) - job->accepted_at;
 }
 
 /* Far more work than the limit lets run: machines are rented for what may start, and are not
@@ -67,15 +68,15 @@
   };
   const guint needed = LIMIT_GPUS / MACHINE_GPUS;
   guint broken = 0;
-  for (guint32 s = 1200; s < 1204; s++) {
-    World *w = world_with_limit (s, LIMIT_GPUS);
-    limits_submit (w, work, G_N_ELEMENTS (work));
-    world_run (w, DAY_S);
-    check_done (w);
-    if (w->machines->len > 2 * needed)
-      w_broken (w, "rented", "%u machines where %u hold all that may run", w->machines->len,
+  for (guint32 incarnation = 1200; incarnation < 1204; incarnation++) {
+    World *world = world_with_limit (incarnation, LIMIT_GPUS);
+    limits_submit (world, work, G_N_ELEMENTS (work));
+    world_run (world, DAY_S);
+    check_done (world);
+    if (world->machines->len > 2 * needed)
+      w_broken (world, "rented", "%u machines where %u hold all that may run", world->machines->len,
                 needed);
-    broken += verdict (w, s);
+    broken += verdict (world, incarnation);
   }
   assert_int_equal (broken, 0);
 }
@@ -89,16 +90,16 @@
   guint broken = 0;
   for (guint i = 0; i < G_N_ELEMENTS (work); i++)
     work[i] = (HrLimitJob){5 + 4 * i, HR_SERVICE, 4, 0, NULL, 0, FALSE, NULL};
-  for (guint32 s = 1260; s < 1264; s++) {
-    World *w = world_with_limit (s, LIMIT_GPUS);
-    limits_submit (w, work, G_N_ELEMENTS (work));
-    world_run (w, 200);
+  for (guint32 incarnation = 1260; incarnation < 1264; incarnation++) {
+    World *world = world_with_limit (incarnation, LIMIT_GPUS);
+    limits_submit (world, work, G_N_ELEMENTS (work));
+    world_run (world, 200);
     guint up = 0;
-    for (guint i = 0; i < w->machines->len; i++)
-      up += !((SMachine *)w->machines->pdata[i])->gone;
+    for (guint i = 0; i < world->machines->len; i++)
+      up += !((SMachine *)world->machines->pdata[i])->gone;
     if (up > needed + needed / 4)
-      w_broken (w, "rented", "%u machines are kept where %u hold all that may run", up, needed);
-    broken += verdict (w, s);
+      w_broken (world, "rented", "%u machines are kept where %u hold all that may run", up, needed);
+    broken += verdict (world, incarnation);
   }
   assert_int_equal (broken, 0);
 }
@@ -109,19 +110,19 @@
 {
   static const HrLimitJob gang[] = {{60, HR_GANG, 6, 25, NULL, 0, TRUE, NULL}};
   guint broken = 0;
-  for (guint32 s = 1210; s < 1214; s++) {
-    World *w = world_with_limit (s, LIMIT_GPUS / 2);
-    limits_stream (w, 5, 500, 4.5, 20);
-    limits_submit (w, gang, G_N_ELEMENTS (gang));
-    world_run (w, DAY_S);
-    check_done (w);
-    for (guint i = 0; i < w->jobs->len; i++) {
-      SJob *j = w->jobs->pdata[i];
-      if (waited (w, j) > (j->large ? 180 : 240))
-        w_broken (w, "starved", "%s of %u tasks begins after %.0f s", j->id, j->tasks,
-                  waited (w, j));
+  for (guint32 incarnation = 1210; incarnation < 1214; incarnation++) {
+    World *world = world_with_limit (incarnation, LIMIT_GPUS / 2);
+    limits_stream (world, 5, 500, 4.5, 20);
+    limits_submit (world, gang, G_N_ELEMENTS (gang));
+    world_run (world, DAY_S);
+    check_done (world);
+    for (guint i = 0; i < world->jobs->len; i++) {
+      SJob *job = world->jobs->pdata[i];
+      if (waited (world, job) > (job->large ? 180 : 240))
+        w_broken (world, "starved", "%s of %u tasks begins after %.0f s", job->id, job->tasks,
+                  waited (world, job));
     }
-    broken += verdict (w, s);
+    broken += verdict (world, incarnation);
   }
   assert_int_equal (broken, 0);
 }
@@ -139,31 +140,31 @@
       {263, HR_BATCH, 20, 40, "normal", 60, FALSE, NULL},
   };
   guint broken = 0;
-  for (guint32 s = 1220; s < 1224; s++) {
-    World *w = world_with_limit (s, LIMIT_GPUS);
-    limits_submit (w, work, G_N_ELEMENTS (work));
-    world_run (w, 1500);
-    check_done (w);
+  for (guint32 incarnation = 1220; incarnation < 1224; incarnation++) {
+    World *world = world_with_limit (incarnation, LIMIT_GPUS);
+    limits_submit (world, work, G_N_ELEMENTS (work));
+    world_run (world, 1500);
+    check_done (world);
     for (guint i = 1; i < 5; i++)
-      if (waited (w, limits_job (w, i)) > 45)
-        w_broken (w, "order", "%s, of a higher rank, begins after %.0f s", limits_job (w, i)->id,
-                  waited (w, limits_job (w, i)));
-    if (limits_job (w, 4)->done_at > limits_job (w, 3)->done_at)
-      w_broken (w, "order", "the later deadline is done first");
-    broken += verdict (w, s);
+      if (waited (world, limits_job (world, i)) > 45)
+        w_broken (world, "order", "%s, of a higher rank, begins after %.0f s",
+                  limits_job (world, i)->id, waited (world, limits_job (world, i)));
+    if (limits_job (world, 4)->done_at > limits_job (world, 3)->done_at)
+      w_broken (world, "order", "the later deadline is done first");
+    broken += verdict (world, incarnation);
   }
   assert_int_equal (broken, 0);
 }
 
 /* How many starts of the job's tasks were recorded. */
 static guint
-attempts (const World *w, const SJob *j)
+attempts (const World *world, const SJob *job)
 {
-  g_autofree char *prefix = g_strdup_printf ("%s/", j->id);
+  g_autofree char *prefix = g_strdup_printf ("%s/", job->id);
   GHashTableIter iter;
   gpointer key;
   guint n = 0;
-  g_hash_table_iter_init (&iter, w->assigned);
+  g_hash_table_iter_init (&iter, world->assigned);
   while (g_hash_table_iter_next (&iter, &key, NULL))
     n += g_str_has_prefix (key, prefix);
   return n;
@@ -182,16 +183,16 @@
   };
   const guint short_tasks = 60;
   guint broken = 0;
-  for (guint32 s = 1270; s < 1276; s++) {
-    World *w = world_with_limit (s, LIMIT_GPUS / 2);
-    limits_submit (w, work, G_N_ELEMENTS (work));
-    world_run (w, 1500);
-    check_done (w);
+  for (guint32 incarnation = 1270; incarnation < 1276; incarnation++) {
+    World *world = world_with_limit (incarnation, LIMIT_GPUS / 2);
+    limits_submit (world, work, G_N_ELEMENTS (work));
+    world_run (world, 1500);
+    check_done (world);
     /* Of the short work alone: a gang that loses a machine begins anew with all its tasks. */
-    guint starts = attempts (w, limits_job (w, 3));
+    guint starts = attempts (world, limits_job (world, 3));
     if (starts > short_tasks + short_tasks / 4)
-      w_broken (w, "churn", "%u starts of %u short tasks", starts, short_tasks);
-    broken += verdict (w, s);
+      w_broken (world, "churn", "%u starts of %u short tasks", starts, short_tasks);
+    broken += verdict (world, incarnation);
   }
   assert_int_equal (broken, 0);
 }
@@ -206,18 +207,18 @@
       {450, HR_BATCH, 12, 30, NULL, 0, FALSE, NULL},
   };
   guint broken = 0;
-  for (guint32 s = 1230; s < 1234; s++) {
-    World *w = world_with_limit (s, LIMIT_GPUS);
-    w->capacity = 6;
-    limits_submit (w, work, G_N_ELEMENTS (work));
-    world_run (w, DAY_S);
-    for (guint i = 0; i < w->jobs->len; i++) {
-      SJob *j = w->jobs->pdata[i];
-      if (!j->large && waited (w, j) > 90)
-        w_broken (w, "idle", "%s waits %.0f s beside a machine with room, under the limit", j->id,
-                  waited (w, j));
+  for (guint32 incarnation = 1230; incarnation < 1234; incarnation++) {
+    World *world = world_with_limit (incarnation, LIMIT_GPUS);
+    world->capacity = 6;
+    limits_submit (world, work, G_N_ELEMENTS (work));
+    world_run (world, DAY_S);
+    for (guint i = 0; i < world->jobs->len; i++) {
+      SJob *job = world->jobs->pdata[i];
+      if (!job->large && waited (world, job) > 90)
+        w_broken (world, "idle", "%s waits %.0f s beside a machine with room, under the limit",
+                  job->id, waited (world, job));
     }
-    broken += verdict (w, s);
+    broken += verdict (world, incarnation);
   }
   assert_int_equal (broken, 0);
 }
@@ -234,20 +235,21 @@
       {300, HR_BATCH, 6, 30, NULL, 0, FALSE, NULL},
   };
   guint broken = 0;
-  for (guint32 s = 1250; s < 1254; s++) {
-    World *w = world_new (s, 3);
-    w->guarantee_gpus = 8;
-    w->capacity = 2;
-    world_restart (w);
-    users_init (w, 0, 0);
-    limits_submit (w, work, G_N_ELEMENTS (work));
-    world_run (w, DAY_S);
-    for (guint i = 0; i < w->jobs->len; i++) {
-      SJob *j = w->jobs->pdata[i];
-      if (!j->large && waited (w, j) > 90)
-        w_broken (w, "idle", "%s waits %.0f s beside a machine with room", j->id, waited (w, j));
+  for (guint32 incarnation = 1250; incarnation < 1254; incarnation++) {
+    World *world = world_new (incarnation, 3);
+    world->guarantee_gpus = 8;
+    world->capacity = 2;
+    world_restart (world);
+    users_init (world, 0, 0);
+    limits_submit (world, work, G_N_ELEMENTS (work));
+    world_run (world, DAY_S);
+    for (guint i = 0; i < world->jobs->len; i++) {
+      SJob *job = world->jobs->pdata[i];
+      if (!job->large && waited (world, job) > 90)
+        w_broken (world, "idle", "%s waits %.0f s beside a machine with room", job->id,
+                  waited (world, job));
     }
-    broken += verdict (w, s);
+    broken += verdict (world, incarnation);
   }
   assert_int_equal (broken, 0);
 }
@@ -275,14 +277,14 @@
       {.at_s = 206, .kind = TROUBLE_NODE_CRASH, .who = WHO_LEADER},
   };
   guint broken = 0;
-  for (guint32 s = 1240; s < 1248; s++) {
-    World *w = world_with_limit (s, LIMIT_GPUS);
-    users_probe (w);
-    limits_submit (w, work, G_N_ELEMENTS (work));
-    troubles_plan (w, day, G_N_ELEMENTS (day));
-    world_run (w, DAY_S);
-    check_done (w);
-    broken += verdict (w, s);
+  for (guint32 incarnation = 1240; incarnation < 1248; incarnation++) {
+    World *world = world_with_limit (incarnation, LIMIT_GPUS);
+    users_probe (world);
+    limits_submit (world, work, G_N_ELEMENTS (work));
+    troubles_plan (world, day, G_N_ELEMENTS (day));
+    world_run (world, DAY_S);
+    check_done (world);
+    broken += verdict (world, incarnation);
   }
   assert_int_equal (broken, 0);
 }
--- a/tests/test_meetings_fleet.c
+++ b/tests/test_meetings_fleet.c
@@ -20,9 +20,9 @@
 }
 
 static void
-four_a_second (World *w)
+four_a_second (World *world)
 {
-  users_singles (w, 5, 185, 4, 0.25);
+  users_singles (world, 5, 185, 4, 0.25);
 }
 
 /* One-task jobs come four a second for minutes, a quarter of them cancelled; leaders change
@@ -86,9 +86,9 @@
 }
 
 static void
-bound_to_zones (World *w)
+bound_to_zones (World *world)
 {
-  users_bound (w, 32, 200);
+  users_bound (world, 32, 200);
 }
 
 /* Jobs bound to one zone, arrays too, lose machines. */
@@ -105,15 +105,15 @@
 }
 
 static void
-too_much (World *w)
+too_much (World *world)
 {
-  users_overload (w, 5);
+  users_overload (world, 5);
 }
 
 static void
-at_their_limit (World *w)
+at_their_limit (World *world)
 {
-  users_at_limit (w, 5);
+  users_at_limit (world, 5);
 }
 
 /* A team is near its limit, a gang waits for more of it than there is left, and the leader
--- a/tests/test_pairs.c
+++ b/tests/test_pairs.c
@@ -73,29 +73,29 @@
 static World *
 play (const Day *day)
 {
-  World *w = world_new (day->seed, day->seed % 3 == 2 ? 5 : 3);
-  users_init (w, 40, 260);
-  users_probe (w);
-  troubles_plan (w, day->troubles, day->n);
-  world_run (w, DAY_S);
-  for (guint i = 0; i < w->jobs->len; i++) {
-    const SJob *j = w->jobs->pdata[i];
-    if (!j->accepted)
-      w_broken (w, "liveness", "%s was never accepted", j->id);
-    else if (j->asked_cancel && !j->told_withdrawn && !j->told_done)
-      w_broken (w, "liveness", "%s was not withdrawn", j->id);
-    else if (!j->asked_cancel && j->shape != HR_SERVICE && !j->told_done)
-      w_broken (w, "liveness", "%s is not done", j->id);
+  World *world = world_new (day->seed, day->seed % 3 == 2 ? 5 : 3);
+  users_init (world, 40, 260);
+  users_probe (world);
+  troubles_plan (world, day->troubles, day->n);
+  world_run (world, DAY_S);
+  for (guint i = 0; i < world->jobs->len; i++) {
+    const SJob *job = world->jobs->pdata[i];
+    if (!job->accepted)
+      w_broken (world, "liveness", "%s was never accepted", job->id);
+    else if (job->asked_cancel && !job->told_withdrawn && !job->told_done)
+      w_broken (world, "liveness", "%s was not withdrawn", job->id);
+    else if (!job->asked_cancel && job->shape != HR_SERVICE && !job->told_done)
+      w_broken (world, "liveness", "%s is not done", job->id);
   }
-  return w;
+  return world;
 }
 
 static gboolean
 breaks (const Day *day)
 {
-  World *w = play (day);
-  gboolean broken = w->broken->len > 0;
-  world_free (w);
+  World *world = play (day);
+  gboolean broken = world->broken->len > 0;
+  world_free (world);
   return broken;
 }
 
@@ -150,10 +150,10 @@
 }
 
 static void
-print_broken (const World *w)
+print_broken (const World *world)
 {
-  for (guint i = 0; i < MIN (w->broken->len, 8); i++)
-    fprintf (stderr, "broken: %s\n", (char *)w->broken->pdata[i]);
+  for (guint i = 0; i < MIN (world->broken->len, 8); i++)
+    fprintf (stderr, "broken: %s\n", (char *)world->broken->pdata[i]);
 }
 
 /* ---- the search ---- */
@@ -162,11 +162,11 @@
 
 /* Both took effect on something that day. */
 static void
-note_met (const World *w, const Day *day)
+note_met (const World *world, const Day *day)
 {
   for (guint i = 0; i + 1 < day->n; i += 2) {
     HrTroubleKind a = day->troubles[i].kind, b = day->troubles[i + 1].kind;
-    if (w->troubles.played[a] && w->troubles.played[b]) {
+    if (world->troubles.played[a] && world->troubles.played[b]) {
       met[a][b]++;
       if (a != b)
         met[b][a]++;
@@ -179,11 +179,11 @@
 {
   guint pairs = 0;
   printf ("%-14s how often each pair of troubles took effect on one day\n", "");
-  for (int a = 0; a < TROUBLE_KINDS; a++) {
-    printf ("%-14s", trouble_kind_name (a));
-    for (int b = 0; b <= a; b++) {
-      printf (" %2u", met[a][b]);
-      pairs += met[a][b] > 0;
+  for (int attempt = 0; attempt < TROUBLE_KINDS; attempt++) {
+    printf ("%-14s", trouble_kind_name (attempt));
+    for (int b = 0; b <= attempt; b++) {
+      printf (" %2u", met[attempt][b]);
+      pairs += met[attempt][b] > 0;
     }
     printf ("\n");
   }
@@ -194,14 +194,14 @@
 search_day (guint number)
 {
   Day day = draw_day (number);
-  World *w = play (&day);
-  gboolean broken = w->broken->len > 0;
-  note_met (w, &day);
+  World *world = play (&day);
+  gboolean broken = world->broken->len > 0;
+  note_met (world, &day);
   if (broken) {
     fprintf (stderr, "day %u breaks a rule:\n", number);
-    print_broken (w);
+    print_broken (world);
   }
-  world_free (w);
+  world_free (world);
   if (broken) {
     Day least = shrink (day);
     fprintf (stderr, "with these troubles alone (test_pairs replay FILE):\n");
@@ -260,10 +260,10 @@
   if (argc == 3 && g_str_equal (argv[1], "replay")) {
     if (!read_day (argv[2], &day))
       return 2;
-    World *w = play (&day);
-    guint broken = w->broken->len;
-    print_broken (w);
-    world_free (w);
+    World *world = play (&day);
+    guint broken = world->broken->len;
+    print_broken (world);
+    world_free (world);
     printf ("%u rules broken\n", broken);
     return broken > 0;
   }
--- a/tests/test_peer_status_frame.c
+++ b/tests/test_peer_status_frame.c
@@ -16,31 +16,31 @@
 
 /* All that a hint can hold, with ids of so many bytes. */
 static void
-largest (HrPeerStatus *h, guint id_len)
+largest (HrPeerStatus *status, guint id_len)
 {
-  memset (h, 0, sizeof *h);
-  fill (h->label, sizeof h->label);
-  fill (h->incarnation, sizeof h->incarnation);
-  h->fencing_token = h->leader_record_revision = h->latest_cancellation = h->applied_revision =
-      G_MAXUINT64;
-  h->worker_contacts = G_MAXUINT32;
-  h->store_served = h->is_leader = h->synced = TRUE;
-  h->clock = 1e9;
-  for (h->n_echoes = 0; h->n_echoes < HR_MAX_ECHOES; h->n_echoes++) {
-    HrEcho *e = &h->echoes[h->n_echoes];
-    fill (e->label, sizeof e->label);
-    fill (e->incarnation, sizeof e->incarnation);
-    e->clock = 1e9;
-    e->cancellations_taken = G_MAXUINT64;
+  memset (status, 0, sizeof *status);
+  fill (status->label, sizeof status->label);
+  fill (status->incarnation, sizeof status->incarnation);
+  status->fencing_token = status->leader_record_revision = status->latest_cancellation =
+      status->applied_revision = G_MAXUINT64;
+  status->worker_contacts = G_MAXUINT32;
+  status->store_served = status->is_leader = status->synced = TRUE;
+  status->clock = 1e9;
+  for (status->n_echoes = 0; status->n_echoes < HR_MAX_ECHOES; status->n_echoes++) {
+    HrEcho *echo = &status->echoes[status->n_echoes];
+    fill (echo->label, sizeof echo->label);
+    fill (echo->incarnation, sizeof echo->incarnation);
+    echo->clock = 1e9;
+    echo->cancellations_taken = G_MAXUINT64;
   }
-  h->format = G_MAXUINT32;
-  for (; h->n_oversized < HR_MAX_OVERSIZED; h->n_oversized++)
-    fill (h->oversized[h->n_oversized], sizeof h->oversized[0]);
-  HrNamedCancellations *n = &h->cancellations;
-  n->is_stated = TRUE;
-  n->dropped_revision = n->log_begin = n->first_position = n->log_end = G_MAXUINT64;
+  status->format = G_MAXUINT32;
+  for (; status->n_oversized < HR_MAX_OVERSIZED; status->n_oversized++)
+    fill (status->oversized[status->n_oversized], sizeof status->oversized[0]);
+  HrNamedCancellations *named = &status->cancellations;
+  named->is_stated = TRUE;
+  named->dropped_revision = named->log_begin = named->first_position = named->log_end = G_MAXUINT64;
   g_autofree char *id = g_strnfill (id_len, 'x');
-  while (hr_named_cancellations_add (n, id))
+  while (hr_named_cancellations_add (named, id))
     ;
 }
 
@@ -50,19 +50,20 @@
 {
   static const guint lengths[] = {5, 10, 100};
   for (guint i = 0; i < G_N_ELEMENTS (lengths); i++) {
-    HrPeerStatus h, got = {0};
+    HrPeerStatus status, got = {0};
     guint8 frame[HR_MAX_FRAME];
-    largest (&h, lengths[i]);
-    gsize len = hr_peer_status_pack (&h, frame);
+    largest (&status, lengths[i]);
+    gsize len = hr_peer_status_pack (&status, frame);
     assert_true (len > 0 && len <= HR_MAX_FRAME);
     assert_true (hr_peer_status_unpack (&got, frame, len));
-    assert_memory_equal (&got.cancellations, &h.cancellations, sizeof h.cancellations);
-    assert_memory_equal (got.echoes, h.echoes, sizeof h.echoes);
-    assert_true (got.applied_revision == h.applied_revision &&
-                 got.latest_cancellation == h.latest_cancellation);
-    assert_true (got.format == h.format && got.n_oversized == h.n_oversized);
-    assert_memory_equal (got.oversized, h.oversized, sizeof h.oversized);
-    assert_true (got.is_leader && got.synced && got.store_served && got.n_echoes == h.n_echoes);
+    assert_memory_equal (&got.cancellations, &status.cancellations, sizeof status.cancellations);
+    assert_memory_equal (got.echoes, status.echoes, sizeof status.echoes);
+    assert_true (got.applied_revision == status.applied_revision &&
+                 got.latest_cancellation == status.latest_cancellation);
+    assert_true (got.format == status.format && got.n_oversized == status.n_oversized);
+    assert_memory_equal (got.oversized, status.oversized, sizeof status.oversized);
+    assert_true (got.is_leader && got.synced && got.store_served &&
+                 got.n_echoes == status.n_echoes);
   }
 }
 
@@ -70,15 +71,15 @@
 static void
 a_hint_without_a_log (void **state)
 {
-  HrPeerStatus h = {.label = "c1", .latest_cancellation = 7, .synced = TRUE}, got = {0};
+  HrPeerStatus status = {.label = "c1", .latest_cancellation = 7, .synced = TRUE}, got = {0};
   guint8 frame[HR_MAX_FRAME];
-  gsize len = hr_peer_status_pack (&h, frame);
+  gsize len = hr_peer_status_pack (&status, frame);
   assert_true (hr_peer_status_unpack (&got, frame, len));
   assert_false (got.cancellations.is_stated);
   assert_int_equal (got.latest_cancellation, 7);
-  h.cancellations.is_stated = TRUE; /* and an empty one comes as such */
+  status.cancellations.is_stated = TRUE; /* and an empty one comes as such */
   memset (&got, 0, sizeof got);
-  len = hr_peer_status_pack (&h, frame);
+  len = hr_peer_status_pack (&status, frame);
   assert_true (hr_peer_status_unpack (&got, frame, len));
   assert_true (got.cancellations.is_stated);
   assert_int_equal (got.cancellations.count, 0);
@@ -99,11 +100,11 @@
   Hr__Cancellations w = HR__CANCELLATIONS__INIT;
   w.jobs = jobs;
   w.n_jobs = w.log_end = JOBS;
-  Hr__PeerStatus m = HR__PEER_STATUS__INIT;
-  m.label = m.incarnation = "c1";
-  m.cancellations = &w;
-  assert_true (hr__peer_status__get_packed_size (&m) <= sizeof frame);
-  gsize len = hr__peer_status__pack (&m, frame);
+  Hr__PeerStatus message = HR__PEER_STATUS__INIT;
+  message.label = message.incarnation = "c1";
+  message.cancellations = &w;
+  assert_true (hr__peer_status__get_packed_size (&message) <= sizeof frame);
+  gsize len = hr__peer_status__pack (&message, frame);
   HrPeerStatus got = {0};
   assert_true (hr_peer_status_unpack (&got, frame, len));
   assert_true (got.cancellations.count < JOBS &&
--- a/tests/test_pipelines.c
+++ b/tests/test_pipelines.c
@@ -14,41 +14,41 @@
 #define DAY_ENDS 800
 
 static guint
-verdict (World *w, guint32 seed)
+verdict (World *world, guint32 seed)
 {
-  for (guint i = 0; i < MIN (w->broken->len, 12); i++)
-    fprintf (stderr, "seed %u: %s\n", seed, (char *)w->broken->pdata[i]);
+  for (guint i = 0; i < MIN (world->broken->len, 12); i++)
+    fprintf (stderr, "seed %u: %s\n", seed, (char *)world->broken->pdata[i]);
   if (g_getenv ("HR_SIM_VERBOSE"))
-    fprintf (stderr, "seed %u: %u jobs, %u starts, %u machines\n", seed, w->jobs->len, w->starts,
-             w->machines->len);
-  guint broken = w->broken->len;
-  world_free (w);
+    fprintf (stderr, "seed %u: %u jobs, %u starts, %u machines\n", seed, world->jobs->len,
+             world->starts, world->machines->len);
+  guint broken = world->broken->len;
+  world_free (world);
   return broken;
 }
 
 static guint
-play (World *w, guint32 seed, guint faults, gboolean shock)
+play (World *world, guint32 seed, guint faults, gboolean shock)
 {
   const PipelineDay day = {25, 3, 250, 0.6, shock};
-  users_pipelines (w, &day);
-  users_probe (w);
-  faults_init (w, faults, 20, CALM_AT);
-  world_run (w, DAY_ENDS);
+  users_pipelines (world, &day);
+  users_probe (world);
+  faults_init (world, faults, 20, CALM_AT);
+  world_run (world, DAY_ENDS);
   guint cancelled = 0, done = 0;
-  for (guint i = 0; i < w->jobs->len; i++) {
-    const SJob *j = w->jobs->pdata[i];
-    cancelled += j->told_withdrawn && !j->asked_cancel;
-    done += j->told_done && j->awaits->len;
+  for (guint i = 0; i < world->jobs->len; i++) {
+    const SJob *job = world->jobs->pdata[i];
+    cancelled += job->told_withdrawn && !job->asked_cancel;
+    done += job->told_done && job->awaits->len;
   }
   /* A day on which nothing was taken along, or nothing came after another, shows nothing. */
   if (cancelled < 4 || done < 20)
-    w_broken (w, "day", "%u jobs were taken along, %u are done after others", cancelled, done);
-  pipelines_verdict (w);
-  if (w->limits_fall > 0 && store_large (w))
-    w_broken (w, "large", "%u records are too large", store_large (w));
-  if (store_garbage (w))
-    w_broken (w, "garbage", "%u pages of final jobs are kept", store_garbage (w));
-  return verdict (w, seed);
+    w_broken (world, "day", "%u jobs were taken along, %u are done after others", cancelled, done);
+  pipelines_verdict (world);
+  if (world->limits_fall > 0 && store_large (world))
+    w_broken (world, "large", "%u records are too large", store_large (world));
+  if (store_garbage (world))
+    w_broken (world, "garbage", "%u pages of final jobs are kept", store_garbage (world));
+  return verdict (world, seed);
 }
 
 static void
@@ -75,9 +75,9 @@
 {
   guint broken = 0;
   for (guint s = 2030; s < 2036; s++) {
-    World *w = world_new (s, 3);
-    faults_owners (w, 25, CALM_AT);
-    broken += play (w, s, 0, FALSE);
+    World *world = world_new (s, 3);
+    faults_owners (world, 25, CALM_AT);
+    broken += play (world, s, 0, FALSE);
   }
   assert_int_equal (broken, 0);
 }
@@ -97,10 +97,10 @@
 {
   guint broken = 0;
   for (guint s = 2050; s < 2054; s++) {
-    World *w = world_new (s, 3);
-    w->quota_gpus = 3;
-    world_restart (w);
-    broken += play (w, s, 3, FALSE);
+    World *world = world_new (s, 3);
+    world->quota_gpus = 3;
+    world_restart (world);
+    broken += play (world, s, 3, FALSE);
   }
   assert_int_equal (broken, 0);
 }
@@ -122,18 +122,18 @@
 play_upgrade (guint32 seed, int nodes)
 {
   static const double fall_after_turn[] = {-4, 0.1, 2, 8};
-  World *w = world_new (seed, nodes);
-  w->capacity = 101;
-  w->long_names = TRUE;
+  World *world = world_new (seed, nodes);
+  world->capacity = 101;
+  world->long_names = TRUE;
   if (seed % 4) {
-    store_format (w, FALSE);
-    world_restart (w);
+    store_format (world, FALSE);
+    world_restart (world);
   }
-  double last = upgrade_roll (w, 60, seed % 2 ? 12 : 25, 4);
-  upgrade_limits_fall (w, last + fall_after_turn[seed % G_N_ELEMENTS (fall_after_turn)]);
+  double last = upgrade_roll (world, 60, seed % 2 ? 12 : 25, 4);
+  upgrade_limits_fall (world, last + fall_after_turn[seed % G_N_ELEMENTS (fall_after_turn)]);
   if (seed % 3 == 0)
-    faults_owners (w, 20, CALM_AT);
-  return play (w, seed, seed % 3, FALSE);
+    faults_owners (world, 20, CALM_AT);
+  return play (world, seed, seed % 3, FALSE);
 }
 
 static void
@@ -151,8 +151,9 @@
   sim_log_init ();
   if (argc == 4) { /* a sweep by hand: test_pipelines FROM TO FAULTS */
     guint broken = 0;
-    for (int s = atoi (argv[1]); s < atoi (argv[2]); s++)
-      broken += play (world_new (s, 3), s, atoi (argv[3]), s % 3 == 0);
+    for (int incarnation = atoi (argv[1]); incarnation < atoi (argv[2]); incarnation++)
+      broken +=
+          play (world_new (incarnation, 3), incarnation, atoi (argv[3]), incarnation % 3 == 0);
     return broken != 0;
   }
   static const char *const parts[] = {"quiet", "troubles", "owners", "shock",
--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -23,10 +23,10 @@
   g_autoptr (GHashTable) vars = hr_policy_vars_new ();
   g_autofree char *line = g_strdup_printf ("idle_s = %s;", expr);
   g_autofree char *text = with (line);
-  g_autoptr (GError) e = NULL;
-  HrPolicy p;
+  g_autoptr (GError) error = NULL;
+  HrPolicy policy;
   hr_core_policy_vars (NULL, vars);
-  return hr_policy_eval ("t", text, vars, &p, &e) ? p.idle_s : NAN;
+  return hr_policy_eval ("t", text, vars, &policy, &error) ? policy.idle_s : NAN;
 }
 
 static void
@@ -70,14 +70,14 @@
     for (int k = g_rand_int_range (r, 1, 5); k > 0; k--)
       text[g_rand_int_range (r, 0, strlen (text))] =
           "();=+-*/?:&|<>!,.#\"'0a \n\x80"[g_rand_int_range (r, 0, 24)];
-    g_autoptr (GError) e = NULL;
-    HrPolicy p;
-    if (!hr_policy_eval ("t", text, vars, &p, &e)) {
-      assert_non_null (e);
-      assert_true (g_str_has_prefix (e->message, "t:"));
+    g_autoptr (GError) error = NULL;
+    HrPolicy policy;
+    if (!hr_policy_eval ("t", text, vars, &policy, &error)) {
+      assert_non_null (error);
+      assert_true (g_str_has_prefix (error->message, "t:"));
       refused++;
     } else
-      assert_true (p.idle_s >= 0 && p.tabu_rounds >= 0);
+      assert_true (policy.idle_s >= 0 && policy.tabu_rounds >= 0);
   }
   assert_true (refused > 500);
 }
--- a/tests/test_protocol.c
+++ b/tests/test_protocol.c
@@ -18,15 +18,15 @@
   "\"due_s\":900.0,\"later\":{\"unknown\":1}}"
 
 static gboolean
-parses (const char *text, HrJobSpec *s, char **why)
+parses (const char *text, HrJobSpec *spec, char **why)
 {
   HrNames names;
   const char *id;
   hr_names_init (&names);
   hr_intern (&names.types, "g8");
-  json_t *o = hr_json_parse (text, strlen (text), why);
-  gboolean ok = o && hr_jobspec_parse (o, &names, s, &id, why);
-  json_decref (o);
+  json_t *object = hr_json_parse (text, strlen (text), why);
+  gboolean ok = object && hr_jobspec_parse (object, &names, spec, &id, why);
+  json_decref (object);
   hr_names_clear (&names);
   return ok;
 }
@@ -34,16 +34,16 @@
 static void
 a_submission (void **state)
 {
-  HrJobSpec s;
+  HrJobSpec spec;
   g_autofree char *why = NULL;
-  assert_true (parses (JOB, &s, &why));
-  assert_int_equal (s.tasks, 16);
-  assert_int_equal (s.shape, HR_GANG);
-  assert_int_equal (s.priority, HR_PRIORITY_URGENT);
-  assert_true (s.one_zone && !s.spread && s.allows_spot);
-  assert_float_equal (s.deadline_s, 900, 0);
-  assert_int_equal (s.types, 1);
-  assert_int_equal (s.zone, HR_NONE);
+  assert_true (parses (JOB, &spec, &why));
+  assert_int_equal (spec.tasks, 16);
+  assert_int_equal (spec.shape, HR_GANG);
+  assert_int_equal (spec.priority, HR_PRIORITY_URGENT);
+  assert_true (spec.one_zone && !spec.spread && spec.allows_spot);
+  assert_float_equal (spec.deadline_s, 900, 0);
+  assert_int_equal (spec.types, 1);
+  assert_int_equal (spec.zone, HR_NONE);
 }
 
 /* A field replaced by something wrong: refused, with the field's name. */
@@ -61,26 +61,26 @@
       {"jobclass", "3"},
   };
   for (gsize i = 0; i < G_N_ELEMENTS (cases); i++) {
-    json_t *o = json_loads (JOB, 0, NULL);
-    json_object_set_new (o, cases[i][0], json_loads (cases[i][1], JSON_DECODE_ANY, NULL));
-    char *text = json_dumps (o, 0);
-    HrJobSpec s;
+    json_t *object = json_loads (JOB, 0, NULL);
+    json_object_set_new (object, cases[i][0], json_loads (cases[i][1], JSON_DECODE_ANY, NULL));
+    char *text = json_dumps (object, 0);
+    HrJobSpec spec;
     g_autofree char *why = NULL;
-    if (parses (text, &s, &why) || !why || !strstr (why, cases[i][0]))
+    if (parses (text, &spec, &why) || !why || !strstr (why, cases[i][0]))
       fail_msg ("%s = %s: %s", cases[i][0], cases[i][1], why ? why : "accepted");
     free (text);
-    json_decref (o);
+    json_decref (object);
   }
 }
 
 static gboolean
 awaits (const char *value, GStrv *ids, char **why)
 {
-  json_t *o = json_object ();
+  json_t *object = json_object ();
   if (value)
-    json_object_set_new (o, "awaits", json_loads (value, JSON_DECODE_ANY, NULL));
-  gboolean ok = hr_jobspec_awaits (o, ids, why);
-  json_decref (o);
+    json_object_set_new (object, "awaits", json_loads (value, JSON_DECODE_ANY, NULL));
+  gboolean ok = hr_jobspec_awaits (object, ids, why);
+  json_decref (object);
   return ok;
 }
 
@@ -151,9 +151,9 @@
                                     "null",  "7",  "{\"pieces\":1}",
                                     "{} {}", "\"", "{\"pieces\":99999999999999999999999}"};
   for (gsize i = 0; i < G_N_ELEMENTS (bad); i++) {
-    HrJobSpec s;
+    HrJobSpec spec;
     g_autofree char *why = NULL;
-    assert_false (parses (bad[i], &s, &why));
+    assert_false (parses (bad[i], &spec, &why));
     assert_non_null (why);
   }
 }
@@ -168,11 +168,12 @@
     char text[] = JOB;
     for (int k = g_rand_int_range (r, 1, 4); k > 0; k--)
       text[g_rand_int_range (r, 0, sizeof text - 1)] = g_rand_int_range (r, 1, 256);
-    HrJobSpec s;
+    HrJobSpec spec;
     g_autofree char *why = NULL;
-    if (parses (text, &s, &why)) {
+    if (parses (text, &spec, &why)) {
       taken++;
-      assert_true (s.tasks >= 1 && s.tasks <= HR_MAX_TASKS && s.cpus >= 0 && isfinite (s.cpus));
+      assert_true (spec.tasks >= 1 && spec.tasks <= HR_MAX_TASKS && spec.cpus >= 0 &&
+                   isfinite (spec.cpus));
     } else
       assert_non_null (why);
   }
@@ -189,15 +190,15 @@
 reports (void **state)
 {
   g_autofree char *why = NULL;
-  g_autoptr (HrHeartbeat) r = hr_heartbeat_parse (REPORT, strlen (REPORT), &why);
-  assert_non_null (r);
-  assert_int_equal (r->tasks->len, 2);
-  HrReportedTask *it = &g_array_index (r->tasks, HrReportedTask, 0);
-  assert_string_equal (it->job, "job-000412");
-  assert_int_equal (it->task, 3);
-  assert_int_equal (it->attempt, 2);
-  assert_int_equal (g_array_index (r->tasks, HrReportedTask, 1).cause, HR_EXIT_DONE);
-  assert_true (r->preemption_notice_s < 0);
+  g_autoptr (HrHeartbeat) heartbeat = hr_heartbeat_parse (REPORT, strlen (REPORT), &why);
+  assert_non_null (heartbeat);
+  assert_int_equal (heartbeat->tasks->len, 2);
+  HrReportedTask *reported = &g_array_index (heartbeat->tasks, HrReportedTask, 0);
+  assert_string_equal (reported->job, "job-000412");
+  assert_int_equal (reported->task, 3);
+  assert_int_equal (reported->attempt, 2);
+  assert_int_equal (g_array_index (heartbeat->tasks, HrReportedTask, 1).cause, HR_EXIT_DONE);
+  assert_true (heartbeat->preemption_notice_s < 0);
   g_autoptr (GRand) rand = g_rand_new_with_seed (13);
   for (guint n = 0; n < 5000; n++) { /* nonsense is refused, and harms nobody */
     char text[] = REPORT;
@@ -216,15 +217,15 @@
   hr_order_launch (list, "job-1", 4, 2);
   hr_order_stop (list, "job-2", 1, 1, 10);
   hr_order_clear (list, "job-3", 0, 1);
-  g_autofree char *t = hr_orders_text (41, 3, list);
-  json_t *o = json_loads (t, 0, NULL);
-  assert_int_equal (json_integer_value (json_object_get (o, "baton")), 41);
-  assert_int_equal (json_integer_value (json_object_get (o, "tenure")), 3);
-  json_t *l = json_object_get (o, "orders");
+  g_autofree char *team_name = hr_orders_text (41, 3, list);
+  json_t *object = json_loads (team_name, 0, NULL);
+  assert_int_equal (json_integer_value (json_object_get (object, "baton")), 41);
+  assert_int_equal (json_integer_value (json_object_get (object, "tenure")), 3);
+  json_t *l = json_object_get (object, "orders");
   assert_int_equal (json_array_size (l), 3);
   assert_string_equal (hr_json_str (json_array_get (l, 0), "piece"), "job-1/4");
   assert_string_equal (hr_json_str (json_array_get (l, 1), "verb"), "kill");
-  json_decref (o);
+  json_decref (object);
 }
 
 static void
@@ -232,19 +233,19 @@
 {
   HrNames names;
   hr_names_init (&names);
-  json_t *o =
+  json_t *object =
       json_loads ("{\"hulls\":[{\"sku\":\"g8\",\"vcpus\":96,\"accelerators\":8,\"memory_gb\":768,"
                   "\"cache_gb\":200,"
                   "\"fetch_gb_per_s\":1.0,\"hourly\":12.0,\"low_price\":4.5,\"startup_s\":45,"
                   "\"quarries\":[\"a\",\"b\"]},{\"sku\":\"broken\"}]}",
                   0, NULL);
-  g_autoptr (GArray) t = hr_machine_types_parse (o, &names);
-  assert_int_equal (t->len, 1);
-  assert_int_equal (g_array_index (t, HrMachineType, 0).zones->len, 2);
+  g_autoptr (GArray) ended = hr_machine_types_parse (object, &names);
+  assert_int_equal (ended->len, 1);
+  assert_int_equal (g_array_index (ended, HrMachineType, 0).zones->len, 2);
   json_t *none = json_object ();
   assert_null (hr_machine_types_parse (none, &names));
   json_decref (none);
-  json_decref (o);
+  json_decref (object);
   hr_names_clear (&names);
 }
 
@@ -264,9 +265,9 @@
       "\"outside\":{\"cloud\":\"10.2.0.2:84\",\"state\":\"10.2.0.1:23\"},"
       "\"members\":[{\"label\":\"b\",\"area\":\"%s\",\"endpoint\":\"%s\"}]," FACTS "}",
       area, endpoint, cancel);
-  json_t *o = json_loads (text, 0, NULL);
-  HrSettings *s = hr_settings_parse (o, names, error);
-  json_decref (o);
+  json_t *object = json_loads (text, 0, NULL);
+  HrSettings *s = hr_settings_parse (object, names, error);
+  json_decref (object);
   return s;
 }
 
--- a/tests/test_readiness.c
+++ b/tests/test_readiness.c
@@ -23,8 +23,8 @@
   assert_false (node_opens (n, "job-3"));
   assert_string_equal (node_poll (n, "job-3"), "queued");
   assert_non_null (strstr (hr_json_str (n->body, "reason"), "2 jobs to be done: job-1, job-2"));
-  HrJob *j = hr_job_find (n->core, "job-3");
-  assert_false (j->run.arrival_counted);
+  HrJob *job = hr_job_find (n->core, "job-3");
+  assert_false (job->run.arrival_counted);
   double since = n->now;
   ledger_done (l, "job-2");
   node_run (n, 2);
@@ -33,8 +33,8 @@
   ledger_done (l, "job-1");
   node_run (n, 2);
   assert_true (node_opens (n, "job-3"));
-  assert_true (j->run.arrival_counted); /* it arrives now */
-  assert_true (j->plan.deadline - 1e9 > since + 40 + 50 && isfinite (j->plan.deadline));
+  assert_true (job->run.arrival_counted); /* it arrives now */
+  assert_true (job->plan.deadline - 1e9 > since + 40 + 50 && isfinite (job->plan.deadline));
   /* A job that names what is done need not wait at all. */
   assert_int_equal (node_submit (n, "job-4", "[\"job-1\"]", NULL), 201);
   assert_true (node_opens (n, "job-4"));
@@ -51,9 +51,9 @@
   assert_int_equal (node_submit (n, "job-1", NULL, NULL), 201);
   assert_int_equal (node_submit (n, "job-2", "[\"job-1\"]", NULL), 201);
   HrJob *first = hr_job_find (n->core, "job-1"), *second = hr_job_find (n->core, "job-2");
-  HrMachine *m = node_machine (n);
+  HrMachine *machine = node_machine (n);
   for (guint i = 0; i < first->n_tasks; i++)
-    hr_task_assign (n->core, first, i, m, 1);
+    hr_task_assign (n->core, first, i, machine, 1);
   node_run (n, 1);
   l->down = TRUE;
   for (guint i = 0; i < first->n_tasks; i++)
@@ -105,9 +105,9 @@
   Ledger *l = ledger_new ();
   LoneNode *n = node_up (l);
   assert_int_equal (node_submit (n, "job-1", NULL, NULL), 201);
-  json_t *o = json_loads (ledger_job (l, "job-1"), 0, NULL);
-  json_object_set_new (o, "a", json_pack ("[s]", "job-77"));
-  g_autofree char *text = hr_json_take_text (o);
+  json_t *object = json_loads (ledger_job (l, "job-1"), 0, NULL);
+  json_object_set_new (object, "a", json_pack ("[s]", "job-77"));
+  g_autofree char *text = hr_json_take_text (object);
   l->epoch++;
   ledger_set (l, "h/j/job-2", text);
   node_run (n, 2);
@@ -124,10 +124,10 @@
 /* A machine that is up, with one task of the job assigned to it: what no plan does while the job
  * waits. */
 static HrTask *
-misplace (LoneNode *n, HrJob *j)
+misplace (LoneNode *n, HrJob *job)
 {
-  hr_task_assign (n->core, j, 0, node_machine (n), 1);
-  return &j->tasks[0];
+  hr_task_assign (n->core, job, 0, node_machine (n), 1);
+  return &job->tasks[0];
 }
 
 /* Whatever else goes wrong, nothing is recorded of a job that waits. */
@@ -138,14 +138,14 @@
   LoneNode *n = node_up (l);
   assert_int_equal (node_submit (n, "job-1", NULL, NULL), 201);
   assert_int_equal (node_submit (n, "job-2", "[\"job-1\"]", NULL), 201);
-  HrJob *j = hr_job_find (n->core, "job-2");
-  const HrTask *t = misplace (n, j);
+  HrJob *job = hr_job_find (n->core, "job-2");
+  const HrTask *task = misplace (n, job);
   node_run (n, 3);
-  assert_int_equal (t->state, HR_TASK_ASSIGNING);
+  assert_int_equal (task->state, HR_TASK_ASSIGNING);
   assert_null (strstr (ledger_job (l, "job-2"), "m-1"));
   ledger_done (l, "job-1");
   node_run (n, 1);
-  hr_record_writer_mark (n->core, j, 0);
+  hr_record_writer_mark (n->core, job, 0);
   node_run (n, 1);
   assert_non_null (strstr (ledger_job (l, "job-2"), "m-1"));
   node_free (n);
@@ -172,8 +172,8 @@
   LoneNode *n = node_up (l);
   assert_int_equal (node_submit (n, "job-1", NULL, NULL), 201);
   assert_int_equal (node_submit (n, "job-2", "[\"job-1\"]", NULL), 201);
-  HrTask *t = misplace (n, hr_job_find (n->core, "job-2"));
-  t->state = HR_TASK_BOUND;
+  HrTask *task = misplace (n, hr_job_find (n->core, "job-2"));
+  task->state = HR_TASK_BOUND;
   assert_int_equal (orders (n, 1), 0);
   assert_int_equal (orders (n, 2), 0);
   ledger_done (l, "job-1");
@@ -285,13 +285,13 @@
   HrPriority priority[DRAWN_JOBS];
   for (gint i = d->n - 1; i >= 0; i--) {
     g_autofree char *id = g_strdup_printf ("job-d%02d", i);
-    const HrJob *j = hr_job_find (n->core, id);
+    const HrJob *job = hr_job_find (n->core, id);
     gboolean ready = TRUE;
     for (gint k = 0; k < i; k++)
       ready = ready && !d->awaits[i][k];
     priority[i] = d->rank[i];
-    deadline[i] = d->due[i] > 0 ? j->submitted_at + d->due[i]
-                  : ready ? j->submitted_at + n->core->policy.default_deadline * DRAWN_ESTIMATE_S
+    deadline[i] = d->due[i] > 0 ? job->submitted_at + d->due[i]
+                  : ready ? job->submitted_at + n->core->policy.default_deadline * DRAWN_ESTIMATE_S
                           : INFINITY;
     for (guint k = i + 1; k < d->n; k++)
       if (d->awaits[k][i] && !gone[k]) {
@@ -300,8 +300,9 @@
       }
     if (gone[i])
       continue;
-    assert_int_equal (j->plan.priority, priority[i]);
-    assert_true (j->plan.deadline == deadline[i] || fabs (j->plan.deadline - deadline[i]) < 1e-3);
+    assert_int_equal (job->plan.priority, priority[i]);
+    assert_true (job->plan.deadline == deadline[i] ||
+                 fabs (job->plan.deadline - deadline[i]) < 1e-3);
   }
 }
 
@@ -372,9 +373,9 @@
   assert_int_equal (node_submit (n, "job-1", NULL, LAST_STEP), 201);
   g_autofree char *record = g_strdup (ledger_job (l, "job-1"));
   for (guint i = 0; i < G_N_ELEMENTS (ids); i++) {
-    json_t *o = json_loads (record, 0, NULL);
-    json_object_set_new (o, "a", json_pack ("[s]", ids[(i + 1) % G_N_ELEMENTS (ids)]));
-    g_autofree char *text = hr_json_take_text (o), *path = g_strconcat ("h/j/", ids[i], NULL);
+    json_t *object = json_loads (record, 0, NULL);
+    json_object_set_new (object, "a", json_pack ("[s]", ids[(i + 1) % G_N_ELEMENTS (ids)]));
+    g_autofree char *text = hr_json_take_text (object), *path = g_strconcat ("h/j/", ids[i], NULL);
     l->epoch++;
     ledger_set (l, path, text);
   }
@@ -400,10 +401,10 @@
   assert_int_equal (node_submit (n, "job-1", NULL, NULL), 201);
   assert_int_equal (node_submit (n, "job-2", "[\"job-1\"]", NULL), 201);
   assert_int_equal (node_submit (n, "job-3", NULL, NULL), 201);
-  HrMachine *m = node_machine (n);
+  HrMachine *machine = node_machine (n);
   static const char *const ids[] = {"job-1", "job-3"};
   for (guint i = 0; i < 4; i++)
-    hr_task_assign (n->core, hr_job_find (n->core, ids[i / 2]), i % 2, m, 1);
+    hr_task_assign (n->core, hr_job_find (n->core, ids[i / 2]), i % 2, machine, 1);
   node_run (n, 2);
   n->core->store.transactions.allowance.tokens = -1e6; /* nothing leaves for a while */
   for (guint i = 0; i < 4; i++)
@@ -419,13 +420,13 @@
 
 /* Whose tasks stand first in the machine's list, after a pass. */
 static const char *
-first_in_list (LoneNode *n, const HrMachine *m)
+first_in_list (LoneNode *n, const HrMachine *machine)
 {
   n->core->scheduling.plan_is_stale = TRUE;
   node_run (n, 2);
-  assert_true (m->plan.list->len > 1);
-  return ((HrJob *)
-              n->core->store.tables.jobs->pdata[g_array_index (m->plan.list, HrTaskRef, 0).job])
+  assert_true (machine->plan.list->len > 1);
+  return ((HrJob *)n->core->store.tables.jobs
+              ->pdata[g_array_index (machine->plan.list, HrTaskRef, 0).job])
       ->id;
 }
 
@@ -439,15 +440,15 @@
   assert_int_equal (node_submit (n, "job-2", NULL, ",\"due_s\":800,\"rank\":\"low\""), 201);
   hr_job_find (n->core, "job-1")->spec.cpus = 12; /* the whole machine, for each task */
   hr_job_find (n->core, "job-2")->spec.cpus = 12;
-  const HrMachine *m = node_machine (n);
-  assert_string_equal (first_in_list (n, m), "job-2");
+  const HrMachine *machine = node_machine (n);
+  assert_string_equal (first_in_list (n, machine), "job-2");
   assert_int_equal (node_submit (n, "job-3", "[\"job-1\"]", ",\"due_s\":60,\"rank\":\"low\""), 201);
-  assert_string_equal (first_in_list (n, m), "job-1");
-  for (guint i = 1; i < m->plan.list->len; i++) {
+  assert_string_equal (first_in_list (n, machine), "job-1");
+  for (guint i = 1; i < machine->plan.list->len; i++) {
     const HrJob *before =
-        n->core->store.tables.jobs->pdata[g_array_index (m->plan.list, HrTaskRef, i - 1).job];
+        n->core->store.tables.jobs->pdata[g_array_index (machine->plan.list, HrTaskRef, i - 1).job];
     const HrJob *after =
-        n->core->store.tables.jobs->pdata[g_array_index (m->plan.list, HrTaskRef, i).job];
+        n->core->store.tables.jobs->pdata[g_array_index (machine->plan.list, HrTaskRef, i).job];
     assert_true (before->plan.deadline <= after->plan.deadline);
   }
   node_free (n);
@@ -462,12 +463,12 @@
   Ledger *l = ledger_new ();
   LoneNode *n = node_up (l);
   assert_int_equal (node_submit (n, "job-1", NULL, ",\"due_s\":900,\"rank\":\"low\""), 201);
-  HrJob *j = hr_job_find (n->core, "job-1");
-  HrMachine *m = node_machine (n);
-  j->spec.estimate_s = runs_s;
-  for (guint i = 0; i < j->n_tasks; i++) {
-    hr_task_assign (n->core, j, i, m, 1);
-    j->tasks[i].running_since = n->now;
+  HrJob *job = hr_job_find (n->core, "job-1");
+  HrMachine *machine = node_machine (n);
+  job->spec.estimate_s = runs_s;
+  for (guint i = 0; i < job->n_tasks; i++) {
+    hr_task_assign (n->core, job, i, machine, 1);
+    job->tasks[i].running_since = n->now;
   }
   node_run (n, 1);
   assert_int_equal (node_submit (n, "job-2", "[\"job-1\"]", last_step), 201);
--- a/tests/test_record.c
+++ b/tests/test_record.c
@@ -8,25 +8,25 @@
 #include <cmocka.h>
 
 static HrJobSpec
-any_spec (GRand *r, HrNames *n, guint tasks)
+any_spec (GRand *r, HrNames *names, guint tasks)
 {
-  HrJobSpec s = {0};
-  s.job_class = hr_intern (&n->classes, "k");
-  s.team = hr_intern (&n->teams, "t");
-  s.image = hr_intern (&n->images, "i");
-  s.zone = g_rand_boolean (r) ? HR_NONE : hr_intern (&n->zones, "z");
-  s.shape = g_rand_int_range (r, 0, 3);
-  s.priority = g_rand_int_range (r, 0, 4);
-  s.tasks = tasks;
-  s.cpus = g_rand_double_range (r, 0, 16);
-  s.gpus = g_rand_int_range (r, 0, 4);
-  s.memory_gb = g_rand_double_range (r, 0, 96);
-  s.types = g_rand_boolean (r) ? 0 : 1 + 2 * g_rand_int_range (r, 0, 2);
-  s.one_zone = g_rand_boolean (r);
-  s.spread = g_rand_boolean (r);
-  s.allows_spot = g_rand_boolean (r);
-  s.deadline_s = g_rand_boolean (r) ? -1 : g_rand_double_range (r, 1, 100);
-  return s;
+  HrJobSpec spec = {0};
+  spec.job_class = hr_intern (&names->classes, "k");
+  spec.team = hr_intern (&names->teams, "t");
+  spec.image = hr_intern (&names->images, "i");
+  spec.zone = g_rand_boolean (r) ? HR_NONE : hr_intern (&names->zones, "z");
+  spec.shape = g_rand_int_range (r, 0, 3);
+  spec.priority = g_rand_int_range (r, 0, 4);
+  spec.tasks = tasks;
+  spec.cpus = g_rand_double_range (r, 0, 16);
+  spec.gpus = g_rand_int_range (r, 0, 4);
+  spec.memory_gb = g_rand_double_range (r, 0, 96);
+  spec.types = g_rand_boolean (r) ? 0 : 1 + 2 * g_rand_int_range (r, 0, 2);
+  spec.one_zone = g_rand_boolean (r);
+  spec.spread = g_rand_boolean (r);
+  spec.allows_spot = g_rand_boolean (r);
+  spec.deadline_s = g_rand_boolean (r) ? -1 : g_rand_double_range (r, 1, 100);
+  return spec;
 }
 
 /* Member by member: what stands between them is nobody's, and differs with the compiler. */
@@ -61,48 +61,48 @@
     hr_intern_init (&machines);
     hr_intern (&names.types, "a");
     hr_intern (&names.types, "b");
-    HrJob *j = g_new0 (HrJob, 1), *k = g_new0 (HrJob, 1);
-    HrJobSpec s = any_spec (r, &names, g_rand_int_range (r, 1, 200));
-    guint per = s.tasks <= hr_tasks_per_page (4) ? 0 : hr_tasks_per_page (4);
-    hr_job_set_spec (j, &s, per);
-    for (guint i = 0; i < s.tasks; i++) {
-      HrTask *t = &j->tasks[i];
+    HrJob *job = g_new0 (HrJob, 1), *k = g_new0 (HrJob, 1);
+    HrJobSpec spec = any_spec (r, &names, g_rand_int_range (r, 1, 200));
+    guint per = spec.tasks <= hr_tasks_per_page (4) ? 0 : hr_tasks_per_page (4);
+    hr_job_set_spec (job, &spec, per);
+    for (guint i = 0; i < spec.tasks; i++) {
+      HrTask *task = &job->tasks[i];
       int dice = g_rand_int_range (r, 0, 3);
-      t->done_recorded = dice == 1;
+      task->done_recorded = dice == 1;
       if (dice == 2) {
-        g_autofree char *m = g_strdup_printf ("m-%06u", g_rand_int_range (r, 0, 50));
-        t->recorded.machine = hr_intern (&machines, m);
-        t->recorded.incarnation = g_rand_int_range (r, 1, 9);
-        t->recorded.attempt = g_rand_int_range (r, 1, 9);
+        g_autofree char *machine_name = g_strdup_printf ("m-%06u", g_rand_int_range (r, 0, 50));
+        task->recorded.machine = hr_intern (&machines, machine_name);
+        task->recorded.incarnation = g_rand_int_range (r, 1, 9);
+        task->recorded.attempt = g_rand_int_range (r, 1, 9);
       }
     }
-    g_autofree char *main = hr_record_main (j, &names, &machines, HR_JOB_CANCELLED, "w.1", FALSE);
+    g_autofree char *main = hr_record_main (job, &names, &machines, HR_JOB_CANCELLED, "w.1", FALSE);
     assert_true (strlen (main) <= 4096);
-    json_t *v = json_loads (main, 0, NULL);
+    json_t *value = json_loads (main, 0, NULL);
     HrRecord rec;
-    assert_true (hr_record_read (v, &names, &rec));
+    assert_true (hr_record_read (value, &names, &rec));
     assert_int_equal (rec.state, HR_JOB_CANCELLED);
     assert_string_equal (rec.tag, "w.1");
-    assert_same_spec (&rec.spec, &s);
+    assert_same_spec (&rec.spec, &spec);
     hr_job_set_spec (k, &rec.spec, rec.tasks_per_page);
     if (!per)
       assert_true (hr_record_tasks (k, 0, rec.tasks, &machines));
     hr_record_clear (&rec);
-    json_decref (v);
-    for (guint p = 0; per && p < j->record.n_pages; p++) {
-      g_autofree char *page = hr_record_page (j, p, &machines, "w.2", FALSE);
+    json_decref (value);
+    for (guint p = 0; per && p < job->record.n_pages; p++) {
+      g_autofree char *page = hr_record_page (job, p, &machines, "w.2", FALSE);
       assert_true (strlen (page) <= 4096);
-      v = json_loads (page, 0, NULL);
-      assert_true (hr_record_tasks (k, p * per, json_object_get (v, "x"), &machines));
-      json_decref (v);
+      value = json_loads (page, 0, NULL);
+      assert_true (hr_record_tasks (k, p * per, json_object_get (value, "x"), &machines));
+      json_decref (value);
     }
-    for (guint i = 0; i < s.tasks; i++) {
-      assert_int_equal (k->tasks[i].done_recorded, j->tasks[i].done_recorded);
-      assert_int_equal (k->tasks[i].recorded.machine, j->tasks[i].recorded.machine);
-      assert_int_equal (k->tasks[i].recorded.attempt, j->tasks[i].recorded.attempt);
-      assert_int_equal (k->tasks[i].recorded.incarnation, j->tasks[i].recorded.incarnation);
+    for (guint i = 0; i < spec.tasks; i++) {
+      assert_int_equal (k->tasks[i].done_recorded, job->tasks[i].done_recorded);
+      assert_int_equal (k->tasks[i].recorded.machine, job->tasks[i].recorded.machine);
+      assert_int_equal (k->tasks[i].recorded.attempt, job->tasks[i].recorded.attempt);
+      assert_int_equal (k->tasks[i].recorded.incarnation, job->tasks[i].recorded.incarnation);
     }
-    hr_job_free (j);
+    hr_job_free (job);
     hr_job_free (k);
     hr_intern_clear (&machines);
     hr_names_clear (&names);
@@ -120,39 +120,39 @@
   HrIntern machines;
   hr_names_init (&names);
   hr_intern_init (&machines);
-  HrJobSpec s = any_spec (r, &names, 1);
+  HrJobSpec spec = any_spec (r, &names, 1);
   HrJob first = {.id = "job-1"}, second = {.id = "job-2"};
   HrJob *both[] = {&first, &second};
-  HrJob *j = g_new0 (HrJob, 1);
-  hr_job_set_spec (j, &s, 0);
-  g_autofree char *plain = hr_record_main (j, &names, &machines, HR_JOB_QUEUED, "w.1", FALSE);
+  HrJob *job = g_new0 (HrJob, 1);
+  hr_job_set_spec (job, &spec, 0);
+  g_autofree char *plain = hr_record_main (job, &names, &machines, HR_JOB_QUEUED, "w.1", FALSE);
   assert_null (strstr (plain, "\"a\":"));
-  j->dependencies.awaited = g_memdup2 (both, sizeof both);
-  j->dependencies.n_awaited = 2;
-  g_autofree char *main = hr_record_main (j, &names, &machines, HR_JOB_QUEUED, "w.1", FALSE);
-  json_t *v = json_loads (main, 0, NULL);
+  job->dependencies.awaited = g_memdup2 (both, sizeof both);
+  job->dependencies.n_awaited = 2;
+  g_autofree char *main = hr_record_main (job, &names, &machines, HR_JOB_QUEUED, "w.1", FALSE);
+  json_t *value = json_loads (main, 0, NULL);
   HrRecord rec;
-  assert_true (hr_record_read (v, &names, &rec));
-  assert_same_spec (&rec.spec, &s);
+  assert_true (hr_record_read (value, &names, &rec));
+  assert_same_spec (&rec.spec, &spec);
   assert_int_equal (g_strv_length (rec.awaits), 2);
   assert_string_equal (rec.awaits[0], "job-1");
   assert_string_equal (rec.awaits[1], "job-2");
   hr_record_clear (&rec);
   /* But for that one member the record is the same. */
-  json_object_del (v, "a");
-  g_autofree char *rest = hr_json_take_text (v);
+  json_object_del (value, "a");
+  g_autofree char *rest = hr_json_take_text (value);
   assert_string_equal (rest, plain);
-  g_autofree char *own = hr_record_tombstone (j, HR_JOB_CANCELLED, "w.2");
+  g_autofree char *own = hr_record_tombstone (job, HR_JOB_CANCELLED, "w.2");
   assert_null (strstr (own, "\"c\":"));
-  j->cancellation.root = &first;
-  g_autofree char *derived = hr_record_tombstone (j, HR_JOB_CANCELLED, "w.2");
-  v = json_loads (derived, 0, NULL);
-  assert_true (hr_record_read (v, &names, &rec));
+  job->cancellation.root = &first;
+  g_autofree char *derived = hr_record_tombstone (job, HR_JOB_CANCELLED, "w.2");
+  value = json_loads (derived, 0, NULL);
+  assert_true (hr_record_read (value, &names, &rec));
   assert_true (rec.is_tombstone && !rec.awaits);
   assert_string_equal (rec.cancelled_with, "job-1");
   hr_record_clear (&rec);
-  json_decref (v);
-  hr_job_free (j);
+  json_decref (value);
+  hr_job_free (job);
   hr_intern_clear (&machines);
   hr_names_clear (&names);
 }
@@ -182,11 +182,11 @@
   hr_record_clear (&good);
   json_decref (whole);
   for (gsize i = 0; i < G_N_ELEMENTS (bad); i++) {
-    json_t *v = json_loads (bad[i], JSON_DECODE_ANY, NULL);
-    HrRecord r;
-    assert_false (hr_record_read (v, &names, &r));
-    hr_record_clear (&r);
-    json_decref (v);
+    json_t *value = json_loads (bad[i], JSON_DECODE_ANY, NULL);
+    HrRecord record;
+    assert_false (hr_record_read (value, &names, &record));
+    hr_record_clear (&record);
+    json_decref (value);
   }
   hr_names_clear (&names);
 }
--- a/tests/test_record_split.c
+++ b/tests/test_record_split.c
@@ -28,10 +28,10 @@
 static gboolean
 staged (const Ledger *l)
 {
-  GHashTableIter it;
+  GHashTableIter iter;
   gpointer path;
-  g_hash_table_iter_init (&it, l->stamp);
-  while (g_hash_table_iter_next (&it, &path, NULL))
+  g_hash_table_iter_init (&iter, l->stamp);
+  while (g_hash_table_iter_next (&iter, &path, NULL))
     if (g_str_has_prefix (path, "h/u/" JOB "/"))
       return TRUE;
   return FALSE;
--- a/tests/test_renewals.c
+++ b/tests/test_renewals.c
@@ -20,12 +20,12 @@
 }
 
 static SceneMachine *
-machine_running (Scene *scene, const char *job)
+machine_running (Scene *scene, const char *job_id)
 {
-  g_autofree char *piece = g_strconcat (job, "/0", NULL);
+  g_autofree char *piece = g_strconcat (job_id, "/0", NULL);
   SceneMachine *m = scene_machine (scene, "m-1", "z0");
   scene_run (scene, 4);
-  scene_submit (scene, 0, job, NULL);
+  scene_submit (scene, 0, job_id, NULL);
   scene_until (scene, runs_somewhere, piece, 8);
   scene_run (scene, 3);
   return m;
@@ -235,8 +235,8 @@
   json_array_foreach (json_object_get (report, "pieces"), i, item)
   {
     const char *piece = hr_json_str (item, "piece");
-    g_autofree char *job = g_strndup (piece, strcspn (piece, "/"));
-    if (!g_strv_contains (over, job) || strcmp (hr_json_str (item, "stance"), "exited") == 0)
+    g_autofree char *job_id = g_strndup (piece, strcspn (piece, "/"));
+    if (!g_strv_contains (over, job_id) || strcmp (hr_json_str (item, "stance"), "exited") == 0)
       continue;
     if (!names_stop (orders, piece, json_integer_value (json_object_get (item, "try")))) {
       g_autofree char *text = json_dumps (report, JSON_COMPACT);
--- a/tests/test_replica.c
+++ b/tests/test_replica.c
@@ -70,15 +70,15 @@
 answer (Rig *r, const char *path, const char *body)
 {
   for (guint i = 0; i < r->out->len; i++) {
-    HrEffect *e = r->out->pdata[i];
-    if (e->kind != HR_EFFECT_CALL || !g_str_has_prefix (e->path, path))
+    HrEffect *effect = r->out->pdata[i];
+    if (effect->kind != HR_EFFECT_CALL || !g_str_has_prefix (effect->path, path))
       continue;
-    HrCommand *c = hr_command_new (HR_COMMAND_RESULT);
-    c->id = e->id;
-    c->status = 200;
-    c->body = g_bytes_new (body, strlen (body));
+    HrCommand *command = hr_command_new (HR_COMMAND_RESULT);
+    command->id = effect->id;
+    command->status = 200;
+    command->body = g_bytes_new (body, strlen (body));
     g_ptr_array_remove_index (r->out, i);
-    step (r, c);
+    step (r, command);
     return;
   }
   fail_msg ("nothing was asked of %s", path);
@@ -88,25 +88,25 @@
 static int
 done (Rig *r, const char *changes)
 {
-  HrCommand *c = hr_command_new (HR_COMMAND_REQUEST);
-  c->id = 77;
-  c->method = HR_GET;
-  c->path = g_strdup ("/v1/jobs/" JOB);
+  HrCommand *command = hr_command_new (HR_COMMAND_REQUEST);
+  command->id = 77;
+  command->method = HR_GET;
+  command->path = g_strdup ("/v1/jobs/" JOB);
   r->now += 2; /* no reading is out by then */
-  step (r, c);
+  step (r, command);
   for (guint i = 0; i < r->out->len; i++) { /* the watch stays open */
-    HrEffect *e = r->out->pdata[i];
-    if (e->kind == HR_EFFECT_CALL && strstr (e->path, "hold_ms=10000"))
+    HrEffect *effect = r->out->pdata[i];
+    if (effect->kind == HR_EFFECT_CALL && strstr (effect->path, "hold_ms=10000"))
       g_ptr_array_remove_index (r->out, i--);
   }
   answer (r, "/changes", changes);
   for (guint i = 0; i < r->out->len; i++) {
-    HrEffect *e = r->out->pdata[i];
-    if (e->kind != HR_EFFECT_REPLY || e->id != 77)
+    HrEffect *effect = r->out->pdata[i];
+    if (effect->kind != HR_EFFECT_REPLY || effect->id != 77)
       continue;
-    json_t *o = json_loads (e->body, 0, NULL);
-    int n = e->status == 200 ? json_integer_value (json_object_get (o, "done")) : -1;
-    json_decref (o);
+    json_t *object = json_loads (effect->body, 0, NULL);
+    int n = effect->status == 200 ? json_integer_value (json_object_get (object, "done")) : -1;
+    json_decref (object);
     g_ptr_array_remove_index (r->out, i);
     return n;
   }
@@ -238,15 +238,15 @@
             "false", "20"),
       name, name, name);
   answer (&r, "/kv?", rows);
-  HrCommand *c = hr_command_new (HR_COMMAND_REQUEST);
-  c->id = 78;
-  c->method = HR_POST;
-  c->path = g_strdup ("/v1/jobs/" JOB "/abort");
+  HrCommand *command = hr_command_new (HR_COMMAND_REQUEST);
+  command->id = 78;
+  command->method = HR_POST;
+  command->path = g_strdup ("/v1/jobs/" JOB "/abort");
   r.now += 2;
-  step (&r, c);
+  step (&r, command);
   for (guint i = 0; i < r.out->len; i++) { /* the watch stays open */
-    HrEffect *e = r.out->pdata[i];
-    if (e->kind == HR_EFFECT_CALL && strstr (e->path, "hold_ms=10000"))
+    HrEffect *effect = r.out->pdata[i];
+    if (effect->kind == HR_EFFECT_CALL && strstr (effect->path, "hold_ms=10000"))
       g_ptr_array_remove_index (r.out, i--);
   }
   answer (&r, "/changes", LOG ("", "20"));
@@ -254,14 +254,14 @@
   int status = 0, retry_after = 0;
   guint named = 0;
   for (guint i = 0; i < r.out->len; i++) {
-    HrEffect *e = r.out->pdata[i];
-    assert_false (e->kind == HR_EFFECT_CALL && g_str_has_prefix (e->path, "/commit"));
-    if (e->kind == HR_EFFECT_REPLY && e->id == 78) {
-      status = e->status;
-      retry_after = e->retry_after;
+    HrEffect *effect = r.out->pdata[i];
+    assert_false (effect->kind == HR_EFFECT_CALL && g_str_has_prefix (effect->path, "/commit"));
+    if (effect->kind == HR_EFFECT_REPLY && effect->id == 78) {
+      status = effect->status;
+      retry_after = effect->retry_after;
     }
-    named += e->kind == HR_EFFECT_PEER_STATUS && e->peer_status->n_oversized == 1 &&
-             strcmp (e->peer_status->oversized[0], JOB) == 0;
+    named += effect->kind == HR_EFFECT_PEER_STATUS && effect->peer_status->n_oversized == 1 &&
+             strcmp (effect->peer_status->oversized[0], JOB) == 0;
   }
   assert_int_equal (status, 503);
   assert_int_equal (retry_after, 1);
--- a/tests/test_requests.c
+++ b/tests/test_requests.c
@@ -182,12 +182,12 @@
   assert_int_equal (submit_text (s, deep), 400);
   assert_int_equal (submit_text (s, many), 400);
   /* One that passes the limit reaches the core without its body. */
-  HrCommand *cmd = hr_command_new (HR_COMMAND_REQUEST);
-  cmd->id = ++s->next_request;
-  cmd->method = HR_POST;
-  cmd->path = g_strdup (HR_JOBS_PATH);
-  cmd->too_large = TRUE;
-  script_step (s, 1, cmd);
+  HrCommand *command = hr_command_new (HR_COMMAND_REQUEST);
+  command->id = ++s->next_request;
+  command->method = HR_POST;
+  command->path = g_strdup (HR_JOBS_PATH);
+  command->too_large = TRUE;
+  script_step (s, 1, command);
   assert_int_equal (script_status (s, 1, s->next_request), 400);
   /* Within the limit, and with fields that nobody knows. */
   json_t *job = script_job ("job-large", 1);
