--- a/tests/test_sim.c
+++ b/tests/test_sim.c
@@ -10,52 +10,53 @@
 
 /* What broke is shown, and counted. */
 static guint
-verdict (World *w, guint32 seed)
+verdict (World *world, guint32 seed)
 {
-  for (guint i = 0; i < MIN (w->broken->len, 12); i++)
-    fprintf (stderr, "seed %u: %s\n", seed, (char *)w->broken->pdata[i]);
+  for (guint i = 0; i < MIN (world->broken->len, 12); i++)
+    fprintf (stderr, "seed %u: %s\n", seed, (char *)world->broken->pdata[i]);
   if (g_getenv ("HR_SIM_VERBOSE"))
     fprintf (stderr, "seed %u: %u jobs, %u starts, %u machines, epoch %" G_GUINT64_FORMAT "\n",
-             seed, w->jobs->len, w->starts, w->machines->len, w->epoch);
-  guint broken = w->broken->len;
-  world_free (w);
+             seed, world->jobs->len, world->starts, world->machines->len, world->epoch);
+  guint broken = world->broken->len;
+  world_free (world);
   return broken;
 }
 
 /* No job may have stayed behind. */
 static guint
-judge_ends (World *w, guint32 seed)
-{
-  if (store_garbage (w))
-    w_broken (w, "garbage", "%u pages of final jobs are kept", store_garbage (w));
-  if (w->starts == 0)
-    w_broken (w, "nothing_ran", "no task was started");
-  for (guint i = 0; i < w->jobs->len; i++) {
-    SJob *j = w->jobs->pdata[i];
-    if (!j->accepted)
-      w_broken (w, "liveness", "%s was never accepted", j->id);
-    else if (j->asked_cancel && !j->told_withdrawn && !j->told_done)
-      w_broken (w, "liveness", "%s was not withdrawn", j->id);
-    else if (!j->asked_cancel && j->shape != HR_SERVICE && !j->told_done)
-      w_broken (w, "liveness", "%s (%d, %u tasks) is not done", j->id, j->shape, j->tasks);
-    else if (!j->asked_cancel && j->shape == HR_SERVICE && !j->started)
-      w_broken (w, "liveness", "%s never ran", j->id);
+judge_ends (World *world, guint32 seed)
+{
+  if (store_garbage (world))
+    w_broken (world, "garbage", "%u pages of final jobs are kept", store_garbage (world));
+  if (world->starts == 0)
+    w_broken (world, "nothing_ran", "no task was started");
+  for (guint i = 0; i < world->jobs->len; i++) {
+    SJob *job = world->jobs->pdata[i];
+    if (!job->accepted)
+      w_broken (world, "liveness", "%s was never accepted", job->id);
+    else if (job->asked_cancel && !job->told_withdrawn && !job->told_done)
+      w_broken (world, "liveness", "%s was not withdrawn", job->id);
+    else if (!job->asked_cancel && job->shape != HR_SERVICE && !job->told_done)
+      w_broken (world, "liveness", "%s (%d, %u tasks) is not done", job->id, job->shape,
+                job->tasks);
+    else if (!job->asked_cancel && job->shape == HR_SERVICE && !job->started)
+      w_broken (world, "liveness", "%s never ran", job->id);
   }
-  return verdict (w, seed);
+  return verdict (world, seed);
 }
 
 static guint
-play_on (World *w, guint32 seed, guint faults, double quota, double per_part)
+play_on (World *world, guint32 seed, guint faults, double quota, double per_part)
 {
-  w->quota_gpus = quota;
-  w->machines_per_part = per_part;
+  world->quota_gpus = quota;
+  world->machines_per_part = per_part;
   if (quota > 0 || per_part > 0)
-    world_restart (w);
-  users_init (w, 40, 300);
-  users_probe (w);
-  faults_init (w, faults, 30, 320);
-  world_run (w, 1000);
-  return judge_ends (w, seed);
+    world_restart (world);
+  users_init (world, 40, 300);
+  users_probe (world);
+  faults_init (world, faults, 30, 320);
+  world_run (world, 1000);
+  return judge_ends (world, seed);
 }
 
 static guint
@@ -119,10 +120,10 @@
 {
   guint broken = 0;
   for (guint s = 800; s < 806; s++) {
-    World *w = world_new (s, s % 2 ? 3 : 1);
-    faults_deaf (w, 60);
-    faults_deaf (w, 150);
-    broken += play_on (w, s, 0, 0, 0);
+    World *world = world_new (s, s % 2 ? 3 : 1);
+    faults_deaf (world, 60);
+    faults_deaf (world, 150);
+    broken += play_on (world, s, 0, 0, 0);
   }
   assert_int_equal (broken, 0);
 }
@@ -132,9 +133,9 @@
 {
   guint broken = 0;
   for (guint s = 850; s < 856; s++) {
-    World *w = world_new (s, 3);
-    faults_held_cut (w, 150);
-    broken += play_on (w, s, 0, 0, 0);
+    World *world = world_new (s, 3);
+    faults_held_cut (world, 150);
+    broken += play_on (world, s, 0, 0, 0);
   }
   assert_int_equal (broken, 0);
 }
@@ -146,14 +147,14 @@
 {
   guint broken = 0;
   for (guint s = 870; s < 884; s++) {
-    World *w = world_new (s, s % 2 ? 3 : 5);
+    World *world = world_new (s, s % 2 ? 3 : 5);
     if (s < 874)
-      faults_cut_from_store (w, 150);
+      faults_cut_from_store (world, 150);
     else
-      faults_missed_withdrawal (w, 150, s < 877);
+      faults_missed_withdrawal (world, 150, s < 877);
     if (s >= 880) /* on waking it hears first what its members said before the withdrawal */
-      faults_freeze (w, 147.5, FREEZE_OWNER, 12);
-    broken += play_on (w, s, 0, 0, 0);
+      faults_freeze (world, 147.5, FREEZE_OWNER, 12);
+    broken += play_on (world, s, 0, 0, 0);
   }
   assert_int_equal (broken, 0);
 }
@@ -165,29 +166,29 @@
 {
   guint broken = 0;
   for (guint s = 1100; s < 1110; s++) {
-    World *w = world_new (s, s % 2 ? 3 : 5);
-    faults_withdrawal_gap (w, 120);
-    faults_withdrawal_gap (w, 220);
+    World *world = world_new (s, s % 2 ? 3 : 5);
+    faults_withdrawal_gap (world, 120);
+    faults_withdrawal_gap (world, 220);
     if (s >= 1106) {
-      w->fickle = TRUE;
-      w->late_orders = 0.1;
+      world->fickle = TRUE;
+      world->late_orders = 0.1;
     }
-    broken += play_on (w, s, 0, 0, 0);
+    broken += play_on (world, s, 0, 0, 0);
   }
   assert_int_equal (broken, 0);
 }
 
 static guint
-play_services (World *w, guint32 seed)
+play_services (World *world, guint32 seed)
 {
-  w->capacity = 100;
-  w->loss = w->dup = 0; /* a report lost here and there would cost single machines */
-  users_services (w, 16, 3, 2);
-  world_run (w, 320);
-  for (guint i = 0; i < w->jobs->len; i++)
-    if (!((SJob *)w->jobs->pdata[i])->started)
-      w_broken (w, "liveness", "%s never ran", ((SJob *)w->jobs->pdata[i])->id);
-  return verdict (w, seed);
+  world->capacity = 100;
+  world->loss = world->dup = 0; /* a report lost here and there would cost single machines */
+  users_services (world, 16, 3, 2);
+  world_run (world, 320);
+  for (guint i = 0; i < world->jobs->len; i++)
+    if (!((SJob *)world->jobs->pdata[i])->started)
+      w_broken (world, "liveness", "%s never ran", ((SJob *)world->jobs->pdata[i])->id);
+  return verdict (world, seed);
 }
 
 /* Another owner is there, and nobody is served: by the members' attestation the earlier one would
@@ -197,9 +198,9 @@
 {
   guint broken = 0;
   for (guint s = 1080; s < 1088; s++) {
-    World *w = world_new (s, s % 2 ? 3 : 5);
-    faults_two_owners (w, 120);
-    broken += play_services (w, s);
+    World *world = world_new (s, s % 2 ? 3 : 5);
+    faults_two_owners (world, 120);
+    broken += play_services (world, s);
   }
   assert_int_equal (broken, 0);
 }
@@ -211,20 +212,20 @@
 {
   guint broken = 0;
   for (guint s = 985; s < 988; s++) {
-    World *w = world_new (s, 3);
-    users_gangs (w, 8, 40, 60);
-    users_oversized (w, 10);
-    world_run (w, 900);
-    for (guint i = 0; i < w->jobs->len; i++) {
-      SJob *j = w->jobs->pdata[i];
-      if (j->tasks < 500 && !j->told_done)
-        w_broken (w, "liveness", "%s is not done", j->id);
-      if (!j->accepted || w->now - j->ok_at > 30)
-        w_broken (w, "forgotten", "%s is not answered", j->id);
+    World *world = world_new (s, 3);
+    users_gangs (world, 8, 40, 60);
+    users_oversized (world, 10);
+    world_run (world, 900);
+    for (guint i = 0; i < world->jobs->len; i++) {
+      SJob *job = world->jobs->pdata[i];
+      if (job->tasks < 500 && !job->told_done)
+        w_broken (world, "liveness", "%s is not done", job->id);
+      if (!job->accepted || world->now - job->ok_at > 30)
+        w_broken (world, "forgotten", "%s is not answered", job->id);
     }
-    if (w->machines->len > 7 * w->capacity)
-      w_broken (w, "rented", "%u machines", w->machines->len);
-    broken += verdict (w, s);
+    if (world->machines->len > 7 * world->capacity)
+      w_broken (world, "rented", "%u machines", world->machines->len);
+    broken += verdict (world, s);
   }
   assert_int_equal (broken, 0);
 }
@@ -235,18 +236,18 @@
 {
   guint broken = 0;
   for (guint s = 990; s < 1000; s++) {
-    World *w = world_new (s, 3);
-    users_long_fetches (w, s >= 994);
+    World *world = world_new (s, 3);
+    users_long_fetches (world, s >= 994);
     if (s >= 994) /* the next owner knows images from the records alone */
-      faults_owner_ends (w, 116.5);
-    world_run (w, 600);
-    for (guint i = 0; i < w->jobs->len; i++) {
-      SJob *j = w->jobs->pdata[i];
-      if (!j->asked_cancel && (!j->told_done || j->first - j->accepted_at > 150))
-        w_broken (w, "liveness", "%s of %u tasks begins after %.0f s", j->id, j->tasks,
-                  (j->first ? j->first : w->now) - j->accepted_at);
+      faults_owner_ends (world, 116.5);
+    world_run (world, 600);
+    for (guint i = 0; i < world->jobs->len; i++) {
+      SJob *job = world->jobs->pdata[i];
+      if (!job->asked_cancel && (!job->told_done || job->first - job->accepted_at > 150))
+        w_broken (world, "liveness", "%s of %u tasks begins after %.0f s", job->id, job->tasks,
+                  (job->first ? job->first : world->now) - job->accepted_at);
     }
-    broken += verdict (w, s);
+    broken += verdict (world, s);
   }
   assert_int_equal (broken, 0);
 }
@@ -258,20 +259,20 @@
 {
   guint broken = 0, lost = 0, anew = 0;
   for (guint s = 960; s < 964; s++) {
-    World *w = world_new (s, 3);
-    w->gang_image = 8;
-    faults_lost_places (w, 5, 250);
-    users_gangs (w, 6, 5, 30);
-    world_run (w, 450);
-    for (guint i = 0; i < w->jobs->len; i++) {
-      SJob *j = w->jobs->pdata[i];
-      g_autofree char *again = g_strdup_printf ("%s/0/2", j->id);
-      lost += j->lost_place;
-      if (!j->told_done)
-        w_broken (w, "liveness", "%s is not done", j->id);
-      anew += g_hash_table_contains (w->assigned, again);
+    World *world = world_new (s, 3);
+    world->gang_image = 8;
+    faults_lost_places (world, 5, 250);
+    users_gangs (world, 6, 5, 30);
+    world_run (world, 450);
+    for (guint i = 0; i < world->jobs->len; i++) {
+      SJob *job = world->jobs->pdata[i];
+      g_autofree char *again = g_strdup_printf ("%s/0/2", job->id);
+      lost += job->lost_place;
+      if (!job->told_done)
+        w_broken (world, "liveness", "%s is not done", job->id);
+      anew += g_hash_table_contains (world->assigned, again);
     }
-    broken += verdict (w, s);
+    broken += verdict (world, s);
   }
   assert_int_equal (broken, 0);
   assert_true (lost >= 16);
@@ -284,10 +285,10 @@
 {
   guint broken = 0;
   for (guint s = 900; s < 908; s++) {
-    World *w = world_new (s, 3);
-    w->copies = 0.5;
-    faults_owners (w, 40, 320);
-    broken += play_on (w, s, 0, 0, 0);
+    World *world = world_new (s, 3);
+    world->copies = 0.5;
+    faults_owners (world, 40, 320);
+    broken += play_on (world, s, 0, 0, 0);
   }
   assert_int_equal (broken, 0);
 }
@@ -299,18 +300,18 @@
 {
   guint broken = 0;
   for (guint s = 700; s < 706; s++) {
-    World *w = world_new (s, 3);
-    w->capacity = 10;
-    users_stream (w, s % 2 ? HR_GANG : HR_BATCH, 5, 500);
-    world_run (w, 1100);
-    for (guint i = 0; i < w->jobs->len; i++) {
-      SJob *j = w->jobs->pdata[i];
-      if (!j->first || j->first - j->accepted_at > 240)
-        w_broken (w, "starved", "%s, %s of %u tasks, begins after %.0f s", j->id,
-                  j->large ? "large" : "small", j->tasks,
-                  (j->first ? j->first : w->now) - j->accepted_at);
+    World *world = world_new (s, 3);
+    world->capacity = 10;
+    users_stream (world, s % 2 ? HR_GANG : HR_BATCH, 5, 500);
+    world_run (world, 1100);
+    for (guint i = 0; i < world->jobs->len; i++) {
+      SJob *job = world->jobs->pdata[i];
+      if (!job->first || job->first - job->accepted_at > 240)
+        w_broken (world, "starved", "%s, %s of %u tasks, begins after %.0f s", job->id,
+                  job->large ? "large" : "small", job->tasks,
+                  (job->first ? job->first : world->now) - job->accepted_at);
     }
-    broken += verdict (w, s);
+    broken += verdict (world, s);
   }
   assert_int_equal (broken, 0);
 }
@@ -321,17 +322,17 @@
 {
   guint broken = 0;
   for (guint s = 950; s < 954; s++) {
-    World *w = world_new (s, 3);
+    World *world = world_new (s, 3);
     const guint gangs = 8;
-    w->capacity = 200;
-    users_gangs (w, gangs, 5, 25);
-    world_run (w, 400);
-    for (guint i = 0; i < w->jobs->len; i++)
-      if (!((SJob *)w->jobs->pdata[i])->told_done)
-        w_broken (w, "liveness", "%s is not done", ((SJob *)w->jobs->pdata[i])->id);
-    if (w->machines->len > 4 * gangs)
-      w_broken (w, "rented", "%u machines for %u gangs of two", w->machines->len, gangs);
-    broken += verdict (w, s);
+    world->capacity = 200;
+    users_gangs (world, gangs, 5, 25);
+    world_run (world, 400);
+    for (guint i = 0; i < world->jobs->len; i++)
+      if (!((SJob *)world->jobs->pdata[i])->told_done)
+        w_broken (world, "liveness", "%s is not done", ((SJob *)world->jobs->pdata[i])->id);
+    if (world->machines->len > 4 * gangs)
+      w_broken (world, "rented", "%u machines for %u gangs of two", world->machines->len, gangs);
+    broken += verdict (world, s);
   }
   assert_int_equal (broken, 0);
 }
@@ -342,11 +343,11 @@
 {
   guint broken = 0;
   for (guint s = 500; s < 512; s++) {
-    World *w = world_new (s, 3);
-    w->dup = 0.15;
-    w->loss = 0.06;
-    w->copies = 0.5;
-    broken += play_on (w, s, 3, 0, 0);
+    World *world = world_new (s, 3);
+    world->dup = 0.15;
+    world->loss = 0.06;
+    world->copies = 0.5;
+    broken += play_on (world, s, 3, 0, 0);
   }
   assert_int_equal (broken, 0);
 }
@@ -358,10 +359,10 @@
 {
   guint broken = 0;
   for (guint s = 970; s < 982; s++) {
-    World *w = world_new (s, 3);
-    w->late_orders = 0.3;
-    w->fickle = TRUE;
-    broken += play_on (w, s, 0, 0, 0);
+    World *world = world_new (s, 3);
+    world->late_orders = 0.3;
+    world->fickle = TRUE;
+    broken += play_on (world, s, 0, 0, 0);
   }
   assert_int_equal (broken, 0);
 }
@@ -373,11 +374,11 @@
 {
   guint broken = 0;
   for (guint s = 1100; s < 1108; s++) {
-    World *w = world_new (s, 3);
-    w->late_orders = 0.5;
-    w->fickle = TRUE;
-    faults_changes_gone (w, 20, 300);
-    broken += play_on (w, s, 0, 0, 0);
+    World *world = world_new (s, 3);
+    world->late_orders = 0.5;
+    world->fickle = TRUE;
+    faults_changes_gone (world, 20, 300);
+    broken += play_on (world, s, 0, 0, 0);
   }
   assert_int_equal (broken, 0);
 }
@@ -391,13 +392,13 @@
   static const double lengths[] = {2.5, 4.5, 9, 16, 25, 40};
   guint broken = 0;
   for (guint s = 1000; s < 1018; s++) {
-    World *w = world_new (s, s % 3 == 2 ? 5 : 3);
+    World *world = world_new (s, s % 3 == 2 ? 5 : 3);
     double d = lengths[s % G_N_ELEMENTS (lengths)];
     FreezeWho who = s / 6 % 3;
-    faults_freeze (w, 60, who, d);
-    faults_freeze (w, 60 + d + 0.6, who, d);
-    faults_freeze (w, 190, FREEZE_OWNER, d);
-    broken += play_on (w, s, s % 2 ? 3 : 0, 0, 0);
+    faults_freeze (world, 60, who, d);
+    faults_freeze (world, 60 + d + 0.6, who, d);
+    faults_freeze (world, 190, FREEZE_OWNER, d);
+    broken += play_on (world, s, s % 2 ? 3 : 0, 0, 0);
   }
   assert_int_equal (broken, 0);
 }
@@ -409,9 +410,9 @@
 {
   guint broken = 0;
   for (guint s = 1030; s < 1036; s++) {
-    World *w = world_new (s, s % 2 ? 5 : 3);
-    faults_owner_unreached (w, 120, s < 1033);
-    broken += play_services (w, s);
+    World *world = world_new (s, s % 2 ? 5 : 3);
+    faults_owner_unreached (world, 120, s < 1033);
+    broken += play_services (world, s);
   }
   assert_int_equal (broken, 0);
 }
@@ -422,9 +423,9 @@
 {
   guint broken = 0;
   for (guint s = 1040; s < 1046; s++) {
-    World *w = world_new (s, s % 2 ? 5 : 3);
-    faults_half_gone (w, 120);
-    broken += play_services (w, s);
+    World *world = world_new (s, s % 2 ? 5 : 3);
+    faults_half_gone (world, 120);
+    broken += play_services (world, s);
   }
   assert_int_equal (broken, 0);
 }
@@ -436,18 +437,18 @@
 {
   guint broken = 0;
   for (guint s = 1070; s < 1074; s++) {
-    World *w = world_new (s, 3);
-    w->guarantee_gpus = 8;
-    world_restart (w);
-    users_two_teams (w, 120);
-    world_run (w, 330);
-    for (guint i = 0; i < w->jobs->len; i++) {
-      SJob *j = w->jobs->pdata[i];
-      if (j->team && (!j->told_done || j->told_done - j->accepted_at > 75))
-        w_broken (w, "guarantee", "%s of %u tasks is done after %.0f s", j->id, j->tasks,
-                  (j->told_done ? j->told_done : w->now) - j->accepted_at);
+    World *world = world_new (s, 3);
+    world->guarantee_gpus = 8;
+    world_restart (world);
+    users_two_teams (world, 120);
+    world_run (world, 330);
+    for (guint i = 0; i < world->jobs->len; i++) {
+      SJob *job = world->jobs->pdata[i];
+      if (job->team && (!job->told_done || job->told_done - job->accepted_at > 75))
+        w_broken (world, "guarantee", "%s of %u tasks is done after %.0f s", job->id, job->tasks,
+                  (job->told_done ? job->told_done : world->now) - job->accepted_at);
     }
-    broken += verdict (w, s);
+    broken += verdict (world, s);
   }
   assert_int_equal (broken, 0);
 }
@@ -459,13 +460,13 @@
 {
   guint broken = 0;
   for (guint s = 1060; s < 1064; s++) {
-    World *w = world_new (s, 3);
-    users_paged (w, 5);
-    faults_unreadable_pages (w, 60);
-    world_run (w, 600);
-    if (!((SJob *)w->jobs->pdata[0])->told_done)
-      w_broken (w, "liveness", "the job is not done");
-    broken += verdict (w, s);
+    World *world = world_new (s, 3);
+    users_paged (world, 5);
+    faults_unreadable_pages (world, 60);
+    world_run (world, 600);
+    if (!((SJob *)world->jobs->pdata[0])->told_done)
+      w_broken (world, "liveness", "the job is not done");
+    broken += verdict (world, s);
   }
   assert_int_equal (broken, 0);
 }
@@ -474,35 +475,36 @@
 static void
 play_large (guint32 seed, int nodes)
 {
-  World *w = world_new (seed, nodes);
+  World *world = world_new (seed, nodes);
   guint most = 0;
-  w->capacity = 1500;
-  w->report_s = 5;
-  w->lease_s = 26.5;
-  w->cancel_s = 56.5;
-  w->loss = 0.001;
-  w->dup = 0.01; /* what was carried out comes again, up to a minute later */
-  w->copies = 0.05;
-  world_restart (w);
-  users_crowd (w, 620, 250);
-  users_probe (w);
-  faults_mass (w, 100);
-  faults_init (w, 0, 0, 330);
-  world_run (w, 90);
-  for (guint i = 0; i < w->machines->len; i++) {
-    SMachine *m = w->machines->pdata[i];
-    most += m->up && !m->gone;
+  world->capacity = 1500;
+  world->report_s = 5;
+  world->lease_s = 26.5;
+  world->cancel_s = 56.5;
+  world->loss = 0.001;
+  world->dup = 0.01; /* what was carried out comes again, up to a minute later */
+  world->copies = 0.05;
+  world_restart (world);
+  users_crowd (world, 620, 250);
+  users_probe (world);
+  faults_mass (world, 100);
+  faults_init (world, 0, 0, 330);
+  world_run (world, 90);
+  for (guint i = 0; i < world->machines->len; i++) {
+    SMachine *machine = world->machines->pdata[i];
+    most += machine->up && !machine->gone;
   }
-  world_run (w, 640);
+  world_run (world, 640);
   if (most < 1300)
-    w_broken (w, "small", "only %u machines are up", most);
-  for (guint i = 0; i < w->jobs->len; i++) {
-    SJob *j = w->jobs->pdata[i];
-    if (!j->accepted ||
-        (!j->asked_cancel && (j->shape == HR_SERVICE ? !j->started : !j->told_done)))
-      w_broken (w, "liveness", "%s (%d, %u tasks) is not done", j->id, j->shape, j->tasks);
+    w_broken (world, "small", "only %u machines are up", most);
+  for (guint i = 0; i < world->jobs->len; i++) {
+    SJob *job = world->jobs->pdata[i];
+    if (!job->accepted ||
+        (!job->asked_cancel && (job->shape == HR_SERVICE ? !job->started : !job->told_done)))
+      w_broken (world, "liveness", "%s (%d, %u tasks) is not done", job->id, job->shape,
+                job->tasks);
   }
-  assert_int_equal (verdict (w, seed), 0);
+  assert_int_equal (verdict (world, seed), 0);
 }
 
 static void
@@ -522,22 +524,22 @@
 static guint
 play_upgrade (guint32 seed, int nodes, guint faults, gboolean late)
 {
-  World *w = world_new (seed, nodes);
-  w->capacity = 101; /* so that the cloud lists them all at once */
-  w->long_names = TRUE;
-  upgrade_init (w);
-  users_init (w, 15, 250);
-  users_arrays (w, 10, 150);
-  users_probe (w);
-  double last = upgrade_roll (w, 75, seed % 2 ? 9 : 15, late ? 45 : 5);
-  upgrade_limits_fall (w, last + (late ? 3 : 5) + w_rand (w, 0.2, 3));
-  faults_init (w, faults, 30, 320);
-  world_run (w, 900);
-  if (!store_has (w, "h/format"))
-    w_broken (w, "format", "the new format was never recorded");
-  if (store_large (w))
-    w_broken (w, "large", "%u records are too large", store_large (w));
-  return judge_ends (w, seed);
+  World *world = world_new (seed, nodes);
+  world->capacity = 101; /* so that the cloud lists them all at once */
+  world->long_names = TRUE;
+  upgrade_init (world);
+  users_init (world, 15, 250);
+  users_arrays (world, 10, 150);
+  users_probe (world);
+  double last = upgrade_roll (world, 75, seed % 2 ? 9 : 15, late ? 45 : 5);
+  upgrade_limits_fall (world, last + (late ? 3 : 5) + w_rand (world, 0.2, 3));
+  faults_init (world, faults, 30, 320);
+  world_run (world, 900);
+  if (!store_has (world, "h/format"))
+    w_broken (world, "format", "the new format was never recorded");
+  if (store_large (world))
+    w_broken (world, "large", "%u records are too large", store_large (world));
+  return judge_ends (world, seed);
 }
 
 static void
@@ -556,8 +558,8 @@
   if (argc == 5) {
     guint broken = 0;
     sim_log_init ();
-    for (int s = atoi (argv[1]); s < atoi (argv[2]); s++)
-      broken += play (s, atoi (argv[3]), atof (argv[4]), s % 5 == 0 ? 4 : 0);
+    for (int incarnation = atoi (argv[1]); incarnation < atoi (argv[2]); incarnation++)
+      broken += play (incarnation, atoi (argv[3]), atof (argv[4]), incarnation % 5 == 0 ? 4 : 0);
     return broken != 0;
   }
   sim_log_init ();
--- a/tests/test_store_reads.c
+++ b/tests/test_store_reads.c
@@ -295,30 +295,30 @@
 a_submission_in_flight_is_repeated (void **state)
 {
   Script *s = script_led (3);
-  int leader = script_leader (s), a = (leader + 1) % 3, b = (leader + 2) % 3;
-  script_hold (s, a, "/commit", NULL);
+  int leader = script_leader (s), attempt = (leader + 1) % 3, b = (leader + 2) % 3;
+  script_hold (s, attempt, "/commit", NULL);
   script_hold (s, b, "/commit", NULL);
-  guint64 first = script_submit (s, a, "job-a", 1), second = script_submit (s, a, "job-a", 3),
-          third = script_submit (s, b, "job-a", 1);
+  guint64 first = script_submit (s, attempt, "job-a", 1),
+          second = script_submit (s, attempt, "job-a", 3), third = script_submit (s, b, "job-a", 1);
   script_tick (s, 0.05);
-  assert_int_equal (script_count (s, a, "/commit", "job-a"), 2);
-  ScriptCall *one = script_call (s, a, "/commit", "job-a");
+  assert_int_equal (script_count (s, attempt, "/commit", "job-a"), 2);
+  ScriptCall *one = script_call (s, attempt, "/commit", "job-a");
   script_carry_out (s, one);
   guint64 revision = script_stamp (s, "h/j/job-a");
   script_answer (s, script_call (s, b, "/commit", "job-a"));
   script_run (s, 0.3);
   assert_int_equal (script_status (s, b, third), 200);
   for (guint i = 0; i < s->calls->len; i++)
-    if (s->calls->pdata[i] != one && ((ScriptCall *)s->calls->pdata[i])->node == a &&
+    if (s->calls->pdata[i] != one && ((ScriptCall *)s->calls->pdata[i])->node == attempt &&
         strcmp (((ScriptCall *)s->calls->pdata[i])->path, "/commit") == 0) {
       script_answer (s, s->calls->pdata[i]);
       break;
     }
   script_run (s, 0.3);
-  assert_int_equal (script_status (s, a, second), 200);
-  assert_int_equal (script_status (s, a, first), 0);
+  assert_int_equal (script_status (s, attempt, second), 200);
+  assert_int_equal (script_status (s, attempt, first), 0);
   script_answer (s, one);
-  assert_int_equal (script_status (s, a, first), 201);
+  assert_int_equal (script_status (s, attempt, first), 201);
   assert_int_equal (script_stamp (s, "h/j/job-a"), revision);
   script_free (s);
 }
--- a/tests/test_transport.c
+++ b/tests/test_transport.c
@@ -19,43 +19,44 @@
 } Probe;
 
 static void
-sink (HrCommand *c, gpointer data)
+sink (HrCommand *command, gpointer data)
 {
-  Probe *p = data;
-  if (c->kind == HR_COMMAND_RESULT) {
-    p->status = c->status;
-    if (p->results < G_N_ELEMENTS (p->result_at))
-      p->result_at[p->results] = g_get_monotonic_time () / 1e6;
-    p->results++;
-    hr_command_free (c);
+  Probe *probe = data;
+  if (command->kind == HR_COMMAND_RESULT) {
+    probe->status = command->status;
+    if (probe->results < G_N_ELEMENTS (probe->result_at))
+      probe->result_at[probe->results] = g_get_monotonic_time () / 1e6;
+    probe->results++;
+    hr_command_free (command);
   } else {
-    p->requests++;
-    p->too_large = c->too_large;
-    g_ptr_array_add (p->queue, c);
+    probe->requests++;
+    probe->too_large = command->too_large;
+    g_ptr_array_add (probe->queue, command);
   }
 }
 
 /* As the daemon does it: a turn of the loop, then the answers, all at once. */
 static void
-turn (Probe *p)
+turn (Probe *probe)
 {
   g_main_context_iteration (NULL, FALSE);
-  if (!p || !p->queue || p->hold)
+  if (!probe || !probe->queue || probe->hold)
     return;
-  for (guint i = 0; i < p->queue->len; i++) {
-    HrCommand *c = p->queue->pdata[i];
-    HrEffect e = {.kind = HR_EFFECT_REPLY, .id = c->id, .status = 200, .body = "{\"ok\":true}"};
-    if (c->too_large)
-      e.status = 400;
-    if (strcmp (c->path, "/busy") == 0) {
-      e.status = 503;
-      e.retry_after = 7;
+  for (guint i = 0; i < probe->queue->len; i++) {
+    HrCommand *command = probe->queue->pdata[i];
+    HrEffect effect = {
+        .kind = HR_EFFECT_REPLY, .id = command->id, .status = 200, .body = "{\"ok\":true}"};
+    if (command->too_large)
+      effect.status = 400;
+    if (strcmp (command->path, "/busy") == 0) {
+      effect.status = 503;
+      effect.retry_after = 7;
     }
-    hr_http_server_reply (p->server, &e);
+    hr_http_server_reply (probe->server, &effect);
   }
-  if (p->queue->len)
-    hr_http_server_flush (p->server);
-  g_ptr_array_set_size (p->queue, 0);
+  if (probe->queue->len)
+    hr_http_server_flush (probe->server);
+  g_ptr_array_set_size (probe->queue, 0);
 }
 
 static guint16
@@ -66,13 +67,13 @@
 }
 
 static void
-serve (Probe *p, guint16 port, guint sockets)
+serve (Probe *probe, guint16 port, guint sockets)
 {
   g_autofree char *a = g_strdup_printf ("127.0.0.1:%u", port);
-  g_autoptr (GError) e = NULL;
-  p->queue = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_command_free);
-  p->server = hr_http_server_new (a, sockets, sink, p, &e);
-  assert_non_null (p->server);
+  g_autoptr (GError) error = NULL;
+  probe->queue = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_command_free);
+  probe->server = hr_http_server_new (a, sockets, sink, probe, &error);
+  assert_non_null (probe->server);
 }
 
 static GSocket *
@@ -87,25 +88,25 @@
 }
 
 static void
-spin (Probe *p, double seconds)
+spin (Probe *probe, double seconds)
 {
   gint64 until = g_get_monotonic_time () + (gint64)(seconds * 1e6);
   while (g_get_monotonic_time () < until) {
-    turn (p);
+    turn (probe);
     g_usleep (500);
   }
 }
 
 static void
-stop (Probe *p)
+stop (Probe *probe)
 {
-  hr_http_server_free (p->server);
-  g_ptr_array_unref (p->queue);
+  hr_http_server_free (probe->server);
+  g_ptr_array_unref (probe->queue);
 }
 
 /* Sends the text and gives what came back within two seconds. */
 static char *
-ask (Probe *p, GSocket *s, const char *text, gsize len)
+ask (Probe *probe, GSocket *s, const char *text, gsize len)
 {
   GString *got = g_string_new (NULL);
   char buf[4096];
@@ -115,7 +116,7 @@
       gssize n = g_socket_send (s, text + sent, len - sent, NULL, NULL);
       sent += MAX (0, n);
     }
-    turn (p);
+    turn (probe);
     gssize n = g_socket_receive (s, buf, sizeof buf, NULL, NULL);
     if (n > 0)
       g_string_append_len (got, buf, n);
@@ -210,8 +211,8 @@
   p.hold = FALSE;
   spin (&p, 0.05);
   /* An id that is no longer known. */
-  HrEffect e = {.kind = HR_EFFECT_REPLY, .id = 1, .status = 200, .body = "{}"};
-  hr_http_server_reply (p.server, &e);
+  HrEffect effect = {.kind = HR_EFFECT_REPLY, .id = 1, .status = 200, .body = "{}"};
+  hr_http_server_reply (p.server, &effect);
   stop (&p);
 }
 
@@ -249,16 +250,16 @@
 }
 
 static void
-send_call (HrHttpClient *c, double timeout)
+send_call (HrHttpClient *client, double timeout)
 {
   static guint64 id;
-  HrEffect e = {.kind = HR_EFFECT_CALL,
-                .id = ++id,
-                .target = HR_TO_STORE,
-                .method = HR_GET,
-                .path = "/changes",
-                .timeout_s = timeout};
-  hr_http_client_call (c, &e);
+  HrEffect effect = {.kind = HR_EFFECT_CALL,
+                     .id = ++id,
+                     .target = HR_TO_STORE,
+                     .method = HR_GET,
+                     .path = "/changes",
+                     .timeout_s = timeout};
+  hr_http_client_call (client, &effect);
 }
 
 /* Guards against libsoup's way to end a cancelled call only once another one that waits
@@ -284,11 +285,11 @@
   }
   Probe p = {.status = -1};
   g_autofree char *store = g_strdup_printf ("127.0.0.1:%u", port);
-  HrHttpClient *c = hr_http_client_new (store, store, 100, sink, &p);
+  HrHttpClient *client = hr_http_client_new (store, store, 100, sink, &p);
   double t = g_get_monotonic_time () / 1e6;
-  send_call (c, 3);
+  send_call (client, 3);
   spin (&p, 0.1);
-  send_call (c, 0.4);
+  send_call (client, 0.4);
   spin (&p, 1.2);
   assert_int_equal (p.results, 1);
   assert_int_equal (p.status, 0);
@@ -296,7 +297,7 @@
   spin (&p, 2.4);
   assert_int_equal (p.results, 2);
   assert_true (p.result_at[1] - t < 3.4);
-  hr_http_client_free (c);
+  hr_http_client_free (client);
   spin (&p, 0.1);
 }
 
--- a/tests/test_users_days.c
+++ b/tests/test_users_days.c
@@ -12,16 +12,17 @@
 #define DAY_S 700.0 /* long enough after the last trouble for all work to end */
 
 static void
-check_end (World *w)
+check_end (World *world)
 {
-  for (guint i = 0; i < w->jobs->len; i++) {
-    SJob *j = w->jobs->pdata[i];
-    if (!j->accepted)
-      w_broken (w, "liveness", "%s was never accepted", j->id);
-    else if (j->asked_cancel && !j->told_withdrawn && !j->told_done)
-      w_broken (w, "liveness", "%s was not withdrawn", j->id);
-    else if (!j->asked_cancel && j->shape != HR_SERVICE && !j->told_done)
-      w_broken (w, "liveness", "%s (%d, %u tasks) is not done", j->id, j->shape, j->tasks);
+  for (guint i = 0; i < world->jobs->len; i++) {
+    SJob *job = world->jobs->pdata[i];
+    if (!job->accepted)
+      w_broken (world, "liveness", "%s was never accepted", job->id);
+    else if (job->asked_cancel && !job->told_withdrawn && !job->told_done)
+      w_broken (world, "liveness", "%s was not withdrawn", job->id);
+    else if (!job->asked_cancel && job->shape != HR_SERVICE && !job->told_done)
+      w_broken (world, "liveness", "%s (%d, %u tasks) is not done", job->id, job->shape,
+                job->tasks);
   }
 }
 
@@ -32,20 +33,20 @@
 {
   guint broken = 0;
   for (guint seed = from; seed < to; seed++) {
-    World *w = world_new (seed, seed % 3 == 2 ? 5 : 3);
-    users_services (w, 6, 2, 2); /* so that there is always something to call off */
-    users_init (w, 40, 300);
-    users_probe (w);
-    troubles_plan (w, day, n);
-    world_run (w, DAY_S);
-    check_end (w);
+    World *world = world_new (seed, seed % 3 == 2 ? 5 : 3);
+    users_services (world, 6, 2, 2); /* so that there is always something to call off */
+    users_init (world, 40, 300);
+    users_probe (world);
+    troubles_plan (world, day, n);
+    world_run (world, DAY_S);
+    check_end (world);
     for (guint i = 0; i < n; i++)
-      if (!w->troubles.played[day[i].kind])
-        w_broken (w, "played", "trouble %u took no effect", i);
-    for (guint i = 0; i < MIN (w->broken->len, 12); i++)
-      fprintf (stderr, "seed %u: %s\n", seed, (char *)w->broken->pdata[i]);
-    broken += w->broken->len;
-    world_free (w);
+      if (!world->troubles.played[day[i].kind])
+        w_broken (world, "played", "trouble %u took no effect", i);
+    for (guint i = 0; i < MIN (world->broken->len, 12); i++)
+      fprintf (stderr, "seed %u: %s\n", seed, (char *)world->broken->pdata[i]);
+    broken += world->broken->len;
+    world_free (world);
   }
   assert_int_equal (broken, 0);
 }
--- a/tests/test_watching.c
+++ b/tests/test_watching.c
@@ -86,35 +86,35 @@
 {
   g_autofree char *line = hr_log_writer_line (HR_LOG_JSON, 1.5, "info", "hoprock", message);
   assert_null (strchr (line, '\n'));
-  json_t *o = json_loads (line, 0, NULL);
-  assert_non_null (o);
-  return o;
+  json_t *object = json_loads (line, 0, NULL);
+  assert_non_null (object);
+  return object;
 }
 
 static const char *
-member (json_t *o, const char *key)
+member (json_t *object, const char *key)
 {
-  return json_string_value (json_object_get (o, key));
+  return json_string_value (json_object_get (object, key));
 }
 
 static void
 fields_become_members (void **state)
 {
-  json_t *o = parsed ("leads: token=7 epoch=12 why=a=b");
-  assert_string_equal (member (o, "event"), "leads");
-  assert_string_equal (member (o, "token"), "7");
-  assert_string_equal (member (o, "why"), "a=b");
-  assert_null (json_object_get (o, "message"));
-  json_decref (o);
-  o = parsed ("odd: level=3 event=4");
-  assert_string_equal (member (o, "level"), "info");
-  assert_string_equal (member (o, "field_level"), "3");
-  assert_string_equal (member (o, "event"), "odd");
-  json_decref (o);
-  o = parsed ("m-1 is returned: its worker is silent");
-  assert_string_equal (member (o, "message"), "m-1 is returned: its worker is silent");
-  assert_null (json_object_get (o, "event"));
-  json_decref (o);
+  json_t *object = parsed ("leads: token=7 epoch=12 why=a=b");
+  assert_string_equal (member (object, "event"), "leads");
+  assert_string_equal (member (object, "token"), "7");
+  assert_string_equal (member (object, "why"), "a=b");
+  assert_null (json_object_get (object, "message"));
+  json_decref (object);
+  object = parsed ("odd: level=3 event=4");
+  assert_string_equal (member (object, "level"), "info");
+  assert_string_equal (member (object, "field_level"), "3");
+  assert_string_equal (member (object, "event"), "odd");
+  json_decref (object);
+  object = parsed ("m-1 is returned: its worker is silent");
+  assert_string_equal (member (object, "message"), "m-1 is returned: its worker is silent");
+  assert_null (json_object_get (object, "event"));
+  json_decref (object);
   g_autofree char *text = hr_log_writer_line (HR_LOG_TEXT, 1.5, "info", "hoprock", "a b");
   assert_string_equal (text, "1.500 info hoprock: a b");
 }
@@ -131,11 +131,11 @@
     for (int k = 0; k < n; k++)
       message[k] = alphabet[g_rand_int_range (rand, 0, sizeof alphabet - 1)];
     message[n] = 0;
-    json_t *o = parsed (message);
-    assert_string_equal (member (o, "level"), "info");
-    assert_true (json_number_value (json_object_get (o, "time")) == 1.5);
-    assert_true (!member (o, "event") != !member (o, "message"));
-    json_decref (o);
+    json_t *object = parsed (message);
+    assert_string_equal (member (object, "level"), "info");
+    assert_true (json_number_value (json_object_get (object, "time")) == 1.5);
+    assert_true (!member (object, "event") != !member (object, "message"));
+    json_decref (object);
   }
 }
 
--- a/tests/test_windows.c
+++ b/tests/test_windows.c
@@ -60,20 +60,20 @@
 }
 
 static void
-late_free (gpointer p)
+late_free (gpointer data)
 {
-  Late *l = p;
+  Late *l = data;
   g_free (l->report);
   g_free (l->orders);
   g_free (l);
 }
 
 static void
-asked_free (gpointer p)
+asked_free (gpointer data)
 {
-  Asked *a = p;
-  g_free (a->id);
-  g_free (a);
+  Asked *asked = data;
+  g_free (asked->id);
+  g_free (asked);
 }
 
 /* ---- users ---- */
@@ -85,15 +85,15 @@
   int node = pick (d, NODES);
   if (!s->nodes[node].core)
     return;
-  Asked *a = g_new0 (Asked, 1);
-  a->node = node;
-  a->process = s->nodes[node].process;
-  a->id = g_strdup (id);
-  a->submission = body != NULL;
-  a->request = body    ? script_request (s, node, HR_POST, HR_JOBS_PATH, body)
-               : abort ? script_abort (s, node, id)
-                       : script_poll (s, node, id);
-  g_ptr_array_add (d->asked, a);
+  Asked *asked = g_new0 (Asked, 1);
+  asked->node = node;
+  asked->process = s->nodes[node].process;
+  asked->id = g_strdup (id);
+  asked->submission = body != NULL;
+  asked->request = body    ? script_request (s, node, HR_POST, HR_JOBS_PATH, body)
+                   : abort ? script_abort (s, node, id)
+                           : script_poll (s, node, id);
+  g_ptr_array_add (d->asked, asked);
   if (abort)
     g_hash_table_add (d->cancelled, g_strdup (id));
 }
@@ -119,18 +119,19 @@
 {
   Script *s = d->scene->s;
   for (guint i = 0; i < d->asked->len;) {
-    Asked *a = d->asked->pdata[i];
-    const ScriptReply *r =
-        a->process == s->nodes[a->node].process ? script_reply (s, a->node, a->request) : NULL;
-    if (!r && a->process == s->nodes[a->node].process) {
+    Asked *asked = d->asked->pdata[i];
+    const ScriptReply *r = asked->process == s->nodes[asked->node].process
+                               ? script_reply (s, asked->node, asked->request)
+                               : NULL;
+    if (!r && asked->process == s->nodes[asked->node].process) {
       i++;
       continue;
     }
     const char *state = r ? hr_json_str (r->body, "stance") : NULL;
-    if (r && a->submission && (r->status == 201 || r->status == 200))
-      g_ptr_array_add (d->accepted, g_strdup (a->id));
+    if (r && asked->submission && (r->status == 201 || r->status == 200))
+      g_ptr_array_add (d->accepted, g_strdup (asked->id));
     if (state && r->status < 300)
-      scene_told (d->scene, a->id, state, r->at);
+      scene_told (d->scene, asked->id, state, r->at);
     g_ptr_array_remove_index (d->asked, i);
   }
 }
--- a/tests/test_withdrawals.c
+++ b/tests/test_withdrawals.c
@@ -27,10 +27,10 @@
 static gboolean
 names (const Script *s, const char *id)
 {
-  const HrNamedCancellations *n = &s->said.cancellations;
-  for (const char *k = hr_named_cancellations_next (n, NULL); k;
-       k = hr_named_cancellations_next (n, k))
-    if (strcmp (k, id) == 0)
+  const HrNamedCancellations *named = &s->said.cancellations;
+  for (const char *key = hr_named_cancellations_next (named, NULL); key;
+       key = hr_named_cancellations_next (named, key))
+    if (strcmp (key, id) == 0)
       return TRUE;
   return FALSE;
 }
@@ -119,11 +119,11 @@
     first = first ? first : s->epoch;
   }
   script_run (s, 3);
-  const HrNamedCancellations *n = &s->said.cancellations;
-  assert_true (n->log_end - n->log_begin <= 1024);
+  const HrNamedCancellations *named = &s->said.cancellations;
+  assert_true (named->log_end - named->log_begin <= 1024);
   assert_int_equal (s->said.latest_cancellation, s->epoch);
-  assert_int_equal (s->epoch - n->dropped_revision, n->log_end - n->log_begin);
-  assert_true (n->dropped_revision > first);
+  assert_int_equal (s->epoch - named->dropped_revision, named->log_end - named->log_begin);
+  assert_true (named->dropped_revision > first);
   script_free (s);
 }
 
@@ -206,12 +206,12 @@
   guint64 begins = s->said.cancellations.log_begin;
   assert_int_equal (s->said.cancellations.log_end - begins, JOBS);
   for (int part = 0; s->said.cancellations.count && part < 20; part++) {
-    const HrNamedCancellations *n = &s->said.cancellations;
-    assert_true (n->count < JOBS);
-    for (const char *k = hr_named_cancellations_next (n, NULL); k;
-         k = hr_named_cancellations_next (n, k))
-      g_hash_table_add (told, g_strdup (k));
-    acknowledge (leader, n->first_position + n->count);
+    const HrNamedCancellations *named = &s->said.cancellations;
+    assert_true (named->count < JOBS);
+    for (const char *key = hr_named_cancellations_next (named, NULL); key;
+         key = hr_named_cancellations_next (named, key))
+      g_hash_table_add (told, g_strdup (key));
+    acknowledge (leader, named->first_position + named->count);
     script_hint (s, leader);
     script_run (s, 0.3);
   }
--- a/tests/test_workers.c
+++ b/tests/test_workers.c
@@ -76,10 +76,10 @@
 static guint64
 baton_of (Scene *scene)
 {
-  json_t *o = json_loads (script_value (scene->s, "h/map"), 0, NULL);
-  guint64 baton = json_integer_value (json_object_get (o, "b"));
-  json_decref (o);
-  return baton;
+  json_t *object = json_loads (script_value (scene->s, "h/map"), 0, NULL);
+  guint64 fencing_token = json_integer_value (json_object_get (object, "b"));
+  json_decref (object);
+  return fencing_token;
 }
 
 /* ---- the token ---- */
@@ -480,9 +480,9 @@
   HrPeerStatus copy = s->nodes[1].hint;
   script_end (s, 1);
   for (int i = 0; i < s->pol.hold_s + 2; i++) {
-    HrCommand *cmd = hr_command_new (HR_COMMAND_PEER_STATUS);
-    *cmd->peer_status = copy;
-    script_step (s, 0, cmd);
+    HrCommand *command = hr_command_new (HR_COMMAND_PEER_STATUS);
+    *command->peer_status = copy;
+    script_step (s, 0, command);
     scene_run (scene, 1);
   }
   assert_int_not_equal (scene_report (m1, 0), 200);
@@ -744,19 +744,19 @@
   for (double lease = 5; lease < 60; lease += 2.5)
     for (double more = 8; more < 60; more += 4) {
       g_autoptr (GHashTable) vars = hr_policy_vars_new ();
-      g_autoptr (GError) e = NULL;
-      HrPolicy p;
+      g_autoptr (GError) error = NULL;
+      HrPolicy policy;
       hr_core_policy_vars (NULL, vars);
       hr_policy_vars_set (vars, "lease_s", lease);
       hr_policy_vars_set (vars, "report_s", lease / 5);
       hr_policy_vars_set (vars, "cancel_s", lease + more);
-      assert_true (hr_policy_load (SOURCE_ROOT "/deploy/policy.hop", vars, &p, &e));
-      assert_true (hr_core_policy_check (&p, vars, &e));
-      double ends = (p.hold_s + lease) * (1 + drift);
+      assert_true (hr_policy_load (SOURCE_ROOT "/deploy/policy.hop", vars, &policy, &error));
+      assert_true (hr_core_policy_check (&policy, vars, &error));
+      double ends = (policy.hold_s + lease) * (1 + drift);
       assert_true (ends < lease + more);
-      assert_true (p.hold_s + lease * 1.002 + p.lease_margin_s > ends);
-      p.hold_s = more;
-      assert_false (hr_core_policy_check (&p, vars, &e));
+      assert_true (policy.hold_s + lease * 1.002 + policy.lease_margin_s > ends);
+      policy.hold_s = more;
+      assert_false (hr_core_policy_check (&policy, vars, &error));
     }
 }
 
