--- a/src/bookkeeping/record.c
+++ b/src/bookkeeping/record.c
@@ -132,7 +132,7 @@
 gboolean
 hr_record_read (const json_t *value, HrNames *names, HrRecord *record)
 {
-  guint64 n, d = 0;
+  guint64 n, done = 0;
   memset (record, 0, sizeof *record);
   const char *tag = hr_json_str (value, "w");
   if (!tag || !hr_json_count (value, "s", HR_JOB_CANCELLED, &n))
@@ -141,11 +141,11 @@
   const json_t *spec = json_object_get (value, "j");
   if (!spec) {
     if (!hr_json_count (value, "n", HR_MAX_TASKS, &n) ||
-        !hr_json_count (value, "d", HR_MAX_TASKS, &d))
+        !hr_json_count (value, "d", HR_MAX_TASKS, &done))
       return FALSE;
     record->is_tombstone = TRUE;
     record->n_tasks = n;
-    record->n_done = d;
+    record->n_done = done;
     const char *root = hr_json_str (value, "c");
     record->cancelled_with = hr_job_id_valid (root) ? root : NULL;
   } else {
--- a/src/coordination/leadership/leadership.c
+++ b/src/coordination/leadership/leadership.c
@@ -39,7 +39,7 @@
 static double
 attested_until (const HrCore *core)
 {
-  double t = core->now;
+  double until = core->now;
   if (!core->store.replica.synced_once)
     return 0;
   for (guint i = 0; i < core->settings->members->len; i++) {
@@ -50,9 +50,9 @@
       if (g_str_equal (peer->status.label, label))
         said = peer->attested_at;
     }
-    t = MIN (t, said);
+    until = MIN (until, said);
   }
-  return t;
+  return until;
 }
 
 /* hold_s bounds how long an owner may answer without a reading, or the attestation of all other
--- a/src/coordination/scaling/scale_out.c
+++ b/src/coordination/scaling/scale_out.c
@@ -171,11 +171,11 @@
   if (job->spec.shape != HR_GANG || job->plan.n_listed)
     return FALSE;
   for (guint i = 0; i < core->scaling.machine_types->len; i++) {
-    guint32 t = g_array_index (core->scaling.machine_types, HrMachineType, i).type;
-    if ((!job->spec.types || job->spec.types >> t & 1) &&
-        (!hr_capacity_is_refused (core, t, job->spec.zone, FALSE) ||
+    guint32 type = g_array_index (core->scaling.machine_types, HrMachineType, i).type;
+    if ((!job->spec.types || job->spec.types >> type & 1) &&
+        (!hr_capacity_is_refused (core, type, job->spec.zone, FALSE) ||
          (job->spec.allows_spot && core->policy.spot_use > 0 &&
-          !hr_capacity_is_refused (core, t, job->spec.zone, TRUE))))
+          !hr_capacity_is_refused (core, type, job->spec.zone, TRUE))))
       return FALSE;
   }
   for (guint i = 0; i < core->scaling.fleet->len; i++)
--- a/src/coordination/scheduling/mtedf.c
+++ b/src/coordination/scheduling/mtedf.c
@@ -172,14 +172,14 @@
     /* Waiting for others to end is less sure than fetching: it counts double. */
     fetch[k] += MAX (0, start[k] - core->now);
   }
-  for (guint z = 0; z < zones; z++) {
+  for (guint zone = 0; zone < zones; zone++) {
     g_autoptr (GArray) got = g_array_new (FALSE, FALSE, sizeof (guint));
     double last = 0;
     while (got->len < job->n_tasks) {
       guint best = HR_NONE;
       for (guint k = 0; k < order->len; k++) {
         HrMachine *machine = order->pdata[k];
-        if (used[k] || start[k] > core->now + 1e5 || (job->spec.one_zone && machine->zone != z))
+        if (used[k] || start[k] > core->now + 1e5 || (job->spec.one_zone && machine->zone != zone))
           continue;
         if (best == HR_NONE || start[k] + fetch[k] < start[best] + fetch[best])
           best = k;
@@ -195,7 +195,7 @@
       guint k = g_array_index (got, guint, i);
       begins = MAX (begins, start[k] + fetch[k]);
     }
-    if (job->spec.one_zone && z == core->settings->home)
+    if (job->spec.one_zone && zone == core->settings->home)
       begins -= HR_HOME_S;
     if (got->len == job->n_tasks && begins < soonest) {
       soonest = begins;
--- a/tests/bench_core.c
+++ b/tests/bench_core.c
@@ -33,26 +33,26 @@
 static double
 cpu (void)
 {
-  struct timespec t;
-  clock_gettime (CLOCK_PROCESS_CPUTIME_ID, &t);
-  return t.tv_sec + t.tv_nsec / 1e9;
+  struct timespec time;
+  clock_gettime (CLOCK_PROCESS_CPUTIME_ID, &time);
+  return time.tv_sec + time.tv_nsec / 1e9;
 }
 
 static void
-answer (Bench *b, guint64 id, int status, char *text)
+answer (Bench *bench, guint64 id, int status, char *text)
 {
   HrCommand *command = hr_command_new (HR_COMMAND_RESULT);
   command->id = id;
   command->status = status;
   command->body = g_bytes_new_take (text, strlen (text));
-  g_ptr_array_add (b->inbox, command);
+  g_ptr_array_add (bench->inbox, command);
 }
 
 static void
-obey (Bench *b, const char *machine, const char *body)
+obey (Bench *bench, const char *machine, const char *body)
 {
   json_t *object = json_loads (body, 0, NULL), *entry;
-  GHashTable *settings = g_hash_table_lookup (b->on, machine);
+  GHashTable *settings = g_hash_table_lookup (bench->on, machine);
   size_t i;
   json_array_foreach (json_object_get (object, "orders"), i, entry)
   {
@@ -69,7 +69,7 @@
 }
 
 static char *
-report (Bench *b, const char *machine)
+report (Bench *bench, const char *machine)
 {
   GString *text = g_string_new (NULL);
   GHashTableIter iter;
@@ -79,8 +79,8 @@
                    "{\"rockhand\":\"%s\",\"addr\":\"%s\",\"hull\":\"g2\",\"quarry\":"
                    "\"z0\",\"loaners\":false,\"tenure\":1,\"tally\":%u,\"baton\":1,\"warning_s\":"
                    "null,\"pieces\":[",
-                   machine, machine, ++b->tally);
-  g_hash_table_iter_init (&iter, g_hash_table_lookup (b->on, machine));
+                   machine, machine, ++bench->tally);
+  g_hash_table_iter_init (&iter, g_hash_table_lookup (bench->on, machine));
   while (g_hash_table_iter_next (&iter, &k, NULL)) {
     g_string_append_printf (text, "%s{%s,\"stance\":\"running\"}", sep, (char *)k);
     sep = ",";
@@ -90,102 +90,104 @@
 }
 
 static void
-call (Bench *b, HrEffect *effect)
+call (Bench *bench, HrEffect *effect)
 {
   if (effect->target == HR_TO_WORKER) {
-    obey (b, effect->addr, effect->body);
-    answer (b, effect->id, 200, report (b, effect->addr));
+    obey (bench, effect->addr, effect->body);
+    answer (bench, effect->id, 200, report (bench, effect->addr));
     return;
   }
   if (strcmp (effect->path, "/commit") == 0) {
     json_t *object = json_loads (effect->body, 0, NULL), *workers;
     size_t i;
-    b->epoch++;
+    bench->epoch++;
     json_array_foreach (json_object_get (object, "writes"), i, workers)
     {
       g_autofree char *value =
           json_dumps (json_object_get (workers, "value"), JSON_COMPACT | JSON_ENCODE_ANY);
-      b->writes++;
+      bench->writes++;
       g_string_append_printf (
-          b->log, "%s{\"set\":\"%s\",\"value\":%s,\"stamp\":%" G_GUINT64_FORMAT "}",
-          b->log->len ? "," : "", json_string_value (json_object_get (workers, "set")), value,
-          b->epoch);
+          bench->log, "%s{\"set\":\"%s\",\"value\":%s,\"stamp\":%" G_GUINT64_FORMAT "}",
+          bench->log->len ? "," : "", json_string_value (json_object_get (workers, "set")), value,
+          bench->epoch);
     }
     json_decref (object);
-    answer (b, effect->id, 200, g_strdup_printf ("{\"epoch\":%" G_GUINT64_FORMAT "}", b->epoch));
+    answer (bench, effect->id, 200,
+            g_strdup_printf ("{\"epoch\":%" G_GUINT64_FORMAT "}", bench->epoch));
   } else if (g_str_has_prefix (effect->path, "/changes?")) {
     if (strstr (effect->path, "hold_ms=0")) {
-      answer (b, effect->id, 200,
-              g_strdup_printf ("{\"epoch\":%" G_GUINT64_FORMAT ",\"log\":[%s]}", b->epoch,
-                               b->log->str));
-      g_string_truncate (b->log, 0);
+      answer (bench, effect->id, 200,
+              g_strdup_printf ("{\"epoch\":%" G_GUINT64_FORMAT ",\"log\":[%s]}", bench->epoch,
+                               bench->log->str));
+      g_string_truncate (bench->log, 0);
     }
   } else if (strcmp (effect->path, "/leases") == 0)
-    answer (b, effect->id, 200, g_strdup ("{\"claim\":1}"));
+    answer (bench, effect->id, 200, g_strdup ("{\"claim\":1}"));
   else if (g_str_has_prefix (effect->path, "/kv?"))
-    answer (
-        b, effect->id, 200,
-        g_strdup_printf ("{\"rows\":[],\"more\":false,\"epoch\":%" G_GUINT64_FORMAT "}", b->epoch));
+    answer (bench, effect->id, 200,
+            g_strdup_printf ("{\"rows\":[],\"more\":false,\"epoch\":%" G_GUINT64_FORMAT "}",
+                             bench->epoch));
   else if (strcmp (effect->path, "/machine_types") == 0)
-    answer (b, effect->id, 200,
+    answer (bench, effect->id, 200,
             g_strdup ("{\"hulls\":[{\"sku\":\"g2\",\"vcpus\":12,\"accelerators\":2,\"memory_gb\":"
                       "96,\"cache_gb\":100,\"fetch_gb_per_s\":0.3,\"hourly\":5.0,\"low_price\":"
                       "2.0,\"startup_s\":40,\"quarries\":[\"z0\"]}]}"));
   else if (strcmp (effect->path, "/rentals") == 0 || g_str_has_prefix (effect->path, "/rentals?"))
-    answer (b, effect->id, 503, g_strdup ("{\"error\":\"no capacity\"}"));
+    answer (bench, effect->id, 503, g_strdup ("{\"error\":\"no capacity\"}"));
   else
-    answer (b, effect->id, 200, g_strdup ("{}"));
+    answer (bench, effect->id, 200, g_strdup ("{}"));
 }
 
 /* One step with these commands (taken), then the answers to what it asked for. */
 static void
-step (Bench *b, GPtrArray *commands, int figure, const char *machine)
+step (Bench *bench, GPtrArray *commands, int figure, const char *machine)
 {
   for (int first = 1; commands->len; first = 0) {
     g_autoptr (GPtrArray) out = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_effect_free);
-    double t = cpu ();
-    hr_core_step (b->core, b->now, 1e9 + b->now, commands, out);
-    t = cpu () - t;
-    Figure *f = &figures[first ? figure : F_ANSWER];
-    f->sum += t;
-    f->most = MAX (f->most, t);
-    f->n += first ? 1 : commands->len;
+    double until = cpu ();
+    hr_core_step (bench->core, bench->now, 1e9 + bench->now, commands, out);
+    until = cpu () - until;
+    Figure *figure_row = &figures[first ? figure : F_ANSWER];
+    figure_row->sum += until;
+    figure_row->most = MAX (figure_row->most, until);
+    figure_row->n += first ? 1 : commands->len;
     for (guint i = 0; i < out->len; i++) {
       HrEffect *effect = out->pdata[i];
       if (effect->kind == HR_EFFECT_CALL)
-        call (b, effect);
+        call (bench, effect);
       else if (effect->kind == HR_EFFECT_REPLY && machine && effect->status == 200 && first)
-        obey (b, machine, effect->body);
+        obey (bench, machine, effect->body);
     }
     g_ptr_array_set_size (commands, 0);
-    for (guint i = 0; i < b->inbox->len; i++)
-      g_ptr_array_add (commands, b->inbox->pdata[i]);
-    g_ptr_array_set_free_func (b->inbox, NULL);
-    g_ptr_array_set_size (b->inbox, 0);
+    for (guint i = 0; i < bench->inbox->len; i++)
+      g_ptr_array_add (commands, bench->inbox->pdata[i]);
+    g_ptr_array_set_free_func (bench->inbox, NULL);
+    g_ptr_array_set_size (bench->inbox, 0);
   }
 }
 
 static void
-request (Bench *b, HrMethod m, const char *path, char *body, int figure, const char *machine)
+request (Bench *bench, HrMethod method, const char *path, char *body, int figure,
+         const char *machine)
 {
-  g_autoptr (GPtrArray) q = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_command_free);
+  g_autoptr (GPtrArray) queue = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_command_free);
   HrCommand *command = hr_command_new (HR_COMMAND_REQUEST);
   static guint64 id;
   command->id = ++id;
-  command->method = m;
+  command->method = method;
   command->path = g_strdup (path);
   command->body = body ? g_bytes_new_take (body, strlen (body)) : NULL;
-  g_ptr_array_add (q, command);
-  step (b, q, figure, machine);
+  g_ptr_array_add (queue, command);
+  step (bench, queue, figure, machine);
 }
 
 static void
-tick (Bench *b, double dt)
+tick (Bench *bench, double step_s)
 {
-  g_autoptr (GPtrArray) q = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_command_free);
-  b->now += dt;
-  g_ptr_array_add (q, hr_command_new (HR_COMMAND_TICK));
-  step (b, q, dt > 0.1 ? F_PASS : F_TICK, NULL);
+  g_autoptr (GPtrArray) queue = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_command_free);
+  bench->now += step_s;
+  g_ptr_array_add (queue, hr_command_new (HR_COMMAND_TICK));
+  step (bench, queue, step_s > 0.1 ? F_PASS : F_TICK, NULL);
 }
 
 static char *
@@ -205,7 +207,7 @@
 }
 
 static GLogWriterOutput
-silent (GLogLevelFlags level, const GLogField *f, gsize n, gpointer d)
+silent (GLogLevelFlags level, const GLogField *fields, gsize n, gpointer data)
 {
   return G_LOG_WRITER_HANDLED;
 }
@@ -215,16 +217,16 @@
 {
   guint machines = argc > 1 ? (guint)atoi (argv[1]) : 600,
         jobs = argc > 2 ? (guint)atoi (argv[2]) : 300;
-  Bench b = {.now = 1, .machines = machines, .epoch = 1};
+  Bench bench = {.now = 1, .machines = machines, .epoch = 1};
   HrNames names;
   HrPolicy policy;
   g_autoptr (GError) error = NULL;
   g_autoptr (GHashTable) vars = hr_policy_vars_new ();
   g_log_set_writer_func (silent, NULL, NULL);
-  b.inbox = g_ptr_array_new ();
-  b.on =
+  bench.inbox = g_ptr_array_new ();
+  bench.on =
       g_hash_table_new_full (g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_hash_table_unref);
-  b.log = g_string_new (NULL);
+  bench.log = g_string_new (NULL);
   hr_names_init (&names);
   json_t *root = json_loads (
       "{\"label\":\"c0\",\"area\":\"z0\",\"front\":\"127.0.0.1:1\",\"back\":\"127.0.0.1:2\","
@@ -242,32 +244,33 @@
     fprintf (stderr, "bench_core: %s\n", error->message);
     return 1;
   }
-  b.core = hr_core_new (settings, &policy, &names, "bench", 1);
+  bench.core = hr_core_new (settings, &policy, &names, "bench", 1);
   for (int i = 0; i < 100; i++)
-    tick (&b, 0.1);
+    tick (&bench, 0.1);
   guint tasks = 0, all = 0;
   for (guint round = 0; round < 12; round++) {
     for (guint i = 0; i < machines; i++) {
       g_autofree char *name = g_strdup_printf ("m-%06u", i);
-      if (!g_hash_table_contains (b.on, name))
-        g_hash_table_insert (b.on, g_strdup (name),
+      if (!g_hash_table_contains (bench.on, name))
+        g_hash_table_insert (bench.on, g_strdup (name),
                              g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL));
-      request (&b, HR_POST, "/hello", report (&b, name), F_REPORT, name);
+      request (&bench, HR_POST, "/hello", report (&bench, name), F_REPORT, name);
     }
     for (guint i = round * jobs / 12; i < (round + 1) * jobs / 12; i++) {
-      request (&b, HR_POST, "/v1/jobs", job (i, &tasks), F_SUBMIT, NULL);
+      request (&bench, HR_POST, "/v1/jobs", job (i, &tasks), F_SUBMIT, NULL);
       all += tasks;
     }
     for (guint i = 0; i < (round + 1) * jobs / 12; i++) {
       g_autofree char *path = g_strdup_printf ("/v1/jobs/job-%06u", i);
-      request (&b, HR_GET, path, NULL, F_POLL, NULL);
+      request (&bench, HR_GET, path, NULL, F_POLL, NULL);
     }
     for (int i = 0; i < 5; i++) {
-      tick (&b, 0.2);
-      tick (&b, 0.01);
+      tick (&bench, 0.2);
+      tick (&bench, 0.01);
     }
   }
-  printf ("%u machines, %u jobs, %u tasks; %u changes written\n", machines, jobs, all, b.writes);
+  printf ("%u machines, %u jobs, %u tasks; %u changes written\n", machines, jobs, all,
+          bench.writes);
   for (guint i = 0; i < G_N_ELEMENTS (figures); i++)
     printf ("%-26s %7u times %10.1f us each %10.1f us at most\n", figures[i].name, figures[i].n,
             1e6 * figures[i].sum / MAX (1, figures[i].n), 1e6 * figures[i].most);
--- a/tests/meetings.h
+++ b/tests/meetings.h
@@ -19,8 +19,8 @@
     from = other_from;
     to = other_to;
   }
-  for (guint s = from; s < to; s++)
-    broken += meeting_play (s, settings, day, n);
+  for (guint seed = from; seed < to; seed++)
+    broken += meeting_play (seed, settings, day, n);
   assert_int_equal (broken, 0);
 }
 
--- a/tests/script_scene.c
+++ b/tests/script_scene.c
@@ -30,31 +30,31 @@
 static void
 task_free (gpointer data)
 {
-  SceneTask *t = data;
-  g_free (t->piece);
-  g_free (t);
+  SceneTask *task = data;
+  g_free (task->piece);
+  g_free (task);
 }
 
 static SceneTask *
-task_of (const SceneMachine *m, const char *piece, guint attempt, guint *at)
+task_of (const SceneMachine *machine, const char *piece, guint attempt, guint *at)
 {
-  for (guint i = 0; i < m->tasks->len; i++) {
-    SceneTask *t = m->tasks->pdata[i];
-    if (g_str_equal (t->piece, piece) && t->attempt == attempt) {
+  for (guint i = 0; i < machine->tasks->len; i++) {
+    SceneTask *task = machine->tasks->pdata[i];
+    if (g_str_equal (task->piece, piece) && task->attempt == attempt) {
       if (at)
         *at = i;
-      return t;
+      return task;
     }
   }
   return NULL;
 }
 
 gboolean
-scene_has (const SceneMachine *m, const char *piece)
+scene_has (const SceneMachine *machine, const char *piece)
 {
-  for (guint i = 0; i < m->tasks->len && !m->gone; i++) {
-    const SceneTask *t = m->tasks->pdata[i];
-    if (!t->exited && g_str_equal (t->piece, piece))
+  for (guint i = 0; i < machine->tasks->len && !machine->gone; i++) {
+    const SceneTask *task = machine->tasks->pdata[i];
+    if (!task->exited && g_str_equal (task->piece, piece))
       return TRUE;
   }
   return FALSE;
@@ -70,16 +70,16 @@
 }
 
 void
-scene_exit (SceneMachine *m, const char *piece, const char *cause)
+scene_exit (SceneMachine *machine, const char *piece, const char *cause)
 {
-  for (guint i = 0; i < m->tasks->len; i++) {
-    SceneTask *t = m->tasks->pdata[i];
-    if (t->exited || !g_str_equal (t->piece, piece))
+  for (guint i = 0; i < machine->tasks->len; i++) {
+    SceneTask *task = machine->tasks->pdata[i];
+    if (task->exited || !g_str_equal (task->piece, piece))
       continue;
-    t->exited = TRUE;
-    t->cause = cause;
+    task->exited = TRUE;
+    task->cause = cause;
     g_autofree char *id = job_of (piece);
-    SceneJob *job = g_hash_table_lookup (m->scene->jobs, id);
+    SceneJob *job = g_hash_table_lookup (machine->scene->jobs, id);
     if (job && g_str_equal (cause, "done") && g_hash_table_add (job->done, g_strdup (piece)))
       job->ended++;
   }
@@ -87,9 +87,9 @@
 
 /* What others of the job, and of the team, are on machines just now. */
 static void
-check_place (SceneMachine *m, const char *piece)
+check_place (SceneMachine *machine, const char *piece)
 {
-  Scene *scene = m->scene;
+  Scene *scene = machine->scene;
   g_autofree char *id = job_of (piece);
   const SceneJob *job = g_hash_table_lookup (scene->jobs, id);
   double cpus = job ? job->cpus : 0;
@@ -97,54 +97,54 @@
   for (guint i = 0; i < scene->machines->len; i++) {
     const SceneMachine *other = scene->machines->pdata[i];
     for (guint k = 0; k < other->tasks->len && !other->gone; k++) {
-      const SceneTask *t = other->tasks->pdata[k];
-      g_autofree char *of = job_of (t->piece);
-      const SceneJob *j = g_hash_table_lookup (scene->jobs, of);
-      if (t->exited)
+      const SceneTask *task = other->tasks->pdata[k];
+      g_autofree char *of = job_of (task->piece);
+      const SceneJob *job_row = g_hash_table_lookup (scene->jobs, of);
+      if (task->exited)
         continue;
-      cpus += j ? j->cpus : 0;
+      cpus += job_row ? job_row->cpus : 0;
       if (!g_str_equal (of, id))
         continue;
-      here += g_str_equal (other->zone, m->zone);
-      elsewhere += !g_str_equal (other->zone, m->zone);
+      here += g_str_equal (other->zone, machine->zone);
+      elsewhere += !g_str_equal (other->zone, machine->zone);
     }
   }
   if (scene->cpus_max > 0 && cpus > scene->cpus_max)
-    broken (scene, "quota: %s starts on %s, %g CPUs in use with it", piece, m->name, cpus);
+    broken (scene, "quota: %s starts on %s, %g CPUs in use with it", piece, machine->name, cpus);
   if (job && job->together && elsewhere)
-    broken (scene, "wrong_place: %s starts on %s, apart from others", piece, m->name);
+    broken (scene, "wrong_place: %s starts on %s, apart from others", piece, machine->name);
   if (job && job->apart && here + 1 > (job->tasks + 1) / 2)
-    broken (scene, "wrong_place: %s starts on %s, beside too many others", piece, m->name);
+    broken (scene, "wrong_place: %s starts on %s, beside too many others", piece, machine->name);
 }
 
 static void
-launch (SceneMachine *m, const char *piece, guint attempt)
+launch (SceneMachine *machine, const char *piece, guint attempt)
 {
-  Scene *scene = m->scene;
-  if (task_of (m, piece, attempt, NULL))
+  Scene *scene = machine->scene;
+  if (task_of (machine, piece, attempt, NULL))
     return;
-  if (scene_has (m, piece)) { /* with another attempt: refused */
-    SceneTask *t = g_new0 (SceneTask, 1);
-    *t = (SceneTask){g_strdup (piece), attempt, TRUE, "in_use"};
-    g_ptr_array_add (m->tasks, t);
+  if (scene_has (machine, piece)) { /* with another attempt: refused */
+    SceneTask *task = g_new0 (SceneTask, 1);
+    *task = (SceneTask){g_strdup (piece), attempt, TRUE, "in_use"};
+    g_ptr_array_add (machine->tasks, task);
     return;
   }
-  check_place (m, piece);
-  SceneTask *t = g_new0 (SceneTask, 1);
-  t->piece = g_strdup (piece);
-  t->attempt = attempt;
+  check_place (machine, piece);
+  SceneTask *task = g_new0 (SceneTask, 1);
+  task->piece = g_strdup (piece);
+  task->attempt = attempt;
   g_autofree char *job_id = job_of (piece);
   if (scene_count (scene, piece))
-    broken (scene, "ran_twice: %s try %u starts on %s", piece, attempt, m->name);
+    broken (scene, "ran_twice: %s try %u starts on %s", piece, attempt, machine->name);
   const double *told = g_hash_table_lookup (scene->withdrawn, job_id);
   if (told && scene->s->now > *told + scene->cancel_s)
-    broken (scene, "ran_cancelled: %s starts on %s", piece, m->name);
-  g_ptr_array_add (m->tasks, t);
+    broken (scene, "ran_cancelled: %s starts on %s", piece, machine->name);
+  g_ptr_array_add (machine->tasks, task);
   scene->starts++;
 }
 
 static void
-obey (SceneMachine *m, json_t *orders)
+obey (SceneMachine *machine, json_t *orders)
 {
   size_t i;
   json_t *object;
@@ -153,43 +153,43 @@
     const char *verb = hr_json_str (object, "verb"), *piece = hr_json_str (object, "piece");
     guint attempt = json_integer_value (json_object_get (object, "try")), at;
     if (g_str_equal (verb, "launch")) {
-      launch (m, piece, attempt);
+      launch (machine, piece, attempt);
       continue;
     }
-    SceneTask *t = task_of (m, piece, attempt, &at);
-    if (t && g_str_equal (verb, "kill") && !t->exited) {
-      t->exited = TRUE;
-      t->cause = "halted";
-    } else if (t && g_str_equal (verb, "clear") && t->exited)
-      g_ptr_array_remove_index (m->tasks, at);
+    SceneTask *task = task_of (machine, piece, attempt, &at);
+    if (task && g_str_equal (verb, "kill") && !task->exited) {
+      task->exited = TRUE;
+      task->cause = "halted";
+    } else if (task && g_str_equal (verb, "clear") && task->exited)
+      g_ptr_array_remove_index (machine->tasks, at);
   }
 }
 
 /* ---- reports ---- */
 
 static json_t *
-report_of (SceneMachine *m)
+report_of (SceneMachine *machine)
 {
   json_t *pieces = json_array ();
-  for (guint i = 0; i < m->tasks->len; i++) {
-    const SceneTask *t = m->tasks->pdata[i];
-    json_t *object = json_pack ("{sssiss}", "piece", t->piece, "try", (int)t->attempt, "stance",
-                                t->exited ? "exited" : "running");
-    if (t->exited)
-      json_object_set_new (object, "cause", json_string (t->cause));
+  for (guint i = 0; i < machine->tasks->len; i++) {
+    const SceneTask *task = machine->tasks->pdata[i];
+    json_t *object = json_pack ("{sssiss}", "piece", task->piece, "try", (int)task->attempt,
+                                "stance", task->exited ? "exited" : "running");
+    if (task->exited)
+      json_object_set_new (object, "cause", json_string (task->cause));
     json_array_append_new (pieces, object);
   }
-  json_t *notice = m->notice > 0 ? json_real (m->notice) : json_null ();
-  return json_pack ("{sssssssssbsisisIsoso}", "rockhand", m->name, "addr", m->name, "hull", "g2",
-                    "quarry", m->zone, "loaners", 0, "tenure", (int)m->tenure, "tally",
-                    (int)++m->tally, "baton", (json_int_t)m->baton, "warning_s", notice, "pieces",
-                    pieces);
+  json_t *notice = machine->notice > 0 ? json_real (machine->notice) : json_null ();
+  return json_pack ("{sssssssssbsisisIsoso}", "rockhand", machine->name, "addr", machine->name,
+                    "hull", "g2", "quarry", machine->zone, "loaners", 0, "tenure",
+                    (int)machine->tenure, "tally", (int)++machine->tally, "baton",
+                    (json_int_t)machine->baton, "warning_s", notice, "pieces", pieces);
 }
 
 char *
-scene_write (SceneMachine *m)
+scene_write (SceneMachine *machine)
 {
-  return hr_json_take_text (report_of (m));
+  return hr_json_take_text (report_of (machine));
 }
 
 int
@@ -200,84 +200,87 @@
 }
 
 static void
-next_node (SceneMachine *m, const ScriptReply *r)
+next_node (SceneMachine *machine, const ScriptReply *reply)
 {
-  Script *s = m->scene->s;
-  const char *foreman = r && r->status == 421 ? hr_json_str (r->body, "foreman") : NULL;
+  Script *script = machine->scene->s;
+  const char *foreman = reply && reply->status == 421 ? hr_json_str (reply->body, "foreman") : NULL;
   int to = foreman ? foreman[1] - '0' : -1;
-  m->node = to >= 0 && to != m->node ? to : (m->node + 1) % s->n;
-  m->report_at = s->now + (to >= 0 ? 0.2 : 1);
+  machine->node = to >= 0 && to != machine->node ? to : (machine->node + 1) % script->n;
+  machine->report_at = script->now + (to >= 0 ? 0.2 : 1);
 }
 
 int
-scene_report (SceneMachine *m, int node)
-{
-  Script *s = m->scene->s;
-  guint tenure = m->tenure;
-  g_autofree char *text = scene_write (m);
-  m->report_at = s->now + m->scene->report_s;
-  if (m->only >= 0 && m->only != node) {
-    next_node (m, NULL);
+scene_report (SceneMachine *machine, int node)
+{
+  Script *script = machine->scene->s;
+  guint tenure = machine->tenure;
+  g_autofree char *text = scene_write (machine);
+  machine->report_at = script->now + machine->scene->report_s;
+  if (machine->only >= 0 && machine->only != node) {
+    next_node (machine, NULL);
     return 0;
   }
-  guint64 id = script_request (s, node, HR_POST, "/hello", text);
-  const ScriptReply *r = script_reply (s, node, id);
-  int status = r ? r->status : 0;
-  if (!r || !m->hears || status != 200) {
-    next_node (m, m->hears ? r : NULL);
+  guint64 id = script_request (script, node, HR_POST, "/hello", text);
+  const ScriptReply *reply = script_reply (script, node, id);
+  int status = reply ? reply->status : 0;
+  if (!reply || !machine->hears || status != 200) {
+    next_node (machine, machine->hears ? reply : NULL);
     return status;
   }
-  guint64 fencing_token = json_integer_value (json_object_get (r->body, "baton"));
-  if (fencing_token < m->baton || tenure != m->tenure)
+  guint64 fencing_token = json_integer_value (json_object_get (reply->body, "baton"));
+  if (fencing_token < machine->baton || tenure != machine->tenure)
     return status;
   /* A higher token is a change, at most once in half of a lease. */
-  if (fencing_token > m->baton && s->now - m->token_told > m->scene->lease_s / 2) {
-    m->token_told = s->now;
-    m->report_at = s->now + 0.5;
+  if (fencing_token > machine->baton &&
+      script->now - machine->token_told > machine->scene->lease_s / 2) {
+    machine->token_told = script->now;
+    machine->report_at = script->now + 0.5;
   }
-  m->baton = fencing_token;
-  m->lease_at = s->now;
-  obey (m, json_object_get (r->body, "orders"));
+  machine->baton = fencing_token;
+  machine->lease_at = script->now;
+  obey (machine, json_object_get (reply->body, "orders"));
   return status;
 }
 
 /* ---- direct orders ---- */
 
 ScriptCall *
-scene_direct (SceneMachine *m, int node)
+scene_direct (SceneMachine *machine, int node)
 {
-  GPtrArray *calls = m->scene->s->calls;
+  GPtrArray *calls = machine->scene->s->calls;
   for (guint i = 0; i < calls->len; i++) {
     ScriptCall *call = calls->pdata[i];
-    if (call->node == node && call->target == HR_TO_WORKER && g_str_equal (call->addr, m->name))
+    if (call->node == node && call->target == HR_TO_WORKER &&
+        g_str_equal (call->addr, machine->name))
       return call;
   }
   return NULL;
 }
 
 ScriptCall *
-scene_launch_call (Scene *scene, SceneMachine *m, int leader, const char *id)
+scene_launch_call (Scene *scene, SceneMachine *machine, int leader, const char *id)
 {
-  m->reached = FALSE;
+  machine->reached = FALSE;
   scene_submit (scene, leader, id, NULL);
-  for (int i = 0; i < 100 && !scene_direct (m, leader); i++)
+  for (int i = 0; i < 100 && !scene_direct (machine, leader); i++)
     scene_run (scene, STEP_S);
-  ScriptCall *call = scene_direct (m, leader);
+  ScriptCall *call = scene_direct (machine, leader);
   assert_non_null (call);
   assert_non_null (strstr (call->body, "launch"));
   return call;
 }
 
 int
-scene_obey_direct (SceneMachine *m, const char *body)
+scene_obey_direct (SceneMachine *machine, const char *body)
 {
   json_t *object = json_loads (body, 0, NULL);
   guint64 fencing_token = json_integer_value (json_object_get (object, "baton"));
-  gboolean ok = !m->gone && fencing_token >= m->baton &&
-                json_integer_value (json_object_get (object, "tenure")) == (json_int_t)m->tenure;
+  gboolean ok =
+      !machine->gone && fencing_token >= machine->baton &&
+      json_integer_value (json_object_get (object, "tenure")) == (json_int_t)machine->tenure;
   if (ok) {
-    m->baton = fencing_token;
-    obey (m, json_object_get (object, "orders"));
+    machine->baton = fencing_token;
+    obey (machine, json_object_get (object, "orders"));
   }
   json_decref (object);
   return ok ? 200 : 409;
@@ -287,9 +290,9 @@
 machine_at (Scene *scene, const char *address)
 {
   for (guint i = 0; i < scene->machines->len; i++) {
-    SceneMachine *m = scene->machines->pdata[i];
-    if (g_str_equal (m->name, address))
-      return m;
+    SceneMachine *machine = scene->machines->pdata[i];
+    if (g_str_equal (machine->name, address))
+      return machine;
   }
   return NULL;
 }
@@ -301,13 +304,13 @@
   GPtrArray *calls = scene->s->calls;
   for (guint i = 0; i < calls->len;) {
     ScriptCall *call = calls->pdata[i];
-    SceneMachine *m = call->target == HR_TO_WORKER ? machine_at (scene, call->addr) : NULL;
-    if (m && m->reached && !m->hangs && !m->gone) {
-      int status = scene_obey_direct (m, call->body);
-      g_autofree char *text = scene_write (m);
+    SceneMachine *machine = call->target == HR_TO_WORKER ? machine_at (scene, call->addr) : NULL;
+    if (machine && machine->reached && !machine->hangs && !machine->gone) {
+      int status = scene_obey_direct (machine, call->body);
+      g_autofree char *text = scene_write (machine);
       script_answer_with (scene->s, call, status, text);
       i = 0;
-    } else if (m && scene->s->now - call->sent > 3 && !frozen[call->node]) {
+    } else if (machine && scene->s->now - call->sent > 3 && !frozen[call->node]) {
       script_lose (scene->s, call);
       i = 0;
     } else
@@ -330,11 +333,11 @@
       continue;
     }
     for (guint i = 0; i < scene->machines->len; i++) {
-      SceneMachine *m = scene->machines->pdata[i];
-      g_autofree char *name = g_strdup_printf ("\"%s\"", m->name);
-      if (!strstr (call->body, name) || m->gone)
+      SceneMachine *machine = scene->machines->pdata[i];
+      g_autofree char *name = g_strdup_printf ("\"%s\"", machine->name);
+      if (!strstr (call->body, name) || machine->gone)
         continue;
-      m->gone = TRUE;
+      machine->gone = TRUE;
       scene->deletions++;
     }
     script_answer_with (scene->s, call, 200, "{}");
@@ -354,30 +357,30 @@
 check_withdrawn (Scene *scene)
 {
   for (guint i = 0; i < scene->machines->len; i++) {
-    SceneMachine *m = scene->machines->pdata[i];
-    for (guint k = 0; k < m->tasks->len && !m->gone; k++) {
-      const SceneTask *t = m->tasks->pdata[k];
-      g_autofree char *job_id = job_of (t->piece);
+    SceneMachine *machine = scene->machines->pdata[i];
+    for (guint k = 0; k < machine->tasks->len && !machine->gone; k++) {
+      const SceneTask *task = machine->tasks->pdata[k];
+      g_autofree char *job_id = job_of (task->piece);
       const double *told = g_hash_table_lookup (scene->withdrawn, job_id);
-      if (told && !t->exited && scene->s->now > *told + scene->cancel_s)
-        broken (scene, "ran_cancelled: %s is on %s", t->piece, m->name);
+      if (told && !task->exited && scene->s->now > *told + scene->cancel_s)
+        broken (scene, "ran_cancelled: %s is on %s", task->piece, machine->name);
     }
   }
 }
 
 static void
-live (Scene *scene, SceneMachine *m)
+live (Scene *scene, SceneMachine *machine)
 {
   double now = scene->s->now;
-  if (m->gone)
+  if (machine->gone)
     return;
-  if (now - m->lease_at > scene->lease_s) {
-    g_ptr_array_set_size (m->tasks, 0);
-    m->tenure++;
-    m->lease_at = now;
+  if (now - machine->lease_at > scene->lease_s) {
+    g_ptr_array_set_size (machine->tasks, 0);
+    machine->tenure++;
+    machine->lease_at = now;
   }
-  if (now >= m->report_at && m->reports && !m->hangs)
-    scene_report (m, m->node);
+  if (now >= machine->report_at && machine->reports && !machine->hangs)
+    scene_report (machine, machine->node);
 }
 
 void
@@ -409,11 +412,11 @@
 void
 scene_freeze (Scene *scene, int node)
 {
-  Script *s = scene->s;
-  frozen[node] = s->nodes[node].core;
-  s->nodes[node].core = NULL;
-  for (guint i = 0; i < s->calls->len; i++) {
-    ScriptCall *call = s->calls->pdata[i];
+  Script *script = scene->s;
+  frozen[node] = script->nodes[node].core;
+  script->nodes[node].core = NULL;
+  for (guint i = 0; i < script->calls->len; i++) {
+    ScriptCall *call = script->calls->pdata[i];
     call->held = call->held || call->node == node;
   }
 }
@@ -421,11 +424,11 @@
 void
 scene_thaw (Scene *scene, int node)
 {
-  Script *s = scene->s;
-  s->nodes[node].core = frozen[node];
+  Script *script = scene->s;
+  script->nodes[node].core = frozen[node];
   frozen[node] = NULL;
-  for (guint i = 0; i < s->calls->len; i++) {
-    ScriptCall *call = s->calls->pdata[i];
+  for (guint i = 0; i < script->calls->len; i++) {
+    ScriptCall *call = script->calls->pdata[i];
     call->held = call->held && (call->node != node || always_held (call->path));
   }
 }
@@ -433,14 +436,14 @@
 void
 scene_release (Scene *scene)
 {
-  Script *s = scene->s;
-  for (guint i = s->holds->len; i-- > 0;) {
-    const ScriptHold *h = s->holds->pdata[i];
-    if (!h->path || !always_held (h->path))
-      g_ptr_array_remove_index (s->holds, i);
+  Script *script = scene->s;
+  for (guint i = script->holds->len; i-- > 0;) {
+    const ScriptHold *held = script->holds->pdata[i];
+    if (!held->path || !always_held (held->path))
+      g_ptr_array_remove_index (script->holds, i);
   }
-  for (guint i = 0; i < s->calls->len; i++) {
-    ScriptCall *call = s->calls->pdata[i];
+  for (guint i = 0; i < script->calls->len; i++) {
+    ScriptCall *call = script->calls->pdata[i];
     call->held = call->held && (always_held (call->path) || frozen[call->node]);
   }
 }
@@ -543,30 +546,30 @@
 SceneMachine *
 scene_machine (Scene *scene, const char *name, const char *zone)
 {
-  SceneMachine *m = g_new0 (SceneMachine, 1);
-  m->scene = scene;
-  m->name = g_strdup (name);
-  m->zone = zone;
-  m->tenure = 1;
-  m->lease_at = scene->s->now;
-  m->token_told = -scene->lease_s;
-  m->reports = m->hears = m->reached = TRUE;
-  m->only = -1;
-  m->node = MAX (0, script_leader (scene->s));
-  m->tasks = g_ptr_array_new_with_free_func (task_free);
-  g_ptr_array_add (scene->machines, m);
+  SceneMachine *machine = g_new0 (SceneMachine, 1);
+  machine->scene = scene;
+  machine->name = g_strdup (name);
+  machine->zone = zone;
+  machine->tenure = 1;
+  machine->lease_at = scene->s->now;
+  machine->token_told = -scene->lease_s;
+  machine->reports = machine->hears = machine->reached = TRUE;
+  machine->only = -1;
+  machine->node = MAX (0, script_leader (scene->s));
+  machine->tasks = g_ptr_array_new_with_free_func (task_free);
+  g_ptr_array_add (scene->machines, machine);
   if (g_str_equal (zone, "z0"))
     script_worker (scene->s, name); /* for the cloud's list, which knows this zone alone */
-  return m;
+  return machine;
 }
 
 static void
 machine_free (gpointer data)
 {
-  SceneMachine *m = data;
-  g_ptr_array_unref (m->tasks);
-  g_free (m->name);
-  g_free (m);
+  SceneMachine *machine = data;
+  g_ptr_array_unref (machine->tasks);
+  g_free (machine->name);
+  g_free (machine);
 }
 
 Scene *
--- a/tests/script_scene.h
+++ b/tests/script_scene.h
@@ -82,23 +82,23 @@
 const char *scene_stance (Scene *scene, int node, const char *id);
 
 /* A report as it is now, sent now. */
-char *scene_write (SceneMachine *m);
+char *scene_write (SceneMachine *machine);
 /* It arrives at the node; the answer is lost. Returns its status. */
 int scene_deliver (Scene *scene, int node, const char *text);
 /* Reports to the node now; the answer arrives if it hears. */
-int scene_report (SceneMachine *m, int node);
+int scene_report (SceneMachine *machine, int node);
 
 /* The oldest open direct call to the machine, or NULL. */
-ScriptCall *scene_direct (SceneMachine *m, int node);
+ScriptCall *scene_direct (SceneMachine *machine, int node);
 /* Submits a job at the leader and waits for the direct call that launches it; no direct order
  * reaches the machine from here on. */
-ScriptCall *scene_launch_call (Scene *scene, SceneMachine *m, int leader, const char *id);
+ScriptCall *scene_launch_call (Scene *scene, SceneMachine *machine, int leader, const char *id);
 /* Carries out the body of a direct call. Returns 200 or 409. */
-int scene_obey_direct (SceneMachine *m, const char *body);
+int scene_obey_direct (SceneMachine *machine, const char *body);
 /* The task is on the machine and has not exited. */
-gboolean scene_has (const SceneMachine *m, const char *piece);
+gboolean scene_has (const SceneMachine *machine, const char *piece);
 guint scene_count (const Scene *scene, const char *piece); /* machines that it is on */
-void scene_exit (SceneMachine *m, const char *piece, const char *cause);
+void scene_exit (SceneMachine *machine, const char *piece, const char *cause);
 /* The machine that a job's record names, as text in it. */
 gboolean scene_recorded (Scene *scene, const char *job_id, const char *text);
 
--- a/tests/script_store.c
+++ b/tests/script_store.c
@@ -36,64 +36,64 @@
 }
 
 void
-script_store_init (Script *s)
+script_store_init (Script *script)
 {
-  s->keys = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, key_free);
-  s->leases = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
-  s->log = g_array_new (FALSE, TRUE, sizeof (Change));
-  g_array_set_clear_func (s->log, change_clear);
+  script->keys = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, key_free);
+  script->leases = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
+  script->log = g_array_new (FALSE, TRUE, sizeof (Change));
+  g_array_set_clear_func (script->log, change_clear);
 }
 
 void
-script_store_free (Script *s)
+script_store_free (Script *script)
 {
-  g_hash_table_unref (s->keys);
-  g_hash_table_unref (s->leases);
-  g_array_unref (s->log);
+  g_hash_table_unref (script->keys);
+  g_hash_table_unref (script->leases);
+  g_array_unref (script->log);
 }
 
 static void
-change (Script *s, const char *path, char *text, guint64 lease_id)
+change (Script *script, const char *path, char *text, guint64 lease_id)
 {
-  Change core = {g_strdup (path), g_strdup (text), s->epoch};
-  g_array_append_val (s->log, core);
+  Change core = {g_strdup (path), g_strdup (text), script->epoch};
+  g_array_append_val (script->log, core);
   if (!text) {
-    g_hash_table_remove (s->keys, path);
+    g_hash_table_remove (script->keys, path);
     return;
   }
   Key *k = g_new0 (Key, 1);
   k->text = text;
-  k->stamp = s->epoch;
+  k->stamp = script->epoch;
   k->claim = lease_id;
-  g_hash_table_replace (s->keys, g_strdup (path), k);
+  g_hash_table_replace (script->keys, g_strdup (path), k);
 }
 
 static void
-end_lease (Script *s, const Lease *lease)
+end_lease (Script *script, const Lease *lease)
 {
   g_autoptr (GPtrArray) dead = g_ptr_array_new_with_free_func (g_free);
   GHashTableIter iter;
   gpointer path, key;
-  g_hash_table_iter_init (&iter, s->keys);
+  g_hash_table_iter_init (&iter, script->keys);
   while (g_hash_table_iter_next (&iter, &path, &key))
     if (((Key *)key)->claim == lease->id)
       g_ptr_array_add (dead, g_strdup (path));
-  s->epoch += dead->len > 0;
+  script->epoch += dead->len > 0;
   for (guint i = 0; i < dead->len; i++)
-    change (s, dead->pdata[i], NULL, 0);
-  g_hash_table_remove (s->leases, &lease->id);
+    change (script, dead->pdata[i], NULL, 0);
+  g_hash_table_remove (script->leases, &lease->id);
 }
 
 static void
-end_leases (Script *s)
+end_leases (Script *script)
 {
-  g_autoptr (GList) all = g_hash_table_get_values (s->leases);
-  for (GList *l = all; l; l = l->next) {
-    Lease *lease = l->data;
-    if (s->outage)
-      lease->ends = s->now + lease->life;
-    else if (lease->ends < s->now)
-      end_lease (s, lease);
+  g_autoptr (GList) all = g_hash_table_get_values (script->leases);
+  for (GList *link = all; link; link = link->next) {
+    Lease *lease = link->data;
+    if (script->outage)
+      lease->ends = script->now + lease->life;
+    else if (lease->ends < script->now)
+      end_lease (script, lease);
   }
 }
 
@@ -104,14 +104,14 @@
 }
 
 static gboolean
-claims_hold (Script *s, json_t *writes)
+claims_hold (Script *script, json_t *writes)
 {
   size_t i;
   json_t *entry;
   json_array_foreach (writes, i, entry)
   {
     guint64 lease_id = json_integer_value (json_object_get (entry, "claim"));
-    if (lease_id && !g_hash_table_contains (s->leases, &lease_id))
+    if (lease_id && !g_hash_table_contains (script->leases, &lease_id))
       return FALSE;
   }
   return TRUE;
@@ -119,33 +119,35 @@
 
 /* Changes within the allowance, with bursts of one second's worth. */
 static gboolean
-allowed (Script *s, guint changes)
+allowed (Script *script, guint changes)
 {
-  if (s->write_rps <= 0)
+  if (script->write_rps <= 0)
     return TRUE;
-  s->write_tokens = MIN (s->write_rps, s->write_tokens + (s->now - s->write_at) * s->write_rps);
-  s->write_at = s->now;
-  if (s->write_tokens < changes) {
-    s->refused_writes++;
+  script->write_tokens =
+      MIN (script->write_rps,
+           script->write_tokens + (script->now - script->write_at) * script->write_rps);
+  script->write_at = script->now;
+  if (script->write_tokens < changes) {
+    script->refused_writes++;
     return FALSE;
   }
-  s->write_tokens -= changes;
+  script->write_tokens -= changes;
   return TRUE;
 }
 
 static char *
-commit (Script *s, const ScriptCall *call, int *status)
+commit (Script *script, const ScriptCall *call, int *status)
 {
   json_t *object = json_loads (call->body, 0, NULL), *entry, *failed = json_array ();
   json_t *writes = json_object_get (object, "writes");
   size_t i;
-  if (!allowed (s, json_array_size (writes))) {
+  if (!allowed (script, json_array_size (writes))) {
     *status = 429;
     json_decref (failed);
     json_decref (object);
     return g_strdup ("{\"error\":\"too many changes\"}");
   }
-  if (!claims_hold (s, writes)) {
+  if (!claims_hold (script, writes)) {
     *status = 400;
     json_decref (failed);
     json_decref (object);
@@ -154,25 +156,28 @@
   json_array_foreach (json_object_get (object, "when"), i, entry)
   {
     const char *path = hr_json_str (entry, "path");
-    if ((guint64)json_integer_value (json_object_get (entry, "stamp")) != script_stamp (s, path))
+    if ((guint64)json_integer_value (json_object_get (entry, "stamp")) !=
+        script_stamp (script, path))
       json_array_append_new (failed, json_string (path));
   }
   *status = json_array_size (failed) ? 409 : 200;
   if (*status == 200 && json_array_size (writes)) {
-    s->epoch++;
-    s->carried_out++;
+    script->epoch++;
+    script->carried_out++;
     json_array_foreach (writes, i, entry)
     {
       const char *settings = hr_json_str (entry, "set");
       if (settings)
-        change (s, settings, hr_json_take_text (json_incref (json_object_get (entry, "value"))),
+        change (script, settings,
+                hr_json_take_text (json_incref (json_object_get (entry, "value"))),
                 json_integer_value (json_object_get (entry, "claim")));
       else
-        change (s, hr_json_str (entry, "delete"), NULL, 0);
+        change (script, hr_json_str (entry, "delete"), NULL, 0);
     }
   }
   json_decref (object);
-  return hr_json_take_text (json_pack ("{sosI}", "failed", failed, "epoch", (json_int_t)s->epoch));
+  return hr_json_take_text (
+      json_pack ("{sosI}", "failed", failed, "epoch", (json_int_t)script->epoch));
 }
 
 static char *
@@ -188,19 +193,19 @@
 }
 
 static char *
-changes (Script *s, const ScriptCall *call, int *status)
+changes (Script *script, const ScriptCall *call, int *status)
 {
   g_autofree char *prefix = query (call->path, "starts"), *text = query (call->path, "after"),
                   *hold = query (call->path, "hold_ms");
   guint64 after = g_ascii_strtoull (text, NULL, 10);
   double ends = call->sent + g_ascii_strtod (hold ? hold : "0", NULL) / 1000;
-  if (after < s->oldest) {
+  if (after < script->oldest) {
     *status = 410;
     return g_strdup ("{\"error\":\"too old\"}");
   }
   json_t *log = json_array ();
-  for (guint i = 0; i < s->log->len; i++) {
-    Change *core = &g_array_index (s->log, Change, i);
+  for (guint i = 0; i < script->log->len; i++) {
+    Change *core = &g_array_index (script->log, Change, i);
     if (core->stamp <= after || !g_str_has_prefix (core->path, prefix))
       continue;
     json_t *object = json_pack ("{sssI}", core->text ? "set" : "delete", core->path, "stamp",
@@ -209,128 +214,128 @@
       json_object_set_new (object, "value", value_of (core->text));
     json_array_append_new (log, object);
   }
-  if (!json_array_size (log) && ends > s->now) {
+  if (!json_array_size (log) && ends > script->now) {
     json_decref (log);
     return NULL;
   }
   *status = 200;
-  return hr_json_take_text (json_pack ("{sIso}", "epoch", (json_int_t)s->epoch, "log", log));
+  return hr_json_take_text (json_pack ("{sIso}", "epoch", (json_int_t)script->epoch, "log", log));
 }
 
 static char *
-range (Script *s, const ScriptCall *call, int *status)
+range (Script *script, const ScriptCall *call, int *status)
 {
   g_autofree char *prefix = query (call->path, "starts"), *after = query (call->path, "after"),
                   *text = query (call->path, "limit");
   guint limit = g_ascii_strtoull (text ? text : "1000", NULL, 10);
-  g_autoptr (GList) keys = g_list_sort (g_hash_table_get_keys (s->keys), (GCompareFunc)strcmp);
+  g_autoptr (GList) keys = g_list_sort (g_hash_table_get_keys (script->keys), (GCompareFunc)strcmp);
   json_t *rows = json_array ();
   gboolean more = FALSE;
-  for (GList *l = keys; l && !more; l = l->next) {
-    Key *k = g_hash_table_lookup (s->keys, l->data);
-    if (!g_str_has_prefix (l->data, prefix) || (after && strcmp (l->data, after) <= 0))
+  for (GList *link = keys; link && !more; link = link->next) {
+    Key *k = g_hash_table_lookup (script->keys, link->data);
+    if (!g_str_has_prefix (link->data, prefix) || (after && strcmp (link->data, after) <= 0))
       continue;
     more = json_array_size (rows) == limit;
     if (!more)
-      json_array_append_new (rows, json_pack ("{sssosI}", "path", l->data, "value",
+      json_array_append_new (rows, json_pack ("{sssosI}", "path", link->data, "value",
                                               value_of (k->text), "stamp", (json_int_t)k->stamp));
   }
   *status = 200;
   return hr_json_take_text (
-      json_pack ("{sosbsI}", "rows", rows, "more", more, "epoch", (json_int_t)s->epoch));
+      json_pack ("{sosbsI}", "rows", rows, "more", more, "epoch", (json_int_t)script->epoch));
 }
 
 static char *
-lease (Script *s, const ScriptCall *call, int *status)
+lease (Script *script, const ScriptCall *call, int *status)
 {
   *status = 200;
   if (strcmp (call->path, "/leases") == 0) {
     json_t *object = json_loads (call->body, 0, NULL);
-    Lease *l = g_new0 (Lease, 1);
-    l->id = ++s->claims;
-    l->life = json_integer_value (json_object_get (object, "life_ms")) / 1000.0;
-    l->ends = s->now + l->life;
-    g_hash_table_insert (s->leases, &l->id, l);
+    Lease *lease_row = g_new0 (Lease, 1);
+    lease_row->id = ++script->claims;
+    lease_row->life = json_integer_value (json_object_get (object, "life_ms")) / 1000.0;
+    lease_row->ends = script->now + lease_row->life;
+    g_hash_table_insert (script->leases, &lease_row->id, lease_row);
     json_decref (object);
-    return g_strdup_printf ("{\"claim\":%" G_GUINT64_FORMAT "}", l->id);
+    return g_strdup_printf ("{\"claim\":%" G_GUINT64_FORMAT "}", lease_row->id);
   }
   guint64 id = g_ascii_strtoull (call->path + strlen ("/leases/"), NULL, 10);
-  Lease *l = g_hash_table_lookup (s->leases, &id);
-  if (!l)
+  Lease *lease_row = g_hash_table_lookup (script->leases, &id);
+  if (!lease_row)
     *status = 404;
   else if (call->method == HR_DELETE)
-    end_lease (s, l);
+    end_lease (script, lease_row);
   else
-    l->ends = s->now + l->life;
+    lease_row->ends = script->now + lease_row->life;
   return g_strdup ("{}");
 }
 
 static char *
-single (Script *s, const ScriptCall *call, int *status)
+single (Script *script, const ScriptCall *call, int *status)
 {
   const char *path = call->path + strlen ("/kv/");
-  Key *k = g_hash_table_lookup (s->keys, path);
+  Key *k = g_hash_table_lookup (script->keys, path);
   *status = k ? 200 : 404;
   if (!k)
-    return g_strdup_printf ("{\"epoch\":%" G_GUINT64_FORMAT "}", s->epoch);
+    return g_strdup_printf ("{\"epoch\":%" G_GUINT64_FORMAT "}", script->epoch);
   return hr_json_take_text (json_pack ("{sssosI}", "path", path, "value", value_of (k->text),
                                        "stamp", (json_int_t)k->stamp));
 }
 
 char *
-script_store_request (Script *s, const ScriptCall *call, int *status)
+script_store_request (Script *script, const ScriptCall *call, int *status)
 {
-  end_leases (s);
+  end_leases (script);
   gboolean watch = strstr (call->path, "hold_ms=10000") != NULL;
-  if (s->outage || !s->nodes[call->node].served) {
+  if (script->outage || !script->nodes[call->node].served) {
     if (watch)
       return NULL; /* open watches stay open */
     *status = 503;
     return g_strdup ("{\"error\":\"trouble\"}");
   }
   if (strcmp (call->path, "/commit") == 0)
-    return commit (s, call, status);
+    return commit (script, call, status);
   if (g_str_has_prefix (call->path, "/changes?"))
-    return changes (s, call, status);
+    return changes (script, call, status);
   if (g_str_has_prefix (call->path, "/kv?"))
-    return range (s, call, status);
+    return range (script, call, status);
   if (g_str_has_prefix (call->path, "/kv/"))
-    return single (s, call, status);
-  return lease (s, call, status);
+    return single (script, call, status);
+  return lease (script, call, status);
 }
 
 const char *
-script_value (Script *s, const char *key)
+script_value (Script *script, const char *key)
 {
-  Key *k = g_hash_table_lookup (s->keys, key);
+  Key *k = g_hash_table_lookup (script->keys, key);
   return k ? k->text : NULL;
 }
 
 guint64
-script_stamp (Script *s, const char *key)
+script_stamp (Script *script, const char *key)
 {
-  Key *k = g_hash_table_lookup (s->keys, key);
+  Key *k = g_hash_table_lookup (script->keys, key);
   return k ? k->stamp : 0;
 }
 
 void
-script_write (Script *s, const char *key, const char *text)
+script_write (Script *script, const char *key, const char *text)
 {
-  s->epoch++;
-  change (s, key, g_strdup (text), 0);
+  script->epoch++;
+  change (script, key, g_strdup (text), 0);
 }
 
 void
-script_forget_changes (Script *s)
+script_forget_changes (Script *script)
 {
-  s->oldest = s->epoch;
-  g_array_set_size (s->log, 0);
+  script->oldest = script->epoch;
+  g_array_set_size (script->log, 0);
 }
 
 int
-script_leader (Script *s)
+script_leader (Script *script)
 {
-  const char *text = script_value (s, "h/map");
+  const char *text = script_value (script, "h/map");
   json_t *object = text ? value_of (text) : NULL;
   const char *label = hr_json_str (object, "o");
   int node = label ? label[1] - '0' : -1;
@@ -344,7 +349,7 @@
     "[\"z0\",\"z1\"]}]}";
 
 char *
-script_cloud_request (Script *s, const ScriptCall *call, int *status)
+script_cloud_request (Script *script, const ScriptCall *call, int *status)
 {
   *status = 200;
   if (strcmp (call->path, "/machine_types") == 0)
@@ -354,11 +359,11 @@
     return g_strdup ("{\"error\":\"no capacity\"}");
   }
   json_t *list = json_array ();
-  for (guint i = 0; i < s->workers->len; i++) {
-    ScriptWorker *w = s->workers->pdata[i];
-    json_array_append_new (list, json_pack ("{sssssssssbsssf}", "name_id", w->name, "addr", w->name,
-                                            "hull", "g2", "quarry", "z0", "loaners", 0, "stance",
-                                            "running", "age_s", s->now + 100));
+  for (guint i = 0; i < script->workers->len; i++) {
+    ScriptWorker *worker = script->workers->pdata[i];
+    json_array_append_new (list, json_pack ("{sssssssssbsssf}", "name_id", worker->name, "addr",
+                                            worker->name, "hull", "g2", "quarry", "z0", "loaners",
+                                            0, "stance", "running", "age_s", script->now + 100));
   }
   gboolean further = strstr (call->path, "after=m") != NULL;
   if (further)
--- a/tests/script_user.c
+++ b/tests/script_user.c
@@ -14,51 +14,51 @@
 }
 
 guint64
-script_submit (Script *s, int node, const char *id, guint tasks)
+script_submit (Script *script, int node, const char *id, guint tasks)
 {
   g_autofree char *body = hr_json_take_text (script_job (id, tasks));
-  return script_request (s, node, HR_POST, HR_JOBS_PATH, body);
+  return script_request (script, node, HR_POST, HR_JOBS_PATH, body);
 }
 
 guint64
-script_poll (Script *s, int node, const char *id)
+script_poll (Script *script, int node, const char *id)
 {
   g_autofree char *path = g_strconcat (HR_JOBS_PATH "/", id, NULL);
-  return script_request (s, node, HR_GET, path, NULL);
+  return script_request (script, node, HR_GET, path, NULL);
 }
 
 guint64
-script_abort (Script *s, int node, const char *id)
+script_abort (Script *script, int node, const char *id)
 {
   g_autofree char *path = g_strconcat (HR_JOBS_PATH "/", id, "/abort", NULL);
-  return script_request (s, node, HR_POST, path, NULL);
+  return script_request (script, node, HR_POST, path, NULL);
 }
 
 const ScriptReply *
-script_reply (Script *s, int node, guint64 request)
+script_reply (Script *script, int node, guint64 request)
 {
-  return g_hash_table_lookup (s->nodes[node].replies, &request);
+  return g_hash_table_lookup (script->nodes[node].replies, &request);
 }
 
 int
-script_status (Script *s, int node, guint64 request)
+script_status (Script *script, int node, guint64 request)
 {
-  const ScriptReply *r = script_reply (s, node, request);
-  return r ? r->status : 0;
+  const ScriptReply *reply = script_reply (script, node, request);
+  return reply ? reply->status : 0;
 }
 
 const char *
-script_stance (Script *s, int node, guint64 request)
+script_stance (Script *script, int node, guint64 request)
 {
-  const ScriptReply *r = script_reply (s, node, request);
-  return r ? hr_json_str (r->body, "stance") : NULL;
+  const ScriptReply *reply = script_reply (script, node, request);
+  return reply ? hr_json_str (reply->body, "stance") : NULL;
 }
 
 const char *
-script_asked (Script *s, int node, const char *id)
+script_asked (Script *script, int node, const char *id)
 {
-  guint64 request = script_poll (s, node, id);
-  for (int i = 0; i < 10 && !script_reply (s, node, request); i++)
-    script_run (s, 0.05);
-  return script_stance (s, node, request);
+  guint64 request = script_poll (script, node, id);
+  for (int i = 0; i < 10 && !script_reply (script, node, request); i++)
+    script_run (script, 0.05);
+  return script_stance (script, node, request);
 }
--- a/tests/scripted.h
+++ b/tests/scripted.h
@@ -46,20 +46,20 @@
 void script_log_init (void);
 /* leader: whom the map names; "c0" becomes the leader by itself. */
 Script *script_new (const char *leader);
-void script_free (Script *s);
+void script_free (Script *script);
 /* Time passes; c0 ticks, and members speak. */
-void script_run (Script *s, double seconds);
+void script_run (Script *script, double seconds);
 /* A user asks; the status is returned. Waits at most 3 s for the answer. */
-int script_ask (Script *s, HrMethod method, const char *path, const char *body);
-void script_submit (Script *s, const char *id);
+int script_ask (Script *script, HrMethod method, const char *path, const char *body);
+void script_submit (Script *script, const char *id);
 /* The worker reports, and obeys the answer; its status is returned. */
-int script_report (Script *s);
+int script_report (Script *script);
 /* The same again and again for so long; returns the status of the last one. */
-int script_report_for (Script *s, double seconds);
+int script_report_for (Script *script, double seconds);
 /* c0 gets this hint, with its own clock echoed. */
-void script_hint (Script *s, HrPeerStatus *status);
+void script_hint (Script *script, HrPeerStatus *status);
 /* Somebody else changes the ledger. */
-void script_write (Script *s, const char *key, const char *value);
+void script_write (Script *script, const char *key, const char *value);
 /* Somebody else withdraws the job; its stamp is returned. */
-guint64 script_withdraw (Script *s, const char *id);
-gboolean script_runs (const Script *s, const char *id);
+guint64 script_withdraw (Script *script, const char *id);
+gboolean script_runs (const Script *script, const char *id);
--- a/tests/sim/answers.c
+++ b/tests/sim/answers.c
@@ -8,9 +8,9 @@
 Question *
 question_new (World *world, SJob *job)
 {
-  Question *q = g_new (Question, 1);
-  *q = (Question){job, ++world->answers, world->now};
-  return q;
+  Question *question = g_new (Question, 1);
+  *question = (Question){job, ++world->answers, world->now};
+  return question;
 }
 
 gboolean
@@ -23,9 +23,9 @@
 }
 
 static gboolean
-heard_before (guint64 heard, const Question *q)
+heard_before (guint64 heard, const Question *question)
 {
-  return heard && heard < q->sent;
+  return heard && heard < question->sent;
 }
 
 /* Of what only one can ever be true, no controller may tell both, in whatever order. */
@@ -38,9 +38,9 @@
 }
 
 void
-answer_check (World *world, const Question *q, int status, json_t *body)
+answer_check (World *world, const Question *question, int status, json_t *body)
 {
-  SJob *job = q->job;
+  SJob *job = question->job;
   const char *state = json_string_value (json_object_get (body, "stance"));
   const char *id = json_string_value (json_object_get (body, "name_id"));
   world->answers++;
@@ -56,12 +56,12 @@
     w_broken (world, "not_done", "%s is called done", job->id);
   if (cancelled && !pipeline_cancel_asked (job))
     w_broken (world, "went_back", "%s is called withdrawn, nobody asked for that", job->id);
-  if ((heard_before (job->heard_done, q) && !done) ||
-      (heard_before (job->heard_withdrawn, q) && !cancelled))
+  if ((heard_before (job->heard_done, question) && !done) ||
+      (heard_before (job->heard_withdrawn, question) && !cancelled))
     w_broken (world, "went_back", "%s is called %s", job->id, state);
   check_final (world, job, done, cancelled);
-  pipeline_told (world, job, state, q->sent_at);
-  if (status == 201 && heard_before (job->heard_accepted, q))
+  pipeline_told (world, job, state, question->sent_at);
+  if (status == 201 && heard_before (job->heard_accepted, question))
     w_broken (world, "status", "%s is accepted as new a second time", job->id);
   gboolean first = !job->heard_accepted;
   gboolean news = first || (done && !job->heard_done) || (cancelled && !job->heard_withdrawn);
@@ -82,11 +82,11 @@
 }
 
 void
-answer_unknown (World *world, const Question *q, const char *what, int status)
+answer_unknown (World *world, const Question *question, const char *what, int status)
 {
-  SJob *job = q->job;
+  SJob *job = question->job;
   world->answers++;
-  if (heard_before (job->heard_accepted, q))
+  if (heard_before (job->heard_accepted, question))
     w_broken (world, "forgotten", "%s: %s gets %d", job->id, what, status);
   else if (status != 404)
     w_broken (world, "status", "%s: %s gets %d", job->id, what, status);
--- a/tests/sim/crowds.c
+++ b/tests/sim/crowds.c
@@ -13,7 +13,7 @@
 static void
 single (World *world, gpointer data)
 {
-  Singles *s = data;
+  Singles *singles = data;
   SJob *job = job_new (world);
   job->shape = HR_BATCH;
   job->tasks = 1;
@@ -23,21 +23,21 @@
   job->image = world->jobs->len % 3;
   job->image_gb = 1;
   job->run = w_rand (world, 4, 20);
-  job->cancel = w_rand (world, 0, 1) < s->cancelled;
+  job->cancel = w_rand (world, 0, 1) < singles->cancelled;
   job->due_cancel = world->now + w_rand (world, 0.1, SINGLE_CANCEL_WITHIN_S);
   job_submit (world, job);
-  if (world->now + s->gap < s->to)
-    w_at (world, world->now + s->gap, single, s);
+  if (world->now + singles->gap < singles->to)
+    w_at (world, world->now + singles->gap, single, singles);
   else
-    g_free (s);
+    g_free (singles);
 }
 
 void
 users_singles (World *world, double from, double to, double per_s, double cancelled)
 {
-  Singles *s = g_new (Singles, 1);
-  *s = (Singles){to, 1 / per_s, cancelled};
-  w_at (world, from, single, s);
+  Singles *singles = g_new (Singles, 1);
+  *singles = (Singles){to, 1 / per_s, cancelled};
+  w_at (world, from, single, singles);
 }
 
 /* ---- jobs bound to one zone ---- */
--- a/tests/sim/fate.c
+++ b/tests/sim/fate.c
@@ -38,10 +38,10 @@
 }
 
 void
-w_meet_fate (World *world, Req *request, WFate fate, double t)
+w_meet_fate (World *world, Req *request, WFate fate, double until)
 {
   /* The answer takes at least as long: the process ends before it comes. */
-  const double carried_out = t + 1e-5;
+  const double carried_out = until + 1e-5;
   switch (fate) {
   case FATE_LOST:
     return;
@@ -49,10 +49,10 @@
     request->answer_lost = TRUE;
     break;
   case FATE_LATE:
-    t += LATE_S;
+    until += LATE_S;
     break;
   case FATE_COPIED:
-    w_at (world, t + COPY_S, req_arrive, copy_of (request));
+    w_at (world, until + COPY_S, req_arrive, copy_of (request));
     break;
   case FATE_ENDS_BACK:
     end_and_return (world, request, carried_out, BACK_S);
@@ -64,5 +64,5 @@
     break;
   }
   request->refs++;
-  w_at (world, t, req_arrive, request);
+  w_at (world, until, req_arrive, request);
 }
--- a/tests/sim/faults.c
+++ b/tests/sim/faults.c
@@ -89,9 +89,9 @@
   case 13:
   case 14: /* several, so that it looks like a trouble of the controller's */
     for (guint k = 0; k < world->machines->len; k++) {
-      SMachine *x = world->machines->pdata[k];
-      if (x == machine || (kind == 14 && w_rand (world, 0, 1) < 0.3))
-        x->deaf = world->now + d;
+      SMachine *other = world->machines->pdata[k];
+      if (other == machine || (kind == 14 && w_rand (world, 0, 1) < 0.3))
+        other->deaf = world->now + d;
     }
     break;
   case 15: /* but not its workers and users */
@@ -102,8 +102,8 @@
   case 16:
   case 17:
     for (int k = 0; k < (kind == 17 ? world->n : 1); k++)
-      for (double t = 0; t < 6; t += w_rand (world, 0.6, 2.5))
-        w_at (world, world->now + t, fault_stumble, GINT_TO_POINTER ((i + k) % world->n));
+      for (double until = 0; until < 6; until += w_rand (world, 0.6, 2.5))
+        w_at (world, world->now + until, fault_stumble, GINT_TO_POINTER ((i + k) % world->n));
     break;
   case 18:
   case 19:
@@ -121,20 +121,20 @@
 static void
 freeze (World *world, gpointer data)
 {
-  Freeze *f = data;
+  Freeze *freeze_row = data;
   int owner = MAX (0, store_owner (world));
   for (int k = 0; k < world->n; k++)
-    if (f->who == FREEZE_ALL || (f->who == FREEZE_OWNER) == (k == owner))
-      node_freeze (world, k, f->for_s);
-  g_free (f);
+    if (freeze_row->who == FREEZE_ALL || (freeze_row->who == FREEZE_OWNER) == (k == owner))
+      node_freeze (world, k, freeze_row->for_s);
+  g_free (freeze_row);
 }
 
 void
 faults_freeze (World *world, double at, FreezeWho who, double for_s)
 {
-  Freeze *f = g_new (Freeze, 1);
-  *f = (Freeze){who, for_s};
-  w_at (world, at, freeze, f);
+  Freeze *freeze_row = g_new (Freeze, 1);
+  *freeze_row = (Freeze){who, for_s};
+  w_at (world, at, freeze, freeze_row);
 }
 
 /* The busiest machine hears nothing for long: it must be gone well before that is over,
@@ -152,9 +152,10 @@
 {
   SMachine *machine = NULL;
   for (guint i = 0; i < world->machines->len; i++) {
-    SMachine *x = world->machines->pdata[i];
-    if (x->up && !x->gone && !x->warned && (!machine || x->tasks->len > machine->tasks->len))
-      machine = x;
+    SMachine *other = world->machines->pdata[i];
+    if (other->up && !other->gone && !other->warned &&
+        (!machine || other->tasks->len > machine->tasks->len))
+      machine = other;
   }
   if (!machine)
     return;
--- a/tests/sim/faults_fleet.c
+++ b/tests/sim/faults_fleet.c
@@ -135,8 +135,8 @@
     for (guint k = 0; k < world->machines->len; k++) {
       SMachine *machine = world->machines->pdata[k];
       for (guint n = 0; !machine->gone && n < machine->tasks->len; n++) {
-        STask *t = &g_array_index (machine->tasks, STask, n);
-        if (t->job == i && t->state == S_FETCH) {
+        STask *task = &g_array_index (machine->tasks, STask, n);
+        if (task->job == i && task->state == S_FETCH) {
           here++;
           last = machine;
         }
@@ -191,13 +191,13 @@
 void
 faults_changes_gone (World *world, double from, double to)
 {
-  for (double t = from; t < to; t += 10)
-    w_at (world, t, changes_gone, NULL);
+  for (double until = from; until < to; until += 10)
+    w_at (world, until, changes_gone, NULL);
 }
 
 void
 faults_owners (World *world, double from, double to)
 {
-  for (double t = from; t < to; t += 35)
-    w_at (world, t, change_owner, NULL);
+  for (double until = from; until < to; until += 35)
+    w_at (world, until, change_owner, NULL);
 }
--- a/tests/sim/faults_members.c
+++ b/tests/sim/faults_members.c
@@ -117,8 +117,8 @@
   if (owner < 0)
     return;
   world->nodes[owner].refused = world->now + 14;
-  for (double t = 0.3; t < 1.5; t += 0.4)
-    w_at (world, world->now + t, withdraw_elsewhere, NULL);
+  for (double until = 0.3; until < 1.5; until += 0.4)
+    w_at (world, world->now + until, withdraw_elsewhere, NULL);
   w_at (world, world->now + 2, outage_for_all, NULL);
 }
 
--- a/tests/sim/judge.c
+++ b/tests/sim/judge.c
@@ -21,12 +21,12 @@
   for (guint i = 0; i < world->machines->len; i++) {
     SMachine *machine = world->machines->pdata[i];
     for (guint k = 0; !machine->gone && k < machine->tasks->len; k++) {
-      STask *t = &g_array_index (machine->tasks, STask, k);
-      SJob *job = world->jobs->pdata[t->job];
-      if (!t->on || job->team)
+      STask *task = &g_array_index (machine->tasks, STask, k);
+      SJob *job = world->jobs->pdata[task->job];
+      if (!task->on || job->team)
         continue;
       gpus += job->gpus;
-      g_string_append_printf (who, " %s/%u.%u@%s", job->id, t->task, t->try, machine->name);
+      g_string_append_printf (who, " %s/%u.%u@%s", job->id, task->task, task->try, machine->name);
     }
   }
   if (gpus > world->quota_gpus + 1e-6)
@@ -42,10 +42,10 @@
   for (guint i = 0; i < world->machines->len; i++) {
     SMachine *machine = world->machines->pdata[i];
     for (guint k = 0; !machine->gone && k < machine->tasks->len; k++) {
-      STask *t = &g_array_index (machine->tasks, STask, k);
-      if (t->on && world->jobs->pdata[t->job] == job)
-        w_broken (world, "ran_cancelled", "%s/%u is on %s when its time is over", job->id, t->task,
-                  machine->name);
+      STask *task = &g_array_index (machine->tasks, STask, k);
+      if (task->on && world->jobs->pdata[task->job] == job)
+        w_broken (world, "ran_cancelled", "%s/%u is on %s when its time is over", job->id,
+                  task->task, machine->name);
     }
   }
 }
@@ -94,17 +94,17 @@
 static Room
 room_on (World *world, const SMachine *machine)
 {
-  Room r = {MACHINE_CPUS, MACHINE_GPUS, MACHINE_MEM};
+  Room room = {MACHINE_CPUS, MACHINE_GPUS, MACHINE_MEM};
   for (guint k = 0; k < machine->tasks->len; k++) {
-    const STask *t = &g_array_index (machine->tasks, STask, k);
-    const SJob *job = world->jobs->pdata[t->job];
-    if (t->state == S_EXIT)
+    const STask *task = &g_array_index (machine->tasks, STask, k);
+    const SJob *job = world->jobs->pdata[task->job];
+    if (task->state == S_EXIT)
       continue;
-    r.cpus -= job->cpus;
-    r.gpus -= job->gpus;
-    r.mem -= job->mem;
+    room.cpus -= job->cpus;
+    room.gpus -= job->gpus;
+    room.mem -= job->mem;
   }
-  return r;
+  return room;
 }
 
 /* How many tasks of the job find room there. */
@@ -114,12 +114,12 @@
   if (!machine->up || machine->gone || machine->warned || machine->faulty ||
       (machine->spot && !job->spot) || (job->zone && machine->zone + 1 != job->zone))
     return 0;
-  Room r = room_on (world, machine);
+  Room room = room_on (world, machine);
   guint n = 0;
-  for (; r.cpus >= job->cpus && r.gpus >= job->gpus && r.mem >= job->mem; n++) {
-    r.cpus -= job->cpus;
-    r.gpus -= job->gpus;
-    r.mem -= job->mem;
+  for (; room.cpus >= job->cpus && room.gpus >= job->gpus && room.mem >= job->mem; n++) {
+    room.cpus -= job->cpus;
+    room.gpus -= job->gpus;
+    room.mem -= job->mem;
   }
   return n;
 }
@@ -131,20 +131,20 @@
 static Placed
 placed_tasks (World *world, const SJob *job)
 {
-  Placed p = {0};
+  Placed placed = {0};
   for (guint i = 0; i < world->machines->len; i++) {
     const SMachine *machine = world->machines->pdata[i];
     for (guint k = 0; !machine->gone && k < machine->tasks->len; k++) {
-      const STask *t = &g_array_index (machine->tasks, STask, k);
-      if (world->jobs->pdata[t->job] == job && t->state != S_EXIT) {
-        p.placed++;
-        p.here[machine->zone]++;
+      const STask *task = &g_array_index (machine->tasks, STask, k);
+      if (world->jobs->pdata[task->job] == job && task->state != S_EXIT) {
+        placed.placed++;
+        placed.here[machine->zone]++;
       }
     }
   }
   for (guint k = 0; k < job->tasks; k++)
-    p.done += job->done[k] != 0;
-  return p;
+    placed.done += job->done[k] != 0;
+  return placed;
 }
 
 static double
@@ -154,9 +154,9 @@
   for (guint i = 0; i < world->machines->len; i++) {
     const SMachine *machine = world->machines->pdata[i];
     for (guint k = 0; !machine->gone && k < machine->tasks->len; k++) {
-      const STask *t = &g_array_index (machine->tasks, STask, k);
-      const SJob *job = world->jobs->pdata[t->job];
-      if (t->state != S_EXIT && !job->team)
+      const STask *task = &g_array_index (machine->tasks, STask, k);
+      const SJob *job = world->jobs->pdata[task->job];
+      if (task->state != S_EXIT && !job->team)
         gpus += job->gpus;
     }
   }
@@ -168,16 +168,16 @@
 static gboolean
 waits_beside_room (World *world, const SJob *job, const SMachine **beside)
 {
-  Placed p = placed_tasks (world, job);
+  Placed placed = placed_tasks (world, job);
   guint needed = job->shape == HR_GANG ? job->tasks : 1, fit[2] = {0};
-  if (p.placed + p.done >= job->tasks || (job->shape == HR_GANG && p.placed))
+  if (placed.placed + placed.done >= job->tasks || (job->shape == HR_GANG && placed.placed))
     return FALSE;
   if (world->quota_gpus > 0 && !job->team &&
       team_gpus (world) + needed * job->gpus > world->quota_gpus + 1e-6)
     return FALSE;
   for (guint i = 0; i < world->machines->len; i++) {
     const SMachine *machine = world->machines->pdata[i];
-    guint n = !job->spread || p.here[machine->zone] + 1 <= (job->tasks + 1) / 2
+    guint n = !job->spread || placed.here[machine->zone] + 1 <= (job->tasks + 1) / 2
                   ? fitting (world, job, machine)
                   : 0;
     fit[machine->zone] += n;
@@ -216,40 +216,40 @@
 /* ---- starts, and every half second ---- */
 
 void
-judge_start (World *world, SMachine *machine, STask *t)
+judge_start (World *world, SMachine *machine, STask *task)
 {
-  SJob *job = world->jobs->pdata[t->job];
+  SJob *job = world->jobs->pdata[task->job];
   guint here = 0;
   world->starts++;
-  pipeline_start (world, job, t->task);
+  pipeline_start (world, job, task->task);
   job->started = world->now;
   if (!job->first && job->shape != HR_GANG) /* a gang begins when all its tasks run */
     job->first = world->now;
   if (job->heard_withdrawn) {
     world->started_withdrawn++;
     g_debug ("%s/%u starts on %s %.3f s after its user heard that it is withdrawn", job->id,
-             t->task, machine->name, world->now - job->told_withdrawn);
+             task->task, machine->name, world->now - job->told_withdrawn);
   }
   if (job->told_withdrawn && world->now > job->told_withdrawn + world->cancel_s)
-    w_broken (world, "ran_cancelled", "%s/%u starts on %s", job->id, t->task, machine->name);
+    w_broken (world, "ran_cancelled", "%s/%u starts on %s", job->id, task->task, machine->name);
   if (machine->spot && !job->spot)
-    w_broken (world, "wrong_place", "%s/%u starts on a spot machine", job->id, t->task);
+    w_broken (world, "wrong_place", "%s/%u starts on a spot machine", job->id, task->task);
   if (job->zone && machine->zone + 1 != job->zone)
     w_broken (world, "wrong_place", "%s/%u starts outside the zone it is bound to", job->id,
-              t->task);
+              task->task);
   judge_quota (world, job->gpus);
   for (guint i = 0; i < world->machines->len; i++) {
-    SMachine *x = world->machines->pdata[i];
-    for (guint k = 0; !x->gone && k < x->tasks->len; k++) {
-      STask *o = &g_array_index (x->tasks, STask, k);
-      if (o == t || !o->on || o->job != t->job)
+    SMachine *other_row = world->machines->pdata[i];
+    for (guint k = 0; !other_row->gone && k < other_row->tasks->len; k++) {
+      STask *other = &g_array_index (other_row->tasks, STask, k);
+      if (other == task || !other->on || other->job != task->job)
         continue;
-      if (o->task == t->task)
+      if (other->task == task->task)
         w_broken (world, "ran_twice", "%s/%u try %u starts on %s while try %u is on %s", job->id,
-                  t->task, t->try, machine->name, o->try, x->name);
-      if (job->one_zone && x->zone != machine->zone)
-        w_broken (world, "wrong_place", "%s/%u starts in another zone", job->id, t->task);
-      here += x->zone == machine->zone;
+                  task->task, task->try, machine->name, other->try, other_row->name);
+      if (job->one_zone && other_row->zone != machine->zone)
+        w_broken (world, "wrong_place", "%s/%u starts in another zone", job->id, task->task);
+      here += other_row->zone == machine->zone;
     }
   }
   if (job->spread && here + 1 > (job->tasks + 1) / 2)
@@ -280,11 +280,12 @@
   for (guint i = 0; i < world->machines->len; i++) {
     SMachine *machine = world->machines->pdata[i];
     for (guint k = 0; !machine->gone && k < machine->tasks->len; k++) {
-      STask *t = &g_array_index (machine->tasks, STask, k);
-      SJob *job = world->jobs->pdata[t->job];
-      if (t->on && job->told_withdrawn && world->now > job->told_withdrawn + world->cancel_s)
-        w_broken (world, "ran_cancelled", "%s/%u is still on %s", job->id, t->task, machine->name);
-      pipeline_on_machine (world, job, t->task);
+      STask *task = &g_array_index (machine->tasks, STask, k);
+      SJob *job = world->jobs->pdata[task->job];
+      if (task->on && job->told_withdrawn && world->now > job->told_withdrawn + world->cancel_s)
+        w_broken (world, "ran_cancelled", "%s/%u is still on %s", job->id, task->task,
+                  machine->name);
+      pipeline_on_machine (world, job, task->task);
     }
   }
 }
--- a/tests/sim/limits.c
+++ b/tests/sim/limits.c
@@ -34,22 +34,22 @@
 static void
 stream_gang (World *world, gpointer data)
 {
-  Stream *s = data;
-  HrLimitJob gang = {world->now, HR_GANG, 1,     s->run_s * w_rand (world, 0.8, 1.2),
+  Stream *stream = data;
+  HrLimitJob gang = {world->now, HR_GANG, 1,     stream->run_s * w_rand (world, 0.8, 1.2),
                      NULL,       0,       FALSE, NULL};
   submit_planned (world, &gang);
-  if (world->now + s->gap_s < s->to)
-    w_at (world, world->now + s->gap_s, stream_gang, s);
+  if (world->now + stream->gap_s < stream->to)
+    w_at (world, world->now + stream->gap_s, stream_gang, stream);
   else
-    g_free (s);
+    g_free (stream);
 }
 
 void
 limits_stream (World *world, double from, double to, double gap_s, double run_s)
 {
-  Stream *s = g_new (Stream, 1);
-  *s = (Stream){to, gap_s, run_s};
-  w_at (world, from, stream_gang, s);
+  Stream *stream = g_new (Stream, 1);
+  *stream = (Stream){to, gap_s, run_s};
+  w_at (world, from, stream_gang, stream);
 }
 
 SJob *
--- a/tests/sim/lone_node.c
+++ b/tests/sim/lone_node.c
@@ -31,43 +31,44 @@
 Ledger *
 ledger_new (void)
 {
-  Ledger *l = g_new0 (Ledger, 1);
-  l->log = g_array_new (FALSE, TRUE, sizeof (Change));
-  g_array_set_clear_func (l->log, change_clear);
-  l->stamp = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  return l;
+  Ledger *store = g_new0 (Ledger, 1);
+  store->log = g_array_new (FALSE, TRUE, sizeof (Change));
+  g_array_set_clear_func (store->log, change_clear);
+  store->stamp = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  return store;
 }
 
 void
-ledger_free (Ledger *l)
+ledger_free (Ledger *store)
 {
-  g_array_unref (l->log);
-  g_hash_table_unref (l->stamp);
-  g_free (l);
+  g_array_unref (store->log);
+  g_hash_table_unref (store->stamp);
+  g_free (store);
 }
 
 void
-ledger_set (Ledger *l, const char *path, const char *text)
+ledger_set (Ledger *store, const char *path, const char *text)
 {
-  Change change = {g_strdup (path), g_strdup (text), l->epoch};
-  g_array_append_val (l->log, change);
-  g_hash_table_replace (l->stamp, g_strdup (path), g_memdup2 (&l->epoch, sizeof l->epoch));
+  Change change = {g_strdup (path), g_strdup (text), store->epoch};
+  g_array_append_val (store->log, change);
+  g_hash_table_replace (store->stamp, g_strdup (path),
+                        g_memdup2 (&store->epoch, sizeof store->epoch));
 }
 
 static guint64
-stamp_of (const Ledger *l, const char *path)
+stamp_of (const Ledger *store, const char *path)
 {
-  const guint64 *revision = g_hash_table_lookup (l->stamp, path);
+  const guint64 *revision = g_hash_table_lookup (store->stamp, path);
   return revision ? *revision : 0;
 }
 
 /* The record as it stands, or NULL. */
 const char *
-ledger_job (const Ledger *l, const char *id)
+ledger_job (const Ledger *store, const char *id)
 {
   g_autofree char *path = g_strconcat ("h/j/", id, NULL);
-  for (guint i = l->log->len; i > 0; i--) {
-    const Change *change = &g_array_index (l->log, Change, i - 1);
+  for (guint i = store->log->len; i > 0; i--) {
+    const Change *change = &g_array_index (store->log, Change, i - 1);
     if (strcmp (change->path, path) == 0)
       return change->text;
   }
@@ -76,27 +77,27 @@
 
 /* The changes after an epoch, or (as rows of a reading) the latest of each record. */
 static char *
-changes (const Ledger *l, guint64 after, gboolean rows)
+changes (const Ledger *store, guint64 after, gboolean rows)
 {
   json_t *list = json_array ();
-  for (guint i = 0; i < l->log->len; i++) {
-    const Change *change = &g_array_index (l->log, Change, i);
-    if (change->stamp <= after || (rows && stamp_of (l, change->path) != change->stamp))
+  for (guint i = 0; i < store->log->len; i++) {
+    const Change *change = &g_array_index (store->log, Change, i);
+    if (change->stamp <= after || (rows && stamp_of (store, change->path) != change->stamp))
       continue;
     json_t *object = json_pack ("{sssosI}", rows ? "path" : "set", change->path, "value",
                                 json_loads (change->text, JSON_DECODE_ANY, NULL), "stamp",
                                 (json_int_t)change->stamp);
-    if (rows && l->backwards)
+    if (rows && store->backwards)
       json_array_insert_new (list, 0, object);
     else
       json_array_append_new (list, object);
   }
   return hr_json_take_text (
-      json_pack ("{sosbsI}", rows ? "rows" : "log", list, "more", FALSE, "epoch", l->epoch));
+      json_pack ("{sosbsI}", rows ? "rows" : "log", list, "more", FALSE, "epoch", store->epoch));
 }
 
 static int
-commit (Ledger *l, const char *body, char **text)
+commit (Ledger *store, const char *body, char **text)
 {
   json_t *object = json_loads (body, 0, NULL), *entry;
   size_t i;
@@ -104,27 +105,27 @@
   json_array_foreach (json_object_get (object, "when"), i, entry)
   {
     guint64 want = json_integer_value (json_object_get (entry, "stamp"));
-    if (stamp_of (l, hr_json_str (entry, "path")) != want)
+    if (stamp_of (store, hr_json_str (entry, "path")) != want)
       status = 409;
   }
-  l->epoch += status == 200;
+  store->epoch += status == 200;
   json_array_foreach (json_object_get (object, "writes"), i, entry)
   {
     if (status != 200 || !hr_json_str (entry, "set"))
       continue;
     g_autofree char *value = json_dumps (json_object_get (entry, "value"), JSON_COMPACT);
     assert_true (strlen (value) <= 4096);
-    ledger_set (l, hr_json_str (entry, "set"), value);
+    ledger_set (store, hr_json_str (entry, "set"), value);
   }
   json_decref (object);
-  *text = g_strdup_printf ("{\"epoch\":%" G_GUINT64_FORMAT ",\"failed\":[]}", l->epoch);
+  *text = g_strdup_printf ("{\"epoch\":%" G_GUINT64_FORMAT ",\"failed\":[]}", store->epoch);
   return status;
 }
 
 /* ---- a node ---- */
 
 LoneNode *
-node_new (Ledger *l, const char *state_more)
+node_new (Ledger *store, const char *state_more)
 {
   LoneNode *n = g_new0 (LoneNode, 1);
   g_autoptr (GError) error = NULL;
@@ -138,7 +139,7 @@
   HrPolicy policy;
   hr_core_policy_vars (n->set, vars);
   assert_true (hr_policy_load (SOURCE_ROOT "/deploy/policy.hop", vars, &policy, &error));
-  n->ledger = l;
+  n->ledger = store;
   n->now = 100;
   n->core = hr_core_new (n->set, &policy, &n->names, "inc", 7);
   n->inbox = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_command_free);
@@ -171,23 +172,23 @@
 static void
 call (LoneNode *n, const HrEffect *effect)
 {
-  Ledger *l = n->ledger;
+  Ledger *store = n->ledger;
   char *text = NULL;
   if (effect->target == HR_TO_CLOUD)
     result (n, effect->id, strcmp (effect->path, "/machine_types") == 0 ? 200 : 503,
             g_strdup (TYPES));
-  else if (l->down)
+  else if (store->down)
     result (n, effect->id, 503, g_strdup ("{}"));
   else if (g_str_has_prefix (effect->path, "/kv?"))
-    result (n, effect->id, 200, changes (l, 0, TRUE));
+    result (n, effect->id, 200, changes (store, 0, TRUE));
   else if (g_str_has_prefix (effect->path, "/leases"))
     result (n, effect->id, 200, g_strdup ("{\"claim\":1}"));
   else if (strcmp (effect->path, "/commit") == 0) {
-    int status = commit (l, effect->body, &text);
+    int status = commit (store, effect->body, &text);
     result (n, effect->id, status, text);
   } else if (g_str_has_suffix (effect->path, "hold_ms=0")) {
     const char *after = strstr (effect->path, "after=") + strlen ("after=");
-    result (n, effect->id, 200, changes (l, g_ascii_strtoull (after, NULL, 10), FALSE));
+    result (n, effect->id, 200, changes (store, g_ascii_strtoull (after, NULL, 10), FALSE));
   } /* a watch stays open */
 }
 
@@ -281,9 +282,9 @@
 }
 
 LoneNode *
-node_up (Ledger *l)
+node_up (Ledger *store)
 {
-  LoneNode *n = node_new (l, "");
+  LoneNode *n = node_new (store, "");
   node_run (n, 5);
   assert_true (n->core->leadership.is_leader);
   return n;
@@ -300,11 +301,11 @@
 }
 
 void
-ledger_done (Ledger *l, const char *id)
+ledger_done (Ledger *store, const char *id)
 {
   g_autofree char *path = g_strconcat ("h/j/", id, NULL);
-  l->epoch++;
-  ledger_set (l, path, "{\"w\":\"x.1\",\"s\":1,\"n\":2,\"d\":2}");
+  store->epoch++;
+  ledger_set (store, path, "{\"w\":\"x.1\",\"s\":1,\"n\":2,\"d\":2}");
 }
 
 HrMachine *
--- a/tests/sim/lone_node.h
+++ b/tests/sim/lone_node.h
@@ -17,11 +17,11 @@
 } Ledger;
 
 Ledger *ledger_new (void);
-void ledger_free (Ledger *l);
+void ledger_free (Ledger *store);
 /* A change at the present epoch. */
-void ledger_set (Ledger *l, const char *path, const char *text);
+void ledger_set (Ledger *store, const char *path, const char *text);
 /* The job's main record as it stands, or NULL. */
-const char *ledger_job (const Ledger *l, const char *id);
+const char *ledger_job (const Ledger *store, const char *id);
 
 typedef struct {
   Ledger *ledger;
@@ -36,13 +36,13 @@
 } LoneNode;
 
 /* state_more: more members of the settings' `state`, with a comma before them. */
-LoneNode *node_new (Ledger *l, const char *state_more);
+LoneNode *node_new (Ledger *store, const char *state_more);
 void node_free (LoneNode *n);
 void node_run (LoneNode *n, double for_s);
 /* Asks the node, and gives its answer's status; 0 when none came within a minute. */
 int node_ask (LoneNode *n, HrMethod method, const char *path, char *body);
 /* A node that leads. */
-LoneNode *node_up (Ledger *l);
+LoneNode *node_up (Ledger *store);
 /* Submits a job with these fields beside the usual ones (an array of two small tasks of 20 s).
  * awaits: an array, or NULL; more: `due_s` and `rank` with a comma before them, or NULL. */
 int node_submit (LoneNode *n, const char *id, const char *awaits, const char *more);
@@ -54,6 +54,6 @@
 /* Is the job in the list of those that the owner has to look at? */
 gboolean node_opens (LoneNode *n, const char *id);
 /* The job's record, as if its last task had ended. */
-void ledger_done (Ledger *l, const char *id);
+void ledger_done (Ledger *store, const char *id);
 /* m-1, which is up and has room. */
 HrMachine *node_machine (LoneNode *n);
--- a/tests/sim/messages.c
+++ b/tests/sim/messages.c
@@ -50,8 +50,8 @@
 static void
 deliver_answer (World *world, gpointer data)
 {
-  Answer *a = data;
-  Req *request = a->r;
+  Answer *answer = data;
+  Req *request = answer->r;
   if (!request->answered) {
     request->answered = TRUE;
     if (request->node >= 0) {
@@ -59,24 +59,24 @@
       if (n->up && n->gen == request->gen) {
         HrCommand *command = hr_command_new (HR_COMMAND_RESULT);
         command->id = request->call;
-        command->status = a->status;
-        if (request->target == HR_TO_STORE && a->status == 200)
-          served (world, request, a->body);
+        command->status = answer->status;
+        if (request->target == HR_TO_STORE && answer->status == 200)
+          served (world, request, answer->body);
         if (request->target == HR_TO_STORE && strcmp (request->path, "/commit") == 0)
           troubles_moment (world, ON_WRITE_ANSWERED);
-        if (a->body)
-          command->body = g_bytes_new (a->body, strlen (a->body));
+        if (answer->body)
+          command->body = g_bytes_new (answer->body, strlen (answer->body));
         node_push (world, request->node, command);
       }
     } else {
-      json_t *value = a->body ? json_loads (a->body, JSON_DECODE_ANY, NULL) : NULL;
-      request->done (world, a->status, value, request->data);
+      json_t *value = answer->body ? json_loads (answer->body, JSON_DECODE_ANY, NULL) : NULL;
+      request->done (world, answer->status, value, request->data);
       json_decref (value);
     }
   }
   req_unref (request);
-  g_free (a->body);
-  g_free (a);
+  g_free (answer->body);
+  g_free (answer);
 }
 
 static SMachine *
@@ -95,7 +95,7 @@
 cut_until (World *world, Req *request, gboolean *hold)
 {
   Node *n = &world->nodes[request->node >= 0 ? request->node : request->to];
-  double t = 0;
+  double until = 0;
   *hold = n->hold;
   SMachine *worker = request->machine >= 0 ? world->machines->pdata[request->machine]
                      : request->target == HR_TO_WORKER && request->node >= 0
@@ -107,25 +107,25 @@
     return zone;
   }
   if (request->node < 0) {
-    t = request->machine >= 0 ? n->cut_workers : n->cut_users;
+    until = request->machine >= 0 ? n->cut_workers : n->cut_users;
     if (request->machine >= 0) {
       SMachine *machine = world->machines->pdata[request->machine];
-      if (machine->cut > t) {
-        t = machine->cut;
+      if (machine->cut > until) {
+        until = machine->cut;
         *hold = machine->hold;
       }
     }
   } else if (request->target == HR_TO_STORE)
-    t = n->cut_store;
+    until = n->cut_store;
   else if (request->target == HR_TO_WORKER) {
     SMachine *machine = machine_at (world, request->addr);
-    t = n->cut_workers;
-    if (machine && machine->cut > t) {
-      t = machine->cut;
+    until = n->cut_workers;
+    if (machine && machine->cut > until) {
+      until = machine->cut;
       *hold = machine->hold;
     }
   }
-  return t;
+  return until;
 }
 
 void
@@ -133,7 +133,7 @@
 {
   gboolean hold;
   double cut = cut_until (world, request, &hold),
-         t = world->now + net_delay (world) + troubles_delay (world, request);
+         until = world->now + net_delay (world) + troubles_delay (world, request);
   if (request->answer_lost ||
       (request->node < 0 && request->machine >= 0 &&
        ((SMachine *)world->machines->pdata[request->machine])->deaf > world->now)) {
@@ -145,16 +145,16 @@
       g_free (body);
       return;
     }
-    t = cut + net_delay (world);
+    until = cut + net_delay (world);
   }
   if (request->answer_lost || (!world->calm && w_rand (world, 0, 1) < world->loss)) {
     g_free (body);
     return;
   }
-  Answer *a = g_new (Answer, 1);
-  *a = (Answer){request, status, body};
+  Answer *answer = g_new (Answer, 1);
+  *answer = (Answer){request, status, body};
   request->refs++;
-  w_at (world, t, deliver_answer, a);
+  w_at (world, until, deliver_answer, answer);
 }
 
 /* ---- requests ---- */
@@ -197,9 +197,9 @@
 expire (World *world, gpointer data)
 {
   Req *request = data;
-  Answer *a = g_new0 (Answer, 1);
-  a->r = request;
-  deliver_answer (world, a); /* no answer came; drops the reference too */
+  Answer *answer = g_new0 (Answer, 1);
+  answer->r = request;
+  deliver_answer (world, answer); /* no answer came; drops the reference too */
 }
 
 Req *
@@ -218,10 +218,10 @@
 }
 
 void
-req_stray (World *world, Req *request, double t)
+req_stray (World *world, Req *request, double until)
 {
-  world->stray_until = MAX (world->stray_until, t);
-  w_at (world, t, req_arrive, request);
+  world->stray_until = MAX (world->stray_until, until);
+  w_at (world, until, req_arrive, request);
 }
 
 /* A copy of a report comes seconds to well over a lease later. Nobody waits for its answer. */
@@ -235,7 +235,7 @@
 req_send (World *world, Req *request)
 {
   gboolean hold;
-  double cut = cut_until (world, request, &hold), t = world->now + net_delay (world);
+  double cut = cut_until (world, request, &hold), until = world->now + net_delay (world);
   if (request->node >= 0 && request->target == HR_TO_STORE &&
       strcmp (request->path, "/commit") == 0)
     troubles_moment (world, ON_WRITE_SENT);
@@ -252,45 +252,45 @@
   if (cut > world->now) {
     if (!hold)
       return;
-    t = cut + net_delay (world);
+    until = cut + net_delay (world);
   }
-  if (troubles_take (world, request, t))
+  if (troubles_take (world, request, until))
     return;
   if (world->choose) {
-    w_meet_fate (world, request, world->choose (world, request, world->choose_data), t);
+    w_meet_fate (world, request, world->choose (world, request, world->choose_data), until);
     return;
   }
   if (!world->calm && worker && world->late_orders > 0 &&
       w_rand (world, 0, 1) < world->late_orders) {
     request->refs++;
-    req_stray (world, request, t + w_rand (world, 30, 75));
+    req_stray (world, request, until + w_rand (world, 30, 75));
     return;
   }
   if (!world->calm && w_rand (world, 0, 1) < world->loss) {
     if (request->node >= 0 && w_rand (world, 0, 1) < 0.5) { /* no answer, but carried out later */
       request->refs++;
-      req_stray (world, request, t + w_rand (world, 3, world->late));
+      req_stray (world, request, until + w_rand (world, 3, world->late));
     }
     return;
   }
   request->refs++;
-  w_at (world, t, req_arrive, request);
+  w_at (world, until, req_arrive, request);
   /* Late copies: what was sent once may be carried out again, minutes later. */
   if (!world->calm && request->node >= 0 && w_rand (world, 0, 1) < world->dup) {
     request->refs++;
-    req_stray (world, request, t + w_rand (world, 0.05, world->late));
+    req_stray (world, request, until + w_rand (world, 0.05, world->late));
   }
 }
 
 void
-w_ask (World *world, int node, int machine, HrMethod m, const char *path, char *body,
+w_ask (World *world, int node, int machine, HrMethod method, const char *path, char *body,
        double timeout, void (*done) (World *, int, json_t *, gpointer), gpointer data)
 {
   Req *request = g_new0 (Req, 1);
   request->node = -1;
   request->to = node;
   request->machine = machine;
-  request->method = m;
+  request->method = method;
   request->path = g_strdup (path);
   request->body = body;
   request->timeout = timeout;
--- a/tests/sim/node_checks.c
+++ b/tests/sim/node_checks.c
@@ -89,10 +89,10 @@
 void
 node_check_order (World *world, int i, guint64 id, const char *report, const char *answer)
 {
-  json_t *r = json_loads (report, 0, NULL), *array = json_loads (answer, 0, NULL);
-  guint64 incarnation = json_integer_value (json_object_get (r, "tenure")),
-          n = json_integer_value (json_object_get (r, "tally"));
-  const char *name = json_string_value (json_object_get (r, "rockhand"));
+  json_t *report_row = json_loads (report, 0, NULL), *array = json_loads (answer, 0, NULL);
+  guint64 incarnation = json_integer_value (json_object_get (report_row, "tenure")),
+          n = json_integer_value (json_object_get (report_row, "tally"));
+  const char *name = json_string_value (json_object_get (report_row, "rockhand"));
   WNewest *newest = newest_answered (world, i, name);
   WNewest before = answered_before (world, i, id, newest);
   if (incarnation < before.session)
@@ -102,7 +102,7 @@
     w_broken (world, "order", "c%d gives orders on an overtaken report of %s", i, name);
   if (incarnation > newest->session || (incarnation == newest->session && n > newest->number))
     *newest = (WNewest){incarnation, n};
-  json_decref (r);
+  json_decref (report_row);
   json_decref (array);
 }
 
@@ -146,9 +146,9 @@
 void
 node_check_kills (World *world, int i, const char *report, const char *answer)
 {
-  json_t *r = json_loads (report, 0, NULL), *array = json_loads (answer, 0, NULL), *item;
+  json_t *report_row = json_loads (report, 0, NULL), *array = json_loads (answer, 0, NULL), *item;
   size_t k;
-  json_array_foreach (json_object_get (r, "pieces"), k, item)
+  json_array_foreach (json_object_get (report_row, "pieces"), k, item)
   {
     const char *piece = json_string_value (json_object_get (item, "piece"));
     g_autofree char *id = g_strndup (piece, strrchr (piece, '/') - piece);
@@ -165,6 +165,6 @@
       w_broken (world, "hold", "c%d lets %s go on %.1f s after its withdrawal", i, piece,
                 world->now - job->withdrawn_at);
   }
-  json_decref (r);
+  json_decref (report_row);
   json_decref (array);
 }
--- a/tests/sim/odd.c
+++ b/tests/sim/odd.c
@@ -25,31 +25,31 @@
 } Odd;
 
 static void
-odd_free (Odd *o)
+odd_free (Odd *odd)
 {
-  g_free (o->mark);
-  g_free (o->what);
-  g_free (o->path);
-  g_free (o->body);
-  g_free (o->question);
-  g_free (o);
+  g_free (odd->mark);
+  g_free (odd->what);
+  g_free (odd->path);
+  g_free (odd->body);
+  g_free (odd->question);
+  g_free (odd);
 }
 
 static void
 not_recorded (World *world, gpointer data)
 {
-  Odd *o = data;
-  if (o->mark && store_names (world, o->mark))
-    w_broken (world, "recorded", "%s, of a request that gets %d: %s", o->mark, o->expected,
-              o->what);
-  odd_free (o);
+  Odd *odd = data;
+  if (odd->mark && store_names (world, odd->mark))
+    w_broken (world, "recorded", "%s, of a request that gets %d: %s", odd->mark, odd->expected,
+              odd->what);
+  odd_free (odd);
 }
 
 static void
-check_body (World *world, const Odd *o, json_t *body)
+check_body (World *world, const Odd *odd, json_t *body)
 {
-  if (o->expected >= 400 && !json_string_length (json_object_get (body, "error")))
-    w_broken (world, "odd", "%s: an answer of %d without an error text", o->what, o->expected);
+  if (odd->expected >= 400 && !json_string_length (json_object_get (body, "error")))
+    w_broken (world, "odd", "%s: an answer of %d without an error text", odd->what, odd->expected);
 }
 
 static void ask_again (World *world, gpointer data);
@@ -63,55 +63,55 @@
 static void
 on_odd (World *world, int status, json_t *body, gpointer data)
 {
-  Odd *o = data;
+  Odd *odd = data;
   gboolean undecided = status == 0 || status == 503 || status == 429;
-  gboolean names_none = o->expected == 400 && !o->mark;
-  if (undecided && (status == 0 || !names_none) && o->tries < MOST_TRIES) {
-    w_at (world, world->now + AGAIN_S, ask_again, o);
+  gboolean names_none = odd->expected == 400 && !odd->mark;
+  if (undecided && (status == 0 || !names_none) && odd->tries < MOST_TRIES) {
+    w_at (world, world->now + AGAIN_S, ask_again, odd);
     return;
   }
-  if (status == o->expected)
-    check_body (world, o, body);
+  if (status == odd->expected)
+    check_body (world, odd, body);
   else
     w_broken (world, status == 200 || status == 201 ? "accepted" : "odd",
-              "%s gets %d in place of %d", o->what, status, o->expected);
-  if (o->job && (status == 200 || status == 201))
-    answer_check (world, o->question, status, body);
-  else if (o->job && (status == 400 || status == 404 || status == 422))
-    answer_unknown (world, o->question, o->what, status);
+              "%s gets %d in place of %d", odd->what, status, odd->expected);
+  if (odd->job && (status == 200 || status == 201))
+    answer_check (world, odd->question, status, body);
+  else if (odd->job && (status == 400 || status == 404 || status == 422))
+    answer_unknown (world, odd->question, odd->what, status);
   world->troubles.played[TROUBLE_ODD_REQUESTS]++;
-  w_at (world, world->now + RECORDED_AFTER_S, not_recorded, o);
+  w_at (world, world->now + RECORDED_AFTER_S, not_recorded, odd);
 }
 
 static Odd *
 odd_new (const char *mark, const char *what, int expected)
 {
-  Odd *o = g_new0 (Odd, 1);
-  o->mark = g_strdup (mark);
-  o->what = g_strdup (what);
-  o->expected = expected;
-  return o;
+  Odd *odd = g_new0 (Odd, 1);
+  odd->mark = g_strdup (mark);
+  odd->what = g_strdup (what);
+  odd->expected = expected;
+  return odd;
 }
 
 /* Takes the body. */
 static void
-post (World *world, Odd *o, int node, const char *path, char *body)
+post (World *world, Odd *odd, int node, const char *path, char *body)
 {
-  o->path = g_strdup (path);
-  o->body = body;
-  w_ask (world, node, -1, HR_POST, path, g_strdup (body), 5, on_odd, o);
+  odd->path = g_strdup (path);
+  odd->body = body;
+  w_ask (world, node, -1, HR_POST, path, g_strdup (body), 5, on_odd, odd);
 }
 
 static void
 ask_again (World *world, gpointer data)
 {
-  Odd *o = data;
-  o->tries++;
-  if (o->question) { /* what has been told meanwhile counts for this answer too */
-    g_free (o->question);
-    o->question = question_new (world, o->job);
+  Odd *odd = data;
+  odd->tries++;
+  if (odd->question) { /* what has been told meanwhile counts for this answer too */
+    g_free (odd->question);
+    odd->question = question_new (world, odd->job);
   }
-  w_ask (world, any_node (world), -1, HR_POST, o->path, g_strdup (o->body), 5, on_odd, o);
+  w_ask (world, any_node (world), -1, HR_POST, odd->path, g_strdup (odd->body), 5, on_odd, odd);
 }
 
 /* ---- submissions ---- */
@@ -237,10 +237,10 @@
     if (!job)
       continue;
     g_autofree char *path = g_strconcat ("/v1/jobs/", job->id, "/abort", NULL);
-    Odd *o = odd_new (NULL, k ? "a second cancellation" : "a cancellation of a done job", 200);
-    o->job = job;
-    o->question = question_new (world, job);
-    post (world, o, any_node (world), path, NULL);
+    Odd *odd = odd_new (NULL, k ? "a second cancellation" : "a cancellation of a done job", 200);
+    odd->job = job;
+    odd->question = question_new (world, job);
+    post (world, odd, any_node (world), path, NULL);
   }
 }
 
@@ -271,23 +271,24 @@
 static void
 repeat (World *world, gpointer data)
 {
-  g_autofree Repeat *r = data;
+  g_autofree Repeat *repeat_row = data;
   static const char *const names[] = {"smaller", "of no team", "for no machine"};
   g_autofree char *mark = g_strdup_printf ("job-odd-%u", ++world->troubles.odd_requests);
   g_autofree char *what =
-      g_strdup_printf ("a repeated submission with other content (%s)", names[r->content]);
-  Odd *o = odd_new (mark, what, 200);
-  o->job = r->job;
-  o->question = question_new (world, r->job);
-  post (world, o, r->node, "/v1/jobs", other_content (world, r->job, r->content, mark));
+      g_strdup_printf ("a repeated submission with other content (%s)", names[repeat_row->content]);
+  Odd *odd = odd_new (mark, what, 200);
+  odd->job = repeat_row->job;
+  odd->question = question_new (world, repeat_row->job);
+  post (world, odd, repeat_row->node, "/v1/jobs",
+        other_content (world, repeat_row->job, repeat_row->content, mark));
 }
 
 static void
 plan_repeat (World *world, SJob *job, int node)
 {
-  Repeat *r = g_new (Repeat, 1);
-  *r = (Repeat){job, node, g_rand_int_range (world->troubles.rand, 0, CONTENTS)};
-  w_at (world, world->now + trouble_rand (world, 0, REPEAT_SPAN_S), repeat, r);
+  Repeat *repeat_row = g_new (Repeat, 1);
+  *repeat_row = (Repeat){job, node, g_rand_int_range (world->troubles.rand, 0, CONTENTS)};
+  w_at (world, world->now + trouble_rand (world, 0, REPEAT_SPAN_S), repeat, repeat_row);
 }
 
 void
--- a/tests/sim/store.c
+++ b/tests/sim/store.c
@@ -89,18 +89,18 @@
   if (world->outage > world->now)
     return; /* open watches stay open */
   for (guint i = 0; i < world->watches->len;) {
-    SWatch *s = world->watches->pdata[i];
+    SWatch *watch = world->watches->pdata[i];
     guint n;
-    g_autofree char *team_name = changes_text (world, s->prefix, s->after, &n);
-    Node *nd = &world->nodes[s->r->node];
-    if ((!n && s->ends > world->now) || nd->refused > world->now) {
+    g_autofree char *team_name = changes_text (world, watch->prefix, watch->after, &n);
+    Node *node = &world->nodes[watch->r->node];
+    if ((!n && watch->ends > world->now) || node->refused > world->now) {
       i++;
       continue;
     }
-    w_answer (world, s->r, 200, g_steal_pointer (&team_name));
-    req_unref (s->r);
-    g_free (s->prefix);
-    g_free (s);
+    w_answer (world, watch->r, 200, g_steal_pointer (&team_name));
+    req_unref (watch->r);
+    g_free (watch->prefix);
+    g_free (watch);
     g_ptr_array_remove_index (world->watches, i);
   }
 }
@@ -109,29 +109,30 @@
 leases_tick (World *world, gpointer data)
 {
   GHashTableIter iter;
-  gpointer v;
+  gpointer value;
   g_autoptr (GPtrArray) over = g_ptr_array_new ();
   g_hash_table_iter_init (&iter, world->leases);
-  while (g_hash_table_iter_next (&iter, NULL, &v)) {
-    SLease *l = v;
+  while (g_hash_table_iter_next (&iter, NULL, &value)) {
+    SLease *lease = value;
     if (world->outage > world->now)
-      l->ends = world->outage + l->life; /* after an outage every lease has its full time again */
-    else if (l->ends < world->now)
-      g_ptr_array_add (over, l);
+      lease->ends =
+          world->outage + lease->life; /* after an outage every lease has its full time again */
+    else if (lease->ends < world->now)
+      g_ptr_array_add (over, lease);
   }
   for (guint i = 0; i < over->len; i++) {
-    SLease *l = over->pdata[i];
+    SLease *lease = over->pdata[i];
     g_autoptr (GPtrArray) dead = g_ptr_array_new_with_free_func (g_free);
     gpointer k;
     g_hash_table_iter_init (&iter, world->keys);
-    while (g_hash_table_iter_next (&iter, &k, &v))
-      if (((SKey *)v)->claim == l->id)
+    while (g_hash_table_iter_next (&iter, &k, &value))
+      if (((SKey *)value)->claim == lease->id)
         g_ptr_array_add (dead, g_strdup (k));
     if (dead->len)
       world->epoch++;
     for (guint d = 0; d < dead->len; d++)
       change (world, dead->pdata[d], NULL, 0);
-    g_hash_table_remove (world->leases, &l->id);
+    g_hash_table_remove (world->leases, &lease->id);
   }
   wake (world);
   w_at (world, world->now + 0.05, leases_tick, NULL);
@@ -143,10 +144,10 @@
 check_place (World *world, const char *what, const char *machine)
 {
   for (guint i = 0; machine && i < world->machines->len; i++) {
-    SMachine *m = world->machines->pdata[i];
-    if (m->gone && world->now - m->gone_at > 45 && strcmp (m->name, machine) == 0)
+    SMachine *host = world->machines->pdata[i];
+    if (host->gone && world->now - host->gone_at > 45 && strcmp (host->name, machine) == 0)
       w_broken (world, "stale", "%s is placed on %s, %.0f s after that went", what, machine,
-                world->now - m->gone_at);
+                world->now - host->gone_at);
   }
 }
 
@@ -231,8 +232,8 @@
 note_decision (World *world, const Req *request, json_t *put)
 {
   const char *path = json_string_value (json_object_get (put, "set"));
-  json_t *s = json_object_get (json_object_get (put, "value"), "s");
-  if (json_integer_value (s) == 2 && g_str_has_prefix (path, "h/j/")) {
+  json_t *state = json_object_get (json_object_get (put, "value"), "s");
+  if (json_integer_value (state) == 2 && g_str_has_prefix (path, "h/j/")) {
     guint32 index;
     SJob *job = job_by_id (world, path + strlen ("h/j/"), &index);
     if (job && !job->withdrawn_at)
@@ -511,10 +512,10 @@
   g_ptr_array_sort (keys, by_text);
   json_t *rows = json_array ();
   for (guint i = 0; i < keys->len && i < 7; i++) { /* short pages, so that paging is tested */
-    SKey *s = g_hash_table_lookup (world->keys, keys->pdata[i]);
+    SKey *key = g_hash_table_lookup (world->keys, keys->pdata[i]);
     json_array_append_new (rows, json_pack ("{sssosI}", "path", keys->pdata[i], "value",
-                                            json_loads (s->text, JSON_DECODE_ANY, NULL), "stamp",
-                                            (json_int_t)s->stamp));
+                                            json_loads (key->text, JSON_DECODE_ANY, NULL), "stamp",
+                                            (json_int_t)key->stamp));
   }
   w_answer (world, request, 200,
             hr_json_take_text (json_pack ("{sosbsI}", "rows", rows, "more", keys->len > 7, "epoch",
@@ -527,22 +528,23 @@
   guint64 id = 0;
   if (strcmp (request->path, "/leases") == 0) {
     json_t *object = json_loads (request->body, 0, NULL);
-    SLease *l = g_new0 (SLease, 1);
-    l->id = ++world->claims;
-    l->life = json_integer_value (json_object_get (object, "life_ms")) / 1000.0;
-    l->ends = world->now + l->life;
+    SLease *lease_row = g_new0 (SLease, 1);
+    lease_row->id = ++world->claims;
+    lease_row->life = json_integer_value (json_object_get (object, "life_ms")) / 1000.0;
+    lease_row->ends = world->now + lease_row->life;
     json_decref (object);
-    g_hash_table_insert (world->leases, &l->id, l);
-    w_answer (world, request, 200, g_strdup_printf ("{\"claim\":%" G_GUINT64_FORMAT "}", l->id));
+    g_hash_table_insert (world->leases, &lease_row->id, lease_row);
+    w_answer (world, request, 200,
+              g_strdup_printf ("{\"claim\":%" G_GUINT64_FORMAT "}", lease_row->id));
     return;
   }
   id = g_ascii_strtoull (request->path + strlen ("/leases/"), NULL, 10);
-  SLease *l = g_hash_table_lookup (world->leases, &id);
-  if (!l) {
+  SLease *lease_row = g_hash_table_lookup (world->leases, &id);
+  if (!lease_row) {
     w_answer (world, request, 404, g_strdup ("{}"));
     return;
   }
-  l->ends = request->method == HR_DELETE ? world->now - 1 : world->now + l->life;
+  lease_row->ends = request->method == HR_DELETE ? world->now - 1 : world->now + lease_row->life;
   w_answer (world, request, 200, g_strdup ("{}"));
 }
 
@@ -575,13 +577,13 @@
       w_answer (world, request, 410, g_strdup ("{\"error\":\"too old\"}"));
       return;
     }
-    SWatch *s = g_new0 (SWatch, 1);
-    s->r = request;
+    SWatch *watch = g_new0 (SWatch, 1);
+    watch->r = request;
     request->refs++;
-    s->prefix = query (request->path, "starts");
-    s->after = g_ascii_strtoull (after, NULL, 10);
-    s->ends = world->now + g_ascii_strtod (hold, NULL) / 1000;
-    g_ptr_array_add (world->watches, s);
+    watch->prefix = query (request->path, "starts");
+    watch->after = g_ascii_strtoull (after, NULL, 10);
+    watch->ends = world->now + g_ascii_strtod (hold, NULL) / 1000;
+    g_ptr_array_add (world->watches, watch);
     wake (world);
   } else
     w_broken (world, "protocol", "the state service was asked for %s", request->path);
@@ -636,10 +638,10 @@
 store_free (World *world)
 {
   for (guint i = 0; i < world->watches->len; i++) {
-    SWatch *s = world->watches->pdata[i];
-    g_free (s->prefix);
-    req_unref (s->r);
-    g_free (s);
+    SWatch *watch = world->watches->pdata[i];
+    g_free (watch->prefix);
+    req_unref (watch->r);
+    g_free (watch);
   }
   g_ptr_array_unref (world->watches);
   g_hash_table_unref (world->keys);
--- a/tests/sim/trouble_draw.c
+++ b/tests/sim/trouble_draw.c
@@ -5,30 +5,30 @@
 #define MOST_LEASES 1.3
 
 static void
-draw_cut (GRand *rand, HrTrouble *t)
+draw_cut (GRand *rand, HrTrouble *trouble)
 {
-  t->from_state = g_rand_boolean (rand);
-  t->from_peers = g_rand_boolean (rand);
-  t->from_workers = g_rand_boolean (rand);
-  t->from_users = g_rand_int_range (rand, 0, 4) == 0;
-  if (!t->from_state && !t->from_peers && !t->from_users)
-    t->from_workers = TRUE;
+  trouble->from_state = g_rand_boolean (rand);
+  trouble->from_peers = g_rand_boolean (rand);
+  trouble->from_workers = g_rand_boolean (rand);
+  trouble->from_users = g_rand_int_range (rand, 0, 4) == 0;
+  if (!trouble->from_state && !trouble->from_peers && !trouble->from_users)
+    trouble->from_workers = TRUE;
 }
 
 static void
-draw_crash (GRand *rand, HrTrouble *t)
+draw_crash (GRand *rand, HrTrouble *trouble)
 {
-  t->for_s = 0;
-  t->back_s =
+  trouble->for_s = 0;
+  trouble->back_s =
       g_rand_boolean (rand) ? g_rand_double_range (rand, 0.1, 1) : g_rand_double_range (rand, 1, 7);
 }
 
 static void
-draw_cancel (GRand *rand, HrTrouble *t, double lease_s)
+draw_cancel (GRand *rand, HrTrouble *trouble, double lease_s)
 {
-  t->for_s = 0;
-  t->count = g_rand_int_range (rand, 1, 8);
-  t->hang_s = g_rand_boolean (rand) ? g_rand_double_range (rand, 1, lease_s) : 0;
+  trouble->for_s = 0;
+  trouble->count = g_rand_int_range (rand, 1, 8);
+  trouble->hang_s = g_rand_boolean (rand) ? g_rand_double_range (rand, 1, lease_s) : 0;
 }
 
 HrTrouble
--- a/tests/sim/trouble_messages.c
+++ b/tests/sim/trouble_messages.c
@@ -14,35 +14,36 @@
 }
 
 static void
-carry_out_late (World *world, Req *request, double t)
+carry_out_late (World *world, Req *request, double until)
 {
   request->answer_lost = TRUE;
   request->refs++;
-  req_stray (world, request, t);
+  req_stray (world, request, until);
 }
 
 static gboolean
-take_write (World *world, Req *request, double t)
+take_write (World *world, Req *request, double until)
 {
-  HrTroubles *x = &world->troubles;
-  if (trouble_strikes (world, &x->lost_answers)) {
+  HrTroubles *troubles = &world->troubles;
+  if (trouble_strikes (world, &troubles->lost_answers)) {
     request->answer_lost = TRUE;
-    x->played[TROUBLE_LATE_WRITES]++;
+    troubles->played[TROUBLE_LATE_WRITES]++;
     return FALSE;
   }
-  if (!trouble_strikes (world, &x->late_writes))
+  if (!trouble_strikes (world, &troubles->late_writes))
     return FALSE;
-  carry_out_late (world, request, t + trouble_rand (world, LATE_WRITE_MIN_S, LATE_WRITE_MAX_S));
-  x->played[TROUBLE_LATE_WRITES]++;
+  carry_out_late (world, request, until + trouble_rand (world, LATE_WRITE_MIN_S, LATE_WRITE_MAX_S));
+  troubles->played[TROUBLE_LATE_WRITES]++;
   return TRUE;
 }
 
 static gboolean
-take_command (World *world, Req *request, double t)
+take_command (World *world, Req *request, double until)
 {
   if (!trouble_strikes (world, &world->troubles.late_commands))
     return FALSE;
-  carry_out_late (world, request, t + trouble_rand (world, LATE_COMMAND_MIN_S, LATE_COMMAND_MAX_S));
+  carry_out_late (world, request,
+                  until + trouble_rand (world, LATE_COMMAND_MIN_S, LATE_COMMAND_MAX_S));
   world->troubles.played[TROUBLE_LATE_COMMANDS]++;
   return TRUE;
 }
@@ -50,20 +51,20 @@
 static void
 copy_report (World *world, const Req *request)
 {
-  HrTroubles *x = &world->troubles;
-  if (trouble_strikes (world, &x->late_reports)) {
+  HrTroubles *troubles = &world->troubles;
+  if (trouble_strikes (world, &troubles->late_reports)) {
     double late = trouble_rand (world, LATE_REPORT_MIN_S, LATE_REPORT_MAX_LEASES * world->lease_s);
     req_stray (world, req_copy (request, request->to), world->now + late);
-    x->played[TROUBLE_LATE_REPORTS]++;
+    troubles->played[TROUBLE_LATE_REPORTS]++;
   }
-  if (trouble_strikes (world, &x->reports_for_next) && x->kept_next->len < KEPT_MAX)
-    g_ptr_array_add (x->kept_next, req_copy (request, request->to));
-  if (trouble_strikes (world, &x->reports_to_all) && x->kept_all->len < KEPT_MAX)
-    g_ptr_array_add (x->kept_all, req_copy (request, request->to));
+  if (trouble_strikes (world, &troubles->reports_for_next) && troubles->kept_next->len < KEPT_MAX)
+    g_ptr_array_add (troubles->kept_next, req_copy (request, request->to));
+  if (trouble_strikes (world, &troubles->reports_to_all) && troubles->kept_all->len < KEPT_MAX)
+    g_ptr_array_add (troubles->kept_all, req_copy (request, request->to));
 }
 
 gboolean
-troubles_take (World *world, Req *request, double t)
+troubles_take (World *world, Req *request, double until)
 {
   if (request->node < 0 && request->machine >= 0) {
     const SMachine *machine = world->machines->pdata[request->machine];
@@ -75,41 +76,44 @@
   }
   if (request->node >= 0 && request->target == HR_TO_STORE &&
       strcmp (request->path, "/commit") == 0)
-    return take_write (world, request, t);
+    return take_write (world, request, until);
   if (request->node >= 0 && request->target == HR_TO_WORKER)
-    return take_command (world, request, t);
+    return take_command (world, request, until);
   return FALSE;
 }
 
 double
 troubles_delay (World *world, const Req *request)
 {
-  const HrTroubles *x = &world->troubles;
-  if (request->node < 0 || request->target != HR_TO_STORE || x->state_slow_until <= world->now)
+  const HrTroubles *troubles = &world->troubles;
+  if (request->node < 0 || request->target != HR_TO_STORE ||
+      troubles->state_slow_until <= world->now)
     return 0;
-  return x->state_slow_s * trouble_rand (world, 0.3, 1.6);
+  return troubles->state_slow_s * trouble_rand (world, 0.3, 1.6);
 }
 
 double
 troubles_link_delay (World *world)
 {
-  const HrTroubles *x = &world->troubles;
-  return x->links_slow_until > world->now ? x->links_slow_s * trouble_rand (world, 0.5, 1.5) : 0;
+  const HrTroubles *troubles = &world->troubles;
+  return troubles->links_slow_until > world->now
+             ? troubles->links_slow_s * trouble_rand (world, 0.5, 1.5)
+             : 0;
 }
 
 double
 troubles_zone_cut (World *world, const Req *request, const SMachine *machine)
 {
-  const HrTroubles *x = &world->troubles;
+  const HrTroubles *troubles = &world->troubles;
   int node = request->node >= 0 ? request->node : request->to;
-  if (x->zone_cut_until <= world->now)
+  if (troubles->zone_cut_until <= world->now)
     return 0;
   gboolean parted;
   if (machine)
-    parted = (machine->zone == x->zone_cut) != trouble_inside (world, node);
+    parted = (machine->zone == troubles->zone_cut) != trouble_inside (world, node);
   else /* users, the cloud and the state service are in no zone */
     parted = trouble_inside (world, node);
-  return parted ? x->zone_cut_until : 0;
+  return parted ? troubles->zone_cut_until : 0;
 }
 
 double
@@ -133,36 +137,36 @@
 void
 troubles_map (World *world, json_t *map)
 {
-  HrTroubles *x = &world->troubles;
+  HrTroubles *troubles = &world->troubles;
   const char *process = json_string_value (json_object_get (map, "i"));
-  if (g_strcmp0 (process, x->leader_process) == 0)
+  if (g_strcmp0 (process, troubles->leader_process) == 0)
     return;
-  g_free (x->leader_process);
-  x->leader_process = g_strdup (process);
-  x->leader_baton = json_integer_value (json_object_get (map, "b"));
-  x->leaders++;
+  g_free (troubles->leader_process);
+  troubles->leader_process = g_strdup (process);
+  troubles->leader_baton = json_integer_value (json_object_get (map, "b"));
+  troubles->leaders++;
   troubles_moment (world, ON_HAND_OVER);
-  for (guint i = 0; i < x->kept_all->len; i++)
+  for (guint i = 0; i < troubles->kept_all->len; i++)
     for (int node = 0; node < world->n; node++)
-      let_go (world, x->kept_all->pdata[i], node, 0.1);
-  g_ptr_array_set_size (x->kept_all, 0);
+      let_go (world, troubles->kept_all->pdata[i], node, 0.1);
+  g_ptr_array_set_size (troubles->kept_all, 0);
 }
 
 void
 troubles_reply (World *world, int node, const char *answer)
 {
-  HrTroubles *x = &world->troubles;
+  HrTroubles *troubles = &world->troubles;
   troubles_moment (world, ON_REPORT_ANSWERED);
-  if (x->leaders == x->leaders_acted || !x->kept_next->len)
+  if (troubles->leaders == troubles->leaders_acted || !troubles->kept_next->len)
     return;
   json_t *object = json_loads (answer, 0, NULL);
   gboolean acted =
-      (guint64)json_integer_value (json_object_get (object, "baton")) >= x->leader_baton;
+      (guint64)json_integer_value (json_object_get (object, "baton")) >= troubles->leader_baton;
   json_decref (object);
   if (!acted)
     return;
-  x->leaders_acted = x->leaders;
-  for (guint i = 0; i < x->kept_next->len; i++)
-    let_go (world, x->kept_next->pdata[i], node, 0.5);
-  g_ptr_array_set_size (x->kept_next, 0);
+  troubles->leaders_acted = troubles->leaders;
+  for (guint i = 0; i < troubles->kept_next->len; i++)
+    let_go (world, troubles->kept_next->pdata[i], node, 0.5);
+  g_ptr_array_set_size (troubles->kept_next, 0);
 }
--- a/tests/sim/trouble_parts.h
+++ b/tests/sim/trouble_parts.h
@@ -10,11 +10,11 @@
 #define LATE_REPORT_MIN_S 2.0
 #define LATE_REPORT_MAX_LEASES 2.5
 
-gboolean trouble_on (const World *world, const HrSwitch *s);
+gboolean trouble_on (const World *world, const HrSwitch *trouble_switch);
 /* Whether it hits this one. Drawn only while it is on. */
-gboolean trouble_strikes (World *world, const HrSwitch *s);
+gboolean trouble_strikes (World *world, const HrSwitch *trouble_switch);
 int trouble_any_node (World *world);
 void trouble_shuffle (World *world, GPtrArray *list);
 /* The controller is in the zone that is cut off. */
 gboolean trouble_inside (const World *world, int node);
-void trouble_cancel_now (World *world, const HrTrouble *t);
+void trouble_cancel_now (World *world, const HrTrouble *trouble);
--- a/tests/sim/trouble_text.c
+++ b/tests/sim/trouble_text.c
@@ -52,13 +52,13 @@
                                FIELD ("from_users", FLAG, from_users)};
 
 char *
-trouble_text (const HrTrouble *t)
+trouble_text (const HrTrouble *trouble)
 {
   GString *text = g_string_new (NULL);
-  g_string_append_printf (text, "kind=%s who=%s on=%s", kind_names[t->kind], who_names[t->who],
-                          moment_names[t->on]);
+  g_string_append_printf (text, "kind=%s who=%s on=%s", kind_names[trouble->kind],
+                          who_names[trouble->who], moment_names[trouble->on]);
   for (guint i = 0; i < G_N_ELEMENTS (fields); i++) {
-    gconstpointer member = (const char *)t + fields[i].offset;
+    gconstpointer member = (const char *)trouble + fields[i].offset;
     char number[G_ASCII_DTOSTR_BUF_SIZE];
     if (fields[i].type == NUMBER && *(const double *)member != 0)
       g_string_append_printf (text, " %s=%s", fields[i].name,
@@ -79,11 +79,11 @@
 }
 
 static gboolean
-parse_field (const char *name, const char *value, HrTrouble *t)
+parse_field (const char *name, const char *value, HrTrouble *trouble)
 {
   char *end = NULL;
   for (guint i = 0; i < G_N_ELEMENTS (fields); i++) {
-    gpointer member = (char *)t + fields[i].offset;
+    gpointer member = (char *)trouble + fields[i].offset;
     if (!g_str_equal (fields[i].name, name))
       continue;
     if (fields[i].type == NUMBER)
@@ -96,11 +96,11 @@
 }
 
 gboolean
-trouble_parse (const char *line, HrTrouble *t)
+trouble_parse (const char *line, HrTrouble *trouble)
 {
   gboolean kind_given = FALSE;
   g_auto (GStrv) words = g_strsplit (line, " ", -1);
-  memset (t, 0, sizeof *t);
+  memset (trouble, 0, sizeof *trouble);
   for (guint i = 0; words[i]; i++) {
     guint number;
     char *value = strchr (words[i], '=');
@@ -109,15 +109,15 @@
     *value++ = 0;
     if (g_str_equal (words[i], "kind") &&
         parse_name (value, kind_names, G_N_ELEMENTS (kind_names), &number)) {
-      t->kind = number;
+      trouble->kind = number;
       kind_given = TRUE;
     } else if (g_str_equal (words[i], "who") &&
                parse_name (value, who_names, G_N_ELEMENTS (who_names), &number))
-      t->who = number;
+      trouble->who = number;
     else if (g_str_equal (words[i], "on") &&
              parse_name (value, moment_names, G_N_ELEMENTS (moment_names), &number))
-      t->on = number;
-    else if (!parse_field (words[i], value, t))
+      trouble->on = number;
+    else if (!parse_field (words[i], value, trouble))
       return FALSE;
   }
   return kind_given;
--- a/tests/sim/trouble_users.c
+++ b/tests/sim/trouble_users.c
@@ -18,22 +18,22 @@
 static void
 planned_ask (World *world, gpointer data)
 {
-  PlannedAsk *a = data;
-  if (a->kind == ASK_POLL)
-    user_poll_at (world, a->job, a->node);
-  else if (a->kind == ASK_SUBMIT)
-    user_submit_at (world, a->job, a->node);
+  PlannedAsk *planned = data;
+  if (planned->kind == ASK_POLL)
+    user_poll_at (world, planned->job, planned->node);
+  else if (planned->kind == ASK_SUBMIT)
+    user_submit_at (world, planned->job, planned->node);
   else
-    user_cancel_at (world, a->job, a->node);
-  g_free (a);
+    user_cancel_at (world, planned->job, planned->node);
+  g_free (planned);
 }
 
 static void
 ask_after (World *world, SJob *job, AskKind kind, int node, double after)
 {
-  PlannedAsk *a = g_new (PlannedAsk, 1);
-  *a = (PlannedAsk){job, kind, node};
-  w_at (world, world->now + after, planned_ask, a);
+  PlannedAsk *planned = g_new (PlannedAsk, 1);
+  *planned = (PlannedAsk){job, kind, node};
+  w_at (world, world->now + after, planned_ask, planned);
 }
 
 static void
@@ -77,15 +77,16 @@
 
 /* It runs, and neither ends soon nor was called off. */
 static gboolean
-long_to_go (World *world, const STask *t)
+long_to_go (World *world, const STask *task)
 {
-  const SJob *job = world->jobs->pdata[t->job];
-  return t->state == S_RUN && job->accepted && !job->asked_cancel &&
-         (job->shape == HR_SERVICE || job->run - t->base - (world->now - t->since) > LONG_TO_GO_S);
+  const SJob *job = world->jobs->pdata[task->job];
+  return task->state == S_RUN && job->accepted && !job->asked_cancel &&
+         (job->shape == HR_SERVICE ||
+          job->run - task->base - (world->now - task->since) > LONG_TO_GO_S);
 }
 
 void
-trouble_cancel_now (World *world, const HrTrouble *t)
+trouble_cancel_now (World *world, const HrTrouble *trouble)
 {
   g_autoptr (GPtrArray) jobs = g_ptr_array_new ();
   g_autoptr (GPtrArray) machines = g_ptr_array_new ();
@@ -99,12 +100,12 @@
     }
   }
   trouble_shuffle (world, jobs);
-  g_ptr_array_set_size (jobs, MIN (jobs->len, t->count));
+  g_ptr_array_set_size (jobs, MIN (jobs->len, trouble->count));
   for (guint i = 0; i < jobs->len; i++)
     ask_after (world, jobs->pdata[i], ASK_CANCEL, trouble_any_node (world),
                trouble_rand (world, 0, CANCEL_NOW_SPAN_S));
   world->troubles.played[TROUBLE_CANCEL_NOW] += jobs->len;
-  if (t->hang_s <= 0)
+  if (trouble->hang_s <= 0)
     return;
   for (guint i = 0; i < world->machines->len; i++) {
     SMachine *machine = world->machines->pdata[i];
@@ -118,5 +119,5 @@
   }
   trouble_shuffle (world, machines);
   for (guint i = 0; i < MIN (machines->len, CANCEL_NOW_HANGS); i++)
-    ((SMachine *)machines->pdata[i])->hang = world->now + t->hang_s;
+    ((SMachine *)machines->pdata[i])->hang = world->now + trouble->hang_s;
 }
--- a/tests/sim/troubles.c
+++ b/tests/sim/troubles.c
@@ -13,16 +13,16 @@
 }
 
 gboolean
-trouble_on (const World *world, const HrSwitch *s)
+trouble_on (const World *world, const HrSwitch *trouble_switch)
 {
-  return s->until > world->now;
+  return trouble_switch->until > world->now;
 }
 
 /* Drawn only while it is on. */
 gboolean
-trouble_strikes (World *world, const HrSwitch *s)
+trouble_strikes (World *world, const HrSwitch *trouble_switch)
 {
-  return trouble_on (world, s) && trouble_rand (world, 0, 1) < s->share;
+  return trouble_on (world, trouble_switch) && trouble_rand (world, 0, 1) < trouble_switch->share;
 }
 
 gboolean
@@ -52,24 +52,26 @@
 
 /* Machines that are up, those with tasks first. */
 static GPtrArray *
-pick_machines (World *world, const HrTrouble *t)
+pick_machines (World *world, const HrTrouble *trouble)
 {
   g_autoptr (GPtrArray) up = g_ptr_array_new ();
   GPtrArray *picked = g_ptr_array_new ();
   for (guint i = 0; i < world->machines->len; i++) {
     SMachine *machine = world->machines->pdata[i];
-    if (machine->up && !machine->gone && (!t->zone || machine->zone + 1 == t->zone))
+    if (machine->up && !machine->gone && (!trouble->zone || machine->zone + 1 == trouble->zone))
       g_ptr_array_add (up, machine);
   }
   trouble_shuffle (world, up);
-  guint n = t->count ? t->count : t->share > 0 ? (guint)(t->share * up->len + 0.5) : up->len;
+  guint n = trouble->count       ? trouble->count
+            : trouble->share > 0 ? (guint)(trouble->share * up->len + 0.5)
+                                 : up->len;
   for (int busy = 1; busy >= 0; busy--)
     for (guint i = 0; i < up->len && picked->len < n; i++) {
       SMachine *machine = up->pdata[i];
       if ((machine->tasks->len > 0) == busy)
         g_ptr_array_add (picked, machine);
     }
-  world->troubles.played[t->kind] += picked->len;
+  world->troubles.played[trouble->kind] += picked->len;
   return picked;
 }
 
@@ -93,177 +95,177 @@
 /* ---- beginnings ---- */
 
 static void
-hit_node (World *world, const HrTrouble *t, int i, gboolean first)
+hit_node (World *world, const HrTrouble *trouble, int i, gboolean first)
 {
   Node *n = &world->nodes[i];
-  double until = world->now + t->for_s;
-  world->troubles.played[t->kind]++;
-  if (t->kind == TROUBLE_NODE_CRASH) {
-    double back = first && t->first_back_s > 0 ? t->first_back_s
-                  : t->back_s > 0              ? t->back_s
-                                               : trouble_rand (world, BACK_MIN_S, BACK_MAX_S);
+  double until = world->now + trouble->for_s;
+  world->troubles.played[trouble->kind]++;
+  if (trouble->kind == TROUBLE_NODE_CRASH) {
+    double back = first && trouble->first_back_s > 0 ? trouble->first_back_s
+                  : trouble->back_s > 0              ? trouble->back_s
+                                                     : trouble_rand (world, BACK_MIN_S, BACK_MAX_S);
     node_kill (world, i);
     node_start_at (world, i, world->now + back);
-  } else if (t->kind == TROUBLE_NODE_FREEZE)
-    node_freeze (world, i, t->for_s);
-  else if (t->kind == TROUBLE_STATE_REFUSES)
+  } else if (trouble->kind == TROUBLE_NODE_FREEZE)
+    node_freeze (world, i, trouble->for_s);
+  else if (trouble->kind == TROUBLE_STATE_REFUSES)
     n->refused = until;
   else {
-    n->hold = t->hold;
-    if (t->from_state)
+    n->hold = trouble->hold;
+    if (trouble->from_state)
       n->cut_store = until;
-    if (t->from_peers)
+    if (trouble->from_peers)
       n->cut_peers = until;
-    if (t->from_workers)
+    if (trouble->from_workers)
       n->cut_workers = until;
-    if (t->from_users)
+    if (trouble->from_users)
       n->cut_users = until;
-    if (t->from_state && t->from_peers)
+    if (trouble->from_state && trouble->from_peers)
       n->alone_at = world->now;
   }
 }
 
 static void
-hit_nodes (World *world, const HrTrouble *t)
+hit_nodes (World *world, const HrTrouble *trouble)
 {
   gboolean hit[MAX_NODES];
   for (int i = 0; i < world->n; i++)
-    hit[i] = is_hit (world, t->who, i);
+    hit[i] = is_hit (world, trouble->who, i);
   gboolean first = TRUE;
   for (int i = 0; i < world->n; i++)
     if (hit[i]) {
-      hit_node (world, t, i, first);
+      hit_node (world, trouble, i, first);
       first = FALSE;
     }
 }
 
 static void
-hit_machines (World *world, const HrTrouble *t)
+hit_machines (World *world, const HrTrouble *trouble)
 {
-  g_autoptr (GPtrArray) list = pick_machines (world, t);
-  double until = world->now + t->for_s;
+  g_autoptr (GPtrArray) list = pick_machines (world, trouble);
+  double until = world->now + trouble->for_s;
   for (guint i = 0; i < list->len; i++) {
     SMachine *machine = list->pdata[i];
-    if (t->kind == TROUBLE_MACHINE_DEAF)
+    if (trouble->kind == TROUBLE_MACHINE_DEAF)
       machine->deaf = until;
-    else if (t->kind == TROUBLE_MACHINE_MUTE)
+    else if (trouble->kind == TROUBLE_MACHINE_MUTE)
       machine->mute = until;
-    else if (t->kind == TROUBLE_MACHINE_HANG)
+    else if (trouble->kind == TROUBLE_MACHINE_HANG)
       machine->hang = until;
-    else if (t->kind == TROUBLE_MACHINE_CRASH)
+    else if (trouble->kind == TROUBLE_MACHINE_CRASH)
       machine_end (world, machine);
     else {
       machine->cut = until;
-      machine->hold = t->hold;
+      machine->hold = trouble->hold;
     }
   }
 }
 
 static void
-cut_zone (World *world, const HrTrouble *t)
+cut_zone (World *world, const HrTrouble *trouble)
 {
-  HrTroubles *x = &world->troubles;
-  x->zone_cut = t->zone ? t->zone - 1 : 0;
-  x->zone_cut_until = world->now + t->for_s;
-  x->zone_hold = t->hold;
-  x->zone_nodes = 0;
+  HrTroubles *troubles = &world->troubles;
+  troubles->zone_cut = trouble->zone ? trouble->zone - 1 : 0;
+  troubles->zone_cut_until = world->now + trouble->for_s;
+  troubles->zone_hold = trouble->hold;
+  troubles->zone_nodes = 0;
   for (int i = 0; i < world->n; i++)
-    if (is_hit (world, t->who, i))
-      x->zone_nodes |= 1u << i;
+    if (is_hit (world, trouble->who, i))
+      troubles->zone_nodes |= 1u << i;
   for (int i = 0; i < world->n; i++)
     if (trouble_inside (world, i)) {
       Node *n = &world->nodes[i];
-      n->cut_store = n->cut_peers = n->cut_users = x->zone_cut_until;
+      n->cut_store = n->cut_peers = n->cut_users = troubles->zone_cut_until;
       n->alone_at = world->now;
-      n->hold = t->hold;
+      n->hold = trouble->hold;
     }
-  x->played[TROUBLE_ZONE_CUT]++;
+  troubles->played[TROUBLE_ZONE_CUT]++;
 }
 
 static void
-turn_on (World *world, HrSwitch *s, const HrTrouble *t)
+turn_on (World *world, HrSwitch *trouble_switch, const HrTrouble *trouble)
 {
-  *s = (HrSwitch){world->now + t->for_s, t->share};
+  *trouble_switch = (HrSwitch){world->now + trouble->for_s, trouble->share};
 }
 
 static void
-begin_reports (World *world, const HrTrouble *t)
+begin_reports (World *world, const HrTrouble *trouble)
 {
-  HrTroubles *x = &world->troubles;
-  if (t->for_next) {
-    x->leaders_acted = x->leaders;
-    turn_on (world, &x->reports_for_next, t);
+  HrTroubles *troubles = &world->troubles;
+  if (trouble->for_next) {
+    troubles->leaders_acted = troubles->leaders;
+    turn_on (world, &troubles->reports_for_next, trouble);
   } else
-    turn_on (world, t->to_all ? &x->reports_to_all : &x->late_reports, t);
+    turn_on (world, trouble->to_all ? &troubles->reports_to_all : &troubles->late_reports, trouble);
 }
 
 static void
 begin (World *world, gpointer data)
 {
-  g_autofree HrTrouble *t = data;
-  HrTroubles *x = &world->troubles;
+  g_autofree HrTrouble *trouble = data;
+  HrTroubles *troubles = &world->troubles;
   sim_log_time = world->now;
-  g_debug ("trouble %d for %.1f s", t->kind, t->for_s);
-  switch (t->kind) {
+  g_debug ("trouble %d for %.1f s", trouble->kind, trouble->for_s);
+  switch (trouble->kind) {
   case TROUBLE_LATE_WRITES:
-    turn_on (world, t->at_once ? &x->lost_answers : &x->late_writes, t);
+    turn_on (world, trouble->at_once ? &troubles->lost_answers : &troubles->late_writes, trouble);
     break;
   case TROUBLE_LATE_REPORTS:
-    begin_reports (world, t);
+    begin_reports (world, trouble);
     break;
   case TROUBLE_LATE_COMMANDS:
-    turn_on (world, &x->late_commands, t);
+    turn_on (world, &troubles->late_commands, trouble);
     break;
   case TROUBLE_MACHINE_DEAF:
   case TROUBLE_MACHINE_MUTE:
   case TROUBLE_MACHINE_HANG:
   case TROUBLE_MACHINE_CUT:
   case TROUBLE_MACHINE_CRASH:
-    hit_machines (world, t);
+    hit_machines (world, trouble);
     break;
   case TROUBLE_CANCEL_NOW:
-    trouble_cancel_now (world, t);
+    trouble_cancel_now (world, trouble);
     break;
   case TROUBLE_CANCEL_AT_END:
-    turn_on (world, &x->cancel_at_end, t);
+    turn_on (world, &troubles->cancel_at_end, trouble);
     break;
   case TROUBLE_CLOSE_LOOKS:
-    turn_on (world, &x->close_looks, t);
-    if (t->share <= 0)
-      x->close_looks.share = LOOK_CANCEL_SHARE;
+    turn_on (world, &troubles->close_looks, trouble);
+    if (trouble->share <= 0)
+      troubles->close_looks.share = LOOK_CANCEL_SHARE;
     break;
   case TROUBLE_NODE_CUT:
   case TROUBLE_NODE_CRASH:
   case TROUBLE_NODE_FREEZE:
   case TROUBLE_STATE_REFUSES:
-    hit_nodes (world, t);
+    hit_nodes (world, trouble);
     break;
   case TROUBLE_STATE_OUTAGE:
-    world->outage = MAX (world->outage, world->now + t->for_s);
-    x->played[TROUBLE_STATE_OUTAGE]++;
+    world->outage = MAX (world->outage, world->now + trouble->for_s);
+    troubles->played[TROUBLE_STATE_OUTAGE]++;
     break;
   case TROUBLE_STATE_SLOW:
-    x->state_slow_until = world->now + t->for_s;
-    x->state_slow_s = t->delay_s;
-    x->played[TROUBLE_STATE_SLOW]++;
+    troubles->state_slow_until = world->now + trouble->for_s;
+    troubles->state_slow_s = trouble->delay_s;
+    troubles->played[TROUBLE_STATE_SLOW]++;
     break;
   case TROUBLE_FAST_BOOT:
-    x->fast_boot_until = world->now + t->for_s;
+    troubles->fast_boot_until = world->now + trouble->for_s;
     break;
   case TROUBLE_ZONE_CUT:
-    cut_zone (world, t);
+    cut_zone (world, trouble);
     break;
   case TROUBLE_SLOW_LINKS:
-    x->links_slow_until = world->now + t->for_s;
-    x->links_slow_s = t->delay_s;
-    x->played[TROUBLE_SLOW_LINKS]++;
+    troubles->links_slow_until = world->now + trouble->for_s;
+    troubles->links_slow_s = trouble->delay_s;
+    troubles->played[TROUBLE_SLOW_LINKS]++;
     break;
   case TROUBLE_CLOUD_OUTAGE:
-    world->cloud_outage = MAX (world->cloud_outage, world->now + t->for_s);
-    x->played[TROUBLE_CLOUD_OUTAGE]++;
+    world->cloud_outage = MAX (world->cloud_outage, world->now + trouble->for_s);
+    troubles->played[TROUBLE_CLOUD_OUTAGE]++;
     break;
   case TROUBLE_ODD_REQUESTS:
-    x->odd_until = world->now + t->for_s;
+    troubles->odd_until = world->now + trouble->for_s;
     odd_begin (world);
     break;
   case TROUBLE_KINDS:
@@ -273,9 +275,9 @@
 
 /* How long after its end it may still have an effect. */
 static double
-after_effect (const World *world, const HrTrouble *t)
+after_effect (const World *world, const HrTrouble *trouble)
 {
-  switch (t->kind) {
+  switch (trouble->kind) {
   case TROUBLE_LATE_WRITES:
     return LATE_WRITE_MAX_S;
   case TROUBLE_LATE_COMMANDS:
@@ -283,9 +285,9 @@
   case TROUBLE_LATE_REPORTS:
     return LATE_REPORT_MAX_LEASES * world->lease_s;
   case TROUBLE_NODE_CRASH:
-    return t->back_s > 0 ? t->back_s : BACK_MAX_S;
+    return trouble->back_s > 0 ? trouble->back_s : BACK_MAX_S;
   default:
-    return t->hang_s;
+    return trouble->hang_s;
   }
 }
 
@@ -300,13 +302,13 @@
 {
   GPtrArray *armed = world->troubles.armed;
   for (guint i = armed->len; i > 0 && !world->calm; i--) {
-    HrTrouble *t = armed->pdata[i - 1];
-    if (t->on != moment)
+    HrTrouble *trouble = armed->pdata[i - 1];
+    if (trouble->on != moment)
       continue;
     g_ptr_array_steal_index_fast (armed, i - 1);
     world->troubles.over_at =
-        MAX (world->troubles.over_at, world->now + t->for_s + after_effect (world, t));
-    w_at (world, world->now, begin, t);
+        MAX (world->troubles.over_at, world->now + trouble->for_s + after_effect (world, trouble));
+    w_at (world, world->now, begin, trouble);
     w_at (world, world->troubles.over_at, world_calm, NULL);
   }
 }
@@ -314,14 +316,15 @@
 void
 troubles_plan (World *world, const HrTrouble *day, guint n)
 {
-  HrTroubles *x = &world->troubles;
+  HrTroubles *troubles = &world->troubles;
   for (guint i = 0; i < n; i++)
     for (guint k = 0; k < MAX (day[i].times, 1); k++) {
       double at = day[i].at_s + k * day[i].every_s;
       w_at (world, at, day[i].on ? arm : begin, g_memdup2 (&day[i], sizeof day[i]));
-      x->over_at = MAX (x->over_at, at + day[i].for_s + after_effect (world, &day[i]));
+      troubles->over_at =
+          MAX (troubles->over_at, at + day[i].for_s + after_effect (world, &day[i]));
     }
-  w_at (world, x->over_at, world_calm, NULL);
+  w_at (world, troubles->over_at, world_calm, NULL);
 }
 
 static gboolean
--- a/tests/sim/troubles.h
+++ b/tests/sim/troubles.h
@@ -158,9 +158,9 @@
 
 const char *trouble_kind_name (HrTroubleKind kind);
 /* One line "KEY=VALUE ..." that trouble_parse reads; to be freed. */
-char *trouble_text (const HrTrouble *t);
+char *trouble_text (const HrTrouble *trouble);
 /* FALSE: the line is no trouble. */
-gboolean trouble_parse (const char *line, HrTrouble *t);
+gboolean trouble_parse (const char *line, HrTrouble *trouble);
 
 /* ---- trouble_draw.c ---- */
 
--- a/tests/sim/user.c
+++ b/tests/sim/user.c
@@ -28,12 +28,12 @@
 static void
 on_poll (World *world, int status, json_t *body, gpointer data)
 {
-  Question *q = data;
+  Question *question = data;
   if (status == 200)
-    answer_check (world, q, status, body);
+    answer_check (world, question, status, body);
   else if (status == 404)
-    answer_unknown (world, q, "a question", status);
-  g_free (q);
+    answer_unknown (world, question, "a question", status);
+  g_free (question);
 }
 
 static void
@@ -69,8 +69,8 @@
 static void
 on_submit (World *world, int status, json_t *body, gpointer data)
 {
-  Question *q = data;
-  SJob *job = q->job;
+  Question *question = data;
+  SJob *job = question->job;
   if (status == 201 || status == 200) {
     if (!job->accepted) {
       w_at (world, world->now + 1, poll, job);
@@ -79,12 +79,12 @@
       job->accepted_at = world->now;
     }
     job->accepted = TRUE;
-    answer_check (world, q, status, body);
+    answer_check (world, question, status, body);
   } else if (status == 400 || status == 422) {
-    answer_unknown (world, q, "its submission", status);
+    answer_unknown (world, question, "its submission", status);
   } else if (!job->accepted)
     w_at (world, world->now + 1, submit, job);
-  g_free (q);
+  g_free (question);
 }
 
 void
@@ -104,14 +104,14 @@
 static void
 on_cancel (World *world, int status, json_t *body, gpointer data)
 {
-  Question *q = data;
+  Question *question = data;
   if (status == 200)
-    answer_check (world, q, status, body);
+    answer_check (world, question, status, body);
   else if (status == 404)
-    answer_unknown (world, q, "its cancellation", status);
+    answer_unknown (world, question, "its cancellation", status);
   else
-    w_at (world, world->now + 1, cancel, q->job);
-  g_free (q);
+    w_at (world, world->now + 1, cancel, question->job);
+  g_free (question);
 }
 
 void
@@ -328,8 +328,8 @@
   w_at (world, from, large_service, NULL);
   w_at (world, from + 1, large_service, GINT_TO_POINTER (TRUE));
   guint n = 0;
-  for (double t = from; t < to; t += 15)
-    w_at (world, t, large_array, GUINT_TO_POINTER (n++));
+  for (double until = from; until < to; until += 15)
+    w_at (world, until, large_array, GUINT_TO_POINTER (n++));
 }
 
 void
@@ -347,19 +347,19 @@
 static void
 array_wanted (World *world, gpointer data)
 {
-  g_autofree ArrayWanted *a = data;
-  SJob *job = batch_of (world, a->tasks, a->run);
-  job->cancel = a->cancel_at > 0;
-  job->due_cancel = a->cancel_at;
+  g_autofree ArrayWanted *wanted = data;
+  SJob *job = batch_of (world, wanted->tasks, wanted->run);
+  job->cancel = wanted->cancel_at > 0;
+  job->due_cancel = wanted->cancel_at;
   job_submit (world, job);
 }
 
 void
 users_array (World *world, guint tasks, double run, double at, double cancel_at)
 {
-  ArrayWanted *a = g_new (ArrayWanted, 1);
-  *a = (ArrayWanted){tasks, run, cancel_at};
-  w_at (world, at, array_wanted, a);
+  ArrayWanted *wanted = g_new (ArrayWanted, 1);
+  *wanted = (ArrayWanted){tasks, run, cancel_at};
+  w_at (world, at, array_wanted, wanted);
 }
 
 static void
--- a/tests/sim/worker.c
+++ b/tests/sim/worker.c
@@ -15,31 +15,31 @@
 static void report_due (World *world, gpointer data);
 
 static SJob *
-job (World *world, const STask *t)
+job (World *world, const STask *task)
 {
-  return world->jobs->pdata[t->job];
+  return world->jobs->pdata[task->job];
 }
 
 static double
-progress (World *world, const STask *t)
+progress (World *world, const STask *task)
 {
-  return t->base + (t->state == S_RUN ? world->now - t->since : 0);
+  return task->base + (task->state == S_RUN ? world->now - task->since : 0);
 }
 
 static void
-end (World *world, SMachine *machine, STask *t, const char *cause)
+end (World *world, SMachine *machine, STask *task, const char *cause)
 {
-  SJob *j = job (world, t);
-  if (t->state == S_EXIT)
+  SJob *owner_job = job (world, task);
+  if (task->state == S_EXIT)
     return;
-  if (t->state == S_RUN && j->checkpoint > 0) {
-    double p = progress (world, t);
-    double saved = ((int)(p / j->checkpoint)) * j->checkpoint;
-    j->progress[t->task] = MAX (j->progress[t->task], saved);
+  if (task->state == S_RUN && owner_job->checkpoint > 0) {
+    double p = progress (world, task);
+    double saved = ((int)(p / owner_job->checkpoint)) * owner_job->checkpoint;
+    owner_job->progress[task->task] = MAX (owner_job->progress[task->task], saved);
   }
-  t->state = S_EXIT;
-  t->on = FALSE;
-  t->cause = cause;
+  task->state = S_EXIT;
+  task->on = FALSE;
+  task->cause = cause;
 }
 
 /* The machine or its session ends: its tasks are gone, and nobody says so. */
@@ -57,13 +57,13 @@
   json_t *list = json_array ();
   machine->tally++;
   for (guint i = 0; i < machine->tasks->len; i++) {
-    STask *t = &g_array_index (machine->tasks, STask, i);
-    g_autofree char *piece = g_strdup_printf ("%s/%u", job (world, t)->id, t->task);
-    json_t *object =
-        json_pack ("{sssiss}", "piece", piece, "try", (int)t->try, "stance", states[t->state]);
-    if (t->state == S_EXIT)
-      json_object_set_new (object, "cause", json_string (t->cause));
-    if (t->kept)
+    STask *task = &g_array_index (machine->tasks, STask, i);
+    g_autofree char *piece = g_strdup_printf ("%s/%u", job (world, task)->id, task->task);
+    json_t *object = json_pack ("{sssiss}", "piece", piece, "try", (int)task->try, "stance",
+                                states[task->state]);
+    if (task->state == S_EXIT)
+      json_object_set_new (object, "cause", json_string (task->cause));
+    if (task->kept)
       json_object_set_new (object, "kept", json_true ());
     json_array_append_new (list, object);
   }
@@ -80,36 +80,37 @@
 launch (World *world, SMachine *machine, const char *id, guint32 task_index, guint32 attempt)
 {
   guint32 index;
-  SJob *j = job_by_id (world, id, &index);
-  STask t = {.job = index, .task = task_index, .try = attempt, .state = S_FETCH};
+  SJob *owner_job = job_by_id (world, id, &index);
+  STask task = {.job = index, .task = task_index, .try = attempt, .state = S_FETCH};
   double cpus = 0, gpus = 0, memory_gb = 0;
-  if (!j || task_index >= j->tasks) {
+  if (!owner_job || task_index >= owner_job->tasks) {
     w_broken (world, "protocol", "launch of %s/%u", id, task_index);
     return;
   }
   for (guint i = 0; i < machine->tasks->len; i++) {
-    STask *x = &g_array_index (machine->tasks, STask, i);
-    if (x->job == index && x->task == task_index && x->try == attempt)
+    STask *other = &g_array_index (machine->tasks, STask, i);
+    if (other->job == index && other->task == task_index && other->try == attempt)
       return;
-    if (x->state == S_EXIT)
+    if (other->state == S_EXIT)
       continue;
-    if (x->job == index && x->task == task_index) {
-      t.state = S_EXIT;
-      t.cause = "in_use";
+    if (other->job == index && other->task == task_index) {
+      task.state = S_EXIT;
+      task.cause = "in_use";
     }
-    cpus += job (world, x)->cpus;
-    gpus += job (world, x)->gpus;
-    memory_gb += job (world, x)->mem;
+    cpus += job (world, other)->cpus;
+    gpus += job (world, other)->gpus;
+    memory_gb += job (world, other)->mem;
   }
-  if (t.state != S_EXIT &&
-      (cpus + j->cpus > 12.001 || gpus + j->gpus > 2.001 || memory_gb + j->mem > 96.001)) {
-    t.state = S_EXIT;
-    t.cause = "full";
+  if (task.state != S_EXIT && (cpus + owner_job->cpus > 12.001 || gpus + owner_job->gpus > 2.001 ||
+                               memory_gb + owner_job->mem > 96.001)) {
+    task.state = S_EXIT;
+    task.cause = "full";
   }
-  gboolean cached = g_hash_table_contains (machine->images, GUINT_TO_POINTER (j->image + 1));
-  t.ready = world->now + (cached ? 0.05 : j->image_gb);
-  t.failing = j->broken || (machine->faulty && w_rand (world, 0, 1) < 0.7);
-  g_array_append_val (machine->tasks, t);
+  gboolean cached =
+      g_hash_table_contains (machine->images, GUINT_TO_POINTER (owner_job->image + 1));
+  task.ready = world->now + (cached ? 0.05 : owner_job->image_gb);
+  task.failing = owner_job->broken || (machine->faulty && w_rand (world, 0, 1) < 0.7);
+  g_array_append_val (machine->tasks, task);
 }
 
 static void
@@ -131,22 +132,22 @@
       continue;
     }
     for (guint k = 0; k < machine->tasks->len; k++) {
-      STask *t = &g_array_index (machine->tasks, STask, k);
-      if (t->job != index || t->task != task_index || t->try != attempt)
+      STask *task = &g_array_index (machine->tasks, STask, k);
+      if (task->job != index || task->task != task_index || task->try != attempt)
         continue;
       if (strcmp (verb, "clear") == 0) {
-        if (t->state == S_EXIT)
+        if (task->state == S_EXIT)
           g_array_remove_index (machine->tasks, k);
         break;
       }
       double grace = json_number_value (json_object_get (object, "leeway_s"));
-      SJob *j = job (world, t);
-      if (t->state == S_RUN && j->checkpoint > 0 && grace >= j->save) {
-        t->base = progress (world, t);
-        t->state = S_SAVE;
-        t->until = world->now + j->save;
-      } else if (t->state != S_SAVE || grace == 0)
-        end (world, machine, t, "halted");
+      SJob *owner_job = job (world, task);
+      if (task->state == S_RUN && owner_job->checkpoint > 0 && grace >= owner_job->save) {
+        task->base = progress (world, task);
+        task->state = S_SAVE;
+        task->until = world->now + owner_job->save;
+      } else if (task->state != S_SAVE || grace == 0)
+        end (world, machine, task, "halted");
       break;
     }
   }
@@ -160,9 +161,10 @@
   for (guint i = 0; i < world->machines->len; i++) {
     SMachine *machine = world->machines->pdata[i];
     for (guint k = 0; !machine->gone && k < machine->tasks->len; k++) {
-      STask *t = &g_array_index (machine->tasks, STask, k);
-      if (t->job == index && t->task == task_index && t->try == attempt && t->state != S_EXIT) {
-        *out = t;
+      STask *task = &g_array_index (machine->tasks, STask, k);
+      if (task->job == index && task->task == task_index && task->try == attempt &&
+          task->state != S_EXIT) {
+        *out = task;
         return machine;
       }
     }
@@ -171,72 +173,73 @@
 }
 
 static void
-gang_step (World *world, SMachine *machine, STask *t)
+gang_step (World *world, SMachine *machine, STask *task)
 {
-  SJob *j = job (world, t);
+  SJob *owner_job = job (world, task);
   gboolean all = TRUE, ready = TRUE;
-  for (guint32 i = 0; i < j->tasks; i++) {
-    STask *p = NULL;
-    if (!peer_of (world, j, t->job, i, t->try, &p))
+  for (guint32 i = 0; i < owner_job->tasks; i++) {
+    STask *peer = NULL;
+    if (!peer_of (world, owner_job, task->job, i, task->try, &peer))
       all = FALSE;
     else
-      ready = ready && (p->state == S_GATHER || p->state == S_RUN);
+      ready = ready && (peer->state == S_GATHER || peer->state == S_RUN);
   }
-  if (t->state == S_GATHER) {
+  if (task->state == S_GATHER) {
     if (all && ready) {
-      t->state = S_RUN;
-      t->since = world->now;
-      if (!j->first)
-        j->first = world->now;
-      t->base = j->progress[0];
-    } else if (world->now - t->since > GANG_WAIT)
-      end (world, machine, t, "incomplete");
-  } else if (t->state == S_RUN && !all) {
-    if (!t->until)
-      t->until = world->now + w_rand (world, 0.5, GANG_PEER);
-    else if (world->now > t->until)
-      end (world, machine, t, "peers");
+      task->state = S_RUN;
+      task->since = world->now;
+      if (!owner_job->first)
+        owner_job->first = world->now;
+      task->base = owner_job->progress[0];
+    } else if (world->now - task->since > GANG_WAIT)
+      end (world, machine, task, "incomplete");
+  } else if (task->state == S_RUN && !all) {
+    if (!task->until)
+      task->until = world->now + w_rand (world, 0.5, GANG_PEER);
+    else if (world->now > task->until)
+      end (world, machine, task, "peers");
   }
 }
 
 static gboolean
-task_step (World *world, SMachine *machine, STask *t)
+task_step (World *world, SMachine *machine, STask *task)
 {
-  SJob *j = job (world, t);
-  SState before = t->state;
-  if (t->state == S_FETCH && world->now >= t->ready) {
-    g_hash_table_add (machine->images, GUINT_TO_POINTER (j->image + 1));
-    judge_start (world, machine, t);
-    t->on = TRUE;
-    t->since = world->now;
-    t->state = j->shape == HR_GANG ? S_GATHER : S_RUN;
-    t->base = j->shape == HR_BATCH ? j->progress[t->task] : 0;
-    if (j->done[t->task])
-      end (world, machine, t, "done");
+  SJob *owner_job = job (world, task);
+  SState before = task->state;
+  if (task->state == S_FETCH && world->now >= task->ready) {
+    g_hash_table_add (machine->images, GUINT_TO_POINTER (owner_job->image + 1));
+    judge_start (world, machine, task);
+    task->on = TRUE;
+    task->since = world->now;
+    task->state = owner_job->shape == HR_GANG ? S_GATHER : S_RUN;
+    task->base = owner_job->shape == HR_BATCH ? owner_job->progress[task->task] : 0;
+    if (owner_job->done[task->task])
+      end (world, machine, task, "done");
   }
-  if (j->shape == HR_GANG && (t->state == S_GATHER || t->state == S_RUN))
-    gang_step (world, machine, t);
-  if (t->state == S_RUN && t->failing && world->now - t->since > 1)
-    end (world, machine, t, "error");
-  else if (t->state == S_RUN && j->shape != HR_SERVICE && progress (world, t) >= j->run) {
-    if (j->shape == HR_GANG)
-      for (guint32 i = 0; i < j->tasks; i++) {
-        STask *p = NULL;
-        SMachine *pm = peer_of (world, j, t->job, i, t->try, &p);
-        j->done[i] = TRUE;
-        if (pm && p != t)
-          end (world, pm, p, "done");
+  if (owner_job->shape == HR_GANG && (task->state == S_GATHER || task->state == S_RUN))
+    gang_step (world, machine, task);
+  if (task->state == S_RUN && task->failing && world->now - task->since > 1)
+    end (world, machine, task, "error");
+  else if (task->state == S_RUN && owner_job->shape != HR_SERVICE &&
+           progress (world, task) >= owner_job->run) {
+    if (owner_job->shape == HR_GANG)
+      for (guint32 i = 0; i < owner_job->tasks; i++) {
+        STask *peer = NULL;
+        SMachine *peer_machine = peer_of (world, owner_job, task->job, i, task->try, &peer);
+        owner_job->done[i] = TRUE;
+        if (peer_machine && peer != task)
+          end (world, peer_machine, peer, "done");
       }
-    j->done[t->task] = TRUE;
-    end (world, machine, t, "done");
-    if (job_all_done (j))
-      troubles_job_ended (world, j);
-  } else if (t->state == S_SAVE && world->now >= t->until) {
-    j->progress[j->shape == HR_GANG ? 0 : t->task] = t->base;
-    t->kept = TRUE;
-    end (world, machine, t, "halted");
+    owner_job->done[task->task] = TRUE;
+    end (world, machine, task, "done");
+    if (job_all_done (owner_job))
+      troubles_job_ended (world, owner_job);
+  } else if (task->state == S_SAVE && world->now >= task->until) {
+    owner_job->progress[owner_job->shape == HR_GANG ? 0 : task->task] = task->base;
+    task->kept = TRUE;
+    end (world, machine, task, "halted");
   }
-  return t->state != before;
+  return task->state != before;
 }
 
 static void
@@ -293,10 +296,10 @@
 static void
 on_report (World *world, int status, json_t *body, gpointer data)
 {
-  Out *o = data;
-  SMachine *machine = o->m;
-  if (machine->gone || o->report != machine->report) {
-    g_free (o);
+  Out *out = data;
+  SMachine *machine = out->m;
+  if (machine->gone || out->report != machine->report) {
+    g_free (out);
     return;
   }
   machine->out = FALSE;
@@ -304,7 +307,7 @@
   if (status == 200) {
     guint64 fencing_token = json_integer_value (json_object_get (body, "baton"));
     /* A hanging worker reads nothing before it wakes. */
-    if (fencing_token >= machine->baton && o->tenure == machine->tenure &&
+    if (fencing_token >= machine->baton && out->tenure == machine->tenure &&
         machine->hang <= world->now) {
       /* A higher token is a change, at most once in half a lease. */
       if (fencing_token > machine->baton && world->now - machine->token_told > world->lease_s / 2) {
@@ -312,7 +315,7 @@
         w_at (world, machine->report_sent + 0.51, report_next_node, machine);
       }
       machine->baton = fencing_token;
-      machine->lease_at = o->sent;
+      machine->lease_at = out->sent;
       obey (world, machine, json_object_get (body, "orders"));
     }
     w_at (world, next, report_later, machine);
@@ -323,7 +326,7 @@
     machine->node = follow ? to : (machine->node + 1) % world->n;
     w_at (world, world->now + (follow ? w_rand (world, 0, 0.5) : 1), report_next_node, machine);
   }
-  g_free (o);
+  g_free (out);
 }
 
 static void
@@ -336,14 +339,14 @@
     w_at (world, machine->hang, report_next_node, machine);
     return;
   }
-  Out *o = g_new (Out, 1);
-  *o = (Out){machine, ++machine->report, machine->tenure, world->now};
+  Out *out = g_new (Out, 1);
+  *out = (Out){machine, ++machine->report, machine->tenure, world->now};
   machine->out = TRUE;
   machine->report_sent = world->now;
   guint index;
   g_ptr_array_find (world->machines, machine, &index);
   w_ask (world, machine->node, index, HR_POST, "/hello", report_text (world, machine), 4, on_report,
-         o);
+         out);
 }
 
 void
--- a/tests/sim/world.c
+++ b/tests/sim/world.c
@@ -14,18 +14,21 @@
 } Event;
 
 static int
-by_time (gconstpointer left, gconstpointer right, gpointer d)
+by_time (gconstpointer left, gconstpointer right, gpointer data)
 {
-  const Event *x = left, *y = right;
-  return x->t < y->t ? -1 : x->t > y->t ? 1 : x->seq < y->seq ? -1 : x->seq > y->seq;
+  const Event *first = left, *second = right;
+  return first->t < second->t       ? -1
+         : first->t > second->t     ? 1
+         : first->seq < second->seq ? -1
+                                    : first->seq > second->seq;
 }
 
 void
-w_at (World *world, double t, WFn callback, gpointer data)
+w_at (World *world, double until, WFn callback, gpointer data)
 {
-  Event *e = g_new (Event, 1);
-  *e = (Event){t, ++world->seq, callback, data};
-  g_sequence_insert_sorted (world->events, e, by_time, NULL);
+  Event *event = g_new (Event, 1);
+  *event = (Event){until, ++world->seq, callback, data};
+  g_sequence_insert_sorted (world->events, event, by_time, NULL);
 }
 
 void
@@ -78,13 +81,13 @@
 static void
 deliver_hint (World *world, gpointer data)
 {
-  Hint *h = data;
-  if (world->nodes[h->to].up) {
+  Hint *sent = data;
+  if (world->nodes[sent->to].up) {
     HrCommand *command = hr_command_new (HR_COMMAND_PEER_STATUS);
-    *command->peer_status = h->hint;
-    node_push (world, h->to, command);
+    *command->peer_status = sent->hint;
+    node_push (world, sent->to, command);
   }
-  g_free (h);
+  g_free (sent);
 }
 
 void
@@ -137,9 +140,9 @@
   } else
     for (int k = 0; k < world->n; k++)
       if (k != i && n->cut_peers <= world->now && world->nodes[k].cut_peers <= world->now) {
-        Hint *h = g_new (Hint, 1);
-        *h = (Hint){k, *effect->peer_status};
-        w_at (world, world->now + net_delay (world), deliver_hint, h);
+        Hint *sent = g_new (Hint, 1);
+        *sent = (Hint){k, *effect->peer_status};
+        w_at (world, world->now + net_delay (world), deliver_hint, sent);
       }
 }
 
@@ -154,13 +157,13 @@
 static void
 let_go (World *world, gpointer data)
 {
-  Held *h = data;
-  Node *n = &world->nodes[h->node];
-  n->epoch_acting = h->epoch;
-  for (guint k = 0; n->up && n->gen == h->gen && k < h->effects->len; k++)
-    node_perform (world, h->node, h->effects->pdata[k]);
-  g_ptr_array_unref (h->effects);
-  g_free (h);
+  Held *held = data;
+  Node *n = &world->nodes[held->node];
+  n->epoch_acting = held->epoch;
+  for (guint k = 0; n->up && n->gen == held->gen && k < held->effects->len; k++)
+    node_perform (world, held->node, held->effects->pdata[k]);
+  g_ptr_array_unref (held->effects);
+  g_free (held);
 }
 
 /* For half of the time a process is stopped in the middle of a batch: with the time already
@@ -209,11 +212,11 @@
   n->epoch_acting = n->epoch_read;
   n->epoch_read = n->epoch_sent;
   if (n->freeze_next > 0) {
-    Held *h = g_new (Held, 1);
-    *h = (Held){i, gen, n->epoch_acting, g_ptr_array_ref (out)};
+    Held *held = g_new (Held, 1);
+    *held = (Held){i, gen, n->epoch_acting, g_ptr_array_ref (out)};
     n->frozen = world->now + n->freeze_next;
     n->freeze_next = 0;
-    w_at (world, n->frozen, let_go, h);
+    w_at (world, n->frozen, let_go, held);
     return;
   }
   for (guint k = 0; k < out->len; k++)
@@ -241,9 +244,9 @@
   json_t *members = json_array ();
   for (int k = 0; k < world->n; k++)
     if (k != i) {
-      g_autofree char *l = g_strdup_printf ("c%d", k);
-      json_array_append_new (
-          members, json_pack ("{ssssss}", "label", l, "area", "z0", "endpoint", "127.0.0.1:9"));
+      g_autofree char *label_row = g_strdup_printf ("c%d", k);
+      json_array_append_new (members, json_pack ("{ssssss}", "label", label_row, "area", "z0",
+                                                 "endpoint", "127.0.0.1:9"));
     }
   g_autofree char *label = g_strdup_printf ("c%d", i);
   json_t *facts = json_pack (
@@ -339,10 +342,10 @@
   n->up = FALSE;
   /* Connections reset: whoever waits for an answer learns at once that none comes. */
   GHashTableIter iter;
-  gpointer v;
+  gpointer value;
   g_hash_table_iter_init (&iter, n->open);
-  while (g_hash_table_iter_next (&iter, NULL, &v))
-    w_answer (world, v, 0, NULL);
+  while (g_hash_table_iter_next (&iter, NULL, &value))
+    w_answer (world, value, 0, NULL);
   g_hash_table_unref (n->open);
   g_hash_table_unref (n->heard);
   g_hash_table_unref (n->heard_before);
@@ -418,14 +421,14 @@
 world_run (World *world, double until)
 {
   while (!g_sequence_is_empty (world->events)) {
-    GSequenceIter *it = g_sequence_get_begin_iter (world->events);
-    Event *e = g_sequence_get (it);
-    if (e->t > until)
+    GSequenceIter *iter = g_sequence_get_begin_iter (world->events);
+    Event *event = g_sequence_get (iter);
+    if (event->t > until)
       break;
-    world->now = MAX (world->now, e->t);
-    WFn callback = e->fn;
-    gpointer data = e->data;
-    g_sequence_remove (it);
+    world->now = MAX (world->now, event->t);
+    WFn callback = event->fn;
+    gpointer data = event->data;
+    g_sequence_remove (iter);
     callback (world, data);
   }
   world->now = until;
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -241,13 +241,13 @@
 void world_restart (World *world);
 void world_run (World *world, double until);
 void world_free (World *world);
-void w_at (World *world, double t, WFn callback, gpointer data);
+void w_at (World *world, double until, WFn callback, gpointer data);
 /* Cut off from state service and members for longer than it may go on as if it were not. */
 gboolean node_alone (World *world, int i);
 void w_broken (World *world, const char *rule, const char *fmt, ...) G_GNUC_PRINTF (3, 4);
 double w_rand (World *world, double lo, double hi);
 /* A worker's or user's request to a controller. */
-void w_ask (World *world, int node, int machine, HrMethod m, const char *path, char *body,
+void w_ask (World *world, int node, int machine, HrMethod method, const char *path, char *body,
             double timeout, void (*done) (World *, int, json_t *, gpointer), gpointer data);
 /* A server's answer. Takes the body text. */
 void w_answer (World *world, Req *request, int status, char *body);
@@ -258,7 +258,7 @@
 #define NEXT_TXN_OPS 4
 #define NEXT_WRITE_RPS 40.0
 /* fate.c: lets the request meet that fate; it would reach its receiver at time t. */
-void w_meet_fate (World *world, Req *request, WFate fate, double t);
+void w_meet_fate (World *world, Req *request, WFate fate, double until);
 
 void node_start (World *world, int i);
 /* Starts it then, unless it is up by that time. */
@@ -311,7 +311,7 @@
 /* A copy of a worker's report, for whose answer nobody waits. */
 Req *req_copy (const Req *request, int to);
 /* This request arrives then, later than messages usually do. Takes the reference over. */
-void req_stray (World *world, Req *request, double t);
+void req_stray (World *world, Req *request, double until);
 
 /* ---- answers.c: what users are told, by one clock of answers ---- */
 
@@ -323,9 +323,9 @@
 } Question;
 Question *question_new (World *world, SJob *job);
 /* An answer of 200 or 201 to this question: nothing older than was heard before it was sent. */
-void answer_check (World *world, const Question *q, int status, json_t *body);
+void answer_check (World *world, const Question *question, int status, json_t *body);
 /* 404, 400 or 422. */
-void answer_unknown (World *world, const Question *q, const char *what, int status);
+void answer_unknown (World *world, const Question *question, const char *what, int status);
 
 /* ---- odd.c: requests that must be turned away or change nothing ---- */
 
@@ -373,7 +373,7 @@
 void troubles_free (World *world);
 double trouble_rand (World *world, double lo, double hi);
 /* Takes over a request on its way (t: when it would arrive). FALSE: it goes on as always. */
-gboolean troubles_take (World *world, Req *request, double t);
+gboolean troubles_take (World *world, Req *request, double until);
 /* Until when a cut zone parts the two ends of this request; 0: it does not. m: the worker. */
 double troubles_zone_cut (World *world, const Req *request, const SMachine *machine);
 double troubles_link_delay (World *world);
@@ -425,7 +425,7 @@
  */
 void users_stream (World *world, HrShape large, double from, double to);
 void users_free (World *world);
-void judge_start (World *world, SMachine *machine, STask *t);
+void judge_start (World *world, SMachine *machine, STask *task);
 void judge_tick (World *world);
 SJob *job_by_id (World *world, const char *id, guint32 *index);
 void faults_init (World *world, guint n, double from, double to);
--- a/tests/soak.c
+++ b/tests/soak.c
@@ -92,9 +92,9 @@
 }
 
 static void
-print_trouble (const HrTrouble *t)
+print_trouble (const HrTrouble *trouble)
 {
-  g_autofree char *text = trouble_text (t);
+  g_autofree char *text = trouble_text (trouble);
   fprintf (stderr, "  %s\n", text);
 }
 
@@ -236,14 +236,14 @@
 static Verdict
 run (const Options *options, guint32 seed)
 {
-  Live live = {0}, *s = &live;
+  Live live = {0}, *live_row = &live;
   g_autoptr (GRand) rand = g_rand_new_with_seed (seed);
   int nodes = options->controllers ? options->controllers : seed % 2 ? 3 : 5;
-  s->daemon = options->daemon;
-  s->policy = options->policy;
-  s->old_daemon = options->old_daemon;
-  live_prepare (s, seed, nodes);
-  World *world = s->world;
+  live_row->daemon = options->daemon;
+  live_row->policy = options->policy;
+  live_row->old_daemon = options->old_daemon;
+  live_prepare (live_row, seed, nodes);
+  World *world = live_row->world;
   world->report_s = REPORT_S;
   world->lease_s = LEASE_S;
   world->cancel_s = CANCEL_S;
@@ -251,7 +251,7 @@
   world->fickle = g_rand_boolean (rand);
   if (options->old_daemon)
     begin_old (world, options->old_format);
-  live_begin (s);
+  live_begin (live_row);
   users_init (world, options->seconds * 3 / 4, options->seconds - CALM_S);
   users_probe (world);
   if (options->old_daemon)
@@ -266,14 +266,14 @@
     else
       day[n++] = trouble_draw (rand, draw_kind (rand), at, LEASE_S);
   troubles_plan (world, day, n);
-  live_run (s, options->seconds);
+  live_run (live_row, options->seconds);
   check_end (world);
   if (options->old_daemon)
     check_upgrade (world);
-  report (s, seed, day, n);
-  Verdict verdict = is_void (s) ? RUN_VOID : world->broken->len ? RUN_BROKEN : RUN_OK;
-  s->remove_files = verdict != RUN_BROKEN;
-  live_end (s);
+  report (live_row, seed, day, n);
+  Verdict verdict = is_void (live_row) ? RUN_VOID : world->broken->len ? RUN_BROKEN : RUN_OK;
+  live_row->remove_files = verdict != RUN_BROKEN;
+  live_end (live_row);
   end_callbacks ();
   return verdict;
 }
--- a/tests/test_attestation.c
+++ b/tests/test_attestation.c
@@ -22,17 +22,17 @@
 case_new (void)
 {
   Case k = {.s = script_new ("c0")};
-  Script *s = k.s;
-  assert_true (s->said.is_leader);
-  script_report_for (s, 6);
-  script_submit (s, JOB);
-  script_submit (s, OTHER);
-  script_report_for (s, 10);
-  assert_true (script_runs (s, JOB) && script_runs (s, OTHER));
-  s->served = FALSE;
-  k.stamp = script_withdraw (s, JOB);
-  k.c1 = &s->members[0].hint;
-  k.c2 = &s->members[1].hint;
+  Script *script = k.s;
+  assert_true (script->said.is_leader);
+  script_report_for (script, 6);
+  script_submit (script, JOB);
+  script_submit (script, OTHER);
+  script_report_for (script, 10);
+  assert_true (script_runs (script, JOB) && script_runs (script, OTHER));
+  script->served = FALSE;
+  k.stamp = script_withdraw (script, JOB);
+  k.c1 = &script->members[0].hint;
+  k.c2 = &script->members[1].hint;
   return k;
 }
 
@@ -46,9 +46,9 @@
 
 /* Longer than hold_s: on its own reading c0 would be silent by then. */
 static int
-much_later (Script *s)
+much_later (Script *script)
 {
-  return script_report_for (s, s->pol.hold_s + 4);
+  return script_report_for (script, script->pol.hold_s + 4);
 }
 
 /* Its tasks are stopped with the next report, others go on for as long as it lasts, and no user
@@ -249,23 +249,23 @@
 a_job_that_is_not_known_yet (void **state)
 {
   Case k = case_new ();
-  Script *s = k.s;
+  Script *script = k.s;
   g_autofree char *record = NULL;
-  for (guint i = 0; i < s->log->len; i++)
-    if (strstr (s->log->pdata[i], "h/j/" OTHER "\"") && !record) {
-      json_t *object = json_loads (s->log->pdata[i], 0, NULL);
+  for (guint i = 0; i < script->log->len; i++)
+    if (strstr (script->log->pdata[i], "h/j/" OTHER "\"") && !record) {
+      json_t *object = json_loads (script->log->pdata[i], 0, NULL);
       record = json_dumps (json_object_get (object, "value"), JSON_COMPACT);
       json_decref (object);
     }
   knows (k.c1, k.stamp, 2);
   hr_named_cancellations_add (&k.c1->cancellations, JOB);
   hr_named_cancellations_add (&k.c1->cancellations, "job-c");
-  script_report_for (s, 4);
-  script_write (s, "h/j/job-c", record);
-  s->served = TRUE;
-  script_report_for (s, 8);
-  assert_false (script_runs (s, "job-c"));
-  script_free (s);
+  script_report_for (script, 4);
+  script_write (script, "h/j/job-c", record);
+  script->served = TRUE;
+  script_report_for (script, 8);
+  assert_false (script_runs (script, "job-c"));
+  script_free (script);
 }
 
 /* A launch whose answer was lost may come at any time while the worker's session lasts and no
@@ -273,23 +273,23 @@
 static void
 a_late_launch_of_a_withdrawn_job (void **state)
 {
-  Script *s = script_new ("c0");
-  script_report_for (s, 6);
-  s->loses_orders = TRUE;
-  script_submit (s, JOB);
-  script_run (s, 4);
-  assert_true (s->lost_launches > 0);
-  s->served = FALSE;
-  HrPeerStatus *c1 = &s->members[0].hint;
-  knows (c1, script_withdraw (s, JOB), 1);
-  hr_named_cancellations_add (&c1->cancellations, JOB);
-  int status = script_report_for (s, 10);
+  Script *script = script_new ("c0");
+  script_report_for (script, 6);
+  script->loses_orders = TRUE;
+  script_submit (script, JOB);
+  script_run (script, 4);
+  assert_true (script->lost_launches > 0);
+  script->served = FALSE;
+  HrPeerStatus *status_row = &script->members[0].hint;
+  knows (status_row, script_withdraw (script, JOB), 1);
+  hr_named_cancellations_add (&status_row->cancellations, JOB);
+  int status = script_report_for (script, 10);
   assert_int_equal (status, 503);
-  s->session++; /* its lease is over */
-  s->tally = 0;
-  assert_int_equal (script_report (s), 200);
-  assert_int_equal (script_report_for (s, 40), 200);
-  script_free (s);
+  script->session++; /* its lease is over */
+  script->tally = 0;
+  assert_int_equal (script_report (script), 200);
+  assert_int_equal (script_report_for (script, 40), 200);
+  script_free (script);
 }
 
 int
--- a/tests/test_awaits.c
+++ b/tests/test_awaits.c
@@ -14,24 +14,24 @@
 static void
 named_jobs_are_checked (void **state)
 {
-  Ledger *l = ledger_new ();
-  LoneNode *n = node_up (l);
+  Ledger *store = ledger_new ();
+  LoneNode *n = node_up (store);
   assert_int_equal (node_submit (n, "job-1", NULL, NULL), 201);
   assert_int_equal (node_submit (n, "job-2", "[]", NULL), 201);
   assert_int_equal (node_submit (n, "job-3", "null", NULL), 201);
-  assert_null (strstr (ledger_job (l, "job-2"), "\"a\":"));
+  assert_null (strstr (ledger_job (store, "job-2"), "\"a\":"));
   assert_int_equal (node_submit (n, "job-4", "[\"job-9\"]", NULL), 422);
   assert_non_null (strstr (hr_json_str (n->body, "error"), "job-9"));
   assert_int_equal (node_submit (n, "job-4", "[\"job-1\",\"job-4\"]", NULL), 422);
-  assert_null (ledger_job (l, "job-4"));
+  assert_null (ledger_job (store, "job-4"));
   assert_string_equal (node_poll (n, "job-4"), "unknown");
   assert_string_equal (node_poll (n, "job-9"), "unknown");
   assert_int_equal (node_submit (n, "job-5", "[\"job-1\",\"job-2\",\"job-1\"]", NULL), 201);
-  assert_non_null (strstr (ledger_job (l, "job-5"), "\"a\":[\"job-1\",\"job-2\"]"));
+  assert_non_null (strstr (ledger_job (store, "job-5"), "\"a\":[\"job-1\",\"job-2\"]"));
   /* A repeat is compared by its id alone. */
   assert_int_equal (node_submit (n, "job-5", "[\"job-9\"]", NULL), 200);
   node_free (n);
-  ledger_free (l);
+  ledger_free (store);
 }
 
 /* What no node accepts leaves nothing behind. */
@@ -54,14 +54,14 @@
               {"[\"job-77\"]", 422, "never accepted"},
               {"[\"job-svc\"]", 422, "a service"},
               {"[\"job-1\",\"job-svc\"]", 422, "a service"}};
-  Ledger *l = ledger_new ();
-  LoneNode *n = node_up (l);
+  Ledger *store = ledger_new ();
+  LoneNode *n = node_up (store);
   assert_int_equal (node_submit (n, "job-1", NULL, NULL), 201);
   assert_int_equal (node_submit_service (n, "job-svc"), 201);
   for (guint i = 0; i < G_N_ELEMENTS (rows); i++) {
     assert_int_equal (node_submit (n, "job-odd", rows[i].awaits, NULL), rows[i].status);
     assert_non_null (strstr (hr_json_str (n->body, "error"), rows[i].says));
-    assert_null (ledger_job (l, "job-odd"));
+    assert_null (ledger_job (store, "job-odd"));
     assert_string_equal (node_poll (n, "job-odd"), "unknown");
     /* A repetition of what was accepted is known by its id, whatever it holds now. */
     assert_int_equal (node_submit (n, "job-1", rows[i].awaits, NULL), 200);
@@ -71,26 +71,26 @@
   assert_int_equal (node_submit (n, "job-odd", "[\"job-svc\"]", NULL), 201);
   assert_string_equal (node_poll (n, "job-odd"), "withdrawn");
   node_free (n);
-  ledger_free (l);
+  ledger_free (store);
 }
 
 static void
 unknown_jobs_cannot_be_judged_in_an_outage (void **state)
 {
-  Ledger *l = ledger_new ();
-  LoneNode *n = node_up (l);
+  Ledger *store = ledger_new ();
+  LoneNode *n = node_up (store);
   assert_int_equal (node_submit (n, "job-1", NULL, NULL), 201);
-  l->down = TRUE;
+  store->down = TRUE;
   assert_int_equal (node_submit (n, "job-2", "[\"job-9\"]", NULL), 503);
-  l->down = FALSE;
+  store->down = FALSE;
   node_run (n, 10);
   /* Accepted elsewhere just now: a reading finds it. */
-  g_autofree char *text = g_strdup (ledger_job (l, "job-1"));
-  l->epoch++;
-  ledger_set (l, "h/j/job-9", text);
+  g_autofree char *text = g_strdup (ledger_job (store, "job-1"));
+  store->epoch++;
+  ledger_set (store, "h/j/job-9", text);
   assert_int_equal (node_submit (n, "job-2", "[\"job-9\"]", NULL), 201);
   node_free (n);
-  ledger_free (l);
+  ledger_free (store);
 }
 
 static char *
@@ -107,21 +107,21 @@
 static void
 a_repeat_is_known_by_its_id (void **state)
 {
-  Ledger *l = ledger_new ();
-  LoneNode *n = node_up (l);
+  Ledger *store = ledger_new ();
+  LoneNode *n = node_up (store);
   assert_int_equal (node_submit (n, "job-1", NULL, NULL), 201);
-  g_autofree char *text = g_strdup (ledger_job (l, "job-1"));
+  g_autofree char *text = g_strdup (ledger_job (store, "job-1"));
   g_autofree char *many = many_ids (320);
   assert_int_equal (node_submit_service (n, "job-svc"), 201);
   const char *const awaits[] = {"[\"job-9\"]", many, "[\"job-svc\"]"};
   for (guint i = 0; i < G_N_ELEMENTS (awaits); i++) {
     g_autofree char *id = g_strdup_printf ("job-e%u", i), *path = g_strconcat ("h/j/", id, NULL);
-    l->epoch++;
-    ledger_set (l, path, text); /* accepted elsewhere just now */
+    store->epoch++;
+    ledger_set (store, path, text); /* accepted elsewhere just now */
     assert_int_equal (node_submit (n, id, awaits[i], NULL), 200);
   }
   node_free (n);
-  ledger_free (l);
+  ledger_free (store);
 }
 
 /* The smaller of today's and the announced limit bounds what a job may await. */
@@ -131,8 +131,8 @@
   static const char *const limits[] = {"", ",\"next\":{\"value_kb\":2}"};
   guint most[2] = {0, 0};
   for (guint k = 0; k < 2; k++) {
-    Ledger *l = ledger_new ();
-    LoneNode *n = node_new (l, limits[k]);
+    Ledger *store = ledger_new ();
+    LoneNode *n = node_new (store, limits[k]);
     node_run (n, 5);
     for (guint i = 0; i < 320; i++) {
       g_autofree char *id = g_strdup_printf ("job-%06u", i);
@@ -145,13 +145,13 @@
       if (status == 400)
         assert_non_null (strstr (hr_json_str (n->body, "error"), "awaits"));
       if (status == 201) {
-        assert_true (strlen (ledger_job (l, id)) <= (k ? 2048 : 4096));
+        assert_true (strlen (ledger_job (store, id)) <= (k ? 2048 : 4096));
         assert_true (most[k] == i - 10); /* never one that is larger than a refused one */
         most[k] = i;
       }
     }
     node_free (n);
-    ledger_free (l);
+    ledger_free (store);
   }
   assert_true (most[0] >= 250 && most[0] < 320);
   assert_true (most[1] >= 90 && most[1] < 160);
@@ -172,10 +172,10 @@
 
 /* The epoch of the change that withdrew the job. */
 static guint64
-withdrawn_at (const Ledger *l, const char *path)
+withdrawn_at (const Ledger *store, const char *path)
 {
-  for (guint i = 0; i < l->log->len; i++) {
-    const Change *change = &g_array_index (l->log, Change, i);
+  for (guint i = 0; i < store->log->len; i++) {
+    const Change *change = &g_array_index (store->log, Change, i);
     if (strcmp (change->path, path) == 0 && strstr (change->text, "\"s\":2"))
       return change->stamp;
   }
@@ -187,11 +187,11 @@
 static void
 a_cancellation_takes_a_chain_along (void **state)
 {
-  Ledger *l = ledger_new ();
-  LoneNode *n = node_up (l);
+  Ledger *store = ledger_new ();
+  LoneNode *n = node_up (store);
   submit_chain (n, 0, CHAIN);
   assert_int_equal (node_cancel (n, "job-c0"), 200);
-  guint64 told = withdrawn_at (l, "h/j/job-c0");
+  guint64 told = withdrawn_at (store, "h/j/job-c0");
   assert_true (told > 0);
   for (guint i = 0; i < CHAIN; i += 23) {
     g_autofree char *id = g_strdup_printf ("job-c%u", i);
@@ -206,8 +206,8 @@
   /* Nodes that come later and lead nothing: whatever the order in which they read. */
   for (guint k = 0; k < 2; k++) {
     Ledger *past = ledger_new (); /* without what the leader wrote since */
-    for (guint i = 0; i < l->log->len; i++) {
-      const Change *change = &g_array_index (l->log, Change, i);
+    for (guint i = 0; i < store->log->len; i++) {
+      const Change *change = &g_array_index (store->log, Change, i);
       past->epoch = change->stamp;
       if (change->stamp <= told || strstr (change->path, "job-late"))
         ledger_set (past, change->path, change->text);
@@ -224,29 +224,29 @@
   }
   /* In the end every record says so by itself. */
   node_run (n, 120);
-  assert_null (strstr (ledger_job (l, "job-c599"), "\"j\":"));
-  assert_null (strstr (ledger_job (l, "job-late"), "\"j\":"));
-  LoneNode *last = node_new (l, "");
+  assert_null (strstr (ledger_job (store, "job-c599"), "\"j\":"));
+  assert_null (strstr (ledger_job (store, "job-late"), "\"j\":"));
+  LoneNode *last = node_new (store, "");
   node_run (last, 3);
   assert_string_equal (node_poll (last, "job-c300"), "withdrawn");
   assert_non_null (strstr (hr_json_str (last->body, "reason"), "job-c0"));
   node_free (last);
   node_free (n);
-  ledger_free (l);
+  ledger_free (store);
 }
 
 /* Jobs that all await job-r, as if other nodes had accepted them. */
 static void
-submit_many (Ledger *l, guint n)
+submit_many (Ledger *store, guint n)
 {
-  g_autofree char *root = g_strdup (ledger_job (l, "job-r"));
+  g_autofree char *root = g_strdup (ledger_job (store, "job-r"));
   for (guint i = 0; i < n; i++) {
     g_autofree char *path = g_strdup_printf ("h/j/job-b%u", i);
     json_t *object = json_loads (root, 0, NULL);
     json_object_set_new (object, "a", json_pack ("[s]", "job-r"));
     g_autofree char *text = hr_json_take_text (object);
-    l->epoch++;
-    ledger_set (l, path, text);
+    store->epoch++;
+    ledger_set (store, path, text);
   }
 }
 
@@ -255,19 +255,19 @@
 static void
 a_cancellation_takes_thousands_along (void **state)
 {
-  Ledger *l = ledger_new ();
-  LoneNode *n = node_up (l);
+  Ledger *store = ledger_new ();
+  LoneNode *n = node_up (store);
   assert_int_equal (node_submit (n, "job-r", NULL, NULL), 201);
-  submit_many (l, BREADTH);
+  submit_many (store, BREADTH);
   assert_string_equal (node_poll (n, "job-b2999"), "queued");
   assert_false (node_opens (n, "job-b2999"));
   assert_int_equal (node_cancel (n, "job-r"), 200);
-  guint64 before = l->epoch;
+  guint64 before = store->epoch;
   assert_string_equal (node_poll (n, "job-b2999"), "withdrawn");
   assert_string_equal (node_poll (n, "job-b0"), "withdrawn");
-  assert_true (l->epoch - before < 20); /* told before any of them was written */
+  assert_true (store->epoch - before < 20); /* told before any of them was written */
   node_free (n);
-  ledger_free (l);
+  ledger_free (store);
 }
 
 /* Their records are shortened when nothing else is to be written: a task's end is recorded at
@@ -275,12 +275,12 @@
 static void
 thousands_hold_nobody_up (void **state)
 {
-  Ledger *l = ledger_new ();
-  LoneNode *n = node_new (l, ",\"write_rps\":15");
+  Ledger *store = ledger_new ();
+  LoneNode *n = node_new (store, ",\"write_rps\":15");
   node_run (n, 5);
   assert_int_equal (node_submit (n, "job-r", NULL, NULL), 201);
   assert_int_equal (node_submit (n, "job-e", NULL, NULL), 201);
-  submit_many (l, 1000);
+  submit_many (store, 1000);
   HrJob *job = hr_job_find (n->core, "job-e");
   HrMachine *machine = node_machine (n);
   for (guint i = 0; i < job->n_tasks; i++)
@@ -294,7 +294,7 @@
   node_run (n, 2);
   assert_string_equal (node_poll (n, "job-e"), "done");
   node_free (n);
-  ledger_free (l);
+  ledger_free (store);
 }
 
 int
--- a/tests/test_client.c
+++ b/tests/test_client.c
@@ -25,13 +25,14 @@
 on_request (SoupServer *server, SoupServerMessage *msg, const char *path, GHashTable *query,
             gpointer data)
 {
-  FakeNode *f = data;
+  FakeNode *fake = data;
   g_autoptr (GBytes) body = soup_message_body_flatten (soup_server_message_get_request_body (msg));
-  g_ptr_array_add (f->requests, g_strdup_printf ("%s %s %.*s", soup_server_message_get_method (msg),
-                                                 path, (int)g_bytes_get_size (body),
-                                                 (const char *)g_bytes_get_data (body, NULL)));
-  const Said *said = &f->said[MIN (f->asked, f->n - 1)];
-  f->asked++;
+  g_ptr_array_add (fake->requests,
+                   g_strdup_printf ("%s %s %.*s", soup_server_message_get_method (msg), path,
+                                    (int)g_bytes_get_size (body),
+                                    (const char *)g_bytes_get_data (body, NULL)));
+  const Said *said = &fake->said[MIN (fake->asked, fake->n - 1)];
+  fake->asked++;
   soup_server_message_set_status (msg, said->status, NULL);
   if (said->retry_after)
     soup_message_headers_replace (soup_server_message_get_response_headers (msg), "Retry-After",
@@ -43,29 +44,29 @@
 static FakeNode *
 fake_node (const Said *said, guint n)
 {
-  FakeNode *f = g_new0 (FakeNode, 1);
-  f->said = said;
-  f->n = n;
-  f->requests = g_ptr_array_new_with_free_func (g_free);
-  f->server = soup_server_new (NULL, NULL);
-  soup_server_add_handler (f->server, NULL, on_request, f, NULL);
+  FakeNode *fake = g_new0 (FakeNode, 1);
+  fake->said = said;
+  fake->n = n;
+  fake->requests = g_ptr_array_new_with_free_func (g_free);
+  fake->server = soup_server_new (NULL, NULL);
+  soup_server_add_handler (fake->server, NULL, on_request, fake, NULL);
   g_autoptr (GInetAddress) loopback = g_inet_address_new_loopback (G_SOCKET_FAMILY_IPV4);
   g_autoptr (GSocketAddress) any = g_inet_socket_address_new (loopback, 0);
-  assert_true (soup_server_listen (f->server, any, 0, NULL));
-  GSList *uris = soup_server_get_uris (f->server);
-  f->address = g_strdup_printf ("127.0.0.1:%d", g_uri_get_port (uris->data));
+  assert_true (soup_server_listen (fake->server, any, 0, NULL));
+  GSList *uris = soup_server_get_uris (fake->server);
+  fake->address = g_strdup_printf ("127.0.0.1:%d", g_uri_get_port (uris->data));
   g_slist_free_full (uris, (GDestroyNotify)g_uri_unref);
-  return f;
+  return fake;
 }
 
 static void
-fake_node_free (FakeNode *f)
+fake_node_free (FakeNode *fake)
 {
-  soup_server_disconnect (f->server);
-  g_object_unref (f->server);
-  g_ptr_array_unref (f->requests);
-  g_free (f->address);
-  g_free (f);
+  soup_server_disconnect (fake->server);
+  g_object_unref (fake->server);
+  g_ptr_array_unref (fake->requests);
+  g_free (fake->address);
+  g_free (fake);
 }
 
 typedef struct {
@@ -77,10 +78,10 @@
 static void
 on_ended (GObject *source, GAsyncResult *result, gpointer data)
 {
-  Run *r = data;
-  g_subprocess_communicate_utf8_finish (G_SUBPROCESS (source), result, &r->out, &r->err, NULL);
-  r->code = g_subprocess_get_exit_status (G_SUBPROCESS (source));
-  r->ended = TRUE;
+  Run *run = data;
+  g_subprocess_communicate_utf8_finish (G_SUBPROCESS (source), result, &run->out, &run->err, NULL);
+  run->code = g_subprocess_get_exit_status (G_SUBPROCESS (source));
+  run->ended = TRUE;
 }
 
 static char *state_dir;
@@ -89,7 +90,7 @@
 static Run
 run (const char *words)
 {
-  Run r = {0};
+  Run run_row = {0};
   g_autoptr (GError) error = NULL;
   g_autoptr (GSubprocessLauncher) launcher =
       g_subprocess_launcher_new (G_SUBPROCESS_FLAGS_STDOUT_PIPE | G_SUBPROCESS_FLAGS_STDERR_PIPE);
@@ -100,25 +101,25 @@
       g_subprocess_launcher_spawnv (launcher, (const char *const *)argv, &error);
   if (!process)
     fail_msg ("%s", error->message);
-  g_subprocess_communicate_utf8_async (process, NULL, NULL, on_ended, &r);
-  while (!r.ended)
+  g_subprocess_communicate_utf8_async (process, NULL, NULL, on_ended, &run_row);
+  while (!run_row.ended)
     g_main_context_iteration (NULL, TRUE);
-  return r;
+  return run_row;
 }
 
 static void
-run_clear (Run *r)
+run_clear (Run *run)
 {
-  g_free (r->out);
-  g_free (r->err);
+  g_free (run->out);
+  g_free (run->err);
 }
 
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (Run, run_clear)
 
 static Run
-run_at (const FakeNode *f, const char *words)
+run_at (const FakeNode *fake, const char *words)
 {
-  g_autofree char *all = g_strconcat ("--server ", f->address, " ", words, NULL);
+  g_autofree char *all = g_strconcat ("--server ", fake->address, " ", words, NULL);
   return run (all);
 }
 
@@ -129,31 +130,31 @@
       {503, "{\"error\":\"not yet\"}", NULL},
       {429, "{}", "1"},
       {201, "{\"name_id\":\"job-a\",\"stance\":\"queued\",\"reason\":\"waits\"}", NULL}};
-  FakeNode *f = fake_node (said, 3);
-  g_auto (Run) r =
-      run_at (f, "submit --class c --team t --image i --cpus 2 --tasks 3 --await job-z");
-  assert_int_equal (r.code, 0);
-  assert_int_equal (f->asked, 3);
-  assert_string_equal (f->requests->pdata[0], f->requests->pdata[1]);
-  assert_string_equal (f->requests->pdata[0], f->requests->pdata[2]);
-  assert_true (g_str_has_prefix (f->requests->pdata[0], "POST /v1/jobs {"));
-  assert_non_null (strstr (f->requests->pdata[0], "\"pieces\":3"));
-  assert_non_null (strstr (f->requests->pdata[0], "\"awaits\":[\"job-z\"]"));
-  assert_non_null (strstr (r.out, "job-a queued"));
-  assert_non_null (strstr (r.err, "503 (not yet)"));
-  fake_node_free (f);
+  FakeNode *fake = fake_node (said, 3);
+  g_auto (Run) run =
+      run_at (fake, "submit --class c --team t --image i --cpus 2 --tasks 3 --await job-z");
+  assert_int_equal (run.code, 0);
+  assert_int_equal (fake->asked, 3);
+  assert_string_equal (fake->requests->pdata[0], fake->requests->pdata[1]);
+  assert_string_equal (fake->requests->pdata[0], fake->requests->pdata[2]);
+  assert_true (g_str_has_prefix (fake->requests->pdata[0], "POST /v1/jobs {"));
+  assert_non_null (strstr (fake->requests->pdata[0], "\"pieces\":3"));
+  assert_non_null (strstr (fake->requests->pdata[0], "\"awaits\":[\"job-z\"]"));
+  assert_non_null (strstr (run.out, "job-a queued"));
+  assert_non_null (strstr (run.err, "503 (not yet)"));
+  fake_node_free (fake);
 }
 
 static void
 a_refusal_is_final (void **state)
 {
   static const Said said[] = {{422, "{\"error\":\"no machine type fits\"}", NULL}};
-  FakeNode *f = fake_node (said, 1);
-  g_auto (Run) r = run_at (f, "submit --class c --team t --image i --cpus 2000");
-  assert_int_equal (r.code, 1);
-  assert_int_equal (f->asked, 1);
-  assert_non_null (strstr (r.err, "refused (422): no machine type fits"));
-  fake_node_free (f);
+  FakeNode *fake = fake_node (said, 1);
+  g_auto (Run) run = run_at (fake, "submit --class c --team t --image i --cpus 2000");
+  assert_int_equal (run.code, 1);
+  assert_int_equal (fake->asked, 1);
+  assert_non_null (strstr (run.err, "refused (422): no machine type fits"));
+  fake_node_free (fake);
 }
 
 static void
@@ -162,12 +163,12 @@
   static const Said said[] = {
       {200, "{\"name_id\":\"job-a\",\"stance\":\"running\",\"done\":1,\"running\":2}", NULL},
       {200, "{\"name_id\":\"job-a\",\"stance\":\"withdrawn\"}", NULL}};
-  FakeNode *f = fake_node (said, 2);
-  g_auto (Run) r = run_at (f, "status job-a --watch --json");
-  assert_int_equal (r.code, 4);
-  assert_non_null (strstr (r.out, "\"state\":\"running\",\"done\":1,\"running\":2}\n"));
-  assert_non_null (strstr (r.out, "\"state\":\"withdrawn\""));
-  fake_node_free (f);
+  FakeNode *fake = fake_node (said, 2);
+  g_auto (Run) run = run_at (fake, "status job-a --watch --json");
+  assert_int_equal (run.code, 4);
+  assert_non_null (strstr (run.out, "\"state\":\"running\",\"done\":1,\"running\":2}\n"));
+  assert_non_null (strstr (run.out, "\"state\":\"withdrawn\""));
+  fake_node_free (fake);
 }
 
 static void
@@ -175,22 +176,22 @@
 {
   static const Said said[] = {
       {200, "{\"name_id\":\"job-b\",\"stance\":\"done\",\"done\":1}", NULL}};
-  FakeNode *f = fake_node (said, 1);
-  g_auto (Run) first = run_at (f, "submit --id job-b --class c --team t --image i --cpus 2");
-  g_auto (Run) again = run_at (f, "submit --id job-b --class c --team t --image i --cpus 2");
-  guint before = f->asked;
-  g_auto (Run) listed = run_at (f, "list");
+  FakeNode *fake = fake_node (said, 1);
+  g_auto (Run) first = run_at (fake, "submit --id job-b --class c --team t --image i --cpus 2");
+  g_auto (Run) again = run_at (fake, "submit --id job-b --class c --team t --image i --cpus 2");
+  guint before = fake->asked;
+  g_auto (Run) listed = run_at (fake, "list");
   assert_int_equal (listed.code, 0);
   assert_non_null (strstr (listed.out, "job-b done, 1 tasks done"));
   guint asked_for_b = 0;
-  for (guint i = before; i < f->requests->len; i++)
-    asked_for_b += g_str_has_prefix (f->requests->pdata[i], "GET /v1/jobs/job-b ");
+  for (guint i = before; i < fake->requests->len; i++)
+    asked_for_b += g_str_has_prefix (fake->requests->pdata[i], "GET /v1/jobs/job-b ");
   assert_int_equal (asked_for_b, 1);
-  g_auto (Run) cancelled = run_at (f, "cancel job-b");
+  g_auto (Run) cancelled = run_at (fake, "cancel job-b");
   assert_int_equal (cancelled.code, 0);
-  assert_true (
-      g_str_has_prefix (f->requests->pdata[f->requests->len - 1], "POST /v1/jobs/job-b/abort"));
-  fake_node_free (f);
+  assert_true (g_str_has_prefix (fake->requests->pdata[fake->requests->len - 1],
+                                 "POST /v1/jobs/job-b/abort"));
+  fake_node_free (fake);
 }
 
 static void
@@ -198,14 +199,14 @@
 {
   static const Said said[] = {{200, "{}", NULL},
                               {200, "# TYPE hoprock_leads gauge\nhoprock_leads 1\n", NULL}};
-  FakeNode *f = fake_node (said, 2);
-  g_auto (Run) r = run_at (f, "nodes");
-  assert_int_equal (r.code, 0);
-  assert_non_null (strstr (r.out, "ready, leads"));
+  FakeNode *fake = fake_node (said, 2);
+  g_auto (Run) run_row = run_at (fake, "nodes");
+  assert_int_equal (run_row.code, 0);
+  assert_non_null (strstr (run_row.out, "ready, leads"));
   g_auto (Run) none = run ("--server 127.0.0.1:1 nodes");
   assert_int_equal (none.code, 3);
   assert_non_null (strstr (none.out, "does not answer"));
-  fake_node_free (f);
+  fake_node_free (fake);
 }
 
 static void
@@ -222,9 +223,9 @@
                                       "list --nonsense",
                                       "--server , list"};
   for (guint i = 0; i < G_N_ELEMENTS (wrong); i++) {
-    g_auto (Run) r = run (wrong[i]);
-    if (r.code != 2 || !g_str_has_prefix (r.err, "hoprock: "))
-      fail_msg ("`%s`: exit %d, %s", wrong[i], r.code, r.err);
+    g_auto (Run) run_row = run (wrong[i]);
+    if (run_row.code != 2 || !g_str_has_prefix (run_row.err, "hoprock: "))
+      fail_msg ("`%s`: exit %d, %s", wrong[i], run_row.code, run_row.err);
   }
 }
 
--- a/tests/test_exhaustive.c
+++ b/tests/test_exhaustive.c
@@ -124,13 +124,13 @@
   guint point = play->points++;
   g_hash_table_add (play->states, digest (world));
   for (guint i = 0; i < play->schedule->depth; i++) {
-    const Deviation *d = &play->schedule->deviations[i];
-    if (d->point != point)
+    const Deviation *deviation = &play->schedule->deviations[i];
+    if (deviation->point != point)
       continue;
-    if (d->choice < FATE_COUNT)
-      return d->choice;
+    if (deviation->choice < FATE_COUNT)
+      return deviation->choice;
     /* The request on its way comes first or second, as the network has it. */
-    w_at (world, world->now, user_acts, GUINT_TO_POINTER (d->choice));
+    w_at (world, world->now, user_acts, GUINT_TO_POINTER (deviation->choice));
   }
   return FATE_DELIVERED;
 }
