--- a/tests/test_fixtures.c
+++ b/tests/test_fixtures.c
@@ -47,54 +47,55 @@
 }
 
 static void
-read_main (Read *r, const char *text)
+read_main (Read *read, const char *text)
 {
-  memset (r, 0, sizeof *r);
-  hr_names_init (&r->names);
-  hr_intern_init (&r->machines);
+  memset (read, 0, sizeof *read);
+  hr_names_init (&read->names);
+  hr_intern_init (&read->machines);
   json_t *value = json_loads (text, 0, NULL);
-  r->job = g_new0 (HrJob, 1);
-  assert_true (hr_record_read (value, &r->names, &r->record));
-  if (!r->record.is_tombstone) {
-    hr_job_set_spec (r->job, &r->record.spec, r->record.tasks_per_page);
-    r->job->submitted_at = r->record.submitted_at;
-    if (!r->record.tasks_per_page)
-      assert_true (hr_record_tasks (r->job, 0, r->record.tasks, &r->machines));
+  read->job = g_new0 (HrJob, 1);
+  assert_true (hr_record_read (value, &read->names, &read->record));
+  if (!read->record.is_tombstone) {
+    hr_job_set_spec (read->job, &read->record.spec, read->record.tasks_per_page);
+    read->job->submitted_at = read->record.submitted_at;
+    if (!read->record.tasks_per_page)
+      assert_true (hr_record_tasks (read->job, 0, read->record.tasks, &read->machines));
   }
-  for (guint i = 0; r->record.awaits && r->record.awaits[i]; i++) {
+  for (guint i = 0; read->record.awaits && read->record.awaits[i]; i++) {
     HrJob **awaits =
-        g_renew (HrJob *, r->job->dependencies.awaited, ++r->job->dependencies.n_awaited);
-    awaits[i] = named_job (r->record.awaits[i]);
-    r->job->dependencies.awaited = awaits;
+        g_renew (HrJob *, read->job->dependencies.awaited, ++read->job->dependencies.n_awaited);
+    awaits[i] = named_job (read->record.awaits[i]);
+    read->job->dependencies.awaited = awaits;
   }
-  r->job->record.sized_page_keys = r->record.sized_page_keys;
-  if (r->record.cancelled_with)
-    r->job->cancellation.root = named_job (r->record.cancelled_with);
-  r->job->record.unknown_members = g_steal_pointer (&r->record.extra);
+  read->job->record.sized_page_keys = read->record.sized_page_keys;
+  if (read->record.cancelled_with)
+    read->job->cancellation.root = named_job (read->record.cancelled_with);
+  read->job->record.unknown_members = g_steal_pointer (&read->record.extra);
   json_decref (value);
 }
 
 static void
-read_clear (Read *r)
+read_clear (Read *read)
 {
-  hr_record_clear (&r->record);
-  for (guint i = 0; i < r->job->dependencies.n_awaited; i++)
-    named_job_free (r->job->dependencies.awaited[i]);
-  if (r->job->cancellation.root)
-    named_job_free (r->job->cancellation.root);
-  hr_job_free (r->job);
-  hr_intern_clear (&r->machines);
-  hr_names_clear (&r->names);
+  hr_record_clear (&read->record);
+  for (guint i = 0; i < read->job->dependencies.n_awaited; i++)
+    named_job_free (read->job->dependencies.awaited[i]);
+  if (read->job->cancellation.root)
+    named_job_free (read->job->cancellation.root);
+  hr_job_free (read->job);
+  hr_intern_clear (&read->machines);
+  hr_names_clear (&read->names);
 }
 
 static char *
-write_main (Read *r)
+write_main (Read *read)
 {
-  if (!r->record.is_tombstone)
-    return hr_record_main (r->job, &r->names, &r->machines, r->record.state, r->record.tag, FALSE);
-  r->job->n_tasks = r->record.n_tasks;
-  r->job->n_recorded_done = r->record.n_done;
-  return hr_record_tombstone (r->job, r->record.state, r->record.tag);
+  if (!read->record.is_tombstone)
+    return hr_record_main (read->job, &read->names, &read->machines, read->record.state,
+                           read->record.tag, FALSE);
+  read->job->n_tasks = read->record.n_tasks;
+  read->job->n_recorded_done = read->record.n_done;
+  return hr_record_tombstone (read->job, read->record.state, read->record.tag);
 }
 
 /* The page as the job's other records lay it out. */
@@ -108,19 +109,19 @@
   for (guint i = 0; lines[i]; i++) {
     if (!g_str_has_prefix (lines[i], main))
       continue;
-    Read r;
-    read_main (&r, lines[i] + strlen (main));
-    assert_int_equal (r.job->record.sized_page_keys, split);
+    Read read;
+    read_main (&read, lines[i] + strlen (main));
+    assert_int_equal (read.job->record.sized_page_keys, split);
     if (split)
-      assert_int_equal (r.job->record.tasks_per_page, atoi (fields[3]));
+      assert_int_equal (read.job->record.tasks_per_page, atoi (fields[3]));
     json_t *value = json_loads (text, 0, NULL);
-    assert_true (hr_record_tasks (r.job, page * r.job->record.tasks_per_page,
-                                  json_object_get (value, "x"), &r.machines));
+    assert_true (hr_record_tasks (read.job, page * read.job->record.tasks_per_page,
+                                  json_object_get (value, "x"), &read.machines));
     g_autofree char *back =
-        hr_record_page (r.job, page, &r.machines, hr_json_str (value, "w"), FALSE);
+        hr_record_page (read.job, page, &read.machines, hr_json_str (value, "w"), FALSE);
     assert_string_equal (back, text);
     json_decref (value);
-    read_clear (&r);
+    read_clear (&read);
     return;
   }
   fail_msg ("%s has no main record", key);
@@ -138,15 +139,15 @@
     for (guint i = 0; lines[i]; i++) {
       g_auto (GStrv) row = g_strsplit (lines[i], "\t", 2);
       if (g_str_has_prefix (row[0], "h/j/")) {
-        Read r;
-        read_main (&r, row[1]);
-        g_autofree char *back = write_main (&r);
+        Read read;
+        read_main (&read, row[1]);
+        g_autofree char *back = write_main (&read);
         assert_string_equal (back, row[1]);
-        tombstones += r.record.is_tombstone;
-        awaiting += r.job->dependencies.n_awaited > 0;
-        taken_along += r.record.cancelled_with != NULL;
+        tombstones += read.record.is_tombstone;
+        awaiting += read.job->dependencies.n_awaited > 0;
+        taken_along += read.record.cancelled_with != NULL;
         mains++;
-        read_clear (&r);
+        read_clear (&read);
       } else if (g_str_has_prefix (row[0], "h/t/") || g_str_has_prefix (row[0], "h/u/")) {
         check_page (lines, row[0], row[1]);
         pages++;
@@ -166,14 +167,14 @@
       "{\"w\":\"1-1.8\",\"s\":0,\"t\":1000000009.25,\"q\":0,\"j\":[\"k\",\"t\",\"i\",0,2,1,4.0,1.0,"
       "30.0,1.0,null,39.0,0.0,0.0,null,false,false,true,88.0],\"x\":[[\"m-000002\",1,1]],"
       "\"later\":{\"deep\":[1,2.5,null]},\"z\":\"y\"}";
-  Read r;
-  read_main (&r, text);
-  g_autofree char *back = write_main (&r);
+  Read read;
+  read_main (&read, text);
+  g_autofree char *back = write_main (&read);
   assert_string_equal (back, text);
-  g_autofree char *end = hr_record_tombstone (r.job, HR_JOB_CANCELLED, "1-1.9");
+  g_autofree char *end = hr_record_tombstone (read.job, HR_JOB_CANCELLED, "1-1.9");
   assert_string_equal (end, "{\"w\":\"1-1.9\",\"s\":2,\"n\":1,\"d\":0,"
                             "\"later\":{\"deep\":[1,2.5,null]},\"z\":\"y\"}");
-  read_clear (&r);
+  read_clear (&read);
 }
 
 /* ---- a cluster of the new version takes over an earlier one's ledger ---- */
--- a/tests/test_pacing.c
+++ b/tests/test_pacing.c
@@ -13,18 +13,18 @@
 static guint
 passes (double took)
 {
-  Script *s = script_led (2);
-  HrCore *leader = s->nodes[script_leader (s)].core;
+  Script *script = script_led (2);
+  HrCore *leader = script->nodes[script_leader (script)].core;
   guint n = 0;
-  for (double t = 0; t < RUN_S; t += STEP_S) {
+  for (double until = 0; until < RUN_S; until += STEP_S) {
     double before = leader->scheduling.planned_at;
-    script_run (s, STEP_S);
+    script_run (script, STEP_S);
     leader->scheduling.plan_is_stale = TRUE;
-    script_tick (s, 0.001);
+    script_tick (script, 0.001);
     n += leader->scheduling.planned_at > before;
     hr_core_step_took (leader, took);
   }
-  script_free (s);
+  script_free (script);
   return n;
 }
 
--- a/tests/test_pairs.c
+++ b/tests/test_pairs.c
@@ -42,15 +42,15 @@
 pair_of (guint number)
 {
   guint kinds = number % PAIRS;
-  Pair p = {.moment = ON_TIME + 1 + (number / PAIRS + kinds) % MOMENTS};
+  Pair pair = {.moment = ON_TIME + 1 + (number / PAIRS + kinds) % MOMENTS};
   for (guint a = 0, at = 0; a < TROUBLE_KINDS; a++)
     for (guint b = a; b < TROUBLE_KINDS; b++, at++)
       if (at == kinds) {
         gboolean swap = number / PAIRS % 2;
-        p.first = swap ? b : a;
-        p.second = swap ? a : b;
+        pair.first = swap ? b : a;
+        pair.second = swap ? a : b;
       }
-  return p;
+  return pair;
 }
 
 static Day
@@ -59,12 +59,12 @@
   Day day = {.seed = SEED + number};
   g_autoptr (GRand) rand = g_rand_new_with_seed (day.seed);
   for (guint i = 0; i < PAIRS_A_DAY; i++) {
-    Pair p = pair_of (number * PAIRS_A_DAY + i);
+    Pair pair = pair_of (number * PAIRS_A_DAY + i);
     double at = FIRST_AT_S + i * PAIR_EVERY_S;
     HrTrouble *first = &day.troubles[day.n++], *second = &day.troubles[day.n++];
-    *first = trouble_draw (rand, p.first, at, 14);
-    *second = trouble_draw (rand, p.second, at + g_rand_double_range (rand, 0, WITHIN_S), 14);
-    second->on = p.moment;
+    *first = trouble_draw (rand, pair.first, at, 14);
+    *second = trouble_draw (rand, pair.second, at + g_rand_double_range (rand, 0, WITHIN_S), 14);
+    second->on = pair.moment;
   }
   return day;
 }
@@ -165,11 +165,11 @@
 note_met (const World *world, const Day *day)
 {
   for (guint i = 0; i + 1 < day->n; i += 2) {
-    HrTroubleKind a = day->troubles[i].kind, b = day->troubles[i + 1].kind;
-    if (world->troubles.played[a] && world->troubles.played[b]) {
-      met[a][b]++;
-      if (a != b)
-        met[b][a]++;
+    HrTroubleKind first = day->troubles[i].kind, second = day->troubles[i + 1].kind;
+    if (world->troubles.played[first] && world->troubles.played[second]) {
+      met[first][second]++;
+      if (first != second)
+        met[second][first]++;
     }
   }
 }
--- a/tests/test_peer_status_frame.c
+++ b/tests/test_peer_status_frame.c
@@ -97,12 +97,12 @@
     ids[i][i == JOBS - 1 ? 5 : 100] = 0; /* the last one would fit */
     jobs[i] = ids[i];
   }
-  Hr__Cancellations w = HR__CANCELLATIONS__INIT;
-  w.jobs = jobs;
-  w.n_jobs = w.log_end = JOBS;
+  Hr__Cancellations cancellations = HR__CANCELLATIONS__INIT;
+  cancellations.jobs = jobs;
+  cancellations.n_jobs = cancellations.log_end = JOBS;
   Hr__PeerStatus message = HR__PEER_STATUS__INIT;
   message.label = message.incarnation = "c1";
-  message.cancellations = &w;
+  message.cancellations = &cancellations;
   assert_true (hr__peer_status__get_packed_size (&message) <= sizeof frame);
   gsize len = hr__peer_status__pack (&message, frame);
   HrPeerStatus got = {0};
--- a/tests/test_pipelines.c
+++ b/tests/test_pipelines.c
@@ -55,8 +55,8 @@
 quiet_days (void **state)
 {
   guint broken = 0;
-  for (guint s = 2000; s < 2003; s++)
-    broken += play (world_new (s, 3), s, 0, FALSE);
+  for (guint seed = 2000; seed < 2003; seed++)
+    broken += play (world_new (seed, 3), seed, 0, FALSE);
   assert_int_equal (broken, 0);
 }
 
@@ -64,8 +64,8 @@
 days_with_troubles (void **state)
 {
   guint broken = 0;
-  for (guint s = 2010; s < 2026; s++)
-    broken += play (world_new (s, 3), s, 6, FALSE);
+  for (guint seed = 2010; seed < 2026; seed++)
+    broken += play (world_new (seed, 3), seed, 6, FALSE);
   assert_int_equal (broken, 0);
 }
 
@@ -74,10 +74,10 @@
 days_of_new_owners (void **state)
 {
   guint broken = 0;
-  for (guint s = 2030; s < 2036; s++) {
-    World *world = world_new (s, 3);
+  for (guint seed = 2030; seed < 2036; seed++) {
+    World *world = world_new (seed, 3);
     faults_owners (world, 25, CALM_AT);
-    broken += play (world, s, 0, FALSE);
+    broken += play (world, seed, 0, FALSE);
   }
   assert_int_equal (broken, 0);
 }
@@ -87,8 +87,8 @@
 days_of_shocks (void **state)
 {
   guint broken = 0;
-  for (guint s = 2040; s < 2050; s++)
-    broken += play (world_new (s, 3), s, s % 2 ? 3 : 0, TRUE);
+  for (guint seed = 2040; seed < 2050; seed++)
+    broken += play (world_new (seed, 3), seed, seed % 2 ? 3 : 0, TRUE);
   assert_int_equal (broken, 0);
 }
 
@@ -96,11 +96,11 @@
 days_with_a_team_limit (void **state)
 {
   guint broken = 0;
-  for (guint s = 2050; s < 2054; s++) {
-    World *world = world_new (s, 3);
+  for (guint seed = 2050; seed < 2054; seed++) {
+    World *world = world_new (seed, 3);
     world->quota_gpus = 3;
     world_restart (world);
-    broken += play (world, s, 3, FALSE);
+    broken += play (world, seed, 3, FALSE);
   }
   assert_int_equal (broken, 0);
 }
@@ -109,8 +109,8 @@
 days_with_one_or_five_controllers (void **state)
 {
   guint broken = 0;
-  for (guint s = 2060; s < 2066; s++)
-    broken += play (world_new (s, s % 2 ? 5 : 1), s, 4, s % 3 == 0);
+  for (guint seed = 2060; seed < 2066; seed++)
+    broken += play (world_new (seed, seed % 2 ? 5 : 1), seed, 4, seed % 3 == 0);
   assert_int_equal (broken, 0);
 }
 
@@ -140,8 +140,8 @@
 days_of_an_upgrade (void **state)
 {
   guint broken = 0;
-  for (guint s = 2070; s < 2078; s++)
-    broken += play_upgrade (s, s % 4 == 3 ? 5 : 3);
+  for (guint seed = 2070; seed < 2078; seed++)
+    broken += play_upgrade (seed, seed % 4 == 3 ? 5 : 3);
   assert_int_equal (broken, 0);
 }
 
--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -13,8 +13,8 @@
   g_autofree char *text = NULL;
   g_assert_true (g_file_get_contents (SOURCE_ROOT "/deploy/policy.hop", &text, NULL, NULL));
   /* idle_s is the tunable under test: the file's own line goes. */
-  g_autoptr (GRegex) re = g_regex_new ("^idle_s = .*$", G_REGEX_MULTILINE, 0, NULL);
-  return g_regex_replace_literal (re, text, -1, 0, line, 0, NULL);
+  g_autoptr (GRegex) regex = g_regex_new ("^idle_s = .*$", G_REGEX_MULTILINE, 0, NULL);
+  return g_regex_replace_literal (regex, text, -1, 0, line, 0, NULL);
 }
 
 static double
@@ -61,15 +61,15 @@
 static void
 generated_files (void **state)
 {
-  g_autoptr (GRand) r = g_rand_new_with_seed (7);
+  g_autoptr (GRand) rand = g_rand_new_with_seed (7);
   g_autoptr (GHashTable) vars = hr_policy_vars_new ();
   hr_core_policy_vars (NULL, vars);
   guint refused = 0;
   for (guint n = 0; n < 3000; n++) {
     g_autofree char *text = with ("idle_s = max(1, lease_s * (2 + 3)) ? 4 : 5;");
-    for (int k = g_rand_int_range (r, 1, 5); k > 0; k--)
-      text[g_rand_int_range (r, 0, strlen (text))] =
-          "();=+-*/?:&|<>!,.#\"'0a \n\x80"[g_rand_int_range (r, 0, 24)];
+    for (int k = g_rand_int_range (rand, 1, 5); k > 0; k--)
+      text[g_rand_int_range (rand, 0, strlen (text))] =
+          "();=+-*/?:&|<>!,.#\"'0a \n\x80"[g_rand_int_range (rand, 0, 24)];
     g_autoptr (GError) error = NULL;
     HrPolicy policy;
     if (!hr_policy_eval ("t", text, vars, &policy, &error)) {
--- a/tests/test_protocol.c
+++ b/tests/test_protocol.c
@@ -119,13 +119,13 @@
   static const char *const parts[] = {
       "\"job-000398\"", "\"job-a.b_c-d\"", "\"job-\"", "\"x\"", "null", "12", "[]", "\"job-é\""};
   const guint good = 2;
-  g_autoptr (GRand) r = g_rand_new_with_seed (17);
+  g_autoptr (GRand) rand = g_rand_new_with_seed (17);
   guint taken = 0;
   for (guint n = 0; n < 3000; n++) {
     g_autoptr (GString) text = g_string_new ("[");
     gboolean fine = TRUE, named[2] = {FALSE, FALSE};
-    for (int k = g_rand_int_range (r, 0, 4); k > 0; k--) {
-      guint pick = g_rand_int_range (r, 0, g_rand_boolean (r) ? good : G_N_ELEMENTS (parts));
+    for (int k = g_rand_int_range (rand, 0, 4); k > 0; k--) {
+      guint pick = g_rand_int_range (rand, 0, g_rand_boolean (rand) ? good : G_N_ELEMENTS (parts));
       g_string_append_printf (text, "%s%s", text->len > 1 ? "," : "", parts[pick]);
       fine = fine && pick < good;
       if (pick < good)
@@ -162,12 +162,12 @@
 static void
 generated_bodies (void **state)
 {
-  g_autoptr (GRand) r = g_rand_new_with_seed (11);
+  g_autoptr (GRand) rand = g_rand_new_with_seed (11);
   guint taken = 0;
   for (guint n = 0; n < 5000; n++) {
     char text[] = JOB;
-    for (int k = g_rand_int_range (r, 1, 4); k > 0; k--)
-      text[g_rand_int_range (r, 0, sizeof text - 1)] = g_rand_int_range (r, 1, 256);
+    for (int k = g_rand_int_range (rand, 1, 4); k > 0; k--)
+      text[g_rand_int_range (rand, 0, sizeof text - 1)] = g_rand_int_range (rand, 1, 256);
     HrJobSpec spec;
     g_autofree char *why = NULL;
     if (parses (text, &spec, &why)) {
@@ -204,9 +204,9 @@
     char text[] = REPORT;
     for (int k = g_rand_int_range (rand, 1, 4); k > 0; k--)
       text[g_rand_int_range (rand, 0, sizeof text - 1)] = g_rand_int_range (rand, 1, 256);
-    g_autofree char *w = NULL;
-    g_autoptr (HrHeartbeat) x = hr_heartbeat_parse (text, strlen (text), &w);
-    assert_true (x || w);
+    g_autofree char *text_row = NULL;
+    g_autoptr (HrHeartbeat) heartbeat_row = hr_heartbeat_parse (text, strlen (text), &text_row);
+    assert_true (heartbeat_row || text_row);
   }
 }
 
@@ -221,10 +221,10 @@
   json_t *object = json_loads (team_name, 0, NULL);
   assert_int_equal (json_integer_value (json_object_get (object, "baton")), 41);
   assert_int_equal (json_integer_value (json_object_get (object, "tenure")), 3);
-  json_t *l = json_object_get (object, "orders");
-  assert_int_equal (json_array_size (l), 3);
-  assert_string_equal (hr_json_str (json_array_get (l, 0), "piece"), "job-1/4");
-  assert_string_equal (hr_json_str (json_array_get (l, 1), "verb"), "kill");
+  json_t *list_row = json_object_get (object, "orders");
+  assert_int_equal (json_array_size (list_row), 3);
+  assert_string_equal (hr_json_str (json_array_get (list_row, 0), "piece"), "job-1/4");
+  assert_string_equal (hr_json_str (json_array_get (list_row, 1), "verb"), "kill");
   json_decref (object);
 }
 
@@ -266,9 +266,9 @@
       "\"members\":[{\"label\":\"b\",\"area\":\"%s\",\"endpoint\":\"%s\"}]," FACTS "}",
       area, endpoint, cancel);
   json_t *object = json_loads (text, 0, NULL);
-  HrSettings *s = hr_settings_parse (object, names, error);
+  HrSettings *read = hr_settings_parse (object, names, error);
   json_decref (object);
-  return s;
+  return read;
 }
 
 static void
--- a/tests/test_readiness.c
+++ b/tests/test_readiness.c
@@ -14,8 +14,8 @@
 static void
 a_job_opens_when_the_last_one_is_done (void **state)
 {
-  Ledger *l = ledger_new ();
-  LoneNode *n = node_up (l);
+  Ledger *store = ledger_new ();
+  LoneNode *n = node_up (store);
   assert_int_equal (node_submit (n, "job-1", NULL, NULL), 201);
   assert_int_equal (node_submit (n, "job-2", NULL, NULL), 201);
   assert_int_equal (node_submit (n, "job-3", "[\"job-1\",\"job-2\"]", NULL), 201);
@@ -26,11 +26,11 @@
   HrJob *job = hr_job_find (n->core, "job-3");
   assert_false (job->run.arrival_counted);
   double since = n->now;
-  ledger_done (l, "job-2");
+  ledger_done (store, "job-2");
   node_run (n, 2);
   assert_false (node_opens (n, "job-3"));
   node_run (n, 40);
-  ledger_done (l, "job-1");
+  ledger_done (store, "job-1");
   node_run (n, 2);
   assert_true (node_opens (n, "job-3"));
   assert_true (job->run.arrival_counted); /* it arrives now */
@@ -39,15 +39,15 @@
   assert_int_equal (node_submit (n, "job-4", "[\"job-1\"]", NULL), 201);
   assert_true (node_opens (n, "job-4"));
   node_free (n);
-  ledger_free (l);
+  ledger_free (store);
 }
 
 /* Its user may still withdraw what its tasks have done but no record says: that decides. */
 static void
 done_means_recorded (void **state)
 {
-  Ledger *l = ledger_new ();
-  LoneNode *n = node_up (l);
+  Ledger *store = ledger_new ();
+  LoneNode *n = node_up (store);
   assert_int_equal (node_submit (n, "job-1", NULL, NULL), 201);
   assert_int_equal (node_submit (n, "job-2", "[\"job-1\"]", NULL), 201);
   HrJob *first = hr_job_find (n->core, "job-1"), *second = hr_job_find (n->core, "job-2");
@@ -55,19 +55,19 @@
   for (guint i = 0; i < first->n_tasks; i++)
     hr_task_assign (n->core, first, i, machine, 1);
   node_run (n, 1);
-  l->down = TRUE;
+  store->down = TRUE;
   for (guint i = 0; i < first->n_tasks; i++)
     hr_task_done (n->core, first, i);
   node_run (n, 1);
   assert_int_equal (first->n_done, first->n_tasks);
   hr_job_open (n->core, second);
   assert_false (node_opens (n, "job-2"));
-  l->down = FALSE;
+  store->down = FALSE;
   node_run (n, 5);
   assert_string_equal (node_poll (n, "job-1"), "done");
   assert_true (node_opens (n, "job-2"));
   node_free (n);
-  ledger_free (l);
+  ledger_free (store);
 }
 
 /* The same after all was read anew, by an owner that comes later, and with the newest records
@@ -76,14 +76,14 @@
 a_later_owner_opens_the_same_jobs (void **state)
 {
   for (guint k = 0; k < 2; k++) {
-    Ledger *l = ledger_new ();
-    LoneNode *n = node_up (l);
+    Ledger *store = ledger_new ();
+    LoneNode *n = node_up (store);
     assert_int_equal (node_submit (n, "job-1", NULL, NULL), 201);
     assert_int_equal (node_submit (n, "job-2", "[\"job-1\"]", NULL), 201);
     assert_int_equal (node_submit (n, "job-3", "[\"job-2\"]", NULL), 201);
-    ledger_done (l, "job-1");
-    l->backwards = k;
-    LoneNode *other = node_new (l, "");
+    ledger_done (store, "job-1");
+    store->backwards = k;
+    LoneNode *other = node_new (store, "");
     node_run (other, 5);
     for (guint again = 0; again < 2; again++) {
       assert_true (node_opens (other, "job-2"));
@@ -94,7 +94,7 @@
     }
     node_free (other);
     node_free (n);
-    ledger_free (l);
+    ledger_free (store);
   }
 }
 
@@ -102,23 +102,23 @@
 static void
 an_unknown_awaited_job_is_not_done (void **state)
 {
-  Ledger *l = ledger_new ();
-  LoneNode *n = node_up (l);
+  Ledger *store = ledger_new ();
+  LoneNode *n = node_up (store);
   assert_int_equal (node_submit (n, "job-1", NULL, NULL), 201);
-  json_t *object = json_loads (ledger_job (l, "job-1"), 0, NULL);
+  json_t *object = json_loads (ledger_job (store, "job-1"), 0, NULL);
   json_object_set_new (object, "a", json_pack ("[s]", "job-77"));
   g_autofree char *text = hr_json_take_text (object);
-  l->epoch++;
-  ledger_set (l, "h/j/job-2", text);
+  store->epoch++;
+  ledger_set (store, "h/j/job-2", text);
   node_run (n, 2);
   assert_false (node_opens (n, "job-2"));
   assert_string_equal (node_poll (n, "job-2"), "queued");
   assert_string_equal (node_poll (n, "job-77"), "unknown");
-  ledger_done (l, "job-77");
+  ledger_done (store, "job-77");
   node_run (n, 2);
   assert_true (node_opens (n, "job-2"));
   node_free (n);
-  ledger_free (l);
+  ledger_free (store);
 }
 
 /* A machine that is up, with one task of the job assigned to it: what no plan does while the job
@@ -134,22 +134,22 @@
 static void
 no_assignment_is_recorded (void **state)
 {
-  Ledger *l = ledger_new ();
-  LoneNode *n = node_up (l);
+  Ledger *store = ledger_new ();
+  LoneNode *n = node_up (store);
   assert_int_equal (node_submit (n, "job-1", NULL, NULL), 201);
   assert_int_equal (node_submit (n, "job-2", "[\"job-1\"]", NULL), 201);
   HrJob *job = hr_job_find (n->core, "job-2");
   const HrTask *task = misplace (n, job);
   node_run (n, 3);
   assert_int_equal (task->state, HR_TASK_ASSIGNING);
-  assert_null (strstr (ledger_job (l, "job-2"), "m-1"));
-  ledger_done (l, "job-1");
+  assert_null (strstr (ledger_job (store, "job-2"), "m-1"));
+  ledger_done (store, "job-1");
   node_run (n, 1);
   hr_record_writer_mark (n->core, job, 0);
   node_run (n, 1);
-  assert_non_null (strstr (ledger_job (l, "job-2"), "m-1"));
+  assert_non_null (strstr (ledger_job (store, "job-2"), "m-1"));
   node_free (n);
-  ledger_free (l);
+  ledger_free (store);
 }
 
 /* How many orders the machine gets with the answer to its next report. */
@@ -168,19 +168,19 @@
 static void
 no_launch_is_ordered (void **state)
 {
-  Ledger *l = ledger_new ();
-  LoneNode *n = node_up (l);
+  Ledger *store = ledger_new ();
+  LoneNode *n = node_up (store);
   assert_int_equal (node_submit (n, "job-1", NULL, NULL), 201);
   assert_int_equal (node_submit (n, "job-2", "[\"job-1\"]", NULL), 201);
   HrTask *task = misplace (n, hr_job_find (n->core, "job-2"));
   task->state = HR_TASK_BOUND;
   assert_int_equal (orders (n, 1), 0);
   assert_int_equal (orders (n, 2), 0);
-  ledger_done (l, "job-1");
+  ledger_done (store, "job-1");
   node_run (n, 1);
   assert_true (orders (n, 3) > 0); /* its other task is planned by now, too */
   node_free (n);
-  ledger_free (l);
+  ledger_free (store);
 }
 
 /* ---- deadline and rank ---- */
@@ -199,8 +199,8 @@
 static void
 urgency_flows_up_and_back (void **state)
 {
-  Ledger *l = ledger_new ();
-  LoneNode *n = node_up (l);
+  Ledger *store = ledger_new ();
+  LoneNode *n = node_up (store);
   assert_int_equal (node_submit (n, "job-1", NULL, NULL), 201);
   assert_int_equal (node_submit (n, "job-2", "[\"job-1\"]", NULL), 201);
   HrJob *first = hr_job_find (n->core, "job-1"), *second = hr_job_find (n->core, "job-2");
@@ -227,7 +227,7 @@
   assert_int_equal (first->plan.priority, HR_PRIORITY_LOW);
   assert_float_equal (first->plan.deadline, own, 1e-3);
   node_free (n);
-  ledger_free (l);
+  ledger_free (store);
 }
 
 /* A drawn pipeline as records: each job awaits up to three of the earlier ones. Of the jobs that
@@ -244,57 +244,58 @@
 #define DRAWN_ESTIMATE_S 20.0
 
 static void
-draw_pipeline (GRand *rand, Drawn *d)
+draw_pipeline (GRand *rand, Drawn *drawn)
 {
-  memset (d, 0, sizeof *d);
-  d->n = DRAWN_JOBS;
-  for (guint i = 0; i < d->n; i++) {
+  memset (drawn, 0, sizeof *drawn);
+  drawn->n = DRAWN_JOBS;
+  for (guint i = 0; i < drawn->n; i++) {
     for (guint k = g_rand_int_range (rand, 0, 4); i && k > 0; k--)
-      d->awaits[i][g_rand_int_range (rand, 0, i)] = TRUE;
-    d->rank[i] = HR_PRIORITY_LOW;
+      drawn->awaits[i][g_rand_int_range (rand, 0, i)] = TRUE;
+    drawn->rank[i] = HR_PRIORITY_LOW;
     if (g_rand_int_range (rand, 0, 4))
       continue;
-    d->due[i] = g_rand_double_range (rand, 100, 900);
-    d->rank[i] = g_rand_int_range (rand, HR_PRIORITY_PRODUCTION, HR_PRIORITY_LOW + 1);
+    drawn->due[i] = g_rand_double_range (rand, 100, 900);
+    drawn->rank[i] = g_rand_int_range (rand, HR_PRIORITY_PRODUCTION, HR_PRIORITY_LOW + 1);
   }
 }
 
 static void
-submit_drawn (LoneNode *n, const Drawn *d)
+submit_drawn (LoneNode *n, const Drawn *drawn)
 {
   static const char *const priority_names[] = {"production", "urgent", "normal", "low"};
-  for (guint i = 0; i < d->n; i++) {
+  for (guint i = 0; i < drawn->n; i++) {
     g_autofree char *id = g_strdup_printf ("job-d%02u", i);
     g_autoptr (GString) awaits = g_string_new ("[");
     for (guint k = 0; k < i; k++)
-      if (d->awaits[i][k])
+      if (drawn->awaits[i][k])
         g_string_append_printf (awaits, "%s\"job-d%02u\"", awaits->len > 1 ? "," : "", k);
     g_string_append_c (awaits, ']');
-    g_autofree char *due = d->due[i] > 0 ? g_strdup_printf ("%f", d->due[i]) : g_strdup ("null");
+    g_autofree char *due =
+        drawn->due[i] > 0 ? g_strdup_printf ("%f", drawn->due[i]) : g_strdup ("null");
     g_autofree char *more =
-        g_strdup_printf (",\"due_s\":%s,\"rank\":\"%s\"", due, priority_names[d->rank[i]]);
+        g_strdup_printf (",\"due_s\":%s,\"rank\":\"%s\"", due, priority_names[drawn->rank[i]]);
     assert_int_equal (node_submit (n, id, awaits->str, more), 201);
   }
 }
 
 /* Jobs for which `gone` is set were withdrawn, with those that await them. */
 static void
-check_drawn (LoneNode *n, const Drawn *d, const gboolean *gone)
+check_drawn (LoneNode *n, const Drawn *drawn, const gboolean *gone)
 {
   double deadline[DRAWN_JOBS];
   HrPriority priority[DRAWN_JOBS];
-  for (gint i = d->n - 1; i >= 0; i--) {
+  for (gint i = drawn->n - 1; i >= 0; i--) {
     g_autofree char *id = g_strdup_printf ("job-d%02d", i);
     const HrJob *job = hr_job_find (n->core, id);
     gboolean ready = TRUE;
     for (gint k = 0; k < i; k++)
-      ready = ready && !d->awaits[i][k];
-    priority[i] = d->rank[i];
-    deadline[i] = d->due[i] > 0 ? job->submitted_at + d->due[i]
+      ready = ready && !drawn->awaits[i][k];
+    priority[i] = drawn->rank[i];
+    deadline[i] = drawn->due[i] > 0 ? job->submitted_at + drawn->due[i]
                   : ready ? job->submitted_at + n->core->policy.default_deadline * DRAWN_ESTIMATE_S
                           : INFINITY;
-    for (guint k = i + 1; k < d->n; k++)
-      if (d->awaits[k][i] && !gone[k]) {
+    for (guint k = i + 1; k < drawn->n; k++)
+      if (drawn->awaits[k][i] && !gone[k]) {
         priority[i] = MIN (priority[i], priority[k]);
         deadline[i] = MIN (deadline[i], deadline[k] - DRAWN_ESTIMATE_S);
       }
@@ -311,28 +312,28 @@
 {
   g_autoptr (GRand) rand = g_rand_new_with_seed (DRAWN_SEED);
   for (guint round = 0; round < 12; round++) {
-    Drawn d;
+    Drawn drawn;
     gboolean gone[DRAWN_JOBS] = {FALSE};
-    Ledger *l = ledger_new ();
-    LoneNode *n = node_up (l);
-    draw_pipeline (rand, &d);
-    submit_drawn (n, &d);
-    check_drawn (n, &d, gone);
+    Ledger *store = ledger_new ();
+    LoneNode *n = node_up (store);
+    draw_pipeline (rand, &drawn);
+    submit_drawn (n, &drawn);
+    check_drawn (n, &drawn, gone);
     /* A later leader derives the same, whatever the order in which it reads. */
-    l->backwards = round % 2;
+    store->backwards = round % 2;
     hr_replica_reset (n->core);
     node_run (n, 3);
-    check_drawn (n, &d, gone);
+    check_drawn (n, &drawn, gone);
     guint cancelled = g_rand_int_range (rand, DRAWN_JOBS / 2, DRAWN_JOBS);
     g_autofree char *id = g_strdup_printf ("job-d%02u", cancelled);
     assert_int_equal (node_cancel (n, id), 200);
     gone[cancelled] = TRUE;
-    for (guint i = cancelled; i < d.n; i++)
+    for (guint i = cancelled; i < drawn.n; i++)
       for (guint k = 0; k < i; k++)
-        gone[i] = gone[i] || (d.awaits[i][k] && gone[k]);
-    check_drawn (n, &d, gone);
+        gone[i] = gone[i] || (drawn.awaits[i][k] && gone[k]);
+    check_drawn (n, &drawn, gone);
     node_free (n);
-    ledger_free (l);
+    ledger_free (store);
   }
 }
 
@@ -342,8 +343,8 @@
 urgency_of_many_diamonds (void **state)
 {
   enum { LAYERS = 60 };
-  Ledger *l = ledger_new ();
-  LoneNode *n = node_up (l);
+  Ledger *store = ledger_new ();
+  LoneNode *n = node_up (store);
   for (guint i = 0; i < 2 * LAYERS; i++) {
     g_autofree char *id = g_strdup_printf ("job-l%03u", i);
     g_autofree char *awaits =
@@ -359,7 +360,7 @@
   assert_int_equal (node_cancel (n, "job-l119"), 200);
   assert_int_equal (first->plan.priority, HR_PRIORITY_LOW);
   node_free (n);
-  ledger_free (l);
+  ledger_free (store);
 }
 
 /* Records that await one another in a circle are no work of this service. They are said to be, and
@@ -368,16 +369,16 @@
 a_circle_is_said_to_be_one (void **state)
 {
   static const char *const ids[] = {"job-x", "job-y", "job-z"};
-  Ledger *l = ledger_new ();
-  LoneNode *n = node_up (l);
+  Ledger *store = ledger_new ();
+  LoneNode *n = node_up (store);
   assert_int_equal (node_submit (n, "job-1", NULL, LAST_STEP), 201);
-  g_autofree char *record = g_strdup (ledger_job (l, "job-1"));
+  g_autofree char *record = g_strdup (ledger_job (store, "job-1"));
   for (guint i = 0; i < G_N_ELEMENTS (ids); i++) {
     json_t *object = json_loads (record, 0, NULL);
     json_object_set_new (object, "a", json_pack ("[s]", ids[(i + 1) % G_N_ELEMENTS (ids)]));
     g_autofree char *text = hr_json_take_text (object), *path = g_strconcat ("h/j/", ids[i], NULL);
-    l->epoch++;
-    ledger_set (l, path, text);
+    store->epoch++;
+    ledger_set (store, path, text);
   }
   guint handler = g_log_set_handler ("hoprock", G_LOG_LEVEL_WARNING, count_circles, NULL);
   node_run (n, 2);
@@ -389,15 +390,15 @@
   assert_string_equal (node_poll (n, "job-x"), "withdrawn");
   assert_string_equal (node_poll (n, "job-z"), "withdrawn");
   node_free (n);
-  ledger_free (l);
+  ledger_free (store);
 }
 
 /* The end of a job that others await is recorded before other ends: they start after it. */
 static void
 awaited_ends_go_first (void **state)
 {
-  Ledger *l = ledger_new ();
-  LoneNode *n = node_up (l);
+  Ledger *store = ledger_new ();
+  LoneNode *n = node_up (store);
   assert_int_equal (node_submit (n, "job-1", NULL, NULL), 201);
   assert_int_equal (node_submit (n, "job-2", "[\"job-1\"]", NULL), 201);
   assert_int_equal (node_submit (n, "job-3", NULL, NULL), 201);
@@ -415,7 +416,7 @@
   assert_int_equal (
       g_queue_get_length (&n->core->store.transactions.queues[HR_TRANSACTION_BOOKKEEPING]), 1);
   node_free (n);
-  ledger_free (l);
+  ledger_free (store);
 }
 
 /* Whose tasks stand first in the machine's list, after a pass. */
@@ -434,8 +435,8 @@
 static void
 lists_stay_in_order (void **state)
 {
-  Ledger *l = ledger_new ();
-  LoneNode *n = node_up (l);
+  Ledger *store = ledger_new ();
+  LoneNode *n = node_up (store);
   assert_int_equal (node_submit (n, "job-1", NULL, ",\"due_s\":900,\"rank\":\"low\""), 201);
   assert_int_equal (node_submit (n, "job-2", NULL, ",\"due_s\":800,\"rank\":\"low\""), 201);
   hr_job_find (n->core, "job-1")->spec.cpus = 12; /* the whole machine, for each task */
@@ -452,7 +453,7 @@
     assert_true (before->plan.deadline <= after->plan.deadline);
   }
   node_free (n);
-  ledger_free (l);
+  ledger_free (store);
 }
 
 /* Machines wanted while the first step runs for so long, a boot takes 20 s, and the next step's
@@ -460,8 +461,8 @@
 static guint
 wanted_ahead (const char *last_step, double runs_s)
 {
-  Ledger *l = ledger_new ();
-  LoneNode *n = node_up (l);
+  Ledger *store = ledger_new ();
+  LoneNode *n = node_up (store);
   assert_int_equal (node_submit (n, "job-1", NULL, ",\"due_s\":900,\"rank\":\"low\""), 201);
   HrJob *job = hr_job_find (n->core, "job-1");
   HrMachine *machine = node_machine (n);
@@ -478,7 +479,7 @@
   for (guint i = 0; i < n->core->scaling.demand->len; i++)
     wanted += g_array_index (n->core->scaling.demand, HrDemand, i).count;
   node_free (n);
-  ledger_free (l);
+  ledger_free (store);
   return wanted;
 }
 
--- a/tests/test_record.c
+++ b/tests/test_record.c
@@ -8,52 +8,55 @@
 #include <cmocka.h>
 
 static HrJobSpec
-any_spec (GRand *r, HrNames *names, guint tasks)
+any_spec (GRand *rand, HrNames *names, guint tasks)
 {
   HrJobSpec spec = {0};
   spec.job_class = hr_intern (&names->classes, "k");
   spec.team = hr_intern (&names->teams, "t");
   spec.image = hr_intern (&names->images, "i");
-  spec.zone = g_rand_boolean (r) ? HR_NONE : hr_intern (&names->zones, "z");
-  spec.shape = g_rand_int_range (r, 0, 3);
-  spec.priority = g_rand_int_range (r, 0, 4);
+  spec.zone = g_rand_boolean (rand) ? HR_NONE : hr_intern (&names->zones, "z");
+  spec.shape = g_rand_int_range (rand, 0, 3);
+  spec.priority = g_rand_int_range (rand, 0, 4);
   spec.tasks = tasks;
-  spec.cpus = g_rand_double_range (r, 0, 16);
-  spec.gpus = g_rand_int_range (r, 0, 4);
-  spec.memory_gb = g_rand_double_range (r, 0, 96);
-  spec.types = g_rand_boolean (r) ? 0 : 1 + 2 * g_rand_int_range (r, 0, 2);
-  spec.one_zone = g_rand_boolean (r);
-  spec.spread = g_rand_boolean (r);
-  spec.allows_spot = g_rand_boolean (r);
-  spec.deadline_s = g_rand_boolean (r) ? -1 : g_rand_double_range (r, 1, 100);
+  spec.cpus = g_rand_double_range (rand, 0, 16);
+  spec.gpus = g_rand_int_range (rand, 0, 4);
+  spec.memory_gb = g_rand_double_range (rand, 0, 96);
+  spec.types = g_rand_boolean (rand) ? 0 : 1 + 2 * g_rand_int_range (rand, 0, 2);
+  spec.one_zone = g_rand_boolean (rand);
+  spec.spread = g_rand_boolean (rand);
+  spec.allows_spot = g_rand_boolean (rand);
+  spec.deadline_s = g_rand_boolean (rand) ? -1 : g_rand_double_range (rand, 1, 100);
   return spec;
 }
 
 /* Member by member: what stands between them is nobody's, and differs with the compiler. */
 static void
-assert_same_spec (const HrJobSpec *a, const HrJobSpec *b)
+assert_same_spec (const HrJobSpec *expected, const HrJobSpec *actual)
 {
-  assert_int_equal (a->job_class, b->job_class);
-  assert_int_equal (a->team, b->team);
-  assert_int_equal (a->image, b->image);
-  assert_int_equal (a->zone, b->zone);
-  assert_int_equal (a->shape, b->shape);
-  assert_int_equal (a->priority, b->priority);
-  assert_int_equal (a->tasks, b->tasks);
-  assert_true (a->types == b->types);
-  assert_int_equal (a->one_zone, b->one_zone);
-  assert_int_equal (a->spread, b->spread);
-  assert_int_equal (a->allows_spot, b->allows_spot);
-  assert_true (a->cpus == b->cpus && a->gpus == b->gpus && a->memory_gb == b->memory_gb);
-  assert_true (a->image_gb == b->image_gb && a->estimate_s == b->estimate_s);
-  assert_true (a->checkpoint_s == b->checkpoint_s && a->save_s == b->save_s);
-  assert_true (a->deadline_s == b->deadline_s);
+  assert_int_equal (expected->job_class, actual->job_class);
+  assert_int_equal (expected->team, actual->team);
+  assert_int_equal (expected->image, actual->image);
+  assert_int_equal (expected->zone, actual->zone);
+  assert_int_equal (expected->shape, actual->shape);
+  assert_int_equal (expected->priority, actual->priority);
+  assert_int_equal (expected->tasks, actual->tasks);
+  assert_true (expected->types == actual->types);
+  assert_int_equal (expected->one_zone, actual->one_zone);
+  assert_int_equal (expected->spread, actual->spread);
+  assert_int_equal (expected->allows_spot, actual->allows_spot);
+  assert_true (expected->cpus == actual->cpus && expected->gpus == actual->gpus &&
+               expected->memory_gb == actual->memory_gb);
+  assert_true (expected->image_gb == actual->image_gb &&
+               expected->estimate_s == actual->estimate_s);
+  assert_true (expected->checkpoint_s == actual->checkpoint_s &&
+               expected->save_s == actual->save_s);
+  assert_true (expected->deadline_s == actual->deadline_s);
 }
 
 static void
 there_and_back (void **state)
 {
-  g_autoptr (GRand) r = g_rand_new_with_seed (3);
+  g_autoptr (GRand) rand = g_rand_new_with_seed (3);
   for (guint n = 0; n < 300; n++) {
     HrNames names;
     HrIntern machines;
@@ -62,18 +65,18 @@
     hr_intern (&names.types, "a");
     hr_intern (&names.types, "b");
     HrJob *job = g_new0 (HrJob, 1), *k = g_new0 (HrJob, 1);
-    HrJobSpec spec = any_spec (r, &names, g_rand_int_range (r, 1, 200));
+    HrJobSpec spec = any_spec (rand, &names, g_rand_int_range (rand, 1, 200));
     guint per = spec.tasks <= hr_tasks_per_page (4) ? 0 : hr_tasks_per_page (4);
     hr_job_set_spec (job, &spec, per);
     for (guint i = 0; i < spec.tasks; i++) {
       HrTask *task = &job->tasks[i];
-      int dice = g_rand_int_range (r, 0, 3);
+      int dice = g_rand_int_range (rand, 0, 3);
       task->done_recorded = dice == 1;
       if (dice == 2) {
-        g_autofree char *machine_name = g_strdup_printf ("m-%06u", g_rand_int_range (r, 0, 50));
+        g_autofree char *machine_name = g_strdup_printf ("m-%06u", g_rand_int_range (rand, 0, 50));
         task->recorded.machine = hr_intern (&machines, machine_name);
-        task->recorded.incarnation = g_rand_int_range (r, 1, 9);
-        task->recorded.attempt = g_rand_int_range (r, 1, 9);
+        task->recorded.incarnation = g_rand_int_range (rand, 1, 9);
+        task->recorded.attempt = g_rand_int_range (rand, 1, 9);
       }
     }
     g_autofree char *main = hr_record_main (job, &names, &machines, HR_JOB_CANCELLED, "w.1", FALSE);
@@ -89,11 +92,11 @@
       assert_true (hr_record_tasks (k, 0, rec.tasks, &machines));
     hr_record_clear (&rec);
     json_decref (value);
-    for (guint p = 0; per && p < job->record.n_pages; p++) {
-      g_autofree char *page = hr_record_page (job, p, &machines, "w.2", FALSE);
+    for (guint page_index = 0; per && page_index < job->record.n_pages; page_index++) {
+      g_autofree char *page = hr_record_page (job, page_index, &machines, "w.2", FALSE);
       assert_true (strlen (page) <= 4096);
       value = json_loads (page, 0, NULL);
-      assert_true (hr_record_tasks (k, p * per, json_object_get (value, "x"), &machines));
+      assert_true (hr_record_tasks (k, page_index * per, json_object_get (value, "x"), &machines));
       json_decref (value);
     }
     for (guint i = 0; i < spec.tasks; i++) {
@@ -115,12 +118,12 @@
 static void
 awaited_jobs (void **state)
 {
-  g_autoptr (GRand) r = g_rand_new_with_seed (5);
+  g_autoptr (GRand) rand = g_rand_new_with_seed (5);
   HrNames names;
   HrIntern machines;
   hr_names_init (&names);
   hr_intern_init (&machines);
-  HrJobSpec spec = any_spec (r, &names, 1);
+  HrJobSpec spec = any_spec (rand, &names, 1);
   HrJob first = {.id = "job-1"}, second = {.id = "job-2"};
   HrJob *both[] = {&first, &second};
   HrJob *job = g_new0 (HrJob, 1);
--- a/tests/test_record_split.c
+++ b/tests/test_record_split.c
@@ -26,11 +26,11 @@
 }
 
 static gboolean
-staged (const Ledger *l)
+staged (const Ledger *store)
 {
   GHashTableIter iter;
   gpointer path;
-  g_hash_table_iter_init (&iter, l->stamp);
+  g_hash_table_iter_init (&iter, store->stamp);
   while (g_hash_table_iter_next (&iter, &path, NULL))
     if (g_str_has_prefix (path, "h/u/" JOB "/"))
       return TRUE;
@@ -38,9 +38,9 @@
 }
 
 static gboolean
-split (const Ledger *l)
+split (const Ledger *store)
 {
-  return strstr (ledger_job (l, JOB), "\"u\":1") != NULL;
+  return strstr (ledger_job (store, JOB), "\"u\":1") != NULL;
 }
 
 static void
@@ -56,56 +56,56 @@
 static void
 a_withdrawal_between_steps (void **state)
 {
-  Ledger *l = ledger_new ();
+  Ledger *store = ledger_new ();
   g_autofree char *queued = record (0), *cancelled = record (2);
-  l->epoch++;
-  ledger_set (l, MAIN, queued);
-  LoneNode *n = node_new (l, NEXT);
+  store->epoch++;
+  ledger_set (store, MAIN, queued);
+  LoneNode *n = node_new (store, NEXT);
   until_staged (n);
-  l->epoch++;
-  ledger_set (l, MAIN, cancelled);
+  store->epoch++;
+  ledger_set (store, MAIN, cancelled);
   node_run (n, 10);
-  assert_non_null (strstr (ledger_job (l, JOB), "\"s\":2"));
-  assert_true (split (l)); /* and the record is split all the same */
+  assert_non_null (strstr (ledger_job (store, JOB), "\"s\":2"));
+  assert_true (split (store)); /* and the record is split all the same */
   node_free (n);
-  ledger_free (l);
+  ledger_free (store);
 }
 
 /* Without that, all steps are carried out. */
 static void
 all_steps (void **state)
 {
-  Ledger *l = ledger_new ();
+  Ledger *store = ledger_new ();
   g_autofree char *queued = record (0);
-  l->epoch++;
-  ledger_set (l, MAIN, queued);
-  LoneNode *n = node_new (l, NEXT);
+  store->epoch++;
+  ledger_set (store, MAIN, queued);
+  LoneNode *n = node_new (store, NEXT);
   until_staged (n);
   node_run (n, 10);
-  assert_true (split (l));
-  assert_non_null (strstr (ledger_job (l, JOB), "\"s\":0"));
+  assert_true (split (store));
+  assert_non_null (strstr (ledger_job (store, JOB), "\"s\":0"));
   node_free (n);
-  ledger_free (l);
+  ledger_free (store);
 }
 
 /* Another node becomes the owner between two steps: none of ours is carried out any more. */
 static void
 an_owner_between_steps (void **state)
 {
-  Ledger *l = ledger_new ();
+  Ledger *store = ledger_new ();
   g_autofree char *queued = record (0);
-  l->epoch++;
-  ledger_set (l, MAIN, queued);
-  LoneNode *n = node_new (l, NEXT);
+  store->epoch++;
+  ledger_set (store, MAIN, queued);
+  LoneNode *n = node_new (store, NEXT);
   until_staged (n);
-  l->epoch++;
-  ledger_set (l, "h/leader", "{\"b\":0,\"o\":\"b\",\"i\":\"other\"}");
-  ledger_set (l, "h/map", "{\"b\":9,\"o\":\"b\",\"i\":\"other\"}");
+  store->epoch++;
+  ledger_set (store, "h/leader", "{\"b\":0,\"o\":\"b\",\"i\":\"other\"}");
+  ledger_set (store, "h/map", "{\"b\":9,\"o\":\"b\",\"i\":\"other\"}");
   node_run (n, 10);
-  assert_false (split (l));
+  assert_false (split (store));
   assert_false (n->core->leadership.is_leader);
   node_free (n);
-  ledger_free (l);
+  ledger_free (store);
 }
 
 int
--- a/tests/test_renewals.c
+++ b/tests/test_renewals.c
@@ -23,12 +23,12 @@
 machine_running (Scene *scene, const char *job_id)
 {
   g_autofree char *piece = g_strconcat (job_id, "/0", NULL);
-  SceneMachine *m = scene_machine (scene, "m-1", "z0");
+  SceneMachine *machine = scene_machine (scene, "m-1", "z0");
   scene_run (scene, 4);
   scene_submit (scene, 0, job_id, NULL);
   scene_until (scene, runs_somewhere, piece, 8);
   scene_run (scene, 3);
-  return m;
+  return machine;
 }
 
 static guint64
@@ -49,10 +49,10 @@
 
 /* The leader ends, another one leads; the machine reaches nobody meanwhile. */
 static void
-change_leader (Scene *scene, SceneMachine *m)
+change_leader (Scene *scene, SceneMachine *machine)
 {
   guint64 before = token (scene);
-  m->reports = FALSE;
+  machine->reports = FALSE;
   script_end (scene->s, script_leader (scene->s));
   scene_until (scene, another_leads, &before, 12);
   scene_run (scene, 0.5);
@@ -96,23 +96,23 @@
 leaders_that_end_after_their_first_answer (void **state)
 {
   Scene *scene = scene_new (3);
-  Script *s = scene->s;
-  SceneMachine *m = machine_running (scene, "job-a");
-  m->reached = m->reports = FALSE;
-  scene_withdraw (scene, (script_leader (s) + 1) % 3, "job-a");
-  double told = s->now;
-  while (s->now < told + scene->cancel_s + 2 && !scene->broken->len) {
-    int leader = script_leader (s);
+  Script *script = scene->s;
+  SceneMachine *machine = machine_running (scene, "job-a");
+  machine->reached = machine->reports = FALSE;
+  scene_withdraw (scene, (script_leader (script) + 1) % 3, "job-a");
+  double told = script->now;
+  while (script->now < told + scene->cancel_s + 2 && !scene->broken->len) {
+    int leader = script_leader (script);
     guint64 before = token (scene);
-    script_end (s, leader);
+    script_end (script, leader);
     scene_until (scene, another_leads, &before, 10);
-    script_start (s, leader);
-    m->reports = TRUE;
-    m->node = script_leader (s);
-    m->report_at = s->now;
-    scene_until (scene, answered_by_the_leader, m, 5);
+    script_start (script, leader);
+    machine->reports = TRUE;
+    machine->node = script_leader (script);
+    machine->report_at = script->now;
+    scene_until (scene, answered_by_the_leader, machine, 5);
   }
-  assert_int_equal (m->tenure, 1); /* its lease never ran out */
+  assert_int_equal (machine->tenure, 1); /* its lease never ran out */
   scene_end (scene);
 }
 
@@ -120,11 +120,11 @@
 a_report_from_before_the_token_gets_the_stop (void **state)
 {
   Scene *scene = scene_new (2);
-  SceneMachine *m = machine_running (scene, "job-a");
-  m->reached = m->reports = FALSE;
+  SceneMachine *machine = machine_running (scene, "job-a");
+  machine->reached = machine->reports = FALSE;
   scene_withdraw (scene, 0, "job-a");
-  change_leader (scene, m);
-  g_autofree char *report = scene_write (m);
+  change_leader (scene, machine);
+  g_autofree char *report = scene_write (machine);
   json_t *orders = renewed_with (scene, script_leader (scene->s), report);
   assert_non_null (orders);
   assert_true (names_stop (orders, "job-a/0", 1));
@@ -137,11 +137,11 @@
 an_overtaken_report_gets_the_stop (void **state)
 {
   Scene *scene = scene_new (2);
-  SceneMachine *m = machine_running (scene, "job-a");
-  m->reached = m->reports = FALSE;
+  SceneMachine *machine = machine_running (scene, "job-a");
+  machine->reached = machine->reports = FALSE;
   scene_withdraw (scene, 0, "job-a");
   int leader = script_leader (scene->s);
-  g_autofree char *older = scene_write (m), *newer = scene_write (m);
+  g_autofree char *older = scene_write (machine), *newer = scene_write (machine);
   assert_true (names_stop (renewed_with (scene, leader, newer), "job-a/0", 1));
   json_t *orders = renewed_with (scene, leader, older);
   assert_true (names_stop (orders, "job-a/0", 1));
@@ -154,13 +154,13 @@
 a_task_that_the_report_lacks_gets_the_stop (void **state)
 {
   Scene *scene = scene_new (2);
-  SceneMachine *m = scene_machine (scene, "m-1", "z0");
+  SceneMachine *machine = scene_machine (scene, "m-1", "z0");
   scene_run (scene, 4);
-  m->reports = FALSE;
-  g_autofree char *before = scene_write (m);
+  machine->reports = FALSE;
+  g_autofree char *before = scene_write (machine);
   scene_submit (scene, 0, "job-a", NULL);
   scene_until (scene, runs_somewhere, "job-a/0", 8);
-  m->reached = FALSE;
+  machine->reached = FALSE;
   scene_withdraw (scene, 0, "job-a");
   json_t *orders = renewed_with (scene, script_leader (scene->s), before);
   assert_true (names_stop (orders, "job-a/0", 1));
@@ -176,25 +176,25 @@
 a_launch_that_may_still_come_ends_the_lease (void **state)
 {
   Scene *scene = scene_new (2);
-  Script *s = scene->s;
-  SceneMachine *m = scene_machine (scene, "m-1", "z0");
+  Script *script = scene->s;
+  SceneMachine *machine = scene_machine (scene, "m-1", "z0");
   scene_run (scene, 4);
-  int leader = script_leader (s);
-  m->reports = scene->cloud_deletes = FALSE;
-  ScriptCall *late = script_delay (s, scene_launch_call (scene, m, leader, "job-a"));
+  int leader = script_leader (script);
+  machine->reports = scene->cloud_deletes = FALSE;
+  ScriptCall *late = script_delay (script, scene_launch_call (scene, machine, leader, "job-a"));
   scene_withdraw (scene, 1 - leader, "job-a");
-  double told = s->now;
-  script_hold (s, leader, "/commit", "h/map");
-  m->reports = TRUE;
-  while (s->now < told + scene->cancel_s - scene->lease_s + 3) {
+  double told = script->now;
+  script_hold (script, leader, "/commit", "h/map");
+  machine->reports = TRUE;
+  while (script->now < told + scene->cancel_s - scene->lease_s + 3) {
     scene_run (scene, 0.5);
-    ScriptCall *raise = script_call (s, leader, "/commit", "h/map");
-    if (raise && s->now - raise->sent > raise->timeout)
-      script_lose (s, raise);
+    ScriptCall *raise = script_call (script, leader, "/commit", "h/map");
+    if (raise && script->now - raise->sent > raise->timeout)
+      script_lose (script, raise);
   }
-  scene_obey_direct (m, late->body);
-  script_late (s, late);
-  m->reports = FALSE;
+  scene_obey_direct (machine, late->body);
+  script_late (script, late);
+  machine->reports = FALSE;
   scene_run (scene, scene->lease_s + 2);
   scene_end (scene);
 }
@@ -250,18 +250,18 @@
 {
   static const char *const over[] = {"job-b", "job-c", NULL};
   Scene *scene = scene_new (2);
-  SceneMachine *m = machine_running (scene, "job-a");
+  SceneMachine *machine = machine_running (scene, "job-a");
   scene_submit (scene, 0, "job-b", NULL);
   scene_until (scene, runs_somewhere, "job-b/0", 8);
-  scene_exit (m, "job-b/0", "done");
+  scene_exit (machine, "job-b/0", "done");
   scene_submit (scene, 0, "job-c", NULL);
   scene_until (scene, runs_somewhere, "job-c/0", 8);
   scene_run (scene, 6);
   assert_string_equal (scene_stance (scene, 0, "job-b"), "done");
-  m->reports = m->reached = FALSE;
+  machine->reports = machine->reached = FALSE;
   scene_submit (scene, 0, "job-d", NULL);
   scene_withdraw (scene, 0, "job-c");
-  change_leader (scene, m);
+  change_leader (scene, machine);
   int leader = script_leader (scene->s);
   g_autoptr (GRand) rand = g_rand_new_with_seed (SEED);
   guint renewed = 0;
@@ -287,14 +287,14 @@
 a_stop_that_is_missing_is_found (void **state)
 {
   Scene *scene = scene_new (2);
-  SceneMachine *m = machine_running (scene, "job-a");
-  m->reached = m->reports = FALSE;
+  SceneMachine *machine_row = machine_running (scene, "job-a");
+  machine_row->reached = machine_row->reports = FALSE;
   scene_withdraw (scene, 0, "job-a");
   HrCore *core = scene->s->nodes[script_leader (scene->s)].core;
   HrMachine *machine = hr_machine_find (core, "m-1");
-  g_autofree char *shown = scene_write (m), *why = NULL;
-  g_ptr_array_set_size (m->tasks, 0);
-  g_autofree char *empty = scene_write (m);
+  g_autofree char *shown = scene_write (machine_row), *why = NULL;
+  g_ptr_array_set_size (machine_row->tasks, 0);
+  g_autofree char *empty = scene_write (machine_row);
   g_autoptr (HrHeartbeat) with = hr_heartbeat_parse (shown, strlen (shown), &why);
   g_autoptr (HrHeartbeat) without = hr_heartbeat_parse (empty, strlen (empty), &why);
   json_t *orders = json_array ();
--- a/tests/test_replica.c
+++ b/tests/test_replica.c
@@ -24,7 +24,7 @@
 } Rig;
 
 static void
-rig_init (Rig *r)
+rig_init (Rig *rig)
 {
   static const char *const settings =
       "{\"label\":\"c0\",\"area\":\"z\",\"front\":\"127.0.0.1:1\",\"back\":\"127.0.0.1:2\","
@@ -34,51 +34,51 @@
       "\"workers\":{\"report_s\":2.5,\"lease_s\":14,\"gang_wait_s\":30,\"gang_peer_s\":4,"
       "\"cancel_s\":36},\"state\":{\"rps\":100,\"write_rps\":50,\"value_kb\":4,\"txn_ops\":12,"
       "\"next\":{\"value_kb\":2}},\"cloud\":{\"rps\":8,\"list_lag_s\":3}}}";
-  memset (r, 0, sizeof *r);
-  hr_names_init (&r->names);
+  memset (rig, 0, sizeof *rig);
+  hr_names_init (&rig->names);
   json_t *root = json_loads (settings, 0, NULL);
-  r->set = hr_settings_parse (root, &r->names, NULL);
+  rig->set = hr_settings_parse (root, &rig->names, NULL);
   json_decref (root);
-  assert_non_null (r->set);
+  assert_non_null (rig->set);
   g_autoptr (GHashTable) vars = hr_policy_vars_new ();
-  hr_core_policy_vars (r->set, vars);
-  assert_true (hr_policy_load (SOURCE_ROOT "/deploy/policy.hop", vars, &r->policy, NULL));
-  r->core = hr_core_new (r->set, &r->policy, &r->names, "0-1", 1);
-  r->out = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_effect_free);
+  hr_core_policy_vars (rig->set, vars);
+  assert_true (hr_policy_load (SOURCE_ROOT "/deploy/policy.hop", vars, &rig->policy, NULL));
+  rig->core = hr_core_new (rig->set, &rig->policy, &rig->names, "0-1", 1);
+  rig->out = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_effect_free);
 }
 
 static void
-rig_clear (Rig *r)
+rig_clear (Rig *rig)
 {
-  hr_core_free (r->core);
-  hr_settings_free (r->set);
-  hr_names_clear (&r->names);
-  g_ptr_array_unref (r->out);
+  hr_core_free (rig->core);
+  hr_settings_free (rig->set);
+  hr_names_clear (&rig->names);
+  g_ptr_array_unref (rig->out);
 }
 
 static void
-step (Rig *r, HrCommand *command)
+step (Rig *rig, HrCommand *command)
 {
   g_autoptr (GPtrArray) commands = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_command_free);
   g_ptr_array_add (commands, command);
-  r->now += 0.1;
-  hr_core_step (r->core, r->now, 1e9 + r->now, commands, r->out);
+  rig->now += 0.1;
+  hr_core_step (rig->core, rig->now, 1e9 + rig->now, commands, rig->out);
 }
 
 /* Answers the first open call whose path begins so. */
 static void
-answer (Rig *r, const char *path, const char *body)
+answer (Rig *rig, const char *path, const char *body)
 {
-  for (guint i = 0; i < r->out->len; i++) {
-    HrEffect *effect = r->out->pdata[i];
+  for (guint i = 0; i < rig->out->len; i++) {
+    HrEffect *effect = rig->out->pdata[i];
     if (effect->kind != HR_EFFECT_CALL || !g_str_has_prefix (effect->path, path))
       continue;
     HrCommand *command = hr_command_new (HR_COMMAND_RESULT);
     command->id = effect->id;
     command->status = 200;
     command->body = g_bytes_new (body, strlen (body));
-    g_ptr_array_remove_index (r->out, i);
-    step (r, command);
+    g_ptr_array_remove_index (rig->out, i);
+    step (rig, command);
     return;
   }
   fail_msg ("nothing was asked of %s", path);
@@ -86,28 +86,28 @@
 
 /* How many tasks the job's user is told are done. */
 static int
-done (Rig *r, const char *changes)
+done (Rig *rig, const char *changes)
 {
   HrCommand *command = hr_command_new (HR_COMMAND_REQUEST);
   command->id = 77;
   command->method = HR_GET;
   command->path = g_strdup ("/v1/jobs/" JOB);
-  r->now += 2; /* no reading is out by then */
-  step (r, command);
-  for (guint i = 0; i < r->out->len; i++) { /* the watch stays open */
-    HrEffect *effect = r->out->pdata[i];
+  rig->now += 2; /* no reading is out by then */
+  step (rig, command);
+  for (guint i = 0; i < rig->out->len; i++) { /* the watch stays open */
+    HrEffect *effect = rig->out->pdata[i];
     if (effect->kind == HR_EFFECT_CALL && strstr (effect->path, "hold_ms=10000"))
-      g_ptr_array_remove_index (r->out, i--);
+      g_ptr_array_remove_index (rig->out, i--);
   }
-  answer (r, "/changes", changes);
-  for (guint i = 0; i < r->out->len; i++) {
-    HrEffect *effect = r->out->pdata[i];
+  answer (rig, "/changes", changes);
+  for (guint i = 0; i < rig->out->len; i++) {
+    HrEffect *effect = rig->out->pdata[i];
     if (effect->kind != HR_EFFECT_REPLY || effect->id != 77)
       continue;
     json_t *object = json_loads (effect->body, 0, NULL);
     int n = effect->status == 200 ? json_integer_value (json_object_get (object, "done")) : -1;
     json_decref (object);
-    g_ptr_array_remove_index (r->out, i);
+    g_ptr_array_remove_index (rig->out, i);
     return n;
   }
   return -2;
@@ -119,10 +119,10 @@
 #define LOG(log, epoch) "{\"epoch\":" epoch ",\"log\":[" log "]}"
 
 static void
-begin (Rig *r)
+begin (Rig *rig)
 {
-  rig_init (r);
-  step (r, hr_command_new (HR_COMMAND_TICK));
+  rig_init (rig);
+  step (rig, hr_command_new (HR_COMMAND_TICK));
 }
 
 /* The main record is read before the split, and the old pages are deleted before the reading
@@ -130,57 +130,57 @@
 static void
 old_pages_are_gone (void **state)
 {
-  Rig r;
-  begin (&r);
-  answer (&r, "/kv?", ROWS (ROW ("h/j/" JOB, MAIN ("2", ""), "10"), "true", "20"));
-  answer (&r, "/kv?",
+  Rig rig;
+  begin (&rig);
+  answer (&rig, "/kv?", ROWS (ROW ("h/j/" JOB, MAIN ("2", ""), "10"), "true", "20"));
+  answer (&rig, "/kv?",
           ROWS (ROW ("h/u/" JOB "/1/0", PAGE ("[1]"),
                      "21") "," ROW ("h/u/" JOB "/1/1", PAGE ("[0]"),
                                     "21") "," ROW ("h/u/" JOB "/1/2", PAGE ("[1]"), "22"),
                 "false", "25"));
   assert_int_equal (
-      done (&r, LOG (SET ("h/u/" JOB "/1/0", PAGE ("[1]"), "21") "," SET (
-                         "h/u/" JOB "/1/1", PAGE ("[0]"),
-                         "21") "," SET ("h/u/" JOB "/1/2", PAGE ("[1]"),
-                                        "22") "," SET ("h/j/" JOB, MAIN ("1", ",\"u\":1"), "23"),
-                     "25")),
+      done (&rig, LOG (SET ("h/u/" JOB "/1/0", PAGE ("[1]"), "21") "," SET (
+                           "h/u/" JOB "/1/1", PAGE ("[0]"),
+                           "21") "," SET ("h/u/" JOB "/1/2", PAGE ("[1]"),
+                                          "22") "," SET ("h/j/" JOB, MAIN ("1", ",\"u\":1"), "23"),
+                       "25")),
       2);
-  rig_clear (&r);
+  rig_clear (&rig);
 }
 
 /* A page that the reading shows as it became after the split counts as that. */
 static void
 a_page_changes_after_the_split (void **state)
 {
-  Rig r;
-  begin (&r);
-  answer (&r, "/kv?", ROWS (ROW ("h/j/" JOB, MAIN ("0", ",\"x\":[1,0,0]"), "10"), "true", "20"));
-  answer (&r, "/kv?",
+  Rig rig;
+  begin (&rig);
+  answer (&rig, "/kv?", ROWS (ROW ("h/j/" JOB, MAIN ("0", ",\"x\":[1,0,0]"), "10"), "true", "20"));
+  answer (&rig, "/kv?",
           ROWS (ROW ("h/u/" JOB "/2/0", PAGE ("[1,1]"), "24") "," ROW ("h/u/" JOB "/2/1",
                                                                        PAGE ("[0]"), "21"),
                 "false", "25"));
   assert_int_equal (
-      done (&r, LOG (SET ("h/u/" JOB "/2/0", PAGE ("[1,0]"), "21") "," SET (
-                         "h/u/" JOB "/2/1", PAGE ("[0]"),
-                         "21") "," SET ("h/j/" JOB, MAIN ("2", ",\"u\":1"),
-                                        "23") "," SET ("h/u/" JOB "/2/0", PAGE ("[1,1]"), "24"),
-                     "25")),
+      done (&rig, LOG (SET ("h/u/" JOB "/2/0", PAGE ("[1,0]"), "21") "," SET (
+                           "h/u/" JOB "/2/1", PAGE ("[0]"),
+                           "21") "," SET ("h/j/" JOB, MAIN ("2", ",\"u\":1"),
+                                          "23") "," SET ("h/u/" JOB "/2/0", PAGE ("[1,1]"), "24"),
+                       "25")),
       2);
-  rig_clear (&r);
+  rig_clear (&rig);
 }
 
 /* Until the main record names them, staged pages are no facts. */
 static void
 staged_pages_are_no_facts (void **state)
 {
-  Rig r;
-  begin (&r);
-  answer (&r, "/kv?",
+  Rig rig;
+  begin (&rig);
+  answer (&rig, "/kv?",
           ROWS (ROW ("h/j/" JOB, MAIN ("0", ",\"x\":[1,0,0]"), "10") "," ROW ("h/u/" JOB "/2/0",
                                                                               PAGE ("[1,1]"), "11"),
                 "false", "20"));
-  assert_int_equal (done (&r, LOG (SET ("h/u/" JOB "/2/1", PAGE ("[1]"), "21"), "21")), 1);
-  rig_clear (&r);
+  assert_int_equal (done (&rig, LOG (SET ("h/u/" JOB "/2/1", PAGE ("[1]"), "21"), "21")), 1);
+  rig_clear (&rig);
 }
 
 /* All of it in one transaction, the main record first or last. */
@@ -197,12 +197,13 @@
                                "21") "," SET ("h/j/" JOB, MAIN ("2", ",\"u\":1"), "21"),
            "21")};
   for (guint i = 0; i < G_N_ELEMENTS (logs); i++) {
-    Rig r;
-    begin (&r);
-    answer (&r, "/kv?", ROWS (ROW ("h/j/" JOB, MAIN ("0", ",\"x\":[1,1,0]"), "10"), "false", "20"));
-    assert_int_equal (done (&r, logs[i]), 2);
-    assert_int_equal (done (&r, LOG (SET ("h/u/" JOB "/2/1", PAGE ("[1]"), "22"), "22")), 3);
-    rig_clear (&r);
+    Rig rig;
+    begin (&rig);
+    answer (&rig, "/kv?",
+            ROWS (ROW ("h/j/" JOB, MAIN ("0", ",\"x\":[1,1,0]"), "10"), "false", "20"));
+    assert_int_equal (done (&rig, logs[i]), 2);
+    assert_int_equal (done (&rig, LOG (SET ("h/u/" JOB "/2/1", PAGE ("[1]"), "22"), "22")), 3);
+    rig_clear (&rig);
   }
 }
 
@@ -210,18 +211,18 @@
 static void
 production_misreads (void **state)
 {
-  Rig r;
-  rig_init (&r);
-  hr_core_set_supported_format (r.core, 0);
-  step (&r, hr_command_new (HR_COMMAND_TICK));
-  answer (&r, "/kv?", ROWS (ROW ("h/j/" JOB, MAIN ("0", ",\"x\":[1,1,0]"), "10"), "false", "20"));
-  assert_int_equal (done (&r, LOG (SET ("h/u/" JOB "/2/0", PAGE ("[1,1]"), "21") "," SET (
-                                       "h/u/" JOB "/2/1", PAGE ("[0]"),
-                                       "21") "," SET ("h/j/" JOB, MAIN ("2", ",\"u\":1"), "21"),
-                                   "21")),
+  Rig rig;
+  rig_init (&rig);
+  hr_core_set_supported_format (rig.core, 0);
+  step (&rig, hr_command_new (HR_COMMAND_TICK));
+  answer (&rig, "/kv?", ROWS (ROW ("h/j/" JOB, MAIN ("0", ",\"x\":[1,1,0]"), "10"), "false", "20"));
+  assert_int_equal (done (&rig, LOG (SET ("h/u/" JOB "/2/0", PAGE ("[1,1]"), "21") "," SET (
+                                         "h/u/" JOB "/2/1", PAGE ("[0]"),
+                                         "21") "," SET ("h/j/" JOB, MAIN ("2", ",\"u\":1"), "21"),
+                                     "21")),
                     2);
-  assert_int_equal (done (&r, LOG (SET ("h/u/" JOB "/2/1", PAGE ("[1]"), "22"), "22")), 2);
-  rig_clear (&r);
+  assert_int_equal (done (&rig, LOG (SET ("h/u/" JOB "/2/1", PAGE ("[1]"), "22"), "22")), 2);
+  rig_clear (&rig);
 }
 
 /* A withdrawal whose record is larger than the state service takes is not sent. Its user is to ask
@@ -229,32 +230,32 @@
 static void
 withdrawal_too_large (void **state)
 {
-  Rig r;
-  begin (&r);
+  Rig rig;
+  begin (&rig);
   g_autofree char *name = g_strnfill (700, 'm');
   g_autofree char *rows = g_strdup_printf (
       ROWS (ROW ("h/format", "{\"f\":1}", "9") "," ROW (
                 "h/j/" JOB, MAIN ("0", ",\"x\":[[\"%s1\",1,1],[\"%s2\",1,1],[\"%s3\",1,1]]"), "10"),
             "false", "20"),
       name, name, name);
-  answer (&r, "/kv?", rows);
+  answer (&rig, "/kv?", rows);
   HrCommand *command = hr_command_new (HR_COMMAND_REQUEST);
   command->id = 78;
   command->method = HR_POST;
   command->path = g_strdup ("/v1/jobs/" JOB "/abort");
-  r.now += 2;
-  step (&r, command);
-  for (guint i = 0; i < r.out->len; i++) { /* the watch stays open */
-    HrEffect *effect = r.out->pdata[i];
+  rig.now += 2;
+  step (&rig, command);
+  for (guint i = 0; i < rig.out->len; i++) { /* the watch stays open */
+    HrEffect *effect = rig.out->pdata[i];
     if (effect->kind == HR_EFFECT_CALL && strstr (effect->path, "hold_ms=10000"))
-      g_ptr_array_remove_index (r.out, i--);
+      g_ptr_array_remove_index (rig.out, i--);
   }
-  answer (&r, "/changes", LOG ("", "20"));
-  step (&r, hr_command_new (HR_COMMAND_TICK));
+  answer (&rig, "/changes", LOG ("", "20"));
+  step (&rig, hr_command_new (HR_COMMAND_TICK));
   int status = 0, retry_after = 0;
   guint named = 0;
-  for (guint i = 0; i < r.out->len; i++) {
-    HrEffect *effect = r.out->pdata[i];
+  for (guint i = 0; i < rig.out->len; i++) {
+    HrEffect *effect = rig.out->pdata[i];
     assert_false (effect->kind == HR_EFFECT_CALL && g_str_has_prefix (effect->path, "/commit"));
     if (effect->kind == HR_EFFECT_REPLY && effect->id == 78) {
       status = effect->status;
@@ -266,13 +267,14 @@
   assert_int_equal (status, 503);
   assert_int_equal (retry_after, 1);
   assert_int_equal (named, 1);
-  rig_clear (&r);
+  rig_clear (&rig);
 }
 
 static GLogWriterOutput
-silent (GLogLevelFlags level, const GLogField *f, gsize n, gpointer d)
+silent (GLogLevelFlags level, const GLogField *fields, gsize n, gpointer data)
 {
-  return level & G_LOG_FLAG_FATAL ? g_log_writer_default (level, f, n, d) : G_LOG_WRITER_HANDLED;
+  return level & G_LOG_FLAG_FATAL ? g_log_writer_default (level, fields, n, data)
+                                  : G_LOG_WRITER_HANDLED;
 }
 
 int
--- a/tests/test_requests.c
+++ b/tests/test_requests.c
@@ -10,42 +10,42 @@
 
 /* What a request gets at this node, which has to say why it refuses. */
 static int
-status_of (Script *s, int node, HrMethod method, const char *path, const char *body)
+status_of (Script *script, int node, HrMethod method, const char *path, const char *body)
 {
-  guint64 id = script_request (s, node, method, path, body);
-  for (int i = 0; i < 10 && !script_reply (s, node, id); i++)
-    script_run (s, 0.05);
-  const ScriptReply *r = script_reply (s, node, id);
-  assert_non_null (r);
-  if (r->status >= 400)
-    assert_true (strlen (hr_json_str (r->body, "error")) > 5);
+  guint64 id = script_request (script, node, method, path, body);
+  for (int i = 0; i < 10 && !script_reply (script, node, id); i++)
+    script_run (script, 0.05);
+  const ScriptReply *reply = script_reply (script, node, id);
+  assert_non_null (reply);
+  if (reply->status >= 400)
+    assert_true (strlen (hr_json_str (reply->body, "error")) > 5);
   else
-    assert_non_null (hr_json_str (r->body, "stance"));
-  return r->status;
+    assert_non_null (hr_json_str (reply->body, "stance"));
+  return reply->status;
 }
 
 static int
-submit_text (Script *s, const char *body)
+submit_text (Script *script, const char *body)
 {
-  guint before = s->carried_out;
-  int status = status_of (s, 1, HR_POST, HR_JOBS_PATH, body);
-  assert_int_equal (s->carried_out - before, status == 201);
+  guint before = script->carried_out;
+  int status = status_of (script, 1, HR_POST, HR_JOBS_PATH, body);
+  assert_int_equal (script->carried_out - before, status == 201);
   return status;
 }
 
 /* Submits job-odd with the field set so; NULL: left out. */
 static int
-submit_with (Script *s, const char *field, const char *value)
+submit_with (Script *script, const char *field, const char *value)
 {
   json_t *job = script_job ("job-odd", 1);
   json_object_del (job, field);
   if (value) {
-    json_t *v = json_loads (value, JSON_DECODE_ANY, NULL);
-    assert_non_null (v);
-    json_object_set_new (job, field, v);
+    json_t *member = json_loads (value, JSON_DECODE_ANY, NULL);
+    assert_non_null (member);
+    json_object_set_new (job, field, member);
   }
   g_autofree char *body = hr_json_take_text (job);
-  return submit_text (s, body);
+  return submit_text (script, body);
 }
 
 static void
@@ -56,14 +56,14 @@
       "vcpus",   "accelerators", "memory_gb", "bundle", "size_gb", "guess_s",
       "cairn_s", "stash_s",      "together",  "apart",  "loaners"};
   static const char *const optional[] = {"hulls", "quarry", "due_s"};
-  Script *s = script_led (2);
+  Script *script = script_led (2);
   for (guint i = 0; i < G_N_ELEMENTS (required); i++) {
-    assert_int_equal (submit_with (s, required[i], NULL), 400);
-    assert_int_equal (submit_with (s, required[i], "null"), 400);
-    assert_int_equal (submit_with (s, required[i], "[]"), 400);
-    assert_int_equal (submit_with (s, required[i], "{\"a\":1}"), 400);
+    assert_int_equal (submit_with (script, required[i], NULL), 400);
+    assert_int_equal (submit_with (script, required[i], "null"), 400);
+    assert_int_equal (submit_with (script, required[i], "[]"), 400);
+    assert_int_equal (submit_with (script, required[i], "{\"a\":1}"), 400);
   }
-  assert_int_equal (status_of (s, 0, HR_GET, "/v1/jobs/job-odd", NULL), 404);
+  assert_int_equal (status_of (script, 0, HR_GET, "/v1/jobs/job-odd", NULL), 404);
   for (guint i = 0; i < G_N_ELEMENTS (optional); i++) {
     for (int null = 0; null < 2; null++) {
       g_autofree char *id = g_strdup_printf ("job-%u-%d", i, null);
@@ -72,11 +72,11 @@
       if (null)
         json_object_set_new (job, optional[i], json_null ());
       g_autofree char *body = hr_json_take_text (job);
-      assert_int_equal (submit_text (s, body), 201);
+      assert_int_equal (submit_text (script, body), 201);
     }
-    assert_int_equal (submit_with (s, optional[i], "{\"a\":1}"), 400);
+    assert_int_equal (submit_with (script, optional[i], "{\"a\":1}"), 400);
   }
-  script_free (s);
+  script_free (script);
 }
 
 typedef struct {
@@ -145,14 +145,14 @@
       {"memory_gb", "97.0", 422},
       {"vcpus", "1e9", 422},
   };
-  Script *s = script_led (2);
+  Script *script = script_led (2);
   for (guint i = 0; i < G_N_ELEMENTS (odd); i++) {
-    int status = submit_with (s, odd[i].field, odd[i].value);
+    int status = submit_with (script, odd[i].field, odd[i].value);
     if (status != odd[i].status)
       fail_msg ("%s %s: %d", odd[i].field, odd[i].value, status);
   }
-  assert_int_equal (status_of (s, 0, HR_GET, "/v1/jobs/job-odd", NULL), 404);
-  script_free (s);
+  assert_int_equal (status_of (script, 0, HR_GET, "/v1/jobs/job-odd", NULL), 404);
+  script_free (script);
 }
 
 static void
@@ -176,27 +176,27 @@
                                        "{\"name_id\":\"job-\\u0000odd\"}",
                                        "{\"name_id\":\"job-\xff\xfe\"}",
                                        "\xef\xbb\xbf{}"};
-  Script *s = script_led (2);
+  Script *script = script_led (2);
   for (guint i = 0; i < G_N_ELEMENTS (bodies); i++)
-    assert_int_equal (submit_text (s, bodies[i]), 400);
-  assert_int_equal (submit_text (s, deep), 400);
-  assert_int_equal (submit_text (s, many), 400);
+    assert_int_equal (submit_text (script, bodies[i]), 400);
+  assert_int_equal (submit_text (script, deep), 400);
+  assert_int_equal (submit_text (script, many), 400);
   /* One that passes the limit reaches the core without its body. */
   HrCommand *command = hr_command_new (HR_COMMAND_REQUEST);
-  command->id = ++s->next_request;
+  command->id = ++script->next_request;
   command->method = HR_POST;
   command->path = g_strdup (HR_JOBS_PATH);
   command->too_large = TRUE;
-  script_step (s, 1, command);
-  assert_int_equal (script_status (s, 1, s->next_request), 400);
+  script_step (script, 1, command);
+  assert_int_equal (script_status (script, 1, script->next_request), 400);
   /* Within the limit, and with fields that nobody knows. */
   json_t *job = script_job ("job-large", 1);
   g_autofree char *padding = g_strnfill (64000, 'x');
   json_object_set_new (job, "remark", json_string (padding));
   g_autofree char *body = hr_json_take_text (job);
-  assert_int_equal (submit_text (s, body), 201);
-  assert_null (strstr (script_value (s, "h/j/job-large"), "xxx"));
-  script_free (s);
+  assert_int_equal (submit_text (script, body), 201);
+  assert_null (strstr (script_value (script, "h/j/job-large"), "xxx"));
+  script_free (script);
 }
 
 /* More than the team's limit: one task of an array, all tasks of the others. */
@@ -211,15 +211,15 @@
               {"daemon", "job-3", 101, 422},
               {"daemon", "job-4", 100, 201},
               {"batch", "job-5", 101, 201}};
-  Script *s = script_led (2);
+  Script *script = script_led (2);
   for (guint i = 0; i < G_N_ELEMENTS (jobs); i++) {
     json_t *job = script_job (jobs[i].id, jobs[i].pieces);
     json_object_set_new (job, "shape", json_string (jobs[i].shape));
     json_object_set_new (job, "accelerators", json_real (1));
     g_autofree char *body = hr_json_take_text (job);
-    assert_int_equal (submit_text (s, body), jobs[i].status);
+    assert_int_equal (submit_text (script, body), jobs[i].status);
   }
-  script_free (s);
+  script_free (script);
 }
 
 /* Half of its tasks may be in one zone, and it allows no second one. */
@@ -234,7 +234,7 @@
               {"job-3", NULL, 2, 0, 201},
               {"job-4", "z0", 1, 1, 201},
               {"job-5", "z0", 3, 1, 422}};
-  Script *s = script_led (2);
+  Script *script = script_led (2);
   for (guint i = 0; i < G_N_ELEMENTS (jobs); i++) {
     json_t *job = script_job (jobs[i].id, jobs[i].pieces);
     json_object_set_new (job, "shape", json_string ("ensemble"));
@@ -243,9 +243,9 @@
     if (jobs[i].quarry)
       json_object_set_new (job, "quarry", json_string (jobs[i].quarry));
     g_autofree char *body = hr_json_take_text (job);
-    assert_int_equal (submit_text (s, body), jobs[i].status);
+    assert_int_equal (submit_text (script, body), jobs[i].status);
   }
-  script_free (s);
+  script_free (script);
 }
 
 /* A job is known by its id alone: accepted, it stays so whatever a repetition says, also at a node
@@ -256,12 +256,12 @@
   static const char *const other[][2] = {{"pieces", "7"},       {"crew", "\"strangers\""},
                                          {"vcpus", "1e9"},      {"rank", NULL},
                                          {"pieces", "\"one\""}, {"hulls", "[]"}};
-  Script *s = script_led (2);
-  int leader = script_leader (s), node = 1 - leader;
-  script_hold (s, node, "/changes", NULL);
-  script_submit (s, leader, "job-odd", 1);
-  script_serve (s);
-  guint64 revision = script_stamp (s, "h/j/job-odd");
+  Script *script = script_led (2);
+  int leader = script_leader (script), node = 1 - leader;
+  script_hold (script, node, "/changes", NULL);
+  script_submit (script, leader, "job-odd", 1);
+  script_serve (script);
+  guint64 revision = script_stamp (script, "h/j/job-odd");
   guint64 asked[G_N_ELEMENTS (other)];
   for (int round = 0; round < 2; round++) {
     for (guint i = 0; i < G_N_ELEMENTS (other); i++) {
@@ -270,67 +270,67 @@
       if (other[i][1])
         json_object_set_new (job, other[i][0], json_loads (other[i][1], JSON_DECODE_ANY, NULL));
       g_autofree char *body = hr_json_take_text (job);
-      asked[i] = script_request (s, node, HR_POST, HR_JOBS_PATH, body);
+      asked[i] = script_request (script, node, HR_POST, HR_JOBS_PATH, body);
       /* Nothing was read since, so nothing can be said. */
       if (round == 0)
-        assert_int_equal (script_status (s, node, asked[i]), 0);
+        assert_int_equal (script_status (script, node, asked[i]), 0);
     }
-    script_release (s);
-    script_run (s, 0.5);
+    script_release (script);
+    script_run (script, 0.5);
     for (guint i = 0; i < G_N_ELEMENTS (other); i++) {
-      assert_int_equal (script_status (s, node, asked[i]), 200);
-      assert_string_equal (script_stance (s, node, asked[i]), "queued");
+      assert_int_equal (script_status (script, node, asked[i]), 200);
+      assert_string_equal (script_stance (script, node, asked[i]), "queued");
     }
   }
-  assert_int_equal (script_stamp (s, "h/j/job-odd"), revision);
-  script_free (s);
+  assert_int_equal (script_stamp (script, "h/j/job-odd"), revision);
+  script_free (script);
 }
 
 /* Neither refused for good nor accepted while nothing can be read. */
 static void
 an_odd_submission_waits_for_the_state_service (void **state)
 {
-  Script *s = script_led (2);
-  s->outage = TRUE;
-  script_run (s, 5);
-  assert_int_equal (submit_with (s, "rank", NULL), 503);
-  assert_int_equal (submit_with (s, "crew", "\"strangers\""), 503);
-  assert_int_equal (submit_with (s, "name_id", NULL), 400); /* no job could be meant */
-  s->outage = FALSE;
-  script_run (s, 3);
-  assert_int_equal (submit_with (s, "rank", NULL), 400);
-  assert_int_equal (submit_with (s, "crew", "\"strangers\""), 422);
-  script_free (s);
+  Script *script = script_led (2);
+  script->outage = TRUE;
+  script_run (script, 5);
+  assert_int_equal (submit_with (script, "rank", NULL), 503);
+  assert_int_equal (submit_with (script, "crew", "\"strangers\""), 503);
+  assert_int_equal (submit_with (script, "name_id", NULL), 400); /* no job could be meant */
+  script->outage = FALSE;
+  script_run (script, 3);
+  assert_int_equal (submit_with (script, "rank", NULL), 400);
+  assert_int_equal (submit_with (script, "crew", "\"strangers\""), 422);
+  script_free (script);
 }
 
 static void
 cancellations_of_done_and_unknown_jobs (void **state)
 {
-  Script *s = script_led (2);
-  int leader = script_leader (s), other = 1 - leader;
-  ScriptWorker *w = script_worker (s, "m-000001");
-  script_report (s, w, leader);
-  script_report (s, w, leader);
-  script_place (s, w, other, "job-done");
-  script_worker_ends (w, "done");
-  script_report (s, w, leader);
-  script_run (s, 1);
-  guint64 revision = script_stamp (s, "h/j/job-done");
+  Script *script = script_led (2);
+  int leader = script_leader (script), other = 1 - leader;
+  ScriptWorker *worker = script_worker (script, "m-000001");
+  script_report (script, worker, leader);
+  script_report (script, worker, leader);
+  script_place (script, worker, other, "job-done");
+  script_worker_ends (worker, "done");
+  script_report (script, worker, leader);
+  script_run (script, 1);
+  guint64 revision = script_stamp (script, "h/j/job-done");
   for (int i = 0; i < 2; i++) {
-    guint64 id = script_abort (s, i, "job-done");
-    script_run (s, 0.2);
-    assert_int_equal (script_status (s, i, id), 200);
-    assert_string_equal (script_stance (s, i, id), "done");
-    id = script_submit (s, i, "job-done", 3);
-    script_run (s, 0.2);
-    assert_int_equal (script_status (s, i, id), 200);
-    assert_string_equal (script_stance (s, i, id), "done");
-    assert_int_equal (status_of (s, i, HR_POST, "/v1/jobs/job-never/abort", NULL), 404);
-    assert_int_equal (status_of (s, i, HR_POST, "/v1/jobs/job-never/abort", "{\"x\":1}"), 404);
+    guint64 id = script_abort (script, i, "job-done");
+    script_run (script, 0.2);
+    assert_int_equal (script_status (script, i, id), 200);
+    assert_string_equal (script_stance (script, i, id), "done");
+    id = script_submit (script, i, "job-done", 3);
+    script_run (script, 0.2);
+    assert_int_equal (script_status (script, i, id), 200);
+    assert_string_equal (script_stance (script, i, id), "done");
+    assert_int_equal (status_of (script, i, HR_POST, "/v1/jobs/job-never/abort", NULL), 404);
+    assert_int_equal (status_of (script, i, HR_POST, "/v1/jobs/job-never/abort", "{\"x\":1}"), 404);
   }
-  assert_int_equal (script_stamp (s, "h/j/job-done"), revision);
-  assert_null (script_value (s, "h/j/job-never"));
-  script_free (s);
+  assert_int_equal (script_stamp (script, "h/j/job-done"), revision);
+  assert_null (script_value (script, "h/j/job-never"));
+  script_free (script);
 }
 
 static void
@@ -359,20 +359,20 @@
       {HR_GET, "/hello", 405},
       {HR_GET, "", 404},
   };
-  Script *s = script_led (2);
-  script_submit (s, 0, "job-a", 1);
-  script_run (s, 0.5);
-  guint before = s->carried_out;
+  Script *script = script_led (2);
+  script_submit (script, 0, "job-a", 1);
+  script_run (script, 0.5);
+  guint before = script->carried_out;
   for (guint i = 0; i < G_N_ELEMENTS (asked); i++) {
-    int status = status_of (s, 1, asked[i].method, asked[i].path, NULL);
+    int status = status_of (script, 1, asked[i].method, asked[i].path, NULL);
     if (status != asked[i].status)
       fail_msg ("%s: %d", asked[i].path, status);
   }
   g_autofree char *long_id = g_strnfill (5000, '7');
   g_autofree char *path = g_strconcat ("/v1/jobs/job-", long_id, NULL);
-  assert_int_equal (status_of (s, 1, HR_GET, path, NULL), 404);
-  assert_int_equal (s->carried_out, before);
-  script_free (s);
+  assert_int_equal (status_of (script, 1, HR_GET, path, NULL), 404);
+  assert_int_equal (script->carried_out, before);
+  script_free (script);
 }
 
 /* A record that makes no sense: its job was accepted, so it is neither unknown nor in the state
@@ -380,24 +380,24 @@
 static void
 a_record_that_cannot_be_read_is_not_forgotten (void **state)
 {
-  Script *s = script_led (2);
-  script_submit (s, 0, "job-a", 1);
-  script_run (s, 0.5);
-  script_write (s, "h/j/job-a", "{\"w\":\"x\",\"s\":0,\"form\":9}");
-  script_write (s, "h/j/job-b", "[]");
-  script_run (s, 2);
+  Script *script = script_led (2);
+  script_submit (script, 0, "job-a", 1);
+  script_run (script, 0.5);
+  script_write (script, "h/j/job-a", "{\"w\":\"x\",\"s\":0,\"form\":9}");
+  script_write (script, "h/j/job-b", "[]");
+  script_run (script, 2);
   for (int i = 0; i < 2; i++) {
-    assert_int_equal (status_of (s, i, HR_GET, "/v1/jobs/job-a", NULL), 503);
-    assert_int_equal (status_of (s, i, HR_GET, "/v1/jobs/job-b", NULL), 503);
-    assert_int_equal (status_of (s, i, HR_POST, "/v1/jobs/job-b/abort", NULL), 503);
-    guint64 id = script_submit (s, i, "job-b", 1);
-    script_run (s, 0.5);
-    assert_int_equal (script_status (s, i, id), 503);
+    assert_int_equal (status_of (script, i, HR_GET, "/v1/jobs/job-a", NULL), 503);
+    assert_int_equal (status_of (script, i, HR_GET, "/v1/jobs/job-b", NULL), 503);
+    assert_int_equal (status_of (script, i, HR_POST, "/v1/jobs/job-b/abort", NULL), 503);
+    guint64 id = script_submit (script, i, "job-b", 1);
+    script_run (script, 0.5);
+    assert_int_equal (script_status (script, i, id), 503);
   }
-  script_write (s, "h/j/job-b", "{\"w\":\"x\",\"s\":2,\"n\":1,\"d\":0}");
-  script_run (s, 1);
-  assert_string_equal (script_asked (s, 0, "job-b"), "withdrawn");
-  script_free (s);
+  script_write (script, "h/j/job-b", "{\"w\":\"x\",\"s\":2,\"n\":1,\"d\":0}");
+  script_run (script, 1);
+  assert_string_equal (script_asked (script, 0, "job-b"), "withdrawn");
+  script_free (script);
 }
 
 int
--- a/tests/test_sim.c
+++ b/tests/test_sim.c
@@ -69,8 +69,8 @@
 play_seeds (guint from, guint to, guint faults, double quota, double per_part)
 {
   guint broken = 0;
-  for (guint s = from; s < to; s++)
-    broken += play (s, faults, quota, per_part);
+  for (guint seed = from; seed < to; seed++)
+    broken += play (seed, faults, quota, per_part);
   assert_int_equal (broken, 0);
 }
 
@@ -108,8 +108,8 @@
 days_with_one_or_five_controllers (void **state)
 {
   guint broken = 0;
-  for (guint s = 600; s < 612; s++)
-    broken += play_on (world_new (s, s % 2 ? 5 : 1), s, 5, 0, 0);
+  for (guint seed = 600; seed < 612; seed++)
+    broken += play_on (world_new (seed, seed % 2 ? 5 : 1), seed, 5, 0, 0);
   assert_int_equal (broken, 0);
 }
 
@@ -119,11 +119,11 @@
 days_with_deaf_machines (void **state)
 {
   guint broken = 0;
-  for (guint s = 800; s < 806; s++) {
-    World *world = world_new (s, s % 2 ? 3 : 1);
+  for (guint seed = 800; seed < 806; seed++) {
+    World *world = world_new (seed, seed % 2 ? 3 : 1);
     faults_deaf (world, 60);
     faults_deaf (world, 150);
-    broken += play_on (world, s, 0, 0, 0);
+    broken += play_on (world, seed, 0, 0, 0);
   }
   assert_int_equal (broken, 0);
 }
@@ -132,10 +132,10 @@
 days_with_a_held_cut (void **state)
 {
   guint broken = 0;
-  for (guint s = 850; s < 856; s++) {
-    World *world = world_new (s, 3);
+  for (guint seed = 850; seed < 856; seed++) {
+    World *world = world_new (seed, 3);
     faults_held_cut (world, 150);
-    broken += play_on (world, s, 0, 0, 0);
+    broken += play_on (world, seed, 0, 0, 0);
   }
   assert_int_equal (broken, 0);
 }
@@ -146,15 +146,15 @@
 days_of_members_word (void **state)
 {
   guint broken = 0;
-  for (guint s = 870; s < 884; s++) {
-    World *world = world_new (s, s % 2 ? 3 : 5);
-    if (s < 874)
+  for (guint seed = 870; seed < 884; seed++) {
+    World *world = world_new (seed, seed % 2 ? 3 : 5);
+    if (seed < 874)
       faults_cut_from_store (world, 150);
     else
-      faults_missed_withdrawal (world, 150, s < 877);
-    if (s >= 880) /* on waking it hears first what its members said before the withdrawal */
+      faults_missed_withdrawal (world, 150, seed < 877);
+    if (seed >= 880) /* on waking it hears first what its members said before the withdrawal */
       faults_freeze (world, 147.5, FREEZE_OWNER, 12);
-    broken += play_on (world, s, 0, 0, 0);
+    broken += play_on (world, seed, 0, 0, 0);
   }
   assert_int_equal (broken, 0);
 }
@@ -165,15 +165,15 @@
 days_of_withdrawal_gaps (void **state)
 {
   guint broken = 0;
-  for (guint s = 1100; s < 1110; s++) {
-    World *world = world_new (s, s % 2 ? 3 : 5);
+  for (guint seed = 1100; seed < 1110; seed++) {
+    World *world = world_new (seed, seed % 2 ? 3 : 5);
     faults_withdrawal_gap (world, 120);
     faults_withdrawal_gap (world, 220);
-    if (s >= 1106) {
+    if (seed >= 1106) {
       world->fickle = TRUE;
       world->late_orders = 0.1;
     }
-    broken += play_on (world, s, 0, 0, 0);
+    broken += play_on (world, seed, 0, 0, 0);
   }
   assert_int_equal (broken, 0);
 }
@@ -197,10 +197,10 @@
 days_of_two_owners (void **state)
 {
   guint broken = 0;
-  for (guint s = 1080; s < 1088; s++) {
-    World *world = world_new (s, s % 2 ? 3 : 5);
+  for (guint seed = 1080; seed < 1088; seed++) {
+    World *world = world_new (seed, seed % 2 ? 3 : 5);
     faults_two_owners (world, 120);
-    broken += play_services (world, s);
+    broken += play_services (world, seed);
   }
   assert_int_equal (broken, 0);
 }
@@ -211,8 +211,8 @@
 days_of_an_oversized_gang (void **state)
 {
   guint broken = 0;
-  for (guint s = 985; s < 988; s++) {
-    World *world = world_new (s, 3);
+  for (guint seed = 985; seed < 988; seed++) {
+    World *world = world_new (seed, 3);
     users_gangs (world, 8, 40, 60);
     users_oversized (world, 10);
     world_run (world, 900);
@@ -225,7 +225,7 @@
     }
     if (world->machines->len > 7 * world->capacity)
       w_broken (world, "rented", "%u machines", world->machines->len);
-    broken += verdict (world, s);
+    broken += verdict (world, seed);
   }
   assert_int_equal (broken, 0);
 }
@@ -235,10 +235,10 @@
 days_of_long_fetches (void **state)
 {
   guint broken = 0;
-  for (guint s = 990; s < 1000; s++) {
-    World *world = world_new (s, 3);
-    users_long_fetches (world, s >= 994);
-    if (s >= 994) /* the next owner knows images from the records alone */
+  for (guint seed = 990; seed < 1000; seed++) {
+    World *world = world_new (seed, 3);
+    users_long_fetches (world, seed >= 994);
+    if (seed >= 994) /* the next owner knows images from the records alone */
       faults_owner_ends (world, 116.5);
     world_run (world, 600);
     for (guint i = 0; i < world->jobs->len; i++) {
@@ -247,7 +247,7 @@
         w_broken (world, "liveness", "%s of %u tasks begins after %.0f s", job->id, job->tasks,
                   (job->first ? job->first : world->now) - job->accepted_at);
     }
-    broken += verdict (world, s);
+    broken += verdict (world, seed);
   }
   assert_int_equal (broken, 0);
 }
@@ -258,8 +258,8 @@
 days_of_lost_places (void **state)
 {
   guint broken = 0, lost = 0, anew = 0;
-  for (guint s = 960; s < 964; s++) {
-    World *world = world_new (s, 3);
+  for (guint seed = 960; seed < 964; seed++) {
+    World *world = world_new (seed, 3);
     world->gang_image = 8;
     faults_lost_places (world, 5, 250);
     users_gangs (world, 6, 5, 30);
@@ -272,7 +272,7 @@
         w_broken (world, "liveness", "%s is not done", job->id);
       anew += g_hash_table_contains (world->assigned, again);
     }
-    broken += verdict (world, s);
+    broken += verdict (world, seed);
   }
   assert_int_equal (broken, 0);
   assert_true (lost >= 16);
@@ -284,11 +284,11 @@
 days_with_copies_and_new_owners (void **state)
 {
   guint broken = 0;
-  for (guint s = 900; s < 908; s++) {
-    World *world = world_new (s, 3);
+  for (guint seed = 900; seed < 908; seed++) {
+    World *world = world_new (seed, 3);
     world->copies = 0.5;
     faults_owners (world, 40, 320);
-    broken += play_on (world, s, 0, 0, 0);
+    broken += play_on (world, seed, 0, 0, 0);
   }
   assert_int_equal (broken, 0);
 }
@@ -299,10 +299,10 @@
 days_of_a_stream (void **state)
 {
   guint broken = 0;
-  for (guint s = 700; s < 706; s++) {
-    World *world = world_new (s, 3);
+  for (guint seed = 700; seed < 706; seed++) {
+    World *world = world_new (seed, 3);
     world->capacity = 10;
-    users_stream (world, s % 2 ? HR_GANG : HR_BATCH, 5, 500);
+    users_stream (world, seed % 2 ? HR_GANG : HR_BATCH, 5, 500);
     world_run (world, 1100);
     for (guint i = 0; i < world->jobs->len; i++) {
       SJob *job = world->jobs->pdata[i];
@@ -311,7 +311,7 @@
                   job->large ? "large" : "small", job->tasks,
                   (job->first ? job->first : world->now) - job->accepted_at);
     }
-    broken += verdict (world, s);
+    broken += verdict (world, seed);
   }
   assert_int_equal (broken, 0);
 }
@@ -321,8 +321,8 @@
 days_of_few_gangs (void **state)
 {
   guint broken = 0;
-  for (guint s = 950; s < 954; s++) {
-    World *world = world_new (s, 3);
+  for (guint seed = 950; seed < 954; seed++) {
+    World *world = world_new (seed, 3);
     const guint gangs = 8;
     world->capacity = 200;
     users_gangs (world, gangs, 5, 25);
@@ -332,7 +332,7 @@
         w_broken (world, "liveness", "%s is not done", ((SJob *)world->jobs->pdata[i])->id);
     if (world->machines->len > 4 * gangs)
       w_broken (world, "rented", "%u machines for %u gangs of two", world->machines->len, gangs);
-    broken += verdict (world, s);
+    broken += verdict (world, seed);
   }
   assert_int_equal (broken, 0);
 }
@@ -342,12 +342,12 @@
 days_with_late_copies (void **state)
 {
   guint broken = 0;
-  for (guint s = 500; s < 512; s++) {
-    World *world = world_new (s, 3);
+  for (guint seed = 500; seed < 512; seed++) {
+    World *world = world_new (seed, 3);
     world->dup = 0.15;
     world->loss = 0.06;
     world->copies = 0.5;
-    broken += play_on (world, s, 3, 0, 0);
+    broken += play_on (world, seed, 3, 0, 0);
   }
   assert_int_equal (broken, 0);
 }
@@ -358,11 +358,11 @@
 days_with_late_orders (void **state)
 {
   guint broken = 0;
-  for (guint s = 970; s < 982; s++) {
-    World *world = world_new (s, 3);
+  for (guint seed = 970; seed < 982; seed++) {
+    World *world = world_new (seed, 3);
     world->late_orders = 0.3;
     world->fickle = TRUE;
-    broken += play_on (world, s, 0, 0, 0);
+    broken += play_on (world, seed, 0, 0, 0);
   }
   assert_int_equal (broken, 0);
 }
@@ -373,12 +373,12 @@
 days_with_changes_gone (void **state)
 {
   guint broken = 0;
-  for (guint s = 1100; s < 1108; s++) {
-    World *world = world_new (s, 3);
+  for (guint seed = 1100; seed < 1108; seed++) {
+    World *world = world_new (seed, 3);
     world->late_orders = 0.5;
     world->fickle = TRUE;
     faults_changes_gone (world, 20, 300);
-    broken += play_on (world, s, 0, 0, 0);
+    broken += play_on (world, seed, 0, 0, 0);
   }
   assert_int_equal (broken, 0);
 }
@@ -391,14 +391,14 @@
 {
   static const double lengths[] = {2.5, 4.5, 9, 16, 25, 40};
   guint broken = 0;
-  for (guint s = 1000; s < 1018; s++) {
-    World *world = world_new (s, s % 3 == 2 ? 5 : 3);
-    double d = lengths[s % G_N_ELEMENTS (lengths)];
-    FreezeWho who = s / 6 % 3;
+  for (guint seed = 1000; seed < 1018; seed++) {
+    World *world = world_new (seed, seed % 3 == 2 ? 5 : 3);
+    double d = lengths[seed % G_N_ELEMENTS (lengths)];
+    FreezeWho who = seed / 6 % 3;
     faults_freeze (world, 60, who, d);
     faults_freeze (world, 60 + d + 0.6, who, d);
     faults_freeze (world, 190, FREEZE_OWNER, d);
-    broken += play_on (world, s, s % 2 ? 3 : 0, 0, 0);
+    broken += play_on (world, seed, seed % 2 ? 3 : 0, 0, 0);
   }
   assert_int_equal (broken, 0);
 }
@@ -409,10 +409,10 @@
 days_of_unreached_owners (void **state)
 {
   guint broken = 0;
-  for (guint s = 1030; s < 1036; s++) {
-    World *world = world_new (s, s % 2 ? 5 : 3);
-    faults_owner_unreached (world, 120, s < 1033);
-    broken += play_services (world, s);
+  for (guint seed = 1030; seed < 1036; seed++) {
+    World *world = world_new (seed, seed % 2 ? 5 : 3);
+    faults_owner_unreached (world, 120, seed < 1033);
+    broken += play_services (world, seed);
   }
   assert_int_equal (broken, 0);
 }
@@ -422,10 +422,10 @@
 days_of_half_fleets (void **state)
 {
   guint broken = 0;
-  for (guint s = 1040; s < 1046; s++) {
-    World *world = world_new (s, s % 2 ? 5 : 3);
+  for (guint seed = 1040; seed < 1046; seed++) {
+    World *world = world_new (seed, seed % 2 ? 5 : 3);
     faults_half_gone (world, 120);
-    broken += play_services (world, s);
+    broken += play_services (world, seed);
   }
   assert_int_equal (broken, 0);
 }
@@ -436,8 +436,8 @@
 days_of_a_guarantee (void **state)
 {
   guint broken = 0;
-  for (guint s = 1070; s < 1074; s++) {
-    World *world = world_new (s, 3);
+  for (guint seed = 1070; seed < 1074; seed++) {
+    World *world = world_new (seed, 3);
     world->guarantee_gpus = 8;
     world_restart (world);
     users_two_teams (world, 120);
@@ -448,7 +448,7 @@
         w_broken (world, "guarantee", "%s of %u tasks is done after %.0f s", job->id, job->tasks,
                   (job->told_done ? job->told_done : world->now) - job->accepted_at);
     }
-    broken += verdict (world, s);
+    broken += verdict (world, seed);
   }
   assert_int_equal (broken, 0);
 }
@@ -459,14 +459,14 @@
 days_of_unreadable_pages (void **state)
 {
   guint broken = 0;
-  for (guint s = 1060; s < 1064; s++) {
-    World *world = world_new (s, 3);
+  for (guint seed = 1060; seed < 1064; seed++) {
+    World *world = world_new (seed, 3);
     users_paged (world, 5);
     faults_unreadable_pages (world, 60);
     world_run (world, 600);
     if (!((SJob *)world->jobs->pdata[0])->told_done)
       w_broken (world, "liveness", "the job is not done");
-    broken += verdict (world, s);
+    broken += verdict (world, seed);
   }
   assert_int_equal (broken, 0);
 }
@@ -546,8 +546,8 @@
 days_of_an_upgrade (void **state)
 {
   guint broken = 0;
-  for (guint s = 1100; s < 1106; s++)
-    broken += play_upgrade (s, s % 4 == 3 ? 5 : 3, s < 1102 ? 0 : 6, s % 3 == 2);
+  for (guint seed = 1100; seed < 1106; seed++)
+    broken += play_upgrade (seed, seed % 4 == 3 ? 5 : 3, seed < 1102 ? 0 : 6, seed % 3 == 2);
   assert_int_equal (broken, 0);
 }
 
--- a/tests/test_transport.c
+++ b/tests/test_transport.c
@@ -62,8 +62,8 @@
 static guint16
 free_port (void)
 {
-  g_autoptr (GSocketListener) l = g_socket_listener_new ();
-  return g_socket_listener_add_any_inet_port (l, NULL, NULL);
+  g_autoptr (GSocketListener) listener = g_socket_listener_new ();
+  return g_socket_listener_add_any_inet_port (listener, NULL, NULL);
 }
 
 static void
@@ -79,12 +79,12 @@
 static GSocket *
 dial (guint16 port)
 {
-  g_autoptr (GSocketAddress) a = g_inet_socket_address_new_from_string ("127.0.0.1", port);
-  GSocket *s =
+  g_autoptr (GSocketAddress) address = g_inet_socket_address_new_from_string ("127.0.0.1", port);
+  GSocket *socket =
       g_socket_new (G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, NULL);
-  assert_true (g_socket_connect (s, a, NULL, NULL));
-  g_socket_set_blocking (s, FALSE);
-  return s;
+  assert_true (g_socket_connect (socket, address, NULL, NULL));
+  g_socket_set_blocking (socket, FALSE);
+  return socket;
 }
 
 static void
@@ -106,18 +106,18 @@
 
 /* Sends the text and gives what came back within two seconds. */
 static char *
-ask (Probe *probe, GSocket *s, const char *text, gsize len)
+ask (Probe *probe, GSocket *socket, const char *text, gsize len)
 {
   GString *got = g_string_new (NULL);
   char buf[4096];
   gsize sent = 0;
   for (int i = 0; i < 4000 && !strstr (got->str, "}"); i++) {
     if (sent < len) {
-      gssize n = g_socket_send (s, text + sent, len - sent, NULL, NULL);
+      gssize n = g_socket_send (socket, text + sent, len - sent, NULL, NULL);
       sent += MAX (0, n);
     }
     turn (probe);
-    gssize n = g_socket_receive (s, buf, sizeof buf, NULL, NULL);
+    gssize n = g_socket_receive (socket, buf, sizeof buf, NULL, NULL);
     if (n > 0)
       g_string_append_len (got, buf, n);
     else if (n == 0)
@@ -133,40 +133,40 @@
 static void
 a_connection_stays_open (void **state)
 {
-  Probe p = {0};
+  Probe probe = {0};
   guint16 port = free_port ();
-  serve (&p, port, 100);
-  g_autoptr (GSocket) s = dial (port);
+  serve (&probe, port, 100);
+  g_autoptr (GSocket) socket = dial (port);
   for (guint i = 1; i < 4; i++) {
-    g_autofree char *got = ask (&p, s, get, strlen (get));
+    g_autofree char *got = ask (&probe, socket, get, strlen (get));
     assert_non_null (strstr (got, "200 OK"));
     assert_null (strstr (got, "Connection: close"));
-    assert_int_equal (p.requests, i);
+    assert_int_equal (probe.requests, i);
   }
   const char *busy = "GET /busy HTTP/1.1\r\nHost: x\r\n\r\n";
-  g_autofree char *got = ask (&p, s, busy, strlen (busy));
+  g_autofree char *got = ask (&probe, socket, busy, strlen (busy));
   assert_non_null (strstr (got, "503"));
   assert_non_null (strstr (got, "Retry-After: 7"));
-  stop (&p);
+  stop (&probe);
 }
 
 static void
 bodies_have_a_limit (void **state)
 {
   for (int over = 0; over < 2; over++) {
-    Probe p = {0};
+    Probe probe = {0};
     guint16 port = free_port ();
-    serve (&p, port, 100);
-    g_autoptr (GSocket) s = dial (port);
+    serve (&probe, port, 100);
+    g_autoptr (GSocket) socket = dial (port);
     gsize size = HR_MAX_BODY + over;
     g_autofree char *body = g_strnfill (size, 'x');
     g_autofree char *text = g_strdup_printf (
         "POST /v1/jobs HTTP/1.1\r\nHost: x\r\nContent-Length: %zu\r\n\r\n%s", size, body);
-    g_autofree char *got = ask (&p, s, text, strlen (text));
-    assert_int_equal (p.requests, 1);
-    assert_int_equal (p.too_large, over);
+    g_autofree char *got = ask (&probe, socket, text, strlen (text));
+    assert_int_equal (probe.requests, 1);
+    assert_int_equal (probe.too_large, over);
     assert_non_null (strstr (got, over ? "400" : "200"));
-    stop (&p);
+    stop (&probe);
   }
 }
 
@@ -175,14 +175,14 @@
 static void
 connections_cost_the_loop_nothing (void **state)
 {
-  Probe p = {0};
+  Probe probe = {0};
   guint16 port = free_port ();
-  serve (&p, port, 1000);
+  serve (&probe, port, 1000);
   g_autoptr (GPtrArray) all = g_ptr_array_new_with_free_func (g_object_unref);
   for (guint i = 0; i < 100; i++) {
-    GSocket *s = dial (port);
-    g_ptr_array_add (all, s);
-    g_autofree char *got = ask (&p, s, get, strlen (get));
+    GSocket *socket = dial (port);
+    g_ptr_array_add (all, socket);
+    g_autofree char *got = ask (&probe, socket, get, strlen (get));
     assert_non_null (strstr (got, "200 OK"));
   }
   GPollFD fds[200];
@@ -193,27 +193,27 @@
   gint n = g_main_context_query (loop, most, &timeout, fds, G_N_ELEMENTS (fds));
   g_main_context_release (loop);
   assert_in_range (n, 1, 8);
-  stop (&p);
+  stop (&probe);
 }
 
 static void
 an_asker_may_leave (void **state)
 {
-  Probe p = {.hold = TRUE};
+  Probe probe = {.hold = TRUE};
   guint16 port = free_port ();
-  serve (&p, port, 100);
-  GSocket *s = dial (port);
-  assert_int_equal (g_socket_send (s, get, strlen (get), NULL, NULL), strlen (get));
-  spin (&p, 0.1);
-  assert_int_equal (p.requests, 1);
-  g_object_unref (s);
-  spin (&p, 0.05);
-  p.hold = FALSE;
-  spin (&p, 0.05);
+  serve (&probe, port, 100);
+  GSocket *socket = dial (port);
+  assert_int_equal (g_socket_send (socket, get, strlen (get), NULL, NULL), strlen (get));
+  spin (&probe, 0.1);
+  assert_int_equal (probe.requests, 1);
+  g_object_unref (socket);
+  spin (&probe, 0.05);
+  probe.hold = FALSE;
+  spin (&probe, 0.05);
   /* An id that is no longer known. */
   HrEffect effect = {.kind = HR_EFFECT_REPLY, .id = 1, .status = 200, .body = "{}"};
-  hr_http_server_reply (p.server, &effect);
-  stop (&p);
+  hr_http_server_reply (probe.server, &effect);
+  stop (&probe);
 }
 
 /* Guards against workers that lose their leases because users' connections fill the node:
@@ -223,30 +223,30 @@
 {
   static const char user[] = "GET /v1/jobs/job-000001 HTTP/1.1\r\nHost: x\r\n\r\n";
   static const char worker[] = "POST /hello HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{}";
-  Probe p = {0};
+  Probe probe = {0};
   guint16 port = free_port ();
-  serve (&p, port, 50);
+  serve (&probe, port, 50);
   g_autoptr (GPtrArray) all = g_ptr_array_new_with_free_func (g_object_unref);
   for (guint i = 0; i < 40; i++) {
     g_ptr_array_add (all, dial (port));
-    g_autofree char *got = ask (&p, all->pdata[i], user, strlen (user));
+    g_autofree char *got = ask (&probe, all->pdata[i], user, strlen (user));
     assert_non_null (strstr (got, "200 OK"));
   }
   for (guint i = 0; i < 9; i++) { /* workers fill it */
     g_ptr_array_add (all, dial (port));
-    g_autofree char *got = ask (&p, all->pdata[all->len - 1], worker, strlen (worker));
+    g_autofree char *got = ask (&probe, all->pdata[all->len - 1], worker, strlen (worker));
     assert_non_null (strstr (got, "200 OK"));
   }
-  g_autofree char *away = ask (&p, all->pdata[0], user, strlen (user));
+  g_autofree char *away = ask (&probe, all->pdata[0], user, strlen (user));
   assert_non_null (strstr (away, " 503 "));
   assert_non_null (strstr (away, "Retry-After: 2"));
   assert_non_null (strstr (away, "\"error\""));
-  spin (&p, 0.1);
+  spin (&probe, 0.1);
   char rest[16];
   assert_int_equal (g_socket_receive (all->pdata[0], rest, sizeof rest, NULL, NULL), 0);
-  g_autofree char *still = ask (&p, all->pdata[45], worker, strlen (worker));
+  g_autofree char *still = ask (&probe, all->pdata[45], worker, strlen (worker));
   assert_non_null (strstr (still, "200 OK"));
-  stop (&p);
+  stop (&probe);
 }
 
 static void
@@ -267,38 +267,38 @@
 static void
 calls_end_at_their_deadline (void **state)
 {
-  g_autoptr (GSocket) l =
+  g_autoptr (GSocket) listener =
       g_socket_new (G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, NULL);
   guint16 port = free_port ();
-  g_autoptr (GSocketAddress) a = g_inet_socket_address_new_from_string ("127.0.0.1", port);
-  assert_true (g_socket_bind (l, a, TRUE, NULL));
-  g_socket_set_listen_backlog (l, 0);
-  assert_true (g_socket_listen (l, NULL));
+  g_autoptr (GSocketAddress) address = g_inet_socket_address_new_from_string ("127.0.0.1", port);
+  assert_true (g_socket_bind (listener, address, TRUE, NULL));
+  g_socket_set_listen_backlog (listener, 0);
+  assert_true (g_socket_listen (listener, NULL));
   /* Nobody accepts: with these the queue is full, and who comes next hangs. */
   g_autoptr (GPtrArray) full = g_ptr_array_new_with_free_func (g_object_unref);
   for (int i = 0; i < 3; i++) {
-    GSocket *s =
+    GSocket *socket =
         g_socket_new (G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, NULL);
-    g_socket_set_blocking (s, FALSE);
-    g_socket_connect (s, a, NULL, NULL);
-    g_ptr_array_add (full, s);
+    g_socket_set_blocking (socket, FALSE);
+    g_socket_connect (socket, address, NULL, NULL);
+    g_ptr_array_add (full, socket);
   }
-  Probe p = {.status = -1};
+  Probe probe = {.status = -1};
   g_autofree char *store = g_strdup_printf ("127.0.0.1:%u", port);
-  HrHttpClient *client = hr_http_client_new (store, store, 100, sink, &p);
-  double t = g_get_monotonic_time () / 1e6;
+  HrHttpClient *client = hr_http_client_new (store, store, 100, sink, &probe);
+  double until = g_get_monotonic_time () / 1e6;
   send_call (client, 3);
-  spin (&p, 0.1);
+  spin (&probe, 0.1);
   send_call (client, 0.4);
-  spin (&p, 1.2);
-  assert_int_equal (p.results, 1);
-  assert_int_equal (p.status, 0);
-  assert_true (p.result_at[0] - t < 0.9);
-  spin (&p, 2.4);
-  assert_int_equal (p.results, 2);
-  assert_true (p.result_at[1] - t < 3.4);
+  spin (&probe, 1.2);
+  assert_int_equal (probe.results, 1);
+  assert_int_equal (probe.status, 0);
+  assert_true (probe.result_at[0] - until < 0.9);
+  spin (&probe, 2.4);
+  assert_int_equal (probe.results, 2);
+  assert_true (probe.result_at[1] - until < 3.4);
   hr_http_client_free (client);
-  spin (&p, 0.1);
+  spin (&probe, 0.1);
 }
 
 int
--- a/tests/test_watching.c
+++ b/tests/test_watching.c
@@ -50,12 +50,12 @@
 static void
 metrics_say_what_happened (void **state)
 {
-  Script *s = script_led (2);
-  ScriptWorker *w = script_worker (s, "m-1");
-  int leader = script_leader (s);
-  script_report (s, w, leader);
-  script_place (s, w, leader, "job-a");
-  g_autofree char *running = hr_metrics_text (s->nodes[leader].core);
+  Script *script = script_led (2);
+  ScriptWorker *worker = script_worker (script, "m-1");
+  int leader = script_leader (script);
+  script_report (script, worker, leader);
+  script_place (script, worker, leader, "job-a");
+  g_autofree char *running = hr_metrics_text (script->nodes[leader].core);
   check_format (running);
   assert_true (sample (running, "hoprock_leads") == 1);
   assert_true (sample (running, "hoprock_may_answer") == 1);
@@ -68,17 +68,17 @@
                     sample (running, "hoprock_reports_before_token_total") +
                     sample (running, "hoprock_reports_overtaken_total");
   assert_true (sample (running, "hoprock_renewal_reading_age_seconds_count") == renewals);
-  script_abort (s, 1 - leader, "job-a");
-  script_run (s, 2);
-  script_report (s, w, leader);
-  g_autofree char *stopped = hr_metrics_text (s->nodes[leader].core);
+  script_abort (script, 1 - leader, "job-a");
+  script_run (script, 2);
+  script_report (script, worker, leader);
+  g_autofree char *stopped = hr_metrics_text (script->nodes[leader].core);
   assert_true (sample (stopped, "hoprock_stops_total") >= 1);
   assert_true (sample (stopped, "hoprock_withdrawals_total") == 1);
   assert_true (sample (stopped, "hoprock_invariants_violated_total") == 0);
-  g_autofree char *other = hr_metrics_text (s->nodes[1 - leader].core);
+  g_autofree char *other = hr_metrics_text (script->nodes[1 - leader].core);
   assert_true (sample (other, "hoprock_leads") == 0);
   assert_true (sample (other, "hoprock_machines{state=\"up\"}") == 0);
-  script_free (s);
+  script_free (script);
 }
 
 static json_t *
--- a/tests/test_windows.c
+++ b/tests/test_windows.c
@@ -48,24 +48,24 @@
 } Day;
 
 static double
-draw (Day *d, double low, double high)
+draw (Day *day, double low, double high)
 {
-  return g_rand_double_range (d->rand, low, high);
+  return g_rand_double_range (day->rand, low, high);
 }
 
 static guint
-pick (Day *d, guint n)
+pick (Day *day, guint n)
 {
-  return g_rand_int_range (d->rand, 0, n);
+  return g_rand_int_range (day->rand, 0, n);
 }
 
 static void
 late_free (gpointer data)
 {
-  Late *l = data;
-  g_free (l->report);
-  g_free (l->orders);
-  g_free (l);
+  Late *late = data;
+  g_free (late->report);
+  g_free (late->orders);
+  g_free (late);
 }
 
 static void
@@ -79,266 +79,267 @@
 /* ---- users ---- */
 
 static void
-ask (Day *d, const char *id, const char *body, gboolean abort)
+ask (Day *day, const char *id, const char *body, gboolean abort)
 {
-  Script *s = d->scene->s;
-  int node = pick (d, NODES);
-  if (!s->nodes[node].core)
+  Script *script = day->scene->s;
+  int node = pick (day, NODES);
+  if (!script->nodes[node].core)
     return;
   Asked *asked = g_new0 (Asked, 1);
   asked->node = node;
-  asked->process = s->nodes[node].process;
+  asked->process = script->nodes[node].process;
   asked->id = g_strdup (id);
   asked->submission = body != NULL;
-  asked->request = body    ? script_request (s, node, HR_POST, HR_JOBS_PATH, body)
-                   : abort ? script_abort (s, node, id)
-                           : script_poll (s, node, id);
-  g_ptr_array_add (d->asked, asked);
+  asked->request = body    ? script_request (script, node, HR_POST, HR_JOBS_PATH, body)
+                   : abort ? script_abort (script, node, id)
+                           : script_poll (script, node, id);
+  g_ptr_array_add (day->asked, asked);
   if (abort)
-    g_hash_table_add (d->cancelled, g_strdup (id));
+    g_hash_table_add (day->cancelled, g_strdup (id));
 }
 
 static void
-submit (Day *d)
+submit (Day *day)
 {
-  g_autofree char *id = g_strdup_printf ("job-%u", d->jobs++);
-  json_t *body = script_job (id, 1 + pick (d, 4));
-  json_object_set_new (body, "vcpus", json_real (1 + pick (d, 6)));
-  guint kind = pick (d, 4);
+  g_autofree char *id = g_strdup_printf ("job-%u", day->jobs++);
+  json_t *body = script_job (id, 1 + pick (day, 4));
+  json_object_set_new (body, "vcpus", json_real (1 + pick (day, 6)));
+  guint kind = pick (day, 4);
   if (kind == 1)
     json_object_set_new (body, "together", json_true ());
   if (kind == 2)
     json_object_set_new (body, "apart", json_true ());
-  scene_know (d->scene, id, body);
+  scene_know (day->scene, id, body);
   g_autofree char *text = hr_json_take_text (body);
-  ask (d, id, text, FALSE);
+  ask (day, id, text, FALSE);
 }
 
 static void
-hear_answers (Day *d)
+hear_answers (Day *day)
 {
-  Script *s = d->scene->s;
-  for (guint i = 0; i < d->asked->len;) {
-    Asked *asked = d->asked->pdata[i];
-    const ScriptReply *r = asked->process == s->nodes[asked->node].process
-                               ? script_reply (s, asked->node, asked->request)
-                               : NULL;
-    if (!r && asked->process == s->nodes[asked->node].process) {
+  Script *script = day->scene->s;
+  for (guint i = 0; i < day->asked->len;) {
+    Asked *asked = day->asked->pdata[i];
+    const ScriptReply *reply = asked->process == script->nodes[asked->node].process
+                                   ? script_reply (script, asked->node, asked->request)
+                                   : NULL;
+    if (!reply && asked->process == script->nodes[asked->node].process) {
       i++;
       continue;
     }
-    const char *state = r ? hr_json_str (r->body, "stance") : NULL;
-    if (r && asked->submission && (r->status == 201 || r->status == 200))
-      g_ptr_array_add (d->accepted, g_strdup (asked->id));
-    if (state && r->status < 300)
-      scene_told (d->scene, asked->id, state, r->at);
-    g_ptr_array_remove_index (d->asked, i);
+    const char *state = reply ? hr_json_str (reply->body, "stance") : NULL;
+    if (reply && asked->submission && (reply->status == 201 || reply->status == 200))
+      g_ptr_array_add (day->accepted, g_strdup (asked->id));
+    if (state && reply->status < 300)
+      scene_told (day->scene, asked->id, state, reply->at);
+    g_ptr_array_remove_index (day->asked, i);
   }
 }
 
 /* ---- troubles ---- */
 
 static void
-trouble_of_node (Day *d)
+trouble_of_node (Day *day)
 {
-  Script *s = d->scene->s;
-  int node = pick (d, 2) ? MAX (0, script_leader (s)) : (int)pick (d, NODES);
-  if (d->node_until[node] > s->now || !s->nodes[node].core)
+  Script *script = day->scene->s;
+  int node = pick (day, 2) ? MAX (0, script_leader (script)) : (int)pick (day, NODES);
+  if (day->node_until[node] > script->now || !script->nodes[node].core)
     return;
-  switch (pick (d, 3)) {
+  switch (pick (day, 3)) {
   case 0:
-    script_end (s, node);
-    d->node_until[node] = s->now + (pick (d, 2) ? 0.3 : draw (d, 3, 20));
+    script_end (script, node);
+    day->node_until[node] = script->now + (pick (day, 2) ? 0.3 : draw (day, 3, 20));
     break;
   case 1:
-    scene_freeze (d->scene, node);
-    d->frozen[node] = TRUE;
-    d->node_until[node] = s->now + draw (d, 1, 15);
+    scene_freeze (day->scene, node);
+    day->frozen[node] = TRUE;
+    day->node_until[node] = script->now + draw (day, 1, 15);
     break;
   default:
-    s->nodes[node].served = FALSE;
-    d->node_until[node] = s->now + draw (d, 2, 40);
+    script->nodes[node].served = FALSE;
+    day->node_until[node] = script->now + draw (day, 2, 40);
   }
 }
 
 static void
-trouble_of_machine (Day *d)
+trouble_of_machine (Day *day)
 {
-  guint i = pick (d, MACHINES);
-  SceneMachine *m = d->machines[i];
-  if (d->flag_until[i] > d->scene->s->now)
+  guint i = pick (day, MACHINES);
+  SceneMachine *machine = day->machines[i];
+  if (day->flag_until[i] > day->scene->s->now)
     return;
-  d->flag_until[i] = d->scene->s->now + draw (d, 2, 30);
-  switch (pick (d, 5)) {
+  day->flag_until[i] = day->scene->s->now + draw (day, 2, 30);
+  switch (pick (day, 5)) {
   case 0:
-    m->reports = FALSE; /* mute */
+    machine->reports = FALSE; /* mute */
     break;
   case 1:
-    m->hears = m->reached = FALSE; /* deaf */
+    machine->hears = machine->reached = FALSE; /* deaf */
     break;
   case 2:
-    m->hangs = TRUE;
+    machine->hangs = TRUE;
     break;
   case 3:
-    m->reports = m->reached = FALSE; /* cut off */
+    machine->reports = machine->reached = FALSE; /* cut off */
     break;
   default:
-    m->only = pick (d, NODES);
+    machine->only = pick (day, NODES);
   }
 }
 
 static void
-keep_back (Day *d)
+keep_back (Day *day)
 {
-  Script *s = d->scene->s;
-  SceneMachine *m = d->machines[pick (d, MACHINES)];
-  int leader = MAX (0, script_leader (s));
-  Late *l = g_new0 (Late, 1);
-  l->at = s->now + (pick (d, 2) ? draw (d, 1, 16) : draw (d, 10, 60));
-  l->machine = m;
-  l->node = pick (d, NODES);
-  gboolean hears = s->nodes[leader].core != NULL; /* one that stands still hears nothing now */
-  ScriptCall *call = hears && pick (d, 2) ? scene_direct (m, leader) : NULL;
+  Script *script = day->scene->s;
+  SceneMachine *machine = day->machines[pick (day, MACHINES)];
+  int leader = MAX (0, script_leader (script));
+  Late *late = g_new0 (Late, 1);
+  late->at = script->now + (pick (day, 2) ? draw (day, 1, 16) : draw (day, 10, 60));
+  late->machine = machine;
+  late->node = pick (day, NODES);
+  gboolean hears = script->nodes[leader].core != NULL; /* one that stands still hears nothing now */
+  ScriptCall *call = hears && pick (day, 2) ? scene_direct (machine, leader) : NULL;
   if (call) {
-    l->orders = g_strdup (call->body);
-    if (pick (d, 2)) /* it is carried out now, too: a copy */
-      script_lose (s, call);
-  } else if (hears && pick (d, 2) && (call = script_call (s, leader, "/commit", NULL)) &&
+    late->orders = g_strdup (call->body);
+    if (pick (day, 2)) /* it is carried out now, too: a copy */
+      script_lose (script, call);
+  } else if (hears && pick (day, 2) && (call = script_call (script, leader, "/commit", NULL)) &&
              call->held)
-    l->write = script_delay (s, call);
-  else if (!m->gone)
-    l->report = scene_write (m);
-  g_ptr_array_add (d->late, l);
+    late->write = script_delay (script, call);
+  else if (!machine->gone)
+    late->report = scene_write (machine);
+  g_ptr_array_add (day->late, late);
 }
 
 static void
-arrive (Day *d, gboolean all)
+arrive (Day *day, gboolean all)
 {
-  Script *s = d->scene->s;
-  for (guint i = 0; i < d->late->len;) {
-    Late *l = d->late->pdata[i];
-    if (l->at > s->now && !all) {
+  Script *script = day->scene->s;
+  for (guint i = 0; i < day->late->len;) {
+    Late *late = day->late->pdata[i];
+    if (late->at > script->now && !all) {
       i++;
       continue;
     }
-    if (l->write)
-      script_late (s, l->write);
-    if (l->orders)
-      scene_obey_direct (l->machine, l->orders);
-    if (l->report && s->nodes[l->node].core)
-      scene_deliver (d->scene, pick (d, 2) ? MAX (0, script_leader (s)) : l->node, l->report);
-    g_ptr_array_remove_index (d->late, i);
+    if (late->write)
+      script_late (script, late->write);
+    if (late->orders)
+      scene_obey_direct (late->machine, late->orders);
+    if (late->report && script->nodes[late->node].core)
+      scene_deliver (day->scene, pick (day, 2) ? MAX (0, script_leader (script)) : late->node,
+                     late->report);
+    g_ptr_array_remove_index (day->late, i);
   }
 }
 
 static void
-end_tasks (Day *d, gboolean well)
+end_tasks (Day *day, gboolean well)
 {
-  SceneMachine *m = d->machines[pick (d, MACHINES)];
-  if (!m->tasks->len || m->hangs)
+  SceneMachine *machine = day->machines[pick (day, MACHINES)];
+  if (!machine->tasks->len || machine->hangs)
     return;
-  SceneTask *t = m->tasks->pdata[pick (d, m->tasks->len)];
-  g_autofree char *piece = g_strdup (t->piece);
-  scene_exit (m, piece, well || pick (d, 5) ? "done" : "error");
+  SceneTask *task = machine->tasks->pdata[pick (day, machine->tasks->len)];
+  g_autofree char *piece = g_strdup (task->piece);
+  scene_exit (machine, piece, well || pick (day, 5) ? "done" : "error");
 }
 
 static void
-mend (Day *d, gboolean all)
+mend (Day *day, gboolean all)
 {
-  Script *s = d->scene->s;
+  Script *script = day->scene->s;
   for (int i = 0; i < NODES; i++) {
-    if (d->node_until[i] > s->now && !all)
+    if (day->node_until[i] > script->now && !all)
       continue;
-    if (d->frozen[i])
-      scene_thaw (d->scene, i);
-    d->frozen[i] = FALSE;
-    s->nodes[i].served = TRUE;
-    if (!s->nodes[i].core)
-      script_start (s, i);
-    g_array_index (s->nodes[i].set->teams, HrTeam, 0).cpus_max = CPUS_MAX;
+    if (day->frozen[i])
+      scene_thaw (day->scene, i);
+    day->frozen[i] = FALSE;
+    script->nodes[i].served = TRUE;
+    if (!script->nodes[i].core)
+      script_start (script, i);
+    g_array_index (script->nodes[i].set->teams, HrTeam, 0).cpus_max = CPUS_MAX;
   }
   for (int i = 0; i < MACHINES; i++) {
-    SceneMachine *m = d->machines[i];
-    if (d->flag_until[i] > s->now && !all)
+    SceneMachine *machine = day->machines[i];
+    if (day->flag_until[i] > script->now && !all)
       continue;
-    m->reports = m->hears = m->reached = TRUE;
-    m->hangs = FALSE;
-    m->only = -1;
-    if (m->gone) { /* rented anew */
-      g_autofree char *name = g_strdup_printf ("m-%u", 100 + d->scene->machines->len);
-      d->machines[i] = scene_machine (d->scene, name, i % 2 ? "z1" : "z0");
-      d->machines[i]->node = pick (d, NODES);
+    machine->reports = machine->hears = machine->reached = TRUE;
+    machine->hangs = FALSE;
+    machine->only = -1;
+    if (machine->gone) { /* rented anew */
+      g_autofree char *name = g_strdup_printf ("m-%u", 100 + day->scene->machines->len);
+      day->machines[i] = scene_machine (day->scene, name, i % 2 ? "z1" : "z0");
+      day->machines[i]->node = pick (day, NODES);
     }
   }
-  s->outage = s->now < d->outage_until && !all;
-  s->hints = s->now >= d->apart_until || all;
-  d->scene->cloud_deletes = s->now >= d->cloud_until || all;
+  script->outage = script->now < day->outage_until && !all;
+  script->hints = script->now >= day->apart_until || all;
+  day->scene->cloud_deletes = script->now >= day->cloud_until || all;
 }
 
 static void
-something_happens (Day *d)
+something_happens (Day *day)
 {
-  Script *s = d->scene->s;
-  switch (pick (d, 12)) {
+  Script *script = day->scene->s;
+  switch (pick (day, 12)) {
   case 0:
-    trouble_of_node (d);
+    trouble_of_node (day);
     break;
   case 1:
   case 2:
   case 3:
-    trouble_of_machine (d);
+    trouble_of_machine (day);
     break;
   case 4:
   case 5:
-    keep_back (d);
+    keep_back (day);
     break;
   case 6:
-    if (s->now > d->outage_until + 20)
-      d->outage_until = s->now + draw (d, 2, 45);
+    if (script->now > day->outage_until + 20)
+      day->outage_until = script->now + draw (day, 2, 45);
     break;
   case 7:
-    d->apart_until = s->now + draw (d, 1, 12);
+    day->apart_until = script->now + draw (day, 1, 12);
     break;
   case 8:
-    d->cloud_until = s->now + draw (d, 1, 25);
+    day->cloud_until = script->now + draw (day, 1, 25);
     break;
   case 9:
   case 10:
-    end_tasks (d, FALSE);
+    end_tasks (day, FALSE);
     break;
   default:
-    scene_release (d->scene);
-    if (pick (d, 2))
-      script_hold (s, MAX (0, script_leader (s)), "/commit", NULL);
+    scene_release (day->scene);
+    if (pick (day, 2))
+      script_hold (script, MAX (0, script_leader (script)), "/commit", NULL);
   }
 }
 
 static void
-day_begin (Day *d, guint seed)
+day_begin (Day *day, guint seed)
 {
-  memset (d, 0, sizeof *d);
-  d->rand = g_rand_new_with_seed (seed);
-  d->scene = scene_new (NODES);
-  d->scene->cpus_max = CPUS_MAX;
-  d->late = g_ptr_array_new_with_free_func (late_free);
-  d->asked = g_ptr_array_new_with_free_func (asked_free);
-  d->accepted = g_ptr_array_new_with_free_func (g_free);
-  d->cancelled = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  memset (day, 0, sizeof *day);
+  day->rand = g_rand_new_with_seed (seed);
+  day->scene = scene_new (NODES);
+  day->scene->cpus_max = CPUS_MAX;
+  day->late = g_ptr_array_new_with_free_func (late_free);
+  day->asked = g_ptr_array_new_with_free_func (asked_free);
+  day->accepted = g_ptr_array_new_with_free_func (g_free);
+  day->cancelled = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   for (int i = 0; i < MACHINES; i++) {
     g_autofree char *name = g_strdup_printf ("m-%d", i);
-    d->machines[i] = scene_machine (d->scene, name, i % 2 ? "z1" : "z0");
+    day->machines[i] = scene_machine (day->scene, name, i % 2 ? "z1" : "z0");
   }
-  mend (d, TRUE);
-  scene_run (d->scene, 3);
+  mend (day, TRUE);
+  scene_run (day->scene, 3);
 }
 
 /* All its tasks have ended, or its user cancelled it. */
 static gboolean
-ended_well (Day *d, const char *id, guint seed)
+ended_well (Day *day, const char *id, guint seed)
 {
-  const SceneJob *job = g_hash_table_lookup (d->scene->jobs, id);
-  const char *state = scene_stance (d->scene, pick (d, NODES), id);
-  gboolean cancelled = g_hash_table_contains (d->cancelled, id);
+  const SceneJob *job = g_hash_table_lookup (day->scene->jobs, id);
+  const char *state = scene_stance (day->scene, pick (day, NODES), id);
+  gboolean cancelled = g_hash_table_contains (day->cancelled, id);
   if (g_strcmp0 (state, "done") == 0 || (cancelled && g_strcmp0 (state, "withdrawn") == 0))
     return TRUE;
   print_message ("seed %u: %s ends as %s, %u of %u tasks done\n", seed, id,
@@ -349,49 +350,49 @@
 static guint
 play (guint seed)
 {
-  Day day, *d = &day;
-  day_begin (d, seed);
-  Script *s = d->scene->s;
-  double calm = s->now + TROUBLES_S;
-  while (s->now < calm) {
-    mend (d, FALSE);
-    something_happens (d);
-    if (!pick (d, 5) && d->jobs < 25)
-      submit (d);
-    for (int i = 0; i < 2 && d->jobs; i++) {
-      g_autofree char *id = g_strdup_printf ("job-%u", pick (d, d->jobs));
-      ask (d, id, NULL, !pick (d, 8));
+  Day day, *day_row = &day;
+  day_begin (day_row, seed);
+  Script *script = day_row->scene->s;
+  double calm = script->now + TROUBLES_S;
+  while (script->now < calm) {
+    mend (day_row, FALSE);
+    something_happens (day_row);
+    if (!pick (day_row, 5) && day_row->jobs < 25)
+      submit (day_row);
+    for (int i = 0; i < 2 && day_row->jobs; i++) {
+      g_autofree char *id = g_strdup_printf ("job-%u", pick (day_row, day_row->jobs));
+      ask (day_row, id, NULL, !pick (day_row, 8));
     }
-    scene_run (d->scene, draw (d, 0.1, 1));
-    arrive (d, FALSE);
-    hear_answers (d);
+    scene_run (day_row->scene, draw (day_row, 0.1, 1));
+    arrive (day_row, FALSE);
+    hear_answers (day_row);
   }
-  scene_release (d->scene);
-  mend (d, TRUE);
-  arrive (d, TRUE);
+  scene_release (day_row->scene);
+  mend (day_row, TRUE);
+  arrive (day_row, TRUE);
   for (int i = 0; i < CALM_S; i++) {
-    mend (d, TRUE);
+    mend (day_row, TRUE);
     for (int k = 0; k < MACHINES; k++) /* what runs ends soon, so that all have their turn */
-      end_tasks (d, TRUE);
-    scene_run (d->scene, 1);
-    hear_answers (d);
+      end_tasks (day_row, TRUE);
+    scene_run (day_row->scene, 1);
+    hear_answers (day_row);
   }
   guint broken = 0;
-  for (guint i = 0; i < d->accepted->len; i++)
-    broken += !ended_well (d, d->accepted->pdata[i], seed);
-  for (guint i = 0; i < MIN (d->scene->broken->len, 4); i++)
-    print_message ("seed %u: %s\n", seed, (char *)d->scene->broken->pdata[i]);
-  broken += d->scene->broken->len;
+  for (guint i = 0; i < day_row->accepted->len; i++)
+    broken += !ended_well (day_row, day_row->accepted->pdata[i], seed);
+  for (guint i = 0; i < MIN (day_row->scene->broken->len, 4); i++)
+    print_message ("seed %u: %s\n", seed, (char *)day_row->scene->broken->pdata[i]);
+  broken += day_row->scene->broken->len;
   if (g_getenv ("HR_SIM_VERBOSE"))
-    print_message ("seed %u: %u jobs, %u starts, epoch %" G_GUINT64_FORMAT "\n", seed, d->jobs,
-                   d->scene->starts, s->epoch);
-  g_ptr_array_set_size (d->scene->broken, 0);
-  g_ptr_array_unref (d->late);
-  g_ptr_array_unref (d->asked);
-  g_ptr_array_unref (d->accepted);
-  g_hash_table_unref (d->cancelled);
-  g_rand_free (d->rand);
-  scene_end (d->scene);
+    print_message ("seed %u: %u jobs, %u starts, epoch %" G_GUINT64_FORMAT "\n", seed,
+                   day_row->jobs, day_row->scene->starts, script->epoch);
+  g_ptr_array_set_size (day_row->scene->broken, 0);
+  g_ptr_array_unref (day_row->late);
+  g_ptr_array_unref (day_row->asked);
+  g_ptr_array_unref (day_row->accepted);
+  g_hash_table_unref (day_row->cancelled);
+  g_rand_free (day_row->rand);
+  scene_end (day_row->scene);
   return broken;
 }
 
--- a/tests/test_withdrawals.c
+++ b/tests/test_withdrawals.c
@@ -13,21 +13,21 @@
 static Script *
 member_new (HrPeerStatus **leader)
 {
-  Script *s = script_new ("c1");
-  assert_false (s->said.is_leader);
-  script_submit (s, JOB);
-  script_run (s, 2);
-  *leader = &s->members[0].hint;
+  Script *script = script_new ("c1");
+  assert_false (script->said.is_leader);
+  script_submit (script, JOB);
+  script_run (script, 2);
+  *leader = &script->members[0].hint;
   (*leader)->is_leader = TRUE;
-  (*leader)->applied_revision = s->epoch;
-  script_run (s, 2);
-  return s;
+  (*leader)->applied_revision = script->epoch;
+  script_run (script, 2);
+  return script;
 }
 
 static gboolean
-names (const Script *s, const char *id)
+names (const Script *script, const char *id)
 {
-  const HrNamedCancellations *named = &s->said.cancellations;
+  const HrNamedCancellations *named = &script->said.cancellations;
   for (const char *key = hr_named_cancellations_next (named, NULL); key;
        key = hr_named_cancellations_next (named, key))
     if (strcmp (key, id) == 0)
@@ -46,18 +46,18 @@
 a_confirmed_withdrawal_is_named_at_once (void **state)
 {
   HrPeerStatus *leader;
-  Script *s = member_new (&leader);
-  assert_true (s->said.cancellations.is_stated);
-  assert_int_equal (s->said.cancellations.count, 0);
-  assert_int_equal (script_ask (s, HR_POST, "/v1/jobs/" JOB "/abort", NULL), 200);
-  double told = s->now;
-  while (!names (s, JOB) && s->now < told + 2)
-    script_run (s, 0.1);
-  assert_true (names (s, JOB));
-  assert_true (s->now < told + 0.45);
-  assert_int_equal (s->said.cancellations.log_end - s->said.cancellations.log_begin, 1);
-  assert_int_equal (s->said.latest_cancellation, s->epoch);
-  script_free (s);
+  Script *script = member_new (&leader);
+  assert_true (script->said.cancellations.is_stated);
+  assert_int_equal (script->said.cancellations.count, 0);
+  assert_int_equal (script_ask (script, HR_POST, "/v1/jobs/" JOB "/abort", NULL), 200);
+  double told = script->now;
+  while (!names (script, JOB) && script->now < told + 2)
+    script_run (script, 0.1);
+  assert_true (names (script, JOB));
+  assert_true (script->now < told + 0.45);
+  assert_int_equal (script->said.cancellations.log_end - script->said.cancellations.log_begin, 1);
+  assert_int_equal (script->said.latest_cancellation, script->epoch);
+  script_free (script);
 }
 
 /* Until the leader says that it has it, and again to one that has not; it is dropped when the
@@ -66,27 +66,27 @@
 it_is_named_until_it_is_known (void **state)
 {
   HrPeerStatus *leader;
-  Script *s = member_new (&leader);
-  script_ask (s, HR_POST, "/v1/jobs/" JOB "/abort", NULL);
-  guint64 revision = s->epoch;
-  script_run (s, 10);
-  assert_true (names (s, JOB));
-  guint64 end = s->said.cancellations.log_end;
+  Script *script = member_new (&leader);
+  script_ask (script, HR_POST, "/v1/jobs/" JOB "/abort", NULL);
+  guint64 revision = script->epoch;
+  script_run (script, 10);
+  assert_true (names (script, JOB));
+  guint64 end = script->said.cancellations.log_end;
   acknowledge (leader, end);
-  script_run (s, 3);
-  assert_int_equal (s->said.cancellations.count, 0);
-  assert_int_equal (s->said.cancellations.first_position, end);
-  assert_true (s->said.cancellations.dropped_revision < revision);
+  script_run (script, 3);
+  assert_int_equal (script->said.cancellations.count, 0);
+  assert_int_equal (script->said.cancellations.first_position, end);
+  assert_true (script->said.cancellations.dropped_revision < revision);
   g_strlcpy (leader->incarnation, "c1-2", sizeof leader->incarnation);
   acknowledge (leader, 0);
-  script_run (s, 3);
-  assert_true (names (s, JOB));
+  script_run (script, 3);
+  assert_true (names (script, JOB));
   leader->applied_revision = revision;
-  script_run (s, 3);
-  assert_int_equal (s->said.cancellations.count, 0);
-  assert_int_equal (s->said.cancellations.log_begin, end);
-  assert_int_equal (s->said.cancellations.dropped_revision, revision);
-  script_free (s);
+  script_run (script, 3);
+  assert_int_equal (script->said.cancellations.count, 0);
+  assert_int_equal (script->said.cancellations.log_begin, end);
+  assert_int_equal (script->said.cancellations.dropped_revision, revision);
+  script_free (script);
 }
 
 /* The leader still echoes a process of c0 that has ended, and how much of its log it had. */
@@ -94,15 +94,15 @@
 an_echo_of_an_earlier_process (void **state)
 {
   HrPeerStatus *leader;
-  Script *s = member_new (&leader);
-  s->members[0].echo_stays = TRUE;
+  Script *script = member_new (&leader);
+  script->members[0].echo_stays = TRUE;
   g_strlcpy (leader->echoes[0].incarnation, "c0-0", sizeof leader->echoes[0].incarnation);
   acknowledge (leader, 100);
-  script_run (s, 2);
-  script_ask (s, HR_POST, "/v1/jobs/" JOB "/abort", NULL);
-  script_run (s, 3);
-  assert_true (names (s, JOB));
-  script_free (s);
+  script_run (script, 2);
+  script_ask (script, HR_POST, "/v1/jobs/" JOB "/abort", NULL);
+  script_run (script, 3);
+  assert_true (names (script, JOB));
+  script_free (script);
 }
 
 /* Its beginning goes when it grows too long, and the log says so. */
@@ -111,20 +111,20 @@
 {
   enum { JOBS = 1200 };
   HrPeerStatus *leader;
-  Script *s = member_new (&leader);
+  Script *script = member_new (&leader);
   guint64 first = 0;
   for (int i = 0; i < JOBS; i++) {
     g_autofree char *key = g_strdup_printf ("h/j/job-%06d", i);
-    script_write (s, key, "{\"s\":2,\"w\":\"x\",\"n\":1,\"d\":0}");
-    first = first ? first : s->epoch;
+    script_write (script, key, "{\"s\":2,\"w\":\"x\",\"n\":1,\"d\":0}");
+    first = first ? first : script->epoch;
   }
-  script_run (s, 3);
-  const HrNamedCancellations *named = &s->said.cancellations;
+  script_run (script, 3);
+  const HrNamedCancellations *named = &script->said.cancellations;
   assert_true (named->log_end - named->log_begin <= 1024);
-  assert_int_equal (s->said.latest_cancellation, s->epoch);
-  assert_int_equal (s->epoch - named->dropped_revision, named->log_end - named->log_begin);
+  assert_int_equal (script->said.latest_cancellation, script->epoch);
+  assert_int_equal (script->epoch - named->dropped_revision, named->log_end - named->log_begin);
   assert_true (named->dropped_revision > first);
-  script_free (s);
+  script_free (script);
 }
 
 /* The write was carried out, but its answer is lost, and c0 does not know: it tells no user, and
@@ -133,25 +133,25 @@
 a_write_whose_answer_was_lost (void **state)
 {
   HrPeerStatus *leader;
-  Script *s = member_new (&leader);
-  guint64 before = s->said.latest_cancellation, store_revision = s->epoch;
-  s->loses_writes = s->out_after_loss = TRUE;
-  assert_int_equal (script_ask (s, HR_POST, "/v1/jobs/" JOB "/abort", NULL), 503);
-  assert_int_equal (s->epoch, store_revision + 1);
-  assert_false (s->served);
-  script_run (s, 5);
-  assert_int_equal (s->said.latest_cancellation, before);
-  assert_false (names (s, JOB));
-  assert_int_equal (script_ask (s, HR_POST, "/v1/jobs/" JOB "/abort", NULL), 503);
-  s->loses_writes = FALSE;
-  s->served = TRUE;
-  script_run (s, 2);
-  assert_int_equal (script_ask (s, HR_POST, "/v1/jobs/" JOB "/abort", NULL), 200);
-  assert_non_null (strstr (s->answer, "\"withdrawn\""));
-  script_run (s, 0.5);
-  assert_true (names (s, JOB));
-  assert_int_equal (s->said.latest_cancellation, store_revision + 1);
-  script_free (s);
+  Script *script = member_new (&leader);
+  guint64 before = script->said.latest_cancellation, store_revision = script->epoch;
+  script->loses_writes = script->out_after_loss = TRUE;
+  assert_int_equal (script_ask (script, HR_POST, "/v1/jobs/" JOB "/abort", NULL), 503);
+  assert_int_equal (script->epoch, store_revision + 1);
+  assert_false (script->served);
+  script_run (script, 5);
+  assert_int_equal (script->said.latest_cancellation, before);
+  assert_false (names (script, JOB));
+  assert_int_equal (script_ask (script, HR_POST, "/v1/jobs/" JOB "/abort", NULL), 503);
+  script->loses_writes = FALSE;
+  script->served = TRUE;
+  script_run (script, 2);
+  assert_int_equal (script_ask (script, HR_POST, "/v1/jobs/" JOB "/abort", NULL), 200);
+  assert_non_null (strstr (script->answer, "\"withdrawn\""));
+  script_run (script, 0.5);
+  assert_true (names (script, JOB));
+  assert_int_equal (script->said.latest_cancellation, store_revision + 1);
+  script_free (script);
 }
 
 /* The same, but c0 can read: the user is told after that reading, and the job is named. */
@@ -159,16 +159,16 @@
 a_write_that_is_read_before_its_user_is_told (void **state)
 {
   HrPeerStatus *leader;
-  Script *s = member_new (&leader);
-  s->loses_writes = TRUE;
-  guint64 store_revision = s->epoch;
-  assert_int_equal (script_ask (s, HR_POST, "/v1/jobs/" JOB "/abort", NULL), 200);
-  assert_non_null (strstr (s->answer, "\"withdrawn\""));
-  assert_int_equal (s->epoch, store_revision + 1);
-  script_run (s, 1.2);
-  assert_true (names (s, JOB));
-  assert_int_equal (s->said.latest_cancellation, store_revision + 1);
-  script_free (s);
+  Script *script = member_new (&leader);
+  script->loses_writes = TRUE;
+  guint64 store_revision = script->epoch;
+  assert_int_equal (script_ask (script, HR_POST, "/v1/jobs/" JOB "/abort", NULL), 200);
+  assert_non_null (strstr (script->answer, "\"withdrawn\""));
+  assert_int_equal (script->epoch, store_revision + 1);
+  script_run (script, 1.2);
+  assert_true (names (script, JOB));
+  assert_int_equal (script->said.latest_cancellation, store_revision + 1);
+  script_free (script);
 }
 
 /* What another member confirmed, and c0 read, is c0's to name as well. */
@@ -176,11 +176,11 @@
 a_withdrawal_that_was_read_is_named (void **state)
 {
   HrPeerStatus *leader;
-  Script *s = member_new (&leader);
-  script_withdraw (s, JOB);
-  script_run (s, 3);
-  assert_true (names (s, JOB));
-  script_free (s);
+  Script *script = member_new (&leader);
+  script_withdraw (script, JOB);
+  script_run (script, 3);
+  assert_true (names (script, JOB));
+  script_free (script);
 }
 
 /* More than a hint holds: each names a part, from where the leader is. */
@@ -189,35 +189,35 @@
 {
   enum { JOBS = 300 };
   HrPeerStatus *leader;
-  Script *s = member_new (&leader);
+  Script *script = member_new (&leader);
   g_autoptr (GHashTable) told = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   for (int i = 0; i < JOBS; i++) {
     g_autofree char *id = g_strdup_printf ("job-%06d", i);
-    script_submit (s, id);
-    leader->applied_revision = s->epoch;
+    script_submit (script, id);
+    leader->applied_revision = script->epoch;
   }
-  script_run (s, 2);
+  script_run (script, 2);
   for (int i = 0; i < JOBS; i++) {
     g_autofree char *id = g_strdup_printf ("job-%06d", i);
-    script_withdraw (s, id);
+    script_withdraw (script, id);
   }
-  script_run (s, 3);
-  double from = s->now;
-  guint64 begins = s->said.cancellations.log_begin;
-  assert_int_equal (s->said.cancellations.log_end - begins, JOBS);
-  for (int part = 0; s->said.cancellations.count && part < 20; part++) {
-    const HrNamedCancellations *named = &s->said.cancellations;
+  script_run (script, 3);
+  double from = script->now;
+  guint64 begins = script->said.cancellations.log_begin;
+  assert_int_equal (script->said.cancellations.log_end - begins, JOBS);
+  for (int part = 0; script->said.cancellations.count && part < 20; part++) {
+    const HrNamedCancellations *named = &script->said.cancellations;
     assert_true (named->count < JOBS);
     for (const char *key = hr_named_cancellations_next (named, NULL); key;
          key = hr_named_cancellations_next (named, key))
       g_hash_table_add (told, g_strdup (key));
     acknowledge (leader, named->first_position + named->count);
-    script_hint (s, leader);
-    script_run (s, 0.3);
+    script_hint (script, leader);
+    script_run (script, 0.3);
   }
   assert_int_equal (g_hash_table_size (told), JOBS);
-  assert_true (s->now < from + 2.5); /* one a second would take 4 s */
-  script_free (s);
+  assert_true (script->now < from + 2.5); /* one a second would take 4 s */
+  script_free (script);
 }
 
 /* It would not understand them. */
@@ -225,15 +225,15 @@
 nothing_is_named_to_an_older_version (void **state)
 {
   HrPeerStatus *leader;
-  Script *s = member_new (&leader);
+  Script *script = member_new (&leader);
   leader->cancellations.is_stated = FALSE;
   leader->applied_revision = 0;
-  script_run (s, 2);
-  script_ask (s, HR_POST, "/v1/jobs/" JOB "/abort", NULL);
-  script_run (s, 3);
-  assert_int_equal (s->said.cancellations.count, 0);
-  assert_int_equal (s->said.latest_cancellation, s->epoch);
-  script_free (s);
+  script_run (script, 2);
+  script_ask (script, HR_POST, "/v1/jobs/" JOB "/abort", NULL);
+  script_run (script, 3);
+  assert_int_equal (script->said.cancellations.count, 0);
+  assert_int_equal (script->said.latest_cancellation, script->epoch);
+  script_free (script);
 }
 
 int
--- a/tests/test_workers.c
+++ b/tests/test_workers.c
@@ -34,26 +34,26 @@
 scene_led (int nodes)
 {
   Scene *scene = scene_new (nodes);
-  Script *s = scene->s;
-  for (int i = 0; script_leader (s) != 0 && i < 10; i++) {
-    int leader = script_leader (s);
-    script_end (s, leader);
+  Script *script = scene->s;
+  for (int i = 0; script_leader (script) != 0 && i < 10; i++) {
+    int leader = script_leader (script);
+    script_end (script, leader);
     scene_run (scene, 6);
-    script_start (s, leader);
+    script_start (script, leader);
     scene_run (scene, 3);
   }
-  assert_int_equal (script_leader (s), 0);
+  assert_int_equal (script_leader (script), 0);
   return scene;
 }
 
 /* A job of one task that runs on the machine. */
 static void
-running (Scene *scene, SceneMachine *m, const char *id)
+running (Scene *scene, SceneMachine *machine, const char *id)
 {
   g_autofree char *piece = g_strconcat (id, "/0", NULL);
   scene_submit (scene, 0, id, NULL);
   scene_until (scene, on_machine, piece, 8);
-  assert_true (scene_has (m, piece));
+  assert_true (scene_has (machine, piece));
   scene_run (scene, 3);
 }
 
@@ -90,29 +90,30 @@
 an_owner_that_reads_anew_raises_its_token (void **state)
 {
   Scene *scene = scene_led (2);
-  Script *s = scene->s;
-  SceneMachine *m1 = scene_machine (scene, "m-1", "z0"), *m2 = scene_machine (scene, "m-2", "z0");
-  m2->reports = FALSE;
+  Script *script = scene->s;
+  SceneMachine *first = scene_machine (scene, "m-1", "z0"),
+               *second = scene_machine (scene, "m-2", "z0");
+  second->reports = FALSE;
   scene_run (scene, 4);
-  script_hold (s, 0, "/changes", NULL);
-  m1->reports = FALSE;
+  script_hold (script, 0, "/changes", NULL);
+  first->reports = FALSE;
   guint64 before = baton_of (scene);
-  ScriptCall *late = script_delay (s, scene_launch_call (scene, m1, 0, "job-a"));
+  ScriptCall *late = script_delay (script, scene_launch_call (scene, first, 0, "job-a"));
   /* Its next reading finds that the changes since the last one are gone. */
   scene_submit (scene, 1, "job-b", NULL);
-  script_forget_changes (s);
+  script_forget_changes (script);
   scene_release (scene);
   scene_run (scene, 1);
   /* Its machine lacks the task, and is soon taken: the task goes elsewhere. */
   scene->cloud_deletes = FALSE;
-  m2->reports = m1->reports = TRUE;
-  m1->notice = 60;
+  second->reports = first->reports = TRUE;
+  first->notice = 60;
   scene_run (scene, 9);
-  scene_obey_direct (m1, late->body);
-  script_late (s, late);
+  scene_obey_direct (first, late->body);
+  script_late (script, late);
   scene_run (scene, 8);
-  assert_true (scene_has (m2, "job-a/0"));
-  assert_int_equal (script_leader (s), 0);
+  assert_true (scene_has (second, "job-a/0"));
+  assert_int_equal (script_leader (script), 0);
   gboolean raised = baton_of (scene) > before;
   scene_end (scene);
   assert_true (raised);
@@ -124,25 +125,26 @@
 a_process_that_is_back_at_once_raises_the_token (void **state)
 {
   Scene *scene = scene_led (2);
-  Script *s = scene->s;
-  SceneMachine *m1 = scene_machine (scene, "m-1", "z0"), *m2 = scene_machine (scene, "m-2", "z0");
-  m2->reports = FALSE;
+  Script *script = scene->s;
+  SceneMachine *first = scene_machine (scene, "m-1", "z0"),
+               *second = scene_machine (scene, "m-2", "z0");
+  second->reports = FALSE;
   scene_run (scene, 4);
-  m1->reports = FALSE;
+  first->reports = FALSE;
   guint64 before = baton_of (scene);
-  ScriptCall *late = script_delay (s, scene_launch_call (scene, m1, 0, "job-a"));
-  script_end (s, 0);
+  ScriptCall *late = script_delay (script, scene_launch_call (scene, first, 0, "job-a"));
+  script_end (script, 0);
   scene_run (scene, 0.3);
-  script_start (s, 0);
+  script_start (script, 0);
   scene->cloud_deletes = FALSE;
-  m1->notice = 60;
-  m1->reports = m2->reports = TRUE;
+  first->notice = 60;
+  first->reports = second->reports = TRUE;
   scene_run (scene, 12);
-  assert_int_equal (script_leader (s), 0);
-  assert_true (scene_has (m2, "job-a/0"));
+  assert_int_equal (script_leader (script), 0);
+  assert_true (scene_has (second, "job-a/0"));
   gboolean raised = baton_of (scene) > before;
-  int status = scene_obey_direct (m1, late->body);
-  script_late (s, late);
+  int status = scene_obey_direct (first, late->body);
+  script_late (script, late);
   scene_end (scene);
   assert_true (raised);
   assert_int_equal (status, 409);
@@ -154,21 +156,21 @@
 a_late_launch_after_its_kill_is_void (void **state)
 {
   Scene *scene = scene_led (2);
-  Script *s = scene->s;
-  SceneMachine *m = scene_machine (scene, "m-1", "z0");
+  Script *script = scene->s;
+  SceneMachine *machine = scene_machine (scene, "m-1", "z0");
   scene_run (scene, 4);
-  m->reports = FALSE;
+  machine->reports = FALSE;
   guint64 before = baton_of (scene);
-  ScriptCall *late = script_delay (s, scene_launch_call (scene, m, 0, "job-a"));
+  ScriptCall *late = script_delay (script, scene_launch_call (scene, machine, 0, "job-a"));
   scene_withdraw (scene, 1, "job-a");
   scene_run (scene, 1);
-  m->reports = TRUE;
-  m->node = 0;
+  machine->reports = TRUE;
+  machine->node = 0;
   scene_run (scene, 10);
   assert_true (baton_of (scene) > before);
   guint starts = scene->starts;
-  assert_int_equal (scene_obey_direct (m, late->body), 409);
-  script_late (s, late);
+  assert_int_equal (scene_obey_direct (machine, late->body), 409);
+  script_late (script, late);
   assert_int_equal (scene->starts, starts);
   scene_end (scene);
 }
@@ -179,21 +181,21 @@
 a_copy_of_a_launch_after_the_end_is_void (void **state)
 {
   Scene *scene = scene_led (2);
-  Script *s = scene->s;
-  SceneMachine *m = scene_machine (scene, "m-1", "z0");
+  Script *script = scene->s;
+  SceneMachine *machine = scene_machine (scene, "m-1", "z0");
   scene_run (scene, 4);
-  ScriptCall *call = scene_launch_call (scene, m, 0, "job-a");
+  ScriptCall *call = scene_launch_call (scene, machine, 0, "job-a");
   g_autofree char *copy = g_strdup (call->body);
-  m->reached = TRUE;
+  machine->reached = TRUE;
   scene_run (scene, 3);
-  assert_true (scene_has (m, "job-a/0"));
-  scene_exit (m, "job-a/0", "done");
+  assert_true (scene_has (machine, "job-a/0"));
+  scene_exit (machine, "job-a/0", "done");
   scene_run (scene, 8);
   assert_string_equal (scene_stance (scene, 1, "job-a"), "done");
   guint starts = scene->starts;
-  scene_obey_direct (m, copy);
+  scene_obey_direct (machine, copy);
   assert_int_equal (scene->starts, starts);
-  (void)s;
+  (void)script;
   scene_end (scene);
 }
 
@@ -206,25 +208,25 @@
 a_leader_on_an_island_lets_go (void **state)
 {
   Scene *scene = scene_led (2);
-  SceneMachine *m1 = scene_machine (scene, "m-1", "z0");
+  SceneMachine *first = scene_machine (scene, "m-1", "z0");
   scene_run (scene, 4);
-  running (scene, m1, "job-a");
-  running (scene, m1, "job-b");
-  m1->only = 0;
-  SceneMachine *m2 = scene_machine (scene, "m-2", "z0");
-  m2->only = 1;
+  running (scene, first, "job-a");
+  running (scene, first, "job-b");
+  first->only = 0;
+  SceneMachine *second = scene_machine (scene, "m-2", "z0");
+  second->only = 1;
   scene->cloud_deletes = FALSE;
   cut_off (scene, 0);
   scene_until (scene, led_by_1, NULL, 12);
   scene_run (scene, 0.5);
-  assert_true (scene_has (m1, "job-a/0"));
+  assert_true (scene_has (first, "job-a/0"));
   scene_withdraw (scene, 1, "job-a");
   scene_run (scene, scene->s->pol.alone_s + scene->lease_s);
-  assert_true (m1->tenure > 1); /* it hears of no outage, so it is cut off, and lets go early */
+  assert_true (first->tenure > 1); /* it hears of no outage, so it is cut off, and lets go early */
   scene_run (scene, scene->cancel_s);
-  assert_false (scene_has (m1, "job-a/0"));
+  assert_false (scene_has (first, "job-a/0"));
   scene_until (scene, on_machine, "job-b/0", 40);
-  assert_true (scene_has (m2, "job-b/0"));
+  assert_true (scene_has (second, "job-b/0"));
   scene_end (scene);
 }
 
@@ -264,18 +266,18 @@
 a_deaf_machine_keeps_its_task_until_its_session_ends (void **state)
 {
   Scene *scene = scene_led (2);
-  SceneMachine *m1 = scene_machine (scene, "m-1", "z0");
+  SceneMachine *first = scene_machine (scene, "m-1", "z0");
   scene_run (scene, 4);
-  running (scene, m1, "job-a");
-  SceneMachine *m2 = scene_machine (scene, "m-2", "z0");
+  running (scene, first, "job-a");
+  SceneMachine *second = scene_machine (scene, "m-2", "z0");
   scene_run (scene, 4);
   scene->cloud_deletes = FALSE;
-  m1->hears = m1->reached = FALSE;
+  first->hears = first->reached = FALSE;
   script_end (scene->s, 0);
   scene_until (scene, led_by_1, NULL, 12);
   scene_run (scene, scene->s->pol.silent_s + 8);
-  assert_true (m1->tenure > 1);
-  assert_true (scene_has (m2, "job-a/0"));
+  assert_true (first->tenure > 1);
+  assert_true (scene_has (second, "job-a/0"));
   scene_end (scene);
 }
 
@@ -285,20 +287,20 @@
 a_mute_machine_is_told_directly (void **state)
 {
   Scene *scene = scene_led (2);
-  SceneMachine *m1 = scene_machine (scene, "m-1", "z0");
+  SceneMachine *first = scene_machine (scene, "m-1", "z0");
   scene_run (scene, 4);
-  running (scene, m1, "job-a");
-  running (scene, m1, "job-b");
-  SceneMachine *m2 = scene_machine (scene, "m-2", "z0");
+  running (scene, first, "job-a");
+  running (scene, first, "job-b");
+  SceneMachine *second = scene_machine (scene, "m-2", "z0");
   scene_run (scene, 4);
   scene->cloud_deletes = FALSE;
-  m1->reports = FALSE;
+  first->reports = FALSE;
   scene_withdraw (scene, 1, "job-a");
   scene_until (scene, on_none, "job-a/0", 2);
-  assert_int_equal (m1->tenure, 1);
+  assert_int_equal (first->tenure, 1);
   scene_run (scene, 20);
-  assert_true (m1->tenure > 1);
-  assert_true (scene_has (m2, "job-b/0"));
+  assert_true (first->tenure > 1);
+  assert_true (scene_has (second, "job-b/0"));
   scene_end (scene);
 }
 
@@ -308,16 +310,16 @@
 a_deletion_without_answer_holds_tasks_no_longer_than_a_lease (void **state)
 {
   Scene *scene = scene_led (2);
-  SceneMachine *m1 = scene_machine (scene, "m-1", "z0");
+  SceneMachine *first = scene_machine (scene, "m-1", "z0");
   scene_run (scene, 20);
-  running (scene, m1, "job-a");
-  SceneMachine *m2 = scene_machine (scene, "m-2", "z0");
+  running (scene, first, "job-a");
+  SceneMachine *second = scene_machine (scene, "m-2", "z0");
   scene_run (scene, 4);
   scene->cloud_deletes = FALSE;
-  m1->reports = FALSE; /* silent, and so returned */
+  first->reports = FALSE; /* silent, and so returned */
   scene_run (scene, scene->lease_s + 6);
-  assert_true (m1->tenure > 1);
-  assert_true (scene_has (m2, "job-a/0"));
+  assert_true (first->tenure > 1);
+  assert_true (scene_has (second, "job-a/0"));
   scene_end (scene);
 }
 
@@ -327,21 +329,21 @@
 a_machine_that_hung_is_stopped_when_it_resumes (void **state)
 {
   Scene *scene = scene_led (2);
-  SceneMachine *m1 = scene_machine (scene, "m-1", "z0");
+  SceneMachine *first = scene_machine (scene, "m-1", "z0");
   scene_run (scene, 4);
-  running (scene, m1, "job-a");
+  running (scene, first, "job-a");
   scene->cloud_deletes = FALSE;
-  scene_report (m1, 0);
-  m1->hangs = TRUE;
-  m1->node = 0;
+  scene_report (first, 0);
+  first->hangs = TRUE;
+  first->node = 0;
   scene_withdraw (scene, 1, "job-a");
   scene_run (scene, 5);
-  assert_true (scene_has (m1, "job-a/0"));
+  assert_true (scene_has (first, "job-a/0"));
   assert_true (scene_recorded (scene, "job-a", "\"x\""));
-  m1->hangs = FALSE;
+  first->hangs = FALSE;
   scene_run (scene, 3);
-  assert_false (scene_has (m1, "job-a/0"));
-  assert_int_equal (m1->tenure, 1); /* not by its lease */
+  assert_false (scene_has (first, "job-a/0"));
+  assert_int_equal (first->tenure, 1); /* not by its lease */
   assert_false (scene_recorded (scene, "job-a", "\"x\""));
   scene_end (scene);
 }
@@ -352,19 +354,19 @@
 a_launch_that_meets_a_withdrawal_is_stopped (void **state)
 {
   Scene *scene = scene_led (2);
-  Script *s = scene->s;
+  Script *script = scene->s;
   scene_machine (scene, "m-1", "z0");
   scene_run (scene, 4);
-  script_hold (s, 0, "/commit", "m-1");
+  script_hold (script, 0, "/commit", "m-1");
   scene_submit (scene, 1, "job-a", NULL);
-  for (int i = 0; i < 60 && !script_call (s, 0, "/commit", "m-1"); i++)
+  for (int i = 0; i < 60 && !script_call (script, 0, "/commit", "m-1"); i++)
     scene_run (scene, 0.05);
-  ScriptCall *write = script_call (s, 0, "/commit", "m-1");
+  ScriptCall *write = script_call (script, 0, "/commit", "m-1");
   assert_non_null (write);
-  script_carry_out (s, write);
-  script_hold (s, 0, "/changes", NULL);
+  script_carry_out (script, write);
+  script_hold (script, 0, "/changes", NULL);
   scene_withdraw (scene, 1, "job-a");
-  script_answer (s, write); /* the assignment is in the ledger, as far as the leader knows */
+  script_answer (script, write); /* the assignment is in the ledger, as far as the leader knows */
   scene_run (scene, 0.5);
   assert_int_equal (scene->starts, 1);
   scene_release (scene);
@@ -381,17 +383,17 @@
 unread_withdrawal (gboolean named)
 {
   Scene *scene = scene_led (3);
-  SceneMachine *m1 = scene_machine (scene, "m-1", "z0");
+  SceneMachine *first = scene_machine (scene, "m-1", "z0");
   scene_run (scene, 4);
-  running (scene, m1, "job-a");
-  m1->only = 0;
+  running (scene, first, "job-a");
+  first->only = 0;
   scene->s->nodes[0].served = FALSE;
   scene_run (scene, 0.5);
   scene->s->hints = named;
   scene_withdraw (scene, 1, "job-a");
   scene->s->outage = TRUE;
   scene_run (scene, scene->cancel_s + 6);
-  assert_false (scene_has (m1, "job-a/0"));
+  assert_false (scene_has (first, "job-a/0"));
   scene_end (scene);
 }
 
@@ -409,14 +411,14 @@
 a_refused_leader_launches_nothing (void **state)
 {
   Scene *scene = scene_led (2);
-  SceneMachine *m1 = scene_machine (scene, "m-1", "z0");
+  SceneMachine *first = scene_machine (scene, "m-1", "z0");
   scene_run (scene, 4);
-  m1->reports = FALSE;
-  scene_launch_call (scene, m1, 0, "job-a");
+  first->reports = FALSE;
+  scene_launch_call (scene, first, 0, "job-a");
   cut_off (scene, 0);
   scene_withdraw (scene, 1, "job-a");
   scene_run (scene, 6);
-  assert_int_equal (scene_report (m1, 0), 200);
+  assert_int_equal (scene_report (first, 0), 200);
   assert_int_equal (scene->starts, 0);
   scene_end (scene);
 }
@@ -427,18 +429,18 @@
 a_controller_in_a_cut_zone_renews_no_lease (void **state)
 {
   Scene *scene = scene_led (3);
-  SceneMachine *m1 = scene_machine (scene, "m-1", "z0");
+  SceneMachine *first = scene_machine (scene, "m-1", "z0");
   scene_run (scene, 4);
-  running (scene, m1, "job-a");
-  SceneMachine *m2 = scene_machine (scene, "m-2", "z0");
+  running (scene, first, "job-a");
+  SceneMachine *second = scene_machine (scene, "m-2", "z0");
   scene_run (scene, 4);
   scene->cloud_deletes = FALSE;
-  m1->only = 2;
-  m1->reached = FALSE;
+  first->only = 2;
+  first->reached = FALSE;
   scene->s->nodes[2].served = FALSE;
   scene_run (scene, scene->lease_s + 8);
-  assert_true (m1->tenure > 1);
-  assert_true (scene_has (m2, "job-a/0"));
+  assert_true (first->tenure > 1);
+  assert_true (scene_has (second, "job-a/0"));
   scene_end (scene);
 }
 
@@ -448,18 +450,18 @@
 a_leader_that_stood_still_does_not_answer (void **state)
 {
   Scene *scene = scene_led (2);
-  SceneMachine *m1 = scene_machine (scene, "m-1", "z0");
+  SceneMachine *first = scene_machine (scene, "m-1", "z0");
   scene_run (scene, 4);
-  running (scene, m1, "job-a");
-  m1->only = 0;
+  running (scene, first, "job-a");
+  first->only = 0;
   scene_freeze (scene, 0);
   scene_run (scene, scene->s->pol.alone_s + 2);
   assert_int_equal (script_leader (scene->s), 1);
-  assert_true (m1->baton < baton_of (scene));
-  g_autofree char *report = scene_write (m1);
+  assert_true (first->baton < baton_of (scene));
+  g_autofree char *report = scene_write (first);
   scene_thaw (scene, 0);
   assert_int_not_equal (scene_deliver (scene, 0, report), 200);
-  m1->only = -1;
+  first->only = -1;
   scene_run (scene, 10);
   assert_int_equal (scene_count (scene, "job-a/0"), 1);
   scene_end (scene);
@@ -471,21 +473,21 @@
 late_copies_of_hints_attest_nothing_new (void **state)
 {
   Scene *scene = scene_led (2);
-  Script *s = scene->s;
-  SceneMachine *m1 = scene_machine (scene, "m-1", "z0");
+  Script *script = scene->s;
+  SceneMachine *first = scene_machine (scene, "m-1", "z0");
   scene_run (scene, 4);
-  running (scene, m1, "job-a");
-  s->outage = TRUE;
+  running (scene, first, "job-a");
+  script->outage = TRUE;
   scene_run (scene, 5);
-  HrPeerStatus copy = s->nodes[1].hint;
-  script_end (s, 1);
-  for (int i = 0; i < s->pol.hold_s + 2; i++) {
+  HrPeerStatus copy = script->nodes[1].hint;
+  script_end (script, 1);
+  for (int i = 0; i < script->pol.hold_s + 2; i++) {
     HrCommand *command = hr_command_new (HR_COMMAND_PEER_STATUS);
     *command->peer_status = copy;
-    script_step (s, 0, command);
+    script_step (script, 0, command);
     scene_run (scene, 1);
   }
-  assert_int_not_equal (scene_report (m1, 0), 200);
+  assert_int_not_equal (scene_report (first, 0), 200);
   scene_end (scene);
 }
 
@@ -497,11 +499,11 @@
 a_report_kept_for_the_next_leader_counts_for_its_order_only (void **state)
 {
   Scene *scene = scene_led (2);
-  SceneMachine *m1 = scene_machine (scene, "m-1", "z1");
+  SceneMachine *first = scene_machine (scene, "m-1", "z1");
   scene_run (scene, 6);
-  assert_true (m1->baton > 0);
-  g_autofree char *report = scene_write (m1);
-  m1->gone = TRUE;
+  assert_true (first->baton > 0);
+  g_autofree char *report = scene_write (first);
+  first->gone = TRUE;
   script_end (scene->s, 0);
   scene_until (scene, led_by_1, NULL, 12);
   scene_run (scene, 3);
@@ -519,33 +521,33 @@
 old_report (gboolean session)
 {
   Scene *scene = scene_led (2);
-  SceneMachine *m1 = scene_machine (scene, "m-1", "z0");
+  SceneMachine *first = scene_machine (scene, "m-1", "z0");
   scene_run (scene, 4);
-  g_autofree char *report = scene_write (m1);
+  g_autofree char *report = scene_write (first);
   if (session) { /* numbers alone would not tell them apart */
-    m1->tally += 100;
+    first->tally += 100;
     g_free (report);
-    report = scene_write (m1);
-    m1->tally -= 101;
-    m1->reports = FALSE;
-    m1->lease_at -= scene->lease_s;
+    report = scene_write (first);
+    first->tally -= 101;
+    first->reports = FALSE;
+    first->lease_at -= scene->lease_s;
     scene_run (scene, 0.1);
-    m1->reports = TRUE;
+    first->reports = TRUE;
     scene_run (scene, 3);
-    assert_int_equal (m1->tenure, 2);
+    assert_int_equal (first->tenure, 2);
   }
-  running (scene, m1, "job-a");
-  scene_report (m1, 0);
-  m1->hangs = TRUE;
+  running (scene, first, "job-a");
+  scene_report (first, 0);
+  first->hangs = TRUE;
   scene_withdraw (scene, 1, "job-a");
   scene_run (scene, 3.5); /* its direct stop is unanswered by now */
   scene_deliver (scene, 0, report);
   scene_run (scene, 1);
-  assert_true (scene_has (m1, "job-a/0"));
+  assert_true (scene_has (first, "job-a/0"));
   assert_true (scene_recorded (scene, "job-a", "\"x\""));
-  m1->hangs = FALSE;
+  first->hangs = FALSE;
   scene_run (scene, 6);
-  assert_false (scene_has (m1, "job-a/0"));
+  assert_false (scene_has (first, "job-a/0"));
   assert_false (scene_recorded (scene, "job-a", "\"x\""));
   scene_end (scene);
 }
@@ -570,25 +572,25 @@
 nothing_is_launched_before_its_record (void **state)
 {
   Scene *scene = scene_led (2);
-  Script *s = scene->s;
-  SceneMachine *m1 = scene_machine (scene, "m-1", "z0");
+  Script *script = scene->s;
+  SceneMachine *first = scene_machine (scene, "m-1", "z0");
   scene_run (scene, 4);
-  guint64 request = script_submit (s, 1, "job-a", 1);
-  script_hold (s, 0, "/commit", "m-1");
+  guint64 request = script_submit (script, 1, "job-a", 1);
+  script_hold (script, 0, "/commit", "m-1");
   scene_run (scene, 3);
-  assert_int_equal (script_status (s, 1, request), 201);
-  ScriptCall *write = script_call (s, 0, "/commit", "m-1");
+  assert_int_equal (script_status (script, 1, request), 201);
+  ScriptCall *write = script_call (script, 0, "/commit", "m-1");
   assert_non_null (write);
-  assert_null (scene_direct (m1, 0));
+  assert_null (scene_direct (first, 0));
   assert_int_equal (scene->starts, 0);
-  ScriptCall *late = script_delay (s, write);
-  script_end (s, 0);
-  m1->only = 1;
-  SceneMachine *m2 = scene_machine (scene, "m-2", "z0");
-  (void)m2;
+  ScriptCall *late = script_delay (script, write);
+  script_end (script, 0);
+  first->only = 1;
+  SceneMachine *second = scene_machine (scene, "m-2", "z0");
+  (void)second;
   scene_until (scene, led_by_1, NULL, 12);
   scene_run (scene, 1);
-  assert_int_equal (script_late (s, late), 409); /* of a former owner */
+  assert_int_equal (script_late (script, late), 409); /* of a former owner */
   scene_until (scene, on_machine, "job-a/0", 20);
   assert_int_equal (scene->starts, 1);
   scene_end (scene);
@@ -598,14 +600,14 @@
 static void
 launch_with_reports (Scene *scene)
 {
-  Script *s = scene->s;
-  s->pol.direct_launch = 0;
-  for (int i = s->n - 1; i >= 0; i--) {
-    script_end (s, i);
-    script_start (s, i);
+  Script *script = scene->s;
+  script->pol.direct_launch = 0;
+  for (int i = script->n - 1; i >= 0; i--) {
+    script_end (script, i);
+    script_start (script, i);
   }
   scene_run (scene, 8);
-  assert_int_equal (script_leader (s), 0);
+  assert_int_equal (script_leader (script), 0);
 }
 
 /* A task of two has ended and its leader ends before that is recorded: the worker goes on showing
@@ -614,29 +616,29 @@
 an_end_is_shown_until_it_is_recorded (void **state)
 {
   Scene *scene = scene_led (2);
-  Script *s = scene->s;
+  Script *script = scene->s;
   launch_with_reports (scene);
-  SceneMachine *m1 = scene_machine (scene, "m-1", "z0");
+  SceneMachine *first = scene_machine (scene, "m-1", "z0");
   scene_run (scene, 4);
   scene_submit (scene, 0, "job-a", script_job ("job-a", 2));
   scene_until (scene, on_machine, "job-a/0", 8);
   scene_until (scene, on_machine, "job-a/1", 8);
   scene_run (scene, 3);
-  script_hold (s, 0, "/commit", "job-a");
-  scene_exit (m1, "job-a/0", "done");
+  script_hold (script, 0, "/commit", "job-a");
+  scene_exit (first, "job-a/0", "done");
   scene_run (scene, 6);
-  assert_int_equal (m1->tasks->len, 2);
-  ScriptCall *write = script_call (s, 0, "/commit", "job-a");
+  assert_int_equal (first->tasks->len, 2);
+  ScriptCall *write = script_call (script, 0, "/commit", "job-a");
   assert_non_null (write);
-  ScriptCall *late = script_delay (s, write);
-  script_end (s, 0);
+  ScriptCall *late = script_delay (script, write);
+  script_end (script, 0);
   scene_until (scene, led_by_1, NULL, 12);
   scene_run (scene, 1);
-  script_late (s, late);
+  script_late (script, late);
   scene_run (scene, 10);
   assert_int_equal (scene->starts, 2);
   assert_string_not_equal (scene_stance (scene, 1, "job-a"), "done");
-  scene_exit (m1, "job-a/1", "done");
+  scene_exit (first, "job-a/1", "done");
   scene_run (scene, 8);
   assert_string_equal (scene_stance (scene, 1, "job-a"), "done");
   assert_int_equal (scene->starts, 2);
@@ -660,25 +662,25 @@
 {
   Scene *scene = scene_led (2);
   limit_cpus (scene, 12);
-  SceneMachine *m1 = scene_machine (scene, "m-1", "z0");
+  SceneMachine *first = scene_machine (scene, "m-1", "z0");
   scene_run (scene, 4);
   scene_submit (scene, 0, "job-a", whole_machine ("job-a"));
   scene_until (scene, on_machine, "job-a/0", 8);
   scene_run (scene, 3);
-  SceneMachine *m2 = scene_machine (scene, "m-2", "z0");
+  SceneMachine *second = scene_machine (scene, "m-2", "z0");
   scene_run (scene, 4);
   scene->cloud_deletes = FALSE;
-  scene_report (m1, 0);
-  m1->reports = m1->reached = FALSE;
+  scene_report (first, 0);
+  first->reports = first->reached = FALSE;
   scene_withdraw (scene, 1, "job-a");
   script_end (scene->s, 0);
   scene_until (scene, led_by_1, NULL, 12);
   scene_submit (scene, 1, "job-b", whole_machine ("job-b"));
-  for (int i = 0; i < 60 && !scene_has (m2, "job-b/0"); i++) {
+  for (int i = 0; i < 60 && !scene_has (second, "job-b/0"); i++) {
     scene_run (scene, 1);
     assert_true (scene_count (scene, "job-a/0") + scene_count (scene, "job-b/0") <= 1);
   }
-  assert_true (scene_has (m2, "job-b/0"));
+  assert_true (scene_has (second, "job-b/0"));
   scene_end (scene);
 }
 
@@ -689,7 +691,7 @@
 bound_zone (gboolean after, const char *rule, const char *other)
 {
   Scene *scene = scene_led (2);
-  SceneMachine *m1 = scene_machine (scene, "m-1", "z1");
+  SceneMachine *first = scene_machine (scene, "m-1", "z1");
   scene_run (scene, 4);
   json_t *body = script_job ("job-a", 2);
   json_object_set_new (body, rule, json_true ());
@@ -698,18 +700,18 @@
   scene_until (scene, on_machine, "job-a/0", 8);
   scene_run (scene, 3);
   scene->cloud_deletes = FALSE;
-  m1->reports = m1->reached = FALSE;
-  scene_report (m1, 0);
+  first->reports = first->reached = FALSE;
+  scene_report (first, 0);
   if (after) {
     script_end (scene->s, 0);
     scene_until (scene, led_by_1, NULL, 12);
   }
-  SceneMachine *m2 = scene_machine (scene, "m-2", other);
-  for (int i = 0; i < 60 && !m2->tasks->len; i++) {
+  SceneMachine *second = scene_machine (scene, "m-2", other);
+  for (int i = 0; i < 60 && !second->tasks->len; i++) {
     scene_run (scene, 1);
-    assert_true (!scene_has (m1, "job-a/0") || !m2->tasks->len);
+    assert_true (!scene_has (first, "job-a/0") || !second->tasks->len);
   }
-  assert_true (m2->tasks->len > 0);
+  assert_true (second->tasks->len > 0);
   scene_end (scene);
 }
 
@@ -768,7 +770,7 @@
 ten_leaders_in_two_minutes (void **state)
 {
   Scene *scene = scene_led (3);
-  Script *s = scene->s;
+  Script *script = scene->s;
   SceneMachine *m[5];
   for (guint i = 0; i < G_N_ELEMENTS (m); i++) {
     g_autofree char *name = g_strdup_printf ("m-%u", i);
@@ -779,21 +781,21 @@
   scene_submit (scene, 2, "job-b", script_job ("job-b", 6));
   scene_run (scene, 8);
   for (int i = 0; i < 10; i++) {
-    int leader = script_leader (s);
+    int leader = script_leader (script);
     guint64 before = baton_of (scene);
     g_autofree char *report = scene_write (m[i % 5]);
     m[(i + 1) % 5]->hangs = i % 3 == 0;
     m[(i + 2) % 5]->hears = i % 4 != 1;
-    script_end (s, leader);
-    s->outage = i == 5;
+    script_end (script, leader);
+    script->outage = i == 5;
     scene_run (scene, 5);
     if (i == 4)
       scene_withdraw (scene, (leader + 1) % 3, "job-b");
-    script_start (s, leader);
+    script_start (script, leader);
     scene_run (scene, 6);
-    s->outage = FALSE;
+    script->outage = FALSE;
     for (int k = 0; k < 3; k++)
-      if (s->nodes[k].core)
+      if (script->nodes[k].core)
         scene_deliver (scene, k, report);
     scene_run (scene, 1);
     assert_true (i == 5 || baton_of (scene) > before);
@@ -818,30 +820,31 @@
 all_are_away_longer_than_a_lease (void **state)
 {
   Scene *scene = scene_led (3);
-  Script *s = scene->s;
-  SceneMachine *m1 = scene_machine (scene, "m-1", "z0"), *m2 = scene_machine (scene, "m-2", "z0");
+  Script *script = scene->s;
+  SceneMachine *first = scene_machine (scene, "m-1", "z0"),
+               *second = scene_machine (scene, "m-2", "z0");
   scene_run (scene, 4);
   scene_submit (scene, 0, "job-a", script_job ("job-a", 4));
   scene_run (scene, 6);
-  g_autofree char *report = scene_write (m1);
+  g_autofree char *report = scene_write (first);
   for (int i = 0; i < 3; i++)
-    script_end (s, i);
+    script_end (script, i);
   scene_run (scene, scene->lease_s + 3);
-  assert_int_equal (m1->tasks->len + m2->tasks->len, 0);
-  script_start (s, 1);
+  assert_int_equal (first->tasks->len + second->tasks->len, 0);
+  script_start (script, 1);
   scene_run (scene, 2);
-  script_end (s, 1);
+  script_end (script, 1);
   scene_run (scene, 0.4);
-  script_start (s, 1);
+  script_start (script, 1);
   scene_run (scene, 2);
   scene_deliver (scene, 1, report);
   scene_run (scene, 1);
   scene_deliver (scene, 1, report);
   scene_run (scene, 30);
-  assert_int_equal (m1->tasks->len + m2->tasks->len, 4);
+  assert_int_equal (first->tasks->len + second->tasks->len, 4);
   assert_int_equal (scene->starts, 8);
-  script_start (s, 0);
-  script_start (s, 2);
+  script_start (script, 0);
+  script_start (script, 2);
   scene_run (scene, 2);
   scene_end (scene);
 }
