--- a/tests/test_writes.c
+++ b/tests/test_writes.c
@@ -22,51 +22,51 @@
 static Meeting
 meeting (void)
 {
-  Meeting m = {.s = script_led (2)};
-  m.leader = script_leader (m.s);
-  m.other = 1 - m.leader;
-  m.w = script_worker (m.s, "m-000001");
-  script_report (m.s, m.w, m.leader);
-  script_report (m.s, m.w, m.leader);
-  return m;
+  Meeting meeting_row = {.s = script_led (2)};
+  meeting_row.leader = script_leader (meeting_row.s);
+  meeting_row.other = 1 - meeting_row.leader;
+  meeting_row.w = script_worker (meeting_row.s, "m-000001");
+  script_report (meeting_row.s, meeting_row.w, meeting_row.leader);
+  script_report (meeting_row.s, meeting_row.w, meeting_row.leader);
+  return meeting_row;
 }
 
 static void
-assert_told (Meeting *m, const char *id, const char *state)
+assert_told (Meeting *meeting, const char *id, const char *state)
 {
-  for (int i = 0; i < m->s->n; i++)
-    assert_string_equal (script_asked (m->s, i, id), state);
+  for (int i = 0; i < meeting->s->n; i++)
+    assert_string_equal (script_asked (meeting->s, i, id), state);
 }
 
 /* The leader's key lapses and the other takes over. Its own calls are held, so that it does not
  * know; the release is the test's. */
 static void
-depose_unaware (Meeting *m)
+depose_unaware (Meeting *meeting)
 {
-  script_hold (m->s, m->leader, READING, NULL);
-  script_hold (m->s, m->leader, WATCH, NULL);
-  script_hold (m->s, m->leader, "/touch", NULL);
-  m->s->hints = FALSE;
-  for (int i = 0; i < 200 && script_leader (m->s) == m->leader; i++)
-    script_run (m->s, 0.05);
-  assert_int_equal (script_leader (m->s), m->other);
-  script_run (m->s, 0.5);
+  script_hold (meeting->s, meeting->leader, READING, NULL);
+  script_hold (meeting->s, meeting->leader, WATCH, NULL);
+  script_hold (meeting->s, meeting->leader, "/touch", NULL);
+  meeting->s->hints = FALSE;
+  for (int i = 0; i < 200 && script_leader (meeting->s) == meeting->leader; i++)
+    script_run (meeting->s, 0.05);
+  assert_int_equal (script_leader (meeting->s), meeting->other);
+  script_run (meeting->s, 0.5);
 }
 
 /* Every try of the user's write gets lost until the user is told something; held readings are
  * refused, so that the node can't learn of the write otherwise. */
 static void
-lose_all (Script *s, int node, const char *text, guint64 request)
+lose_all (Script *script, int node, const char *text, guint64 request)
 {
-  script_hold (s, node, "/commit", text);
-  for (int i = 0; i < 100 && !script_status (s, node, request); i++) {
-    ScriptCall *call = script_call (s, node, "/commit", text);
-    ScriptCall *reading = script_call (s, node, READING, NULL);
+  script_hold (script, node, "/commit", text);
+  for (int i = 0; i < 100 && !script_status (script, node, request); i++) {
+    ScriptCall *call = script_call (script, node, "/commit", text);
+    ScriptCall *reading = script_call (script, node, READING, NULL);
     if (call)
-      script_lose (s, call);
+      script_lose (script, call);
     if (reading && reading->held)
-      script_answer_with (s, reading, 503, "{}");
-    script_run (s, 0.05);
+      script_answer_with (script, reading, 503, "{}");
+    script_run (script, 0.05);
   }
 }
 
@@ -75,27 +75,28 @@
 static void
 a_submission_without_answer_is_known_everywhere (void **state)
 {
-  Script *s = script_led (2);
-  Meeting m = {s, script_leader (s), 1 - script_leader (s), NULL}; /* no machine: it waits */
-  script_hold (s, m.other, "/commit", NULL);
-  guint64 id = script_submit (s, m.other, "job-a", 1);
-  script_tick (s, 0.05);
-  ScriptCall *write = script_call (s, m.other, "/commit", "job-a");
-  script_carry_out (s, write);
-  script_release (s);
+  Script *script = script_led (2);
+  Meeting meeting = {script, script_leader (script), 1 - script_leader (script),
+                     NULL}; /* no machine: it waits */
+  script_hold (script, meeting.other, "/commit", NULL);
+  guint64 id = script_submit (script, meeting.other, "job-a", 1);
+  script_tick (script, 0.05);
+  ScriptCall *write = script_call (script, meeting.other, "/commit", "job-a");
+  script_carry_out (script, write);
+  script_release (script);
   write->held = TRUE;
-  assert_told (&m, "job-a", "queued");
-  script_hold (s, m.other, READING, NULL); /* or it would learn of it at once */
-  script_lose (s, write);
-  lose_all (s, m.other, "job-a", id);
-  assert_int_equal (script_status (s, m.other, id), 503);
-  script_release (s);
-  script_run (s, 1.5);
-  id = script_submit (s, m.other, "job-a", 1);
-  script_run (s, 0.3);
-  assert_int_equal (script_status (s, m.other, id), 200);
-  assert_string_equal (script_stance (s, m.other, id), "queued");
-  script_free (m.s);
+  assert_told (&meeting, "job-a", "queued");
+  script_hold (script, meeting.other, READING, NULL); /* or it would learn of it at once */
+  script_lose (script, write);
+  lose_all (script, meeting.other, "job-a", id);
+  assert_int_equal (script_status (script, meeting.other, id), 503);
+  script_release (script);
+  script_run (script, 1.5);
+  id = script_submit (script, meeting.other, "job-a", 1);
+  script_run (script, 0.3);
+  assert_int_equal (script_status (script, meeting.other, id), 200);
+  assert_string_equal (script_stance (script, meeting.other, id), "queued");
+  script_free (meeting.s);
 }
 
 /* Repeated at the same node before that has followed the record: the condition that there is none
@@ -103,64 +104,64 @@
 static void
 a_submission_without_answer_is_repeated (void **state)
 {
-  Meeting m = meeting ();
-  Script *s = m.s;
-  script_hold (s, m.other, "/commit", NULL);
-  script_hold (s, m.other, READING, NULL);
-  script_hold (s, m.other, WATCH, NULL);
-  guint64 id = script_submit (s, m.other, "job-a", 1);
-  script_tick (s, 0.05);
-  ScriptCall *write = script_call (s, m.other, "/commit", "job-a");
-  script_carry_out (s, write);
-  guint64 revision = script_stamp (s, "h/j/job-a");
-  lose_all (s, m.other, "job-a", id);
-  assert_int_equal (script_status (s, m.other, id), 503);
-  guint64 abort = script_abort (s, m.leader, "job-a");
-  script_run (s, 0.3);
-  assert_string_equal (script_stance (s, m.leader, abort), "withdrawn");
-  id = script_submit (s, m.other, "job-a", 2);
-  script_tick (s, 0.05);
-  write = script_call (s, m.other, "/commit", "job-a");
+  Meeting meeting_row = meeting ();
+  Script *script = meeting_row.s;
+  script_hold (script, meeting_row.other, "/commit", NULL);
+  script_hold (script, meeting_row.other, READING, NULL);
+  script_hold (script, meeting_row.other, WATCH, NULL);
+  guint64 id = script_submit (script, meeting_row.other, "job-a", 1);
+  script_tick (script, 0.05);
+  ScriptCall *write = script_call (script, meeting_row.other, "/commit", "job-a");
+  script_carry_out (script, write);
+  guint64 revision = script_stamp (script, "h/j/job-a");
+  lose_all (script, meeting_row.other, "job-a", id);
+  assert_int_equal (script_status (script, meeting_row.other, id), 503);
+  guint64 abort = script_abort (script, meeting_row.leader, "job-a");
+  script_run (script, 0.3);
+  assert_string_equal (script_stance (script, meeting_row.leader, abort), "withdrawn");
+  id = script_submit (script, meeting_row.other, "job-a", 2);
+  script_tick (script, 0.05);
+  write = script_call (script, meeting_row.other, "/commit", "job-a");
   assert_non_null (write); /* it knows of none, and tries */
-  script_answer (s, write);
-  assert_int_equal (script_status (s, m.other, id), 0);
-  script_release (s);
-  script_run (s, 0.3);
-  assert_int_equal (script_status (s, m.other, id), 200);
-  assert_string_equal (script_stance (s, m.other, id), "withdrawn");
-  assert_true (script_stamp (s, "h/j/job-a") > revision);
-  script_free (s);
+  script_answer (script, write);
+  assert_int_equal (script_status (script, meeting_row.other, id), 0);
+  script_release (script);
+  script_run (script, 0.3);
+  assert_int_equal (script_status (script, meeting_row.other, id), 200);
+  assert_string_equal (script_stance (script, meeting_row.other, id), "withdrawn");
+  assert_true (script_stamp (script, "h/j/job-a") > revision);
+  script_free (script);
 }
 
 static void
 a_cancellation_without_answer_is_known_everywhere (void **state)
 {
   for (int at_leader = 0; at_leader < 2; at_leader++) {
-    Meeting m = meeting ();
-    Script *s = m.s;
-    int node = at_leader ? m.leader : m.other;
-    script_place (s, m.w, m.leader, "job-a");
-    script_hold (s, node, "/commit", "\"s\":2");
-    guint64 id = script_abort (s, node, "job-a");
-    script_run (s, 0.3);
-    ScriptCall *write = script_call (s, node, "/commit", "\"s\":2");
+    Meeting meeting_row = meeting ();
+    Script *script = meeting_row.s;
+    int node = at_leader ? meeting_row.leader : meeting_row.other;
+    script_place (script, meeting_row.w, meeting_row.leader, "job-a");
+    script_hold (script, node, "/commit", "\"s\":2");
+    guint64 id = script_abort (script, node, "job-a");
+    script_run (script, 0.3);
+    ScriptCall *write = script_call (script, node, "/commit", "\"s\":2");
     assert_non_null (write);
-    script_carry_out (s, write);
-    script_release (s);
+    script_carry_out (script, write);
+    script_release (script);
     write->held = TRUE;
-    assert_told (&m, "job-a", "withdrawn");
-    script_hold (s, node, READING, NULL);
-    script_lose (s, write);
-    lose_all (s, node, "\"s\":2", id);
-    assert_int_equal (script_status (s, node, id), 503);
-    script_release (s);
-    script_run (s, 1.5);
-    id = script_abort (s, node, "job-a");
-    script_run (s, 0.3);
-    assert_string_equal (script_stance (s, node, id), "withdrawn");
-    script_report (s, m.w, m.leader);
-    assert_false (script_worker_has (m.w, "job-a"));
-    script_free (s);
+    assert_told (&meeting_row, "job-a", "withdrawn");
+    script_hold (script, node, READING, NULL);
+    script_lose (script, write);
+    lose_all (script, node, "\"s\":2", id);
+    assert_int_equal (script_status (script, node, id), 503);
+    script_release (script);
+    script_run (script, 1.5);
+    id = script_abort (script, node, "job-a");
+    script_run (script, 0.3);
+    assert_string_equal (script_stance (script, node, id), "withdrawn");
+    script_report (script, meeting_row.w, meeting_row.leader);
+    assert_false (script_worker_has (meeting_row.w, "job-a"));
+    script_free (script);
   }
 }
 
@@ -170,30 +171,31 @@
 {
   static const char *const wanted[] = {"queued", "withdrawn"};
   for (int carried_out = 0; carried_out < 2; carried_out++) {
-    Script *s = script_led (2);
-    int node = 1 - script_leader (s);
+    Script *script = script_led (2);
+    int node = 1 - script_leader (script);
     for (int cancels = 0; cancels < 2; cancels++) {
-      script_hold (s, node, "/commit", NULL);
-      guint64 id = cancels ? script_abort (s, node, "job-a") : script_submit (s, node, "job-a", 1);
-      script_run (s, 0.1);
-      ScriptCall *write = script_call (s, node, "/commit", "job-a");
+      script_hold (script, node, "/commit", NULL);
+      guint64 id =
+          cancels ? script_abort (script, node, "job-a") : script_submit (script, node, "job-a", 1);
+      script_run (script, 0.1);
+      ScriptCall *write = script_call (script, node, "/commit", "job-a");
       assert_non_null (write);
       assert_true (write->timeout < 0.21);
       if (carried_out)
-        script_carry_out (s, write);
-      guint64 revision = script_stamp (s, "h/j/job-a");
+        script_carry_out (script, write);
+      guint64 revision = script_stamp (script, "h/j/job-a");
       if (!carried_out)
-        script_release (s); /* else a look at the record has to be enough */
-      ScriptCall *late = script_delay (s, write);
-      script_run (s, 0.15);
-      assert_string_equal (script_stance (s, node, id), wanted[cancels]);
+        script_release (script); /* else a look at the record has to be enough */
+      ScriptCall *late = script_delay (script, write);
+      script_run (script, 0.15);
+      assert_string_equal (script_stance (script, node, id), wanted[cancels]);
       if (carried_out && !cancels) /* the leader's tombstone follows a cancellation */
-        assert_int_equal (script_stamp (s, "h/j/job-a"), revision);
-      assert_int_equal (script_late (s, late), 409);
-      assert_string_equal (script_asked (s, node, "job-a"), wanted[cancels]);
-      script_release (s);
+        assert_int_equal (script_stamp (script, "h/j/job-a"), revision);
+      assert_int_equal (script_late (script, late), 409);
+      assert_string_equal (script_asked (script, node, "job-a"), wanted[cancels]);
+      script_release (script);
     }
-    script_free (s);
+    script_free (script);
   }
 }
 
@@ -202,40 +204,40 @@
 an_assignment_without_answer_is_launched_once (void **state)
 {
   for (int by_reading = 0; by_reading < 2; by_reading++) {
-    Meeting m = meeting ();
-    Script *s = m.s;
-    script_hold (s, m.leader, "/commit", "m-000001");
+    Meeting meeting_row = meeting ();
+    Script *script = meeting_row.s;
+    script_hold (script, meeting_row.leader, "/commit", "m-000001");
     if (!by_reading) {
-      script_hold (s, m.leader, READING, NULL);
-      script_hold (s, m.leader, WATCH, NULL);
+      script_hold (script, meeting_row.leader, READING, NULL);
+      script_hold (script, meeting_row.leader, WATCH, NULL);
     }
-    script_submit (s, m.leader, "job-a", 1);
-    script_run (s, 0.5);
-    ScriptCall *write = script_call (s, m.leader, "/commit", "m-000001");
+    script_submit (script, meeting_row.leader, "job-a", 1);
+    script_run (script, 0.5);
+    ScriptCall *write = script_call (script, meeting_row.leader, "/commit", "m-000001");
     assert_non_null (write);
-    script_carry_out (s, write);
-    guint64 revision = script_stamp (s, "h/j/job-a");
-    script_run (s, 0.5);
+    script_carry_out (script, write);
+    guint64 revision = script_stamp (script, "h/j/job-a");
+    script_run (script, 0.5);
     if (by_reading) /* it has read its own tag */
-      assert_true (script_worker_has (m.w, "job-a"));
+      assert_true (script_worker_has (meeting_row.w, "job-a"));
     else
-      assert_false (script_worker_has (m.w, "job-a"));
-    script_lose (s, write);
+      assert_false (script_worker_has (meeting_row.w, "job-a"));
+    script_lose (script, write);
     if (!by_reading) { /* sent again, and refused: it looks before it writes anything else */
-      script_run (s, 0.2);
-      write = script_call (s, m.leader, "/commit", "m-000001");
+      script_run (script, 0.2);
+      write = script_call (script, meeting_row.leader, "/commit", "m-000001");
       assert_non_null (write);
-      script_answer (s, write);
-      script_run (s, 0.5);
-      assert_null (script_call (s, m.leader, "/commit", "m-000001"));
+      script_answer (script, write);
+      script_run (script, 0.5);
+      assert_null (script_call (script, meeting_row.leader, "/commit", "m-000001"));
     }
-    script_release (s);
-    script_run (s, 1);
-    script_report (s, m.w, m.leader);
-    assert_true (script_worker_has (m.w, "job-a"));
-    assert_int_equal (m.w->tasks->len, 1);
-    assert_int_equal (script_stamp (s, "h/j/job-a"), revision);
-    script_free (s);
+    script_release (script);
+    script_run (script, 1);
+    script_report (script, meeting_row.w, meeting_row.leader);
+    assert_true (script_worker_has (meeting_row.w, "job-a"));
+    assert_int_equal (meeting_row.w->tasks->len, 1);
+    assert_int_equal (script_stamp (script, "h/j/job-a"), revision);
+    script_free (script);
   }
 }
 
@@ -243,50 +245,50 @@
 static void
 a_tombstone_without_answer_is_told (void **state)
 {
-  Meeting m = meeting ();
-  Script *s = m.s;
-  script_place (s, m.w, m.leader, "job-a");
-  script_hold (s, m.leader, "/commit", "\"s\":1");
-  script_worker_ends (m.w, "done");
-  script_report (s, m.w, m.leader);
-  script_run (s, 0.5);
-  ScriptCall *write = script_call (s, m.leader, "/commit", "\"s\":1");
+  Meeting meeting_row = meeting ();
+  Script *script = meeting_row.s;
+  script_place (script, meeting_row.w, meeting_row.leader, "job-a");
+  script_hold (script, meeting_row.leader, "/commit", "\"s\":1");
+  script_worker_ends (meeting_row.w, "done");
+  script_report (script, meeting_row.w, meeting_row.leader);
+  script_run (script, 0.5);
+  ScriptCall *write = script_call (script, meeting_row.leader, "/commit", "\"s\":1");
   assert_non_null (write);
   for (int i = 0; i < 2; i++) /* done in the leader's memory alone */
-    assert_string_not_equal (script_asked (s, i, "job-a"), "done");
-  script_carry_out (s, write);
-  guint64 revision = script_stamp (s, "h/j/job-a");
-  assert_string_equal (script_asked (s, m.other, "job-a"), "done");
-  assert_string_equal (script_asked (s, m.leader, "job-a"), "done");
-  script_lose (s, write);
-  script_release (s);
-  script_run (s, 1);
-  assert_told (&m, "job-a", "done");
-  assert_int_equal (script_stamp (s, "h/j/job-a"), revision);
-  script_free (s);
+    assert_string_not_equal (script_asked (script, i, "job-a"), "done");
+  script_carry_out (script, write);
+  guint64 revision = script_stamp (script, "h/j/job-a");
+  assert_string_equal (script_asked (script, meeting_row.other, "job-a"), "done");
+  assert_string_equal (script_asked (script, meeting_row.leader, "job-a"), "done");
+  script_lose (script, write);
+  script_release (script);
+  script_run (script, 1);
+  assert_told (&meeting_row, "job-a", "done");
+  assert_int_equal (script_stamp (script, "h/j/job-a"), revision);
+  script_free (script);
 }
 
 /* The map is written, and nobody tells the writer: what it reads decides. */
 static void
 an_election_without_answer_is_read (void **state)
 {
-  Script *s = script_new (2);
-  script_hold (s, 0, "/commit", "h/leader");
-  script_hold (s, 1, "/commit", "h/leader");
-  for (int i = 0; i < 100 && !script_call (s, 0, "/commit", "h/leader"); i++)
-    script_run (s, 0.05);
-  ScriptCall *write = script_call (s, 0, "/commit", "h/leader");
+  Script *script = script_new (2);
+  script_hold (script, 0, "/commit", "h/leader");
+  script_hold (script, 1, "/commit", "h/leader");
+  for (int i = 0; i < 100 && !script_call (script, 0, "/commit", "h/leader"); i++)
+    script_run (script, 0.05);
+  ScriptCall *write = script_call (script, 0, "/commit", "h/leader");
   assert_non_null (write);
-  script_carry_out (s, write);
-  script_run (s, 0.2);
-  script_lose (s, write);
-  script_release (s);
-  script_run (s, 3);
-  assert_int_equal (script_leader (s), 0);
-  ScriptWorker *w = script_worker (s, "m-000001");
-  assert_int_equal (script_report (s, w, 0), 200);
-  assert_int_equal (script_report (s, w, 1), 421);
-  script_free (s);
+  script_carry_out (script, write);
+  script_run (script, 0.2);
+  script_lose (script, write);
+  script_release (script);
+  script_run (script, 3);
+  assert_int_equal (script_leader (script), 0);
+  ScriptWorker *worker = script_worker (script, "m-000001");
+  assert_int_equal (script_report (script, worker, 0), 200);
+  assert_int_equal (script_report (script, worker, 1), 421);
+  script_free (script);
 }
 
 /* ---- carried out late, after newer ones of the same controller ---- */
@@ -295,91 +297,94 @@
 static void
 a_late_submission_does_not_bring_a_job_back (void **state)
 {
-  Meeting m = meeting ();
-  Script *s = m.s;
-  script_hold (s, m.other, "/commit", NULL);
-  script_submit (s, m.other, "job-a", 1);
-  script_tick (s, 0.05);
-  ScriptCall *late = script_delay (s, script_call (s, m.other, "/commit", "job-a"));
-  script_release (s);
-  script_place (s, m.w, m.other, "job-a"); /* by the next try, and by a repetition */
-  script_worker_ends (m.w, "done");
-  script_report (s, m.w, m.leader);
-  script_run (s, 1);
-  assert_told (&m, "job-a", "done");
-  assert_int_equal (script_late (s, late), 409);
-  script_run (s, 1);
-  assert_told (&m, "job-a", "done");
-  script_free (s);
+  Meeting meeting_row = meeting ();
+  Script *script = meeting_row.s;
+  script_hold (script, meeting_row.other, "/commit", NULL);
+  script_submit (script, meeting_row.other, "job-a", 1);
+  script_tick (script, 0.05);
+  ScriptCall *late =
+      script_delay (script, script_call (script, meeting_row.other, "/commit", "job-a"));
+  script_release (script);
+  script_place (script, meeting_row.w, meeting_row.other,
+                "job-a"); /* by the next try, and by a repetition */
+  script_worker_ends (meeting_row.w, "done");
+  script_report (script, meeting_row.w, meeting_row.leader);
+  script_run (script, 1);
+  assert_told (&meeting_row, "job-a", "done");
+  assert_int_equal (script_late (script, late), 409);
+  script_run (script, 1);
+  assert_told (&meeting_row, "job-a", "done");
+  script_free (script);
 }
 
 /* The cancellation that nobody confirmed comes after the job is done. */
 static void
 a_late_cancellation_does_not_undo_an_end (void **state)
 {
-  Meeting m = meeting ();
-  Script *s = m.s;
-  script_place (s, m.w, m.leader, "job-a");
-  script_hold (s, m.other, "/commit", NULL);
-  guint64 id = script_abort (s, m.other, "job-a");
-  script_run (s, 0.3);
-  ScriptCall *late = script_delay (s, script_call (s, m.other, "/commit", "job-a"));
-  lose_all (s, m.other, "job-a", id);
-  assert_int_equal (script_status (s, m.other, id), 503);
-  script_release (s);
-  script_worker_ends (m.w, "done");
-  script_report (s, m.w, m.leader);
-  script_run (s, 1);
-  assert_told (&m, "job-a", "done");
-  assert_int_equal (script_late (s, late), 409);
-  script_run (s, 1);
-  assert_told (&m, "job-a", "done");
-  script_free (s);
+  Meeting meeting_row = meeting ();
+  Script *script = meeting_row.s;
+  script_place (script, meeting_row.w, meeting_row.leader, "job-a");
+  script_hold (script, meeting_row.other, "/commit", NULL);
+  guint64 id = script_abort (script, meeting_row.other, "job-a");
+  script_run (script, 0.3);
+  ScriptCall *late =
+      script_delay (script, script_call (script, meeting_row.other, "/commit", "job-a"));
+  lose_all (script, meeting_row.other, "job-a", id);
+  assert_int_equal (script_status (script, meeting_row.other, id), 503);
+  script_release (script);
+  script_worker_ends (meeting_row.w, "done");
+  script_report (script, meeting_row.w, meeting_row.leader);
+  script_run (script, 1);
+  assert_told (&meeting_row, "job-a", "done");
+  assert_int_equal (script_late (script, late), 409);
+  script_run (script, 1);
+  assert_told (&meeting_row, "job-a", "done");
+  script_free (script);
 }
 
 /* An assignment of a leader that another has followed: neither recorded nor launched. */
 static void
 a_late_assignment_of_a_former_leader_fails (void **state)
 {
-  Meeting m = meeting ();
-  Script *s = m.s;
-  script_hold (s, m.leader, "/commit", "m-000001");
-  script_submit (s, m.leader, "job-a", 1);
-  script_run (s, 0.5);
-  ScriptCall *write = script_call (s, m.leader, "/commit", "m-000001");
+  Meeting meeting_row = meeting ();
+  Script *script = meeting_row.s;
+  script_hold (script, meeting_row.leader, "/commit", "m-000001");
+  script_submit (script, meeting_row.leader, "job-a", 1);
+  script_run (script, 0.5);
+  ScriptCall *write = script_call (script, meeting_row.leader, "/commit", "m-000001");
   assert_non_null (write);
-  depose_unaware (&m);
-  guint64 revision = script_stamp (s, "h/j/job-a");
-  script_carry_out (s, write);
+  depose_unaware (&meeting_row);
+  guint64 revision = script_stamp (script, "h/j/job-a");
+  script_carry_out (script, write);
   assert_int_equal (write->status, 409);
-  assert_int_equal (script_stamp (s, "h/j/job-a"), revision);
-  script_free (s);
+  assert_int_equal (script_stamp (script, "h/j/job-a"), revision);
+  script_free (script);
 }
 
 /* The tombstone of a former leader comes late, after another has seen the task end too. */
 static void
 a_late_tombstone_of_a_former_leader_fails (void **state)
 {
-  Meeting m = meeting ();
-  Script *s = m.s;
-  script_place (s, m.w, m.leader, "job-a");
-  script_hold (s, m.leader, "/commit", "\"s\":1");
-  script_worker_ends (m.w, "done");
-  script_report (s, m.w, m.leader);
-  script_run (s, 0.5);
-  ScriptCall *write = script_call (s, m.leader, "/commit", "\"s\":1");
+  Meeting meeting_row = meeting ();
+  Script *script = meeting_row.s;
+  script_place (script, meeting_row.w, meeting_row.leader, "job-a");
+  script_hold (script, meeting_row.leader, "/commit", "\"s\":1");
+  script_worker_ends (meeting_row.w, "done");
+  script_report (script, meeting_row.w, meeting_row.leader);
+  script_run (script, 0.5);
+  ScriptCall *write = script_call (script, meeting_row.leader, "/commit", "\"s\":1");
   assert_non_null (write);
-  depose_unaware (&m);
-  guint64 abort = script_abort (s, m.other, "job-a");
-  script_run (s, 0.3);
-  assert_string_equal (script_stance (s, m.other, abort), "withdrawn");
-  script_carry_out (s, write);
+  depose_unaware (&meeting_row);
+  guint64 abort = script_abort (script, meeting_row.other, "job-a");
+  script_run (script, 0.3);
+  assert_string_equal (script_stance (script, meeting_row.other, abort), "withdrawn");
+  script_carry_out (script, write);
   assert_int_equal (write->status, 409);
-  script_release (s);
-  s->hints = TRUE;
-  script_run (s, 2);
-  assert_told (&m, "job-a", "withdrawn");
-  script_free (s);
+  script_release (script);
+  script->hints = TRUE;
+  script_run (script, 2);
+  assert_told (&meeting_row, "job-a", "withdrawn");
+  script_free (script);
 }
 
 /* A leader's writes of the map and of its key: late, after another leads; and with a claim that
@@ -387,32 +392,34 @@
 static void
 a_late_election_changes_nothing (void **state)
 {
-  Meeting m = meeting ();
-  Script *s = m.s;
+  Meeting meeting_row = meeting ();
+  Script *script = meeting_row.s;
   /* The other stands once, unheard; then the leader's key lapses, and it stands again. */
-  script_hold (s, m.leader, "/touch", NULL);
-  script_hold (s, m.leader, "/commit", "h/leader");
-  script_hold (s, m.other, "/commit", "h/leader");
-  for (int i = 0; i < 200 && !script_call (s, m.other, "/commit", "h/leader"); i++)
-    script_run (s, 0.05);
-  ScriptCall *late = script_delay (s, script_call (s, m.other, "/commit", "h/leader"));
-  for (int i = 0; i < 200 && !script_call (s, m.other, "/commit", "h/leader"); i++)
-    script_run (s, 0.05);
-  ScriptCall *later = script_delay (s, script_call (s, m.other, "/commit", "h/leader"));
-  script_release (s);
-  for (int i = 0; i < 200 && script_leader (s) != m.other; i++)
-    script_run (s, 0.05);
-  guint64 map = script_stamp (s, "h/map");
-  assert_int_equal (script_late (s, late), 409);
-  assert_int_equal (script_stamp (s, "h/map"), map);
+  script_hold (script, meeting_row.leader, "/touch", NULL);
+  script_hold (script, meeting_row.leader, "/commit", "h/leader");
+  script_hold (script, meeting_row.other, "/commit", "h/leader");
+  for (int i = 0; i < 200 && !script_call (script, meeting_row.other, "/commit", "h/leader"); i++)
+    script_run (script, 0.05);
+  ScriptCall *late =
+      script_delay (script, script_call (script, meeting_row.other, "/commit", "h/leader"));
+  for (int i = 0; i < 200 && !script_call (script, meeting_row.other, "/commit", "h/leader"); i++)
+    script_run (script, 0.05);
+  ScriptCall *later =
+      script_delay (script, script_call (script, meeting_row.other, "/commit", "h/leader"));
+  script_release (script);
+  for (int i = 0; i < 200 && script_leader (script) != meeting_row.other; i++)
+    script_run (script, 0.05);
+  guint64 map = script_stamp (script, "h/map");
+  assert_int_equal (script_late (script, late), 409);
+  assert_int_equal (script_stamp (script, "h/map"), map);
   /* The process ends; its claim lapses; its write comes then. */
-  script_end (s, m.other);
-  script_hold (s, m.leader, "/commit", "h/leader");
-  script_run (s, 10);
-  assert_null (script_value (s, "h/leader"));
-  assert_int_equal (script_late (s, later), 400);
-  assert_null (script_value (s, "h/leader"));
-  script_free (s);
+  script_end (script, meeting_row.other);
+  script_hold (script, meeting_row.leader, "/commit", "h/leader");
+  script_run (script, 10);
+  assert_null (script_value (script, "h/leader"));
+  assert_int_equal (script_late (script, later), 400);
+  assert_null (script_value (script, "h/leader"));
+  script_free (script);
 }
 
 /* ---- a cancellation at the end of the last task ---- */
@@ -423,39 +430,40 @@
 {
   for (int variant = 0; variant < 4; variant++) {
     gboolean at_leader = variant & 1, end_first = variant & 2;
-    Meeting m = meeting ();
-    Script *s = m.s;
-    int node = at_leader ? m.leader : m.other;
-    script_place (s, m.w, m.leader, "job-a");
-    script_hold (s, m.leader, "/commit", "\"s\":1");
-    script_hold (s, node, "/commit", "\"s\":2");
-    script_worker_ends (m.w, "done");
-    script_report (s, m.w, m.leader);
-    guint64 abort = script_abort (s, node, "job-a");
-    script_run (s, 0.5);
-    ScriptCall *end = script_call (s, m.leader, "/commit", "\"s\":1");
-    ScriptCall *withdrawal = script_call (s, node, "/commit", "\"s\":2");
+    Meeting meeting_row = meeting ();
+    Script *script = meeting_row.s;
+    int node = at_leader ? meeting_row.leader : meeting_row.other;
+    script_place (script, meeting_row.w, meeting_row.leader, "job-a");
+    script_hold (script, meeting_row.leader, "/commit", "\"s\":1");
+    script_hold (script, node, "/commit", "\"s\":2");
+    script_worker_ends (meeting_row.w, "done");
+    script_report (script, meeting_row.w, meeting_row.leader);
+    guint64 abort = script_abort (script, node, "job-a");
+    script_run (script, 0.5);
+    ScriptCall *end = script_call (script, meeting_row.leader, "/commit", "\"s\":1");
+    ScriptCall *withdrawal = script_call (script, node, "/commit", "\"s\":2");
     assert_non_null (end);
     assert_non_null (withdrawal);
-    script_carry_out (s, end_first ? end : withdrawal);
-    script_carry_out (s, end_first ? withdrawal : end);
+    script_carry_out (script, end_first ? end : withdrawal);
+    script_carry_out (script, end_first ? withdrawal : end);
     assert_int_equal (end_first ? withdrawal->status : end->status, 409);
-    guint64 poll = script_poll (s, m.other, "job-a"), again = script_submit (s, node, "job-a", 1);
-    script_run (s, 0.3);
+    guint64 poll = script_poll (script, meeting_row.other, "job-a"),
+            again = script_submit (script, node, "job-a", 1);
+    script_run (script, 0.3);
     const char *stance = end_first ? "done" : "withdrawn";
-    assert_string_equal (script_stance (s, m.other, poll), stance);
-    assert_string_equal (script_stance (s, node, again), stance);
-    script_answer (s, end);
-    script_answer (s, withdrawal);
-    script_release (s);
-    script_run (s, 1);
-    assert_string_equal (script_stance (s, node, abort), stance);
-    assert_told (&m, "job-a", stance);
-    script_report (s, m.w, m.leader);
-    script_report (s, m.w, m.leader);
-    script_run (s, 1);
-    assert_told (&m, "job-a", stance);
-    script_free (s);
+    assert_string_equal (script_stance (script, meeting_row.other, poll), stance);
+    assert_string_equal (script_stance (script, node, again), stance);
+    script_answer (script, end);
+    script_answer (script, withdrawal);
+    script_release (script);
+    script_run (script, 1);
+    assert_string_equal (script_stance (script, node, abort), stance);
+    assert_told (&meeting_row, "job-a", stance);
+    script_report (script, meeting_row.w, meeting_row.leader);
+    script_report (script, meeting_row.w, meeting_row.leader);
+    script_run (script, 1);
+    assert_told (&meeting_row, "job-a", stance);
+    script_free (script);
   }
 }
 
@@ -464,19 +472,19 @@
 a_cancellation_stops_the_tasks (void **state)
 {
   for (int at_leader = 0; at_leader < 2; at_leader++) {
-    Meeting m = meeting ();
-    Script *s = m.s;
-    int node = at_leader ? m.leader : m.other;
-    script_place (s, m.w, m.leader, "job-a");
-    guint64 abort = script_abort (s, node, "job-a");
-    script_run (s, 0.5);
-    assert_string_equal (script_stance (s, node, abort), "withdrawn");
-    assert_false (script_worker_has (m.w, "job-a"));
-    script_report (s, m.w, m.leader);
-    script_report (s, m.w, m.leader);
-    script_run (s, 1);
-    assert_non_null (strstr (script_value (s, "h/j/job-a"), "\"n\":1")); /* the tombstone */
-    script_free (s);
+    Meeting meeting_row = meeting ();
+    Script *script = meeting_row.s;
+    int node = at_leader ? meeting_row.leader : meeting_row.other;
+    script_place (script, meeting_row.w, meeting_row.leader, "job-a");
+    guint64 abort = script_abort (script, node, "job-a");
+    script_run (script, 0.5);
+    assert_string_equal (script_stance (script, node, abort), "withdrawn");
+    assert_false (script_worker_has (meeting_row.w, "job-a"));
+    script_report (script, meeting_row.w, meeting_row.leader);
+    script_report (script, meeting_row.w, meeting_row.leader);
+    script_run (script, 1);
+    assert_non_null (strstr (script_value (script, "h/j/job-a"), "\"n\":1")); /* the tombstone */
+    script_free (script);
   }
 }
 
@@ -487,73 +495,74 @@
 static void
 a_former_leader_confirms_a_cancellation (void **state)
 {
-  Meeting m = meeting ();
-  Script *s = m.s;
-  script_place (s, m.w, m.leader, "job-a");
-  depose_unaware (&m);
-  assert_int_equal (script_report (s, m.w, m.other), 200);
-  assert_int_equal (script_report (s, m.w, m.other), 200);
-  assert_true (script_worker_has (m.w, "job-a"));
-  guint64 abort = script_abort (s, m.leader, "job-a");
-  script_tick (s, 0.05); /* one reading of its own, which does not bring the map */
-  ScriptCall *reading = script_call (s, m.leader, READING, NULL);
+  Meeting meeting_row = meeting ();
+  Script *script = meeting_row.s;
+  script_place (script, meeting_row.w, meeting_row.leader, "job-a");
+  depose_unaware (&meeting_row);
+  assert_int_equal (script_report (script, meeting_row.w, meeting_row.other), 200);
+  assert_int_equal (script_report (script, meeting_row.w, meeting_row.other), 200);
+  assert_true (script_worker_has (meeting_row.w, "job-a"));
+  guint64 abort = script_abort (script, meeting_row.leader, "job-a");
+  script_tick (script, 0.05); /* one reading of its own, which does not bring the map */
+  ScriptCall *reading = script_call (script, meeting_row.leader, READING, NULL);
   g_autofree char *nothing = g_strdup_printf ("{\"epoch\":0,\"log\":[]}");
-  script_answer_with (s, reading, 200, nothing);
-  script_run (s, 0.3);
-  if (!script_status (s, m.leader, abort)) {
-    script_tick (s, 0.05);
-    script_answer_with (s, script_call (s, m.leader, READING, NULL), 200, nothing);
-    script_run (s, 0.3);
+  script_answer_with (script, reading, 200, nothing);
+  script_run (script, 0.3);
+  if (!script_status (script, meeting_row.leader, abort)) {
+    script_tick (script, 0.05);
+    script_answer_with (script, script_call (script, meeting_row.leader, READING, NULL), 200,
+                        nothing);
+    script_run (script, 0.3);
   }
-  assert_string_equal (script_stance (s, m.leader, abort), "withdrawn");
-  script_run (s, 0.5);
-  script_report (s, m.w, m.other);
-  assert_false (script_worker_has (m.w, "job-a"));
-  s->hints = TRUE;
-  script_release (s);
-  script_run (s, 2);
-  assert_told (&m, "job-a", "withdrawn");
-  script_free (s);
+  assert_string_equal (script_stance (script, meeting_row.leader, abort), "withdrawn");
+  script_run (script, 0.5);
+  script_report (script, meeting_row.w, meeting_row.other);
+  assert_false (script_worker_has (meeting_row.w, "job-a"));
+  script->hints = TRUE;
+  script_release (script);
+  script_run (script, 2);
+  assert_told (&meeting_row, "job-a", "withdrawn");
+  script_free (script);
 }
 
 /* Confirmed after the map was written and before the new leader has read it. */
 static void
 a_cancellation_falls_into_the_hand_over (void **state)
 {
-  Script *s = script_led (3);
-  int old = script_leader (s);
-  ScriptWorker *w = script_worker (s, "m-000001");
-  script_report (s, w, old);
-  script_report (s, w, old);
-  script_place (s, w, old, "job-a");
+  Script *script = script_led (3);
+  int old = script_leader (script);
+  ScriptWorker *worker = script_worker (script, "m-000001");
+  script_report (script, worker, old);
+  script_report (script, worker, old);
+  script_place (script, worker, old, "job-a");
   for (int i = 0; i < 3; i++)
-    script_hold (s, i, "/commit", "h/leader");
-  script_end (s, old);
+    script_hold (script, i, "/commit", "h/leader");
+  script_end (script, old);
   int next = -1;
   for (int i = 0; i < 400 && next < 0; i++) {
-    script_run (s, 0.05);
+    script_run (script, 0.05);
     for (int k = 0; k < 3; k++)
-      if (k != old && script_call (s, k, "/commit", "h/leader"))
+      if (k != old && script_call (script, k, "/commit", "h/leader"))
         next = k;
   }
   int third = 3 - old - next;
-  script_hold (s, next, READING, NULL);
-  script_hold (s, next, WATCH, NULL);
-  ScriptCall *write = script_call (s, next, "/commit", "h/leader");
-  script_carry_out (s, write);
-  guint64 abort = script_abort (s, third, "job-a");
-  script_run (s, 0.3);
-  assert_string_equal (script_stance (s, third, abort), "withdrawn");
-  script_answer (s, write);
-  script_release (s);
-  script_run (s, 1);
-  assert_int_equal (script_leader (s), next);
+  script_hold (script, next, READING, NULL);
+  script_hold (script, next, WATCH, NULL);
+  ScriptCall *write = script_call (script, next, "/commit", "h/leader");
+  script_carry_out (script, write);
+  guint64 abort = script_abort (script, third, "job-a");
+  script_run (script, 0.3);
+  assert_string_equal (script_stance (script, third, abort), "withdrawn");
+  script_answer (script, write);
+  script_release (script);
+  script_run (script, 1);
+  assert_int_equal (script_leader (script), next);
   for (int i = 0; i < 3; i++)
-    script_report (s, w, next);
-  assert_false (script_worker_has (w, "job-a"));
-  script_run (s, 1);
-  assert_string_equal (script_asked (s, next, "job-a"), "withdrawn");
-  script_free (s);
+    script_report (script, worker, next);
+  assert_false (script_worker_has (worker, "job-a"));
+  script_run (script, 1);
+  assert_string_equal (script_asked (script, next, "job-a"), "withdrawn");
+  script_free (script);
 }
 
 /* The changes since the leader's last reading are gone: it reads anew and has forgotten which of
@@ -562,32 +571,32 @@
 static void
 a_leader_that_reads_anew_voids_its_orders (void **state)
 {
-  Meeting m = meeting ();
-  Script *s = m.s;
-  ScriptWorker *w2 = script_worker (s, "m-000002");
-  script_hold (s, m.leader, "/do", NULL);
-  script_submit (s, m.other, "job-a", 1);
-  script_run (s, 0.5);
-  ScriptCall *order = script_call (s, m.leader, "/do", "job-a");
+  Meeting meeting_row = meeting ();
+  Script *script = meeting_row.s;
+  ScriptWorker *other = script_worker (script, "m-000002");
+  script_hold (script, meeting_row.leader, "/do", NULL);
+  script_submit (script, meeting_row.other, "job-a", 1);
+  script_run (script, 0.5);
+  ScriptCall *order = script_call (script, meeting_row.leader, "/do", "job-a");
   assert_non_null (order); /* still on its way */
-  script_hold (s, m.leader, READING, NULL);
-  script_hold (s, m.leader, WATCH, NULL);
-  script_tick (s, 1.1);
-  script_submit (s, m.other, "job-b", 1); /* so that there is a change to miss */
-  script_serve (s);
-  script_forget_changes (s);
-  script_answer (s, script_call (s, m.leader, READING, NULL));
-  script_release (s);
+  script_hold (script, meeting_row.leader, READING, NULL);
+  script_hold (script, meeting_row.leader, WATCH, NULL);
+  script_tick (script, 1.1);
+  script_submit (script, meeting_row.other, "job-b", 1); /* so that there is a change to miss */
+  script_serve (script);
+  script_forget_changes (script);
+  script_answer (script, script_call (script, meeting_row.leader, READING, NULL));
+  script_release (script);
   order->held = TRUE;
   for (int i = 0; i < 40; i++) {
-    script_run (s, 0.5);
-    int leader = script_leader (s);
-    if (script_report (s, m.w, leader) == 200 && i > 2)
-      script_report (s, w2, leader);
+    script_run (script, 0.5);
+    int leader = script_leader (script);
+    if (script_report (script, meeting_row.w, leader) == 200 && i > 2)
+      script_report (script, other, leader);
   }
-  assert_true (script_worker_has (m.w, "job-a") || script_worker_has (w2, "job-a"));
-  assert_int_equal (script_direct (s, m.w, order), 409);
-  script_free (s);
+  assert_true (script_worker_has (meeting_row.w, "job-a") || script_worker_has (other, "job-a"));
+  assert_int_equal (script_direct (script, meeting_row.w, order), 409);
+  script_free (script);
 }
 
 int
