--- a/src/bookkeeping/garbage_collection.c
+++ b/src/bookkeeping/garbage_collection.c
@@ -14,7 +14,7 @@
 }
 
 /* The job has become final, or its record is split anew: so far as we know, these of its pages
- * are in the ledger. */
+ * are in the state store. */
 void
 hr_garbage_add_job (HrCore *core, const HrJob *job)
 {
@@ -29,7 +29,7 @@
   }
 }
 
-/* The page is gone from the ledger. */
+/* The page is gone from the state store. */
 void
 hr_garbage_page_deleted (HrCore *core, const HrJob *job, guint tasks_per_page, guint page)
 {
--- a/src/bookkeeping/record.h
+++ b/src/bookkeeping/record.h
@@ -1,11 +1,11 @@
-/* Records of the ledger: how a job stands in the state service.
+/* Records of the state store: how a job stands in the state service.
  *   h/j/<id>       {"w":tag,"s":stance,"t":submitted,"q":per page,"j":[spec],"x":[tasks]}
  *                  ... "a":[ids]} as well where the job awaits others
  *   h/j/<id>       {"w":tag,"s":stance,"n":tasks,"d":done}        once final
  *                  ... "c":id} as well where a cancelled job took it along
  *   h/t/<id>/<n>   {"w":tag,"x":[tasks]}                          page n of a large job
- *   h/u/<id>/<per page>/<n>   the same, where the main record has "u":1 (split.c)
- * A task is 0 (never placed), 1 (done) or [machine, session, attempt]. */
+ *   h/u/<id>/<per page>/<n>   the same, where the main record has "u":1 (record_split.c)
+ * A task is 0 (never placed), 1 (done) or [machine, incarnation, attempt]. */
 #pragma once
 #include "bookkeeping/tables.h"
 
--- a/src/bookkeeping/record_format.c
+++ b/src/bookkeeping/record_format.c
@@ -1,5 +1,5 @@
-/* The format of records. A member states in its hints which one it understands; once every
- * other member has stated the newer one, the leader records that in the ledger, and from then
+/* The format of records. A member states in its statuses which one it understands; once every
+ * other member has stated the newer one, the leader records that in the state store, and from then
  * on nobody is left who would misread a record of that format (docs/upgrades.md). */
 #include "coordination/state.h"
 #include "protocol/json_util.h"
@@ -107,7 +107,7 @@
   }
 }
 
-/* Named in the hints until others push it out: saying it again does no harm. */
+/* Named in the statuses until others push it out: saying it again does no harm. */
 void
 hr_record_format_note_oversized (HrCore *core, HrJob *job)
 {
--- a/src/bookkeeping/record_layout.c
+++ b/src/bookkeeping/record_layout.c
@@ -7,7 +7,7 @@
 #define KIB 1024.0
 /* Kept free: how the state service counts a value's bytes is not quite known. */
 #define VALUE_SHARE (63.0 / 64)
-/* ["NAME",session,attempt], with three digits for the one and four for the other. */
+/* ["NAME",incarnation,attempt], with three digits for the one and four for the other. */
 #define TASK_BYTES_AROUND_NAME 14
 #define TASK_BYTES_LEAST 24
 /* {"w":"TAG","x":[]} with the longest tag. */
--- a/src/bookkeeping/record_split.c
+++ b/src/bookkeeping/record_split.c
@@ -1,9 +1,9 @@
 /* Splitting records that have become too large for the state service's limits.
  *
  * The pages of the new size are written first, under keys of their own; nobody reads them as
- * facts while the main record names the earlier layout. Each such write holds on the map, on
- * the main record's stamp and on what is known of the page. Last the main record names the new
- * layout, on the same conditions. So every step leaves a record with the same facts, and a
+ * facts while the main record names the earlier layout. Each such write holds on the leader record,
+ * on the main record's revision and on what is known of the page. Last the main record names the
+ * new layout, on the same conditions. So every step leaves a record with the same facts, and a
  * change by another node, or another leader, makes the rest of the steps fail
  * (docs/upgrades.md). Where it fits, all of this is one transaction. */
 #include "coordination/state.h"
@@ -22,7 +22,7 @@
 typedef struct {
   guint32 job;
   guint replica_generation;
-  guint64 base_revision; /* stamp of the main record whose facts are being written */
+  guint64 base_revision; /* revision of the main record whose facts are being written */
   guint tasks_per_page, n_pages;
   guint first_page, end_page;  /* pages of the step under way */
   gboolean writes_main_record; /* and the main record */
@@ -77,8 +77,8 @@
   staged->value = revision && value ? json_incref ((json_t *)value) : NULL;
 }
 
-/* The main record at `stamp` names pages of another size. They hold the facts of the record
- * before it, whatever we have in memory of that: a reading of the whole ledger may have come
+/* The main record at `revision` names pages of another size. They hold the facts of the record
+ * before it, whatever we have in memory of that: a reading of the whole state store may have come
  * between. A page that has changed since comes again in the changes that are read next. */
 void
 hr_record_split_apply (HrCore *core, HrJob *job, guint tasks_per_page, guint64 revision)
@@ -111,7 +111,7 @@
   core->scheduling.plan_is_stale = TRUE;
 }
 
-/* ---- the owner's splits ---- */
+/* ---- the leader's splits ---- */
 
 static void
 step_clear (Split *split)
@@ -220,7 +220,8 @@
   else if (status == 400)
     give_up (core, split, hr_json_str (body, "error"));
   else
-    send_step (core, split); /* unknown, or not carried out: the same again, on the same stamps */
+    send_step (core,
+               split); /* unknown, or not carried out: the same again, on the same revisions */
 }
 
 static void
--- a/src/bookkeeping/record_writer.c
+++ b/src/bookkeeping/record_writer.c
@@ -1,5 +1,5 @@
-/* Writing the ledger. One write at a time per record; every write by the owner
- * holds on the record's stamp and on the map's, which fences old owners. */
+/* Writing the state store. One write at a time per record; every write by the leader
+ * holds on the record's revision and on the leader record's, which fences old leaders. */
 #include "coordination/state.h"
 #include "protocol/json_util.h"
 #include <string.h>
@@ -67,7 +67,7 @@
     mark_page (core, job, hr_job_page (job, task_index));
 }
 
-/* Our write of this page is in the ledger, at this stamp. */
+/* Our write of this page is in the state store, at this revision. */
 void
 hr_record_writer_confirmed (HrCore *core, HrJob *job, HrRecordPage *page, guint64 revision)
 {
@@ -178,7 +178,8 @@
   HrJob *job = core->store.tables.jobs->pdata[write->job];
   guint64 revision = 0;
   if (page && status != 200 && status != 404) {
-    send_write (core, write); /* still unknown: the same write again, it holds on the same stamps */
+    send_write (core,
+                write); /* still unknown: the same write again, it holds on the same revisions */
     return;
   }
   if (page) {
@@ -236,7 +237,7 @@
     write_free (write);
   } else if (status == 409) {
     /* A 409 may come from our own earlier try whose answer was lost: the record
-     * tells. The map may have moved too: read on before judging. */
+     * tells. The leader record may have moved too: read on before judging. */
     hr_replica_read (core, on_replica_fresh, write);
   } else if (status == 400) {
     g_warning ("%s: the state service refuses the record: %s",
--- a/src/bookkeeping/replica.c
+++ b/src/bookkeeping/replica.c
@@ -1,4 +1,4 @@
-/* Following the ledger: one full reading, then changes in order. A reading is
+/* Following the state store: one full reading, then changes in order. A reading is
  * /changes with no wait: it brings every change up to its epoch, so whoever
  * asked before it was sent gets an answer as new as any that was given. */
 #include "coordination/state.h"
@@ -114,8 +114,8 @@
   core->store.replica.applied_revision = core->store.replica.listed_revision;
   core->store.replica.next_watch_at = 0;
   core->store.replica.read_sent_at = 0;
-  g_message ("read the ledger: %u jobs, epoch %" G_GUINT64_FORMAT, core->store.tables.jobs->len,
-             core->store.replica.applied_revision);
+  g_message ("read the state store: %u jobs, revision %" G_GUINT64_FORMAT,
+             core->store.tables.jobs->len, core->store.replica.applied_revision);
 }
 
 /* Begins again from a full reading; what was known of final jobs stays. */
@@ -130,7 +130,7 @@
 static void
 begin_listing (HrCore *core)
 {
-  /* Rows of jobs not final are read anew: an owner's view goes beyond the record. */
+  /* Rows of jobs not final are read anew: a leader's view goes beyond the record. */
   for (guint i = 0; i < core->store.tables.jobs->len; i++) {
     HrJob *job = core->store.tables.jobs->pdata[i];
     if (job->is_known && job->tasks && !job->record.is_compacted) {
--- a/src/bookkeeping/replica_changes.c
+++ b/src/bookkeeping/replica_changes.c
@@ -1,4 +1,4 @@
-/* One change of the ledger, as read, goes into the tables. */
+/* One change of the state store, as read, goes into the tables. */
 #include "coordination/state.h"
 #include "protocol/json_util.h"
 #include <string.h>
@@ -9,7 +9,7 @@
   guint64 fencing_token = 0;
   const char *label = hr_json_str (value, "o"), *incarnation = hr_json_str (value, "i");
   if (!label || !incarnation || !hr_json_count (value, "b", G_MAXINT64, &fencing_token)) {
-    g_warning ("the map in the state service makes no sense; left as it was");
+    g_warning ("the leader record in the state service makes no sense; left as it was");
     return;
   }
   core->leadership.record_revision = revision;
@@ -104,7 +104,7 @@
     job->record.unknown_members = g_steal_pointer (&record.extra);
   }
   hr_record_clear (&record);
-  /* The owner alone changes tasks; what others write leaves them as they were. */
+  /* The leader alone changes tasks; what others write leaves them as they were. */
   if (!record.tasks_per_page && record.tasks && (!core->leadership.is_leader || fresh)) {
     job->record.tasks_unreadable =
         !hr_record_tasks (job, 0, record.tasks, &core->store.tables.machine_ids);
@@ -114,13 +114,13 @@
   }
   if (!record.tasks_per_page && job->record.pages)
     job->record.pages[0].revision = revision;
-  /* A reading may be older than what a member told; a withdrawal is final all the same. */
+  /* A reading may be older than what a member told; a cancellation is final all the same. */
   gboolean was_told = job->cancellation.told_by_peer;
   job->cancellation.told_by_peer = was_told && record.state == HR_JOB_QUEUED;
   HrJobState before = job->state;
   job->state = job->cancellation.told_by_peer
                    ? HR_JOB_CANCELLED
-                   : record.state; /* a derived withdrawal is derived again */
+                   : record.state; /* a derived cancellation is derived again */
   hr_dependencies_job_read (core, job, (const char *const *)awaits);
   hr_job_open (core, job);
   gboolean cancelled = record.state == HR_JOB_CANCELLED || job->cancellation.told_by_peer;
--- a/src/bookkeeping/tables.h
+++ b/src/bookkeeping/tables.h
@@ -1,4 +1,4 @@
-/* The job and machine tables: what is recorded, and what the owner knows on top. */
+/* The job and machine tables: what is recorded, and what the leader knows on top. */
 #pragma once
 #include "protocol/cloud.h"
 #include "protocol/jobspec.h"
@@ -45,7 +45,7 @@
   gboolean write_is_final; /* the write under way is the tombstone */
 } HrRecordPage;
 
-/* A page in the ledger that no main record names yet, or no longer: a page of another size. */
+/* A page in the state store that no main record names yet, or no longer: a page of another size. */
 typedef struct {
   guint tasks_per_page, page;
   guint64 revision;
@@ -277,7 +277,7 @@
 /* Time of day from which its times other than `due_s` count. */
 double hr_job_eligible_since (const HrJob *job);
 HrRecordPage *hr_job_page (HrJob *job, guint32 task_index);
-/* A placed task takes a machine's name, a session and an attempt: room for long names. */
+/* A placed task takes a machine's name, an incarnation and an attempt: room for long names. */
 #define HR_PLACED_TASK_BYTES 48
 /* How many tasks a record or page of production holds. */
 guint hr_tasks_per_page (double value_kb);
--- a/src/coordination/agents/direct_orders.c
+++ b/src/coordination/agents/direct_orders.c
@@ -69,7 +69,7 @@
                    core->leadership.term_began_at, launch};
   machine->agent.direct_calls_in_flight++;
   core->metrics.counters.direct_calls++;
-  g_debug ("direct: machine=%s session=%u token=%" G_GUINT64_FORMAT " stops=%u launches=%u",
+  g_debug ("direct: machine=%s incarnation=%u token=%" G_GUINT64_FORMAT " stops=%u launches=%u",
            machine->name, machine->agent.incarnation, core->leadership.fencing_token,
            hr_orders_count (orders, "kill"), hr_orders_count (orders, "launch"));
   hr_core_call (core, HR_TO_WORKER, machine->address, HR_POST, g_strdup ("/do"),
--- a/src/coordination/agents/heartbeats.c
+++ b/src/coordination/agents/heartbeats.c
@@ -4,7 +4,7 @@
 #include "protocol/json_util.h"
 #include <string.h>
 
-/* Ended attempts that a worker may hold before the baton is raised to clear them. */
+/* Ended attempts that a worker may hold before the fencing token is raised to clear them. */
 #define MAX_UNCLEARED 12
 
 /* Fills in what a machine is and where; FALSE while its type is not known. */
@@ -98,7 +98,7 @@
     if (task && task->state == HR_TASK_BOUND) {
       g_hash_table_add (seen, task);
       task->from_earlier_term = 0;
-      /* Records tell a new owner where an image should be; one that is still being fetched
+      /* Records tell a new leader where an image should be; one that is still being fetched
        * at the second look is not there. */
       if (reported->state == HR_REPORTED_FETCHING && task->reported_state == HR_REPORTED_FETCHING)
         hr_machine_forget_image (machine, job->spec.image);
@@ -208,7 +208,7 @@
 static void
 begin_incarnation (HrCore *core, HrMachine *machine, guint32 incarnation)
 {
-  /* A session that ends within a lease of our answer shows that the answer was not
+  /* An incarnation that ends within a lease of our answer shows that the answer was not
    * received: reports come from there, but nothing that we say arrives. Once may also be
    * a report that a cut held back; such ones come in a bunch, not a lease apart. */
   gboolean unreceived = machine->agent.lease_renewed_at &&
@@ -220,18 +220,18 @@
       core->now - machine->agent.answer_unreceived_at > core->settings->lease_s / 2)
     machine->agent.answer_unreceived_at = unreceived ? core->now : 0;
   machine->agent.launch_answered_sequence = machine->agent.unanswered_launch_token =
-      0; /* orders of the old session are void */
+      0; /* orders of the old incarnation are void */
   machine->agent.incarnation = incarnation;
   g_array_set_size (machine->agent.direct_launches, 0);
 }
 
-/* The message is the newest one of its worker. Its session and number count from here on. */
+/* The message is the newest one of its worker. Its incarnation and number count from here on. */
 static void
 note_sequence (HrCore *core, HrMachine *machine, const HrHeartbeat *heartbeat)
 {
   if (heartbeat->incarnation > machine->agent.incarnation)
     begin_incarnation (core, machine, heartbeat->incarnation);
-  /* Not only when the session moves on: a new owner may know the session from
+  /* Not only when the incarnation moves on: a new leader may know the incarnation from
    * before, and read older ones in the records. */
   hr_termination_incarnations_over (core, machine, machine->agent.incarnation - 1,
                                     "its worker is in a later session");
@@ -292,7 +292,7 @@
   note_sequence (core, machine, heartbeat);
   if (heartbeat->fencing_token < core->leadership.term_token &&
       !(machine->state == HR_MACHINE_BOOTING && machine->instance.requested_here)) {
-    /* Sent before the worker heard from this owner, how long ago nobody knows: it may be
+    /* Sent before the worker heard from this leader, how long ago nobody knows: it may be
      * a late copy of a machine that is gone. Only its order counts. A worker that is
      * there gets our token now, and reports again because of it; but when, and whether we
      * are there by then, is open: so it is told now what must not run. */
@@ -329,7 +329,7 @@
     return;
   }
   if (heartbeat->fencing_token > core->leadership.fencing_token) {
-    g_info ("%s has seen baton %" G_GUINT64_FORMAT ", ours is older", heartbeat->machine,
+    g_info ("%s has seen fencing token %" G_GUINT64_FORMAT ", ours is older", heartbeat->machine,
             heartbeat->fencing_token);
     refuse_heartbeat (core, command, heartbeat, &core->metrics.counters.reports_refused_token,
                       "newer_token", "a newer baton is about");
--- a/src/coordination/agents/lease_renewal.c
+++ b/src/coordination/agents/lease_renewal.c
@@ -4,7 +4,7 @@
 
 static const char *const kind_names[] = {"current", "overtaken", "before_token"};
 
-/* Withdrawn or done, by what this node knows. Both are final: a stop of such a job's task is right
+/* Cancelled or done, by what this node knows. Both are final: a stop of such a job's task is right
  * whenever it arrives, and whatever made us send it. */
 static gboolean
 is_final (const HrJob *job)
@@ -27,8 +27,8 @@
   return job && is_final (job);
 }
 
-/* The record has the task on this machine in this session, so a launch may have started it though
- * the report, which left earlier, lacks it. */
+/* The record has the task on this machine in this incarnation, so a launch may have started it
+ * though the report, which left earlier, lacks it. */
 static gboolean
 recorded_and_final (const HrCore *core, const HrMachine *machine, HrTaskRef ref)
 {
@@ -100,7 +100,7 @@
 {
   if (kind == HR_HEARTBEAT_CURRENT && !json_array_size (orders))
     return;
-  g_debug ("answer: machine=%s kind=%s seq=%" G_GUINT64_FORMAT " session=%" G_GUINT64_FORMAT
+  g_debug ("answer: machine=%s kind=%s seq=%" G_GUINT64_FORMAT " incarnation=%" G_GUINT64_FORMAT
            " token=%" G_GUINT64_FORMAT " seen=%" G_GUINT64_FORMAT
            " tasks=%u stops=%u launches=%u clears=%u",
            machine->name, kind_names[kind], heartbeat->sequence, heartbeat->incarnation,
--- a/src/coordination/agents/lease_renewal.h
+++ b/src/coordination/agents/lease_renewal.h
@@ -1,7 +1,7 @@
 /* What an answer to a worker's report holds. An answer of 200 renews the worker's lease, so this is
  * the one place that gives any, under one invariant: whoever renews a lease names in the same
- * answer a stop for every task in that report, and on the books of its session, whose job is
- * withdrawn or done; or does not renew it. The argument is in docs/design.md, "Renewing a lease".
+ * answer a stop for every task in that report, and on the tables of its incarnation, whose job is
+ * cancelled or done; or does not renew it. The argument is in docs/design.md, "Renewing a lease".
  */
 #pragma once
 #include "coordination/state.h"
--- a/src/coordination/agents/orders.c
+++ b/src/coordination/agents/orders.c
@@ -10,7 +10,7 @@
 static gboolean
 launchable (const HrCore *core, const HrJob *job, const HrTask *task)
 {
-  /* What an earlier owner recorded is not launched: it may have ended and made
+  /* What an earlier leader recorded is not launched: it may have ended and made
    * place for others since. It is seen on its machine, or proven gone. */
   return job->state == HR_JOB_QUEUED && !hr_job_has_unfinished_dependencies (job) &&
          !task->stop_wanted && !task->from_earlier_term &&
@@ -18,9 +18,9 @@
                                          !hr_gang_delays_launch (core, job, task)));
 }
 
-/* While the state service refuses this owner alone, others confirm withdrawals that it cannot read:
- * it launches nothing. What is recorded may wait for long, a gang's task for others' fetches. In
- * an outage for all nobody confirms any. */
+/* While the state service refuses this leader alone, others confirm cancellations that it cannot
+ * read: it launches nothing. What is recorded may wait for long, a gang's task for others' fetches.
+ * In an outage for all nobody confirms any. */
 static gboolean
 may_launch (const HrCore *core)
 {
@@ -32,9 +32,9 @@
 log_order (const char *order, const char *job_id, guint32 task_index, guint32 attempt,
            const HrMachine *machine, gboolean direct, const char *why)
 {
-  g_debug ("%s: task=%s/%u try=%u machine=%s session=%u way=%s%s%s", order, job_id, task_index,
-           attempt, machine->name, machine->agent.incarnation, direct ? "direct" : "answer",
-           why ? " why=" : "", why ? why : "");
+  g_debug ("%s: task=%s/%u attempt=%u machine=%s incarnation=%u way=%s%s%s", order, job_id,
+           task_index, attempt, machine->name, machine->agent.incarnation,
+           direct ? "direct" : "answer", why ? " why=" : "", why ? why : "");
 }
 
 static const char *
--- a/src/coordination/agents/termination_proof.c
+++ b/src/coordination/agents/termination_proof.c
@@ -1,6 +1,6 @@
 /* Proof that a task is not on a machine. A recorded task is placed anew only
  * after one of: the worker showed that it is gone, with no order of ours still
- * on its way; a later session; the cloud's 200 to the machine's deletion; a
+ * on its way; a later incarnation; the cloud's 200 to the machine's deletion; a
  * lease that is surely over. */
 #include "coordination/state.h"
 
@@ -13,11 +13,11 @@
          machine->agent.launch_answered_sequence == 0;
 }
 
-/* A launch whose answer was lost, of a job that was withdrawn since, may come at any time while
- * the worker is in this session and has seen no newer token. Without the state service no newer
- * token is to be had; with it one is asked for (take_items in workers.c), but its write may fail
+/* A launch whose answer was lost, of a job that was cancelled since, may come at any time while
+ * the worker is in this incarnation and has seen no newer token. Without the state service no newer
+ * token is to be had; with it one is asked for (take_items in heartbeats.c), but its write may fail
  * again and again. So there is a bound: the worker's lease has to end by `cancel_s` after the user
- * was told, which was after the last reading that did not show the withdrawal. */
+ * was told, which was after the last reading that did not show the cancellation. */
 gboolean
 hr_termination_cancelled_may_start (const HrCore *core, const HrMachine *machine)
 {
@@ -84,8 +84,8 @@
 gboolean
 hr_lease_has_expired (const HrCore *core, const HrMachine *machine)
 {
-  /* Before a worker has seen our token an earlier owner may have answered it,
-   * for up to `hold` after our map was written. Afterwards only we can. */
+  /* Before a worker has seen our token an earlier leader may have answered it,
+   * for up to `hold` after our leader record was written. Afterwards only we can. */
   double base = machine->agent.lease_renewed_at;
   if (machine->agent.fencing_token < core->leadership.term_token)
     base = MAX (base, core->leadership.term_began_at + core->policy.hold_s);
@@ -161,7 +161,7 @@
    * over a period, so the first ones reach silent_s well before the rest: what tells is
    * how many are overdue by then, or they would be deleted a few at a time. */
   gboolean cut_off = overdue > 2 && overdue > core->policy.silent_share * up;
-  /* A new owner lets workers find it first; so does one that was cut off itself, or
+  /* A new leader lets workers find it first; so does one that was cut off itself, or
    * it would return every machine that the same cut kept from it. */
   gboolean early =
       core->now - MAX (core->leadership.term_began_at, core->store.replica.served_since) <
--- a/src/coordination/command.h
+++ b/src/coordination/command.h
@@ -1,4 +1,4 @@
-/* What goes into the owner of all state and what comes out: no I/O in between. */
+/* What goes into the single owner of all state and what comes out: no I/O in between. */
 #pragma once
 #include <glib.h>
 
@@ -8,10 +8,10 @@
 #define HR_MAX_ECHOES 16
 #define HR_MAX_OVERSIZED 4
 #define HR_JOB_ID_MOST 100
-/* Room for the job ids that one hint names. With it the largest hint still fits a frame. */
+/* Room for the job ids that one status names. With it the largest status still fits a frame. */
 #define HR_NAMED_CANCELLATIONS_BYTES 960
 
-/* The clock of a member, as its last hint told it: for that member alone to read. */
+/* The clock of a member, as its last status told it: for that member alone to read. */
 typedef struct {
   char label[64], incarnation[40];
   double clock;
@@ -19,20 +19,20 @@
                                   member's log */
 } HrEcho;
 
-/* A part of a member's log of withdrawals, in which it notes each one that it confirms or reads,
+/* A part of a member's log of cancellations, in which it notes each one that it confirms or reads,
  * in that order. Positions count from 0 in each process. What was dropped from the log's
- * beginning has stamps up to `dropped`. */
+ * beginning has revisions up to `dropped`. */
 typedef struct {
-  gboolean is_stated; /* FALSE: the hint of a version that has no such log */
+  gboolean is_stated; /* FALSE: the status of a version that has no such log */
   guint64 dropped_revision, log_begin, first_position, log_end;
   guint count;                            /* of the ids named, from position `first` on */
   guint bytes;                            /* used of `ids` */
   char ids[HR_NAMED_CANCELLATIONS_BYTES]; /* one after the other, each with its terminating NUL */
 } HrNamedCancellations;
 
-/* What members tell one another about once a second. Hints, on which no rule rests, but
+/* What members tell one another about once a second. Statuses, on which no rule rests, but
  * for one statement: by the time it was made, its sender and the processes before it had
- * confirmed no withdrawal after `withdrawn`, and of those after `named.dropped` none that is
+ * confirmed no cancellation after `cancelled`, and of those after `named.dropped` none that is
  * not in its log. It is at least as new as the echoed clocks. */
 typedef struct {
   char label[64], incarnation[40];
@@ -40,14 +40,14 @@
   gboolean store_served, is_leader;
   guint32 worker_contacts;
   double clock;
-  gboolean synced; /* has read the whole ledger once; without that, `withdrawn` says nothing */
+  gboolean synced; /* has read the whole state store once; without that, `cancelled` says nothing */
   guint64 latest_cancellation;
-  guint64 applied_revision; /* revision up to which the sender has read the ledger */
+  guint64 applied_revision; /* revision up to which the sender has read the state store */
   HrNamedCancellations cancellations;
   HrEcho echoes[HR_MAX_ECHOES];
   guint n_echoes;
   guint32 format; /* of records, that the sender reads and writes; 0: it says nothing */
-  /* Jobs that it could not withdraw, since their records are too large to be written. */
+  /* Jobs that it could not cancel, since their records are too large to be written. */
   char oversized[HR_MAX_OVERSIZED][HR_JOB_ID_MOST + 1];
   guint n_oversized;
 } HrPeerStatus;
@@ -92,7 +92,7 @@
 
 /* As it stands in a request line. */
 HrMethod hr_method_of (const char *name);
-/* With an empty hint when it is to be one. */
+/* With an empty status when it is to be one. */
 HrCommand *hr_command_new (HrCommandKind kind);
 void hr_command_free (HrCommand *command);
 void hr_effect_free (HrEffect *effect);
--- a/src/coordination/core.c
+++ b/src/coordination/core.c
@@ -362,7 +362,7 @@
 {
   const double *lease = g_hash_table_lookup (vars, "lease_s");
   const double *cancel = g_hash_table_lookup (vars, "cancel_s");
-  /* An owner that the state service refuses cannot see a cancellation. It goes on
+  /* A leader that the state service refuses cannot see a cancellation. It goes on
    * answering workers for hold_s, and their leases outlast that. */
   double ends = policy->hold_s + *lease * 1.002 + policy->lease_margin_s;
   const double *report = g_hash_table_lookup (vars, "report_s");
--- a/src/coordination/core.h
+++ b/src/coordination/core.h
@@ -1,4 +1,4 @@
-/* The owner of all state: commands in, effects out. No I/O and no clock inside. */
+/* The single owner of all state: commands in, effects out. No I/O and no clock inside. */
 #pragma once
 #include "coordination/command.h"
 #include "policy/policy.h"
--- a/src/coordination/jobs/arrivals.c
+++ b/src/coordination/jobs/arrivals.c
@@ -32,7 +32,7 @@
                                     : MIN (stats->recent_arrivals, 2) / BUCKET_S;
 }
 
-/* Keeps the list of jobs that the owner has to look at. One that waits for others has no task
+/* Keeps the list of jobs that the leader has to look at. One that waits for others has no task
  * and takes no room, limit or guarantee: it comes in when the last of them is done. */
 void
 hr_job_open (HrCore *core, HrJob *job)
--- a/src/coordination/jobs/dependencies.c
+++ b/src/coordination/jobs/dependencies.c
@@ -1,5 +1,5 @@
-/* Jobs that await others. A job is withdrawn when its record says so, or when one that it
- * awaits is: that is derived here from the ledger as followed, at every node alike, and rests on
+/* Jobs that await others. A job is cancelled when its record says so, or when one that it
+ * awaits is: that is derived here from the store as read, at every node alike, and rests on
  * no further write. Tombstones are kept for ever, so what was derived once is derived again.
  *
  * Edges are kept both ways. A record may be read before those of the jobs that it names; their
@@ -10,10 +10,10 @@
 
 /* Awaited jobs that a reason names; of the others it says how many. */
 #define NAMED_IN_REASON 3
-/* Tombstones of derived withdrawals that are begun in one tick. */
+/* Tombstones of derived cancellations that are begun in one tick. */
 #define TOMBSTONES_A_TICK 2
 
-/* As the ledger says: what a member told us of a job is not told on to those that await it. */
+/* As the state store says: what a member told us of a job is not told on to those that await it. */
 static gboolean
 is_final (const HrJob *job)
 {
@@ -63,7 +63,7 @@
 {
   job->state = HR_JOB_CANCELLED;
   job->cancellation.root = root;
-  g_debug ("%s is withdrawn with %s", job->id, root->id);
+  g_debug ("%s is cancelled with %s", job->id, root->id);
   if (core->leadership.is_leader && job->run.n_live)
     hr_job_cancelled (core, job); /* it cannot have a task; should it, that is stopped */
   else
--- a/src/coordination/jobs/failover.c
+++ b/src/coordination/jobs/failover.c
@@ -1,7 +1,7 @@
 /* A new term begins: what the records say is what may be out there. */
 #include "coordination/state.h"
 
-/* More than any task is tried in one owner's time. */
+/* More than any task is tried in one leader's time. */
 #define ATTEMPTS_PER_TERM 1000
 
 /* What an earlier term knew of the machine is out of date. */
@@ -42,7 +42,7 @@
   job->run.n_live++;
   hr_machine_allocate (machine, &job->spec, (HrTaskRef){job->index, task_index});
   if (machine->state == HR_MACHINE_GONE) {
-    /* Known from a record alone: it reports, or its absence gets proven. */
+    /* Known from a record alone: it reports, or its termination gets proven. */
     machine->state = HR_MACHINE_UP;
     machine->agent.incarnation = MAX (machine->agent.incarnation, task->recorded.incarnation);
     hr_fleet_add (core, machine);
@@ -121,13 +121,13 @@
     bound += n;
     cancelled += job->state == HR_JOB_CANCELLED ? n : 0;
   }
-  g_message ("leads: token=%" G_GUINT64_FORMAT " epoch=%" G_GUINT64_FORMAT
-             " reading_age=%.2f jobs=%u bound=%u withdrawn_bound=%u",
+  g_message ("leads: token=%" G_GUINT64_FORMAT " revision=%" G_GUINT64_FORMAT
+             " reading_age=%.2f jobs=%u bound=%u cancelled_bound=%u",
              core->leadership.fencing_token, core->store.replica.applied_revision,
              core->now - core->store.replica.confirmed_at, jobs, bound, cancelled);
 }
 
-/* A new owner: what the records say is what may be out there. */
+/* A new leader: what the records say is what may be out there. */
 void
 hr_failover_take_over (HrCore *core)
 {
--- a/src/coordination/jobs/priority_inheritance.c
+++ b/src/coordination/jobs/priority_inheritance.c
@@ -1,5 +1,5 @@
-/* Deadline and rank of jobs that others need. Users set both on the last job of a pipeline, so
- * they flow up: a job has the highest rank of those that need it, and the earliest of its own
+/* Deadline and priority of jobs that others need. Users set both on the last job of a pipeline, so
+ * they flow up: a job has the highest priority of those that need it, and the earliest of its own
  * deadline and theirs less the estimates of what comes in between (the critical path).
  * Preferences of the plan, on which no rule rests. */
 #include "coordination/state.h"
--- a/src/coordination/jobs/submissions.c
+++ b/src/coordination/jobs/submissions.c
@@ -98,7 +98,7 @@
 }
 
 /* All jobs that it awaits are known. A service among them is never done, so the job could never
- * run; one that was withdrawn takes the job along like any other. */
+ * run; one that was cancelled takes the job along like any other. */
 static void
 submit_if_possible (HrCore *core, HrUserRequest *request)
 {
--- a/src/coordination/jobs/task_lifecycle.c
+++ b/src/coordination/jobs/task_lifecycle.c
@@ -53,10 +53,10 @@
   job->run.n_live++;
   hr_machine_allocate (machine, &job->spec, ref);
   hr_record_writer_mark (core, job, task_index);
-  g_debug ("%s/%u try %u goes to %s", job->id, task_index, attempt, machine->name);
+  g_debug ("%s/%u attempt %u goes to %s", job->id, task_index, attempt, machine->name);
 }
 
-/* Takes the task off its machine's books. */
+/* Takes the task off its machine's tasks. */
 static void
 release_machine (HrCore *core, HrJob *job, guint32 task_index)
 {
@@ -100,7 +100,7 @@
   task->state = HR_TASK_BOUND;
   if (machine->state != HR_MACHINE_UP ||
       machine->agent.incarnation != task->placement.incarnation) {
-    /* The machine went, or began a new session, while we wrote; nothing was sent. */
+    /* The machine went, or began a new incarnation, while we wrote; nothing was sent. */
     hr_task_gone (core, job, task_index, HR_EXIT_NONE, "its machine changed before the launch");
     return;
   }
@@ -194,7 +194,7 @@
   /* The others of a gang that has not begun keep waiting; a replacement with the same
    * attempt number completes it. A task that failed would most likely fail again. */
   gboolean replace = (why == HR_EXIT_NONE || why == HR_EXIT_FULL) && !gang_has_begun (job);
-  g_debug ("%s/%u try %u is off %s: %s", job->id, task_index, task->placement.attempt,
+  g_debug ("%s/%u attempt %u is off %s: %s", job->id, task_index, task->placement.attempt,
            machine->name, proof);
   task->state = HR_TASK_IDLE;
   if (why == HR_EXIT_ERROR || why == HR_EXIT_UNKNOWN)
@@ -293,12 +293,12 @@
 void
 hr_job_cancelled (HrCore *core, HrJob *job)
 {
-  g_info ("%s is withdrawn", job->id);
+  g_info ("%s is cancelled", job->id);
   core->metrics.counters.withdrawals++;
   if (!job->cancellation.unknown_until)
     job->cancellation.unknown_until =
         core->store.replica.confirmed_at; /* of the last reading that did not show it */
-  g_info ("withdrawn: job=%s epoch=%" G_GUINT64_FORMAT " reading_age=%.2f bound=%u", job->id,
+  g_info ("cancelled: job=%s revision=%" G_GUINT64_FORMAT " reading_age=%.2f bound=%u", job->id,
           core->store.replica.applied_revision, core->now - core->store.replica.confirmed_at,
           hr_job_bound_tasks (job));
   for (guint32 i = 0; i < job->n_tasks; i++) {
--- a/src/coordination/jobs/user_requests.h
+++ b/src/coordination/jobs/user_requests.h
@@ -1,4 +1,4 @@
-/* A user's request on its way to an answer, shared by users.c and submissions.c. */
+/* A user's request on its way to an answer, shared by user_requests.c and submissions.c. */
 #pragma once
 #include "coordination/state.h"
 
@@ -30,8 +30,8 @@
 /* How long its next write waits for an answer, in seconds. */
 double hr_request_timeout (const HrCore *core, const HrUserRequest *request);
 /* Was the write not carried out, or is that unknown, and is there time for another? The same write
- * may be sent again at any time, for it holds on the record's stamp: whichever copy is carried out
- * second fails. */
+ * may be sent again at any time, for it holds on the record's revision: whichever copy is carried
+ * out second fails. */
 gboolean hr_request_may_try_again (HrCore *core, HrUserRequest *request, int status);
 
 void hr_submit (HrCore *core, HrCommand *command);
--- a/src/coordination/leadership/leadership.c
+++ b/src/coordination/leadership/leadership.c
@@ -1,12 +1,12 @@
 /* Membership and leadership. The leader's key lives with a lease of the state
- * service; whoever creates it writes the map in the same transaction, with a
- * higher token (baton). Ownership is what the map says, nothing else. */
+ * service; whoever creates it writes the leader record in the same transaction, with a
+ * higher token (fencing token). Ownership is what the leader record says, nothing else. */
 #include "coordination/state.h"
 #include "protocol/json_util.h"
 #include <string.h>
 
 #define CONTACT_WINDOW 6.0
-/* Between hints, and while there is news for a member that the state service does not serve. */
+/* Between statuses, and while there is news for a member that the state service does not serve. */
 #define STATUS_INTERVAL_S 1.0
 #define STATUS_SOON_INTERVAL_S 0.2
 
@@ -33,8 +33,8 @@
   return heard;
 }
 
-/* Up to when nobody else can have confirmed a withdrawal that we have not read, or become
- * the owner: each of the other members said so, after it had heard our clock. With none,
+/* Up to when nobody else can have confirmed a cancellation that we have not read, or become
+ * the leader: each of the other members said so, after it had heard our clock. With none,
  * there is nobody who could. */
 static double
 attested_until (const HrCore *core)
@@ -55,7 +55,7 @@
   return until;
 }
 
-/* hold_s bounds how long an owner may answer without a reading, or the attestation of all other
+/* hold_s bounds how long a leader may answer without a reading, or the attestation of all other
  * members that they have none to go by either: a cut of them all, behind which workers
  * would lose their tasks for nothing. One that is cut off from members and state service
  * alike stops sooner: another leads by then, and while its workers still hear us they do
@@ -96,7 +96,7 @@
   hr_replica_reset (core);
 }
 
-/* After every reading: does the map name this very process? */
+/* After every reading: does the leader record name this very process? */
 void
 hr_leadership_record_read (HrCore *core)
 {
@@ -128,7 +128,7 @@
   if (status == 400)
     core->leadership.lock_lease_id = 0;
   core->leadership.next_election_at = core->now + g_rand_double_range (core->random, 0.3, 0.8);
-  /* Won, lost or unknown: the next reading says who owns the map. */
+  /* Won, lost or unknown: the next reading says who owns the leader record. */
   hr_replica_read (core, on_reread, NULL);
 }
 
@@ -154,7 +154,7 @@
     core->leadership.lock_lease_id = 0; /* the key is gone with it; we may stand again */
 }
 
-/* The owner of the map is there and only lost its key, in a cut of us all perhaps. It
+/* The leader of the leader record is there and only lost its key, in a cut of us all perhaps. It
  * takes the key again at once; to change owners would cost time and proofs. */
 static gboolean
 incumbent_returns (const HrCore *core)
@@ -212,7 +212,7 @@
 hr_leadership_raise_token (HrCore *core, const char *why)
 {
   if (!core->leadership.token_raise_wanted)
-    g_info ("the baton is to be raised: %s", why);
+    g_info ("the fencing token is to be raised: %s", why);
   core->leadership.token_raise_wanted = TRUE;
 }
 
@@ -288,9 +288,9 @@
   core->leadership.lock_lease_id = 0;
 }
 
-/* A leader that reads the ledger anew has forgotten which of its orders are still on their way.
- * The map names it all the same; under the same token a late launch would count, of a task that
- * has been placed elsewhere since. So it leads again only by a new map. */
+/* A leader that reads the state store anew has forgotten which of its orders are still on their
+ * way. The leader record names it all the same; under the same token a late launch would count, of
+ * a task that has been placed elsewhere since. So it leads again only by a new leader record. */
 void
 hr_leadership_reset (HrCore *core, const char *why)
 {
@@ -346,8 +346,9 @@
 }
 
 /* Takes note of what a member states, and of when by our clock it was still so: that it knows
- * of no newer owner and of no withdrawal that we have neither read nor been told. Whether the state
- * service serves it does not matter: what it decides or reads later is in what it states later. */
+ * of no newer leader and of no cancellation that we have neither read nor been told. Whether the
+ * state service serves it does not matter: what it decides or reads later is in what it states
+ * later. */
 static void
 note_attestation (HrCore *core, HrPeer *peer)
 {
@@ -372,7 +373,7 @@
     member |=
         g_str_equal (g_array_index (core->settings->members, HrMember, i).label, status->label);
   if (!member) {
-    g_info ("a hint from %s, which is no member; dropped", status->label);
+    g_info ("a status from %s, which is no member; dropped", status->label);
     return;
   }
   HrPeer *peer = NULL;
@@ -391,7 +392,7 @@
   hr_cancellation_log_acknowledged (core, peer);
   note_attestation (core, peer);
   hr_record_format_status_received (core, status);
-  /* A member that the state service serves has read a newer map, and we, who
+  /* A member that the state service serves has read a newer leader record, and we, who
    * think we own it, have not: whoever is refused steps down at once. */
   if (core->leadership.is_leader && status->store_served &&
       status->fencing_token > core->leadership.fencing_token &&
--- a/src/coordination/membership/cancellation_log.c
+++ b/src/coordination/membership/cancellation_log.c
@@ -1,12 +1,12 @@
-/* Naming withdrawals to a leader that cannot read them. Each node logs the withdrawals that it
+/* Naming cancellations to a leader that cannot read them. Each node logs the cancellations that it
  * confirms to users or reads, in the order in which it learns of them, and names those that the
- * leader has not read in its hints, from the position on that the leader echoes. The argument
- * why the leader may go by that is in docs/design.md, "Withdrawals that the leader cannot
+ * leader has not read in its statuses, from the position on that the leader echoes. The argument
+ * why the leader may go by that is in docs/design.md, "Cancellations that the leader cannot
  * read". */
 #include "coordination/state.h"
 #include <string.h>
 
-/* Longer than the withdrawals that come while a leader is not served and not replaced. */
+/* Longer than the cancellations that come while a leader is not served and not replaced. */
 #define MAX_LOG 1024
 
 /* The leader, as it says itself; NULL when none is known that can be told. */
@@ -34,8 +34,8 @@
   core->cancellations.begin += n;
 }
 
-/* Drops what the leader has read, from the beginning on. Whoever led at the map that we read,
- * or leads after it, has read the ledger up to that map. */
+/* Drops what the leader has read, from the beginning on. Whoever led at the leader record that we
+ * read, or leads after it, has read the state store up to that map. */
 static void
 drop_read_by_leader (HrCore *core, const HrPeer *leader)
 {
@@ -55,8 +55,8 @@
   return core->cancellations.begin + core->cancellations.entries->len;
 }
 
-/* Notes a withdrawal that we confirmed or read: before its user is told, and before any hint
- * states its stamp. */
+/* Notes a cancellation that we confirmed or read: before its user is told, and before any status
+ * states its revision. */
 void
 hr_cancellation_log_append (HrCore *core, const HrJob *job, guint64 revision)
 {
@@ -87,7 +87,7 @@
   return 0;
 }
 
-/* States our log in a hint, and names what of it the leader has neither read nor taken in, as
+/* States our log in a status, and names what of it the leader has neither read nor taken in, as
  * far as there is room. */
 void
 hr_cancellation_log_fill_status (HrCore *core, HrPeerStatus *status)
@@ -111,8 +111,8 @@
   }
 }
 
-/* A member says that the job is withdrawn: its tasks are stopped as if its record had been
- * read. The record itself is as ever: no write of ours holds on a stamp before we read it. */
+/* A member says that the job is cancelled: its tasks are stopped as if its record had been
+ * read. The record itself is as ever: no write of ours holds on a revision before we read it. */
 static void
 cancel_as_told (HrCore *core, const char *id)
 {
@@ -123,8 +123,8 @@
     return;
   job->cancellation.told_by_peer = TRUE;
   if (!job->is_known)
-    return; /* should its submission still be read, it is withdrawn already */
-  g_info ("%s is withdrawn, as a member says", id);
+    return; /* should its submission still be read, it is cancelled already */
+  g_info ("%s is cancelled, as a peer says", id);
   job->state = HR_JOB_CANCELLED;
   if (job->tasks)
     hr_job_cancelled (core, job);
@@ -132,7 +132,7 @@
 }
 
 /* Takes in what a member names, when nothing is missing between that and what was taken in
- * before, but for withdrawals that we have read. */
+ * before, but for cancellations that we have read. */
 void
 hr_cancellation_log_take_named (HrCore *core, HrPeer *peer)
 {
@@ -151,7 +151,7 @@
   core->membership.status_due_soon = TRUE; /* the member goes on from there */
 }
 
-/* Do we know all withdrawals that the member knew of when it made its latest hint? */
+/* Do we know all cancellations that the member knew of when it made its latest status? */
 gboolean
 hr_cancellation_log_all_taken (const HrCore *core, const HrPeer *peer)
 {
--- a/src/coordination/scaling/fleet.c
+++ b/src/coordination/scaling/fleet.c
@@ -30,7 +30,7 @@
       g_info ("the cloud did not say which machine types there are");
     return;
   }
-  /* Kept in the ledger, so that a node that starts while the cloud is down can decide. */
+  /* Kept in the state store, so that a node that starts while the cloud is down can decide. */
   if (core->leadership.is_leader && !core->scaling.types_revision &&
       !core->scaling.types_save_sent) {
     core->scaling.types_save_sent = TRUE;
--- a/src/coordination/scaling/instance_requests.c
+++ b/src/coordination/scaling/instance_requests.c
@@ -87,8 +87,9 @@
       machine->instance.requested_at = sent;
       hr_fleet_add (core, machine);
     }
-    g_info ("rented %zu of %u %s%s in %s", json_array_size (list), request->count,
-            request->is_spot ? "spot " : "", hr_intern_name (&core->names->types, request->type),
+    g_info ("the cloud gave %zu of %u instances: %s%s in %s", json_array_size (list),
+            request->count, request->is_spot ? "spot " : "",
+            hr_intern_name (&core->names->types, request->type),
             hr_intern_name (&core->names->zones, request->zone));
     if (json_array_size (list) < request->count)
       note_capacity_refusal (core, request->type, request->zone, request->is_spot);
@@ -100,7 +101,7 @@
     note_capacity_refusal (core, request->type, request->zone, request->is_spot);
     core->scheduling.plan_is_stale = TRUE;
   } else if (status == 400)
-    g_warning ("the cloud calls a rental malformed");
+    g_warning ("the cloud calls an instance request malformed");
   else {
     /* No answer, trouble or too many calls: the same name again, which rents once. Not at once: a
      * cloud in trouble answers in no time, and the calls would use up those of the next minutes. */
@@ -134,7 +135,7 @@
 
 /* The zone with capacity that holds the fewest of our machines, those asked for in this
  * round (by zone) included. The controllers' own zone takes twice its share: behind a cut
- * of it, its workers still hear the owner (hr_leadership_may_answer). */
+ * of it, its workers still hear the leader (hr_leadership_may_answer). */
 static guint32
 best_zone (HrCore *core, const HrMachineType *type, gboolean spot, const guint *asked)
 {
@@ -188,8 +189,8 @@
 void
 hr_instance_requests_send (HrCore *core)
 {
-  /* What an earlier owner rented shows in the list: look before renting. The
-   * very first owner has nothing to look for. */
+  /* What an earlier leader rented shows in the list: look before renting. The
+   * very first leader has nothing to look for. */
   gboolean looked = core->leadership.term_token == 1 ||
                     (core->scaling.list_is_complete &&
                      core->now - core->leadership.term_began_at > core->settings->list_lag_s);
--- a/src/coordination/scaling/scale_out.c
+++ b/src/coordination/scaling/scale_out.c
@@ -184,7 +184,7 @@
     return FALSE;
   job->plan.scale_out_pause_s = CLAMP (2 * job->plan.scale_out_pause_s, 15, 240);
   job->plan.next_scale_out_at = core->now + job->plan.scale_out_pause_s;
-  g_message ("%s needs %u machines at once, the cloud gave %u; none is rented for it for %.0f s",
+  g_message ("%s needs %u machines at once, the cloud gave %u; none is requested for it for %.0f s",
              job->id, job->n_tasks, fleet, job->plan.scale_out_pause_s);
   return TRUE;
 }
--- a/src/coordination/scheduling/free_capacity.h
+++ b/src/coordination/scheduling/free_capacity.h
@@ -1,5 +1,5 @@
 /* Free room on machines as a pass of dispatch.c sees it, and the parts of that pass that
- * share it (teams.c, preempt.c, rent.c). */
+ * share it (guarantees.c, preemption.c, scale_out.c). */
 #pragma once
 #include "coordination/state.h"
 
--- a/src/coordination/scheduling/plan.h
+++ b/src/coordination/scheduling/plan.h
@@ -1,5 +1,5 @@
-/* The parts of the plan: projection of a list (project.c), MT-EDF (mtedf.c), tabu search
- * (tabu.c), room kept for services (claims.c). */
+/* The parts of the plan: projection of a list (projection.c), MT-EDF (mtedf.c), tabu search
+ * (tabu.c), room kept for services (service_reservations.c). */
 #pragma once
 #include "coordination/state.h"
 
@@ -16,7 +16,7 @@
 /* Where a job belongs in a list by its deadline. */
 guint hr_list_position (HrCore *core, HrMachine *machine, const HrJob *job);
 void hr_list_insert (HrCore *core, HrMachine *machine, HrTaskRef ref);
-/* For the projected starts of a list; the owner of all state is a single thread. */
+/* For the projected starts of a list; the single owner of all state is a single thread. */
 double *hr_projection_scratch (guint n);
 
 /* The lists that may take the job's tasks, earliest-starting first. */
--- a/src/coordination/scheduling/projection.c
+++ b/src/coordination/scheduling/projection.c
@@ -211,7 +211,7 @@
   job->plan.n_listed--;
 }
 
-/* For the projected starts of a list; the owner of all state is a single thread. */
+/* For the projected starts of a list; the single owner of all state is a single thread. */
 double *
 hr_projection_scratch (guint n)
 {
--- a/src/coordination/scheduling/quota_preemption.c
+++ b/src/coordination/scheduling/quota_preemption.c
@@ -1,13 +1,14 @@
-/* Room within a team's limit: its work of lower rank is stopped for what the limit holds back. */
+/* Room within a team's limit: its work of lower priority is stopped for what the limit holds back.
+ */
 #include "coordination/scheduling/quota.h"
 #include "coordination/scheduling/quotas.h"
 #include "coordination/scheduling/free_capacity.h"
 
-/* Work of lower rank is stopped for a job that is no service where the limit would not let it
+/* Work of lower priority is stopped for a job that is no service where the limit would not let it
  * start within so long, s: what is stopped loses work. */
 #define PATIENCE_S 10.0
 
-/* What the team runs on a machine at a lower rank than the job's. */
+/* What the team runs on a machine at a lower priority than the job's. */
 typedef struct {
   HrMachine *machine;
   double loss; /* of work, a task */
--- a/src/coordination/scheduling/quotas.c
+++ b/src/coordination/scheduling/quotas.c
@@ -1,6 +1,6 @@
 /* Limits of teams: what they let start, in which order, and for whom room is made.
  *
- * Each pass hands out what a team's limit leaves to the jobs that wait, by rank, then by
+ * Each pass hands out what a team's limit leaves to the jobs that wait, by priority, then by
  * deadline; gangs get all or nothing. Plans, rentals and spare room count these grants alone,
  * so no machine is rented or kept for what the limit holds back. What the first job that does
  * not fit leaves over is reserved for it: others get of it what ends, by estimate, before
@@ -28,8 +28,8 @@
   return &g_array_index (core->scheduling.team_usage, HrTeamUsage, team);
 }
 
-/* What each team uses: every task that is not proven gone, those of withdrawn jobs and those
- * that an earlier owner's record binds included. */
+/* What each team uses: every task that is not proven gone, those of cancelled jobs and those
+ * that an earlier leader's record binds included. */
 static void
 count_usage (HrCore *core)
 {
--- a/src/coordination/scheduling/quotas.h
+++ b/src/coordination/scheduling/quotas.h
@@ -8,7 +8,7 @@
 void hr_quotas_task_started (HrCore *core, HrJob *job);
 /* How many tasks more of the job its team's limit lets start now; G_MAXUINT: no limit. */
 guint hr_quotas_granted (HrCore *core, const HrJob *job);
-/* Stops work of lower rank for jobs that their own team's limit holds back. */
+/* Stops work of lower priority for jobs that their own team's limit holds back. */
 void hr_quotas_preempt (HrCore *core);
 /* Tasks of the job that are neither on a machine nor done, and how many of them start at once
  * or not at all. */
--- a/src/coordination/scheduling/service_replicas.c
+++ b/src/coordination/scheduling/service_replicas.c
@@ -69,7 +69,7 @@
 {
   double fetch = hr_estimate_fetch_time (core, job, machine);
   double closes = open && fetch > 0 && !stays_open (core, &job->spec, machine, 2) ? 1000 : 0;
-  /* Behind a cut of the controllers' own zone its workers still hear the owner. */
+  /* Behind a cut of the controllers' own zone its workers still hear the leader. */
   double home = machine->zone == core->settings->home ? HR_HOME_S * 10 : 0;
   return home - 10 * fetch - closes + machine->tasks->len * 10 -
          (machine->free.gpus + machine->free.cpus * 0.1);
--- a/src/coordination/scheduling/starvation_guard.c
+++ b/src/coordination/scheduling/starvation_guard.c
@@ -1,11 +1,12 @@
 /* Array tasks that wait beside free room.
  *
- * Room is kept for the next replicas of services (claims.c), for tasks that are due earlier on the
- * same machine (dispatch.c), and for a job's own part of the fleet (parts.c). What is projected to
- * start soon is not rented for either, so where such a projection slips from pass to pass, a task
- * could wait for ever. After STARVATION_LIMIT_S beside room that it fits into, a task gets that
- * room, whatever it is kept for. Spare room for replicas is then found or rented anew (rent.c), and
- * a replica that comes meanwhile stops batch work as before (preempt.c). */
+ * Room is kept for the next replicas of services (service_reservations.c), for tasks that are due
+ * earlier on the same machine (dispatch.c), and for a job's own part of the fleet (shards.c). What
+ * is projected to start soon is not rented for either, so where such a projection slips from pass
+ * to pass, a task could wait for ever. After STARVATION_LIMIT_S beside room that it fits into, a
+ * task gets that room, whatever it is kept for. Spare room for replicas is then found or rented
+ * anew (scale_out.c), and a replica that comes meanwhile stops batch work as before (preemption.c).
+ */
 #include "coordination/scheduling/starvation_guard.h"
 #include "coordination/scheduling/free_capacity.h"
 
--- a/src/coordination/state.h
+++ b/src/coordination/state.h
@@ -72,17 +72,17 @@
 const HrMachineType *hr_machine_type_of (const HrCore *core, const HrMachine *machine);
 const HrMachineType *hr_machine_type_find (const HrCore *core, guint32 name);
 
-/* urgency.c: deadline and rank of jobs that others need */
+/* priority_inheritance.c: deadline and priority of jobs that others need */
 /* The job is known, or has become ready. */
 void hr_priority_inheritance_job_read (HrCore *core, HrJob *job);
 /* These jobs (HrJob) need what they awaited no more. */
 void hr_priority_inheritance_jobs_cancelled (HrCore *core, const GPtrArray *jobs);
 
-/* leader.c */
+/* leadership.c */
 void hr_leadership_tick (HrCore *core);
 void hr_leadership_record_read (HrCore *core);
 void hr_leadership_step_down (HrCore *core, const char *why);
-/* The ledger has to be read anew from the start. */
+/* The state store has to be read anew from the start. */
 void hr_leadership_reset (HrCore *core, const char *why);
 /* Gives the leader's key back and leaves it to others for a while. */
 void hr_leadership_resign (HrCore *core, const char *why);
@@ -95,17 +95,17 @@
 /* admission.c: why a job can never run here; NULL when it can. The machine types are known. */
 char *hr_admission_refusal_reason (HrCore *core, const HrJobSpec *spec);
 
-/* withdrawals.c: naming withdrawals to a leader that cannot read them */
+/* cancellation_log.c: naming cancellations to a leader that cannot read them */
 void hr_cancellation_log_append (HrCore *core, const HrJob *job, guint64 revision);
 void hr_cancellation_log_fill_status (HrCore *core, HrPeerStatus *status);
 void hr_cancellation_log_take_named (HrCore *core, HrPeer *peer);
 gboolean hr_cancellation_log_all_taken (const HrCore *core, const HrPeer *peer);
 void hr_cancellation_log_acknowledged (HrCore *core, const HrPeer *peer);
 
-/* users.c */
+/* user_requests.c */
 void hr_user_request_received (HrCore *core, HrCommand *command);
 
-/* workers.c */
+/* heartbeats.c */
 void hr_heartbeat_received (HrCore *core, HrCommand *command);
 /* What a worker answered to a direct call: its list after the orders. */
 void hr_heartbeat_direct_answer (HrCore *core, HrMachine *machine, const HrHeartbeat *heartbeat);
@@ -113,7 +113,7 @@
 /* direct.c */
 void hr_direct_orders_send (HrCore *core);
 
-/* tasks.c: what happens to a task on its machine */
+/* task_lifecycle.c: what happens to a task on its machine */
 void hr_task_assign (HrCore *core, HrJob *job, guint32 task_index, HrMachine *machine,
                      guint32 attempt);
 void hr_task_bound (HrCore *core, HrJob *job, guint32 task_index);
@@ -155,7 +155,7 @@
 void hr_demand_add (HrCore *core, guint32 type, guint32 zone, gboolean spot, guint count);
 gboolean hr_machine_types_load (HrCore *core, const json_t *object);
 
-/* rentals.c */
+/* instance_requests.c */
 void hr_instance_requests_send (HrCore *core);
 /* Requests without a clear answer, once more under their names. */
 void hr_instance_requests_retry (HrCore *core);
@@ -163,7 +163,7 @@
 /* machine_list.c */
 void hr_instance_list_tick (HrCore *core);
 
-/* parts.c */
+/* shards.c */
 guint32 hr_shard_of (const char *machine, guint n_shards);
 void hr_shards_assign (HrCore *core);
 void hr_shard_choose (HrCore *core, HrJob *job);
@@ -172,10 +172,10 @@
 void hr_planner_pass (HrCore *core);
 
 /* What a place in the controllers' zone is worth, as time to the start: behind a cut of it,
- * its workers still hear the owner. */
+ * its workers still hear the leader. */
 #define HR_HOME_S 2.0
 
-/* project.c */
+/* projection.c */
 double hr_estimate_run_time (HrCore *core, const HrJob *job, const HrMachine *machine);
 /* When a task that is on the machine should end, by its estimate; INFINITY: a service. */
 double hr_estimate_running_end (HrCore *core, const HrJob *job, const HrTask *task,
@@ -193,18 +193,18 @@
 /* Takes all its tasks out of the lists: the next pass places them anew. */
 void hr_job_unplan (HrCore *core, HrJob *job);
 
-/* teams.c */
+/* guarantees.c */
 gboolean hr_team_allows_start (HrCore *core, const HrJob *job, guint n);
 void hr_guarantees_mark_jobs (HrCore *core);
 
-/* The rank that counts for the job's order and for what may be stopped. */
+/* The priority that counts for the job's order and for what may be stopped. */
 static inline HrPriority
 hr_job_priority (const HrJob *job)
 {
   return job->plan.priority;
 }
 
-/* rent.c */
+/* scale_out.c */
 /* Tasks of the class that spare room is kept for: as many as cannot wait for a boot, within
  * what their teams' limits leave. */
 guint hr_headroom (HrCore *core, guint32 job_class);
--- a/src/emulator/wire.c
+++ b/src/emulator/wire.c
@@ -5,7 +5,7 @@
 
 /* No call of a controller waits longer than this: its watches are the longest. */
 #define CALL_S 30.0
-/* Nobody in the world waits longer for a controller. What is given up is taken off the session,
+/* Nobody in the world waits longer for a controller. What is given up is taken off the incarnation,
  * whose work for each message grows with those that are open. */
 #define REQUEST_S 6
 /* Connections to one controller. */
@@ -19,7 +19,7 @@
 
 /* ---- from controllers ---- */
 
-/* Whoever wrote the map with this token; -1: nobody. */
+/* Whoever wrote the leader record with this token; -1: nobody. */
 static int
 node_of_token (Live *live, const char *body)
 {
--- a/src/hoprockd.c
+++ b/src/hoprockd.c
@@ -68,7 +68,7 @@
   Daemon *daemon = data;
   g_ptr_array_add (daemon->queue, command);
   /* At the sockets' own priority: when the loop is busy, commands gather into
-   * larger batches, but the owner of the state is never starved. */
+   * larger batches, but the leader of the state is never starved. */
   if (!daemon->pending)
     daemon->pending = g_idle_add_full (G_PRIORITY_DEFAULT, run_batch, daemon, NULL);
 }
--- a/src/protocol/jobspec.h
+++ b/src/protocol/jobspec.h
@@ -1,4 +1,4 @@
-/* A job as its user describes it: parsing, checks, and its compact form in the ledger. */
+/* A job as its user describes it: parsing, checks, and its compact form in the state store. */
 #pragma once
 #include "protocol/intern.h"
 #include <jansson.h>
--- a/src/protocol/messages.h
+++ b/src/protocol/messages.h
@@ -26,7 +26,7 @@
 gboolean hr_job_status_read (const char *body, gsize size, HrJobStatus *out);
 void hr_job_status_clear (HrJobStatus *status);
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (HrJobStatus, hr_job_status_clear)
-/* Done or withdrawn: it stays so. */
+/* Done or cancelled: it stays so. */
 gboolean hr_job_status_is_final (const HrJobStatus *status);
 gboolean hr_job_status_is_cancelled (const HrJobStatus *status);
 /* The reason in an answer of another status; the start of the body when it has none. To be freed.
--- a/src/protocol/worker.h
+++ b/src/protocol/worker.h
@@ -51,5 +51,5 @@
 void hr_order_stop (json_t *orders, const char *job_id, guint32 task_index, guint32 attempt,
                     double grace);
 void hr_order_clear (json_t *orders, const char *job_id, guint32 task_index, guint32 attempt);
-/* {"baton":..,"orders":[..]}, with "tenure" when session > 0. Steals orders. */
+/* {"baton":..,"orders":[..]}, with "tenure" when incarnation > 0. Steals orders. */
 char *hr_orders_text (guint64 token, guint64 incarnation, json_t *orders);
--- a/src/transport/http_client.c
+++ b/src/transport/http_client.c
@@ -7,9 +7,9 @@
 /* Calls that may wait longer are watches. */
 #define WATCH_S 10
 
-/* A session holds calls back while another of its calls waits for a connection, and
+/* An incarnation holds calls back while another of its calls waits for a connection, and
  * ends a cancelled one only when that one ends. So what waits for long by design (the
- * watches), the store, the cloud and the workers each have a session of their own. */
+ * watches), the store, the cloud and the workers each have an incarnation of their own. */
 typedef enum { S_WATCH, S_STORE, S_CLOUD, S_WORKERS, S_COUNT } SessionKind;
 
 struct HrHttpClient {
@@ -38,7 +38,7 @@
 }
 
 /* The result is given here, not when libsoup has carried the cancellation out: that
- * may take until other calls of the session have ended. */
+ * may take until other calls of the incarnation have ended. */
 static gboolean
 on_deadline (gpointer data)
 {
--- a/src/transport/peer.c
+++ b/src/transport/peer.c
@@ -41,7 +41,7 @@
 {
   HrCommand *command = hr_command_new (HR_COMMAND_PEER_STATUS);
   if (!hr_peer_status_unpack (command->peer_status, reader->body, len)) {
-    g_info ("a peer sent a frame that is no hint; dropped");
+    g_info ("a peer sent a frame that is no status; dropped");
     hr_command_free (command);
     return;
   }
@@ -143,7 +143,7 @@
                                              link);
     }
     if (!link->conn || link->writing)
-      continue; /* hints are not queued: the next one says it all */
+      continue; /* statuses are not queued: the next one says it all */
     guint32 length = GUINT32_TO_BE ((guint32)len);
     memcpy (link->frame, &length, 4);
     memcpy (link->frame + 4, frame, len);
--- a/src/transport/peer.h
+++ b/src/transport/peer.h
@@ -1,4 +1,4 @@
-/* Hints between controllers: protobuf-c messages behind a length, over TCP. */
+/* Statuses between controllers: protobuf-c messages behind a length, over TCP. */
 #pragma once
 #include "protocol/settings.h"
 #include "transport/http_server.h"
--- a/tests/bench_core.c
+++ b/tests/bench_core.c
@@ -1,6 +1,6 @@
-/* Processor time of the owner of all state, by kind of command, at the size of a
+/* Processor time of the single owner of all state, by kind of command, at the size of a
  * grown deployment: bench_core [MACHINES [JOBS]]. No test: it prints figures.
- * The stand-ins answer at once, so only the owner's own work is measured. */
+ * The stand-ins answer at once, so only the leader's own work is measured. */
 #include "coordination/core.h"
 #include "protocol/json_util.h"
 #include <stdio.h>
--- a/tests/script_scene.h
+++ b/tests/script_scene.h
@@ -1,4 +1,4 @@
-/* Machines and their workers for tests/script.h, as the protocol has them: sessions, leases,
+/* Machines and their workers for tests/script.h, as the protocol has them: incarnations, leases,
  * tokens, reports, direct orders, deletion. A test says who reaches whom, and may keep any message
  * back. The rules about tasks on machines are checked at every event.
  *
--- a/tests/scripted.c
+++ b/tests/scripted.c
@@ -77,7 +77,7 @@
     {
       g_autofree char *value =
           json_dumps (json_object_get (entry, "value"), JSON_COMPACT | JSON_ENCODE_ANY);
-      script->epoch = store_revision - 1; /* all changes of a transaction have one stamp */
+      script->epoch = store_revision - 1; /* all changes of a transaction have one revision */
       script_write (script, hr_json_str (entry, "set"), value);
     }
     if (script->loses_writes) {
--- a/tests/scripted.h
+++ b/tests/scripted.h
@@ -30,7 +30,7 @@
   GPtrArray *inbox;
   ScriptedMember members[SCRIPTED_MEMBERS];
   double said_at;    /* the members last spoke */
-  HrPeerStatus said; /* the latest hint of c0 */
+  HrPeerStatus said; /* the latest status of c0 */
   double hint_at;    /* its time */
   GHashTable *on;    /* "job/task" -> attempt: what the worker has */
   guint tally, session;
@@ -44,7 +44,7 @@
 
 /* The log is shown with HR_SIM_VERBOSE=1, fatal messages always. */
 void script_log_init (void);
-/* leader: whom the map names; "c0" becomes the leader by itself. */
+/* leader: whom the leader record names; "c0" becomes the leader by itself. */
 Script *script_new (const char *leader);
 void script_free (Script *script);
 /* Time passes; c0 ticks, and members speak. */
@@ -56,10 +56,10 @@
 int script_report (Script *script);
 /* The same again and again for so long; returns the status of the last one. */
 int script_report_for (Script *script, double seconds);
-/* c0 gets this hint, with its own clock echoed. */
+/* c0 gets this status, with its own clock echoed. */
 void script_hint (Script *script, HrPeerStatus *status);
-/* Somebody else changes the ledger. */
+/* Somebody else changes the state store. */
 void script_write (Script *script, const char *key, const char *value);
-/* Somebody else withdraws the job; its stamp is returned. */
+/* Somebody else cancels the job; its revision is returned. */
 guint64 script_withdraw (Script *script, const char *id);
 gboolean script_runs (const Script *script, const char *id);
--- a/tests/sim/cloud.c
+++ b/tests/sim/cloud.c
@@ -115,7 +115,7 @@
       SMachine *machine = world->machines->pdata[k];
       if (strcmp (machine->name, json_string_value (entry)) != 0)
         continue;
-      /* Longer than any outage, and no record names it, or did of late: the owner's view is
+      /* Longer than any outage, and no record names it, or did of late: the leader's view is
        * that of an earlier term of his. */
       if (!request->answered && machine->gone &&
           world->now - MAX (machine->gone_at, machine->named_at) > 90 &&
--- a/tests/sim/faults_fleet.c
+++ b/tests/sim/faults_fleet.c
@@ -7,7 +7,7 @@
   return !machine->asked_gone;
 }
 
-/* That half of all is silent looks like a trouble of the new owner's own, and proof by time
+/* That half of all is silent looks like a trouble of the new leader's own, and proof by time
  * takes it hold_s and a lease. The cloud's list tells sooner. */
 static void
 proven (World *world, gpointer data)
--- a/tests/sim/faults_members.c
+++ b/tests/sim/faults_members.c
@@ -7,7 +7,7 @@
   return machine->gone || machine->tenure > 1;
 }
 
-/* ---- what members tell the owner in a cut of them all ---- */
+/* ---- what members tell the leader in a cut of them all ---- */
 
 #define CUT_ALL_S 50.0
 
@@ -57,9 +57,9 @@
   w_at (world, at, all_away, NULL);
 }
 
-/* All but one node miss a withdrawal that this one confirms just before it is cut off too,
+/* All but one node miss a cancellation that this one confirms just before it is cut off too,
  * and perhaps restarts: its attestation must not keep the job's tasks alive, but those of
- * others, as long as it can name that job to the owner. */
+ * others, as long as it can name that job to the leader. */
 static void
 others_away (World *world, gpointer data)
 {
@@ -128,7 +128,7 @@
   w_at (world, at, withdrawal_gap, NULL);
 }
 
-/* Nothing that runs may be given away because its reports do not reach the owner. */
+/* Nothing that runs may be given away because its reports do not reach the leader. */
 static void
 reached_again (World *world, gpointer data)
 {
--- a/tests/sim/lone_node.h
+++ b/tests/sim/lone_node.h
@@ -44,14 +44,14 @@
 /* A node that leads. */
 LoneNode *node_up (Ledger *store);
 /* Submits a job with these fields beside the usual ones (an array of two small tasks of 20 s).
- * awaits: an array, or NULL; more: `due_s` and `rank` with a comma before them, or NULL. */
+ * awaits: an array, or NULL; more: `due_s` and `priority` with a comma before them, or NULL. */
 int node_submit (LoneNode *n, const char *id, const char *awaits, const char *more);
 /* A service of two small replicas. */
 int node_submit_service (LoneNode *n, const char *id);
 /* The job's stance as the node tells it; "unknown" with a 404. */
 const char *node_poll (LoneNode *n, const char *id);
 int node_cancel (LoneNode *n, const char *id);
-/* Is the job in the list of those that the owner has to look at? */
+/* Is the job in the list of those that the leader has to look at? */
 gboolean node_opens (LoneNode *n, const char *id);
 /* The job's record, as if its last task had ended. */
 void ledger_done (Ledger *store, const char *id);
--- a/tests/sim/messages.h
+++ b/tests/sim/messages.h
@@ -9,7 +9,7 @@
 void req_send (World *world, Req *request);
 /* A command for this controller's next batch. Takes it over. */
 void node_push (World *world, int node, HrCommand *command);
-/* What the controller sends: an answer, a call, a hint. */
+/* What the controller sends: an answer, a call, a status. */
 void node_perform (World *world, int node, HrEffect *effect);
 void node_check_launches (World *world, int i, const char *text);
 /* The report with this id is handed to a controller that is a process of its own. */
--- a/tests/sim/node_checks.c
+++ b/tests/sim/node_checks.c
@@ -2,7 +2,7 @@
 #include "sim/messages.h"
 #include <string.h>
 
-/* A process launches only what it recorded itself: what an earlier owner recorded
+/* A process launches only what it recorded itself: what an earlier leader recorded
  * may have ended since, and others may use its place. */
 void
 node_check_launches (World *world, int i, const char *text)
@@ -23,7 +23,7 @@
   json_decref (object);
 }
 
-/* The job's record says that it is withdrawn or done. */
+/* The job's record says that it is cancelled or done. */
 static gboolean
 is_over (World *world, const char *piece)
 {
@@ -83,7 +83,7 @@
   return answered;
 }
 
-/* Reports are ordered by session and number, not by arrival: one of an earlier session
+/* Reports are ordered by incarnation and number, not by arrival: one of an earlier incarnation
  * gets no answer that counts; an overtaken one, and one from before the leader's token, none but
  * stops that are right however old it is. */
 void
@@ -110,7 +110,7 @@
  * it works through commands in batches, and what it sends waits until this program reads it. */
 #define KNOWN_AFTER_S 2.0
 
-/* Up to where the controller knew the ledger when it made what it sends now, at the least. */
+/* Up to where the controller knew the state store when it made what it sends now, at the least. */
 static guint64
 epoch_known (World *world, int i)
 {
@@ -140,9 +140,9 @@
   return FALSE;
 }
 
-/* What a worker shows running of a job that was withdrawn is told to stop in the very answer that
- * renews its lease, whatever report that answers: by a controller that has read the withdrawal,
- * and by any longer ago than an owner may go on without knowing. */
+/* What a worker shows running of a job that was cancelled is told to stop in the very answer that
+ * renews its lease, whatever report that answers: by a controller that has read the cancellation,
+ * and by any longer ago than a leader may go on without knowing. */
 void
 node_check_kills (World *world, int i, const char *report, const char *answer)
 {
--- a/tests/sim/odd.c
+++ b/tests/sim/odd.c
@@ -219,7 +219,7 @@
         NULL);
 }
 
-/* Cancels a job that is done, and one that is withdrawn already: the state is what it was. */
+/* Cancels a job that is done, and one that is cancelled already: the state is what it was. */
 static void
 final_jobs (World *world)
 {
--- a/tests/sim/pipeline.c
+++ b/tests/sim/pipeline.c
@@ -14,7 +14,7 @@
 
 /* ---- the rules ---- */
 
-/* When a user was first told that a job before this one is withdrawn; 0: none was. */
+/* When a user was first told that a job before this one is cancelled; 0: none was. */
 static double
 told_before (const SJob *job)
 {
--- a/tests/sim/pipeline.h
+++ b/tests/sim/pipeline.h
@@ -7,8 +7,8 @@
 typedef struct {
   guint pipelines;
   double from, to;  /* their first steps are submitted then */
-  double cancelled; /* share of them of which some job is withdrawn */
-  gboolean shock;   /* whenever a withdrawal was told, all controllers end, half of the time
+  double cancelled; /* share of them of which some job is cancelled */
+  gboolean shock;   /* whenever a cancellation was told, all controllers end, half of the time
                        together with the state service */
 } PipelineDay;
 
@@ -18,10 +18,10 @@
 /* At the end of a day: every job has come to the end that it had to come to. */
 void pipelines_verdict (World *world);
 
-/* Has the user of the job, or of one before it, asked to withdraw that? */
+/* Has the user of the job, or of one before it, asked to cancel that? */
 gboolean pipeline_cancel_asked (const SJob *job);
 
-/* All that the job awaits is done, and no user was told that one before it is withdrawn. */
+/* All that the job awaits is done, and no user was told that one before it is cancelled. */
 gboolean pipeline_ready (const SJob *job);
 
 /* Hooks of the stand-ins. */
--- a/tests/sim/store.c
+++ b/tests/sim/store.c
@@ -197,7 +197,7 @@
   }
 }
 
-/* A write of the owner (tasks of a job that goes on) holds on the map's stamp, or a
+/* A write of the leader (tasks of a job that goes on) holds on the leader record's revision, or a
  * former owner's late write would count. */
 static void
 check_fence (World *world, json_t *when, json_t *put)
@@ -215,7 +215,7 @@
     w_broken (world, "fence", "%s is written without a hold on the map", path);
 }
 
-/* A process of its own has written the map. */
+/* A process of its own has written the leader record. */
 static void
 note_process (World *world, int node, json_t *map)
 {
@@ -226,8 +226,8 @@
                        GINT_TO_POINTER (node));
 }
 
-/* The map's change, and a withdrawal, are what an owner must not miss for long: check_kills in
- * world.c sees to the latter. */
+/* The leader record's change, and a cancellation, are what a leader must not miss for long:
+ * check_kills in world.c sees to the latter. */
 static void
 note_decision (World *world, const Req *request, json_t *put)
 {
@@ -413,7 +413,7 @@
   return n;
 }
 
-/* Pages in the ledger whose job is final. */
+/* Pages in the state store whose job is final. */
 guint
 store_garbage (World *world)
 {
--- a/tests/sim/troubles.h
+++ b/tests/sim/troubles.h
@@ -16,11 +16,11 @@
   /* Of a share of the workers' reports a copy arrives again at the controller that the report
    * went to, 2 s to 2.5 leases later. With for_next all copies are kept, and arrive at the next
    * leader within half a second after it first answered a report. With to_all they are kept too,
-   * and arrive at every controller within a tenth of a second after the map names a new leader.
-   * Fields: share, for_s, for_next, to_all. */
+   * and arrive at every controller within a tenth of a second after the leader record names a new
+   * leader. Fields: share, for_s, for_next, to_all. */
   TROUBLE_LATE_REPORTS,
   /* A share of the direct orders is held up on its way, stays without an answer, and is carried
-   * out once, 2 to 16 s late, if token and session still match. Fields: share, for_s. */
+   * out once, 2 to 16 s late, if token and incarnation still match. Fields: share, for_s. */
   TROUBLE_LATE_COMMANDS,
   /* Reports of these machines arrive; answers and direct orders to them are lost.
    * Fields: count, share or zone, for_s. */
@@ -79,7 +79,7 @@
 
 /* Whom a trouble of controllers hits, as of when it begins. */
 typedef enum {
-  WHO_LEADER, /* whom the map names */
+  WHO_LEADER, /* whom the leader record names */
   WHO_OTHER,  /* the controller after it */
   WHO_OTHERS, /* all but the leader */
   WHO_ALL
@@ -92,7 +92,7 @@
   ON_WRITE_DONE,      /* one was carried out */
   ON_WRITE_ANSWERED,  /* its answer arrives */
   ON_REPORT_ANSWERED, /* a worker's report gets a 200 */
-  ON_HAND_OVER,       /* the map names another process */
+  ON_HAND_OVER,       /* the leader record names another process */
   TROUBLE_MOMENTS
 } HrMoment;
 
@@ -139,8 +139,8 @@
   guint zone_cut, zone_nodes;
   gboolean zone_hold;
   GPtrArray *kept_next, *kept_all; /* Req, copies of reports */
-  /* Leaders that the map has named, and how many of them had answered a worker when copies were
-   * last let go; token with which the newest one began. */
+  /* Leaders that the leader record has named, and how many of them had answered a worker when
+   * copies were last let go; token with which the newest one began. */
   guint leaders, leaders_acted;
   guint64 leader_baton;
   char *leader_process;
--- a/tests/sim/worker.c
+++ b/tests/sim/worker.c
@@ -42,7 +42,7 @@
   task->cause = cause;
 }
 
-/* The machine or its session ends: its tasks are gone, and nobody says so. */
+/* The machine or its incarnation ends: its tasks are gone, and nobody says so. */
 void
 machine_stop_all (World *world, SMachine *machine, const char *why)
 {
--- a/tests/sim/world.c
+++ b/tests/sim/world.c
@@ -106,7 +106,7 @@
           node_check_kills (world, i, request->body, effect->body);
         troubles_reply (world, i, effect->body);
       }
-      /* An owner that has not read what others decided may have been replaced. */
+      /* A leader that has not read what others decided may have been replaced. */
       if (effect->status == 200 && strcmp (request->path, "/hello") == 0 && !request->answered &&
           n->behind_at && world->now - n->behind_at > world->pol.hold_s + 3)
         w_broken (world, "hold",
@@ -167,7 +167,7 @@
 }
 
 /* For half of the time a process is stopped in the middle of a batch: with the time already
- * read, and its answers, calls and hints not sent. */
+ * read, and its answers, calls and statuses not sent. */
 void
 node_freeze (World *world, int i, double for_s)
 {
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -33,7 +33,7 @@
   FATE_COUNT
 } WFate;
 
-/* The newest of a worker's reports: by session, then by number. */
+/* The newest of a worker's reports: by incarnation, then by number. */
 typedef struct {
   guint64 session, number;
 } WNewest;
@@ -64,7 +64,7 @@
 
 typedef struct {
   HrCore *core;      /* NULL: it is a process of its own */
-  char *incarnation; /* of its process, once that has written the map; NULL: not yet */
+  char *incarnation; /* of its process, once that has written the leader record; NULL: not yet */
   HrNames names;
   HrSettings *set;
   gboolean up;
@@ -78,7 +78,7 @@
   GHashTable *heard_before; /* request id -> WNewest answered when it was handed over; processes */
   guint64 next;
   double store_at;  /* when the state service last answered it */
-  double behind_at; /* when another changed the map, not read yet; 0: never */
+  double behind_at; /* when another changed the leader record, not read yet; 0: never */
   guint64 behind_epoch;
   double cut_workers, cut_store, cut_peers, cut_users, refused; /* until when */
   double alone_at;    /* cut off from state service and members since */
@@ -166,7 +166,8 @@
   guint64 seq;
   const WControllers *controllers; /* NULL: cores in this process */
   gpointer controllers_data;
-  GHashTable *token_nodes; /* token -> node that wrote the map with it; of `controllers` alone */
+  GHashTable
+      *token_nodes; /* token -> node that wrote the leader record with it; of `controllers` alone */
   Node nodes[MAX_NODES];
   int n; /* of them */
   HrPolicy pol;
@@ -199,10 +200,10 @@
   GHashTable *job_index;
   guint named; /* jobs that have a name, submitted or not */
   guint streamed;
-  gboolean fickle;            /* users withdraw most jobs soon after they submit them */
+  gboolean fickle;            /* users cancel most jobs soon after they submit them */
   double gang_image;          /* GB, of the gangs of two */
-  double pipelines_cancelled; /* share of pipelines of which some job is withdrawn */
-  gboolean shock;             /* a withdrawal that was told is followed by the end of all nodes */
+  double pipelines_cancelled; /* share of pipelines of which some job is cancelled */
+  gboolean shock;             /* a cancellation that was told is followed by the end of all nodes */
   double shocked_at;
   /* judge */
   GPtrArray *broken; /* texts */
@@ -211,7 +212,7 @@
   double late_orders;    /* share of direct orders that get no answer and come half a minute or more
                             late */
   double copies;         /* share of reports of which a copy comes late */
-  GHashTable *withdrawn; /* job id -> guint64, epoch of its withdrawal */
+  GHashTable *withdrawn; /* job id -> guint64, epoch of its cancellation */
   gboolean calm;         /* no more faults */
   double calm_at, faults_to;
   double stray_until; /* messages that were held up or copied are on their way until then */
@@ -265,7 +266,7 @@
 void node_start_at (World *world, int i, double at);
 void node_kill (World *world, int i);
 
-/* Large arrays and services, some of which are withdrawn. */
+/* Large arrays and services, some of which are cancelled. */
 void users_arrays (World *world, double from, double to);
 
 /* upgrade.c: controllers of production, which come back new one after the other */
@@ -289,7 +290,7 @@
 /* As if it had been written before the day began. */
 void store_put (World *world, const char *path, const char *text);
 guint store_tear (World *world);
-int store_owner (World *world); /* the node that the map names; -1: none */
+int store_owner (World *world); /* the node that the leader record names; -1: none */
 void store_free (World *world);
 void cloud_request (World *world, Req *request);
 void cloud_init (World *world);
@@ -339,7 +340,7 @@
 void judge_quota (World *world, double starting_gpus);
 /* Every half second: jobs that wait beside room. */
 void judge_waits (World *world);
-/* A user heard that the job is withdrawn: looks when its time is over. */
+/* A user heard that the job is cancelled: looks when its time is over. */
 void judge_withdrawn (World *world, SJob *job);
 /* Launches that a controller has just decided on, which know of changes up to this epoch. */
 void judge_launches (World *world, int node, guint64 known, const GPtrArray *effects);
@@ -383,13 +384,13 @@
 gboolean world_troubled (const World *world);
 /* When a machine rented now is up. at: as the cloud has drawn it. */
 double troubles_boots (World *world, double at);
-/* The map is written: who leads, and the token. */
+/* The leader record is written: who leads, and the token. */
 void troubles_map (World *world, json_t *map);
 /* A controller answers a worker with 200. */
 void troubles_reply (World *world, int node, const char *answer);
 /* The last task of this job has ended. */
 void troubles_job_ended (World *world, SJob *job);
-/* Users were first told that it is accepted, done or withdrawn. */
+/* Users were first told that it is accepted, done or cancelled. */
 void troubles_told (World *world, SJob *job, gboolean accepted);
 /* ---- for other files of users ---- */
 SJob *job_new (World *world);
@@ -400,12 +401,12 @@
 
 /* Probes every controller as a load balancer does. */
 void users_probe (World *world);
-/* The user of a running service withdraws it, at this node. */
+/* The user of a running service cancels it, at this node. */
 void users_withdraw_at (World *world, int node);
 /* Gangs of which one task has its image at once, and others after more than gang_wait_s.
- * fickle: one more is withdrawn while it fetches. */
+ * fickle: one more is cancelled while it fetches. */
 void users_long_fetches (World *world, gboolean fickle);
-/* One array of equal tasks of `run` seconds each, sent in at `at`; withdrawn at `cancel_at` (0:
+/* One array of equal tasks of `run` seconds each, sent in at `at`; cancelled at `cancel_at` (0:
  * never). */
 void users_array (World *world, guint tasks, double run, double at, double cancel_at);
 /* Services that run until the end, of small images. */
@@ -435,33 +436,33 @@
 void faults_held_cut (World *world, double at);
 /* The state service answers no controller for 50 s; they hear one another, and workers. */
 void faults_cut_from_store (World *world, double at);
-/* The same, after one of them confirmed a withdrawal that the owner did not read. Leases are to
+/* The same, after one of them confirmed a cancellation that the leader did not read. Leases are to
  * last all the same, but where that member restarts. */
 void faults_missed_withdrawal (World *world, double at, gboolean restart);
-/* The state service refuses the owner alone while all other members confirm withdrawals, and is
- * then down for all, for longer than a withdrawn job's tasks may live. */
+/* The state service refuses the leader alone while all other members confirm cancellations, and is
+ * then down for all, for longer than a cancelled job's tasks may live. */
 void faults_withdrawal_gap (World *world, double at);
-/* No worker reaches the owner for 40 s; other controllers do. */
+/* No worker reaches the leader for 40 s; other controllers do. */
 void faults_owner_unreached (World *world, double at, gboolean hold);
-/* Half of the machines end without notice, and so does the process of the owner. */
+/* Half of the machines end without notice, and so does the process of the leader. */
 void faults_half_gone (World *world, double at);
 /* The pages of large jobs become unreadable while all controllers are away for a moment. */
 void faults_unreadable_pages (World *world, double at);
-/* The owner is cut off from state service and members until another leads; then no controller
+/* The leader is cut off from state service and members until another leads; then no controller
  * is served for 50 s, and all hear one another again. */
 void faults_two_owners (World *world, double at);
-/* A hundred machines end, a hundred hang, a quarter is cut off; the owner ends meanwhile. Then
+/* A hundred machines end, a hundred hang, a quarter is cut off; the leader ends meanwhile. Then
  * all controllers end, twice, and one stands still. */
 void faults_mass (World *world, double at);
-/* Again and again the owner changes, and machines end without notice. */
+/* Again and again the leader changes, and machines end without notice. */
 void faults_owners (World *world, double from, double to);
 /* Each gang loses one task's machine once, while it fetches its image. */
 void faults_lost_places (World *world, double from, double to);
-/* The process of the owner ends, and is back soon. */
+/* The process of the leader ends, and is back soon. */
 void faults_owner_ends (World *world, double at);
-/* Again and again the changes that the owner has not read yet are no longer kept. */
+/* Again and again the changes that the leader has not read yet are no longer kept. */
 void faults_changes_gone (World *world, double from, double to);
-/* Controllers stand still while their clocks run on: the owner, another, or all of them. */
+/* Controllers stand still while their clocks run on: the leader, another, or all of them. */
 typedef enum { FREEZE_OWNER, FREEZE_OTHER, FREEZE_ALL } FreezeWho;
 void faults_freeze (World *world, double at, FreezeWho who, double for_s);
 void node_freeze (World *world, int i, double for_s);
--- a/tests/test_allowance.c
+++ b/tests/test_allowance.c
@@ -212,7 +212,7 @@
 
 /* ---- slow, refused, away ---- */
 
-/* Whatever a node says of the job, it is not older than that it is withdrawn. */
+/* Whatever a node says of the job, it is not older than that it is cancelled. */
 static void
 nobody_says_otherwise (Script *script, const char *id)
 {
--- a/tests/test_attestation.c
+++ b/tests/test_attestation.c
@@ -1,5 +1,5 @@
 /* How long a leader that the state service does not serve answers its workers, as members name
- * withdrawals to it: each case of docs/design.md, "Withdrawals that the leader cannot read". */
+ * cancellations to it: each case of docs/design.md, "Cancellations that the leader cannot read". */
 #include "scripted.h"
 #include <setjmp.h>
 #include <stdarg.h>
@@ -11,10 +11,10 @@
 #define OTHER "job-b"
 
 /* c0 leads, two jobs run on its worker, and the state service has gone away; then c1 confirmed
- * the withdrawal of one of them, which c0 cannot read. */
+ * the cancellation of one of them, which c0 cannot read. */
 typedef struct {
   Script *s;
-  guint64 stamp; /* of the withdrawal */
+  guint64 stamp; /* of the cancellation */
   HrPeerStatus *c1, *c2;
 } Case;
 
@@ -36,7 +36,7 @@
   return k;
 }
 
-/* The member's log holds `ends` withdrawals, the first of which is named. */
+/* The member's log holds `ends` cancellations, the first of which is named. */
 static void
 knows (HrPeerStatus *status, guint64 revision, guint64 ends)
 {
@@ -143,7 +143,7 @@
   script_free (k.s);
 }
 
-/* Nor do hints that were made before that, and come after it, make up for what was dropped. */
+/* Nor do statuses that were made before that, and come after it, make up for what was dropped. */
 static void
 late_copies_after_some_were_dropped (void **state)
 {
@@ -243,7 +243,7 @@
   script_free (k.s);
 }
 
-/* c0 reads the submission only after it was told of the withdrawal, in an answer that is older
+/* c0 reads the submission only after it was told of the cancellation, in an answer that is older
  * than that. Nothing of the job may start. */
 static void
 a_job_that_is_not_known_yet (void **state)
@@ -268,8 +268,8 @@
   script_free (script);
 }
 
-/* A launch whose answer was lost may come at any time while the worker's session lasts and no
- * newer token is to be had: the worker is not answered, so that its session ends. */
+/* A launch whose answer was lost may come at any time while the worker's incarnation lasts and no
+ * newer token is to be had: the worker is not answered, so that its incarnation ends. */
 static void
 a_late_launch_of_a_withdrawn_job (void **state)
 {
--- a/tests/test_exhaustive.c
+++ b/tests/test_exhaustive.c
@@ -1,7 +1,7 @@
 /* Bounded exhaustive search over the fates of single requests, on a small cluster: two controllers,
  * one machine, one job at a time. The default schedule delivers everything; a schedule of depth d
  * gives d requests of the window another fate (lost, answer lost, late, copied, a controller ends),
- * or lets the user withdraw the job at one controller in that instant, or ask or submit again at
+ * or lets the user cancel the job at one controller in that instant, or ask or submit again at
  * all of them.
  * All schedules up to the depth are played through the real hr_core_step, and every rule of the
  * protocol is asserted at every event.
--- a/tests/test_fixtures.c
+++ b/tests/test_fixtures.c
@@ -177,7 +177,7 @@
   read_clear (&read);
 }
 
-/* ---- a cluster of the new version takes over an earlier one's ledger ---- */
+/* ---- a cluster of the new version takes over an earlier one's state store ---- */
 
 typedef struct {
   guint left, known;
@@ -223,7 +223,8 @@
   world_run (world, 25);
   assert_int_equal (polls.left, 0);
   assert_int_equal (polls.known, jobs * world->n);
-  /* The same cloud's machine types are written as production wrote them; the map has its form. */
+  /* The same cloud's machine types are written as production wrote them; the leader record has its
+   * form. */
   for (guint i = 0; lines[i]; i++) {
     g_auto (GStrv) row = g_strsplit (lines[i], "\t", 2);
     if (strcmp (row[0], "h/types") == 0)
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -127,8 +127,8 @@
   assert_int_equal (broken, 0);
 }
 
-/* Long work of the lowest rank fills the limit. What comes with a higher rank begins at once, by
- * having that work stopped; of one rank the earlier deadline goes first. */
+/* Long work of the lowest priority fills the limit. What comes with a higher priority begins at
+ * once, by having that work stopped; of one priority the earlier deadline goes first. */
 static void
 order (void **state)
 {
--- a/tests/test_pairs.c
+++ b/tests/test_pairs.c
@@ -5,8 +5,9 @@
  *
  * A day has PAIRS_A_DAY pairs, one after the other. The second trouble of a pair begins at a moment
  * after the first one has begun: as a write leaves its controller, is carried out or answered, as a
- * worker is answered, or as the map names a new leader. A day that breaks a rule is shrunk:
- * troubles are taken out, and shortened, while it still breaks one; what is left is printed. */
+ * worker is answered, or as the leader record names a new leader. A day that breaks a rule is
+ * compacted: troubles are taken out, and shortened, while it still breaks one; what is left is
+ * printed. */
 #include "sim/meeting.h"
 #include "sim/world.h"
 #include <stdio.h>
--- a/tests/test_peer_status_frame.c
+++ b/tests/test_peer_status_frame.c
@@ -1,4 +1,4 @@
-/* The form of hints between controllers: sizes, and what other versions send. */
+/* The form of statuses between controllers: sizes, and what other versions send. */
 #include "transport/peer_status_frame.h"
 #include "peer.pb-c.h"
 #include <setjmp.h>
@@ -14,7 +14,7 @@
   text[size - 1] = 0;
 }
 
-/* All that a hint can hold, with ids of so many bytes. */
+/* All that a status can hold, with ids of so many bytes. */
 static void
 largest (HrPeerStatus *status, guint id_len)
 {
@@ -67,7 +67,7 @@
   }
 }
 
-/* A hint without a log is one of a version that has none: an empty log would say much more. */
+/* A status without a log is one of a version that has none: an empty log would say much more. */
 static void
 a_hint_without_a_log (void **state)
 {
--- a/tests/test_pipelines.c
+++ b/tests/test_pipelines.c
@@ -1,5 +1,5 @@
 /* Days of a simulated cluster whose users submit pipelines of jobs that await one another, some
- * late, some withdrawn, some after that. The stand-ins check `too_early` and `orphaned` at every
+ * late, some cancelled, some after that. The stand-ins check `too_early` and `orphaned` at every
  * start, answer and half second, beside all other rules. */
 #include "sim/pipeline.h"
 #include <setjmp.h>
@@ -82,7 +82,7 @@
   assert_int_equal (broken, 0);
 }
 
-/* All controllers end right after a withdrawal was told, and the state service goes away. */
+/* All controllers end right after a cancellation was told, and the state service goes away. */
 static void
 days_of_shocks (void **state)
 {
@@ -115,9 +115,9 @@
 }
 
 /* Controllers that know formats and pipelines (764e988 and later) come back one after the other
- * while pipelines are under way, mostly before the format stands in the ledger, and the limits of
- * the state service fall: before the last turn, right after it, or as a leader ends. Wherever the
- * fall comes nothing is sent again and again, and in the end no record is too large. */
+ * while pipelines are under way, mostly before the format stands in the state store, and the limits
+ * of the state service fall: before the last turn, right after it, or as a leader ends. Wherever
+ * the fall comes nothing is sent again and again, and in the end no record is too large. */
 static guint
 play_upgrade (guint32 seed, int nodes)
 {
--- a/tests/test_readiness.c
+++ b/tests/test_readiness.c
@@ -42,7 +42,7 @@
   ledger_free (store);
 }
 
-/* Its user may still withdraw what its tasks have done but no record says: that decides. */
+/* Its user may still cancel what its tasks have done but no record says: that decides. */
 static void
 done_means_recorded (void **state)
 {
@@ -70,7 +70,7 @@
   ledger_free (store);
 }
 
-/* The same after all was read anew, by an owner that comes later, and with the newest records
+/* The same after all was read anew, by a leader that comes later, and with the newest records
  * first. */
 static void
 a_later_owner_opens_the_same_jobs (void **state)
@@ -183,7 +183,7 @@
   ledger_free (store);
 }
 
-/* ---- deadline and rank ---- */
+/* ---- deadline and priority ---- */
 
 static guint circles_warned; /* counted from the log */
 
@@ -231,7 +231,7 @@
 }
 
 /* A drawn pipeline as records: each job awaits up to three of the earlier ones. Of the jobs that
- * nobody awaits, some have a deadline and a rank. */
+ * nobody awaits, some have a deadline and a priority. */
 typedef struct {
   guint n;
   gboolean awaits[40][40];
@@ -278,7 +278,7 @@
   }
 }
 
-/* Jobs for which `gone` is set were withdrawn, with those that await them. */
+/* Jobs for which `gone` is set were cancelled, with those that await them. */
 static void
 check_drawn (LoneNode *n, const Drawn *drawn, const gboolean *gone)
 {
--- a/tests/test_record.c
+++ b/tests/test_record.c
@@ -1,4 +1,4 @@
-/* Records of the ledger: what is written is what is read, whatever the job. */
+/* Records of the state store: what is written is what is read, whatever the job. */
 #include "bookkeeping/record.h"
 #include "protocol/json_util.h"
 #include <setjmp.h>
--- a/tests/test_record_split.c
+++ b/tests/test_record_split.c
@@ -52,7 +52,7 @@
   assert_false (split (n->ledger));
 }
 
-/* Another node withdraws the job between two steps: the withdrawal stays. */
+/* Another node cancels the job between two steps: the cancellation stays. */
 static void
 a_withdrawal_between_steps (void **state)
 {
@@ -88,7 +88,7 @@
   ledger_free (store);
 }
 
-/* Another node becomes the owner between two steps: none of ours is carried out any more. */
+/* Another node becomes the leader between two steps: none of ours is carried out any more. */
 static void
 an_owner_between_steps (void **state)
 {
--- a/tests/test_renewals.c
+++ b/tests/test_renewals.c
@@ -90,7 +90,7 @@
   return ((SceneMachine *)machine)->baton == token (scene);
 }
 
-/* Each leader ends right after its first answer to the worker. All know the job as withdrawn as
+/* Each leader ends right after its first answer to the worker. All know the job as cancelled as
  * they begin; the worker keeps its lease, and lives by the protocol otherwise. */
 static void
 leaders_that_end_after_their_first_answer (void **state)
@@ -149,7 +149,7 @@
   scene_end (scene);
 }
 
-/* The report left before the direct launch arrived, and its answer comes after the withdrawal. */
+/* The report left before the direct launch arrived, and its answer comes after the cancellation. */
 static void
 a_task_that_the_report_lacks_gets_the_stop (void **state)
 {
@@ -169,7 +169,7 @@
 
 /* ---- a launch that may still come ---- */
 
-/* The launch of a withdrawn job is on its way for longer than the leader may go on, the write that
+/* The launch of a cancelled job is on its way for longer than the leader may go on, the write that
  * would make it void is not answered, and the cloud deletes nothing: its worker's lease has to run
  * out in time. */
 static void
@@ -203,7 +203,7 @@
 
 static const char *const stances[] = {"fetching", "gathering", "running", "flushing", "exited"};
 
-/* A worker's report with tasks of known, unknown and withdrawn jobs, odd attempts and numbers. */
+/* A worker's report with tasks of known, unknown and cancelled jobs, odd attempts and numbers. */
 static json_t *
 generated_report (GRand *rand, guint64 newest_token)
 {
@@ -226,7 +226,7 @@
                     "pieces", pieces);
 }
 
-/* Every task of a job that is withdrawn or done, and that the report shows alive, is named. */
+/* Every task of a job that is cancelled or done, and that the report shows alive, is named. */
 static void
 check_answer (json_t *report, json_t *orders, const char *const *over)
 {
--- a/tests/test_replica.c
+++ b/tests/test_replica.c
@@ -1,4 +1,4 @@
-/* A record that is split while a node reads the whole ledger: what the node then answers. The
+/* A record that is split while a node reads the whole state store: what the node then answers. The
  * state service is played by hand, answer by answer. */
 #include "coordination/core.h"
 #include "protocol/json_util.h"
@@ -225,8 +225,8 @@
   rig_clear (&rig);
 }
 
-/* A withdrawal whose record is larger than the state service takes is not sent. Its user is to ask
- * again soon, and the others hear of it at once, so that the leader splits the record. */
+/* A cancellation whose record is larger than the state service takes is not sent. Its user is to
+ * ask again soon, and the others hear of it at once, so that the leader splits the record. */
 static void
 withdrawal_too_large (void **state)
 {
--- a/tests/test_sim.c
+++ b/tests/test_sim.c
@@ -140,7 +140,7 @@
   assert_int_equal (broken, 0);
 }
 
-/* No controller is served for longer than an owner alone may go on: its members' attestation lets
+/* No controller is served for longer than a leader alone may go on: its members' attestation lets
  * tasks live, but not those of a job that one of them withdrew meanwhile. */
 static void
 days_of_members_word (void **state)
@@ -152,15 +152,15 @@
       faults_cut_from_store (world, 150);
     else
       faults_missed_withdrawal (world, 150, seed < 877);
-    if (seed >= 880) /* on waking it hears first what its members said before the withdrawal */
+    if (seed >= 880) /* on waking it hears first what its members said before the cancellation */
       faults_freeze (world, 147.5, FREEZE_OWNER, 12);
     broken += play_on (world, seed, 0, 0, 0);
   }
   assert_int_equal (broken, 0);
 }
 
-/* Withdrawals that the owner cannot read are named to it, so that no lease has to run out; the
- * withdrawn jobs' tasks are gone in time all the same, whatever orders come late. */
+/* Cancellations that the leader cannot read are named to it, so that no lease has to run out; the
+ * cancelled jobs' tasks are gone in time all the same, whatever orders come late. */
 static void
 days_of_withdrawal_gaps (void **state)
 {
@@ -353,7 +353,7 @@
 }
 
 /* Direct orders that get no answer and are carried out half a minute or more later, for jobs
- * that are withdrawn meanwhile: that their worker does not show a task proves nothing. */
+ * that are cancelled meanwhile: that their worker does not show a task proves nothing. */
 static void
 days_with_late_orders (void **state)
 {
@@ -367,8 +367,8 @@
   assert_int_equal (broken, 0);
 }
 
-/* The owner lags so far behind that it has to read the ledger anew, while direct orders of its
- * are still on their way: it forgets them, so its token must not stay what they carry. */
+/* The leader lags so far behind that it has to read the state store anew, while direct orders of
+ * its are still on their way: it forgets them, so its token must not stay what they carry. */
 static void
 days_with_changes_gone (void **state)
 {
@@ -384,7 +384,7 @@
 }
 
 /* Controllers stand still while their clocks run on: for a moment, for longer than their
- * leadership, than hold_s and than a lease; the owner, the others, or all; also repeated,
+ * leadership, than hold_s and than a lease; the leader, the others, or all; also repeated,
  * and beside other troubles. */
 static void
 days_with_frozen_controllers (void **state)
@@ -403,7 +403,7 @@
   assert_int_equal (broken, 0);
 }
 
-/* The owner loses its way to the workers, which others still have. Their reports come spread
+/* The leader loses its way to the workers, which others still have. Their reports come spread
  * over a period: it must not delete the machines a few at a time as each falls silent. */
 static void
 days_of_unreached_owners (void **state)
@@ -417,7 +417,7 @@
   assert_int_equal (broken, 0);
 }
 
-/* Half of the fleet ends together with the owner. */
+/* Half of the fleet ends together with the leader. */
 static void
 days_of_half_fleets (void **state)
 {
--- a/tests/test_store_reads.c
+++ b/tests/test_store_reads.c
@@ -170,7 +170,7 @@
   script_free (script);
 }
 
-/* A new process answers nothing before it has read the ledger. */
+/* A new process answers nothing before it has read the state store. */
 static void
 a_new_process_says_nothing_before_it_has_read (void **state)
 {
@@ -327,7 +327,7 @@
   script_free (script);
 }
 
-/* The answer to the write of a submission comes last, after the job was withdrawn elsewhere and
+/* The answer to the write of a submission comes last, after the job was cancelled elsewhere and
  * this node has read that: it does not bring the job back. */
 static void
 a_late_answer_does_not_bring_a_job_back (void **state)
--- a/tests/test_users_days.c
+++ b/tests/test_users_days.c
@@ -1,6 +1,6 @@
-/* Simulated days on which users' requests meet two troubles of the ledger. Every rule is asserted
- * at every event, and all work is done once the troubles are over. The same meetings message by
- * message: test_store_reads.c, test_writes.c, test_allowance.c. */
+/* Simulated days on which users' requests meet two troubles of the state store. Every rule is
+ * asserted at every event, and all work is done once the troubles are over. The same meetings
+ * message by message: test_store_reads.c, test_writes.c, test_allowance.c. */
 #include "sim/world.h"
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/test_withdrawals.c
+++ b/tests/test_withdrawals.c
@@ -1,4 +1,4 @@
-/* How a member logs withdrawals and names them to a leader that cannot read them. */
+/* How a member logs cancellations and names them to a leader that cannot read them. */
 #include "scripted.h"
 #include <setjmp.h>
 #include <stdarg.h>
@@ -35,7 +35,7 @@
   return FALSE;
 }
 
-/* In the leader's next hints: how much of c0's log it has. */
+/* In the leader's next statuses: how much of c0's log it has. */
 static void
 acknowledge (HrPeerStatus *leader, guint64 taken)
 {
@@ -183,7 +183,7 @@
   script_free (script);
 }
 
-/* More than a hint holds: each names a part, from where the leader is. */
+/* More than a status holds: each names a part, from where the leader is. */
 static void
 a_long_list_goes_in_parts (void **state)
 {
--- a/tests/test_workers.c
+++ b/tests/test_workers.c
@@ -84,8 +84,8 @@
 
 /* ---- the token ---- */
 
-/* The leader has to read the whole ledger anew, and leads on: it has forgotten which orders are
- * on their way, so its token has to be a new one. */
+/* The leader has to read the whole state store anew, and leads on: it has forgotten which orders
+ * are on their way, so its token has to be a new one. */
 static void
 an_owner_that_reads_anew_raises_its_token (void **state)
 {
@@ -150,7 +150,7 @@
   assert_int_equal (status, 409);
 }
 
-/* A launch was given up and is still on its way when its job is withdrawn. That the worker's
+/* A launch was given up and is still on its way when its job is cancelled. That the worker's
  * reports lack the task proves nothing until it has seen a newer token. */
 static void
 a_late_launch_after_its_kill_is_void (void **state)
@@ -202,7 +202,7 @@
 /* ---- leases ---- */
 
 /* The leader is cut off from the state service and from the others; its worker and users still
- * reach it. It stops answering in time, so that a job that was withdrawn through the next one
+ * reach it. It stops answering in time, so that a job that was cancelled through the next one
  * ends, and what was there is placed anew only when it is surely gone. */
 static void
 a_leader_on_an_island_lets_go (void **state)
@@ -260,8 +260,8 @@
 }
 
 /* What a new leader answers does not reach a machine, whose reports arrive. Its task is placed anew
- * only when its session is over, and as soon as that shows: long before a returned machine would be
- * given up. */
+ * only when its incarnation is over, and as soon as that shows: long before a returned machine
+ * would be given up. */
 static void
 a_deaf_machine_keeps_its_task_until_its_session_ends (void **state)
 {
@@ -281,7 +281,7 @@
   scene_end (scene);
 }
 
-/* A machine reaches no controller, while direct orders reach it. A withdrawn job's task is stopped
+/* A machine reaches no controller, while direct orders reach it. A cancelled job's task is stopped
  * that way; another is placed anew only after the lease, which direct orders do not renew. */
 static void
 a_mute_machine_is_told_directly (void **state)
@@ -323,7 +323,7 @@
   scene_end (scene);
 }
 
-/* A hanging machine resumes within its lease, after its job was withdrawn: it is stopped then, and
+/* A hanging machine resumes within its lease, after its job was cancelled: it is stopped then, and
  * the record goes on naming its place until that is shown. */
 static void
 a_machine_that_hung_is_stopped_when_it_resumes (void **state)
@@ -348,7 +348,7 @@
   scene_end (scene);
 }
 
-/* The leader launches what another controller has confirmed as withdrawn a moment before: the task
+/* The leader launches what another controller has confirmed as cancelled a moment before: the task
  * is stopped as soon as the leader reads that, and does not start again. */
 static void
 a_launch_that_meets_a_withdrawal_is_stopped (void **state)
@@ -366,7 +366,8 @@
   script_carry_out (script, write);
   script_hold (script, 0, "/changes", NULL);
   scene_withdraw (scene, 1, "job-a");
-  script_answer (script, write); /* the assignment is in the ledger, as far as the leader knows */
+  script_answer (script,
+                 write); /* the assignment is in the state store, as far as the leader knows */
   scene_run (scene, 0.5);
   assert_int_equal (scene->starts, 1);
   scene_release (scene);
@@ -376,9 +377,9 @@
   scene_end (scene);
 }
 
-/* The state service refuses the leader alone, another controller confirms a withdrawal, and a
+/* The state service refuses the leader alone, another controller confirms a cancellation, and a
  * moment later the service is out for all, for longer than cancel_s. named: the leader is told of
- * the withdrawal by the other controller. */
+ * the cancellation by the other controller. */
 static void
 unread_withdrawal (gboolean named)
 {
@@ -405,7 +406,7 @@
 }
 
 /* A task is recorded and its launch was lost; the state service refuses the leader alone while
- * another controller confirms that the job is withdrawn. The leader, which answers its workers
+ * another controller confirms that the job is cancelled. The leader, which answers its workers
  * still, launches nothing. */
 static void
 a_refused_leader_launches_nothing (void **state)
@@ -445,7 +446,7 @@
 }
 
 /* The leader stands still, wakes, and finds a report before anything else, of a worker that has
- * heard of no other: it has not read the map for so long that it must not answer. */
+ * heard of no other: it has not read the leader record for so long that it must not answer. */
 static void
 a_leader_that_stood_still_does_not_answer (void **state)
 {
@@ -514,9 +515,9 @@
   scene_end (scene);
 }
 
-/* An old report that lacks a task arrives after newer ones that showed it: the withdrawn job's
- * record keeps naming the place until the task is shown to be gone. session: the old one is of an
- * earlier session. */
+/* An old report that lacks a task arrives after newer ones that showed it: the cancelled job's
+ * record keeps naming the place until the task is shown to be gone. incarnation: the old one is of
+ * an earlier incarnation. */
 static void
 old_report (gboolean session)
 {
@@ -655,7 +656,7 @@
       g_array_index (scene->s->nodes[i].set->teams, HrTeam, 0).cpus_max = cpus;
 }
 
-/* A team is at its limit, its job is withdrawn, the leader changes, and the machine cannot be
+/* A team is at its limit, its job is cancelled, the leader changes, and the machine cannot be
  * asked: the limit has room again only when the task is proven gone. */
 static void
 a_withdrawn_task_counts_until_it_is_gone (void **state)
@@ -736,9 +737,9 @@
 
 /* ---- figures ---- */
 
-/* The policy as deployed, on platforms of many figures: what an owner that cannot read a withdrawal
- * still answers ends before cancel_s, clocks that drift apart by 0.05% included, and whoever leads
- * next counts at least as long. */
+/* The policy as deployed, on platforms of many figures: what a leader that cannot read a
+ * cancellation still answers ends before cancel_s, clocks that drift apart by 0.05% included, and
+ * whoever leads next counts at least as long. */
 static void
 the_policy_ends_tasks_in_time (void **state)
 {
@@ -765,7 +766,7 @@
 /* ---- many leaders ---- */
 
 /* Leaders change ten times in two minutes, also inside an outage; machines fall silent and jobs
- * are withdrawn meanwhile. */
+ * are cancelled meanwhile. */
 static void
 ten_leaders_in_two_minutes (void **state)
 {
--- a/tests/test_writes.c
+++ b/tests/test_writes.c
@@ -268,7 +268,7 @@
   script_free (script);
 }
 
-/* The map is written, and nobody tells the writer: what it reads decides. */
+/* The leader record is written, and nobody tells the writer: what it reads decides. */
 static void
 an_election_without_answer_is_read (void **state)
 {
@@ -387,8 +387,8 @@
   script_free (script);
 }
 
-/* A leader's writes of the map and of its key: late, after another leads; and with a claim that
- * has ended meanwhile, when nobody leads. */
+/* A leader's writes of the leader record and of its key: late, after another leads; and with a
+ * claim that has ended meanwhile, when nobody leads. */
 static void
 a_late_election_changes_nothing (void **state)
 {
@@ -503,7 +503,7 @@
   assert_int_equal (script_report (script, meeting_row.w, meeting_row.other), 200);
   assert_true (script_worker_has (meeting_row.w, "job-a"));
   guint64 abort = script_abort (script, meeting_row.leader, "job-a");
-  script_tick (script, 0.05); /* one reading of its own, which does not bring the map */
+  script_tick (script, 0.05); /* one reading of its own, which does not bring the leader record */
   ScriptCall *reading = script_call (script, meeting_row.leader, READING, NULL);
   g_autofree char *nothing = g_strdup_printf ("{\"epoch\":0,\"log\":[]}");
   script_answer_with (script, reading, 200, nothing);
@@ -525,7 +525,7 @@
   script_free (script);
 }
 
-/* Confirmed after the map was written and before the new leader has read it. */
+/* Confirmed after the leader record was written and before the new leader has read it. */
 static void
 a_cancellation_falls_into_the_hand_over (void **state)
 {
