--- a/src/bookkeeping/garbage_collection.c
+++ b/src/bookkeeping/garbage_collection.c
@@ -1,6 +1,9 @@
 /* Pages of jobs that are final: their record is a tombstone, and nobody reads them again.
  * Every follower notes them, so that whoever leads tidies up after a predecessor; they go
  * a few at a time, when the store's allowance has nothing more urgent. */
+#include "bookkeeping/garbage_collection.h"
+#include "bookkeeping/replica.h"
+#include "bookkeeping/transactions.h"
 #include "coordination/state.h"
 #include "protocol/json_util.h"
 
--- a/src/bookkeeping/record.c
+++ b/src/bookkeeping/record.c
@@ -1,4 +1,7 @@
 #include "bookkeeping/record.h"
+#include "bookkeeping/tables.h"
+#include "protocol/intern.h"
+#include "protocol/jobspec.h"
 #include "protocol/json_util.h"
 #include <string.h>
 
--- a/src/bookkeeping/record_format.c
+++ b/src/bookkeeping/record_format.c
@@ -1,6 +1,10 @@
 /* The format of records. A member states in its statuses which one it understands; once every
  * other member has stated the newer one, the leader records that in the state store, and from then
  * on nobody is left who would misread a record of that format (docs/upgrades.md). */
+#include "bookkeeping/record_format.h"
+#include "bookkeeping/record_layout.h"
+#include "bookkeeping/record_split.h"
+#include "bookkeeping/transactions.h"
 #include "coordination/state.h"
 #include "protocol/json_util.h"
 #include <string.h>
@@ -101,7 +105,7 @@
 {
   for (guint i = 0;
        core->leadership.is_leader && core->store.format.supported && i < status->n_oversized; i++) {
-    HrJob *job = hr_job_find (core, status->oversized[i]);
+    HrJob *job = hr_job_find (&core->store.tables, status->oversized[i]);
     if (job && hr_record_split_is_possible (core, job) && hr_record_layout_is_oversized (core, job))
       hr_record_split_request (core, job, TRUE);
   }
--- a/src/bookkeeping/record_layout.c
+++ b/src/bookkeeping/record_layout.c
@@ -1,6 +1,7 @@
 /* How the tasks of a job are spread over records: inline in its main record, or in pages.
  * The number of tasks a page is chosen once, from what a bound task takes with the longest
  * machine name known so far; what is written is measured before each write all the same. */
+#include "bookkeeping/record_layout.h"
 #include "coordination/state.h"
 #include <string.h>
 
--- a/src/bookkeeping/record_split.c
+++ b/src/bookkeeping/record_split.c
@@ -6,6 +6,13 @@
  * new layout, on the same conditions. So every step leaves a record with the same facts, and a
  * change by another node, or another leader, makes the rest of the steps fail
  * (docs/upgrades.md). Where it fits, all of this is one transaction. */
+#include "bookkeeping/record_split.h"
+#include "bookkeeping/garbage_collection.h"
+#include "bookkeeping/record_layout.h"
+#include "bookkeeping/record_writer.h"
+#include "bookkeeping/replica.h"
+#include "bookkeeping/transactions.h"
+#include "coordination/effects.h"
 #include "coordination/state.h"
 #include "protocol/json_util.h"
 #include <string.h>
--- a/src/bookkeeping/record_writer.c
+++ b/src/bookkeeping/record_writer.c
@@ -1,5 +1,15 @@
 /* Writing the state store. One write at a time per record; every write by the leader
  * holds on the record's revision and on the leader record's, which fences old leaders. */
+#include "bookkeeping/record_writer.h"
+#include "bookkeeping/garbage_collection.h"
+#include "bookkeeping/record_layout.h"
+#include "bookkeeping/record_split.h"
+#include "bookkeeping/replica.h"
+#include "bookkeeping/replica_changes.h"
+#include "bookkeeping/transactions.h"
+#include "coordination/effects.h"
+#include "coordination/jobs/dependencies.h"
+#include "coordination/jobs/task_lifecycle.h"
 #include "coordination/state.h"
 #include "protocol/json_util.h"
 #include <string.h>
--- a/src/bookkeeping/replica.c
+++ b/src/bookkeeping/replica.c
@@ -1,6 +1,11 @@
 /* Following the state store: one full reading, then changes in order. A reading is
  * /changes with no wait: it brings every change up to its epoch, so whoever
  * asked before it was sent gets an answer as new as any that was given. */
+#include "bookkeeping/replica.h"
+#include "bookkeeping/record_split.h"
+#include "bookkeeping/replica_changes.h"
+#include "coordination/effects.h"
+#include "coordination/leadership/leadership.h"
 #include "coordination/state.h"
 #include "protocol/json_util.h"
 #include <string.h>
--- a/src/bookkeeping/replica_changes.c
+++ b/src/bookkeeping/replica_changes.c
@@ -1,4 +1,14 @@
 /* One change of the state store, as read, goes into the tables. */
+#include "bookkeeping/replica_changes.h"
+#include "bookkeeping/garbage_collection.h"
+#include "bookkeeping/record_format.h"
+#include "bookkeeping/record_split.h"
+#include "bookkeeping/record_writer.h"
+#include "coordination/jobs/arrivals.h"
+#include "coordination/jobs/dependencies.h"
+#include "coordination/jobs/task_lifecycle.h"
+#include "coordination/membership/cancellation_log.h"
+#include "coordination/scaling/fleet.h"
 #include "coordination/state.h"
 #include "protocol/json_util.h"
 #include <string.h>
@@ -46,7 +56,8 @@
     guint32 machine = job->tasks[i].recorded.machine;
     if (machine != HR_NONE && !job->tasks[i].done_recorded)
       hr_machine_touch_image (
-          hr_machine_get (core, hr_intern_name (&core->store.tables.machine_ids, machine)),
+          hr_machine_get (&core->store.tables,
+                          hr_intern_name (&core->store.tables.machine_ids, machine)),
           job->spec.image);
   }
 }
@@ -85,7 +96,7 @@
     job->n_recorded_done = record.n_done;
     job->record.is_compacted = TRUE;
     if (record.cancelled_with)
-      job->cancellation.root = hr_job_get (core, record.cancelled_with);
+      job->cancellation.root = hr_job_get (&core->store.tables, record.cancelled_with);
     hr_garbage_add_job (core, job);
     if (!core->leadership.is_leader || !job->run.n_live)
       hr_job_compact (job);
@@ -182,7 +193,7 @@
   g_auto (GStrv) fields = g_strsplit (rest, "/", -1);
   if (g_strv_length (fields) != (sized ? 3 : 2))
     return;
-  HrJob *job = hr_job_find (core, fields[0]);
+  HrJob *job = hr_job_find (&core->store.tables, fields[0]);
   guint64 tasks_per_page = sized ? g_ascii_strtoull (fields[1], NULL, 10) : 0;
   guint64 n = g_ascii_strtoull (fields[sized ? 2 : 1], NULL, 10);
   if (job && tasks_per_page <= HR_MAX_TASKS && n <= HR_MAX_TASKS && (!sized || tasks_per_page))
@@ -203,7 +214,7 @@
       hr_machine_types_load (core, value);
   } else if (g_str_has_prefix (key, "h/j/")) {
     if (value && hr_job_id_valid (key + 4))
-      hr_replica_apply_job (core, hr_job_get (core, key + 4), value, revision);
+      hr_replica_apply_job (core, hr_job_get (&core->store.tables, key + 4), value, revision);
   } else if (g_str_has_prefix (key, "h/t/"))
     apply_page_key (core, key + 4, FALSE, value, revision);
   else if (core->store.format.supported && g_str_has_prefix (key, "h/u/"))
--- a/src/bookkeeping/tables.c
+++ b/src/bookkeeping/tables.c
@@ -1,4 +1,7 @@
 #include "bookkeeping/tables.h"
+#include "protocol/cloud.h"
+#include "protocol/intern.h"
+#include "protocol/jobspec.h"
 #include <string.h>
 
 #define EPS 1e-6
@@ -209,3 +212,59 @@
   g_array_unref (machine->plan.list);
   g_free (machine);
 }
+
+HrJob *
+hr_job_find (HrTables *tables, const char *id)
+{
+  guint32 i = hr_intern_find (&tables->job_ids, id);
+  HrJob *job = i == HR_NONE ? NULL : tables->jobs->pdata[i];
+  return job && job->is_known ? job : NULL;
+}
+
+gboolean
+hr_job_unreadable (HrTables *tables, const char *id)
+{
+  guint32 i = hr_intern_find (&tables->job_ids, id);
+  HrJob *job = i == HR_NONE ? NULL : tables->jobs->pdata[i];
+  return job && job->record.main_unreadable && !(job->is_known && job->state != HR_JOB_QUEUED);
+}
+
+HrJob *
+hr_job_get (HrTables *tables, const char *id)
+{
+  guint32 i = hr_intern (&tables->job_ids, id);
+  if (i == tables->jobs->len) {
+    HrJob *job = g_new0 (HrJob, 1);
+    job->index = i;
+    job->id = hr_intern_name (&tables->job_ids, i);
+    g_ptr_array_add (tables->jobs, job);
+  }
+  return tables->jobs->pdata[i];
+}
+
+HrMachine *
+hr_machine_find (HrTables *tables, const char *name)
+{
+  guint32 i = hr_intern_find (&tables->machine_ids, name);
+  return i == HR_NONE || i >= tables->machines->len ? NULL : tables->machines->pdata[i];
+}
+
+HrMachine *
+hr_machine_get (HrTables *tables, const char *name)
+{
+  guint32 i = hr_intern (&tables->machine_ids, name);
+  /* Names may have been interned by reading records, ahead of the rows. */
+  while (tables->machines->len <= i) {
+    HrMachine *machine = g_new0 (HrMachine, 1);
+    machine->index = tables->machines->len;
+    machine->name = hr_intern_name (&tables->machine_ids, machine->index);
+    machine->type = machine->zone = HR_NONE;
+    machine->state = HR_MACHINE_GONE;
+    machine->last_failed_job = HR_NONE;
+    machine->tasks = g_array_new (FALSE, TRUE, sizeof (HrTaskRef));
+    machine->agent.direct_launches = g_array_new (FALSE, TRUE, sizeof (HrDirectLaunch));
+    machine->plan.list = g_array_new (FALSE, TRUE, sizeof (HrTaskRef));
+    g_ptr_array_add (tables->machines, machine);
+  }
+  return tables->machines->pdata[i];
+}
--- a/src/bookkeeping/tables.h
+++ b/src/bookkeeping/tables.h
@@ -297,3 +297,14 @@
 gboolean hr_machine_fits_unreserved (const HrMachine *machine, const HrJobSpec *spec);
 void hr_machine_allocate (HrMachine *machine, const HrJobSpec *spec, HrTaskRef ref);
 void hr_machine_release (HrMachine *machine, const HrJobSpec *spec, HrTaskRef ref);
+
+/* The job with this id, if its record is known; else NULL. */
+HrJob *hr_job_find (HrTables *tables, const char *id);
+/* The job's row, which is made when there is none. */
+HrJob *hr_job_get (HrTables *tables, const char *id);
+/* Its latest record could not be read, so nothing is known of its present state. */
+gboolean hr_job_unreadable (HrTables *tables, const char *id);
+/* The machine with this name, or NULL. */
+HrMachine *hr_machine_find (HrTables *tables, const char *name);
+/* The machine's row, which is made when there is none. */
+HrMachine *hr_machine_get (HrTables *tables, const char *name);
--- a/src/bookkeeping/transactions.c
+++ b/src/bookkeeping/transactions.c
@@ -1,5 +1,7 @@
 /* Transactions on their way to the state service: queued by kind, sent within this node's share of
  * the allowance for changes. */
+#include "bookkeeping/transactions.h"
+#include "coordination/effects.h"
 #include "coordination/state.h"
 #include "protocol/json_util.h"
 
--- a/src/coordination/agents/direct_orders.c
+++ b/src/coordination/agents/direct_orders.c
@@ -1,5 +1,9 @@
 /* Orders that go straight to a worker's address, ahead of its next report. */
+#include "coordination/agents/direct_orders.h"
+#include "coordination/agents/heartbeats.h"
 #include "coordination/agents/orders.h"
+#include "coordination/effects.h"
+#include "coordination/state.h"
 #include <string.h>
 
 /* Seconds that a direct call waits for its answer, and that the next one to a machine waits after
--- /dev/null
+++ b/src/coordination/agents/direct_orders.h
@@ -0,0 +1,4 @@
+#pragma once
+#include "coordination/state.h"
+
+void hr_direct_orders_send (HrCore *core);
--- a/src/coordination/agents/heartbeats.c
+++ b/src/coordination/agents/heartbeats.c
@@ -1,6 +1,14 @@
 /* Reports of workers and the orders they get. */
-#include "coordination/agents/orders.h"
+#include "coordination/agents/heartbeats.h"
 #include "coordination/agents/lease_renewal.h"
+#include "coordination/agents/orders.h"
+#include "coordination/agents/termination_proof.h"
+#include "coordination/effects.h"
+#include "coordination/jobs/task_lifecycle.h"
+#include "coordination/leadership/leadership.h"
+#include "coordination/scaling/fleet.h"
+#include "coordination/scheduling/projection.h"
+#include "coordination/state.h"
 #include "protocol/json_util.h"
 #include <string.h>
 
@@ -27,7 +35,7 @@
 static HrTask *
 find_reported_task (HrCore *core, HrMachine *machine, const HrReportedTask *reported, HrJob **job)
 {
-  HrJob *found = hr_job_find (core, reported->job);
+  HrJob *found = hr_job_find (&core->store.tables, reported->job);
   *job = found;
   if (!found || !found->tasks || reported->task >= found->n_tasks)
     return NULL;
@@ -335,7 +343,7 @@
                       "newer_token", "a newer baton is about");
     return;
   }
-  HrMachine *machine = hr_machine_get (core, heartbeat->machine);
+  HrMachine *machine = hr_machine_get (&core->store.tables, heartbeat->machine);
   if (may_be_answered (core, command, machine, heartbeat))
     answer_heartbeat (core, command, machine, heartbeat);
 }
--- a/src/coordination/agents/lease_renewal.c
+++ b/src/coordination/agents/lease_renewal.c
@@ -1,6 +1,9 @@
 #include "coordination/agents/lease_renewal.h"
-#include "coordination/invariant.h"
 #include "coordination/agents/orders.h"
+#include "coordination/agents/termination_proof.h"
+#include "coordination/effects.h"
+#include "coordination/invariant.h"
+#include "coordination/state.h"
 
 static const char *const kind_names[] = {"current", "overtaken", "before_token"};
 
--- a/src/coordination/agents/orders.c
+++ b/src/coordination/agents/orders.c
@@ -1,4 +1,9 @@
 #include "coordination/agents/orders.h"
+#include "bookkeeping/replica.h"
+#include "coordination/agents/termination_proof.h"
+#include "coordination/jobs/task_lifecycle.h"
+#include "coordination/leadership/leadership.h"
+#include "coordination/state.h"
 #include "protocol/json_util.h"
 #include <string.h>
 
--- a/src/coordination/agents/termination_proof.c
+++ b/src/coordination/agents/termination_proof.c
@@ -2,6 +2,11 @@
  * after one of: the worker showed that it is gone, with no order of ours still
  * on its way; a later incarnation; the cloud's 200 to the machine's deletion; a
  * lease that is surely over. */
+#include "coordination/agents/termination_proof.h"
+#include "bookkeeping/replica.h"
+#include "coordination/jobs/task_lifecycle.h"
+#include "coordination/leadership/leadership.h"
+#include "coordination/scaling/fleet.h"
 #include "coordination/state.h"
 
 /* No launch that we sent may still take effect. */
--- a/src/coordination/core.c
+++ b/src/coordination/core.c
@@ -1,5 +1,24 @@
-#include "coordination/scheduling/quotas.h"
+#include "coordination/core.h"
+#include "coordination/effects.h"
+#include "bookkeeping/garbage_collection.h"
+#include "bookkeeping/record_format.h"
+#include "bookkeeping/record_split.h"
+#include "bookkeeping/record_writer.h"
+#include "bookkeeping/replica.h"
+#include "coordination/agents/direct_orders.h"
+#include "coordination/agents/heartbeats.h"
+#include "coordination/agents/termination_proof.h"
+#include "coordination/jobs/dependencies.h"
+#include "coordination/jobs/user_requests.h"
+#include "coordination/leadership/leadership.h"
 #include "coordination/metrics/metrics.h"
+#include "coordination/scaling/fleet.h"
+#include "coordination/scaling/instance_requests.h"
+#include "coordination/scheduling/dispatch.h"
+#include "coordination/scheduling/guarantees.h"
+#include "coordination/scheduling/planner.h"
+#include "coordination/scheduling/quotas.h"
+#include "coordination/state.h"
 #include "protocol/json_util.h"
 #include <gio/gio.h>
 #include <string.h>
@@ -9,166 +28,6 @@
 #define PASS_REST 4.0
 #define PASS_MOST_S 2.0
 
-typedef struct {
-  HrResultCallback callback;
-  gpointer data;
-  double sent_at;
-} PendingCall;
-
-static HrEffect *
-effect (HrCore *core, HrEffectKind kind)
-{
-  HrEffect *added = g_new0 (HrEffect, 1);
-  added->kind = kind;
-  g_ptr_array_add (core->effects, added);
-  return added;
-}
-
-void
-hr_core_call (HrCore *core, HrTarget target, const char *addr, HrMethod method, char *path,
-              char *body, double timeout, HrResultCallback callback, gpointer data)
-{
-  HrEffect *added = effect (core, HR_EFFECT_CALL);
-  added->id = ++core->calls.last_id;
-  added->target = target;
-  added->addr = g_strdup (addr);
-  added->method = method;
-  added->path = path;
-  added->body = body;
-  added->timeout_s = timeout;
-  PendingCall *pending = g_new0 (PendingCall, 1);
-  pending->callback = callback;
-  pending->data = data;
-  pending->sent_at = core->now;
-  g_hash_table_insert (core->calls.pending, g_memdup2 (&added->id, sizeof added->id), pending);
-}
-
-void
-hr_core_reply (HrCore *core, guint64 id, int status, json_t *body, int retry_after)
-{
-  HrEffect *added = effect (core, HR_EFFECT_REPLY);
-  added->id = id;
-  added->status = status;
-  added->retry_after = retry_after;
-  added->body = hr_json_take_text (body);
-}
-
-void
-hr_core_reply_text (HrCore *core, guint64 id, char *text)
-{
-  HrEffect *added = effect (core, HR_EFFECT_REPLY);
-  added->id = id;
-  added->status = 200;
-  added->plain = TRUE;
-  added->body = text;
-}
-
-void
-hr_core_refuse (HrCore *core, guint64 id, int status, int retry_after, const char *reason)
-{
-  /* A parser's message may quote bytes of the request that are no UTF-8. */
-  g_autofree char *text = g_utf8_make_valid (reason, -1);
-  hr_core_reply (core, id, status, json_pack ("{ss}", "error", text), retry_after);
-}
-
-char *
-hr_core_new_tag (HrCore *core)
-{
-  return g_strdup_printf ("%s.%" G_GUINT64_FORMAT, core->incarnation, ++core->last_tag);
-}
-
-HrJob *
-hr_job_find (HrCore *core, const char *id)
-{
-  guint32 i = hr_intern_find (&core->store.tables.job_ids, id);
-  HrJob *job = i == HR_NONE ? NULL : core->store.tables.jobs->pdata[i];
-  return job && job->is_known ? job : NULL;
-}
-
-gboolean
-hr_job_unreadable (HrCore *core, const char *id)
-{
-  guint32 i = hr_intern_find (&core->store.tables.job_ids, id);
-  HrJob *job = i == HR_NONE ? NULL : core->store.tables.jobs->pdata[i];
-  return job && job->record.main_unreadable && !(job->is_known && job->state != HR_JOB_QUEUED);
-}
-
-HrJob *
-hr_job_get (HrCore *core, const char *id)
-{
-  guint32 i = hr_intern (&core->store.tables.job_ids, id);
-  if (i == core->store.tables.jobs->len) {
-    HrJob *job = g_new0 (HrJob, 1);
-    job->index = i;
-    job->id = hr_intern_name (&core->store.tables.job_ids, i);
-    g_ptr_array_add (core->store.tables.jobs, job);
-  }
-  return core->store.tables.jobs->pdata[i];
-}
-
-HrMachine *
-hr_machine_find (HrCore *core, const char *name)
-{
-  guint32 i = hr_intern_find (&core->store.tables.machine_ids, name);
-  return i == HR_NONE || i >= core->store.tables.machines->len
-             ? NULL
-             : core->store.tables.machines->pdata[i];
-}
-
-HrMachine *
-hr_machine_get (HrCore *core, const char *name)
-{
-  guint32 i = hr_intern (&core->store.tables.machine_ids, name);
-  /* Names may have been interned by reading records, ahead of the rows. */
-  while (core->store.tables.machines->len <= i) {
-    HrMachine *machine = g_new0 (HrMachine, 1);
-    machine->index = core->store.tables.machines->len;
-    machine->name = hr_intern_name (&core->store.tables.machine_ids, machine->index);
-    machine->type = machine->zone = HR_NONE;
-    machine->state = HR_MACHINE_GONE;
-    machine->last_failed_job = HR_NONE;
-    machine->tasks = g_array_new (FALSE, TRUE, sizeof (HrTaskRef));
-    machine->agent.direct_launches = g_array_new (FALSE, TRUE, sizeof (HrDirectLaunch));
-    machine->plan.list = g_array_new (FALSE, TRUE, sizeof (HrTaskRef));
-    g_ptr_array_add (core->store.tables.machines, machine);
-  }
-  return core->store.tables.machines->pdata[i];
-}
-
-HrClassStats *
-hr_class_stats (HrCore *core, guint32 job_class)
-{
-  while (core->scheduling.class_stats->len <= job_class) {
-    HrClassStats stats = {.run_time_correction = 1};
-    g_array_append_val (core->scheduling.class_stats, stats);
-  }
-  return &g_array_index (core->scheduling.class_stats, HrClassStats, job_class);
-}
-
-const HrTeam *
-hr_team (const HrCore *core, guint32 team)
-{
-  for (guint i = 0; i < core->settings->teams->len; i++)
-    if (g_array_index (core->settings->teams, HrTeam, i).team == team)
-      return &g_array_index (core->settings->teams, HrTeam, i);
-  return NULL;
-}
-
-const HrMachineType *
-hr_machine_type_find (const HrCore *core, guint32 name)
-{
-  for (guint i = 0; core->scaling.machine_types && i < core->scaling.machine_types->len; i++)
-    if (g_array_index (core->scaling.machine_types, HrMachineType, i).type == name)
-      return &g_array_index (core->scaling.machine_types, HrMachineType, i);
-  return NULL;
-}
-
-const HrMachineType *
-hr_machine_type_of (const HrCore *core, const HrMachine *machine)
-{
-  return hr_machine_type_find (core, machine->type);
-}
-
 HrCore *
 hr_core_new (const HrSettings *settings, const HrPolicy *policy, HrNames *names,
              const char *incarnation, guint32 seed)
@@ -255,31 +114,6 @@
   g_free (core);
 }
 
-static void
-result (HrCore *core, HrCommand *command)
-{
-  gpointer key, val;
-  if (!g_hash_table_steal_extended (core->calls.pending, &command->id, &key, &val))
-    return;
-  g_autofree guint64 *id = key;
-  g_autofree PendingCall *pending = val;
-  json_t *body = NULL;
-  int status = command->status;
-  if (command->body && g_bytes_get_size (command->body)) {
-    gsize len;
-    const char *data = g_bytes_get_data (command->body, &len);
-    g_autofree char *why = NULL;
-    body = hr_json_parse (data, len, &why);
-    /* A success whose body can't be read is no answer: it may have been carried out. */
-    if (!body && status == 200) {
-      g_info ("an answer could not be read: %s", why);
-      status = 0;
-    }
-  }
-  pending->callback (core, status, body, pending->sent_at, pending->data);
-  json_decref (body);
-}
-
 static void
 tick (HrCore *core)
 {
@@ -330,7 +164,7 @@
         hr_user_request_received (core, command);
       break;
     case HR_COMMAND_RESULT:
-      result (core, command);
+      hr_core_take_result (core, command);
       break;
     case HR_COMMAND_PEER_STATUS:
       hr_membership_status_received (core, command->peer_status);
@@ -356,50 +190,3 @@
   hr_direct_orders_send (core);
   core->effects = NULL;
 }
-
-gboolean
-hr_core_policy_check (const HrPolicy *policy, GHashTable *vars, GError **error)
-{
-  const double *lease = g_hash_table_lookup (vars, "lease_s");
-  const double *cancel = g_hash_table_lookup (vars, "cancel_s");
-  /* A leader that the state service refuses cannot see a cancellation. It goes on
-   * answering workers for hold_s, and their leases outlast that. */
-  double ends = policy->hold_s + *lease * 1.002 + policy->lease_margin_s;
-  const double *report = g_hash_table_lookup (vars, "report_s");
-  const struct {
-    gboolean good;
-    const char *what, *relation;
-    double limit, value;
-  } figures[] = {
-      {ends < *cancel, "hold_s + lease_s + lease_margin_s", "below cancel_s", *cancel, ends},
-      /* Reports come every report_s, give or take a quarter. */
-      {policy->overdue_s > 1.25 * *report, "overdue_s", "above 1.25 report_s", 1.25 * *report,
-       policy->overdue_s},
-      {policy->silent_s >= policy->overdue_s, "silent_s", "at least overdue_s", policy->overdue_s,
-       policy->silent_s},
-  };
-  for (guint i = 0; i < G_N_ELEMENTS (figures); i++)
-    if (!figures[i].good) {
-      g_set_error (error, G_IO_ERROR, G_IO_ERROR_INVALID_DATA,
-                   "policy: expected %s %s (%g), not %g", figures[i].what, figures[i].relation,
-                   figures[i].limit, figures[i].value);
-      return FALSE;
-    }
-  return TRUE;
-}
-
-void
-hr_core_policy_vars (const HrSettings *settings, GHashTable *vars)
-{
-  hr_policy_vars_set (vars, "report_s", settings ? settings->report_s : 2.5);
-  hr_policy_vars_set (vars, "lease_s", settings ? settings->lease_s : 14);
-  hr_policy_vars_set (vars, "gang_wait_s", settings ? settings->gang_wait_s : 30);
-  hr_policy_vars_set (vars, "gang_peer_s", settings ? settings->gang_peer_s : 4);
-  hr_policy_vars_set (vars, "cancel_s", settings ? settings->cancel_s : 40);
-  hr_policy_vars_set (vars, "state_rps", settings ? settings->planned.rps : 100);
-  hr_policy_vars_set (vars, "write_rps", settings ? settings->planned.write_rps : 15);
-  hr_policy_vars_set (vars, "value_kb", settings ? settings->planned.value_kb : 4);
-  hr_policy_vars_set (vars, "cloud_rps", settings ? settings->cloud_rps : 8);
-  hr_policy_vars_set (vars, "list_lag_s", settings ? settings->list_lag_s : 3);
-  hr_policy_vars_set (vars, "controllers", settings ? settings->members->len + 1 : 3);
-}
--- /dev/null
+++ b/src/coordination/effects.c
@@ -0,0 +1,96 @@
+#include "coordination/effects.h"
+#include "coordination/state.h"
+#include "protocol/json_util.h"
+
+typedef struct {
+  HrResultCallback callback;
+  gpointer data;
+  double sent_at;
+} PendingCall;
+
+static HrEffect *
+effect (HrCore *core, HrEffectKind kind)
+{
+  HrEffect *added = g_new0 (HrEffect, 1);
+  added->kind = kind;
+  g_ptr_array_add (core->effects, added);
+  return added;
+}
+
+void
+hr_core_call (HrCore *core, HrTarget target, const char *addr, HrMethod method, char *path,
+              char *body, double timeout, HrResultCallback callback, gpointer data)
+{
+  HrEffect *added = effect (core, HR_EFFECT_CALL);
+  added->id = ++core->calls.last_id;
+  added->target = target;
+  added->addr = g_strdup (addr);
+  added->method = method;
+  added->path = path;
+  added->body = body;
+  added->timeout_s = timeout;
+  PendingCall *pending = g_new0 (PendingCall, 1);
+  pending->callback = callback;
+  pending->data = data;
+  pending->sent_at = core->now;
+  g_hash_table_insert (core->calls.pending, g_memdup2 (&added->id, sizeof added->id), pending);
+}
+
+void
+hr_core_reply (HrCore *core, guint64 id, int status, json_t *body, int retry_after)
+{
+  HrEffect *added = effect (core, HR_EFFECT_REPLY);
+  added->id = id;
+  added->status = status;
+  added->retry_after = retry_after;
+  added->body = hr_json_take_text (body);
+}
+
+void
+hr_core_reply_text (HrCore *core, guint64 id, char *text)
+{
+  HrEffect *added = effect (core, HR_EFFECT_REPLY);
+  added->id = id;
+  added->status = 200;
+  added->plain = TRUE;
+  added->body = text;
+}
+
+void
+hr_core_refuse (HrCore *core, guint64 id, int status, int retry_after, const char *reason)
+{
+  /* A parser's message may quote bytes of the request that are no UTF-8. */
+  g_autofree char *text = g_utf8_make_valid (reason, -1);
+  hr_core_reply (core, id, status, json_pack ("{ss}", "error", text), retry_after);
+}
+
+char *
+hr_core_new_tag (HrCore *core)
+{
+  return g_strdup_printf ("%s.%" G_GUINT64_FORMAT, core->incarnation, ++core->last_tag);
+}
+
+void
+hr_core_take_result (HrCore *core, const HrCommand *command)
+{
+  gpointer key, val;
+  if (!g_hash_table_steal_extended (core->calls.pending, &command->id, &key, &val))
+    return;
+  g_autofree guint64 *id = key;
+  g_autofree PendingCall *pending = val;
+  json_t *body = NULL;
+  int status = command->status;
+  if (command->body && g_bytes_get_size (command->body)) {
+    gsize len;
+    const char *data = g_bytes_get_data (command->body, &len);
+    g_autofree char *why = NULL;
+    body = hr_json_parse (data, len, &why);
+    /* A success whose body can't be read is no answer: it may have been carried out. */
+    if (!body && status == 200) {
+      g_info ("an answer could not be read: %s", why);
+      status = 0;
+    }
+  }
+  pending->callback (core, status, body, pending->sent_at, pending->data);
+  json_decref (body);
+}
--- a/src/coordination/jobs/admission.c
+++ b/src/coordination/jobs/admission.c
@@ -1,4 +1,6 @@
 /* Which jobs can never run here. */
+#include "coordination/jobs/admission.h"
+#include "coordination/scheduling/quotas.h"
 #include "coordination/state.h"
 
 typedef struct {
--- a/src/coordination/jobs/arrivals.c
+++ b/src/coordination/jobs/arrivals.c
@@ -1,5 +1,7 @@
 /* Jobs as they arrive: the list of those that the leader has to look at, and what arrives of each
  * class, for spare room. */
+#include "coordination/jobs/arrivals.h"
+#include "coordination/jobs/priority_inheritance.h"
 #include "coordination/state.h"
 #include <math.h>
 
@@ -69,3 +71,13 @@
   stats->types = job->spec.types;
   stats->teams |= G_GUINT64_CONSTANT (1) << job->spec.team % 64;
 }
+
+HrClassStats *
+hr_class_stats (HrCore *core, guint32 job_class)
+{
+  while (core->scheduling.class_stats->len <= job_class) {
+    HrClassStats stats = {.run_time_correction = 1};
+    g_array_append_val (core->scheduling.class_stats, stats);
+  }
+  return &g_array_index (core->scheduling.class_stats, HrClassStats, job_class);
+}
--- a/src/coordination/jobs/dependencies.c
+++ b/src/coordination/jobs/dependencies.c
@@ -6,6 +6,12 @@
  * rows are unknown until then, and an unknown job counts as not done.
  *
  * No recursion: chains may be hundreds of jobs long, and thousands may await one. */
+#include "coordination/jobs/dependencies.h"
+#include "bookkeeping/record_writer.h"
+#include "bookkeeping/replica.h"
+#include "coordination/jobs/arrivals.h"
+#include "coordination/jobs/priority_inheritance.h"
+#include "coordination/jobs/task_lifecycle.h"
 #include "coordination/state.h"
 
 /* Awaited jobs that a reason names; of the others it says how many. */
@@ -28,7 +34,7 @@
     return; /* what a job awaits never changes */
   job->dependencies.awaited = g_new0 (HrJob *, n);
   for (guint i = 0; i < n; i++) {
-    HrJob *awaited = hr_job_get (core, ids[i]);
+    HrJob *awaited = hr_job_get (&core->store.tables, ids[i]);
     job->dependencies.awaited[i] = awaited;
     if (is_final (awaited))
       continue;
@@ -142,7 +148,8 @@
 hr_dependencies_find_unknown (HrCore *core, GStrv ids)
 {
   for (guint i = 0; ids && ids[i]; i++)
-    if (!hr_job_find (core, ids[i]) && !hr_job_unreadable (core, ids[i]))
+    if (!hr_job_find (&core->store.tables, ids[i]) &&
+        !hr_job_unreadable (&core->store.tables, ids[i]))
       return ids[i];
   return NULL;
 }
@@ -151,7 +158,7 @@
 hr_dependencies_find_service (HrCore *core, GStrv ids)
 {
   for (guint i = 0; ids && ids[i]; i++) {
-    const HrJob *job = hr_job_find (core, ids[i]);
+    const HrJob *job = hr_job_find (&core->store.tables, ids[i]);
     if (job && job->is_known && job->state == HR_JOB_QUEUED && job->spec.shape == HR_SERVICE)
       return ids[i];
   }
--- a/src/coordination/jobs/failover.c
+++ b/src/coordination/jobs/failover.c
@@ -1,4 +1,10 @@
 /* A new term begins: what the records say is what may be out there. */
+#include "coordination/jobs/failover.h"
+#include "bookkeeping/record_split.h"
+#include "bookkeeping/record_writer.h"
+#include "coordination/agents/termination_proof.h"
+#include "coordination/jobs/task_lifecycle.h"
+#include "coordination/scaling/fleet.h"
 #include "coordination/state.h"
 
 /* More than any task is tried in one leader's time. */
@@ -33,8 +39,9 @@
 take_over_bound (HrCore *core, HrJob *job, guint32 task_index)
 {
   HrTask *task = &job->tasks[task_index];
-  HrMachine *machine = hr_machine_get (
-      core, hr_intern_name (&core->store.tables.machine_ids, task->recorded.machine));
+  HrMachine *machine =
+      hr_machine_get (&core->store.tables,
+                      hr_intern_name (&core->store.tables.machine_ids, task->recorded.machine));
   task->placement.machine = task->recorded.machine;
   task->placement.incarnation = task->recorded.incarnation;
   task->state = HR_TASK_BOUND;
--- a/src/coordination/jobs/priority_inheritance.c
+++ b/src/coordination/jobs/priority_inheritance.c
@@ -2,6 +2,8 @@
  * they flow up: a job has the highest priority of those that need it, and the earliest of its own
  * deadline and theirs less the estimates of what comes in between (the critical path).
  * Preferences of the plan, on which no rule rests. */
+#include "coordination/jobs/priority_inheritance.h"
+#include "coordination/scheduling/projection.h"
 #include "coordination/state.h"
 #include <math.h>
 
--- a/src/coordination/jobs/submissions.c
+++ b/src/coordination/jobs/submissions.c
@@ -1,5 +1,14 @@
 /* Submissions: accepted when the first record of the job is written, or found. */
+#include "coordination/jobs/submissions.h"
+#include "bookkeeping/record_layout.h"
+#include "bookkeeping/replica.h"
+#include "bookkeeping/transactions.h"
+#include "coordination/effects.h"
+#include "coordination/jobs/admission.h"
+#include "coordination/jobs/arrivals.h"
+#include "coordination/jobs/dependencies.h"
 #include "coordination/jobs/user_requests.h"
+#include "coordination/state.h"
 #include "protocol/json_util.h"
 #include <string.h>
 
@@ -44,7 +53,8 @@
 on_unsure_read (HrCore *core, gboolean ok, gpointer data)
 {
   HrUserRequest *request = data;
-  if (ok && !hr_job_find (core, request->id) && !hr_job_unreadable (core, request->id))
+  if (ok && !hr_job_find (&core->store.tables, request->id) &&
+      !hr_job_unreadable (&core->store.tables, request->id))
     send_submit (core, request);
   else
     hr_request_on_read (core, ok, data);
@@ -56,7 +66,7 @@
   HrUserRequest *request = data;
   guint64 store_revision;
   if (status == 200 && hr_json_count (body, "epoch", G_MAXINT64, &store_revision)) {
-    HrJob *job = hr_job_get (core, request->id);
+    HrJob *job = hr_job_get (&core->store.tables, request->id);
     if (!job->is_known) {
       job->is_known = TRUE;
       job->state = job->cancellation.told_by_peer ? HR_JOB_CANCELLED : HR_JOB_QUEUED;
@@ -117,8 +127,8 @@
 {
   HrUserRequest *request = data;
   const char *unknown = hr_dependencies_find_unknown (core, request->awaits);
-  HrJob *job = hr_job_find (core, request->id);
-  if (!ok || hr_job_unreadable (core, request->id))
+  HrJob *job = hr_job_find (&core->store.tables, request->id);
+  if (!ok || hr_job_unreadable (&core->store.tables, request->id))
     hr_request_refuse_later (core, request, 503,
                              "the jobs that it awaits cannot be looked up; submit again");
   else if (job)
@@ -163,7 +173,7 @@
   }
   if (hr_request_answer_final (core, request))
     return;
-  if (hr_job_find (core, request->id)) {
+  if (hr_job_find (&core->store.tables, request->id)) {
     hr_replica_read (core, hr_request_on_read, request);
     return;
   }
--- a/src/coordination/jobs/task_lifecycle.c
+++ b/src/coordination/jobs/task_lifecycle.c
@@ -1,4 +1,8 @@
 /* What happens to a task: assigned, recorded, seen, gone, done. */
+#include "coordination/jobs/task_lifecycle.h"
+#include "bookkeeping/record_writer.h"
+#include "coordination/jobs/arrivals.h"
+#include "coordination/scheduling/projection.h"
 #include "coordination/state.h"
 #include <math.h>
 #include <string.h>
--- a/src/coordination/jobs/user_requests.c
+++ b/src/coordination/jobs/user_requests.c
@@ -1,5 +1,16 @@
 /* What users ask: polls, cancellations, readiness; submissions are in submissions.c. */
 #include "coordination/jobs/user_requests.h"
+#include "bookkeeping/record_format.h"
+#include "bookkeeping/record_layout.h"
+#include "bookkeeping/replica.h"
+#include "bookkeeping/transactions.h"
+#include "coordination/effects.h"
+#include "coordination/jobs/dependencies.h"
+#include "coordination/jobs/submissions.h"
+#include "coordination/jobs/task_lifecycle.h"
+#include "coordination/leadership/leadership.h"
+#include "coordination/membership/cancellation_log.h"
+#include "coordination/state.h"
 #include "protocol/json_util.h"
 #include <string.h>
 
@@ -108,13 +119,13 @@
 hr_request_on_read (HrCore *core, gboolean ok, gpointer data)
 {
   HrUserRequest *request = data;
-  HrJob *job = hr_job_find (core, request->id);
+  HrJob *job = hr_job_find (&core->store.tables, request->id);
   if (!ok) {
     hr_request_refuse_later (core, request, 503,
                              "the state service cannot be read just now; ask again");
     return;
   }
-  if (hr_job_unreadable (core, request->id)) {
+  if (hr_job_unreadable (&core->store.tables, request->id)) {
     /* It was accepted, and neither 404 nor an older state may be said of it. */
     hr_request_refuse_later (core, request, 503, "its record cannot be read; ask again");
     return;
@@ -139,7 +150,7 @@
 gboolean
 hr_request_answer_final (HrCore *core, HrUserRequest *request)
 {
-  HrJob *job = hr_job_find (core, request->id);
+  HrJob *job = hr_job_find (&core->store.tables, request->id);
   if (!job || job->state == HR_JOB_QUEUED || job->cancellation.told_by_peer)
     return FALSE;
   hr_request_answer (core, request, job, 200);
@@ -161,7 +172,7 @@
 on_cancel (HrCore *core, int status, json_t *body, double sent, gpointer data)
 {
   HrUserRequest *request = data;
-  HrJob *job = hr_job_find (core, request->id);
+  HrJob *job = hr_job_find (&core->store.tables, request->id);
   guint64 store_revision;
   if (status == 200 && job && hr_json_count (body, "epoch", G_MAXINT64, &store_revision)) {
     hr_cancellation_log_append (core, job, store_revision);
@@ -189,7 +200,7 @@
 static void
 send_cancel (HrCore *core, HrUserRequest *request)
 {
-  HrJob *job = hr_job_find (core, request->id);
+  HrJob *job = hr_job_find (&core->store.tables, request->id);
   g_autofree char *key = hr_job_record_key (job);
   g_free (request->tag);
   request->tag = hr_core_new_tag (core);
--- a/src/coordination/jobs/user_requests.h
+++ b/src/coordination/jobs/user_requests.h
@@ -34,4 +34,4 @@
  * out second fails. */
 gboolean hr_request_may_try_again (HrCore *core, HrUserRequest *request, int status);
 
-void hr_submit (HrCore *core, HrCommand *command);
+void hr_user_request_received (HrCore *core, HrCommand *command);
--- a/src/coordination/leadership/leadership.c
+++ b/src/coordination/leadership/leadership.c
@@ -1,6 +1,13 @@
 /* Membership and leadership. The leader's key lives with a lease of the state
  * service; whoever creates it writes the leader record in the same transaction, with a
  * higher token (fencing token). Ownership is what the leader record says, nothing else. */
+#include "coordination/leadership/leadership.h"
+#include "bookkeeping/record_format.h"
+#include "bookkeeping/replica.h"
+#include "bookkeeping/transactions.h"
+#include "coordination/effects.h"
+#include "coordination/jobs/failover.h"
+#include "coordination/membership/cancellation_log.h"
 #include "coordination/state.h"
 #include "protocol/json_util.h"
 #include <string.h>
--- a/src/coordination/membership/cancellation_log.c
+++ b/src/coordination/membership/cancellation_log.c
@@ -3,6 +3,8 @@
  * leader has not read in its statuses, from the position on that the leader echoes. The argument
  * why the leader may go by that is in docs/design.md, "Cancellations that the leader cannot
  * read". */
+#include "coordination/membership/cancellation_log.h"
+#include "coordination/jobs/task_lifecycle.h"
 #include "coordination/state.h"
 #include <string.h>
 
@@ -118,7 +120,7 @@
 {
   if (!hr_job_id_valid (id))
     return;
-  HrJob *job = hr_job_get (core, id);
+  HrJob *job = hr_job_get (&core->store.tables, id);
   if (job->state != HR_JOB_QUEUED || job->cancellation.told_by_peer)
     return;
   job->cancellation.told_by_peer = TRUE;
--- a/src/coordination/metrics/metrics.c
+++ b/src/coordination/metrics/metrics.c
@@ -1,4 +1,6 @@
 #include "coordination/metrics/metrics.h"
+#include "bookkeeping/replica.h"
+#include "coordination/leadership/leadership.h"
 #include "coordination/state.h"
 
 static void
--- a/src/coordination/scaling/fleet.c
+++ b/src/coordination/scaling/fleet.c
@@ -1,4 +1,13 @@
 /* The fleet: which machines there are, their types, and returning them. */
+#include "coordination/scaling/fleet.h"
+#include "bookkeeping/replica.h"
+#include "bookkeeping/transactions.h"
+#include "coordination/agents/termination_proof.h"
+#include "coordination/effects.h"
+#include "coordination/leadership/leadership.h"
+#include "coordination/scaling/instance_list.h"
+#include "coordination/scaling/instance_requests.h"
+#include "coordination/scheduling/projection.h"
 #include "coordination/state.h"
 #include "protocol/json_util.h"
 #include <string.h>
@@ -172,3 +181,18 @@
   if (core->now - core->scheduling.planned_at > 1)
     core->scheduling.plan_is_stale = TRUE;
 }
+
+const HrMachineType *
+hr_machine_type_find (const HrCore *core, guint32 name)
+{
+  for (guint i = 0; core->scaling.machine_types && i < core->scaling.machine_types->len; i++)
+    if (g_array_index (core->scaling.machine_types, HrMachineType, i).type == name)
+      return &g_array_index (core->scaling.machine_types, HrMachineType, i);
+  return NULL;
+}
+
+const HrMachineType *
+hr_machine_type_of (const HrCore *core, const HrMachine *machine)
+{
+  return hr_machine_type_find (core, machine->type);
+}
--- a/src/coordination/scaling/instance_list.c
+++ b/src/coordination/scaling/instance_list.c
@@ -1,5 +1,8 @@
 /* The cloud's list of machines, read page by page again and again. It lags, and is weak evidence.
  */
+#include "coordination/scaling/instance_list.h"
+#include "coordination/effects.h"
+#include "coordination/scaling/fleet.h"
 #include "coordination/state.h"
 #include "protocol/json_util.h"
 
@@ -18,7 +21,7 @@
 static void
 listed (HrCore *core, const HrListedInstance *entry)
 {
-  HrMachine *machine = hr_machine_get (core, entry->name);
+  HrMachine *machine = hr_machine_get (&core->store.tables, entry->name);
   if (machine->instance.is_deleted || machine->state == HR_MACHINE_DELETING)
     return; /* lists lag: it is being returned, or was */
   if (entry->state == HR_INSTANCE_FAILED) {
--- a/src/coordination/scaling/instance_requests.c
+++ b/src/coordination/scaling/instance_requests.c
@@ -1,4 +1,8 @@
 /* Renting machines: each request under a name of its own, repeated until it has a clear answer. */
+#include "coordination/scaling/instance_requests.h"
+#include "bookkeeping/replica.h"
+#include "coordination/effects.h"
+#include "coordination/scaling/fleet.h"
 #include "coordination/state.h"
 #include "protocol/json_util.h"
 #include <string.h>
@@ -77,7 +81,7 @@
     json_array_foreach (list, i, entry)
     {
       const char *name = json_string_value (entry);
-      HrMachine *machine = name ? hr_machine_get (core, name) : NULL;
+      HrMachine *machine = name ? hr_machine_get (&core->store.tables, name) : NULL;
       if (!machine || machine->state != HR_MACHINE_GONE || machine->instance.is_deleted)
         continue; /* it may have reported before this answer came */
       hr_machine_describe (machine, hr_machine_type_find (core, request->type), request->zone,
--- a/src/coordination/scaling/scale_out.c
+++ b/src/coordination/scaling/scale_out.c
@@ -1,6 +1,14 @@
 /* What is to be rented for what waits and for what is expected, and what can go back. */
-#include "coordination/scheduling/quotas.h"
+#include "coordination/scaling/scale_out.h"
+#include "coordination/jobs/arrivals.h"
+#include "coordination/scaling/fleet.h"
+#include "coordination/scaling/instance_requests.h"
 #include "coordination/scheduling/free_capacity.h"
+#include "coordination/scheduling/guarantees.h"
+#include "coordination/scheduling/preemption.h"
+#include "coordination/scheduling/projection.h"
+#include "coordination/scheduling/quotas.h"
+#include "coordination/state.h"
 #include <math.h>
 
 #define MAX_SCALE_OUT_TASKS 200 /* tasks of one job that machines are rented for in a pass */
--- a/src/coordination/scheduling/dispatch.c
+++ b/src/coordination/scheduling/dispatch.c
@@ -1,9 +1,19 @@
 /* From the plan to orders: what can start now starts, what cannot is made room
  * for, rented for, or waits; idle machines go back. */
-#include "coordination/scheduling/starvation_guard.h"
+#include "coordination/scheduling/dispatch.h"
+#include "bookkeeping/replica.h"
+#include "coordination/jobs/task_lifecycle.h"
+#include "coordination/leadership/leadership.h"
+#include "coordination/scaling/scale_out.h"
+#include "coordination/scheduling/free_capacity.h"
+#include "coordination/scheduling/guarantees.h"
+#include "coordination/scheduling/preemption.h"
+#include "coordination/scheduling/projection.h"
+#include "coordination/scheduling/quota_preemption.h"
 #include "coordination/scheduling/quotas.h"
 #include "coordination/scheduling/service_replicas.h"
-#include "coordination/scheduling/free_capacity.h"
+#include "coordination/scheduling/starvation_guard.h"
+#include "coordination/state.h"
 #include <math.h>
 
 gboolean
--- a/src/coordination/scheduling/guarantees.c
+++ b/src/coordination/scheduling/guarantees.c
@@ -1,6 +1,9 @@
 /* Guarantees of teams. */
-#include "coordination/scheduling/quotas.h"
+#include "coordination/scheduling/guarantees.h"
 #include "coordination/scheduling/free_capacity.h"
+#include "coordination/scheduling/preemption.h"
+#include "coordination/scheduling/quotas.h"
+#include "coordination/state.h"
 
 int
 hr_by_submission (gconstpointer left, gconstpointer right)
--- a/src/coordination/scheduling/mtedf.c
+++ b/src/coordination/scheduling/mtedf.c
@@ -1,5 +1,9 @@
 /* MT-EDF: a new task is tried at its deadline slot in the lists (the paper's figure 1). */
+#include "coordination/scheduling/mtedf.h"
+#include "coordination/scaling/fleet.h"
 #include "coordination/scheduling/plan.h"
+#include "coordination/scheduling/projection.h"
+#include "coordination/state.h"
 #include <math.h>
 
 /* Earliest-starting list first, the image fetch included. */
--- a/src/coordination/scheduling/planner.c
+++ b/src/coordination/scheduling/planner.c
@@ -1,8 +1,16 @@
 /* The plan: one deadline-ordered list of tasks per machine. New tasks are placed
  * by MT-EDF; a bounded tabu search then moves tardy ones (Klusacek, Matyska,
  * Rudova: Local Search for Deadline Driven Grid Scheduling, figures 1 to 3). */
-#include "coordination/scheduling/quotas.h"
+#include "coordination/scheduling/planner.h"
+#include "coordination/scheduling/guarantees.h"
+#include "coordination/scheduling/mtedf.h"
 #include "coordination/scheduling/plan.h"
+#include "coordination/scheduling/projection.h"
+#include "coordination/scheduling/quotas.h"
+#include "coordination/scheduling/service_reservations.h"
+#include "coordination/scheduling/shards.h"
+#include "coordination/scheduling/tabu.h"
+#include "coordination/state.h"
 
 #define WINDOW 64 /* tasks of one job that stand in lists at a time */
 
--- a/src/coordination/scheduling/preemption.c
+++ b/src/coordination/scheduling/preemption.c
@@ -1,5 +1,11 @@
 /* Making room for a task by stopping others. */
+#include "coordination/scheduling/preemption.h"
+#include "coordination/jobs/task_lifecycle.h"
+#include "coordination/scheduling/dispatch.h"
 #include "coordination/scheduling/free_capacity.h"
+#include "coordination/scheduling/guarantees.h"
+#include "coordination/scheduling/projection.h"
+#include "coordination/state.h"
 #include <math.h>
 
 gboolean
--- a/src/coordination/scheduling/quota_preemption.c
+++ b/src/coordination/scheduling/quota_preemption.c
@@ -1,8 +1,11 @@
 /* Room within a team's limit: its work of lower priority is stopped for what the limit holds back.
  */
+#include "coordination/scheduling/quota_preemption.h"
+#include "coordination/scheduling/free_capacity.h"
+#include "coordination/scheduling/preemption.h"
 #include "coordination/scheduling/quota.h"
 #include "coordination/scheduling/quotas.h"
-#include "coordination/scheduling/free_capacity.h"
+#include "coordination/state.h"
 
 /* Work of lower priority is stopped for a job that is no service where the limit would not let it
  * start within so long, s: what is stopped loses work. */
--- a/src/coordination/scheduling/quotas.c
+++ b/src/coordination/scheduling/quotas.c
@@ -7,8 +7,14 @@
  * running work makes room for that job, or what fits beside it then (EASY backfilling: Lifka,
  * The ANL/IBM SP scheduling system). */
 #include "coordination/scheduling/quotas.h"
-#include "coordination/scheduling/quota.h"
+#include "coordination/agents/termination_proof.h"
+#include "coordination/jobs/arrivals.h"
+#include "coordination/scaling/scale_out.h"
+#include "coordination/scheduling/dispatch.h"
 #include "coordination/scheduling/free_capacity.h"
+#include "coordination/scheduling/projection.h"
+#include "coordination/scheduling/quota.h"
+#include "coordination/state.h"
 
 /* A job keeps its grant for so long without a start, s: with places in lists (a boot, mostly),
  * and where no machine of the fleet has one. Then its share is lent, for a pause that doubles
@@ -298,3 +304,12 @@
   hr_quota_subtract (&now, usage->used);
   return hr_quota_multiples (now, hr_quota_of (&job->spec, 1), job->quota.granted);
 }
+
+const HrTeam *
+hr_team (const HrCore *core, guint32 team)
+{
+  for (guint i = 0; i < core->settings->teams->len; i++)
+    if (g_array_index (core->settings->teams, HrTeam, i).team == team)
+      return &g_array_index (core->settings->teams, HrTeam, i);
+  return NULL;
+}
--- a/src/coordination/scheduling/service_replicas.c
+++ b/src/coordination/scheduling/service_replicas.c
@@ -1,6 +1,14 @@
 /* Where the replicas of services start. They stand in no list: a replica has no end. */
 #include "coordination/scheduling/service_replicas.h"
+#include "coordination/jobs/arrivals.h"
+#include "coordination/scaling/fleet.h"
+#include "coordination/scaling/scale_out.h"
+#include "coordination/scheduling/dispatch.h"
 #include "coordination/scheduling/free_capacity.h"
+#include "coordination/scheduling/guarantees.h"
+#include "coordination/scheduling/preemption.h"
+#include "coordination/scheduling/projection.h"
+#include "coordination/state.h"
 #include <math.h>
 
 /* Time left until the next aim for the start of the class's tasks is missed. */
--- a/src/coordination/scheduling/service_reservations.c
+++ b/src/coordination/scheduling/service_reservations.c
@@ -1,6 +1,10 @@
 /* Room kept for services, which stand in no list. */
-#include "coordination/scheduling/quotas.h"
+#include "coordination/scheduling/service_reservations.h"
+#include "coordination/scaling/scale_out.h"
 #include "coordination/scheduling/plan.h"
+#include "coordination/scheduling/projection.h"
+#include "coordination/scheduling/quotas.h"
+#include "coordination/state.h"
 
 /* Takes the room of up to n tasks off a machine for services. */
 static guint
--- a/src/coordination/scheduling/shards.c
+++ b/src/coordination/scheduling/shards.c
@@ -1,6 +1,9 @@
 /* Hash parts of the plan: a machine belongs to the part that its name hashes to,
  * an ordinary job to the part with most room when it comes, a large one to none:
  * it may stand in any list. All parts are planned by the leader (docs/design.md). */
+#include "coordination/scheduling/shards.h"
+#include "coordination/scheduling/projection.h"
+#include "coordination/scheduling/quotas.h"
 #include "coordination/state.h"
 
 /* Rendezvous hashing: when a part is added, only machines that move to it move. */
--- a/src/coordination/scheduling/starvation_guard.c
+++ b/src/coordination/scheduling/starvation_guard.c
@@ -8,7 +8,10 @@
  * anew (scale_out.c), and a replica that comes meanwhile stops batch work as before (preemption.c).
  */
 #include "coordination/scheduling/starvation_guard.h"
+#include "coordination/scheduling/dispatch.h"
 #include "coordination/scheduling/free_capacity.h"
+#include "coordination/scheduling/guarantees.h"
+#include "coordination/state.h"
 
 /* Seconds beside free room after which a task gets it. */
 #define STARVATION_LIMIT_S 60.0
--- a/src/coordination/scheduling/tabu.c
+++ b/src/coordination/scheduling/tabu.c
@@ -1,5 +1,9 @@
 /* Bounded tabu search over the lists (the paper's figures 2 and 3). */
+#include "coordination/scheduling/tabu.h"
+#include "coordination/scheduling/mtedf.h"
 #include "coordination/scheduling/plan.h"
+#include "coordination/scheduling/projection.h"
+#include "coordination/state.h"
 #include <string.h>
 
 static gboolean
--- a/tests/script.c
+++ b/tests/script.c
@@ -1,5 +1,7 @@
-#include "script.h"
+#include "coordination/command.h"
+#include "coordination/core.h"
 #include "protocol/json_util.h"
+#include "script.h"
 #include <string.h>
 
 #define TICK_S 0.05
--- a/tests/script_scene.c
+++ b/tests/script_scene.c
@@ -1,5 +1,7 @@
-#include "script_scene.h"
+#include "coordination/command.h"
+#include "coordination/core.h"
 #include "protocol/json_util.h"
+#include "script_scene.h"
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
--- a/tests/script_store.c
+++ b/tests/script_store.c
@@ -1,7 +1,8 @@
 /* The state service of tests/script.h, which carries out one request when it is told to; and a
  * cloud that has no more machines than the test made. */
-#include "script.h"
+#include "coordination/command.h"
 #include "protocol/json_util.h"
+#include "script.h"
 #include <string.h>
 
 typedef struct {
--- a/tests/script_user.c
+++ b/tests/script_user.c
@@ -1,6 +1,7 @@
 /* What the users of tests/script.h ask. */
-#include "script.h"
+#include "coordination/command.h"
 #include "protocol/json_util.h"
+#include "script.h"
 #include <string.h>
 
 json_t *
--- a/tests/script_worker.c
+++ b/tests/script_worker.c
@@ -1,6 +1,7 @@
 /* The workers of tests/script.h. */
-#include "script.h"
+#include "coordination/command.h"
 #include "protocol/json_util.h"
+#include "script.h"
 #include <string.h>
 
 void
--- a/tests/scripted.c
+++ b/tests/scripted.c
@@ -1,5 +1,7 @@
-#include "scripted.h"
+#include "coordination/command.h"
+#include "coordination/core.h"
 #include "protocol/json_util.h"
+#include "scripted.h"
 #include <string.h>
 
 static void
--- a/tests/sim/digest.c
+++ b/tests/sim/digest.c
@@ -1,3 +1,4 @@
+#include "coordination/command.h"
 #include "sim/digest.h"
 #include "transport/peer_status_frame.h"
 #include <stdio.h>
--- a/tests/sim/judge.c
+++ b/tests/sim/judge.c
@@ -1,4 +1,5 @@
 /* Rules that are checked whenever something happens, and that no job waits beside room. */
+#include "coordination/command.h"
 #include "sim/pipeline.h"
 #include <string.h>
 
--- a/tests/sim/lone_node.c
+++ b/tests/sim/lone_node.c
@@ -1,5 +1,9 @@
-#include "sim/lone_node.h"
+#include "bookkeeping/tables.h"
+#include "coordination/command.h"
+#include "coordination/core.h"
+#include "coordination/scaling/fleet.h"
 #include "protocol/json_util.h"
+#include "sim/lone_node.h"
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -293,7 +297,7 @@
 gboolean
 node_opens (LoneNode *n, const char *id)
 {
-  const HrJob *job = hr_job_find (n->core, id);
+  const HrJob *job = hr_job_find (&n->core->store.tables, id);
   for (guint i = 0; job && i < n->core->store.tables.open_jobs->len; i++)
     if (g_array_index (n->core->store.tables.open_jobs, guint32, i) == job->index)
       return TRUE;
@@ -311,7 +315,7 @@
 HrMachine *
 node_machine (LoneNode *n)
 {
-  HrMachine *machine = hr_machine_get (n->core, "m-1");
+  HrMachine *machine = hr_machine_get (&n->core->store.tables, "m-1");
   machine->state = HR_MACHINE_UP;
   machine->agent.incarnation = 1;
   machine->agent.heard_at = n->now;
--- a/tests/sim/messages.c
+++ b/tests/sim/messages.c
@@ -1,4 +1,5 @@
 /* Requests and answers on their way: delays, cuts, losses, copies. */
+#include "coordination/command.h"
 #include "sim/messages.h"
 #include <string.h>
 
--- a/tests/sim/odd.c
+++ b/tests/sim/odd.c
@@ -4,8 +4,9 @@
  * malformed one that names a job needs a reading too; one that names none is known at once. Nothing
  * may be recorded of them: each one carries a mark, which no key and no value of the state stand-in
  * may hold. */
-#include "sim/world.h"
+#include "coordination/command.h"
 #include "protocol/json_util.h"
+#include "sim/world.h"
 #include <string.h>
 
 #define ROUND_S 1.5
--- a/tests/sim/pipeline.c
+++ b/tests/sim/pipeline.c
@@ -1,5 +1,6 @@
-#include "sim/pipeline.h"
+#include "coordination/command.h"
 #include "protocol/json_util.h"
+#include "sim/pipeline.h"
 #include <string.h>
 
 #define MOST_STEPS 6
--- a/tests/sim/store.c
+++ b/tests/sim/store.c
@@ -1,7 +1,9 @@
 /* A stand-in for the state service. */
-#include "sim/world.h"
-#include "protocol/json_util.h"
 #include "bookkeeping/tables.h"
+#include "coordination/command.h"
+#include "coordination/core.h"
+#include "protocol/json_util.h"
+#include "sim/world.h"
 #include <stdlib.h>
 #include <string.h>
 
--- a/tests/sim/trouble_messages.c
+++ b/tests/sim/trouble_messages.c
@@ -1,4 +1,5 @@
 /* Planned troubles on the way of messages: held up, copied, without an answer, cut off. */
+#include "coordination/command.h"
 #include "sim/trouble_parts.h"
 #include <string.h>
 
--- a/tests/sim/user.c
+++ b/tests/sim/user.c
@@ -1,6 +1,7 @@
 /* Users: what they ask, and the jobs of a usual day. */
-#include "sim/pipeline.h"
+#include "coordination/command.h"
 #include "protocol/json_util.h"
+#include "sim/pipeline.h"
 #include <string.h>
 
 SJob *
--- a/tests/sim/worker.c
+++ b/tests/sim/worker.c
@@ -1,6 +1,7 @@
 /* A stand-in for the workers: reports, tokens, leases, tasks and gangs. */
-#include "sim/world.h"
+#include "coordination/command.h"
 #include "protocol/json_util.h"
+#include "sim/world.h"
 #include <string.h>
 
 #define GANG_WAIT 30.0
--- a/tests/sim/world.c
+++ b/tests/sim/world.c
@@ -1,3 +1,5 @@
+#include "coordination/command.h"
+#include "coordination/core.h"
 #include "sim/messages.h"
 #include <stdarg.h>
 #include <stdio.h>
--- a/tests/soak.c
+++ b/tests/soak.c
@@ -5,6 +5,7 @@
  * while users submit pipelines and the troubles go on; then the state service's limits fall.
  * --old-format 0 says that this program knows neither formats of records nor pipelines.
  * Exit 0: no rule was broken, and each seed was played. */
+#include "coordination/core.h"
 #include "emulator/live.h"
 #include "sim/pipeline.h"
 #include <stdio.h>
--- a/tests/test_attestation.c
+++ b/tests/test_attestation.c
@@ -1,5 +1,6 @@
 /* How long a leader that the state service does not serve answers its workers, as members name
  * cancellations to it: each case of docs/design.md, "Cancellations that the leader cannot read". */
+#include "coordination/command.h"
 #include "scripted.h"
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/test_awaits.c
+++ b/tests/test_awaits.c
@@ -1,7 +1,10 @@
 /* Jobs that await others, at nodes whose state service is played: what is refused and why, and
  * what is derived from the records alone, in any order of reading. */
-#include "sim/lone_node.h"
+#include "bookkeeping/tables.h"
+#include "coordination/core.h"
+#include "coordination/jobs/task_lifecycle.h"
 #include "protocol/json_util.h"
+#include "sim/lone_node.h"
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -281,7 +284,7 @@
   assert_int_equal (node_submit (n, "job-r", NULL, NULL), 201);
   assert_int_equal (node_submit (n, "job-e", NULL, NULL), 201);
   submit_many (store, 1000);
-  HrJob *job = hr_job_find (n->core, "job-e");
+  HrJob *job = hr_job_find (&n->core->store.tables, "job-e");
   HrMachine *machine = node_machine (n);
   for (guint i = 0; i < job->n_tasks; i++)
     hr_task_assign (n->core, job, i, machine, 1);
--- a/tests/test_exhaustive.c
+++ b/tests/test_exhaustive.c
@@ -9,6 +9,7 @@
  *   test_exhaustive SCENARIO DEPTH [STRIDE]   plays every STRIDE-th schedule of the last depth
  *   test_exhaustive SCENARIO replay P:C ...   one schedule: choice C at the request number P
  */
+#include "coordination/command.h"
 #include "sim/world.h"
 #include <stdio.h>
 #include <stdlib.h>
--- a/tests/test_fixtures.c
+++ b/tests/test_fixtures.c
@@ -1,6 +1,9 @@
 /* What the commits ecb9b3c and 764e988 wrote is read, and written back byte for byte
  * (tests/fixtures). */
 #include "bookkeeping/record.h"
+#include "bookkeeping/tables.h"
+#include "coordination/command.h"
+#include "coordination/core.h"
 #include "protocol/json_util.h"
 #include "sim/world.h"
 #include "transport/peer.h"
--- a/tests/test_peer_status_frame.c
+++ b/tests/test_peer_status_frame.c
@@ -1,6 +1,7 @@
 /* The form of statuses between controllers: sizes, and what other versions send. */
-#include "transport/peer_status_frame.h"
+#include "coordination/command.h"
 #include "peer.pb-c.h"
+#include "transport/peer_status_frame.h"
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
--- a/tests/test_readiness.c
+++ b/tests/test_readiness.c
@@ -1,7 +1,15 @@
 /* Jobs that await others, at a node whose state service is played: when they get work, what guards
  * that, and what those before them get from them. */
-#include "sim/lone_node.h"
+#include "bookkeeping/record_writer.h"
+#include "bookkeeping/replica.h"
+#include "bookkeeping/store.h"
+#include "bookkeeping/tables.h"
+#include "coordination/command.h"
+#include "coordination/core.h"
+#include "coordination/jobs/arrivals.h"
+#include "coordination/jobs/task_lifecycle.h"
 #include "protocol/json_util.h"
+#include "sim/lone_node.h"
 #include <math.h>
 #include <setjmp.h>
 #include <stdarg.h>
@@ -23,7 +31,7 @@
   assert_false (node_opens (n, "job-3"));
   assert_string_equal (node_poll (n, "job-3"), "queued");
   assert_non_null (strstr (hr_json_str (n->body, "reason"), "2 jobs to be done: job-1, job-2"));
-  HrJob *job = hr_job_find (n->core, "job-3");
+  HrJob *job = hr_job_find (&n->core->store.tables, "job-3");
   assert_false (job->run.arrival_counted);
   double since = n->now;
   ledger_done (store, "job-2");
@@ -50,7 +58,8 @@
   LoneNode *n = node_up (store);
   assert_int_equal (node_submit (n, "job-1", NULL, NULL), 201);
   assert_int_equal (node_submit (n, "job-2", "[\"job-1\"]", NULL), 201);
-  HrJob *first = hr_job_find (n->core, "job-1"), *second = hr_job_find (n->core, "job-2");
+  HrJob *first = hr_job_find (&n->core->store.tables, "job-1"),
+        *second = hr_job_find (&n->core->store.tables, "job-2");
   HrMachine *machine = node_machine (n);
   for (guint i = 0; i < first->n_tasks; i++)
     hr_task_assign (n->core, first, i, machine, 1);
@@ -138,7 +147,7 @@
   LoneNode *n = node_up (store);
   assert_int_equal (node_submit (n, "job-1", NULL, NULL), 201);
   assert_int_equal (node_submit (n, "job-2", "[\"job-1\"]", NULL), 201);
-  HrJob *job = hr_job_find (n->core, "job-2");
+  HrJob *job = hr_job_find (&n->core->store.tables, "job-2");
   const HrTask *task = misplace (n, job);
   node_run (n, 3);
   assert_int_equal (task->state, HR_TASK_ASSIGNING);
@@ -172,7 +181,7 @@
   LoneNode *n = node_up (store);
   assert_int_equal (node_submit (n, "job-1", NULL, NULL), 201);
   assert_int_equal (node_submit (n, "job-2", "[\"job-1\"]", NULL), 201);
-  HrTask *task = misplace (n, hr_job_find (n->core, "job-2"));
+  HrTask *task = misplace (n, hr_job_find (&n->core->store.tables, "job-2"));
   task->state = HR_TASK_BOUND;
   assert_int_equal (orders (n, 1), 0);
   assert_int_equal (orders (n, 2), 0);
@@ -203,13 +212,14 @@
   LoneNode *n = node_up (store);
   assert_int_equal (node_submit (n, "job-1", NULL, NULL), 201);
   assert_int_equal (node_submit (n, "job-2", "[\"job-1\"]", NULL), 201);
-  HrJob *first = hr_job_find (n->core, "job-1"), *second = hr_job_find (n->core, "job-2");
+  HrJob *first = hr_job_find (&n->core->store.tables, "job-1"),
+        *second = hr_job_find (&n->core->store.tables, "job-2");
   double own = first->plan.deadline;
   assert_int_equal (first->plan.priority, HR_PRIORITY_LOW);
   node_run (n, 30);
   assert_int_equal (node_submit (n, "job-3", "[\"job-2\"]", ",\"due_s\":60,\"rank\":\"urgent\""),
                     201);
-  HrJob *last = hr_job_find (n->core, "job-3");
+  HrJob *last = hr_job_find (&n->core->store.tables, "job-3");
   assert_int_equal (last->plan.priority, HR_PRIORITY_URGENT);
   assert_int_equal (second->plan.priority, HR_PRIORITY_URGENT);
   assert_int_equal (first->plan.priority, HR_PRIORITY_URGENT);
@@ -286,7 +296,7 @@
   HrPriority priority[DRAWN_JOBS];
   for (gint i = drawn->n - 1; i >= 0; i--) {
     g_autofree char *id = g_strdup_printf ("job-d%02d", i);
-    const HrJob *job = hr_job_find (n->core, id);
+    const HrJob *job = hr_job_find (&n->core->store.tables, id);
     gboolean ready = TRUE;
     for (gint k = 0; k < i; k++)
       ready = ready && !drawn->awaits[i][k];
@@ -353,7 +363,8 @@
     gboolean last = i == 2 * LAYERS - 1;
     assert_int_equal (node_submit (n, id, awaits, last ? LAST_STEP : NULL), 201);
   }
-  const HrJob *first = hr_job_find (n->core, "job-l000"), *last = hr_job_find (n->core, "job-l119");
+  const HrJob *first = hr_job_find (&n->core->store.tables, "job-l000"),
+              *last = hr_job_find (&n->core->store.tables, "job-l119");
   assert_int_equal (first->plan.priority, HR_PRIORITY_URGENT);
   assert_float_equal (first->plan.deadline, last->plan.deadline - (LAYERS - 1) * DRAWN_ESTIMATE_S,
                       1e-3);
@@ -405,11 +416,11 @@
   HrMachine *machine = node_machine (n);
   static const char *const ids[] = {"job-1", "job-3"};
   for (guint i = 0; i < 4; i++)
-    hr_task_assign (n->core, hr_job_find (n->core, ids[i / 2]), i % 2, machine, 1);
+    hr_task_assign (n->core, hr_job_find (&n->core->store.tables, ids[i / 2]), i % 2, machine, 1);
   node_run (n, 2);
   n->core->store.transactions.allowance.tokens = -1e6; /* nothing leaves for a while */
   for (guint i = 0; i < 4; i++)
-    hr_task_done (n->core, hr_job_find (n->core, ids[i / 2]), i % 2);
+    hr_task_done (n->core, hr_job_find (&n->core->store.tables, ids[i / 2]), i % 2);
   node_run (n, 0.1);
   assert_int_equal (g_queue_get_length (&n->core->store.transactions.queues[HR_TRANSACTION_LAUNCH]),
                     1);
@@ -439,8 +450,9 @@
   LoneNode *n = node_up (store);
   assert_int_equal (node_submit (n, "job-1", NULL, ",\"due_s\":900,\"rank\":\"low\""), 201);
   assert_int_equal (node_submit (n, "job-2", NULL, ",\"due_s\":800,\"rank\":\"low\""), 201);
-  hr_job_find (n->core, "job-1")->spec.cpus = 12; /* the whole machine, for each task */
-  hr_job_find (n->core, "job-2")->spec.cpus = 12;
+  hr_job_find (&n->core->store.tables, "job-1")->spec.cpus =
+      12; /* the whole machine, for each task */
+  hr_job_find (&n->core->store.tables, "job-2")->spec.cpus = 12;
   const HrMachine *machine = node_machine (n);
   assert_string_equal (first_in_list (n, machine), "job-2");
   assert_int_equal (node_submit (n, "job-3", "[\"job-1\"]", ",\"due_s\":60,\"rank\":\"low\""), 201);
@@ -464,7 +476,7 @@
   Ledger *store = ledger_new ();
   LoneNode *n = node_up (store);
   assert_int_equal (node_submit (n, "job-1", NULL, ",\"due_s\":900,\"rank\":\"low\""), 201);
-  HrJob *job = hr_job_find (n->core, "job-1");
+  HrJob *job = hr_job_find (&n->core->store.tables, "job-1");
   HrMachine *machine = node_machine (n);
   job->spec.estimate_s = runs_s;
   for (guint i = 0; i < job->n_tasks; i++) {
@@ -473,7 +485,7 @@
   }
   node_run (n, 1);
   assert_int_equal (node_submit (n, "job-2", "[\"job-1\"]", last_step), 201);
-  hr_job_find (n->core, "job-2")->spec.cpus = 12;
+  hr_job_find (&n->core->store.tables, "job-2")->spec.cpus = 12;
   node_run (n, 3);
   guint wanted = 0; /* they stay wanted: the cloud answers nothing */
   for (guint i = 0; i < n->core->scaling.demand->len; i++)
--- a/tests/test_record.c
+++ b/tests/test_record.c
@@ -1,5 +1,6 @@
 /* Records of the state store: what is written is what is read, whatever the job. */
 #include "bookkeeping/record.h"
+#include "bookkeeping/tables.h"
 #include "protocol/json_util.h"
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/test_renewals.c
+++ b/tests/test_renewals.c
@@ -291,7 +291,7 @@
   machine_row->reached = machine_row->reports = FALSE;
   scene_withdraw (scene, 0, "job-a");
   HrCore *core = scene->s->nodes[script_leader (scene->s)].core;
-  HrMachine *machine = hr_machine_find (core, "m-1");
+  HrMachine *machine = hr_machine_find (&core->store.tables, "m-1");
   g_autofree char *shown = scene_write (machine_row), *why = NULL;
   g_ptr_array_set_size (machine_row->tasks, 0);
   g_autofree char *empty = scene_write (machine_row);
--- a/tests/test_requests.c
+++ b/tests/test_requests.c
@@ -1,7 +1,8 @@
 /* Odd requests of users: the status, the body, and that nothing is recorded. The table "Bad input"
  * of docs/meetings.md has a line for each group. */
-#include "script.h"
+#include "coordination/command.h"
 #include "protocol/json_util.h"
+#include "script.h"
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
--- a/tests/test_transport.c
+++ b/tests/test_transport.c
@@ -1,4 +1,5 @@
 /* The HTTP server and client on loopback, driven by the main loop of the test. */
+#include "coordination/command.h"
 #include "protocol/jobspec.h"
 #include "transport/http_client.h"
 #include <gio/gio.h>
--- a/tests/test_windows.c
+++ b/tests/test_windows.c
@@ -2,8 +2,9 @@
  * each second something ends, is cut off, stands still or is kept back, to arrive later. Every rule
  * is checked at every event; once all is well again every job has to run. test_windows [FROM TO]
  * another range of seeds */
-#include "script_scene.h"
+#include "coordination/command.h"
 #include "protocol/json_util.h"
+#include "script_scene.h"
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
--- a/tests/test_withdrawals.c
+++ b/tests/test_withdrawals.c
@@ -1,4 +1,5 @@
 /* How a member logs cancellations and names them to a leader that cannot read them. */
+#include "coordination/command.h"
 #include "scripted.h"
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/test_workers.c
+++ b/tests/test_workers.c
@@ -1,8 +1,10 @@
 /* Meetings of workers, leases and leaders, message by message (script_scene.h).
  * docs/meetings.md says which meeting each test brings about, and without which guard it
  * fails. */
-#include "script_scene.h"
+#include "coordination/command.h"
+#include "coordination/core.h"
 #include "protocol/json_util.h"
+#include "script_scene.h"
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
