--- a/src/bookkeeping/record_format.c
+++ b/src/bookkeeping/record_format.c
@@ -4,9 +4,13 @@
 #include "bookkeeping/record_format.h"
 #include "bookkeeping/record_layout.h"
 #include "bookkeeping/record_split.h"
+#include "bookkeeping/store.h"
+#include "bookkeeping/tables.h"
+#include "bookkeeping/token_bucket.h"
 #include "bookkeeping/transactions.h"
-#include "coordination/state.h"
+#include "protocol/jobspec.h"
 #include "protocol/json_util.h"
+#include "protocol/settings.h"
 #include <string.h>
 
 #define FORMAT_KEY "h/format"
@@ -14,115 +18,87 @@
 #define FORMAT_TIMEOUT_S 2.0
 
 void
-hr_core_set_supported_format (HrCore *core, guint format)
+hr_record_format_set_supported (HrStore *store, guint format)
 {
-  core->store.format.supported = format;
+  store->format.supported = format;
   if (format)
-    core->store.limits = core->settings->planned;
+    store->limits = store->settings->planned;
   else
-    core->store.limits = (HrStateLimits){core->settings->state_rps, core->settings->state_write_rps,
-                                         core->settings->value_kb, core->settings->txn_ops};
-  core->store.transactions.allowance = (HrTokenBucket){
-      core->store.limits.write_rps, core->store.limits.write_rps, core->store.limits.write_rps, 0};
+    store->limits = (HrStateLimits){store->settings->state_rps, store->settings->state_write_rps,
+                                    store->settings->value_kb, store->settings->txn_ops};
+  store->transactions.allowance =
+      (HrTokenBucket){store->limits.write_rps, store->limits.write_rps, store->limits.write_rps, 0};
 }
 
 void
-hr_record_format_read (HrCore *core, const json_t *value, guint64 revision)
+hr_record_format_read (HrStore *store, const json_t *value, guint64 revision)
 {
   guint64 format = 0;
-  if (!core->store.format.supported || !value)
+  if (!store->format.supported || !value)
     return;
   if (!hr_json_count (value, "f", G_MAXUINT32, &format)) {
     g_warning ("the format in the state service makes no sense; left as it was");
     return;
   }
-  if (format > core->store.format.supported)
+  if (format > store->format.supported)
     g_warning ("records are of format %u, this version understands %u", (guint)format,
-               core->store.format.supported);
-  else if (format > core->store.format.agreed)
+               store->format.supported);
+  else if (format > store->format.agreed)
     g_message ("records are of format %u from now on", (guint)format);
-  core->store.format.agreed = MAX (core->store.format.agreed, format);
-  core->store.format.revision = revision;
-  hr_record_split_rescan (core);
-}
-
-/* What a member stated holds on: after its upgrade its processes come back new. */
-static gboolean
-all_understand (const HrCore *core)
-{
-  for (guint i = 0; i < core->settings->members->len; i++) {
-    const char *label = g_array_index (core->settings->members, HrMember, i).label;
-    guint stated = 0;
-    for (guint k = 0; k < core->membership.peers->len; k++) {
-      const HrPeerStatus *status = &g_array_index (core->membership.peers, HrPeer, k).status;
-      if (g_str_equal (status->label, label))
-        stated = status->format;
-    }
-    if (stated < core->store.format.supported)
-      return FALSE;
-  }
-  return TRUE;
+  store->format.agreed = MAX (store->format.agreed, format);
+  store->format.revision = revision;
+  hr_record_split_rescan (store);
 }
 
 /* Written, refused or unknown: the next reading says what stands there. */
 static void
-on_recorded (HrCore *core, int status, json_t *body, double sent, gpointer data)
+on_recorded (HrStore *store, int status, json_t *body, double sent, gpointer data)
 {
-  core->store.format.write_in_flight = FALSE;
-  core->store.format.next_write_at = core->now + FORMAT_RETRY_S;
+  store->format.write_in_flight = FALSE;
+  store->format.next_write_at = store->now + FORMAT_RETRY_S;
 }
 
 void
-hr_record_format_tick (HrCore *core)
+hr_record_format_tick (HrStore *store)
 {
-  if (!core->leadership.is_leader || core->store.replica.state != HR_REPLICA_FOLLOWING ||
-      core->store.format.agreed >= core->store.format.supported ||
-      core->store.format.write_in_flight || core->now < core->store.format.next_write_at ||
-      core->store.replica.is_unavailable || !all_understand (core))
+  if (!hr_store_is_leader (store) || store->replica.state != HR_REPLICA_FOLLOWING ||
+      store->format.agreed >= store->format.supported || store->format.write_in_flight ||
+      store->now < store->format.next_write_at || store->replica.is_unavailable ||
+      !store->events->peers_support_format (store->core, store->format.supported))
     return;
-  core->store.format.write_in_flight = TRUE;
-  json_t *when = hr_transaction_require (json_array (), "h/map", core->leadership.record_revision);
-  hr_transaction_require (when, FORMAT_KEY, core->store.format.revision);
+  store->format.write_in_flight = TRUE;
+  json_t *when = hr_transaction_require (json_array (), "h/map",
+                                         store->events->leader_record_revision (store->core));
+  hr_transaction_require (when, FORMAT_KEY, store->format.revision);
   json_t *writes = hr_transaction_put (
       json_array (), FORMAT_KEY,
-      hr_json_take_text (json_pack ("{si}", "f", (int)core->store.format.supported)), 0);
-  hr_transaction_submit (core, HR_TRANSACTION_USER, when, writes, 1, FORMAT_TIMEOUT_S, on_recorded,
+      hr_json_take_text (json_pack ("{si}", "f", (int)store->format.supported)), 0);
+  hr_transaction_submit (store, HR_TRANSACTION_USER, when, writes, 1, FORMAT_TIMEOUT_S, on_recorded,
                          NULL);
 }
 
-/* ---- what members tell one another ---- */
-
 void
-hr_record_format_fill_status (const HrCore *core, HrPeerStatus *status)
+hr_record_format_peer_oversized (HrStore *store, const char *id)
 {
-  status->format = core->store.format.supported;
-  status->n_oversized = core->store.splitter.n_oversized;
-  memcpy (status->oversized, core->store.splitter.oversized, sizeof status->oversized);
-}
-
-void
-hr_record_format_status_received (HrCore *core, const HrPeerStatus *status)
-{
-  for (guint i = 0;
-       core->leadership.is_leader && core->store.format.supported && i < status->n_oversized; i++) {
-    HrJob *job = hr_job_find (&core->store.tables, status->oversized[i]);
-    if (job && hr_record_split_is_possible (core, job) && hr_record_layout_is_oversized (core, job))
-      hr_record_split_request (core, job, TRUE);
-  }
+  if (!hr_store_is_leader (store) || !store->format.supported)
+    return;
+  HrJob *job = hr_job_find (&store->tables, id);
+  if (job && hr_record_split_is_possible (store, job) && hr_record_layout_is_oversized (store, job))
+    hr_record_split_request (store, job, TRUE);
 }
 
 /* Named in the statuses until others push it out: saying it again does no harm. */
 void
-hr_record_format_note_oversized (HrCore *core, HrJob *job)
+hr_record_format_note_oversized (HrStore *store, HrJob *job)
 {
-  if (hr_record_split_is_possible (core, job))
-    hr_record_split_request (core, job, TRUE);
-  for (guint i = 0; i < core->store.splitter.n_oversized; i++)
-    if (g_str_equal (core->store.splitter.oversized[i], job->id))
+  if (hr_record_split_is_possible (store, job))
+    hr_record_split_request (store, job, TRUE);
+  for (guint i = 0; i < store->splitter.n_oversized; i++)
+    if (g_str_equal (store->splitter.oversized[i], job->id))
       return;
-  memmove (core->store.splitter.oversized[1], core->store.splitter.oversized[0],
-           sizeof core->store.splitter.oversized[0] * (HR_MAX_OVERSIZED - 1));
-  g_strlcpy (core->store.splitter.oversized[0], job->id, sizeof core->store.splitter.oversized[0]);
-  core->store.splitter.n_oversized = MIN (core->store.splitter.n_oversized + 1, HR_MAX_OVERSIZED);
-  core->membership.status_sent_at = 0; /* tell at once */
+  memmove (store->splitter.oversized[1], store->splitter.oversized[0],
+           sizeof store->splitter.oversized[0] * (HR_MAX_OVERSIZED - 1));
+  g_strlcpy (store->splitter.oversized[0], job->id, sizeof store->splitter.oversized[0]);
+  store->splitter.n_oversized = MIN (store->splitter.n_oversized + 1, HR_MAX_OVERSIZED);
+  store->events->status_changed (store->core); /* tell at once */
 }
--- a/src/bookkeeping/record_split.c
+++ b/src/bookkeeping/record_split.c
@@ -8,12 +8,13 @@
  * (docs/upgrades.md). Where it fits, all of this is one transaction. */
 #include "bookkeeping/record_split.h"
 #include "bookkeeping/garbage_collection.h"
+#include "bookkeeping/record.h"
 #include "bookkeeping/record_layout.h"
 #include "bookkeeping/record_writer.h"
 #include "bookkeeping/replica.h"
+#include "bookkeeping/store.h"
+#include "bookkeeping/tables.h"
 #include "bookkeeping/transactions.h"
-#include "coordination/effects.h"
-#include "coordination/state.h"
 #include "protocol/json_util.h"
 #include <string.h>
 
@@ -38,12 +39,12 @@
   json_t *conditions, *writes;
 } Split;
 
-static void next_step (HrCore *core, Split *split);
+static void next_step (HrStore *store, Split *split);
 
 gboolean
-hr_record_split_is_possible (const HrCore *core, const HrJob *job)
+hr_record_split_is_possible (const HrStore *store, const HrJob *job)
 {
-  return core->store.format.supported && core->store.format.agreed && core->leadership.is_leader &&
+  return store->format.supported && store->format.agreed && hr_store_is_leader (store) &&
          job->tasks && !job->record.is_compacted && !job->record.tasks_unreadable &&
          job->record.tasks_per_page != 1 && job->n_tasks > 1;
 }
@@ -88,10 +89,10 @@
  * before it, whatever we have in memory of that: a reading of the whole state store may have come
  * between. A page that has changed since comes again in the changes that are read next. */
 void
-hr_record_split_apply (HrCore *core, HrJob *job, guint tasks_per_page, guint64 revision)
+hr_record_split_apply (HrStore *store, HrJob *job, guint tasks_per_page, guint64 revision)
 {
   g_autoptr (GArray) staged = g_steal_pointer (&job->record.staged_pages);
-  hr_garbage_add_job (core, job);
+  hr_garbage_add_job (store, job);
   for (guint i = 0; i < job->record.n_pages; i++)
     g_free (job->record.pages[i].write_tag);
   g_free (job->record.pages);
@@ -105,17 +106,17 @@
   for (guint i = 0; staged && i < staged->len; i++) {
     HrStagedPage *page = &g_array_index (staged, HrStagedPage, i);
     if (page->tasks_per_page != tasks_per_page && page->revision)
-      hr_garbage_add_page (core, job, page->tasks_per_page, page->page);
+      hr_garbage_add_page (store, job, page->tasks_per_page, page->page);
     else if (page->page < job->record.n_pages && page->revision <= revision) {
       job->record.pages[page->page].revision = page->revision;
-      if (!core->leadership.is_leader && page->value &&
+      if (!hr_store_is_leader (store) && page->value &&
           !hr_record_tasks (job, page->page * tasks_per_page, json_object_get (page->value, "x"),
-                            &core->store.tables.machine_ids))
+                            &store->tables.machine_ids))
         job->record.tasks_unreadable = TRUE;
     }
     json_decref (page->value);
   }
-  core->scheduling.plan_is_stale = TRUE;
+  store->events->plan_changed (store->core);
 }
 
 /* ---- the leader's splits ---- */
@@ -137,70 +138,70 @@
 
 /* What waited for the split is looked at again. */
 static void
-end (HrCore *core, Split *split)
+end (HrStore *store, Split *split)
 {
-  HrJob *job = core->store.tables.jobs->pdata[split->job];
-  if (split->replica_generation == core->store.replica.generation) {
-    core->store.splitter.in_flight--;
+  HrJob *job = store->tables.jobs->pdata[split->job];
+  if (split->replica_generation == store->replica.generation) {
+    store->splitter.in_flight--;
     job->record.split_in_flight = FALSE;
     for (guint i = 0; job->tasks && i < job->record.n_pages; i++)
-      hr_record_writer_mark (core, job, i * job->record.tasks_per_page);
+      hr_record_writer_mark (store, job, i * job->record.tasks_per_page);
   }
   split_free (split);
 }
 
 static void
-give_up (HrCore *core, Split *split, const char *why)
+give_up (HrStore *store, Split *split, const char *why)
 {
-  HrJob *job = core->store.tables.jobs->pdata[split->job];
+  HrJob *job = store->tables.jobs->pdata[split->job];
   g_warning ("%s: its record is not split yet: %s", job->id, why);
-  hr_record_writer_back_off (core, job);
-  end (core, split);
+  hr_record_writer_back_off (store, job);
+  end (store, split);
 }
 
 static void
-begin (HrCore *core, Split *split)
+begin (HrStore *store, Split *split)
 {
-  HrJob *job = core->store.tables.jobs->pdata[split->job];
-  if (!hr_record_split_is_possible (core, job)) {
-    end (core, split);
+  HrJob *job = store->tables.jobs->pdata[split->job];
+  if (!hr_record_split_is_possible (store, job)) {
+    end (store, split);
     return;
   }
   if (++split->attempts > MAX_ATTEMPTS) {
-    give_up (core, split, "it changes again and again");
+    give_up (store, split, "it changes again and again");
     return;
   }
   split->base_revision = job->record.revision;
-  split->tasks_per_page = hr_record_layout_smaller (core, job);
+  split->tasks_per_page = hr_record_layout_smaller (store, job);
   split->n_pages = (job->n_tasks + split->tasks_per_page - 1) / split->tasks_per_page;
   split->first_page = split->end_page = 0;
-  next_step (core, split);
+  next_step (store, split);
 }
 
 static void
-on_replica_fresh (HrCore *core, gboolean ok, gpointer data)
+on_replica_fresh (HrStore *store, gboolean ok, gpointer data)
 {
   Split *split = data;
-  if (split->replica_generation != core->store.replica.generation) {
+  if (split->replica_generation != store->replica.generation) {
     split_free (split);
     return;
   }
-  HrJob *job = core->store.tables.jobs->pdata[split->job];
+  HrJob *job = store->tables.jobs->pdata[split->job];
   if (job->record.sized_page_keys && job->record.tasks_per_page == split->tasks_per_page)
-    end (core, split); /* it was carried out; the answer was lost */
+    end (store, split); /* it was carried out; the answer was lost */
   else
-    begin (core, split);
+    begin (store, split);
 }
 
-static void send_step (HrCore *core, Split *split);
+static void send_step (HrStore *store, Split *split);
 
 static void
-on_step (HrCore *core, int status, json_t *body, double sent, gpointer data)
+on_step (HrStore *store, int status, json_t *body, double sent, gpointer data)
 {
   Split *split = data;
-  HrJob *job = core->store.tables.jobs->pdata[split->job];
+  HrJob *job = store->tables.jobs->pdata[split->job];
   guint64 store_revision;
-  if (split->replica_generation != core->store.replica.generation || !job->tasks) {
+  if (split->replica_generation != store->replica.generation || !job->tasks) {
     split_free (split);
     return;
   }
@@ -210,38 +211,38 @@
     for (guint i = split->first_page; i < split->end_page && !known; i++)
       hr_record_split_stage_page (job, split->tasks_per_page, i, store_revision, NULL);
     if (!split->writes_main_record) {
-      next_step (core, split);
+      next_step (store, split);
       return;
     }
     if (!known) { /* else the changes told it before the answer came */
       job->record.revision = store_revision;
       g_free (job->record.tag);
       job->record.tag = g_strdup (split->tag);
-      hr_record_split_apply (core, job, split->tasks_per_page, store_revision);
+      hr_record_split_apply (store, job, split->tasks_per_page, store_revision);
     }
     g_info ("%s: its record is split into %u pages", job->id, job->record.n_pages);
     job->record.next_write_at = job->record.back_off_s = 0;
-    end (core, split);
+    end (store, split);
   } else if (status == 409)
-    hr_replica_read (core, on_replica_fresh, split);
+    hr_replica_read (store, on_replica_fresh, split);
   else if (status == 400)
-    give_up (core, split, hr_json_str (body, "error"));
+    give_up (store, split, hr_json_str (body, "error"));
   else
-    send_step (core,
+    send_step (store,
                split); /* unknown, or not carried out: the same again, on the same revisions */
 }
 
 static void
-send_step (HrCore *core, Split *split)
+send_step (HrStore *store, Split *split)
 {
-  hr_transaction_submit (core, HR_TRANSACTION_LAUNCH, json_incref (split->conditions),
+  hr_transaction_submit (store, HR_TRANSACTION_LAUNCH, json_incref (split->conditions),
                          json_incref (split->writes),
                          split->end_page - split->first_page + split->writes_main_record,
                          SPLIT_TIMEOUT_S, on_step, split);
 }
 
 static void
-add_page (HrCore *core, Split *split, HrJob *job, char *text)
+add_page (HrStore *store, Split *split, HrJob *job, char *text)
 {
   g_autofree char *key = hr_record_page_key_of (job, split->tasks_per_page, split->end_page);
   const HrStagedPage *known =
@@ -252,51 +253,52 @@
 }
 
 static void
-add_main (HrCore *core, Split *split, HrJob *job)
+add_main (HrStore *store, Split *split, HrJob *job)
 {
   HrJob after = *job;
   after.record.tasks_per_page = split->tasks_per_page;
   after.record.sized_page_keys = TRUE;
   g_autofree char *key = hr_job_record_key (job);
   hr_transaction_put (split->writes, key,
-                      hr_record_main (&after, core->names, &core->store.tables.machine_ids,
-                                      job->state, split->tag, FALSE),
+                      hr_record_main (&after, store->names, &store->tables.machine_ids, job->state,
+                                      split->tag, FALSE),
                       0);
   split->writes_main_record = TRUE;
 }
 
 static void
-next_step (HrCore *core, Split *split)
+next_step (HrStore *store, Split *split)
 {
-  HrJob *job = core->store.tables.jobs->pdata[split->job];
+  HrJob *job = store->tables.jobs->pdata[split->job];
   gsize bytes = 0;
   /* A step must fit into what the write allowance can save up. */
-  guint ops = MAX (
-      1, MIN (core->store.limits.txn_ops, (guint)(core->store.transactions.allowance.burst / 2)));
+  guint ops =
+      MAX (1, MIN (store->limits.txn_ops, (guint)(store->transactions.allowance.burst / 2)));
   step_clear (split);
   g_free (split->tag);
-  split->tag = hr_core_new_tag (core);
+  split->tag = store->events->new_tag (store->core);
   split->conditions = json_array ();
   split->writes = json_array ();
   split->first_page = split->end_page;
   split->writes_main_record = FALSE; /* an earlier attempt may have come to its last step */
   g_autofree char *key = hr_job_record_key (job);
-  hr_transaction_require (split->conditions, "h/map", core->leadership.record_revision);
+  hr_transaction_require (split->conditions, "h/map",
+                          store->events->leader_record_revision (store->core));
   hr_transaction_require (split->conditions, key, split->base_revision);
   while (split->end_page < split->n_pages && split->end_page - split->first_page < ops) {
     char *text =
         hr_record_page_of (job, split->end_page * split->tasks_per_page, split->tasks_per_page,
-                           &core->store.tables.machine_ids, split->tag, FALSE);
+                           &store->tables.machine_ids, split->tag, FALSE);
     bytes += strlen (text);
     if (bytes > MAX_TRANSACTION_BYTES && split->end_page > split->first_page) {
       g_free (text);
       break;
     }
-    add_page (core, split, job, text);
+    add_page (store, split, job, text);
   }
   if (split->end_page == split->n_pages && split->end_page - split->first_page < ops)
-    add_main (core, split, job);
-  send_step (core, split);
+    add_main (store, split, job);
+  send_step (store, split);
 }
 
 static gboolean
@@ -309,77 +311,73 @@
 }
 
 void
-hr_record_split_request (HrCore *core, HrJob *job, gboolean urgent)
+hr_record_split_request (HrStore *store, HrJob *job, gboolean urgent)
 {
   if (job->record.split_in_flight)
     return;
   if (job->record.split_wanted && urgent)
-    for (guint i = 0; i < core->store.splitter.queue->len; i++)
-      if (g_array_index (core->store.splitter.queue, guint32, i) == job->index)
-        g_array_remove_index (core->store.splitter.queue, i--);
+    for (guint i = 0; i < store->splitter.queue->len; i++)
+      if (g_array_index (store->splitter.queue, guint32, i) == job->index)
+        g_array_remove_index (store->splitter.queue, i--);
   if (urgent)
-    g_array_prepend_val (core->store.splitter.queue, job->index);
+    g_array_prepend_val (store->splitter.queue, job->index);
   else if (!job->record.split_wanted)
-    g_array_append_val (core->store.splitter.queue, job->index);
+    g_array_append_val (store->splitter.queue, job->index);
   job->record.split_wanted = TRUE;
 }
 
 void
-hr_record_split_rescan (HrCore *core)
+hr_record_split_rescan (HrStore *store)
 {
-  core->store.splitter.next_scanned = 0;
+  store->splitter.next_scanned = 0;
 }
 
 void
-hr_record_split_reset (HrCore *core)
+hr_record_split_reset (HrStore *store)
 {
-  core->store.splitter.in_flight = 0;
-  g_array_set_size (core->store.splitter.queue, 0);
+  store->splitter.in_flight = 0;
+  g_array_set_size (store->splitter.queue, 0);
 }
 
 /* Records that are too large already are split ahead of their next write, a few at a time. */
 void
-hr_record_split_scan (HrCore *core)
+hr_record_split_scan (HrStore *store)
 {
-  if (!core->store.format.supported || !core->store.format.agreed || !core->leadership.is_leader ||
-      core->store.transactions.allowance.tokens <
-          PROACTIVE_KEEP * core->store.transactions.allowance.burst)
+  if (!store->format.supported || !store->format.agreed || !hr_store_is_leader (store) ||
+      store->transactions.allowance.tokens < PROACTIVE_KEEP * store->transactions.allowance.burst)
     return;
   for (guint n = 0;
-       n < SCANNED_AT_ONCE && core->store.splitter.next_scanned < core->store.tables.open_jobs->len;
-       n++) {
-    HrJob *job = core->store.tables.jobs->pdata[g_array_index (
-        core->store.tables.open_jobs, guint32, core->store.splitter.next_scanned++)];
-    if (hr_record_split_is_possible (core, job) && !job->record.split_wanted &&
-        hr_record_layout_is_oversized (core, job))
-      hr_record_split_request (core, job, FALSE);
+       n < SCANNED_AT_ONCE && store->splitter.next_scanned < store->tables.open_jobs->len; n++) {
+    HrJob *job = store->tables.jobs->pdata[g_array_index (store->tables.open_jobs, guint32,
+                                                          store->splitter.next_scanned++)];
+    if (hr_record_split_is_possible (store, job) && !job->record.split_wanted &&
+        hr_record_layout_is_oversized (store, job))
+      hr_record_split_request (store, job, FALSE);
   }
 }
 
 void
-hr_record_split_tick (HrCore *core)
+hr_record_split_tick (HrStore *store)
 {
-  for (guint i = 0;
-       i < core->store.splitter.queue->len && core->store.splitter.in_flight < SPLITS_AT_ONCE;
+  for (guint i = 0; i < store->splitter.queue->len && store->splitter.in_flight < SPLITS_AT_ONCE;
        i++) {
-    HrJob *job =
-        core->store.tables.jobs->pdata[g_array_index (core->store.splitter.queue, guint32, i)];
+    HrJob *job = store->tables.jobs->pdata[g_array_index (store->splitter.queue, guint32, i)];
     if (job->tasks && !job->record.is_compacted &&
-        (writing (job) || core->now < job->record.next_write_at))
+        (writing (job) || store->now < job->record.next_write_at))
       continue; /* one write at a time; after a failure, later */
-    g_array_remove_index (core->store.splitter.queue, i--);
+    g_array_remove_index (store->splitter.queue, i--);
     job->record.split_wanted = FALSE;
-    if (!hr_record_split_is_possible (core, job)) {
+    if (!hr_record_split_is_possible (store, job)) {
       for (guint page = 0; job->tasks && page < job->record.n_pages; page++)
-        hr_record_writer_mark (core, job,
+        hr_record_writer_mark (store, job,
                                page * job->record.tasks_per_page); /* what waited for it */
       continue;
     }
     Split *split = g_new0 (Split, 1);
     split->job = job->index;
-    split->replica_generation = core->store.replica.generation;
-    core->store.splitter.in_flight++;
+    split->replica_generation = store->replica.generation;
+    store->splitter.in_flight++;
     job->record.split_in_flight = TRUE;
-    begin (core, split);
+    begin (store, split);
   }
 }
--- a/src/bookkeeping/record_writer.c
+++ b/src/bookkeeping/record_writer.c
@@ -2,15 +2,15 @@
  * holds on the record's revision and on the leader record's, which fences old leaders. */
 #include "bookkeeping/record_writer.h"
 #include "bookkeeping/garbage_collection.h"
+#include "bookkeeping/record.h"
 #include "bookkeeping/record_layout.h"
 #include "bookkeeping/record_split.h"
 #include "bookkeeping/replica.h"
 #include "bookkeeping/replica_changes.h"
+#include "bookkeeping/store.h"
+#include "bookkeeping/tables.h"
 #include "bookkeeping/transactions.h"
-#include "coordination/effects.h"
-#include "coordination/jobs/dependencies.h"
-#include "coordination/jobs/task_lifecycle.h"
-#include "coordination/state.h"
+#include "protocol/http_method.h"
 #include "protocol/json_util.h"
 #include <string.h>
 
@@ -28,7 +28,7 @@
   gsize bytes; /* of the value */
 } Write;
 
-static void send_write (HrCore *core, Write *write);
+static void send_write (HrStore *store, Write *write);
 
 static void
 write_free (Write *write)
@@ -41,10 +41,10 @@
 
 /* The page of a write that is still under way, or NULL when it was overtaken. */
 static HrRecordPage *
-page_under_write (HrCore *core, Write *write)
+page_under_write (HrStore *store, Write *write)
 {
-  HrJob *job = core->store.tables.jobs->pdata[write->job];
-  if (write->replica_generation != core->store.replica.generation ||
+  HrJob *job = store->tables.jobs->pdata[write->job];
+  if (write->replica_generation != store->replica.generation ||
       write->page >= job->record.n_pages ||
       g_strcmp0 (job->record.pages[write->page].write_tag, write->tag))
     return NULL;
@@ -61,25 +61,25 @@
 }
 
 static void
-mark_page (HrCore *core, HrJob *job, HrRecordPage *page)
+mark_page (HrStore *store, HrJob *job, HrRecordPage *page)
 {
   if (page->is_dirty)
     return;
   page->is_dirty = TRUE;
   HrDirtyPage dirty = {job->index, page - job->record.pages};
-  g_array_append_val (core->store.writer.dirty_pages, dirty);
+  g_array_append_val (store->writer.dirty_pages, dirty);
 }
 
 void
-hr_record_writer_mark (HrCore *core, HrJob *job, guint32 task_index)
+hr_record_writer_mark (HrStore *store, HrJob *job, guint32 task_index)
 {
   if (job->record.pages)
-    mark_page (core, job, hr_job_page (job, task_index));
+    mark_page (store, job, hr_job_page (job, task_index));
 }
 
 /* Our write of this page is in the state store, at this revision. */
 void
-hr_record_writer_confirmed (HrCore *core, HrJob *job, HrRecordPage *page, guint64 revision)
+hr_record_writer_confirmed (HrStore *store, HrJob *job, HrRecordPage *page, guint64 revision)
 {
   guint32 from, to;
   page_range (job, page, &from, &to);
@@ -102,7 +102,7 @@
       task->recorded.machine = task->placement.machine;
       task->recorded.incarnation = task->placement.incarnation;
       task->recorded.attempt = task->placement.attempt;
-      hr_task_bound (core, job, i);
+      store->events->assignment_recorded (store->core, job, i);
     } else if (task->state == HR_TASK_DONE && !task->done_recorded) {
       task->done_recorded = 1;
       job->n_recorded_done++;
@@ -114,17 +114,17 @@
       g_info ("%s is done", job->id);
     }
     job->record.is_compacted = TRUE;
-    hr_garbage_add_job (core, job);
+    hr_garbage_add_job (store, job);
     hr_job_compact (job);
-    hr_dependencies_job_final (core, job);
+    store->events->job_final (store->core, job);
   } else if (job->state == HR_JOB_QUEUED && job->n_recorded_done == job->n_tasks)
-    mark_page (core, job, job->record.pages);
-  core->scheduling.plan_is_stale = TRUE;
+    mark_page (store, job, job->record.pages);
+  store->events->plan_changed (store->core);
 }
 
 /* What was under way did not happen. */
 static void
-write_failed (HrCore *core, HrJob *job, HrRecordPage *page)
+write_failed (HrStore *store, HrJob *job, HrRecordPage *page)
 {
   guint32 from, to;
   page_range (job, page, &from, &to);
@@ -136,59 +136,59 @@
       continue;
     task->write_in_flight = 0;
     if (task->state == HR_TASK_ASSIGNING && job->state != HR_JOB_QUEUED)
-      hr_task_unassign (core, job, i);
+      store->events->assignment_dropped (store->core, job, i);
   }
-  mark_page (core, job, page); /* what is still meant is written anew */
+  mark_page (store, job, page); /* what is still meant is written anew */
 }
 
 void
-hr_record_writer_back_off (HrCore *core, HrJob *job)
+hr_record_writer_back_off (HrStore *store, HrJob *job)
 {
   job->record.back_off_s = CLAMP (2 * job->record.back_off_s, BACK_OFF_S, MAX_BACK_OFF_S);
-  job->record.next_write_at = core->now + job->record.back_off_s;
+  job->record.next_write_at = store->now + job->record.back_off_s;
 }
 
 /* What was to be written is larger than the state service takes: it is not sent. Endings wait
  * for the split; assignments wait too, or are given up where none is possible yet. */
 static void
-handle_oversized (HrCore *core, HrJob *job, HrRecordPage *page, guint32 from, guint32 to)
+handle_oversized (HrStore *store, HrJob *job, HrRecordPage *page, guint32 from, guint32 to)
 {
-  gboolean split = hr_record_split_is_possible (core, job);
+  gboolean split = hr_record_split_is_possible (store, job);
   for (guint32 i = from; i < to; i++) {
     job->tasks[i].write_in_flight = 0;
     if (!split && job->tasks[i].state == HR_TASK_ASSIGNING)
-      hr_task_unassign (core, job, i);
+      store->events->assignment_dropped (store->core, job, i);
   }
   if (split) {
-    hr_record_split_request (core, job, FALSE);
+    hr_record_split_request (store, job, FALSE);
     return; /* the split marks what is still meant */
   }
   if (!job->record.back_off_s)
     g_warning ("%s: its record is too large, and not every member is known to read a split one",
                job->id);
-  hr_record_writer_back_off (core, job);
+  hr_record_writer_back_off (store, job);
   job->run.retry_at = MAX (job->run.retry_at, job->record.next_write_at);
-  mark_page (core, job, page);
+  mark_page (store, job, page);
 }
 
 /* Tombstones are small: they never wait. */
 static gboolean
-is_backing_off (const HrCore *core, const HrJob *job)
+is_backing_off (const HrStore *store, const HrJob *job)
 {
-  if (core->now >= job->record.next_write_at)
+  if (store->now >= job->record.next_write_at)
     return FALSE;
   return job->state == HR_JOB_QUEUED ? job->n_done < job->n_tasks : job->run.n_live > 0;
 }
 
 static void
-on_record_reread (HrCore *core, int status, json_t *body, double sent, gpointer data)
+on_record_reread (HrStore *store, int status, json_t *body, double sent, gpointer data)
 {
   Write *write = data;
-  HrRecordPage *page = page_under_write (core, write);
-  HrJob *job = core->store.tables.jobs->pdata[write->job];
+  HrRecordPage *page = page_under_write (store, write);
+  HrJob *job = store->tables.jobs->pdata[write->job];
   guint64 revision = 0;
   if (page && status != 200 && status != 404) {
-    send_write (core,
+    send_write (store,
                 write); /* still unknown: the same write again, it holds on the same revisions */
     return;
   }
@@ -197,82 +197,80 @@
     const char *tag = hr_json_str (value, "w");
     hr_json_count (body, "stamp", G_MAXINT64, &revision);
     if (tag && g_str_equal (tag, write->tag))
-      hr_record_writer_confirmed (core, job, page, revision);
+      hr_record_writer_confirmed (store, job, page, revision);
     else {
       if (!job->record.tasks_per_page || page->write_is_final) {
         if (value)
-          hr_replica_apply_job (core, job, value, revision);
+          hr_replica_apply_job (store, job, value, revision);
       } else if (revision > page->revision)
         page->revision = revision;
-      if (page_under_write (core, write))
-        write_failed (core, job, page);
+      if (page_under_write (store, write))
+        write_failed (store, job, page);
     }
   }
   write_free (write);
 }
 
 static void
-reread_record (HrCore *core, Write *write)
+reread_record (HrStore *store, Write *write)
 {
-  HrJob *job = core->store.tables.jobs->pdata[write->job];
+  HrJob *job = store->tables.jobs->pdata[write->job];
   gboolean main = !job->record.tasks_per_page || job->record.pages[write->page].write_is_final;
   g_autofree char *key = main ? hr_job_record_key (job) : hr_record_page_key (job, write->page);
-  hr_core_call (core, HR_TO_STORE, NULL, HR_GET, g_strconcat ("/kv/", key, NULL), NULL,
-                WRITE_TIMEOUT_S, on_record_reread, write);
+  store->events->call (store->core, HR_GET, g_strconcat ("/kv/", key, NULL), NULL, WRITE_TIMEOUT_S,
+                       on_record_reread, write);
 }
 
 static void
-on_replica_fresh (HrCore *core, gboolean ok, gpointer data)
+on_replica_fresh (HrStore *store, gboolean ok, gpointer data)
 {
   Write *write = data;
-  if (page_under_write (core, write))
-    reread_record (core, write);
+  if (page_under_write (store, write))
+    reread_record (store, write);
   else
     write_free (write);
 }
 
 static void
-on_written (HrCore *core, int status, json_t *body, double sent, gpointer data)
+on_written (HrStore *store, int status, json_t *body, double sent, gpointer data)
 {
   Write *write = data;
-  HrRecordPage *page = page_under_write (core, write);
+  HrRecordPage *page = page_under_write (store, write);
   guint64 store_revision;
   if (!page) {
     write_free (write);
     return;
   }
   if (status == 200 && hr_json_count (body, "epoch", G_MAXINT64, &store_revision)) {
-    hr_record_writer_confirmed (core, core->store.tables.jobs->pdata[write->job], page,
-                                store_revision);
+    hr_record_writer_confirmed (store, store->tables.jobs->pdata[write->job], page, store_revision);
     write_free (write);
   } else if (status == 409) {
     /* A 409 may come from our own earlier try whose answer was lost: the record
      * tells. The leader record may have moved too: read on before judging. */
-    hr_replica_read (core, on_replica_fresh, write);
+    hr_replica_read (store, on_replica_fresh, write);
   } else if (status == 400) {
     g_warning ("%s: the state service refuses the record: %s",
-               ((HrJob *)core->store.tables.jobs->pdata[write->job])->id,
-               hr_json_str (body, "error"));
-    if (core->store.format.supported) {
-      core->store.format.planned_limits_in_force |=
-          write->bytes > hr_record_layout_planned_bytes (core);
-      hr_record_writer_back_off (core, core->store.tables.jobs->pdata[write->job]);
+               ((HrJob *)store->tables.jobs->pdata[write->job])->id, hr_json_str (body, "error"));
+    if (store->format.supported) {
+      store->format.planned_limits_in_force |=
+          write->bytes > hr_record_layout_planned_bytes (store);
+      hr_record_writer_back_off (store, store->tables.jobs->pdata[write->job]);
     }
-    write_failed (core, core->store.tables.jobs->pdata[write->job], page);
+    write_failed (store, store->tables.jobs->pdata[write->job], page);
     write_free (write);
   } else
-    send_write (core, write); /* unknown, or not carried out: the same write again */
+    send_write (store, write); /* unknown, or not carried out: the same write again */
 }
 
 static void
-send_write (HrCore *core, Write *write)
+send_write (HrStore *store, Write *write)
 {
-  hr_transaction_submit (core, write->kind, json_incref (write->conditions),
+  hr_transaction_submit (store, write->kind, json_incref (write->conditions),
                          json_incref (write->writes), 1, WRITE_TIMEOUT_S, on_written, write);
 }
 
 static void
-write_page (HrCore *core, HrJob *job, HrRecordPage *page)
+write_page (HrStore *store, HrJob *job, HrRecordPage *page)
 {
   guint32 from, to;
   guint n = page - job->record.pages;
@@ -298,22 +296,22 @@
       job->state != HR_JOB_QUEUED && job->run.n_live == 0 && !job->record.is_compacted && n == 0;
   if (!change && !done && !gone)
     return;
-  g_autofree char *tag = hr_core_new_tag (core);
-  char *text = done || gone ? hr_record_tombstone (job, done ? HR_JOB_DONE : job->state, tag)
-               : !job->record.tasks_per_page
-                   ? hr_record_main (job, core->names, &core->store.tables.machine_ids, job->state,
-                                     tag, TRUE)
-                   : hr_record_page (job, n, &core->store.tables.machine_ids, tag, TRUE);
+  g_autofree char *tag = store->events->new_tag (store->core);
+  char *text =
+      done || gone ? hr_record_tombstone (job, done ? HR_JOB_DONE : job->state, tag)
+      : !job->record.tasks_per_page
+          ? hr_record_main (job, store->names, &store->tables.machine_ids, job->state, tag, TRUE)
+          : hr_record_page (job, n, &store->tables.machine_ids, tag, TRUE);
   gsize bytes = strlen (text);
-  if (bytes > hr_record_layout_max_bytes (core) && !done && !gone) {
+  if (bytes > hr_record_layout_max_bytes (store) && !done && !gone) {
     g_free (text);
-    handle_oversized (core, job, page, from, to);
+    handle_oversized (store, job, page, from, to);
     return;
   }
   Write *write = g_new0 (Write, 1);
   write->job = job->index;
   write->page = n;
-  write->replica_generation = core->store.replica.generation;
+  write->replica_generation = store->replica.generation;
   write->bytes = bytes;
   write->tag = g_steal_pointer (&tag);
   write->conditions = json_array ();
@@ -325,7 +323,8 @@
   page->write_tag = g_strdup (write->tag);
   page->write_is_final = done || gone;
   g_autofree char *key = hr_job_record_key (job);
-  hr_transaction_require (write->conditions, "h/map", core->leadership.record_revision);
+  hr_transaction_require (write->conditions, "h/map",
+                          store->events->leader_record_revision (store->core));
   hr_transaction_require (write->conditions, key, job->record.revision);
   if (page->write_is_final || !job->record.tasks_per_page)
     hr_transaction_put (write->writes, key, text, 0);
@@ -334,38 +333,37 @@
     hr_transaction_require (write->conditions, pkey, page->revision);
     hr_transaction_put (write->writes, pkey, text, 0);
   }
-  send_write (core, write);
+  send_write (store, write);
 }
 
 void
-hr_record_writer_tick (HrCore *core)
+hr_record_writer_tick (HrStore *store)
 {
-  if (core->leadership.is_leader && core->store.writer.dirty_pages->len &&
-      !core->leadership.token_raise_in_flight) {
-    g_autoptr (GArray) list = core->store.writer.dirty_pages;
-    core->store.writer.dirty_pages = g_array_new (FALSE, TRUE, sizeof (HrDirtyPage));
+  if (hr_store_is_leader (store) && store->writer.dirty_pages->len &&
+      !store->events->token_raise_in_flight (store->core)) {
+    g_autoptr (GArray) list = store->writer.dirty_pages;
+    store->writer.dirty_pages = g_array_new (FALSE, TRUE, sizeof (HrDirtyPage));
     for (guint i = 0; i < list->len; i++) {
       HrDirtyPage *dirty = &g_array_index (list, HrDirtyPage, i);
-      HrJob *job = core->store.tables.jobs->pdata[dirty->job];
+      HrJob *job = store->tables.jobs->pdata[dirty->job];
       if (dirty->page >= job->record.n_pages)
         continue;
       HrRecordPage *page = &job->record.pages[dirty->page];
       if (page->write_tag || job->record.split_in_flight ||
-          is_backing_off (core, job)) { /* one write at a time */
-        g_array_append_val (core->store.writer.dirty_pages, *dirty);
+          is_backing_off (store, job)) { /* one write at a time */
+        g_array_append_val (store->writer.dirty_pages, *dirty);
         continue;
       }
       page->is_dirty = FALSE;
-      write_page (core, job, page);
+      write_page (store, job, page);
     }
   }
-  if (core->leadership.is_leader && !core->leadership.token_raise_in_flight &&
-      core->store.replica.state == HR_REPLICA_FOLLOWING)
-    hr_record_split_tick (core);
-  if (!core->store.replica.is_unavailable ||
-      core->now - core->store.transactions.paused_until > 0.5) {
-    if (core->store.replica.is_unavailable)
-      core->store.transactions.paused_until = core->now; /* an outage: try on, but gently */
-    hr_transactions_send (core);
+  if (hr_store_is_leader (store) && !store->events->token_raise_in_flight (store->core) &&
+      store->replica.state == HR_REPLICA_FOLLOWING)
+    hr_record_split_tick (store);
+  if (!store->replica.is_unavailable || store->now - store->transactions.paused_until > 0.5) {
+    if (store->replica.is_unavailable)
+      store->transactions.paused_until = store->now; /* an outage: try on, but gently */
+    hr_transactions_send (store);
   }
 }
--- a/src/bookkeeping/replica.h
+++ b/src/bookkeeping/replica.h
@@ -1,8 +1,8 @@
 #pragma once
-#include "coordination/state.h"
+#include "bookkeeping/store.h"
 
-void hr_replica_tick (HrCore *core);
-void hr_replica_reset (HrCore *core);
-void hr_replica_read (HrCore *core, HrReadCallback callback, gpointer data);
+void hr_replica_tick (HrStore *store);
+void hr_replica_reset (HrStore *store);
+void hr_replica_read (HrStore *store, HrReadCallback callback, gpointer data);
 /* The state service has answered this node of late. */
-gboolean hr_replica_is_served (const HrCore *core);
+gboolean hr_replica_is_served (const HrStore *store);
--- a/src/bookkeeping/replica_changes.c
+++ b/src/bookkeeping/replica_changes.c
@@ -1,74 +1,38 @@
 /* One change of the state store, as read, goes into the tables. */
 #include "bookkeeping/replica_changes.h"
 #include "bookkeeping/garbage_collection.h"
+#include "bookkeeping/record.h"
 #include "bookkeeping/record_format.h"
 #include "bookkeeping/record_split.h"
 #include "bookkeeping/record_writer.h"
-#include "coordination/jobs/arrivals.h"
-#include "coordination/jobs/dependencies.h"
-#include "coordination/jobs/task_lifecycle.h"
-#include "coordination/membership/cancellation_log.h"
-#include "coordination/scaling/fleet.h"
-#include "coordination/state.h"
+#include "bookkeeping/store.h"
+#include "bookkeeping/tables.h"
+#include "protocol/intern.h"
+#include "protocol/jobspec.h"
 #include "protocol/json_util.h"
 #include <string.h>
 
-static void
-apply_leader_record (HrCore *core, const json_t *value, guint64 revision)
-{
-  guint64 fencing_token = 0;
-  const char *label = hr_json_str (value, "o"), *incarnation = hr_json_str (value, "i");
-  if (!label || !incarnation || !hr_json_count (value, "b", G_MAXINT64, &fencing_token)) {
-    g_warning ("the leader record in the state service makes no sense; left as it was");
-    return;
-  }
-  core->leadership.record_revision = revision;
-  core->leadership.fencing_token = fencing_token;
-  g_free (core->leadership.leader_label);
-  g_free (core->leadership.leader_incarnation);
-  core->leadership.leader_label = g_strdup (label);
-  core->leadership.leader_incarnation = g_strdup (incarnation);
-}
-
-static void
-apply_leader_lock (HrCore *core, const json_t *value, guint64 revision)
-{
-  g_clear_pointer (&core->leadership.lock_label, g_free);
-  g_clear_pointer (&core->leadership.lock_incarnation, g_free);
-  core->leadership.lock_revision = value ? revision : 0;
-  if (value) {
-    core->leadership.lock_label = g_strdup (hr_json_str (value, "o"));
-    core->leadership.lock_incarnation = g_strdup (hr_json_str (value, "i"));
-  } else { /* jitter, so that the members do not all try in the same instant */
-    core->leadership.next_election_at =
-        core->leadership.is_leader ? core->now
-                                   : core->now + g_rand_double_range (core->random, 0, 0.4);
-    core->leadership.leaderless_since = core->now;
-  }
-}
-
 /* Where tasks of the job were placed its image is cached, soon: whoever leads next knows
  * that only from here, since reports do not tell it. */
 static void
-note_cached_images (HrCore *core, HrJob *job, guint32 from, guint32 n)
+note_cached_images (HrStore *store, HrJob *job, guint32 from, guint32 n)
 {
   for (guint32 i = from; i < MIN (from + n, job->n_tasks); i++) {
     guint32 machine = job->tasks[i].recorded.machine;
     if (machine != HR_NONE && !job->tasks[i].done_recorded)
       hr_machine_touch_image (
-          hr_machine_get (&core->store.tables,
-                          hr_intern_name (&core->store.tables.machine_ids, machine)),
+          hr_machine_get (&store->tables, hr_intern_name (&store->tables.machine_ids, machine)),
           job->spec.image);
   }
 }
 
 gboolean
-hr_replica_apply_job (HrCore *core, HrJob *job, const json_t *value, guint64 revision)
+hr_replica_apply_job (HrStore *store, HrJob *job, const json_t *value, guint64 revision)
 {
   HrRecord record;
   if (job->is_known && revision <= job->record.revision)
     return TRUE; /* known already: our own write, or a change read twice */
-  if (!hr_record_read (value, core->names, &record)) {
+  if (!hr_record_read (value, store->names, &record)) {
     g_warning ("%s: its record makes no sense", job->id);
     job->record.main_unreadable = TRUE;
     hr_record_clear (&record);
@@ -79,14 +43,14 @@
   HrRecordPage *page = job->record.pages;
   if (page && page->write_tag && g_str_equal (page->write_tag, record.tag)) {
     hr_record_clear (&record);
-    hr_record_writer_confirmed (core, job, page, revision);
+    hr_record_writer_confirmed (store, job, page, revision);
     return TRUE;
   }
   gboolean fresh = !job->is_known;
   job->is_known = TRUE;
   job->record.revision = revision;
   if (record.state == HR_JOB_CANCELLED)
-    hr_cancellation_log_append (core, job, revision);
+    store->events->cancellation_read (store->core, job, revision);
   g_free (job->record.tag);
   job->record.tag = g_steal_pointer (&record.tag);
   if (record.is_tombstone) {
@@ -96,32 +60,32 @@
     job->n_recorded_done = record.n_done;
     job->record.is_compacted = TRUE;
     if (record.cancelled_with)
-      job->cancellation.root = hr_job_get (&core->store.tables, record.cancelled_with);
-    hr_garbage_add_job (core, job);
-    if (!core->leadership.is_leader || !job->run.n_live)
+      job->cancellation.root = hr_job_get (&store->tables, record.cancelled_with);
+    hr_garbage_add_job (store, job);
+    if (!hr_store_is_leader (store) || !job->run.n_live)
       hr_job_compact (job);
-    hr_dependencies_job_final (core, job);
+    store->events->job_final (store->core, job);
     return TRUE;
   }
   if (fresh || !job->tasks) {
     hr_job_set_spec (job, &record.spec, record.tasks_per_page);
     job->submitted_at = record.submitted_at;
-    job->record.sized_page_keys = record.sized_page_keys && core->store.format.supported;
-  } else if (core->store.format.supported && record.sized_page_keys &&
+    job->record.sized_page_keys = record.sized_page_keys && store->format.supported;
+  } else if (store->format.supported && record.sized_page_keys &&
              record.tasks_per_page != job->record.tasks_per_page)
-    hr_record_split_apply (core, job, record.tasks_per_page, revision);
-  if (core->store.format.supported) {
+    hr_record_split_apply (store, job, record.tasks_per_page, revision);
+  if (store->format.supported) {
     json_decref (job->record.unknown_members);
     job->record.unknown_members = g_steal_pointer (&record.extra);
   }
   hr_record_clear (&record);
   /* The leader alone changes tasks; what others write leaves them as they were. */
-  if (!record.tasks_per_page && record.tasks && (!core->leadership.is_leader || fresh)) {
+  if (!record.tasks_per_page && record.tasks && (!hr_store_is_leader (store) || fresh)) {
     job->record.tasks_unreadable =
-        !hr_record_tasks (job, 0, record.tasks, &core->store.tables.machine_ids);
+        !hr_record_tasks (job, 0, record.tasks, &store->tables.machine_ids);
     if (job->record.tasks_unreadable)
       g_warning ("%s: the tasks in its record make no sense", job->id);
-    note_cached_images (core, job, 0, job->n_tasks);
+    note_cached_images (store, job, 0, job->n_tasks);
   }
   if (!record.tasks_per_page && job->record.pages)
     job->record.pages[0].revision = revision;
@@ -132,36 +96,33 @@
   job->state = job->cancellation.told_by_peer
                    ? HR_JOB_CANCELLED
                    : record.state; /* a derived cancellation is derived again */
-  hr_dependencies_job_read (core, job, (const char *const *)awaits);
-  hr_job_open (core, job);
   gboolean cancelled = record.state == HR_JOB_CANCELLED || job->cancellation.told_by_peer;
-  if (core->leadership.is_leader && cancelled && (before != HR_JOB_CANCELLED || was_told))
-    hr_job_cancelled (core, job);
-  core->scheduling.plan_is_stale = TRUE;
+  gboolean newly_cancelled = cancelled && (before != HR_JOB_CANCELLED || was_told);
+  store->events->job_read (store->core, job, (const char *const *)awaits, newly_cancelled);
   return TRUE;
 }
 
 /* A page of a job that is final, or of a layout that is not, or no longer, in force. */
 static void
-apply_obsolete_page (HrCore *core, HrJob *job, guint tasks_per_page, guint page,
+apply_obsolete_page (HrStore *store, HrJob *job, guint tasks_per_page, guint page,
                      const json_t *value, guint64 revision)
 {
-  hr_garbage_page_deleted (core, job, tasks_per_page, page);
+  hr_garbage_page_deleted (store, job, tasks_per_page, page);
   if (value && (job->record.is_compacted || !tasks_per_page))
-    hr_garbage_add_page (core, job, tasks_per_page, page);
+    hr_garbage_add_page (store, job, tasks_per_page, page);
   else if (!job->record.is_compacted && tasks_per_page && job->tasks)
     hr_record_split_stage_page (job, tasks_per_page, page, value ? revision : 0, value);
 }
 
 /* per_page: of a page under h/u; 0: one under h/t. */
 static void
-apply_page (HrCore *core, HrJob *job, guint tasks_per_page, guint64 n, const json_t *value,
+apply_page (HrStore *store, HrJob *job, guint tasks_per_page, guint64 n, const json_t *value,
             guint64 revision)
 {
   gboolean in_force = job->record.sized_page_keys ? tasks_per_page == job->record.tasks_per_page
                                                   : tasks_per_page == 0;
-  if (job->record.is_compacted || (!in_force && core->store.format.supported)) {
-    apply_obsolete_page (core, job, tasks_per_page, n, value, revision);
+  if (job->record.is_compacted || (!in_force && store->format.supported)) {
+    apply_obsolete_page (store, job, tasks_per_page, n, value, revision);
     return;
   }
   const char *tag = hr_json_str (value, "w");
@@ -170,55 +131,52 @@
     return;
   HrRecordPage *page = &job->record.pages[n];
   if (page->write_tag && tag && g_str_equal (page->write_tag, tag)) {
-    hr_record_writer_confirmed (core, job, page, revision);
+    hr_record_writer_confirmed (store, job, page, revision);
     return;
   }
   page->revision = revision;
-  if (!core->leadership.is_leader) {
+  if (!hr_store_is_leader (store)) {
     /* Other pages may be unreadable too: once one was, the job counts as unreadable. */
     if (!hr_record_tasks (job, n * job->record.tasks_per_page, json_object_get (value, "x"),
-                          &core->store.tables.machine_ids)) {
+                          &store->tables.machine_ids)) {
       job->record.tasks_unreadable = TRUE;
       g_warning ("%s: page %u of its record makes no sense", job->id, (guint)n);
     }
-    note_cached_images (core, job, n * job->record.tasks_per_page, job->record.tasks_per_page);
+    note_cached_images (store, job, n * job->record.tasks_per_page, job->record.tasks_per_page);
   }
 }
 
 /* "ID/PAGE", or "ID/SIZE/PAGE" of a page that carries its size. */
 static void
-apply_page_key (HrCore *core, const char *rest, gboolean sized, const json_t *value,
+apply_page_key (HrStore *store, const char *rest, gboolean sized, const json_t *value,
                 guint64 revision)
 {
   g_auto (GStrv) fields = g_strsplit (rest, "/", -1);
   if (g_strv_length (fields) != (sized ? 3 : 2))
     return;
-  HrJob *job = hr_job_find (&core->store.tables, fields[0]);
+  HrJob *job = hr_job_find (&store->tables, fields[0]);
   guint64 tasks_per_page = sized ? g_ascii_strtoull (fields[1], NULL, 10) : 0;
   guint64 n = g_ascii_strtoull (fields[sized ? 2 : 1], NULL, 10);
   if (job && tasks_per_page <= HR_MAX_TASKS && n <= HR_MAX_TASKS && (!sized || tasks_per_page))
-    apply_page (core, job, tasks_per_page, n, value, revision);
+    apply_page (store, job, tasks_per_page, n, value, revision);
 }
 
 void
-hr_replica_apply_change (HrCore *core, const char *key, const json_t *value, guint64 revision)
+hr_replica_apply_change (HrStore *store, const char *key, const json_t *value, guint64 revision)
 {
-  if (strcmp (key, "h/map") == 0) {
-    if (value && revision > core->leadership.record_revision)
-      apply_leader_record (core, value, revision);
-  } else if (strcmp (key, "h/leader") == 0)
-    apply_leader_lock (core, value, revision);
-  else if (strcmp (key, "h/types") == 0) {
-    core->scaling.types_revision = value ? revision : 0;
-    if (value && !core->scaling.machine_types)
-      hr_machine_types_load (core, value);
-  } else if (g_str_has_prefix (key, "h/j/")) {
+  if (strcmp (key, "h/map") == 0)
+    store->events->leader_record_read (store->core, value, revision);
+  else if (strcmp (key, "h/leader") == 0)
+    store->events->leader_lock_read (store->core, value, revision);
+  else if (strcmp (key, "h/types") == 0)
+    store->events->machine_types_read (store->core, value, revision);
+  else if (g_str_has_prefix (key, "h/j/")) {
     if (value && hr_job_id_valid (key + 4))
-      hr_replica_apply_job (core, hr_job_get (&core->store.tables, key + 4), value, revision);
+      hr_replica_apply_job (store, hr_job_get (&store->tables, key + 4), value, revision);
   } else if (g_str_has_prefix (key, "h/t/"))
-    apply_page_key (core, key + 4, FALSE, value, revision);
-  else if (core->store.format.supported && g_str_has_prefix (key, "h/u/"))
-    apply_page_key (core, key + 4, TRUE, value, revision);
+    apply_page_key (store, key + 4, FALSE, value, revision);
+  else if (store->format.supported && g_str_has_prefix (key, "h/u/"))
+    apply_page_key (store, key + 4, TRUE, value, revision);
   else if (strcmp (key, "h/format") == 0)
-    hr_record_format_read (core, value, revision);
+    hr_record_format_read (store, value, revision);
 }
--- a/src/bookkeeping/replica_changes.h
+++ b/src/bookkeeping/replica_changes.h
@@ -1,5 +1,6 @@
 #pragma once
-#include "coordination/state.h"
+#include "bookkeeping/store.h"
 
-void hr_replica_apply_change (HrCore *core, const char *key, const json_t *value, guint64 revision);
-gboolean hr_replica_apply_job (HrCore *core, HrJob *job, const json_t *value, guint64 revision);
+void hr_replica_apply_change (HrStore *store, const char *key, const json_t *value,
+                              guint64 revision);
+gboolean hr_replica_apply_job (HrStore *store, HrJob *job, const json_t *value, guint64 revision);
--- a/src/bookkeeping/store.h
+++ b/src/bookkeeping/store.h
@@ -5,18 +5,22 @@
 #pragma once
 #include "bookkeeping/tables.h"
 #include "bookkeeping/token_bucket.h"
-#include "coordination/core.h"
+#include "protocol/http_method.h"
 #include "protocol/settings.h"
 #include <jansson.h>
 
+/* Whoever composes the store with the rest of a controller; bookkeeping only hands it on. */
+typedef struct HrCore HrCore;
+typedef struct HrStore HrStore;
+
 /* The answer to a call of ours. status: HTTP status; 0: no answer, so the call may have been
  * carried out, or may yet be. body: NULL where there is none. sent_at: when the call was made. */
-typedef void (*HrResultCallback) (HrCore *core, int status, json_t *body, double sent_at,
-                                  gpointer data);
+typedef void (*HrStoreCallback) (HrStore *store, int status, json_t *body, double sent_at,
+                                 gpointer data);
 
 /* A read of the store that began after it was asked for has ended. ok: FALSE when it failed, and
  * nothing may be concluded. */
-typedef void (*HrReadCallback) (HrCore *core, gboolean ok, gpointer data);
+typedef void (*HrReadCallback) (HrStore *store, gboolean ok, gpointer data);
 
 typedef enum {
   HR_REPLICA_UNREAD,   /* nothing is known, or what was known is out of date */
@@ -57,7 +61,7 @@
   json_t *conditions, *writes;
   guint changes; /* that it takes of the allowance */
   double timeout_s;
-  HrResultCallback callback;
+  HrStoreCallback callback;
   gpointer data;
 } HrTransaction;
 
@@ -125,7 +129,61 @@
   guint n_oversized;
 } HrRecordSplitter;
 
+/* What bookkeeping asks of the rest of the controller, and tells it. Bookkeeping calls nothing else
+ * above it. core.c fills it in. */
 typedef struct {
+  /* Sends a request to the store. Takes path and body (NULL: none). */
+  void (*call) (HrCore *core, HrMethod method, char *path, char *body, double timeout_s,
+                HrStoreCallback callback, gpointer data);
+  /* A tag that no other write of any process carries. To be freed. */
+  char *(*new_tag) (HrCore *core);
+  /* May this node write as the leader, by what it has read? */
+  gboolean (*is_leader) (const HrCore *core);
+  /* Is a new fencing token on its way, so that a write under this one would be refused? */
+  gboolean (*token_raise_in_flight) (const HrCore *core);
+  /* Revision of the leader record: what the leader's writes hold on. 0: not read yet. */
+  guint64 (*leader_record_revision) (const HrCore *core);
+  /* Has every other controller stated that it reads records of this format? */
+  gboolean (*peers_support_format) (const HrCore *core, guint format);
+
+  /* The whole store is about to be read anew: what was read of other keys than jobs' is void. */
+  void (*listing_begins) (HrCore *core);
+  /* A change was read of the leader record, of the leader's lock, of the machine types. value: NULL
+   * where the key was deleted. */
+  void (*leader_record_read) (HrCore *core, const json_t *value, guint64 revision);
+  void (*leader_lock_read) (HrCore *core, const json_t *value, guint64 revision);
+  void (*machine_types_read) (HrCore *core, const json_t *value, guint64 revision);
+  /* All changes of an answer were applied. */
+  void (*changes_applied) (HrCore *core);
+  /* A read was answered, so many seconds after it was sent. */
+  void (*read_answered) (HrCore *core, double latency_s);
+  /* Changes since the last read are no longer to be had. */
+  void (*history_lost) (HrCore *core);
+
+  /* A record says that the job is cancelled; told before its state changes. */
+  void (*cancellation_read) (HrCore *core, const HrJob *job, guint64 revision);
+  /* An open job's record was read. awaited: ids of the jobs that it awaits, or NULL.
+   * newly_cancelled: for a leader, which has its tasks to stop. */
+  void (*job_read) (HrCore *core, HrJob *job, const char *const *awaited, gboolean newly_cancelled);
+  /* The job's record is a tombstone. */
+  void (*job_final) (HrCore *core, HrJob *job);
+  /* The task's assignment is recorded; is given up before it was recorded. */
+  void (*assignment_recorded) (HrCore *core, HrJob *job, guint32 task_index);
+  void (*assignment_dropped) (HrCore *core, HrJob *job, guint32 task_index);
+  /* What the plan rests on has changed. */
+  void (*plan_changed) (HrCore *core);
+  /* There is news for the other controllers. */
+  void (*status_changed) (HrCore *core);
+} HrStoreEvents;
+
+struct HrStore {
+  HrCore *core; /* for `events` */
+  const HrStoreEvents *events;
+  const HrSettings *settings;
+  HrNames *names;
+  GRand *random;
+  double now;       /* steady time of the step under way, s */
+  double wall_time; /* time of day, s */
   HrTables tables;
   HrReplica replica;
   HrTransactions transactions;
@@ -135,4 +193,17 @@
   HrRecordLayout layout;
   HrRecordSplitter splitter;
   HrStateLimits limits; /* that this node plans for */
-} HrStore;
+};
+
+/* May this node write as the leader? */
+static inline gboolean
+hr_store_is_leader (const HrStore *store)
+{
+  return store->events->is_leader (store->core);
+}
+
+/* Makes the empty tables and queues of a zeroed store. The pointers to what it uses are the
+ * caller's to set, before anything else is called. */
+void hr_store_init (HrStore *store);
+/* Frees what hr_store_init made; data of transactions without an answer is not freed. */
+void hr_store_clear (HrStore *store);
--- a/src/bookkeeping/transactions.c
+++ b/src/bookkeeping/transactions.c
@@ -1,8 +1,10 @@
 /* Transactions on their way to the state service: queued by kind, sent within this node's share of
  * the allowance for changes. */
 #include "bookkeeping/transactions.h"
-#include "coordination/effects.h"
-#include "coordination/state.h"
+#include "bookkeeping/store.h"
+#include "bookkeeping/tables.h"
+#include "bookkeeping/token_bucket.h"
+#include "protocol/http_method.h"
 #include "protocol/json_util.h"
 
 #define MAX_TRANSACTIONS_IN_FLIGHT 8
@@ -47,8 +49,8 @@
 }
 
 void
-hr_transaction_submit (HrCore *core, HrTransactionKind kind, json_t *when, json_t *writes,
-                       guint changes, double timeout, HrResultCallback callback, gpointer data)
+hr_transaction_submit (HrStore *store, HrTransactionKind kind, json_t *when, json_t *writes,
+                       guint changes, double timeout, HrStoreCallback callback, gpointer data)
 {
   HrTransaction *transaction = g_new0 (HrTransaction, 1);
   transaction->conditions = when;
@@ -57,51 +59,49 @@
   transaction->timeout_s = timeout;
   transaction->callback = callback;
   transaction->data = data;
-  g_queue_push_tail (&core->store.transactions.queues[kind], transaction);
+  g_queue_push_tail (&store->transactions.queues[kind], transaction);
 }
 
 static void
-on_commit (HrCore *core, int status, json_t *body, double sent, gpointer data)
+on_commit (HrStore *store, int status, json_t *body, double sent, gpointer data)
 {
   HrTransaction *transaction = data;
-  core->store.transactions.in_flight--;
+  store->transactions.in_flight--;
   if (status == 429) { /* the allowance is shared: step back a little, out of step */
-    core->store.transactions.paused_until =
-        core->now + g_rand_double_range (core->random, 0.05, 0.15);
+    store->transactions.paused_until = store->now + g_rand_double_range (store->random, 0.05, 0.15);
     /* Users of other members come first, whose writes we do not see. */
-    core->store.transactions.background_paused_until =
-        core->now + g_rand_double_range (core->random, 0.3, 0.6);
+    store->transactions.background_paused_until =
+        store->now + g_rand_double_range (store->random, 0.3, 0.6);
     /* It is used up: what was saved here for a burst would only be refused. */
-    core->store.transactions.allowance.tokens = 0;
-    core->store.transactions.allowance.refilled_at = core->now;
+    store->transactions.allowance.tokens = 0;
+    store->transactions.allowance.refilled_at = store->now;
   }
-  transaction->callback (core, status, body, sent, transaction->data);
+  transaction->callback (store, status, body, sent, transaction->data);
   json_decref (transaction->conditions);
   json_decref (transaction->writes);
   g_free (transaction);
 }
 
 void
-hr_transactions_send (HrCore *core)
+hr_transactions_send (HrStore *store)
 {
   static const double keep[HR_TRANSACTION_KINDS] = {0, 0.05, 0.3};
   for (int k = 0; k < HR_TRANSACTION_KINDS; k++)
-    while (!g_queue_is_empty (&core->store.transactions.queues[k]) &&
-           core->store.transactions.in_flight < MAX_TRANSACTIONS_IN_FLIGHT &&
-           core->now >= (k == HR_TRANSACTION_USER
-                             ? core->store.transactions.paused_until
-                             : MAX (core->store.transactions.paused_until,
-                                    core->store.transactions.background_paused_until))) {
-      HrTransaction *transaction = g_queue_peek_head (&core->store.transactions.queues[k]);
-      if (!hr_token_bucket_take (&core->store.transactions.allowance, core->now,
-                                 transaction->changes,
-                                 keep[k] * core->store.transactions.allowance.burst))
+    while (!g_queue_is_empty (&store->transactions.queues[k]) &&
+           store->transactions.in_flight < MAX_TRANSACTIONS_IN_FLIGHT &&
+           store->now >= (k == HR_TRANSACTION_USER
+                              ? store->transactions.paused_until
+                              : MAX (store->transactions.paused_until,
+                                     store->transactions.background_paused_until))) {
+      HrTransaction *transaction = g_queue_peek_head (&store->transactions.queues[k]);
+      if (!hr_token_bucket_take (&store->transactions.allowance, store->now, transaction->changes,
+                                 keep[k] * store->transactions.allowance.burst))
         break;
-      g_queue_pop_head (&core->store.transactions.queues[k]);
-      core->store.transactions.in_flight++;
+      g_queue_pop_head (&store->transactions.queues[k]);
+      store->transactions.in_flight++;
       json_t *object =
           json_pack ("{sOsO}", "when", transaction->conditions, "writes", transaction->writes);
-      hr_core_call (core, HR_TO_STORE, NULL, HR_POST, g_strdup ("/commit"),
-                    hr_json_take_text (object), transaction->timeout_s, on_commit, transaction);
+      store->events->call (store->core, HR_POST, g_strdup ("/commit"), hr_json_take_text (object),
+                           transaction->timeout_s, on_commit, transaction);
     }
 }
--- a/src/coordination/agents/direct_orders.c
+++ b/src/coordination/agents/direct_orders.c
@@ -4,6 +4,7 @@
 #include "coordination/agents/orders.h"
 #include "coordination/effects.h"
 #include "coordination/state.h"
+#include "protocol/http_method.h"
 #include <string.h>
 
 /* Seconds that a direct call waits for its answer, and that the next one to a machine waits after
--- a/src/coordination/agents/heartbeats.c
+++ b/src/coordination/agents/heartbeats.c
@@ -9,6 +9,7 @@
 #include "coordination/scaling/fleet.h"
 #include "coordination/scheduling/projection.h"
 #include "coordination/state.h"
+#include "protocol/http_method.h"
 #include "protocol/json_util.h"
 #include <string.h>
 
--- a/src/coordination/agents/orders.c
+++ b/src/coordination/agents/orders.c
@@ -3,6 +3,7 @@
 #include "coordination/agents/termination_proof.h"
 #include "coordination/jobs/task_lifecycle.h"
 #include "coordination/leadership/leadership.h"
+#include "coordination/membership/membership.h"
 #include "coordination/state.h"
 #include "protocol/json_util.h"
 #include <string.h>
@@ -29,7 +30,7 @@
 static gboolean
 may_launch (const HrCore *core)
 {
-  return hr_replica_is_served (core) || hr_membership_store_outage_for_all (core);
+  return hr_replica_is_served (&core->store) || hr_membership_store_outage_for_all (core);
 }
 
 /* The order is about to be sent. why: of a stop, else NULL. */
--- a/src/coordination/agents/termination_proof.c
+++ b/src/coordination/agents/termination_proof.c
@@ -28,7 +28,7 @@
 {
   gboolean on_its_way =
                machine->agent.unanswered_launch_token || machine->agent.direct_calls_in_flight,
-           served = hr_replica_is_served (core);
+           served = hr_replica_is_served (&core->store);
   for (guint i = 0; on_its_way && i < machine->tasks->len; i++) {
     HrTaskRef ref = g_array_index (machine->tasks, HrTaskRef, i);
     const HrJob *job = core->store.tables.jobs->pdata[ref.job];
@@ -179,7 +179,7 @@
       hr_fleet_delete (core, machine, "it reports, but what it is told does not reach it");
     if (machine->state == HR_MACHINE_UP &&
         core->now - last_heard (core, machine) > core->policy.overdue_s &&
-        is_missing_from_list (core, machine) && hr_replica_is_served (core))
+        is_missing_from_list (core, machine) && hr_replica_is_served (&core->store))
       hr_fleet_delete (core, machine, "its worker is silent, and the cloud no longer lists it");
     if (machine->state != HR_MACHINE_UP ||
         core->now - last_heard (core, machine) <= core->policy.silent_s)
@@ -187,7 +187,8 @@
     if (hr_lease_has_expired (core, machine) && machine->tasks->len)
       hr_termination_incarnations_over (core, machine, G_MAXUINT32, "its lease is surely over");
     /* Past its lease a machine holds nothing that deleting it could cost. */
-    if ((!cut_off || hr_lease_has_expired (core, machine)) && !early && hr_replica_is_served (core))
+    if ((!cut_off || hr_lease_has_expired (core, machine)) && !early &&
+        hr_replica_is_served (&core->store))
       hr_fleet_delete (core, machine, "its worker is silent");
   }
 }
--- a/src/coordination/command.c
+++ b/src/coordination/command.c
@@ -20,15 +20,6 @@
   return next < named->ids + named->bytes ? next : NULL;
 }
 
-HrMethod
-hr_method_of (const char *name)
-{
-  return strcmp (name, "GET") == 0      ? HR_GET
-         : strcmp (name, "POST") == 0   ? HR_POST
-         : strcmp (name, "DELETE") == 0 ? HR_DELETE
-                                        : HR_OTHER_METHOD;
-}
-
 HrCommand *
 hr_command_new (HrCommandKind kind)
 {
--- a/src/coordination/command.h
+++ b/src/coordination/command.h
@@ -1,13 +1,12 @@
 /* What goes into the single owner of all state and what comes out: no I/O in between. */
 #pragma once
+#include "protocol/http_method.h"
+#include "protocol/jobspec.h"
 #include <glib.h>
 
-typedef enum { HR_GET, HR_POST, HR_DELETE, HR_OTHER_METHOD } HrMethod;
 typedef enum { HR_TO_STORE, HR_TO_CLOUD, HR_TO_WORKER } HrTarget;
 
 #define HR_MAX_ECHOES 16
-#define HR_MAX_OVERSIZED 4
-#define HR_JOB_ID_MOST 100
 /* Room for the job ids that one status names. With it the largest status still fits a frame. */
 #define HR_NAMED_CANCELLATIONS_BYTES 960
 
@@ -90,8 +89,6 @@
 /* The first id named, or the one after `id`; NULL after the last. */
 const char *hr_named_cancellations_next (const HrNamedCancellations *named, const char *id);
 
-/* As it stands in a request line. */
-HrMethod hr_method_of (const char *name);
 /* With an empty status when it is to be one. */
 HrCommand *hr_command_new (HrCommandKind kind);
 void hr_command_free (HrCommand *command);
--- a/src/coordination/core.c
+++ b/src/coordination/core.c
@@ -1,5 +1,4 @@
 #include "coordination/core.h"
-#include "coordination/effects.h"
 #include "bookkeeping/garbage_collection.h"
 #include "bookkeeping/record_format.h"
 #include "bookkeeping/record_split.h"
@@ -8,9 +7,11 @@
 #include "coordination/agents/direct_orders.h"
 #include "coordination/agents/heartbeats.h"
 #include "coordination/agents/termination_proof.h"
+#include "coordination/effects.h"
 #include "coordination/jobs/dependencies.h"
 #include "coordination/jobs/user_requests.h"
 #include "coordination/leadership/leadership.h"
+#include "coordination/membership/membership.h"
 #include "coordination/metrics/metrics.h"
 #include "coordination/scaling/fleet.h"
 #include "coordination/scaling/instance_requests.h"
@@ -19,6 +20,8 @@
 #include "coordination/scheduling/planner.h"
 #include "coordination/scheduling/quotas.h"
 #include "coordination/state.h"
+#include "coordination/store_events.h"
+#include "protocol/http_method.h"
 #include "protocol/json_util.h"
 #include <gio/gio.h>
 #include <string.h>
@@ -39,27 +42,21 @@
   core->incarnation = g_strdup (incarnation);
   core->random = g_rand_new_with_seed (seed);
   core->calls.pending = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
-  core->store.replica.waiters = g_array_new (FALSE, TRUE, sizeof (HrReadWaiter));
-  core->store.replica.waiters_in_flight = g_array_new (FALSE, TRUE, sizeof (HrReadWaiter));
   core->membership.peers = g_array_new (FALSE, TRUE, sizeof (HrPeer));
   core->cancellations.entries = g_array_new (FALSE, FALSE, sizeof (HrCancellation));
-  hr_intern_init (&core->store.tables.job_ids);
-  hr_intern_init (&core->store.tables.machine_ids);
-  core->store.tables.jobs = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_job_free);
-  core->store.tables.machines = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_machine_free);
-  core->store.tables.open_jobs = g_array_new (FALSE, TRUE, sizeof (guint32));
   core->scheduling.class_stats = g_array_new (FALSE, TRUE, sizeof (HrClassStats));
-  core->store.writer.dirty_pages = g_array_new (FALSE, TRUE, sizeof (HrDirtyPage));
-  core->store.garbage.pages = g_array_new (FALSE, TRUE, sizeof (HrObsoletePage));
-  core->store.splitter.queue = g_array_new (FALSE, TRUE, sizeof (guint32));
   core->dependencies.to_tombstone = g_array_new (FALSE, TRUE, sizeof (guint32));
   core->scaling.fleet = g_ptr_array_new ();
   core->scaling.capacity_refusals = g_array_new (FALSE, TRUE, sizeof (HrCapacityRefusal));
   core->scheduling.team_usage = g_array_new (FALSE, TRUE, sizeof (HrTeamUsage));
   core->scheduling.waiting_jobs = g_ptr_array_new ();
   core->scaling.demand = g_array_new (FALSE, TRUE, sizeof (HrDemand));
-  for (int i = 0; i < HR_TRANSACTION_KINDS; i++)
-    g_queue_init (&core->store.transactions.queues[i]);
+  hr_store_init (&core->store);
+  core->store.core = core;
+  core->store.events = &hr_core_store_events;
+  core->store.settings = settings;
+  core->store.names = names;
+  core->store.random = core->random;
   hr_core_set_supported_format (core, HR_FORMAT);
   g_queue_init (&core->scaling.requests_to_retry);
   core->scaling.allowance =
@@ -67,44 +64,23 @@
   return core;
 }
 
-static void
-txn_free (gpointer data)
-{
-  HrTransaction *transaction = data;
-  json_decref (transaction->conditions);
-  json_decref (transaction->writes);
-  g_free (transaction);
-}
-
 void
 hr_core_free (HrCore *core)
 {
   hr_instance_requests_clear (core);
-  for (int i = 0; i < HR_TRANSACTION_KINDS; i++)
-    g_queue_clear_full (&core->store.transactions.queues[i], txn_free);
+  hr_store_clear (&core->store);
   g_rand_free (core->random);
   g_hash_table_unref (core->calls.pending);
-  g_array_unref (core->store.replica.waiters);
-  g_array_unref (core->store.replica.waiters_in_flight);
   g_array_unref (core->membership.peers);
   g_array_unref (core->cancellations.entries);
-  g_ptr_array_unref (core->store.tables.jobs);
-  g_ptr_array_unref (core->store.tables.machines);
-  hr_intern_clear (&core->store.tables.job_ids);
-  hr_intern_clear (&core->store.tables.machine_ids);
-  g_array_unref (core->store.tables.open_jobs);
   g_array_unref (core->scheduling.class_stats);
   g_array_unref (core->scaling.capacity_refusals);
-  g_array_unref (core->store.writer.dirty_pages);
-  g_array_unref (core->store.garbage.pages);
-  g_array_unref (core->store.splitter.queue);
   g_array_unref (core->dependencies.to_tombstone);
   g_array_unref (core->scaling.demand);
   g_array_unref (core->scheduling.team_usage);
   g_ptr_array_unref (core->scheduling.waiting_jobs);
   g_ptr_array_unref (core->scaling.fleet);
   g_clear_pointer (&core->scaling.machine_types, g_array_unref);
-  g_free (core->store.replica.list_cursor);
   g_free (core->scaling.list_cursor);
   g_free (core->leadership.leader_label);
   g_free (core->leadership.leader_incarnation);
@@ -114,15 +90,22 @@
   g_free (core);
 }
 
+void
+hr_core_set_supported_format (HrCore *core, guint format)
+{
+  hr_record_format_set_supported (&core->store, format);
+}
+
 static void
 tick (HrCore *core)
 {
   hr_leadership_tick (core);
+  hr_membership_tick (core);
   hr_agents_tick (core);
   hr_fleet_tick (core);
-  hr_garbage_tick (core);
-  hr_record_format_tick (core);
-  hr_record_split_scan (core);
+  hr_garbage_tick (&core->store);
+  hr_record_format_tick (&core->store);
+  hr_record_split_scan (&core->store);
   hr_dependencies_tick (core);
   hr_counters_tick (core);
 }
@@ -149,8 +132,8 @@
 {
   if (!core->started_at)
     core->started_at = now;
-  core->now = now;
-  core->wall_time = wall;
+  core->now = core->store.now = now;
+  core->wall_time = core->store.wall_time = wall;
   core->effects = effects;
   for (guint i = 0; i < commands->len; i++) {
     HrCommand *command = commands->pdata[i];
@@ -185,8 +168,8 @@
     hr_planner_pass (core);
     hr_dispatch (core);
   }
-  hr_replica_tick (core);
-  hr_record_writer_tick (core);
+  hr_replica_tick (&core->store);
+  hr_record_writer_tick (&core->store);
   hr_direct_orders_send (core);
   core->effects = NULL;
 }
--- a/src/coordination/effects.c
+++ b/src/coordination/effects.c
@@ -3,7 +3,8 @@
 #include "protocol/json_util.h"
 
 typedef struct {
-  HrResultCallback callback;
+  HrResultCallback callback; /* NULL: store_callback is to be called */
+  HrStoreCallback store_callback;
   gpointer data;
   double sent_at;
 } PendingCall;
@@ -17,23 +18,40 @@
   return added;
 }
 
-void
-hr_core_call (HrCore *core, HrTarget target, const char *addr, HrMethod method, char *path,
-              char *body, double timeout, HrResultCallback callback, gpointer data)
+static PendingCall *
+send_call (HrCore *core, HrTarget target, const char *address, HrMethod method, char *path,
+           char *body, double timeout_s)
 {
   HrEffect *added = effect (core, HR_EFFECT_CALL);
   added->id = ++core->calls.last_id;
   added->target = target;
-  added->addr = g_strdup (addr);
+  added->addr = g_strdup (address);
   added->method = method;
   added->path = path;
   added->body = body;
-  added->timeout_s = timeout;
+  added->timeout_s = timeout_s;
   PendingCall *pending = g_new0 (PendingCall, 1);
-  pending->callback = callback;
-  pending->data = data;
   pending->sent_at = core->now;
   g_hash_table_insert (core->calls.pending, g_memdup2 (&added->id, sizeof added->id), pending);
+  return pending;
+}
+
+void
+hr_core_call (HrCore *core, HrTarget target, const char *address, HrMethod method, char *path,
+              char *body, double timeout_s, HrResultCallback callback, gpointer data)
+{
+  PendingCall *pending = send_call (core, target, address, method, path, body, timeout_s);
+  pending->callback = callback;
+  pending->data = data;
+}
+
+void
+hr_core_call_store (HrCore *core, HrMethod method, char *path, char *body, double timeout_s,
+                    HrStoreCallback callback, gpointer data)
+{
+  PendingCall *pending = send_call (core, HR_TO_STORE, NULL, method, path, body, timeout_s);
+  pending->store_callback = callback;
+  pending->data = data;
 }
 
 void
@@ -91,6 +109,9 @@
       status = 0;
     }
   }
-  pending->callback (core, status, body, pending->sent_at, pending->data);
+  if (pending->callback)
+    pending->callback (core, status, body, pending->sent_at, pending->data);
+  else
+    pending->store_callback (&core->store, status, body, pending->sent_at, pending->data);
   json_decref (body);
 }
--- a/src/coordination/jobs/dependencies.c
+++ b/src/coordination/jobs/dependencies.c
@@ -129,7 +129,7 @@
 {
   /* Only what is left over of the allowance: thousands may have been taken along at once. */
   if (!core->leadership.is_leader || core->store.writer.dirty_pages->len ||
-      !hr_replica_is_served (core) ||
+      !hr_replica_is_served (&core->store) ||
       core->store.transactions.allowance.tokens < core->store.transactions.allowance.burst * 0.8)
     return;
   for (guint n = 0; n < TOMBSTONES_A_TICK && core->dependencies.to_tombstone->len;) {
@@ -139,7 +139,7 @@
     g_array_set_size (core->dependencies.to_tombstone, core->dependencies.to_tombstone->len - 1);
     if (job->record.is_compacted || !job->record.pages)
       continue;
-    hr_record_writer_mark (core, job, 0);
+    hr_record_writer_mark (&core->store, job, 0);
     n++;
   }
 }
--- a/src/coordination/jobs/failover.c
+++ b/src/coordination/jobs/failover.c
@@ -112,7 +112,7 @@
   else if (mixed && job->run.n_live) /* parts of different attempts: begin again with a new one */
     hr_gang_end_attempt (core, job, 0);
   if (job->n_done == job->n_tasks)
-    hr_record_writer_mark (core, job, 0);
+    hr_record_writer_mark (&core->store, job, 0);
 }
 
 /* What this term begins with. */
@@ -144,7 +144,7 @@
    * machines since. What records, reports and the cloud's list name is there. */
   g_ptr_array_set_size (core->scaling.fleet, 0);
   g_array_set_size (core->store.writer.dirty_pages, 0);
-  hr_record_split_rescan (core);
+  hr_record_split_rescan (&core->store);
   for (guint i = 0; i < core->store.tables.open_jobs->len; i++) {
     HrJob *job =
         core->store.tables.jobs->pdata[g_array_index (core->store.tables.open_jobs, guint32, i)];
--- a/src/coordination/jobs/submissions.c
+++ b/src/coordination/jobs/submissions.c
@@ -21,7 +21,7 @@
   request->refusal = status;
   request->why_not = g_strdup (why);
   if (!hr_request_answer_final (core, request))
-    hr_replica_read (core, hr_request_on_read, request);
+    hr_replica_read (&core->store, hr_request_on_read, request);
 }
 
 static void send_submit (HrCore *core, HrUserRequest *request);
@@ -42,27 +42,29 @@
   gsize awaits = 0;
   for (guint i = 0; request->awaits && request->awaits[i]; i++)
     awaits += strlen (request->awaits[i]) + strlen ("\"\",");
-  request->per_page = hr_record_layout_choose (core, &request->spec, awaits);
+  request->per_page = hr_record_layout_choose (&core->store, &request->spec, awaits);
   g_autofree char *paged = first_record (core, request, 1, HR_LONGEST_TAG);
-  return strlen (paged) <= hr_record_layout_planned_bytes (core);
+  return strlen (paged) <= hr_record_layout_planned_bytes (&core->store);
 }
 
 /* A reading costs nothing of what may be written, and tells whether an earlier try of the write
  * was carried out. If not yet, it may still come: the next one is the same. */
 static void
-on_unsure_read (HrCore *core, gboolean ok, gpointer data)
+on_unsure_read (HrStore *store, gboolean ok, gpointer data)
 {
+  HrCore *core = store->core;
   HrUserRequest *request = data;
   if (ok && !hr_job_find (&core->store.tables, request->id) &&
       !hr_job_unreadable (&core->store.tables, request->id))
     send_submit (core, request);
   else
-    hr_request_on_read (core, ok, data);
+    hr_request_on_read (store, ok, data);
 }
 
 static void
-on_submit (HrCore *core, int status, json_t *body, double sent, gpointer data)
+on_submit (HrStore *store, int status, json_t *body, double sent, gpointer data)
 {
+  HrCore *core = store->core;
   HrUserRequest *request = data;
   guint64 store_revision;
   if (status == 200 && hr_json_count (body, "epoch", G_MAXINT64, &store_revision)) {
@@ -83,10 +85,11 @@
     }
     hr_request_answer (core, request, job, 201);
   } else if (status == 409)
-    hr_replica_read (core, hr_request_on_read,
+    hr_replica_read (&core->store, hr_request_on_read,
                      request); /* there already: by an earlier try, perhaps */
   else if (hr_request_may_try_again (core, request, status))
-    hr_replica_read (core, on_unsure_read, request); /* lost, or the service is pacing our writes */
+    hr_replica_read (&core->store, on_unsure_read,
+                     request); /* lost, or the service is pacing our writes */
   else
     hr_request_refuse_later (core, request, status == 429 ? 429 : 503,
                              status == 429
@@ -103,7 +106,7 @@
   json_t *when = hr_transaction_require (json_array (), key, 0);
   json_t *writes = hr_transaction_put (
       json_array (), key, first_record (core, request, request->per_page, request->tag), 0);
-  hr_transaction_submit (core, HR_TRANSACTION_USER, when, writes, 1,
+  hr_transaction_submit (&core->store, HR_TRANSACTION_USER, when, writes, 1,
                          hr_request_timeout (core, request), on_submit, request);
 }
 
@@ -123,8 +126,9 @@
 
 /* A reading sent after the submission came: what is unknown now was never accepted. */
 static void
-on_awaits_read (HrCore *core, gboolean ok, gpointer data)
+on_awaits_read (HrStore *store, gboolean ok, gpointer data)
 {
+  HrCore *core = store->core;
   HrUserRequest *request = data;
   const char *unknown = hr_dependencies_find_unknown (core, request->awaits);
   HrJob *job = hr_job_find (&core->store.tables, request->id);
@@ -174,7 +178,7 @@
   if (hr_request_answer_final (core, request))
     return;
   if (hr_job_find (&core->store.tables, request->id)) {
-    hr_replica_read (core, hr_request_on_read, request);
+    hr_replica_read (&core->store, hr_request_on_read, request);
     return;
   }
   if (!core->scaling.machine_types || !core->store.replica.synced_once) {
@@ -196,7 +200,7 @@
   }
   /* Known jobs never vanish; what is not known may have been accepted elsewhere just now. */
   if (hr_dependencies_find_unknown (core, request->awaits))
-    hr_replica_read (core, on_awaits_read, request);
+    hr_replica_read (&core->store, on_awaits_read, request);
   else
     submit_if_possible (core, request);
 }
--- a/src/coordination/jobs/task_lifecycle.c
+++ b/src/coordination/jobs/task_lifecycle.c
@@ -56,7 +56,7 @@
   task->expected_fetch_s = hr_estimate_fetch_time (core, job, machine);
   job->run.n_live++;
   hr_machine_allocate (machine, &job->spec, ref);
-  hr_record_writer_mark (core, job, task_index);
+  hr_record_writer_mark (&core->store, job, task_index);
   g_debug ("%s/%u attempt %u goes to %s", job->id, task_index, attempt, machine->name);
 }
 
@@ -76,7 +76,7 @@
   job->run.attempt_ending = FALSE;
   job->run.gang_incomplete_since = 0;
   if (job->state != HR_JOB_QUEUED)
-    hr_record_writer_mark (core, job, 0); /* all are gone: the record can shrink */
+    hr_record_writer_mark (&core->store, job, 0); /* all are gone: the record can shrink */
 }
 
 void
@@ -248,7 +248,7 @@
     else if (task->state == HR_TASK_IDLE) {
       task->state = HR_TASK_DONE;
       job->n_done++;
-      hr_record_writer_mark (core, job, i);
+      hr_record_writer_mark (&core->store, job, i);
     }
   }
 }
@@ -268,7 +268,7 @@
   task->state = HR_TASK_DONE;
   job->n_done++;
   release_machine (core, job, task_index);
-  hr_record_writer_mark (core, job, task_index);
+  hr_record_writer_mark (&core->store, job, task_index);
   if (job->spec.shape == HR_GANG)
     hr_gang_done (core, job, task->placement.attempt, FALSE);
 }
@@ -313,5 +313,5 @@
       hr_task_stop (core, job, i, 0);
   }
   if (!job->run.n_live)
-    hr_record_writer_mark (core, job, 0);
+    hr_record_writer_mark (&core->store, job, 0);
 }
--- a/src/coordination/jobs/user_requests.c
+++ b/src/coordination/jobs/user_requests.c
@@ -10,7 +10,9 @@
 #include "coordination/jobs/task_lifecycle.h"
 #include "coordination/leadership/leadership.h"
 #include "coordination/membership/cancellation_log.h"
+#include "coordination/membership/membership.h"
 #include "coordination/state.h"
+#include "protocol/http_method.h"
 #include "protocol/json_util.h"
 #include <string.h>
 
@@ -116,8 +118,9 @@
 static void send_cancel (HrCore *core, HrUserRequest *request);
 
 void
-hr_request_on_read (HrCore *core, gboolean ok, gpointer data)
+hr_request_on_read (HrStore *store, gboolean ok, gpointer data)
 {
+  HrCore *core = store->core;
   HrUserRequest *request = data;
   HrJob *job = hr_job_find (&core->store.tables, request->id);
   if (!ok) {
@@ -164,13 +167,14 @@
 static void
 split_first (HrCore *core, HrUserRequest *request, HrJob *job)
 {
-  hr_record_format_note_oversized (core, job);
+  hr_record_format_note_oversized (&core->store, job);
   hr_request_refuse_later (core, request, 503, "the job's record is being split; ask again");
 }
 
 static void
-on_cancel (HrCore *core, int status, json_t *body, double sent, gpointer data)
+on_cancel (HrStore *store, int status, json_t *body, double sent, gpointer data)
 {
+  HrCore *core = store->core;
   HrUserRequest *request = data;
   HrJob *job = hr_job_find (&core->store.tables, request->id);
   guint64 store_revision;
@@ -188,10 +192,10 @@
     hr_request_answer (core, request, job, 200);
   } else if (status == 400 && core->store.format.supported && job && job->tasks) {
     core->store.format.planned_limits_in_force |=
-        request->bytes > hr_record_layout_planned_bytes (core);
+        request->bytes > hr_record_layout_planned_bytes (&core->store);
     split_first (core, request, job);
   } else if (hr_request_may_try_again (core, request, status))
-    hr_replica_read (core, hr_request_on_read,
+    hr_replica_read (&core->store, hr_request_on_read,
                      request); /* the record may have moved on: read, then try again */
   else
     hr_request_refuse_later (core, request, 503, "the cancellation is not confirmed; ask again");
@@ -207,14 +211,14 @@
   char *text = hr_record_main (job, core->names, &core->store.tables.machine_ids, HR_JOB_CANCELLED,
                                request->tag, FALSE);
   request->bytes = strlen (text);
-  if (request->bytes > hr_record_layout_max_bytes (core)) {
+  if (request->bytes > hr_record_layout_max_bytes (&core->store)) {
     g_free (text);
     split_first (core, request, job);
     return;
   }
   json_t *when = hr_transaction_require (json_array (), key, job->record.revision);
   json_t *writes = hr_transaction_put (json_array (), key, text, 0);
-  hr_transaction_submit (core, HR_TRANSACTION_USER, when, writes, 1,
+  hr_transaction_submit (&core->store, HR_TRANSACTION_USER, when, writes, 1,
                          hr_request_timeout (core, request), on_cancel, request);
 }
 
@@ -225,7 +229,7 @@
 {
   if (!core->scaling.machine_types || !core->store.replica.synced_once)
     hr_core_refuse (core, command->id, 503, 1, "still reading the ledger and the machine types");
-  else if (!hr_replica_is_served (core) && !hr_membership_store_outage_for_all (core))
+  else if (!hr_replica_is_served (&core->store) && !hr_membership_store_outage_for_all (core))
     hr_core_refuse (core, command->id, 503, 1, "the state service does not answer this node");
   else
     hr_core_reply (core, command->id, 200, json_pack ("{sb}", "ready", 1), 0);
@@ -276,5 +280,5 @@
   request->id = g_steal_pointer (&id);
   request->asked = core->wall_time;
   if (!hr_request_answer_final (core, request))
-    hr_replica_read (core, hr_request_on_read, request);
+    hr_replica_read (&core->store, hr_request_on_read, request);
 }
--- a/src/coordination/jobs/user_requests.h
+++ b/src/coordination/jobs/user_requests.h
@@ -26,7 +26,7 @@
  * before its record is read. FALSE: not answered. */
 gboolean hr_request_answer_final (HrCore *core, HrUserRequest *request);
 /* For hr_replica_read: answers from what was read, or goes on with what is left to do. */
-void hr_request_on_read (HrCore *core, gboolean ok, gpointer request);
+void hr_request_on_read (HrStore *store, gboolean ok, gpointer request);
 /* How long its next write waits for an answer, in seconds. */
 double hr_request_timeout (const HrCore *core, const HrUserRequest *request);
 /* Was the write not carried out, or is that unknown, and is there time for another? The same write
--- a/src/coordination/leadership/leadership.c
+++ b/src/coordination/leadership/leadership.c
@@ -8,59 +8,15 @@
 #include "coordination/effects.h"
 #include "coordination/jobs/failover.h"
 #include "coordination/membership/cancellation_log.h"
+#include "coordination/membership/membership.h"
 #include "coordination/state.h"
+#include "protocol/http_method.h"
 #include "protocol/json_util.h"
 #include <string.h>
 
-#define CONTACT_WINDOW 6.0
-/* Between statuses, and while there is news for a member that the state service does not serve. */
-#define STATUS_INTERVAL_S 1.0
-#define STATUS_SOON_INTERVAL_S 0.2
-
-static gboolean
-peer_is_fresh (const HrCore *core, const HrPeer *peer)
-{
-  return core->now - peer->received_at < 3.5;
-}
-
-/* A node that hears no other cannot tell an outage from a cut of its own. It takes it
- * for a cut: not ready, so that users go elsewhere, and soon silent to workers. */
-gboolean
-hr_membership_store_outage_for_all (const HrCore *core)
-{
-  gboolean heard = core->settings->members->len == 0;
-  for (guint i = 0; i < core->membership.peers->len; i++) {
-    const HrPeer *peer = &g_array_index (core->membership.peers, HrPeer, i);
-    if (!peer_is_fresh (core, peer))
-      continue;
-    heard = TRUE;
-    if (peer->status.store_served)
-      return FALSE;
-  }
-  return heard;
-}
-
-/* Up to when nobody else can have confirmed a cancellation that we have not read, or become
- * the leader: each of the other members said so, after it had heard our clock. With none,
- * there is nobody who could. */
-static double
-attested_until (const HrCore *core)
-{
-  double until = core->now;
-  if (!core->store.replica.synced_once)
-    return 0;
-  for (guint i = 0; i < core->settings->members->len; i++) {
-    const char *label = g_array_index (core->settings->members, HrMember, i).label;
-    double said = 0;
-    for (guint k = 0; k < core->membership.peers->len; k++) {
-      const HrPeer *peer = &g_array_index (core->membership.peers, HrPeer, k);
-      if (g_str_equal (peer->status.label, label))
-        said = peer->attested_at;
-    }
-    until = MIN (until, said);
-  }
-  return until;
-}
+#define MAX_ELECTION_JITTER_S 0.4
+/* A leader whose latest read is older, s, believes a peer that knows of a newer one. */
+#define UNCONFIRMED_S 1.5
 
 /* hold_s bounds how long a leader may answer without a reading, or the attestation of all other
  * members that they have none to go by either: a cut of them all, behind which workers
@@ -74,7 +30,8 @@
   if (!hr_membership_store_outage_for_all (core))
     hold = MIN (hold, core->policy.alone_s);
   return core->leadership.is_leader &&
-         core->now - MAX (core->store.replica.confirmed_at, attested_until (core)) <= hold;
+         core->now - MAX (core->store.replica.confirmed_at, hr_membership_attested_until (core)) <=
+             hold;
 }
 
 static void
@@ -100,7 +57,60 @@
   core->leadership.token_raise_wanted = FALSE;
   core->leadership.token_raise_in_flight = FALSE;
   /* Our view goes beyond the record: read everything anew. */
-  hr_replica_reset (core);
+  hr_replica_reset (&core->store);
+}
+
+void
+hr_leadership_record_changed (HrCore *core, const json_t *value, guint64 revision)
+{
+  HrLeadership *leadership = &core->leadership;
+  guint64 fencing_token = 0;
+  if (!value || revision <= leadership->record_revision)
+    return;
+  const char *label = hr_json_str (value, "o"), *incarnation = hr_json_str (value, "i");
+  if (!label || !incarnation || !hr_json_count (value, "b", G_MAXINT64, &fencing_token)) {
+    g_warning ("the leader record in the state service makes no sense; left as it was");
+    return;
+  }
+  leadership->record_revision = revision;
+  leadership->fencing_token = fencing_token;
+  g_free (leadership->leader_label);
+  g_free (leadership->leader_incarnation);
+  leadership->leader_label = g_strdup (label);
+  leadership->leader_incarnation = g_strdup (incarnation);
+}
+
+static void
+forget_lock (HrLeadership *leadership)
+{
+  g_clear_pointer (&leadership->lock_label, g_free);
+  g_clear_pointer (&leadership->lock_incarnation, g_free);
+  leadership->lock_revision = 0;
+}
+
+void
+hr_leadership_lock_changed (HrCore *core, const json_t *value, guint64 revision)
+{
+  HrLeadership *leadership = &core->leadership;
+  forget_lock (leadership);
+  if (value) {
+    leadership->lock_revision = revision;
+    leadership->lock_label = g_strdup (hr_json_str (value, "o"));
+    leadership->lock_incarnation = g_strdup (hr_json_str (value, "i"));
+    return;
+  }
+  /* Jitter, so that the members do not all try in the same instant. */
+  double wait =
+      leadership->is_leader ? 0 : g_rand_double_range (core->random, 0, MAX_ELECTION_JITTER_S);
+  leadership->next_election_at = core->now + wait;
+  leadership->leaderless_since = core->now;
+}
+
+void
+hr_leadership_listing_begins (HrCore *core)
+{
+  core->leadership.record_revision = 0;
+  forget_lock (&core->leadership);
 }
 
 /* After every reading: does the leader record name this very process? */
@@ -113,7 +123,7 @@
   if (mine && !core->leadership.is_leader)
     begin_term (core);
   else if (!mine && core->leadership.is_leader)
-    hr_leadership_step_down (core, "the map names another owner");
+    hr_leadership_step_down (core, "the leader record names another leader");
 }
 
 static char *
@@ -124,19 +134,21 @@
 }
 
 static void
-on_reread (HrCore *core, gboolean ok, gpointer data)
+on_reread (HrStore *store, gboolean ok, gpointer data)
 {
+  HrCore *core = store->core;
   core->leadership.election_in_flight = core->leadership.token_raise_in_flight = FALSE;
 }
 
 static void
-on_leader_record_written (HrCore *core, int status, json_t *body, double sent, gpointer data)
+on_leader_record_written (HrStore *store, int status, json_t *body, double sent, gpointer data)
 {
+  HrCore *core = store->core;
   if (status == 400)
     core->leadership.lock_lease_id = 0;
   core->leadership.next_election_at = core->now + g_rand_double_range (core->random, 0.3, 0.8);
   /* Won, lost or unknown: the next reading says who owns the leader record. */
-  hr_replica_read (core, on_reread, NULL);
+  hr_replica_read (&core->store, on_reread, NULL);
 }
 
 static void
@@ -170,7 +182,7 @@
     return FALSE;
   for (guint i = 0; i < core->membership.peers->len; i++) {
     const HrPeer *peer = &g_array_index (core->membership.peers, HrPeer, i);
-    if (peer_is_fresh (core, peer) && peer->status.is_leader &&
+    if (hr_membership_peer_is_fresh (core, peer) && peer->status.is_leader &&
         g_strcmp0 (peer->status.incarnation, core->leadership.leader_incarnation) == 0)
       return peer->status.store_served || core->now - core->store.replica.served_since < 2;
   }
@@ -210,8 +222,8 @@
       leader_record_text (
           core, MAX (core->leadership.fencing_token, core->leadership.resigned_token) + 1),
       0);
-  hr_transaction_submit (core, HR_TRANSACTION_USER, when, writes, 2, 2, on_leader_record_written,
-                         NULL);
+  hr_transaction_submit (&core->store, HR_TRANSACTION_USER, when, writes, 2, 2,
+                         on_leader_record_written, NULL);
 }
 
 /* A new token makes every order sent with an older one void wherever it is seen. */
@@ -236,28 +248,8 @@
   json_t *when = hr_transaction_require (json_array (), "h/map", core->leadership.record_revision);
   json_t *writes = hr_transaction_put (
       json_array (), "h/map", leader_record_text (core, core->leadership.fencing_token + 1), 0);
-  hr_transaction_submit (core, HR_TRANSACTION_USER, when, writes, 1, 2, on_leader_record_written,
-                         NULL);
-}
-
-static guint
-count_contacts (HrCore *core)
-{
-  if (core->now - core->membership.contact_window_began_at >= CONTACT_WINDOW) {
-    core->membership.contacts_in_last_window =
-        core->now - core->membership.contact_window_began_at < 2 * CONTACT_WINDOW
-            ? core->membership.contacts_in_window
-            : 0;
-    core->membership.contacts_in_window = 0;
-    core->membership.contact_window_began_at = core->now;
-  }
-  return MAX (core->membership.contacts_in_window, core->membership.contacts_in_last_window);
-}
-
-static gboolean
-is_candidate (const HrCore *core, const HrPeer *peer)
-{
-  return peer_is_fresh (core, peer) && peer->status.store_served;
+  hr_transaction_submit (&core->store, HR_TRANSACTION_USER, when, writes, 1, 2,
+                         on_leader_record_written, NULL);
 }
 
 /* A leader that hears no worker while others do stands back, early enough for the workers to
@@ -274,12 +266,12 @@
   }
   for (guint i = 0; i < core->membership.peers->len; i++) {
     HrPeer *peer = &g_array_index (core->membership.peers, HrPeer, i);
-    if (is_candidate (core, peer))
+    if (hr_membership_may_lead (core, peer))
       elsewhere = MAX (elsewhere, peer->status.worker_contacts);
   }
   /* After a cut of us all, workers may try the others first. */
   double since = MAX (core->leadership.term_began_at, core->store.replica.served_since);
-  if (up >= 2 && !heard && elsewhere >= 2 && core->now - since >= 2 * CONTACT_WINDOW)
+  if (up >= 2 && !heard && elsewhere >= 2 && core->now - since >= 2 * HR_CONTACT_WINDOW_S)
     hr_leadership_resign (core, "no worker reaches this node, others are reached");
 }
 
@@ -311,7 +303,7 @@
 {
   gboolean other = FALSE;
   for (guint i = 0; i < core->membership.peers->len; i++)
-    other |= is_candidate (core, &g_array_index (core->membership.peers, HrPeer, i));
+    other |= hr_membership_may_lead (core, &g_array_index (core->membership.peers, HrPeer, i));
   if (!other)
     return; /* better a poor leader than none */
   core->leadership.abstains_until = core->now + 15;
@@ -319,100 +311,23 @@
   hr_leadership_step_down (core, why);
 }
 
-static void
-broadcast_status (HrCore *core)
-{
-  core->membership.status_sent_at = core->now;
-  core->membership.status_due_soon = FALSE;
-  HrEffect *effect = g_new0 (HrEffect, 1);
-  effect->kind = HR_EFFECT_PEER_STATUS;
-  HrPeerStatus *status = effect->peer_status = g_new0 (HrPeerStatus, 1);
-  g_strlcpy (status->label, core->settings->label, sizeof status->label);
-  g_strlcpy (status->incarnation, core->incarnation, sizeof status->incarnation);
-  status->fencing_token = core->leadership.fencing_token;
-  status->leader_record_revision = core->leadership.record_revision;
-  status->store_served =
-      core->store.replica.synced_once && core->now - core->store.replica.confirmed_at < 2.5;
-  status->is_leader = core->leadership.is_leader;
-  status->worker_contacts = count_contacts (core);
-  status->clock = core->now;
-  status->synced = core->store.replica.synced_once;
-  status->latest_cancellation = core->cancellations.latest_revision;
-  hr_record_format_fill_status (core, status);
-  status->applied_revision = core->store.replica.applied_revision;
-  hr_cancellation_log_fill_status (core, status);
-  for (guint i = 0; i < MIN (core->membership.peers->len, HR_MAX_ECHOES); i++) {
-    const HrPeer *peer = &g_array_index (core->membership.peers, HrPeer, i);
-    HrEcho *echo = &status->echoes[status->n_echoes++];
-    g_strlcpy (echo->label, peer->status.label, sizeof echo->label);
-    g_strlcpy (echo->incarnation, peer->status.incarnation, sizeof echo->incarnation);
-    echo->clock = peer->status.clock;
-    echo->cancellations_taken = peer->cancellations_taken;
-  }
-  g_ptr_array_add (core->effects, effect);
-}
-
-/* Takes note of what a member states, and of when by our clock it was still so: that it knows
- * of no newer leader and of no cancellation that we have neither read nor been told. Whether the
- * state service serves it does not matter: what it decides or reads later is in what it states
- * later. */
-static void
-note_attestation (HrCore *core, HrPeer *peer)
-{
-  const HrPeerStatus *status = &peer->status;
-  if (!status->synced || status->fencing_token > core->leadership.fencing_token ||
-      (status->latest_cancellation > core->store.replica.applied_revision &&
-       !hr_cancellation_log_all_taken (core, peer)))
-    return;
-  for (guint i = 0; i < status->n_echoes; i++) {
-    const HrEcho *echo = &status->echoes[i];
-    if (g_str_equal (echo->label, core->settings->label) &&
-        g_str_equal (echo->incarnation, core->incarnation) && echo->clock <= core->now)
-      peer->attested_at = MAX (peer->attested_at, echo->clock);
-  }
-}
-
 void
-hr_membership_status_received (HrCore *core, const HrPeerStatus *status)
+hr_leadership_peer_status (HrCore *core, const HrPeerStatus *status)
 {
-  gboolean member = FALSE;
-  for (guint i = 0; i < core->settings->members->len; i++)
-    member |=
-        g_str_equal (g_array_index (core->settings->members, HrMember, i).label, status->label);
-  if (!member) {
-    g_info ("a status from %s, which is no member; dropped", status->label);
-    return;
-  }
-  HrPeer *peer = NULL;
-  for (guint i = 0; i < core->membership.peers->len && !peer; i++)
-    if (g_str_equal (g_array_index (core->membership.peers, HrPeer, i).status.label, status->label))
-      peer = &g_array_index (core->membership.peers, HrPeer, i);
-  if (!peer) {
-    g_array_set_size (core->membership.peers, core->membership.peers->len + 1);
-    peer = &g_array_index (core->membership.peers, HrPeer, core->membership.peers->len - 1);
-  }
-  if (strcmp (peer->status.incarnation, status->incarnation) != 0)
-    peer->cancellations_taken = 0; /* positions count anew in each process */
-  peer->status = *status;
-  peer->received_at = core->now;
-  hr_cancellation_log_take_named (core, peer);
-  hr_cancellation_log_acknowledged (core, peer);
-  note_attestation (core, peer);
-  hr_record_format_status_received (core, status);
-  /* A member that the state service serves has read a newer leader record, and we, who
-   * think we own it, have not: whoever is refused steps down at once. */
+  /* A controller that the store serves has read a newer leader record, and we, who think that we
+   * lead, have not: whoever is refused steps down at once. */
   if (core->leadership.is_leader && status->store_served &&
       status->fencing_token > core->leadership.fencing_token &&
-      core->now - core->store.replica.confirmed_at > 1.5) {
+      core->now - core->store.replica.confirmed_at > UNCONFIRMED_S) {
     core->leadership.resigned_token = core->leadership.fencing_token;
-    hr_leadership_step_down (core, "a member has read a newer map");
+    hr_leadership_step_down (core, "a member has read a newer leader record");
   }
 }
 
 void
 hr_leadership_tick (HrCore *core)
 {
-  count_contacts (core);
+  hr_membership_count_contacts (core);
   if (core->leadership.lock_lease_id &&
       core->now - core->leadership.lock_lease_renewed_at > core->policy.leader_lease_s &&
       !core->leadership.is_leader && !core->leadership.election_in_flight)
@@ -435,7 +350,4 @@
       consider_resigning (core);
     }
   }
-  if (core->now - core->membership.status_sent_at >=
-      (core->membership.status_due_soon ? STATUS_SOON_INTERVAL_S : STATUS_INTERVAL_S))
-    broadcast_status (core);
 }
--- a/src/coordination/leadership/leadership.h
+++ b/src/coordination/leadership/leadership.h
@@ -8,8 +8,13 @@
 void hr_leadership_reset (HrCore *core, const char *why);
 /* Gives the leader's key back and leaves it to others for a while. */
 void hr_leadership_resign (HrCore *core, const char *why);
-void hr_membership_status_received (HrCore *core, const HrPeerStatus *status);
 gboolean hr_leadership_may_answer (const HrCore *core);
-/* As far as other members say, the state service answers none of us. */
-gboolean hr_membership_store_outage_for_all (const HrCore *core);
 void hr_leadership_raise_token (HrCore *core, const char *why);
+/* The leader record was read. value: NULL where the key was deleted. */
+void hr_leadership_record_changed (HrCore *core, const json_t *value, guint64 revision);
+/* The leader's lock was read. value: NULL where the key was deleted, so that nobody holds it. */
+void hr_leadership_lock_changed (HrCore *core, const json_t *value, guint64 revision);
+/* The store is about to be read anew: what is known of record and lock is void. */
+void hr_leadership_listing_begins (HrCore *core);
+/* Another controller states what it knows of who leads. */
+void hr_leadership_peer_status (HrCore *core, const HrPeerStatus *status);
--- a/src/coordination/scaling/fleet.c
+++ b/src/coordination/scaling/fleet.c
@@ -9,6 +9,7 @@
 #include "coordination/scaling/instance_requests.h"
 #include "coordination/scheduling/projection.h"
 #include "coordination/state.h"
+#include "protocol/http_method.h"
 #include "protocol/json_util.h"
 #include <string.h>
 
@@ -23,9 +24,18 @@
   return TRUE;
 }
 
+void
+hr_machine_types_changed (HrCore *core, const json_t *value, guint64 revision)
+{
+  core->scaling.types_revision = value ? revision : 0;
+  if (value && !core->scaling.machine_types)
+    hr_machine_types_load (core, value);
+}
+
 static void
-on_machine_types_saved (HrCore *core, int status, json_t *body, double sent, gpointer data)
+on_machine_types_saved (HrStore *store, int status, json_t *body, double sent, gpointer data)
 {
+  HrCore *core = store->core;
   core->scaling.types_save_sent = status == 200;
 }
 
@@ -47,7 +57,7 @@
                                            "h/map", core->leadership.record_revision);
     json_t *writes =
         hr_transaction_put (json_array (), "h/types", json_dumps (body, JSON_COMPACT), 0);
-    hr_transaction_submit (core, HR_TRANSACTION_BOOKKEEPING, when, writes, 1, 2,
+    hr_transaction_submit (&core->store, HR_TRANSACTION_BOOKKEEPING, when, writes, 1, 2,
                            on_machine_types_saved, NULL);
   }
 }
@@ -153,7 +163,7 @@
     HrMachine *machine = core->scaling.fleet->pdata[i];
     const HrMachineType *type = hr_machine_type_of (core, machine);
     /* After a cut of our own: it may be up, and its worker has to find us first. */
-    if (machine->state == HR_MACHINE_BOOTING && type && hr_replica_is_served (core) &&
+    if (machine->state == HR_MACHINE_BOOTING && type && hr_replica_is_served (&core->store) &&
         core->now - machine->instance.requested_at > type->boot_s * core->policy.boot_limit &&
         core->now - core->store.replica.served_since > core->policy.silent_s)
       hr_fleet_delete (core, machine, "it does not come up");
--- a/src/coordination/scaling/instance_list.c
+++ b/src/coordination/scaling/instance_list.c
@@ -4,6 +4,7 @@
 #include "coordination/effects.h"
 #include "coordination/scaling/fleet.h"
 #include "coordination/state.h"
+#include "protocol/http_method.h"
 #include "protocol/json_util.h"
 
 static void on_list (HrCore *core, int status, json_t *body, double sent, gpointer data);
--- a/src/coordination/scaling/instance_requests.c
+++ b/src/coordination/scaling/instance_requests.c
@@ -4,6 +4,7 @@
 #include "coordination/effects.h"
 #include "coordination/scaling/fleet.h"
 #include "coordination/state.h"
+#include "protocol/http_method.h"
 #include "protocol/json_util.h"
 #include <string.h>
 
@@ -199,7 +200,7 @@
                     (core->scaling.list_is_complete &&
                      core->now - core->leadership.term_began_at > core->settings->list_lag_s);
   if (!looked || core->scaling.instances_requested || core->now < core->scaling.paused_until ||
-      !hr_replica_is_served (core))
+      !hr_replica_is_served (&core->store))
     return;
   g_autofree guint *asked = g_new0 (guint, core->names->zones.names->len + 1);
   for (guint i = 0; i < core->scaling.demand->len; i++) {
--- a/src/coordination/scheduling/dispatch.c
+++ b/src/coordination/scheduling/dispatch.c
@@ -277,7 +277,7 @@
   /* While nothing can be recorded nothing can start, so nothing is stopped to make room
    * and no machine is idle for want of work. */
   if (!core->scaling.machine_types || !hr_leadership_may_answer (core) ||
-      !hr_replica_is_served (core))
+      !hr_replica_is_served (&core->store))
     return;
   g_autoptr (GPtrArray) services = g_ptr_array_new ();
   for (guint i = 0; i < core->store.tables.open_jobs->len; i++) {
--- /dev/null
+++ b/src/protocol/http_method.c
@@ -0,0 +1,11 @@
+#include "protocol/http_method.h"
+#include <string.h>
+
+HrMethod
+hr_method_of (const char *name)
+{
+  return strcmp (name, "GET") == 0      ? HR_GET
+         : strcmp (name, "POST") == 0   ? HR_POST
+         : strcmp (name, "DELETE") == 0 ? HR_DELETE
+                                        : HR_OTHER_METHOD;
+}
--- a/src/protocol/jobspec.h
+++ b/src/protocol/jobspec.h
@@ -12,6 +12,10 @@
 } HrPriority;
 
 #define HR_MAX_TASKS 100000
+/* Bytes of a job's id, without its terminating NUL. */
+#define HR_JOB_ID_MOST 100
+/* Jobs with oversized records that one status of a controller names. */
+#define HR_MAX_OVERSIZED 4
 #define HR_MAX_BODY 65536
 /* Where users submit and ask. */
 #define HR_JOBS_PATH "/v1/jobs"
--- a/tests/test_readiness.c
+++ b/tests/test_readiness.c
@@ -98,7 +98,7 @@
       assert_true (node_opens (other, "job-2"));
       assert_false (node_opens (other, "job-3"));
       assert_string_equal (node_poll (other, "job-3"), "queued");
-      hr_replica_reset (other->core);
+      hr_replica_reset (&other->core->store);
       node_run (other, 3);
     }
     node_free (other);
@@ -154,7 +154,7 @@
   assert_null (strstr (ledger_job (store, "job-2"), "m-1"));
   ledger_done (store, "job-1");
   node_run (n, 1);
-  hr_record_writer_mark (n->core, job, 0);
+  hr_record_writer_mark (&n->core->store, job, 0);
   node_run (n, 1);
   assert_non_null (strstr (ledger_job (store, "job-2"), "m-1"));
   node_free (n);
@@ -227,7 +227,7 @@
   assert_float_equal (second->plan.deadline, last->plan.deadline - 20, 1e-3);
   assert_float_equal (first->plan.deadline, last->plan.deadline - 40, 1e-3);
   assert_true (first->plan.deadline < own);
-  hr_replica_reset (n->core);
+  hr_replica_reset (&n->core->store);
   node_run (n, 3);
   assert_int_equal (first->plan.priority, HR_PRIORITY_URGENT);
   assert_float_equal (first->plan.deadline, last->plan.deadline - 40, 1e-3);
@@ -331,7 +331,7 @@
     check_drawn (n, &drawn, gone);
     /* A later leader derives the same, whatever the order in which it reads. */
     store->backwards = round % 2;
-    hr_replica_reset (n->core);
+    hr_replica_reset (&n->core->store);
     node_run (n, 3);
     check_drawn (n, &drawn, gone);
     guint cancelled = g_rand_int_range (rand, DRAWN_JOBS / 2, DRAWN_JOBS);
