--- a/src/coordination/agents/heartbeats.c
+++ b/src/coordination/agents/heartbeats.c
@@ -315,7 +315,7 @@
 void
 hr_heartbeat_received (HrCore *core, HrCommand *command)
 {
-  if (command->method != HR_POST) {
+  if (command->request.method != HR_POST) {
     hr_core_refuse (core, command->id, 405, 0, "use POST");
     return;
   }
--- a/src/coordination/command.h
+++ b/src/coordination/command.h
@@ -57,31 +57,45 @@
   HR_COMMAND_PEER_STATUS,
   HR_COMMAND_TICK
 } HrCommandKind;
+/* What comes into the core. `kind` says which part holds. */
 typedef struct {
   HrCommandKind kind;
-  guint64 id; /* of the request, or of the call that this is the result of */
-  HrMethod method;
-  char *path;
-  GBytes *body;
-  gboolean too_large;        /* request: the body passed the limit and was not kept */
-  int status;                /* result: HTTP status, 0 when no answer came */
-  HrPeerStatus *peer_status; /* of HR_COMMAND_PEER_STATUS; else NULL: most commands are none */
+  guint64 id;   /* of the request, or of the call that this is the result of */
+  GBytes *body; /* of a request or result; NULL: none */
+  union {
+    struct {
+      HrMethod method;
+      char *path;
+      gboolean is_too_large; /* the body passed the limit and was not kept */
+    } request;
+    struct {
+      int status; /* HTTP status; 0: no answer came */
+    } result;
+    HrPeerStatus *peer_status;
+  };
 } HrCommand;
 
 typedef enum { HR_EFFECT_REPLY, HR_EFFECT_CALL, HR_EFFECT_PEER_STATUS } HrEffectKind;
+/* What goes out of the core. `kind` says which part holds. */
 typedef struct {
   HrEffectKind kind;
-  guint64 id;
-  int status;
-  int retry_after; /* s; 0: no header */
-  char *body;
-  gboolean plain; /* of a reply: its body is text, not JSON */
-  HrTarget target;
-  char *addr; /* of a worker */
-  HrMethod method;
-  char *path;
-  double timeout_s;
-  HrPeerStatus *peer_status; /* of HR_EFFECT_PEER_STATUS; else NULL */
+  guint64 id; /* of the request replied to, or of the call */
+  char *body; /* of a reply or call; NULL: none */
+  union {
+    struct {
+      int status;
+      int retry_after_s;      /* 0: no header */
+      gboolean is_plain_text; /* else JSON */
+    } reply;
+    struct {
+      HrTarget target;
+      char *address; /* of a worker; else NULL */
+      HrMethod method;
+      char *path;
+      double timeout_s;
+    } call;
+    HrPeerStatus *peer_status;
+  };
 } HrEffect;
 
 /* Adds a job's id to those named; FALSE when there is no room. */
--- a/src/coordination/effects.c
+++ b/src/coordination/effects.c
@@ -24,12 +24,12 @@
 {
   HrEffect *added = effect (core, HR_EFFECT_CALL);
   added->id = ++core->calls.last_id;
-  added->target = target;
-  added->addr = g_strdup (address);
-  added->method = method;
-  added->path = path;
+  added->call.target = target;
+  added->call.address = g_strdup (address);
+  added->call.method = method;
+  added->call.path = path;
   added->body = body;
-  added->timeout_s = timeout_s;
+  added->call.timeout_s = timeout_s;
   PendingCall *pending = g_new0 (PendingCall, 1);
   pending->sent_at = core->now;
   g_hash_table_insert (core->calls.pending, g_memdup2 (&added->id, sizeof added->id), pending);
@@ -59,8 +59,8 @@
 {
   HrEffect *added = effect (core, HR_EFFECT_REPLY);
   added->id = id;
-  added->status = status;
-  added->retry_after = retry_after;
+  added->reply.status = status;
+  added->reply.retry_after_s = retry_after;
   added->body = hr_json_take_text (body);
 }
 
@@ -69,8 +69,8 @@
 {
   HrEffect *added = effect (core, HR_EFFECT_REPLY);
   added->id = id;
-  added->status = 200;
-  added->plain = TRUE;
+  added->reply.status = 200;
+  added->reply.is_plain_text = TRUE;
   added->body = text;
 }
 
@@ -97,7 +97,7 @@
   g_autofree guint64 *id = key;
   g_autofree PendingCall *pending = val;
   json_t *body = NULL;
-  int status = command->status;
+  int status = command->result.status;
   if (command->body && g_bytes_get_size (command->body)) {
     gsize len;
     const char *data = g_bytes_get_data (command->body, &len);
--- a/src/coordination/jobs/user_requests.c
+++ b/src/coordination/jobs/user_requests.c
@@ -238,18 +238,18 @@
 void
 hr_user_request_received (HrCore *core, HrCommand *command)
 {
-  const char *text = command->path;
+  const char *text = command->request.path;
   if (strcmp (text, "/ready") == 0) {
-    if (command->method == HR_GET)
+    if (command->request.method == HR_GET)
       answer_readiness (core, command);
     else
       hr_core_refuse (core, command->id, 405, 0, "use GET");
     return;
   }
   if (strcmp (text, HR_JOBS_PATH) == 0) {
-    if (command->method != HR_POST)
+    if (command->request.method != HR_POST)
       hr_core_refuse (core, command->id, 405, 0, "use POST");
-    else if (command->too_large)
+    else if (command->request.is_too_large)
       hr_core_refuse (core, command->id, 400, 0, "the body is larger than 64 KiB");
     else
       hr_submit (core, command);
@@ -263,7 +263,7 @@
   gboolean abort = g_str_has_suffix (id, "/abort");
   if (abort)
     id[strlen (id) - strlen ("/abort")] = 0;
-  if (strchr (id, '/') || command->method != (abort ? HR_POST : HR_GET)) {
+  if (strchr (id, '/') || command->request.method != (abort ? HR_POST : HR_GET)) {
     hr_core_refuse (core, command->id, strchr (id, '/') ? 404 : 405, 0,
                     strchr (id, '/') ? "no such path"
                     : abort          ? "use POST"
--- a/src/emulator/wire.c
+++ b/src/emulator/wire.c
@@ -57,17 +57,17 @@
   }
   GUri *uri = soup_server_message_get_uri (msg);
   const char *text = g_uri_get_query (uri);
-  HrEffect effect = {.kind = HR_EFFECT_CALL, .id = ++live->calls, .target = listener->target};
-  effect.method = hr_method_of (soup_server_message_get_method (msg));
-  effect.path = g_strconcat (path, text ? "?" : NULL, text, NULL);
-  effect.addr = listener->address;
+  HrEffect effect = {.kind = HR_EFFECT_CALL, .id = ++live->calls, .call.target = listener->target};
+  effect.call.method = hr_method_of (soup_server_message_get_method (msg));
+  effect.call.path = g_strconcat (path, text ? "?" : NULL, text, NULL);
+  effect.call.address = listener->address;
   effect.body = strlen (body) ? body : NULL;
-  effect.timeout_s = CALL_S;
+  effect.call.timeout_s = CALL_S;
   g_hash_table_insert (live->pending, g_memdup2 (&effect.id, sizeof effect.id), g_object_ref (msg));
   g_signal_connect (msg, "disconnected", G_CALLBACK (on_disconnected), NULL);
   soup_server_message_pause (msg);
   node_perform (live->world, node, &effect);
-  g_free (effect.path);
+  g_free (effect.call.path);
 }
 
 /* The world answers a call; status 0: no answer comes. */
@@ -81,7 +81,7 @@
   g_autoptr (SoupServerMessage) msg = value;
   if (g_object_get_data (G_OBJECT (msg), "gone"))
     return;
-  if (!command->status) {
+  if (!command->result.status) {
     g_autoptr (GIOStream) connection = soup_server_message_steal_connection (msg);
     if (connection)
       g_io_stream_close (connection, NULL, NULL);
@@ -89,7 +89,7 @@
   }
   gsize size = 0;
   const char *text = command->body ? g_bytes_get_data (command->body, &size) : NULL;
-  soup_server_message_set_status (msg, command->status, NULL);
+  soup_server_message_set_status (msg, command->result.status, NULL);
   soup_server_message_set_response (msg, "application/json", SOUP_MEMORY_COPY, size ? text : "{}",
                                     size ? size : 2);
   soup_server_message_unpause (msg);
@@ -171,7 +171,7 @@
     return;
   }
   HrEffect effect = {
-      .kind = HR_EFFECT_REPLY, .id = asked->id, .status = soup_message_get_status (msg)};
+      .kind = HR_EFFECT_REPLY, .id = asked->id, .reply.status = soup_message_get_status (msg)};
   effect.body = g_strndup (g_bytes_get_data (bytes, NULL), g_bytes_get_size (bytes));
   if (live->world->nodes[asked->node].up)
     node_perform (live->world, asked->node, &effect);
@@ -182,9 +182,11 @@
 forward_request (Live *live, int node, const HrCommand *command)
 {
   static const char *const methods[] = {"GET", "POST", "DELETE", "PUT"};
-  g_autofree char *uri = g_strconcat ("http://", live->nodes[node].front, command->path, NULL);
+  g_autofree char *uri =
+      g_strconcat ("http://", live->nodes[node].front, command->request.path, NULL);
   Asked *asked = g_new (Asked, 1);
-  *asked = (Asked){live, node, command->id, soup_message_new (methods[command->method], uri)};
+  *asked =
+      (Asked){live, node, command->id, soup_message_new (methods[command->request.method], uri)};
   if (!asked->msg)
     g_error ("emulator: no address: %s", uri);
   if (command->body)
--- a/src/hoprockd.c
+++ b/src/hoprockd.c
@@ -49,7 +49,7 @@
   hr_core_step_took (daemon->core, (g_get_monotonic_time () - begun) / 1e6);
   for (guint i = 0; i < effects->len; i++) {
     HrEffect *effect = effects->pdata[i];
-    if (effect->plain)
+    if (effect->reply.is_plain_text)
       add_process_metrics (effect);
     if (effect->kind == HR_EFFECT_REPLY)
       hr_http_server_reply (daemon->server, effect);
--- a/src/transport/http_client.c
+++ b/src/transport/http_client.c
@@ -32,7 +32,7 @@
 {
   HrCommand *command = hr_command_new (HR_COMMAND_RESULT);
   command->id = call->id;
-  command->status = status;
+  command->result.status = status;
   command->body = body;
   call->client->sink (command, call->client->data);
 }
@@ -108,14 +108,14 @@
 hr_http_client_call (HrHttpClient *client, const HrEffect *effect)
 {
   static const char *const methods[] = {"GET", "POST", "DELETE"};
-  const char *host = effect->target == HR_TO_STORE   ? client->store
-                     : effect->target == HR_TO_CLOUD ? client->cloud
-                                                     : effect->addr;
-  g_autofree char *uri = g_strdup_printf ("http://%s%s", host, effect->path);
+  const char *host = effect->call.target == HR_TO_STORE   ? client->store
+                     : effect->call.target == HR_TO_CLOUD ? client->cloud
+                                                          : effect->call.address;
+  g_autofree char *uri = g_strdup_printf ("http://%s%s", host, effect->call.path);
   Call *call = g_new0 (Call, 1);
   call->client = client;
   call->id = effect->id;
-  call->msg = soup_message_new (methods[effect->method], uri);
+  call->msg = soup_message_new (methods[effect->call.method], uri);
   if (!call->msg) { /* an address that makes no sense, from a worker's report perhaps */
     HrCommand *command = hr_command_new (HR_COMMAND_RESULT);
     command->id = effect->id;
@@ -129,11 +129,11 @@
     soup_message_set_request_body_from_bytes (call->msg, "application/json", body);
   }
   call->cancel = g_cancellable_new ();
-  call->timer = g_timeout_add (MAX (1, (guint)(effect->timeout_s * 1000)), on_deadline, call);
-  SessionKind kind = effect->target == HR_TO_WORKER  ? S_WORKERS
-                     : effect->target == HR_TO_CLOUD ? S_CLOUD
-                     : effect->timeout_s > WATCH_S   ? S_WATCH
-                                                     : S_STORE;
+  call->timer = g_timeout_add (MAX (1, (guint)(effect->call.timeout_s * 1000)), on_deadline, call);
+  SessionKind kind = effect->call.target == HR_TO_WORKER  ? S_WORKERS
+                     : effect->call.target == HR_TO_CLOUD ? S_CLOUD
+                     : effect->call.timeout_s > WATCH_S   ? S_WATCH
+                                                          : S_STORE;
   soup_session_send_and_read_async (client->sessions[kind], call->msg, G_PRIORITY_DEFAULT,
                                     call->cancel, on_done, call);
 }
--- a/src/transport/http_server.c
+++ b/src/transport/http_server.c
@@ -139,9 +139,9 @@
     return MHD_YES;
   HrCommand *command = hr_command_new (HR_COMMAND_REQUEST);
   command->id = request->id = ++server->next;
-  command->method = hr_method_of (method);
-  command->path = g_utf8_make_valid (url, -1);
-  command->too_large = request->too_large;
+  command->request.method = hr_method_of (method);
+  command->request.path = g_utf8_make_valid (url, -1);
+  command->request.is_too_large = request->too_large;
   if (request->body)
     command->body = g_byte_array_free_to_bytes (g_steal_pointer (&request->body));
   g_hash_table_insert (server->open, &request->id, request);
@@ -235,13 +235,14 @@
     return; /* the asker is gone */
   g_hash_table_remove (server->open, &effect->id);
   const char *body = effect->body ? effect->body : "{}";
-  request->status = effect->status;
+  request->status = effect->reply.status;
   request->response =
       MHD_create_response_from_buffer (strlen (body), (void *)body, MHD_RESPMEM_MUST_COPY);
   MHD_add_response_header (request->response, "Content-Type",
-                           effect->plain ? "text/plain; version=0.0.4" : "application/json");
-  if (effect->retry_after > 0) {
-    g_autofree char *value = g_strdup_printf ("%d", effect->retry_after);
+                           effect->reply.is_plain_text ? "text/plain; version=0.0.4"
+                                                       : "application/json");
+  if (effect->reply.retry_after_s > 0) {
+    g_autofree char *value = g_strdup_printf ("%d", effect->reply.retry_after_s);
     MHD_add_response_header (request->response, "Retry-After", value);
   }
   MHD_resume_connection (request->conn);
--- a/tests/bench_core.c
+++ b/tests/bench_core.c
@@ -43,7 +43,7 @@
 {
   HrCommand *command = hr_command_new (HR_COMMAND_RESULT);
   command->id = id;
-  command->status = status;
+  command->result.status = status;
   command->body = g_bytes_new_take (text, strlen (text));
   g_ptr_array_add (bench->inbox, command);
 }
@@ -92,12 +92,12 @@
 static void
 call (Bench *bench, HrEffect *effect)
 {
-  if (effect->target == HR_TO_WORKER) {
-    obey (bench, effect->addr, effect->body);
-    answer (bench, effect->id, 200, report (bench, effect->addr));
+  if (effect->call.target == HR_TO_WORKER) {
+    obey (bench, effect->call.address, effect->body);
+    answer (bench, effect->id, 200, report (bench, effect->call.address));
     return;
   }
-  if (strcmp (effect->path, "/commit") == 0) {
+  if (strcmp (effect->call.path, "/commit") == 0) {
     json_t *object = json_loads (effect->body, 0, NULL), *workers;
     size_t i;
     bench->epoch++;
@@ -114,25 +114,26 @@
     json_decref (object);
     answer (bench, effect->id, 200,
             g_strdup_printf ("{\"epoch\":%" G_GUINT64_FORMAT "}", bench->epoch));
-  } else if (g_str_has_prefix (effect->path, "/changes?")) {
-    if (strstr (effect->path, "hold_ms=0")) {
+  } else if (g_str_has_prefix (effect->call.path, "/changes?")) {
+    if (strstr (effect->call.path, "hold_ms=0")) {
       answer (bench, effect->id, 200,
               g_strdup_printf ("{\"epoch\":%" G_GUINT64_FORMAT ",\"log\":[%s]}", bench->epoch,
                                bench->log->str));
       g_string_truncate (bench->log, 0);
     }
-  } else if (strcmp (effect->path, "/leases") == 0)
+  } else if (strcmp (effect->call.path, "/leases") == 0)
     answer (bench, effect->id, 200, g_strdup ("{\"claim\":1}"));
-  else if (g_str_has_prefix (effect->path, "/kv?"))
+  else if (g_str_has_prefix (effect->call.path, "/kv?"))
     answer (bench, effect->id, 200,
             g_strdup_printf ("{\"rows\":[],\"more\":false,\"epoch\":%" G_GUINT64_FORMAT "}",
                              bench->epoch));
-  else if (strcmp (effect->path, "/machine_types") == 0)
+  else if (strcmp (effect->call.path, "/machine_types") == 0)
     answer (bench, effect->id, 200,
             g_strdup ("{\"hulls\":[{\"sku\":\"g2\",\"vcpus\":12,\"accelerators\":2,\"memory_gb\":"
                       "96,\"cache_gb\":100,\"fetch_gb_per_s\":0.3,\"hourly\":5.0,\"low_price\":"
                       "2.0,\"startup_s\":40,\"quarries\":[\"z0\"]}]}"));
-  else if (strcmp (effect->path, "/rentals") == 0 || g_str_has_prefix (effect->path, "/rentals?"))
+  else if (strcmp (effect->call.path, "/rentals") == 0 ||
+           g_str_has_prefix (effect->call.path, "/rentals?"))
     answer (bench, effect->id, 503, g_strdup ("{\"error\":\"no capacity\"}"));
   else
     answer (bench, effect->id, 200, g_strdup ("{}"));
@@ -155,7 +156,7 @@
       HrEffect *effect = out->pdata[i];
       if (effect->kind == HR_EFFECT_CALL)
         call (bench, effect);
-      else if (effect->kind == HR_EFFECT_REPLY && machine && effect->status == 200 && first)
+      else if (effect->kind == HR_EFFECT_REPLY && machine && effect->reply.status == 200 && first)
         obey (bench, machine, effect->body);
     }
     g_ptr_array_set_size (commands, 0);
@@ -174,8 +175,8 @@
   HrCommand *command = hr_command_new (HR_COMMAND_REQUEST);
   static guint64 id;
   command->id = ++id;
-  command->method = method;
-  command->path = g_strdup (path);
+  command->request.method = method;
+  command->request.path = g_strdup (path);
   command->body = body ? g_bytes_new_take (body, strlen (body)) : NULL;
   g_ptr_array_add (queue, command);
   step (bench, queue, figure, machine);
--- a/tests/script.c
+++ b/tests/script.c
@@ -53,8 +53,8 @@
     n->hinted = TRUE;
   } else if (effect->kind == HR_EFFECT_REPLY) {
     ScriptReply *reply = g_new0 (ScriptReply, 1);
-    reply->status = effect->status;
-    reply->retry_after = effect->retry_after;
+    reply->status = effect->reply.status;
+    reply->retry_after = effect->reply.retry_after_s;
     reply->body = json_loads (effect->body, JSON_DECODE_ANY, NULL);
     reply->at = script->now;
     g_hash_table_insert (n->replies, g_memdup2 (&effect->id, sizeof effect->id), reply);
@@ -63,13 +63,13 @@
     call->node = node;
     call->process = n->process;
     call->id = effect->id;
-    call->target = effect->target;
-    call->method = effect->method;
-    call->addr = g_strdup (effect->addr);
-    call->path = g_strdup (effect->path);
+    call->target = effect->call.target;
+    call->method = effect->call.method;
+    call->addr = g_strdup (effect->call.address);
+    call->path = g_strdup (effect->call.path);
     call->body = g_strdup (effect->body);
     call->sent = script->now;
-    call->timeout = effect->timeout_s;
+    call->timeout = effect->call.timeout_s;
     for (guint i = 0; i < script->holds->len; i++) {
       ScriptHold *held = script->holds->pdata[i];
       call->held |= matches (call, held->node, held->path, held->text);
@@ -125,7 +125,7 @@
   guint at;
   HrCommand *command = hr_command_new (HR_COMMAND_RESULT);
   command->id = call->id;
-  command->status = status;
+  command->result.status = status;
   if (body)
     command->body = g_bytes_new (body, strlen (body));
   int node = call->node;
@@ -300,8 +300,8 @@
 {
   HrCommand *command = hr_command_new (HR_COMMAND_REQUEST);
   guint64 id = command->id = ++script->next_request;
-  command->method = method;
-  command->path = g_strdup (path);
+  command->request.method = method;
+  command->request.path = g_strdup (path);
   command->body = body ? g_bytes_new (body, strlen (body)) : NULL;
   script_step (script, node, command);
   return id;
--- a/tests/scripted.c
+++ b/tests/scripted.c
@@ -9,7 +9,7 @@
 {
   HrCommand *command = hr_command_new (HR_COMMAND_RESULT);
   command->id = id;
-  command->status = status;
+  command->result.status = status;
   if (text)
     command->body = g_bytes_new_take (text, strlen (text));
   g_ptr_array_add (script->inbox, command);
@@ -95,9 +95,9 @@
 static void
 changes (Script *script, const HrEffect *call)
 {
-  if (!strstr (call->path, "hold_ms=0"))
+  if (!strstr (call->call.path, "hold_ms=0"))
     return; /* watches stay open */
-  guint64 after = g_ascii_strtoull (strstr (call->path, "after=") + 6, NULL, 10);
+  guint64 after = g_ascii_strtoull (strstr (call->call.path, "after=") + 6, NULL, 10);
   GString *text = g_string_new (NULL);
   g_string_printf (text, "{\"epoch\":%" G_GUINT64_FORMAT ",\"log\":[", script->epoch);
   const char *sep = "";
@@ -119,19 +119,19 @@
   g_autofree char *settings =
       g_strdup_printf ("\"set\":\"%s\"", script->watched ? script->watched : "");
   script->watched_writes +=
-      strcmp (call->path, "/commit") == 0 && strstr (call->body, settings) != NULL;
+      strcmp (call->call.path, "/commit") == 0 && strstr (call->body, settings) != NULL;
   if (!script->served)
     answer (script, call->id, 503, g_strdup ("{\"error\":\"trouble\"}"));
-  else if (strcmp (call->path, "/commit") == 0)
+  else if (strcmp (call->call.path, "/commit") == 0)
     commit (script, call);
-  else if (g_str_has_prefix (call->path, "/changes?"))
+  else if (g_str_has_prefix (call->call.path, "/changes?"))
     changes (script, call);
-  else if (strcmp (call->path, "/leases") == 0)
+  else if (strcmp (call->call.path, "/leases") == 0)
     answer (script, call->id, 200, g_strdup ("{\"claim\":1}"));
-  else if (g_str_has_prefix (call->path, "/kv?"))
+  else if (g_str_has_prefix (call->call.path, "/kv?"))
     answer (script, call->id, 200, g_strdup ("{\"rows\":[],\"more\":false,\"epoch\":1}"));
-  else if (g_str_has_prefix (call->path, "/kv/")) {
-    json_t *object = latest (script, call->path + strlen ("/kv/"));
+  else if (g_str_has_prefix (call->call.path, "/kv/")) {
+    json_t *object = latest (script, call->call.path + strlen ("/kv/"));
     answer (script, call->id, object ? 200 : 404,
             object ? json_dumps (object, JSON_COMPACT) : g_strdup ("{}"));
     json_decref (object);
@@ -142,7 +142,7 @@
 static void
 cloud (Script *script, const HrEffect *call)
 {
-  if (strcmp (call->path, "/machine_types") == 0)
+  if (strcmp (call->call.path, "/machine_types") == 0)
     answer (script, call->id, 200,
             g_strdup ("{\"hulls\":[{\"sku\":\"g2\",\"vcpus\":12,\"accelerators\":2,\"memory_gb\":"
                       "96,\"cache_gb\":100,\"fetch_gb_per_s\":1,\"hourly\":5.0,\"startup_s\":40,"
@@ -206,12 +206,12 @@
     script->said = *effect->peer_status;
     script->hint_at = script->now;
   } else if (effect->kind == HR_EFFECT_REPLY) {
-    script->status = effect->status;
+    script->status = effect->reply.status;
     g_free (script->answer);
     script->answer = g_strdup (effect->body);
-  } else if (effect->target == HR_TO_STORE)
+  } else if (effect->call.target == HR_TO_STORE)
     store (script, effect);
-  else if (effect->target == HR_TO_CLOUD)
+  else if (effect->call.target == HR_TO_CLOUD)
     cloud (script, effect);
   else
     worker (script, effect);
@@ -277,8 +277,8 @@
   static guint64 id;
   HrCommand *command = hr_command_new (HR_COMMAND_REQUEST);
   command->id = ++id;
-  command->method = method;
-  command->path = g_strdup (path);
+  command->request.method = method;
+  command->request.path = g_strdup (path);
   command->body = body ? g_bytes_new_take (body, strlen (body)) : NULL;
   script->status = 0;
   step (script, command);
--- a/tests/sim/digest.c
+++ b/tests/sim/digest.c
@@ -34,14 +34,17 @@
 void
 sim_digest_add (SimDigest *digest, double now, int node, const HrEffect *effect)
 {
+  static const HrEffect none;
+  const HrEffect *reply = effect->kind == HR_EFFECT_REPLY ? effect : &none;
+  const HrEffect *call = effect->kind == HR_EFFECT_CALL ? effect : &none;
   digest->effects++;
-  g_autofree char *head =
-      g_strdup_printf ("%.6f c%d %d %" G_GUINT64_FORMAT " %d %d %d %d %d %.6f", now, node,
-                       effect->kind, effect->id, effect->status, effect->retry_after, effect->plain,
-                       effect->target, effect->method, effect->timeout_s);
+  g_autofree char *head = g_strdup_printf (
+      "%.6f c%d %d %" G_GUINT64_FORMAT " %d %d %d %d %d %.6f", now, node, effect->kind, effect->id,
+      reply->reply.status, reply->reply.retry_after_s, reply->reply.is_plain_text,
+      call->call.target, call->call.method, call->call.timeout_s);
   add_text (digest, head);
-  add_text (digest, effect->addr);
-  add_text (digest, effect->path);
+  add_text (digest, call->call.address);
+  add_text (digest, call->call.path);
   add_text (digest, effect->body);
   guint8 frame[HR_MAX_FRAME];
   if (effect->kind == HR_EFFECT_PEER_STATUS)
--- a/tests/sim/lone_node.c
+++ b/tests/sim/lone_node.c
@@ -168,7 +168,7 @@
 {
   HrCommand *command = hr_command_new (HR_COMMAND_RESULT);
   command->id = id;
-  command->status = status;
+  command->result.status = status;
   command->body = g_bytes_new_take (text, strlen (text));
   g_ptr_array_add (n->inbox, command);
 }
@@ -178,20 +178,20 @@
 {
   Ledger *store = n->ledger;
   char *text = NULL;
-  if (effect->target == HR_TO_CLOUD)
-    result (n, effect->id, strcmp (effect->path, "/machine_types") == 0 ? 200 : 503,
+  if (effect->call.target == HR_TO_CLOUD)
+    result (n, effect->id, strcmp (effect->call.path, "/machine_types") == 0 ? 200 : 503,
             g_strdup (TYPES));
   else if (store->down)
     result (n, effect->id, 503, g_strdup ("{}"));
-  else if (g_str_has_prefix (effect->path, "/kv?"))
+  else if (g_str_has_prefix (effect->call.path, "/kv?"))
     result (n, effect->id, 200, changes (store, 0, TRUE));
-  else if (g_str_has_prefix (effect->path, "/leases"))
+  else if (g_str_has_prefix (effect->call.path, "/leases"))
     result (n, effect->id, 200, g_strdup ("{\"claim\":1}"));
-  else if (strcmp (effect->path, "/commit") == 0) {
+  else if (strcmp (effect->call.path, "/commit") == 0) {
     int status = commit (store, effect->body, &text);
     result (n, effect->id, status, text);
-  } else if (g_str_has_suffix (effect->path, "hold_ms=0")) {
-    const char *after = strstr (effect->path, "after=") + strlen ("after=");
+  } else if (g_str_has_suffix (effect->call.path, "hold_ms=0")) {
+    const char *after = strstr (effect->call.path, "after=") + strlen ("after=");
     result (n, effect->id, 200, changes (store, g_ascii_strtoull (after, NULL, 10), FALSE));
   } /* a watch stays open */
 }
@@ -210,7 +210,7 @@
       call (n, effect);
     else if (effect->kind == HR_EFFECT_REPLY) {
       g_hash_table_insert (n->answers, g_memdup2 (&effect->id, sizeof effect->id),
-                           GINT_TO_POINTER (effect->status));
+                           GINT_TO_POINTER (effect->reply.status));
       json_decref (n->body);
       n->body = effect->body ? json_loads (effect->body, 0, NULL) : NULL;
     }
@@ -232,8 +232,8 @@
   guint64 id = ++n->next;
   gpointer status = NULL;
   command->id = id;
-  command->method = method;
-  command->path = g_strdup (path);
+  command->request.method = method;
+  command->request.path = g_strdup (path);
   command->body = body ? g_bytes_new_take (body, strlen (body)) : NULL;
   g_ptr_array_add (n->inbox, command);
   for (guint i = 0; i < 600 && !status; i++) {
--- a/tests/sim/messages.c
+++ b/tests/sim/messages.c
@@ -60,7 +60,7 @@
       if (n->up && n->gen == request->gen) {
         HrCommand *command = hr_command_new (HR_COMMAND_RESULT);
         command->id = request->call;
-        command->status = answer->status;
+        command->result.status = answer->status;
         if (request->target == HR_TO_STORE && answer->status == 200)
           served (world, request, answer->body);
         if (request->target == HR_TO_STORE && strcmp (request->path, "/commit") == 0)
@@ -178,8 +178,8 @@
     else {
       HrCommand *command = hr_command_new (HR_COMMAND_REQUEST);
       command->id = ++n->next;
-      command->method = request->method;
-      command->path = g_strdup (request->path);
+      command->request.method = request->method;
+      command->request.path = g_strdup (request->path);
       command->body = request->body ? g_bytes_new (request->body, strlen (request->body)) : NULL;
       guint64 *key = g_new (guint64, 1);
       *key = command->id;
--- a/tests/sim/world.c
+++ b/tests/sim/world.c
@@ -99,9 +99,9 @@
   if (effect->kind == HR_EFFECT_REPLY) {
     Req *request = g_hash_table_lookup (n->open, &effect->id);
     if (request) {
-      if (effect->status >= 500 && effect->status != 503)
-        w_broken (world, "status", "%s answered %d", request->path, effect->status);
-      if (effect->status == 200 && strcmp (request->path, "/hello") == 0) {
+      if (effect->reply.status >= 500 && effect->reply.status != 503)
+        w_broken (world, "status", "%s answered %d", request->path, effect->reply.status);
+      if (effect->reply.status == 200 && strcmp (request->path, "/hello") == 0) {
         node_check_launches (world, i, effect->body);
         node_check_order (world, i, effect->id, request->body, effect->body);
         if (!request->answered)
@@ -109,32 +109,32 @@
         troubles_reply (world, i, effect->body);
       }
       /* A leader that has not read what others decided may have been replaced. */
-      if (effect->status == 200 && strcmp (request->path, "/hello") == 0 && !request->answered &&
-          n->behind_at && world->now - n->behind_at > world->pol.hold_s + 3)
+      if (effect->reply.status == 200 && strcmp (request->path, "/hello") == 0 &&
+          !request->answered && n->behind_at && world->now - n->behind_at > world->pol.hold_s + 3)
         w_broken (world, "hold",
                   "c%d answers a worker %.1f s after another decided what it has not read", i,
                   world->now - n->behind_at);
       /* Others lead by then; workers that still hear this one do not look for them. */
-      if (effect->status == 200 && strcmp (request->path, "/hello") == 0 && !request->answered &&
-          node_alone (world, i))
+      if (effect->reply.status == 200 && strcmp (request->path, "/hello") == 0 &&
+          !request->answered && node_alone (world, i))
         w_broken (world, "alone", "c%d answers a worker %.1f s after it was cut off", i,
                   world->now - n->alone_at);
-      w_answer (world, request, effect->status, g_strdup (effect->body));
+      w_answer (world, request, effect->reply.status, g_strdup (effect->body));
       g_hash_table_remove (n->open, &effect->id);
     }
   } else if (effect->kind == HR_EFFECT_CALL) {
-    if (effect->target == HR_TO_WORKER)
+    if (effect->call.target == HR_TO_WORKER)
       node_check_launches (world, i, effect->body);
     Req *request = g_new0 (Req, 1);
     request->node = i;
     request->gen = n->gen;
     request->call = effect->id;
-    request->target = effect->target;
-    request->addr = g_strdup (effect->addr);
-    request->method = effect->method;
-    request->path = g_strdup (effect->path);
+    request->target = effect->call.target;
+    request->addr = g_strdup (effect->call.address);
+    request->method = effect->call.method;
+    request->path = g_strdup (effect->call.path);
     request->body = g_strdup (effect->body);
-    request->timeout = effect->timeout_s;
+    request->timeout = effect->call.timeout_s;
     request->machine = -1;
     request->refs = 1;
     req_send (world, request);
--- a/tests/test_replica.c
+++ b/tests/test_replica.c
@@ -71,11 +71,11 @@
 {
   for (guint i = 0; i < rig->out->len; i++) {
     HrEffect *effect = rig->out->pdata[i];
-    if (effect->kind != HR_EFFECT_CALL || !g_str_has_prefix (effect->path, path))
+    if (effect->kind != HR_EFFECT_CALL || !g_str_has_prefix (effect->call.path, path))
       continue;
     HrCommand *command = hr_command_new (HR_COMMAND_RESULT);
     command->id = effect->id;
-    command->status = 200;
+    command->result.status = 200;
     command->body = g_bytes_new (body, strlen (body));
     g_ptr_array_remove_index (rig->out, i);
     step (rig, command);
@@ -90,13 +90,13 @@
 {
   HrCommand *command = hr_command_new (HR_COMMAND_REQUEST);
   command->id = 77;
-  command->method = HR_GET;
-  command->path = g_strdup ("/v1/jobs/" JOB);
+  command->request.method = HR_GET;
+  command->request.path = g_strdup ("/v1/jobs/" JOB);
   rig->now += 2; /* no reading is out by then */
   step (rig, command);
   for (guint i = 0; i < rig->out->len; i++) { /* the watch stays open */
     HrEffect *effect = rig->out->pdata[i];
-    if (effect->kind == HR_EFFECT_CALL && strstr (effect->path, "hold_ms=10000"))
+    if (effect->kind == HR_EFFECT_CALL && strstr (effect->call.path, "hold_ms=10000"))
       g_ptr_array_remove_index (rig->out, i--);
   }
   answer (rig, "/changes", changes);
@@ -105,7 +105,8 @@
     if (effect->kind != HR_EFFECT_REPLY || effect->id != 77)
       continue;
     json_t *object = json_loads (effect->body, 0, NULL);
-    int n = effect->status == 200 ? json_integer_value (json_object_get (object, "done")) : -1;
+    int n =
+        effect->reply.status == 200 ? json_integer_value (json_object_get (object, "done")) : -1;
     json_decref (object);
     g_ptr_array_remove_index (rig->out, i);
     return n;
@@ -241,13 +242,13 @@
   answer (&rig, "/kv?", rows);
   HrCommand *command = hr_command_new (HR_COMMAND_REQUEST);
   command->id = 78;
-  command->method = HR_POST;
-  command->path = g_strdup ("/v1/jobs/" JOB "/abort");
+  command->request.method = HR_POST;
+  command->request.path = g_strdup ("/v1/jobs/" JOB "/abort");
   rig.now += 2;
   step (&rig, command);
   for (guint i = 0; i < rig.out->len; i++) { /* the watch stays open */
     HrEffect *effect = rig.out->pdata[i];
-    if (effect->kind == HR_EFFECT_CALL && strstr (effect->path, "hold_ms=10000"))
+    if (effect->kind == HR_EFFECT_CALL && strstr (effect->call.path, "hold_ms=10000"))
       g_ptr_array_remove_index (rig.out, i--);
   }
   answer (&rig, "/changes", LOG ("", "20"));
@@ -256,10 +257,11 @@
   guint named = 0;
   for (guint i = 0; i < rig.out->len; i++) {
     HrEffect *effect = rig.out->pdata[i];
-    assert_false (effect->kind == HR_EFFECT_CALL && g_str_has_prefix (effect->path, "/commit"));
+    assert_false (effect->kind == HR_EFFECT_CALL &&
+                  g_str_has_prefix (effect->call.path, "/commit"));
     if (effect->kind == HR_EFFECT_REPLY && effect->id == 78) {
-      status = effect->status;
-      retry_after = effect->retry_after;
+      status = effect->reply.status;
+      retry_after = effect->reply.retry_after_s;
     }
     named += effect->kind == HR_EFFECT_PEER_STATUS && effect->peer_status->n_oversized == 1 &&
              strcmp (effect->peer_status->oversized[0], JOB) == 0;
--- a/tests/test_requests.c
+++ b/tests/test_requests.c
@@ -185,9 +185,9 @@
   /* One that passes the limit reaches the core without its body. */
   HrCommand *command = hr_command_new (HR_COMMAND_REQUEST);
   command->id = ++script->next_request;
-  command->method = HR_POST;
-  command->path = g_strdup (HR_JOBS_PATH);
-  command->too_large = TRUE;
+  command->request.method = HR_POST;
+  command->request.path = g_strdup (HR_JOBS_PATH);
+  command->request.is_too_large = TRUE;
   script_step (script, 1, command);
   assert_int_equal (script_status (script, 1, script->next_request), 400);
   /* Within the limit, and with fields that nobody knows. */
--- a/tests/test_transport.c
+++ b/tests/test_transport.c
@@ -24,14 +24,14 @@
 {
   Probe *probe = data;
   if (command->kind == HR_COMMAND_RESULT) {
-    probe->status = command->status;
+    probe->status = command->result.status;
     if (probe->results < G_N_ELEMENTS (probe->result_at))
       probe->result_at[probe->results] = g_get_monotonic_time () / 1e6;
     probe->results++;
     hr_command_free (command);
   } else {
     probe->requests++;
-    probe->too_large = command->too_large;
+    probe->too_large = command->request.is_too_large;
     g_ptr_array_add (probe->queue, command);
   }
 }
@@ -46,12 +46,12 @@
   for (guint i = 0; i < probe->queue->len; i++) {
     HrCommand *command = probe->queue->pdata[i];
     HrEffect effect = {
-        .kind = HR_EFFECT_REPLY, .id = command->id, .status = 200, .body = "{\"ok\":true}"};
-    if (command->too_large)
-      effect.status = 400;
-    if (strcmp (command->path, "/busy") == 0) {
-      effect.status = 503;
-      effect.retry_after = 7;
+        .kind = HR_EFFECT_REPLY, .id = command->id, .reply.status = 200, .body = "{\"ok\":true}"};
+    if (command->request.is_too_large)
+      effect.reply.status = 400;
+    if (strcmp (command->request.path, "/busy") == 0) {
+      effect.reply.status = 503;
+      effect.reply.retry_after_s = 7;
     }
     hr_http_server_reply (probe->server, &effect);
   }
@@ -212,7 +212,7 @@
   probe.hold = FALSE;
   spin (&probe, 0.05);
   /* An id that is no longer known. */
-  HrEffect effect = {.kind = HR_EFFECT_REPLY, .id = 1, .status = 200, .body = "{}"};
+  HrEffect effect = {.kind = HR_EFFECT_REPLY, .id = 1, .reply.status = 200, .body = "{}"};
   hr_http_server_reply (probe.server, &effect);
   stop (&probe);
 }
@@ -256,10 +256,10 @@
   static guint64 id;
   HrEffect effect = {.kind = HR_EFFECT_CALL,
                      .id = ++id,
-                     .target = HR_TO_STORE,
-                     .method = HR_GET,
-                     .path = "/changes",
-                     .timeout_s = timeout};
+                     .call.target = HR_TO_STORE,
+                     .call.method = HR_GET,
+                     .call.path = "/changes",
+                     .call.timeout_s = timeout};
   hr_http_client_call (client, &effect);
 }
 
