--- a/src/bookkeeping/garbage_collection.c
+++ b/src/bookkeeping/garbage_collection.c
@@ -4,11 +4,13 @@
 #include "bookkeeping/garbage_collection.h"
 #include "bookkeeping/replica.h"
 #include "bookkeeping/store.h"
+#include "bookkeeping/store_keys.h"
 #include "bookkeeping/tables.h"
 #include "bookkeeping/transactions.h"
 #include "protocol/json_util.h"
 
 #define PAGES_PER_TRANSACTION 4 /* of the changes that a transaction may hold */
+#define DELETE_TIMEOUT_S 2.0
 
 void
 hr_garbage_add_page (HrStore *store, const HrJob *job, guint tasks_per_page, guint page)
@@ -68,19 +70,18 @@
       !hr_replica_is_served (store) ||
       store->transactions.allowance.tokens < store->transactions.allowance.burst * 0.8)
     return;
-  json_t *writes = json_array ();
+  g_autoptr (HrTransaction) transaction = hr_transaction_new ();
+  hr_transaction_require (transaction, HR_STORE_KEY_LEADER_RECORD,
+                          store->events->leader_record_revision (store->core));
   GArray *batch = g_array_new (FALSE, FALSE, sizeof (HrObsoletePage));
   g_array_append_vals (batch, store->garbage.pages->data, n);
   for (guint i = 0; i < n; i++) {
     const HrObsoletePage *obsolete = &g_array_index (batch, HrObsoletePage, i);
     const HrJob *job = store->tables.jobs->pdata[obsolete->job];
     g_autofree char *key = hr_record_page_key_of (job, obsolete->tasks_per_page, obsolete->page);
-    json_array_append_new (writes, json_pack ("{ss}", "delete", key));
+    hr_transaction_delete (transaction, key);
   }
   store->garbage.deletion_in_flight = TRUE;
-  hr_transaction_submit (
-      store, HR_TRANSACTION_BOOKKEEPING,
-      hr_transaction_require (json_array (), "h/map",
-                              store->events->leader_record_revision (store->core)),
-      writes, n, 2, on_pages_deleted, batch);
+  hr_transaction_submit (store, HR_TRANSACTION_BOOKKEEPING, transaction, DELETE_TIMEOUT_S,
+                         on_pages_deleted, batch);
 }
--- a/src/bookkeeping/record_format.c
+++ b/src/bookkeeping/record_format.c
@@ -5,6 +5,7 @@
 #include "bookkeeping/record_layout.h"
 #include "bookkeeping/record_split.h"
 #include "bookkeeping/store.h"
+#include "bookkeeping/store_keys.h"
 #include "bookkeeping/tables.h"
 #include "bookkeeping/token_bucket.h"
 #include "bookkeeping/transactions.h"
@@ -13,7 +14,6 @@
 #include "protocol/settings.h"
 #include <string.h>
 
-#define FORMAT_KEY "h/format"
 #define FORMAT_RETRY_S 0.5
 #define FORMAT_TIMEOUT_S 2.0
 
@@ -67,13 +67,13 @@
       !store->events->peers_support_format (store->core, store->format.supported))
     return;
   store->format.write_in_flight = TRUE;
-  json_t *when = hr_transaction_require (json_array (), "h/map",
-                                         store->events->leader_record_revision (store->core));
-  hr_transaction_require (when, FORMAT_KEY, store->format.revision);
-  json_t *writes = hr_transaction_put (
-      json_array (), FORMAT_KEY,
-      hr_json_take_text (json_pack ("{si}", "f", (int)store->format.supported)), 0);
-  hr_transaction_submit (store, HR_TRANSACTION_USER, when, writes, 1, FORMAT_TIMEOUT_S, on_recorded,
+  g_autoptr (HrTransaction) transaction = hr_transaction_new ();
+  hr_transaction_require (transaction, HR_STORE_KEY_LEADER_RECORD,
+                          store->events->leader_record_revision (store->core));
+  hr_transaction_require (transaction, HR_STORE_KEY_RECORD_FORMAT, store->format.revision);
+  hr_transaction_put (transaction, HR_STORE_KEY_RECORD_FORMAT,
+                      hr_json_take_text (json_pack ("{si}", "f", (int)store->format.supported)));
+  hr_transaction_submit (store, HR_TRANSACTION_USER, transaction, FORMAT_TIMEOUT_S, on_recorded,
                          NULL);
 }
 
--- a/src/bookkeeping/record_split.c
+++ b/src/bookkeeping/record_split.c
@@ -13,6 +13,7 @@
 #include "bookkeeping/record_writer.h"
 #include "bookkeeping/replica.h"
 #include "bookkeeping/store.h"
+#include "bookkeeping/store_keys.h"
 #include "bookkeeping/tables.h"
 #include "bookkeeping/transactions.h"
 #include "protocol/json_util.h"
@@ -36,7 +37,7 @@
   gboolean writes_main_record; /* and the main record */
   guint attempts;
   char *tag;
-  json_t *conditions, *writes;
+  HrTransaction *transaction; /* the step under way; NULL: none */
 } Split;
 
 static void next_step (HrStore *store, Split *split);
@@ -124,8 +125,7 @@
 static void
 step_clear (Split *split)
 {
-  g_clear_pointer (&split->conditions, json_decref);
-  g_clear_pointer (&split->writes, json_decref);
+  g_clear_pointer (&split->transaction, hr_transaction_unref);
 }
 
 static void
@@ -235,10 +235,8 @@
 static void
 send_step (HrStore *store, Split *split)
 {
-  hr_transaction_submit (store, HR_TRANSACTION_LAUNCH, json_incref (split->conditions),
-                         json_incref (split->writes),
-                         split->end_page - split->first_page + split->writes_main_record,
-                         SPLIT_TIMEOUT_S, on_step, split);
+  hr_transaction_submit (store, HR_TRANSACTION_LAUNCH, split->transaction, SPLIT_TIMEOUT_S, on_step,
+                         split);
 }
 
 static void
@@ -247,8 +245,8 @@
   g_autofree char *key = hr_record_page_key_of (job, split->tasks_per_page, split->end_page);
   const HrStagedPage *known =
       hr_record_split_staged_page (job, split->tasks_per_page, split->end_page);
-  hr_transaction_require (split->conditions, key, known ? known->revision : 0);
-  hr_transaction_put (split->writes, key, text, 0);
+  hr_transaction_require (split->transaction, key, known ? known->revision : 0);
+  hr_transaction_put (split->transaction, key, text);
   split->end_page++;
 }
 
@@ -259,10 +257,9 @@
   after.record.tasks_per_page = split->tasks_per_page;
   after.record.sized_page_keys = TRUE;
   g_autofree char *key = hr_job_record_key (job);
-  hr_transaction_put (split->writes, key,
+  hr_transaction_put (split->transaction, key,
                       hr_record_main (&after, store->names, &store->tables.machine_ids, job->state,
-                                      split->tag, FALSE),
-                      0);
+                                      split->tag, FALSE));
   split->writes_main_record = TRUE;
 }
 
@@ -277,14 +274,13 @@
   step_clear (split);
   g_free (split->tag);
   split->tag = store->events->new_tag (store->core);
-  split->conditions = json_array ();
-  split->writes = json_array ();
+  split->transaction = hr_transaction_new ();
   split->first_page = split->end_page;
   split->writes_main_record = FALSE; /* an earlier attempt may have come to its last step */
   g_autofree char *key = hr_job_record_key (job);
-  hr_transaction_require (split->conditions, "h/map",
+  hr_transaction_require (split->transaction, HR_STORE_KEY_LEADER_RECORD,
                           store->events->leader_record_revision (store->core));
-  hr_transaction_require (split->conditions, key, split->base_revision);
+  hr_transaction_require (split->transaction, key, split->base_revision);
   while (split->end_page < split->n_pages && split->end_page - split->first_page < ops) {
     char *text =
         hr_record_page_of (job, split->end_page * split->tasks_per_page, split->tasks_per_page,
--- a/src/bookkeeping/record_writer.c
+++ b/src/bookkeeping/record_writer.c
@@ -8,6 +8,7 @@
 #include "bookkeeping/replica.h"
 #include "bookkeeping/replica_changes.h"
 #include "bookkeeping/store.h"
+#include "bookkeeping/store_keys.h"
 #include "bookkeeping/tables.h"
 #include "bookkeeping/transactions.h"
 #include "protocol/http_method.h"
@@ -23,7 +24,7 @@
   guint32 job, page;
   guint replica_generation;
   char *tag;
-  json_t *conditions, *writes;
+  HrTransaction *transaction;
   HrTransactionKind kind;
   gsize bytes; /* of the value */
 } Write;
@@ -34,8 +35,7 @@
 write_free (Write *write)
 {
   g_free (write->tag);
-  json_decref (write->conditions);
-  json_decref (write->writes);
+  hr_transaction_unref (write->transaction);
   g_free (write);
 }
 
@@ -265,8 +265,8 @@
 static void
 send_write (HrStore *store, Write *write)
 {
-  hr_transaction_submit (store, write->kind, json_incref (write->conditions),
-                         json_incref (write->writes), 1, WRITE_TIMEOUT_S, on_written, write);
+  hr_transaction_submit (store, write->kind, write->transaction, WRITE_TIMEOUT_S, on_written,
+                         write);
 }
 
 static void
@@ -314,8 +314,7 @@
   write->replica_generation = store->replica.generation;
   write->bytes = bytes;
   write->tag = g_steal_pointer (&tag);
-  write->conditions = json_array ();
-  write->writes = json_array ();
+  write->transaction = hr_transaction_new ();
   /* Those that await the job start once its end is recorded. */
   gboolean awaited =
       job->dependencies.dependents && job->state == HR_JOB_QUEUED && job->n_done == job->n_tasks;
@@ -323,15 +322,15 @@
   page->write_tag = g_strdup (write->tag);
   page->write_is_final = done || gone;
   g_autofree char *key = hr_job_record_key (job);
-  hr_transaction_require (write->conditions, "h/map",
+  hr_transaction_require (write->transaction, HR_STORE_KEY_LEADER_RECORD,
                           store->events->leader_record_revision (store->core));
-  hr_transaction_require (write->conditions, key, job->record.revision);
+  hr_transaction_require (write->transaction, key, job->record.revision);
   if (page->write_is_final || !job->record.tasks_per_page)
-    hr_transaction_put (write->writes, key, text, 0);
+    hr_transaction_put (write->transaction, key, text);
   else {
     g_autofree char *pkey = hr_record_page_key (job, n);
-    hr_transaction_require (write->conditions, pkey, page->revision);
-    hr_transaction_put (write->writes, pkey, text, 0);
+    hr_transaction_require (write->transaction, pkey, page->revision);
+    hr_transaction_put (write->transaction, pkey, text);
   }
   send_write (store, write);
 }
--- a/src/bookkeeping/replica.c
+++ b/src/bookkeeping/replica.c
@@ -5,12 +5,12 @@
 #include "bookkeeping/record_split.h"
 #include "bookkeeping/replica_changes.h"
 #include "bookkeeping/store.h"
+#include "bookkeeping/store_keys.h"
 #include "bookkeeping/tables.h"
 #include "protocol/http_method.h"
 #include "protocol/json_util.h"
 #include <string.h>
 
-#define PREFIX "h/"
 #define READ_TIMEOUT_S 2.0
 /* Readings come every second; after a longer gap this node was not served. */
 #define UNSERVED_S 4.0
@@ -74,9 +74,9 @@
 request_list_page (HrStore *store)
 {
   char *path = store->replica.list_cursor
-                   ? g_strdup_printf ("/kv?starts=" PREFIX "&after=%s&limit=1000",
+                   ? g_strdup_printf ("/kv?starts=" HR_STORE_KEYS "&after=%s&limit=1000",
                                       store->replica.list_cursor)
-                   : g_strdup ("/kv?starts=" PREFIX "&limit=1000");
+                   : g_strdup ("/kv?starts=" HR_STORE_KEYS "&limit=1000");
   store->events->call (store->core, HR_GET, path, NULL, 5, on_list_page,
                        GUINT_TO_POINTER (store->replica.generation));
 }
@@ -251,15 +251,15 @@
     store->replica.read_sent_at = store->now;
     store->events->call (
         store->core, HR_GET,
-        g_strdup_printf ("/changes?starts=" PREFIX "&after=%" G_GUINT64_FORMAT "&hold_ms=0",
+        g_strdup_printf ("/changes?starts=" HR_STORE_KEYS "&after=%" G_GUINT64_FORMAT "&hold_ms=0",
                          store->replica.applied_revision),
         NULL, READ_TIMEOUT_S, on_read_answer, GUINT_TO_POINTER (store->replica.generation));
   }
   if (!store->replica.watch_in_flight && store->now >= store->replica.next_watch_at) {
     store->replica.watch_in_flight = TRUE;
     store->events->call (store->core, HR_GET,
-                         g_strdup_printf ("/changes?starts=" PREFIX "&after=%" G_GUINT64_FORMAT
-                                          "&hold_ms=10000",
+                         g_strdup_printf ("/changes?starts=" HR_STORE_KEYS
+                                          "&after=%" G_GUINT64_FORMAT "&hold_ms=10000",
                                           store->replica.applied_revision),
                          NULL, 14, on_watch_answer, GUINT_TO_POINTER (store->replica.generation));
   }
--- a/src/bookkeeping/replica_changes.c
+++ b/src/bookkeeping/replica_changes.c
@@ -6,6 +6,7 @@
 #include "bookkeeping/record_split.h"
 #include "bookkeeping/record_writer.h"
 #include "bookkeeping/store.h"
+#include "bookkeeping/store_keys.h"
 #include "bookkeeping/tables.h"
 #include "protocol/intern.h"
 #include "protocol/jobspec.h"
@@ -146,6 +147,13 @@
   }
 }
 
+/* What follows the prefix in the key; NULL when the key does not start with it. */
+static const char *
+after_prefix (const char *key, const char *prefix)
+{
+  return g_str_has_prefix (key, prefix) ? key + strlen (prefix) : NULL;
+}
+
 /* "ID/PAGE", or "ID/SIZE/PAGE" of a page that carries its size. */
 static void
 apply_page_key (HrStore *store, const char *rest, gboolean sized, const json_t *value,
@@ -164,19 +172,20 @@
 void
 hr_replica_apply_change (HrStore *store, const char *key, const json_t *value, guint64 revision)
 {
-  if (strcmp (key, "h/map") == 0)
+  const char *rest;
+  if (strcmp (key, HR_STORE_KEY_LEADER_RECORD) == 0)
     store->events->leader_record_read (store->core, value, revision);
-  else if (strcmp (key, "h/leader") == 0)
+  else if (strcmp (key, HR_STORE_KEY_LEADER_LOCK) == 0)
     store->events->leader_lock_read (store->core, value, revision);
-  else if (strcmp (key, "h/types") == 0)
+  else if (strcmp (key, HR_STORE_KEY_MACHINE_TYPES) == 0)
     store->events->machine_types_read (store->core, value, revision);
-  else if (g_str_has_prefix (key, "h/j/")) {
-    if (value && hr_job_id_valid (key + 4))
-      hr_replica_apply_job (store, hr_job_get (&store->tables, key + 4), value, revision);
-  } else if (g_str_has_prefix (key, "h/t/"))
-    apply_page_key (store, key + 4, FALSE, value, revision);
-  else if (store->format.supported && g_str_has_prefix (key, "h/u/"))
-    apply_page_key (store, key + 4, TRUE, value, revision);
-  else if (strcmp (key, "h/format") == 0)
+  else if (strcmp (key, HR_STORE_KEY_RECORD_FORMAT) == 0)
     hr_record_format_read (store, value, revision);
+  else if ((rest = after_prefix (key, HR_STORE_KEYS_JOBS))) {
+    if (value && hr_job_id_valid (rest))
+      hr_replica_apply_job (store, hr_job_get (&store->tables, rest), value, revision);
+  } else if ((rest = after_prefix (key, HR_STORE_KEYS_PAGES)))
+    apply_page_key (store, rest, FALSE, value, revision);
+  else if (store->format.supported && (rest = after_prefix (key, HR_STORE_KEYS_SIZED_PAGES)))
+    apply_page_key (store, rest, TRUE, value, revision);
 }
--- a/src/bookkeeping/store.c
+++ b/src/bookkeeping/store.c
@@ -1,5 +1,6 @@
 #include "bookkeeping/store.h"
 #include "bookkeeping/tables.h"
+#include "bookkeeping/transactions.h"
 #include "protocol/intern.h"
 
 void
@@ -20,20 +21,12 @@
     g_queue_init (&store->transactions.queues[i]);
 }
 
-static void
-transaction_free (gpointer data)
-{
-  HrTransaction *transaction = data;
-  json_decref (transaction->conditions);
-  json_decref (transaction->writes);
-  g_free (transaction);
-}
-
 void
 hr_store_clear (HrStore *store)
 {
   for (int i = 0; i < HR_TRANSACTION_KINDS; i++)
-    g_queue_clear_full (&store->transactions.queues[i], transaction_free);
+    g_queue_clear_full (&store->transactions.queues[i],
+                        (GDestroyNotify)hr_pending_transaction_free);
   g_array_unref (store->splitter.queue);
   g_array_unref (store->garbage.pages);
   g_array_unref (store->writer.dirty_pages);
--- a/src/bookkeeping/store.h
+++ b/src/bookkeeping/store.h
@@ -56,14 +56,18 @@
   guint failures;          /* in a row */
 } HrReplica;
 
+/* Writes that are carried out together, while the conditions hold (transactions.h). */
+typedef struct {
+  json_t *conditions, *writes; /* arrays, as they are sent */
+} HrTransaction;
+
 /* A transaction on its way to the store. */
 typedef struct {
-  json_t *conditions, *writes;
-  guint changes; /* that it takes of the allowance */
+  HrTransaction *transaction; /* owned reference */
   double timeout_s;
   HrStoreCallback callback;
   gpointer data;
-} HrTransaction;
+} HrPendingTransaction;
 
 /* In the order in which they are served. */
 typedef enum {
@@ -75,7 +79,7 @@
 
 /* Transactions by kind, within this node's share of the allowance for changes (transactions.c). */
 typedef struct {
-  GQueue queues[HR_TRANSACTION_KINDS]; /* HrTransaction */
+  GQueue queues[HR_TRANSACTION_KINDS]; /* HrPendingTransaction */
   HrTokenBucket allowance;             /* changes */
   guint in_flight;
   double paused_until, background_paused_until;
--- a/src/bookkeeping/transactions.c
+++ b/src/bookkeeping/transactions.c
@@ -1,107 +1,168 @@
-/* Transactions on their way to the state service: queued by kind, sent within this node's share of
- * the allowance for changes. */
 #include "bookkeeping/transactions.h"
-#include "bookkeeping/store.h"
-#include "bookkeeping/tables.h"
 #include "bookkeeping/token_bucket.h"
 #include "protocol/http_method.h"
 #include "protocol/json_util.h"
 
 #define MAX_TRANSACTIONS_IN_FLIGHT 8
+/* The store answered 429: its allowance, which all controllers share, is used up. Pauses are drawn
+ * at random, so that controllers do not come back all at once. */
+#define MIN_BUSY_PAUSE_S 0.05
+#define MAX_BUSY_PAUSE_S 0.15
+#define MIN_BACKGROUND_PAUSE_S 0.3
+#define MAX_BACKGROUND_PAUSE_S 0.6
 
-char *
-hr_job_record_key (const HrJob *job)
+/* Shares of the burst that transactions of each kind leave to the kinds before them. */
+static const double reserved_shares[HR_TRANSACTION_KINDS] = {
+    [HR_TRANSACTION_USER] = 0, [HR_TRANSACTION_LAUNCH] = 0.05, [HR_TRANSACTION_BOOKKEEPING] = 0.3};
+
+/* ---- building ---- */
+
+HrTransaction *
+hr_transaction_new (void)
 {
-  return g_strconcat ("h/j/", job->id, NULL);
+  HrTransaction *transaction = g_rc_box_new0 (HrTransaction);
+  transaction->conditions = json_array ();
+  transaction->writes = json_array ();
+  return transaction;
 }
 
-char *
-hr_record_page_key (const HrJob *job, guint page)
+static void
+transaction_clear (gpointer data)
 {
-  return hr_record_page_key_of (job, job->record.sized_page_keys ? job->record.tasks_per_page : 0,
-                                page);
+  HrTransaction *transaction = data;
+  json_decref (transaction->conditions);
+  json_decref (transaction->writes);
 }
 
-char *
-hr_record_page_key_of (const HrJob *job, guint tasks_per_page, guint page)
+void
+hr_transaction_unref (HrTransaction *transaction)
 {
-  return tasks_per_page ? g_strdup_printf ("h/u/%s/%u/%u", job->id, tasks_per_page, page)
-                        : g_strdup_printf ("h/t/%s/%u", job->id, page);
+  g_rc_box_release_full (transaction, transaction_clear);
 }
 
-json_t *
-hr_transaction_require (json_t *when, const char *path, guint64 revision)
+void
+hr_transaction_require (HrTransaction *transaction, const char *key, guint64 revision)
 {
-  json_array_append_new (when, json_pack ("{sssI}", "path", path, "stamp", (json_int_t)revision));
-  return when;
+  json_array_append_new (transaction->conditions,
+                         json_pack ("{sssI}", "path", key, "stamp", (json_int_t)revision));
 }
 
-json_t *
-hr_transaction_put (json_t *writes, const char *path, char *value_text, guint64 lease_id)
+static json_t *
+pack_put (const char *key, char *value_text)
 {
   json_t *value = json_loads (value_text, JSON_DECODE_ANY, NULL);
-  json_t *object = json_pack ("{ssso}", "set", path, "value", value);
-  if (lease_id)
-    json_object_set_new (object, "claim", json_integer (lease_id));
-  json_array_append_new (writes, object);
   g_free (value_text);
-  return writes;
+  return json_pack ("{ssso}", "set", key, "value", value);
+}
+
+void
+hr_transaction_put (HrTransaction *transaction, const char *key, char *value_text)
+{
+  json_array_append_new (transaction->writes, pack_put (key, value_text));
+}
+
+void
+hr_transaction_put_with_lease (HrTransaction *transaction, const char *key, char *value_text,
+                               guint64 lease_id)
+{
+  json_t *write = pack_put (key, value_text);
+  json_object_set_new (write, "claim", json_integer (lease_id));
+  json_array_append_new (transaction->writes, write);
 }
 
 void
-hr_transaction_submit (HrStore *store, HrTransactionKind kind, json_t *when, json_t *writes,
-                       guint changes, double timeout, HrStoreCallback callback, gpointer data)
+hr_transaction_delete (HrTransaction *transaction, const char *key)
 {
-  HrTransaction *transaction = g_new0 (HrTransaction, 1);
-  transaction->conditions = when;
-  transaction->writes = writes;
-  transaction->changes = changes;
-  transaction->timeout_s = timeout;
-  transaction->callback = callback;
-  transaction->data = data;
-  g_queue_push_tail (&store->transactions.queues[kind], transaction);
+  json_array_append_new (transaction->writes, json_pack ("{ss}", "delete", key));
+}
+
+/* ---- sending ---- */
+
+void
+hr_transaction_submit (HrStore *store, HrTransactionKind kind, HrTransaction *transaction,
+                       double timeout_s, HrStoreCallback callback, gpointer data)
+{
+  HrPendingTransaction *pending = g_new0 (HrPendingTransaction, 1);
+  pending->transaction = g_rc_box_acquire (transaction);
+  pending->timeout_s = timeout_s;
+  pending->callback = callback;
+  pending->data = data;
+  g_queue_push_tail (&store->transactions.queues[kind], pending);
+}
+
+void
+hr_pending_transaction_free (HrPendingTransaction *pending)
+{
+  hr_transaction_unref (pending->transaction);
+  g_free (pending);
+}
+
+static void
+pause_after_refusal (HrStore *store)
+{
+  HrTransactions *transactions = &store->transactions;
+  transactions->paused_until =
+      store->now + g_rand_double_range (store->random, MIN_BUSY_PAUSE_S, MAX_BUSY_PAUSE_S);
+  /* Requests of users at other controllers come first, whose writes we do not see. */
+  transactions->background_paused_until =
+      store->now +
+      g_rand_double_range (store->random, MIN_BACKGROUND_PAUSE_S, MAX_BACKGROUND_PAUSE_S);
+  /* The allowance is used up: what was saved here for a burst would only be refused. */
+  transactions->allowance.tokens = 0;
+  transactions->allowance.refilled_at = store->now;
 }
 
 static void
 on_commit (HrStore *store, int status, json_t *body, double sent, gpointer data)
 {
-  HrTransaction *transaction = data;
+  HrPendingTransaction *pending = data;
   store->transactions.in_flight--;
-  if (status == 429) { /* the allowance is shared: step back a little, out of step */
-    store->transactions.paused_until = store->now + g_rand_double_range (store->random, 0.05, 0.15);
-    /* Users of other members come first, whose writes we do not see. */
-    store->transactions.background_paused_until =
-        store->now + g_rand_double_range (store->random, 0.3, 0.6);
-    /* It is used up: what was saved here for a burst would only be refused. */
-    store->transactions.allowance.tokens = 0;
-    store->transactions.allowance.refilled_at = store->now;
+  if (status == 429)
+    pause_after_refusal (store);
+  pending->callback (store, status, body, sent, pending->data);
+  hr_pending_transaction_free (pending);
+}
+
+static gboolean
+may_send (const HrStore *store, HrTransactionKind kind)
+{
+  const HrTransactions *transactions = &store->transactions;
+  double paused_until = transactions->paused_until;
+  if (kind != HR_TRANSACTION_USER)
+    paused_until = MAX (paused_until, transactions->background_paused_until);
+  return transactions->in_flight < MAX_TRANSACTIONS_IN_FLIGHT && store->now >= paused_until;
+}
+
+static void
+send_pending (HrStore *store, HrPendingTransaction *pending)
+{
+  const HrTransaction *transaction = pending->transaction;
+  store->transactions.in_flight++;
+  json_t *body =
+      json_pack ("{sOsO}", "when", transaction->conditions, "writes", transaction->writes);
+  store->events->call (store->core, HR_POST, g_strdup ("/commit"), hr_json_take_text (body),
+                       pending->timeout_s, on_commit, pending);
+}
+
+static void
+send_queue (HrStore *store, HrTransactionKind kind)
+{
+  GQueue *queue = &store->transactions.queues[kind];
+  HrTokenBucket *allowance = &store->transactions.allowance;
+  while (!g_queue_is_empty (queue) && may_send (store, kind)) {
+    HrPendingTransaction *pending = g_queue_peek_head (queue);
+    if (!hr_token_bucket_take (allowance, store->now,
+                               json_array_size (pending->transaction->writes),
+                               reserved_shares[kind] * allowance->burst))
+      return;
+    g_queue_pop_head (queue);
+    send_pending (store, pending);
   }
-  transaction->callback (store, status, body, sent, transaction->data);
-  json_decref (transaction->conditions);
-  json_decref (transaction->writes);
-  g_free (transaction);
 }
 
 void
 hr_transactions_send (HrStore *store)
 {
-  static const double keep[HR_TRANSACTION_KINDS] = {0, 0.05, 0.3};
-  for (int k = 0; k < HR_TRANSACTION_KINDS; k++)
-    while (!g_queue_is_empty (&store->transactions.queues[k]) &&
-           store->transactions.in_flight < MAX_TRANSACTIONS_IN_FLIGHT &&
-           store->now >= (k == HR_TRANSACTION_USER
-                              ? store->transactions.paused_until
-                              : MAX (store->transactions.paused_until,
-                                     store->transactions.background_paused_until))) {
-      HrTransaction *transaction = g_queue_peek_head (&store->transactions.queues[k]);
-      if (!hr_token_bucket_take (&store->transactions.allowance, store->now, transaction->changes,
-                                 keep[k] * store->transactions.allowance.burst))
-        break;
-      g_queue_pop_head (&store->transactions.queues[k]);
-      store->transactions.in_flight++;
-      json_t *object =
-          json_pack ("{sOsO}", "when", transaction->conditions, "writes", transaction->writes);
-      store->events->call (store->core, HR_POST, g_strdup ("/commit"), hr_json_take_text (object),
-                           transaction->timeout_s, on_commit, transaction);
-    }
+  for (int kind = 0; kind < HR_TRANSACTION_KINDS; kind++)
+    send_queue (store, kind);
 }
--- a/src/coordination/jobs/submissions.c
+++ b/src/coordination/jobs/submissions.c
@@ -2,6 +2,7 @@
 #include "coordination/jobs/submissions.h"
 #include "bookkeeping/record_layout.h"
 #include "bookkeeping/replica.h"
+#include "bookkeeping/store_keys.h"
 #include "bookkeeping/transactions.h"
 #include "coordination/effects.h"
 #include "coordination/jobs/admission.h"
@@ -100,13 +101,14 @@
 static void
 send_submit (HrCore *core, HrUserRequest *request)
 {
-  g_autofree char *key = g_strconcat ("h/j/", request->id, NULL);
+  g_autofree char *key = g_strconcat (HR_STORE_KEYS_JOBS, request->id, NULL);
   if (!request->tag)
     request->tag = hr_core_new_tag (core);
-  json_t *when = hr_transaction_require (json_array (), key, 0);
-  json_t *writes = hr_transaction_put (
-      json_array (), key, first_record (core, request, request->per_page, request->tag), 0);
-  hr_transaction_submit (&core->store, HR_TRANSACTION_USER, when, writes, 1,
+  g_autoptr (HrTransaction) transaction = hr_transaction_new ();
+  hr_transaction_require (transaction, key, 0);
+  hr_transaction_put (transaction, key,
+                      first_record (core, request, request->per_page, request->tag));
+  hr_transaction_submit (&core->store, HR_TRANSACTION_USER, transaction,
                          hr_request_timeout (core, request), on_submit, request);
 }
 
--- a/src/coordination/jobs/user_requests.c
+++ b/src/coordination/jobs/user_requests.c
@@ -3,6 +3,7 @@
 #include "bookkeeping/record_format.h"
 #include "bookkeeping/record_layout.h"
 #include "bookkeeping/replica.h"
+#include "bookkeeping/store_keys.h"
 #include "bookkeeping/transactions.h"
 #include "coordination/effects.h"
 #include "coordination/jobs/dependencies.h"
@@ -216,9 +217,10 @@
     split_first (core, request, job);
     return;
   }
-  json_t *when = hr_transaction_require (json_array (), key, job->record.revision);
-  json_t *writes = hr_transaction_put (json_array (), key, text, 0);
-  hr_transaction_submit (&core->store, HR_TRANSACTION_USER, when, writes, 1,
+  g_autoptr (HrTransaction) transaction = hr_transaction_new ();
+  hr_transaction_require (transaction, key, job->record.revision);
+  hr_transaction_put (transaction, key, text);
+  hr_transaction_submit (&core->store, HR_TRANSACTION_USER, transaction,
                          hr_request_timeout (core, request), on_cancel, request);
 }
 
--- a/src/coordination/leadership/leadership.c
+++ b/src/coordination/leadership/leadership.c
@@ -4,6 +4,7 @@
 #include "coordination/leadership/leadership.h"
 #include "bookkeeping/record_format.h"
 #include "bookkeeping/replica.h"
+#include "bookkeeping/store_keys.h"
 #include "bookkeeping/transactions.h"
 #include "coordination/effects.h"
 #include "coordination/jobs/failover.h"
@@ -212,17 +213,17 @@
     return;
   }
   core->leadership.election_in_flight = TRUE;
-  json_t *when = hr_transaction_require (
-      hr_transaction_require (json_array (), "h/leader", core->leadership.lock_revision), "h/map",
-      core->leadership.record_revision);
-  json_t *writes = hr_transaction_put (json_array (), "h/leader", leader_record_text (core, 0),
-                                       core->leadership.lock_lease_id);
+  g_autoptr (HrTransaction) transaction = hr_transaction_new ();
+  hr_transaction_require (transaction, HR_STORE_KEY_LEADER_LOCK, core->leadership.lock_revision);
+  hr_transaction_require (transaction, HR_STORE_KEY_LEADER_RECORD,
+                          core->leadership.record_revision);
+  hr_transaction_put_with_lease (transaction, HR_STORE_KEY_LEADER_LOCK,
+                                 leader_record_text (core, 0), core->leadership.lock_lease_id);
   hr_transaction_put (
-      writes, "h/map",
+      transaction, HR_STORE_KEY_LEADER_RECORD,
       leader_record_text (
-          core, MAX (core->leadership.fencing_token, core->leadership.resigned_token) + 1),
-      0);
-  hr_transaction_submit (&core->store, HR_TRANSACTION_USER, when, writes, 2, 2,
+          core, MAX (core->leadership.fencing_token, core->leadership.resigned_token) + 1));
+  hr_transaction_submit (&core->store, HR_TRANSACTION_USER, transaction, 2,
                          on_leader_record_written, NULL);
 }
 
@@ -245,10 +246,12 @@
   core->leadership.token_raise_wanted = FALSE;
   core->leadership.token_raise_in_flight = TRUE;
   core->leadership.token_raised_at = core->now;
-  json_t *when = hr_transaction_require (json_array (), "h/map", core->leadership.record_revision);
-  json_t *writes = hr_transaction_put (
-      json_array (), "h/map", leader_record_text (core, core->leadership.fencing_token + 1), 0);
-  hr_transaction_submit (&core->store, HR_TRANSACTION_USER, when, writes, 1, 2,
+  g_autoptr (HrTransaction) transaction = hr_transaction_new ();
+  hr_transaction_require (transaction, HR_STORE_KEY_LEADER_RECORD,
+                          core->leadership.record_revision);
+  hr_transaction_put (transaction, HR_STORE_KEY_LEADER_RECORD,
+                      leader_record_text (core, core->leadership.fencing_token + 1));
+  hr_transaction_submit (&core->store, HR_TRANSACTION_USER, transaction, 2,
                          on_leader_record_written, NULL);
 }
 
--- a/src/coordination/scaling/fleet.c
+++ b/src/coordination/scaling/fleet.c
@@ -1,6 +1,7 @@
 /* The fleet: which machines there are, their types, and returning them. */
 #include "coordination/scaling/fleet.h"
 #include "bookkeeping/replica.h"
+#include "bookkeeping/store_keys.h"
 #include "bookkeeping/transactions.h"
 #include "coordination/agents/termination_proof.h"
 #include "coordination/effects.h"
@@ -53,11 +54,12 @@
   if (core->leadership.is_leader && !core->scaling.types_revision &&
       !core->scaling.types_save_sent) {
     core->scaling.types_save_sent = TRUE;
-    json_t *when = hr_transaction_require (hr_transaction_require (json_array (), "h/types", 0),
-                                           "h/map", core->leadership.record_revision);
-    json_t *writes =
-        hr_transaction_put (json_array (), "h/types", json_dumps (body, JSON_COMPACT), 0);
-    hr_transaction_submit (&core->store, HR_TRANSACTION_BOOKKEEPING, when, writes, 1, 2,
+    g_autoptr (HrTransaction) transaction = hr_transaction_new ();
+    hr_transaction_require (transaction, HR_STORE_KEY_MACHINE_TYPES, 0);
+    hr_transaction_require (transaction, HR_STORE_KEY_LEADER_RECORD,
+                            core->leadership.record_revision);
+    hr_transaction_put (transaction, HR_STORE_KEY_MACHINE_TYPES, json_dumps (body, JSON_COMPACT));
+    hr_transaction_submit (&core->store, HR_TRANSACTION_BOOKKEEPING, transaction, 2,
                            on_machine_types_saved, NULL);
   }
 }
