--- a/src/bookkeeping/record.c
+++ b/src/bookkeeping/record.c
@@ -1,65 +1,48 @@
 #include "bookkeeping/record.h"
+#include "bookkeeping/record_fields.h"
 #include "bookkeeping/tables.h"
 #include "protocol/intern.h"
 #include "protocol/jobspec.h"
 #include "protocol/json_util.h"
 #include <string.h>
 
+/* ---- writing ---- */
+
+/* What a record states about a task. */
+static json_t *
+pack_task (const HrTask *task, const HrIntern *machines, gboolean pending)
+{
+  const HrPlacement *placement = &task->recorded;
+  gboolean done = task->done_recorded;
+  if (pending && task->write_in_flight) {
+    placement = &task->placement;
+    done = done || task->state == HR_TASK_DONE;
+  }
+  if (done)
+    return json_integer (HR_RECORD_TASK_DONE);
+  if (placement->machine == HR_NONE)
+    return json_integer (HR_RECORD_TASK_UNPLACED);
+  return json_pack ("[sii]", hr_intern_name (machines, placement->machine),
+                    (int)placement->incarnation, (int)placement->attempt);
+}
+
 static json_t *
 pack_tasks (const HrJob *job, guint32 first, guint32 n, const HrIntern *machines, gboolean pending)
 {
   json_t *tasks = json_array ();
-  for (guint32 i = first; i < first + n; i++) {
-    const HrTask *task = &job->tasks[i];
-    guint32 machine = task->recorded.machine, incarnation = task->recorded.incarnation,
-            attempt = task->recorded.attempt;
-    gboolean done = task->done_recorded;
-    if (pending && task->write_in_flight) {
-      machine = task->placement.machine;
-      incarnation = task->placement.incarnation;
-      attempt = task->placement.attempt;
-      done = done || task->state == HR_TASK_DONE;
-    }
-    if (done)
-      json_array_append_new (tasks, json_integer (1));
-    else if (machine == HR_NONE)
-      json_array_append_new (tasks, json_integer (0));
-    else
-      json_array_append_new (tasks, json_pack ("[sii]", hr_intern_name (machines, machine),
-                                               (int)incarnation, (int)attempt));
-  }
+  for (guint32 i = first; i < first + n; i++)
+    json_array_append_new (tasks, pack_task (&job->tasks[i], machines, pending));
   return tasks;
 }
 
-/* Written back as it was read. */
+/* Members that only a newer version understands are written back as they were read. */
 static void
-pack_extra (json_t *object, const HrJob *job)
+pack_unknown_members (json_t *object, const HrJob *job)
 {
   if (job->record.unknown_members)
     json_object_update_missing (object, job->record.unknown_members);
 }
 
-/* What stands in a record beside the members that this version knows. */
-static json_t *
-unknown_members (const json_t *value)
-{
-  static const char *const known[] = {"w", "s", "t", "q", "j", "x", "u", "a", "n", "d", "c"};
-  json_t *extra = NULL, *entry;
-  const char *key;
-  json_object_foreach ((json_t *)value, key, entry)
-  {
-    gboolean is_known = FALSE;
-    for (guint i = 0; i < G_N_ELEMENTS (known) && !is_known; i++)
-      is_known = g_str_equal (key, known[i]);
-    if (is_known)
-      continue;
-    if (!extra)
-      extra = json_object ();
-    json_object_set (extra, key, entry);
-  }
-  return extra;
-}
-
 static json_t *
 pack_awaits (const HrJob *job)
 {
@@ -73,16 +56,18 @@
 hr_record_main (const HrJob *job, const HrNames *names, const HrIntern *machines, HrJobState state,
                 const char *tag, gboolean pending)
 {
-  json_t *object =
-      json_pack ("{sssisfsiso}", "w", tag, "s", (int)state, "t", job->submitted_at, "q",
-                 (int)job->record.tasks_per_page, "j", hr_jobspec_pack (&job->spec, names));
+  json_t *object = json_pack ("{sssisfsiso}", HR_RECORD_TAG, tag, HR_RECORD_STATE, (int)state,
+                              HR_RECORD_SUBMITTED_AT, job->submitted_at, HR_RECORD_TASKS_PER_PAGE,
+                              (int)job->record.tasks_per_page, HR_RECORD_SPEC,
+                              hr_jobspec_pack (&job->spec, names));
   if (!job->record.tasks_per_page)
-    json_object_set_new (object, "x", pack_tasks (job, 0, job->n_tasks, machines, pending));
+    json_object_set_new (object, HR_RECORD_TASKS,
+                         pack_tasks (job, 0, job->n_tasks, machines, pending));
   else if (job->record.sized_page_keys)
-    json_object_set_new (object, "u", json_integer (1));
+    json_object_set_new (object, HR_RECORD_SIZED_PAGE_KEYS, json_integer (1));
   if (job->dependencies.n_awaited)
-    json_object_set_new (object, "a", pack_awaits (job));
-  pack_extra (object, job);
+    json_object_set_new (object, HR_RECORD_AWAITS, pack_awaits (job));
+  pack_unknown_members (object, job);
   return hr_json_take_text (object);
 }
 
@@ -108,11 +93,13 @@
 char *
 hr_record_tombstone (const HrJob *job, HrJobState state, const char *tag)
 {
-  json_t *object = json_pack ("{sssisisi}", "w", tag, "s", (int)state, "n", (int)job->n_tasks, "d",
-                              (int)(state == HR_JOB_DONE ? job->n_tasks : job->n_recorded_done));
+  guint32 n_done = state == HR_JOB_DONE ? job->n_tasks : job->n_recorded_done;
+  json_t *object = json_pack ("{sssisisi}", HR_RECORD_TAG, tag, HR_RECORD_STATE, (int)state,
+                              HR_RECORD_N_TASKS, (int)job->n_tasks, HR_RECORD_N_DONE, (int)n_done);
   if (state == HR_JOB_CANCELLED && job->cancellation.root)
-    json_object_set_new (object, "c", json_string (job->cancellation.root->id));
-  pack_extra (object, job);
+    json_object_set_new (object, HR_RECORD_CANCELLED_WITH,
+                         json_string (job->cancellation.root->id));
+  pack_unknown_members (object, job);
   return hr_json_take_text (object);
 }
 
@@ -129,43 +116,89 @@
                    const char *tag, gboolean pending)
 {
   json_t *tasks = pack_tasks (job, first, MIN (n, job->n_tasks - first), machines, pending);
-  return hr_json_take_text (json_pack ("{ssso}", "w", tag, "x", tasks));
+  return hr_json_take_text (json_pack ("{ssso}", HR_RECORD_TAG, tag, HR_RECORD_TASKS, tasks));
+}
+
+/* ---- reading ---- */
+
+static gboolean
+is_known_member (const char *key)
+{
+  static const char *const known[] = {
+      HR_RECORD_TAG,     HR_RECORD_STATE,  HR_RECORD_SUBMITTED_AT,    HR_RECORD_TASKS_PER_PAGE,
+      HR_RECORD_SPEC,    HR_RECORD_TASKS,  HR_RECORD_SIZED_PAGE_KEYS, HR_RECORD_AWAITS,
+      HR_RECORD_N_TASKS, HR_RECORD_N_DONE, HR_RECORD_CANCELLED_WITH};
+  for (guint i = 0; i < G_N_ELEMENTS (known); i++)
+    if (g_str_equal (key, known[i]))
+      return TRUE;
+  return FALSE;
+}
+
+/* Members that this version does not know. NULL: none. */
+static json_t *
+unknown_members (const json_t *value)
+{
+  json_t *unknown = NULL, *entry;
+  const char *key;
+  json_object_foreach ((json_t *)value, key, entry)
+  {
+    if (is_known_member (key))
+      continue;
+    if (!unknown)
+      unknown = json_object ();
+    json_object_set (unknown, key, entry);
+  }
+  return unknown;
+}
+
+static gboolean
+read_tombstone (const json_t *value, HrRecord *record)
+{
+  guint64 n_tasks, n_done;
+  if (!hr_json_count (value, HR_RECORD_N_TASKS, HR_MAX_TASKS, &n_tasks) ||
+      !hr_json_count (value, HR_RECORD_N_DONE, HR_MAX_TASKS, &n_done))
+    return FALSE;
+  const char *root = hr_json_str (value, HR_RECORD_CANCELLED_WITH);
+  record->is_tombstone = TRUE;
+  record->n_tasks = n_tasks;
+  record->n_done = n_done;
+  record->cancelled_with = hr_job_id_valid (root) ? root : NULL;
+  return TRUE;
+}
+
+static gboolean
+read_open_job (const json_t *value, const json_t *spec, HrNames *names, HrRecord *record)
+{
+  guint64 tasks_per_page;
+  if (!hr_jobspec_unpack (spec, names, &record->spec) ||
+      !hr_json_num (value, HR_RECORD_SUBMITTED_AT, &record->submitted_at) ||
+      !hr_json_count (value, HR_RECORD_TASKS_PER_PAGE, HR_MAX_TASKS, &tasks_per_page))
+    return FALSE;
+  const json_t *sized_page_keys = json_object_get (value, HR_RECORD_SIZED_PAGE_KEYS);
+  record->tasks_per_page = tasks_per_page;
+  record->sized_page_keys = tasks_per_page && json_integer_value (sized_page_keys) == 1;
+  record->n_tasks = record->spec.tasks;
+  record->tasks = json_object_get (value, HR_RECORD_TASKS);
+  /* A job must not start while it is not known what it awaits: the whole record is invalid then. */
+  const json_t *awaits = json_object_get (value, HR_RECORD_AWAITS);
+  if (awaits && !(record->awaits = hr_job_ids_read (awaits)))
+    return FALSE;
+  record->extra = unknown_members (value);
+  return TRUE;
 }
 
 gboolean
 hr_record_read (const json_t *value, HrNames *names, HrRecord *record)
 {
-  guint64 n, done = 0;
+  guint64 state;
   memset (record, 0, sizeof *record);
-  const char *tag = hr_json_str (value, "w");
-  if (!tag || !hr_json_count (value, "s", HR_JOB_CANCELLED, &n))
+  const char *tag = hr_json_str (value, HR_RECORD_TAG);
+  if (!tag || !hr_json_count (value, HR_RECORD_STATE, HR_JOB_CANCELLED, &state))
+    return FALSE;
+  record->state = state;
+  const json_t *spec = json_object_get (value, HR_RECORD_SPEC);
+  if (!(spec ? read_open_job (value, spec, names, record) : read_tombstone (value, record)))
     return FALSE;
-  record->state = n;
-  const json_t *spec = json_object_get (value, "j");
-  if (!spec) {
-    if (!hr_json_count (value, "n", HR_MAX_TASKS, &n) ||
-        !hr_json_count (value, "d", HR_MAX_TASKS, &done))
-      return FALSE;
-    record->is_tombstone = TRUE;
-    record->n_tasks = n;
-    record->n_done = done;
-    const char *root = hr_json_str (value, "c");
-    record->cancelled_with = hr_job_id_valid (root) ? root : NULL;
-  } else {
-    if (!hr_jobspec_unpack (spec, names, &record->spec) ||
-        !hr_json_num (value, "t", &record->submitted_at) ||
-        !hr_json_count (value, "q", HR_MAX_TASKS, &n))
-      return FALSE;
-    record->tasks_per_page = n;
-    record->sized_page_keys = n && json_integer_value (json_object_get (value, "u")) == 1;
-    record->n_tasks = record->spec.tasks;
-    record->tasks = json_object_get (value, "x");
-    /* A job whose awaited ones cannot be read must not start: it makes no sense as a whole. */
-    const json_t *awaits = json_object_get (value, "a");
-    if (awaits && !(record->awaits = hr_job_ids_read (awaits)))
-      return FALSE;
-    record->extra = unknown_members (value);
-  }
   record->tag = g_strdup (tag);
   return TRUE;
 }
@@ -178,34 +211,53 @@
   g_clear_pointer (&record->awaits, g_strfreev);
 }
 
+static void
+set_recorded_done (HrJob *job, HrTask *task, gboolean done)
+{
+  if (done != task->done_recorded)
+    job->n_recorded_done += done ? 1 : -1;
+  task->done_recorded = done;
+}
+
+static gboolean
+read_placement (HrTask *task, json_t *entry, HrIntern *machines)
+{
+  const char *machine_name;
+  int incarnation, attempt;
+  if (json_unpack (entry, "[sii]", &machine_name, &incarnation, &attempt) != 0)
+    return FALSE;
+  task->recorded.machine = hr_intern (machines, machine_name);
+  task->recorded.incarnation = incarnation;
+  task->recorded.attempt = attempt;
+  return TRUE;
+}
+
+static gboolean
+read_task (HrJob *job, HrTask *task, json_t *entry, HrIntern *machines)
+{
+  gboolean is_number = json_is_integer (entry);
+  gboolean done = is_number && json_integer_value (entry) == HR_RECORD_TASK_DONE;
+  set_recorded_done (job, task, done);
+  if (json_is_array (entry))
+    return read_placement (task, entry, machines);
+  if (is_number && !done)
+    task->recorded.machine = HR_NONE;
+  return is_number;
+}
+
 gboolean
 hr_record_tasks (HrJob *job, guint32 first, const json_t *tasks, HrIntern *machines)
 {
   size_t i;
   json_t *entry;
-  guint32 n = MIN (job->record.tasks_per_page ? job->record.tasks_per_page : job->n_tasks,
-                   job->n_tasks - first);
+  guint32 most = job->record.tasks_per_page ? job->record.tasks_per_page : job->n_tasks;
+  guint32 n = MIN (most, job->n_tasks - first);
   if (!json_is_array (tasks) || json_array_size (tasks) != n)
     return FALSE;
   json_array_foreach (tasks, i, entry)
   {
-    HrTask *task = &job->tasks[first + i];
-    gboolean done = json_is_integer (entry) && json_integer_value (entry) == 1;
-    if (done != task->done_recorded)
-      job->n_recorded_done += done ? 1 : -1;
-    task->done_recorded = done;
-    if (json_is_array (entry)) {
-      const char *machine_name;
-      int incarnation, attempt;
-      if (json_unpack (entry, "[sii]", &machine_name, &incarnation, &attempt) != 0)
-        return FALSE;
-      task->recorded.machine = hr_intern (machines, machine_name);
-      task->recorded.incarnation = incarnation;
-      task->recorded.attempt = attempt;
-    } else if (!json_is_integer (entry))
+    if (!read_task (job, &job->tasks[first + i], entry, machines))
       return FALSE;
-    else if (!done)
-      task->recorded.machine = HR_NONE;
   }
   return TRUE;
 }
--- a/src/bookkeeping/record.h
+++ b/src/bookkeeping/record.h
@@ -1,20 +1,34 @@
-/* Records of the state store: how a job stands in the state service.
- *   h/j/<id>       {"w":tag,"s":stance,"t":submitted,"q":per page,"j":[spec],"x":[tasks]}
- *                  ... "a":[ids]} as well where the job awaits others
- *   h/j/<id>       {"w":tag,"s":stance,"n":tasks,"d":done}        once final
- *                  ... "c":id} as well where a cancelled job took it along
- *   h/t/<id>/<n>   {"w":tag,"x":[tasks]}                          page n of a large job
- *   h/u/<id>/<per page>/<n>   the same, where the main record has "u":1 (record_split.c)
- * A task is 0 (never placed), 1 (done) or [machine, incarnation, attempt]. */
+/* The format of records: what the state store holds of each job, and how it is read and written.
+ *
+ *   h/j/ID        main record of an open job:
+ *                   {"w":TAG,"s":STATE,"t":SUBMITTED_AT,"q":TASKS_PER_PAGE,"j":SPEC,"x":[TASK...]}
+ *                 "x" only where the tasks are in the main record ("q" is 0); with "a":[ID...]
+ * where the job awaits others; with "u":1 where the record was split (record_split.h) h/j/ID
+ * tombstone, the main record of a final job:
+ *                   {"w":TAG,"s":STATE,"n":N_TASKS,"d":N_DONE}
+ *                 with "c":ID where the job was cancelled because a job that it awaits was
+ *   h/t/ID/PAGE   page of a large job: {"w":TAG,"x":[TASK...]}
+ *   h/u/ID/TASKS_PER_PAGE/PAGE   the same, of a record that was split
+ *
+ * TASK is 0 (never placed), 1 (done) or [MACHINE,INCARNATION,ATTEMPT]. TAG is the tag of the write
+ * that left the record: by it a writer knows its own write. Members that this version does not know
+ * are kept (docs/upgrades.md). The names of the members are in record_fields.h.
+ *
+ * Nothing here keeps state or sends anything. */
 #pragma once
 #include "bookkeeping/tables.h"
+#include "protocol/intern.h"
+#include "protocol/jobspec.h"
+#include <glib.h>
+#include <jansson.h>
 
+/* A main record, as read. Cleared with hr_record_clear(), also after a failed reading. */
 typedef struct {
   char *tag;
   HrJobState state;
-  double submitted_at;
+  double submitted_at; /* time of day, s */
   guint tasks_per_page;
-  gboolean sized_page_keys; /* pages stand under h/u */
+  gboolean sized_page_keys; /* pages are under h/u */
   gboolean is_tombstone;
   guint32 n_tasks, n_done;
   HrJobSpec spec;
@@ -27,19 +41,99 @@
 /* Longer than any writer's tag: with it a main record is at its largest. */
 #define HR_LONGEST_TAG "................................................................"
 
-/* The first main record of a job. awaits: ids, or NULL; submitted: time of day. */
+/**
+ * hr_record_first:
+ * @spec: what the user submitted
+ * @awaits: (nullable): ids of the jobs that it awaits
+ * @names: names that the specification refers to
+ * @submitted: time of day, s
+ * @tasks_per_page: 0: the tasks are in the main record
+ * @tag: tag of the write
+ *
+ * Returns: (transfer full): the first main record of a job, as JSON text
+ */
 char *hr_record_first (const HrJobSpec *spec, const char *const *awaits, const HrNames *names,
                        double submitted, guint tasks_per_page, const char *tag);
-/* The main record. pending: with the placements and endings under way. */
+
+/**
+ * hr_record_main:
+ * @job: a job whose tasks are in memory
+ * @names: names that its specification refers to
+ * @machines: names of machines
+ * @state: the state to be recorded
+ * @tag: tag of the write
+ * @pending: with the assignments and endings that are part of a write in flight
+ *
+ * Returns: (transfer full): the main record of an open job, as JSON text
+ */
 char *hr_record_main (const HrJob *job, const HrNames *names, const HrIntern *machines,
                       HrJobState state, const char *tag, gboolean pending);
+
+/**
+ * hr_record_tombstone:
+ * @job: a job
+ * @state: its final state
+ * @tag: tag of the write
+ *
+ * Returns: (transfer full): the job's tombstone, as JSON text
+ */
 char *hr_record_tombstone (const HrJob *job, HrJobState state, const char *tag);
+
+/**
+ * hr_record_page:
+ * @job: a job whose tasks are in memory, in pages
+ * @page: number of the page, from 0
+ * @machines: names of machines
+ * @tag: tag of the write
+ * @pending: with the assignments and endings that are part of a write in flight
+ *
+ * Returns: (transfer full): the page, as JSON text
+ */
 char *hr_record_page (const HrJob *job, guint page, const HrIntern *machines, const char *tag,
                       gboolean pending);
-/* Tasks from `first` on, as a page of `n` would hold them. */
+
+/**
+ * hr_record_page_of:
+ * @job: a job whose tasks are in memory
+ * @first: its first task in the page
+ * @n: tasks in a page; the job's last page may hold fewer
+ * @machines: names of machines
+ * @tag: tag of the write
+ * @pending: with the assignments and endings that are part of a write in flight
+ *
+ * Returns: (transfer full): a page of any size, as JSON text
+ */
 char *hr_record_page_of (const HrJob *job, guint32 first, guint32 n, const HrIntern *machines,
                          const char *tag, gboolean pending);
+
+/**
+ * hr_record_read:
+ * @value: (nullable): a main record or tombstone
+ * @names: names that its specification refers to; new ones are added
+ * @out: (out): the record; borrows from @value
+ *
+ * Returns: FALSE when the record is invalid; then nothing may be concluded about the job
+ */
 gboolean hr_record_read (const json_t *value, HrNames *names, HrRecord *out);
+
+/**
+ * hr_record_clear:
+ * @record: a record that was read
+ *
+ * Frees what it owns.
+ */
 void hr_record_clear (HrRecord *record);
-/* Sets what is recorded of the tasks from `first` on. FALSE when it makes no sense. */
+G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (HrRecord, hr_record_clear)
+
+/**
+ * hr_record_tasks:
+ * @job: a job whose tasks are in memory
+ * @first: its first task in @tasks
+ * @tasks: (nullable): the tasks of a main record, or of a page in the job's present layout
+ * @machines: names of machines; new ones are added
+ *
+ * Sets what is recorded of these tasks.
+ *
+ * Returns: FALSE when they are invalid; tasks before the invalid one are set all the same
+ */
 gboolean hr_record_tasks (HrJob *job, guint32 first, const json_t *tasks, HrIntern *machines);
--- a/src/bookkeeping/record_writer.c
+++ b/src/bookkeeping/record_writer.c
@@ -1,64 +1,45 @@
-/* Writing the state store. One write at a time per record; every write by the leader
- * holds on the record's revision and on the leader record's, which fences old leaders. */
 #include "bookkeeping/record_writer.h"
 #include "bookkeeping/garbage_collection.h"
 #include "bookkeeping/record.h"
 #include "bookkeeping/record_layout.h"
 #include "bookkeeping/record_split.h"
-#include "bookkeeping/replica.h"
-#include "bookkeeping/replica_changes.h"
-#include "bookkeeping/store.h"
-#include "bookkeeping/store_keys.h"
+#include "bookkeeping/record_write.h"
 #include "bookkeeping/tables.h"
 #include "bookkeeping/transactions.h"
-#include "protocol/http_method.h"
-#include "protocol/json_util.h"
 #include <string.h>
 
-#define WRITE_TIMEOUT_S 2.0
-/* What the state service refuses is held back so long, then twice as long each time. */
-#define BACK_OFF_S 0.5
+/* A record that the store refuses is written again after so long, then twice as long each time. */
+#define MIN_BACK_OFF_S 0.5
 #define MAX_BACK_OFF_S 8.0
+/* While the store does not answer, transactions are tried this far apart. */
+#define OUTAGE_RETRY_S 0.5
 
+/* What the next write of a page is to hold. */
+typedef enum {
+  CONTENT_NONE,     /* nothing: what is recorded is up to date */
+  CONTENT_TASKS,    /* assignments and endings of tasks */
+  CONTENT_TOMBSTONE /* the job is final, and on no machine */
+} PageContent;
+
+/* Tasks of a page: from the first up to, not including, the end. */
 typedef struct {
-  guint32 job, page;
-  guint replica_generation;
-  char *tag;
-  HrTransaction *transaction;
-  HrTransactionKind kind;
-  gsize bytes; /* of the value */
-} Write;
+  guint32 first, end;
+} TaskRange;
 
-static void send_write (HrStore *store, Write *write);
+typedef struct {
+  gboolean any, assignments;
+} TaskChanges;
 
-static void
-write_free (Write *write)
+static TaskRange
+tasks_of_page (const HrJob *job, const HrRecordPage *page)
 {
-  g_free (write->tag);
-  hr_transaction_unref (write->transaction);
-  g_free (write);
+  if (!job->record.tasks_per_page)
+    return (TaskRange){0, job->n_tasks};
+  guint32 first = (guint32)(page - job->record.pages) * job->record.tasks_per_page;
+  return (TaskRange){first, MIN (first + job->record.tasks_per_page, job->n_tasks)};
 }
 
-/* The page of a write that is still under way, or NULL when it was overtaken. */
-static HrRecordPage *
-page_under_write (HrStore *store, Write *write)
-{
-  HrJob *job = store->tables.jobs->pdata[write->job];
-  if (write->replica_generation != store->replica.generation ||
-      write->page >= job->record.n_pages ||
-      g_strcmp0 (job->record.pages[write->page].write_tag, write->tag))
-    return NULL;
-  return &job->record.pages[write->page];
-}
-
-static void
-page_range (const HrJob *job, const HrRecordPage *page, guint32 *from, guint32 *to)
-{
-  guint n = page - job->record.pages;
-  *from = job->record.tasks_per_page ? n * job->record.tasks_per_page : 0;
-  *to = job->record.tasks_per_page ? MIN (*from + job->record.tasks_per_page, job->n_tasks)
-                                   : job->n_tasks;
-}
+/* ---- pages due to be written ---- */
 
 static void
 mark_page (HrStore *store, HrJob *job, HrRecordPage *page)
@@ -77,60 +58,84 @@
     mark_page (store, job, hr_job_page (job, task_index));
 }
 
-/* Our write of this page is in the state store, at this revision. */
+void
+hr_record_writer_back_off (HrStore *store, HrJob *job)
+{
+  job->record.back_off_s = CLAMP (2 * job->record.back_off_s, MIN_BACK_OFF_S, MAX_BACK_OFF_S);
+  job->record.next_write_at = store->now + job->record.back_off_s;
+}
+
+/* Tombstones are small: they never wait. */
+static gboolean
+is_backing_off (const HrStore *store, const HrJob *job)
+{
+  if (store->now >= job->record.next_write_at)
+    return FALSE;
+  return job->state == HR_JOB_QUEUED ? job->n_done < job->n_tasks : job->run.n_live > 0;
+}
+
+/* ---- outcomes of a write ---- */
+
+static void
+confirm_task (HrStore *store, HrJob *job, guint32 task_index)
+{
+  HrTask *task = &job->tasks[task_index];
+  if (!task->write_in_flight)
+    return;
+  task->write_in_flight = 0;
+  if (task->state == HR_TASK_ASSIGNING) {
+    task->recorded = task->placement;
+    store->events->assignment_recorded (store->core, job, task_index);
+  } else if (task->state == HR_TASK_DONE && !task->done_recorded) {
+    task->done_recorded = 1;
+    job->n_recorded_done++;
+  }
+}
+
+/* The job's tombstone is in the store. */
+static void
+finish_job (HrStore *store, HrJob *job)
+{
+  if (job->state == HR_JOB_QUEUED) {
+    job->state = HR_JOB_DONE;
+    g_info ("%s is done", job->id);
+  }
+  job->record.is_compacted = TRUE;
+  hr_garbage_add_job (store, job);
+  hr_job_compact (job);
+  store->events->job_final (store->core, job);
+}
+
 void
 hr_record_writer_confirmed (HrStore *store, HrJob *job, HrRecordPage *page, guint64 revision)
 {
-  guint32 from, to;
-  page_range (job, page, &from, &to);
-  gboolean final = page->write_is_final;
+  TaskRange range = tasks_of_page (job, page);
+  gboolean is_tombstone = page->write_is_final;
+  g_autofree char *tag = g_steal_pointer (&page->write_tag);
   job->record.next_write_at = job->record.back_off_s = 0;
   page->revision = revision;
   page->write_is_final = FALSE;
-  if (!job->record.tasks_per_page || final) {
+  if (!job->record.tasks_per_page || is_tombstone) {
     job->record.revision = revision;
     g_free (job->record.tag);
-    job->record.tag = g_strdup (page->write_tag);
+    job->record.tag = g_steal_pointer (&tag);
   }
-  g_clear_pointer (&page->write_tag, g_free);
-  for (guint32 i = from; i < to; i++) {
-    HrTask *task = &job->tasks[i];
-    if (!task->write_in_flight)
-      continue;
-    task->write_in_flight = 0;
-    if (task->state == HR_TASK_ASSIGNING) {
-      task->recorded.machine = task->placement.machine;
-      task->recorded.incarnation = task->placement.incarnation;
-      task->recorded.attempt = task->placement.attempt;
-      store->events->assignment_recorded (store->core, job, i);
-    } else if (task->state == HR_TASK_DONE && !task->done_recorded) {
-      task->done_recorded = 1;
-      job->n_recorded_done++;
-    }
-  }
-  if (final) {
-    if (job->state == HR_JOB_QUEUED) {
-      job->state = HR_JOB_DONE;
-      g_info ("%s is done", job->id);
-    }
-    job->record.is_compacted = TRUE;
-    hr_garbage_add_job (store, job);
-    hr_job_compact (job);
-    store->events->job_final (store->core, job);
-  } else if (job->state == HR_JOB_QUEUED && job->n_recorded_done == job->n_tasks)
-    mark_page (store, job, job->record.pages);
+  for (guint32 i = range.first; i < range.end; i++)
+    confirm_task (store, job, i);
+  if (is_tombstone)
+    finish_job (store, job);
+  else if (job->state == HR_JOB_QUEUED && job->n_recorded_done == job->n_tasks)
+    mark_page (store, job, job->record.pages); /* the tombstone is due */
   store->events->plan_changed (store->core);
 }
 
-/* What was under way did not happen. */
-static void
-write_failed (HrStore *store, HrJob *job, HrRecordPage *page)
+void
+hr_record_writer_failed (HrStore *store, HrJob *job, HrRecordPage *page)
 {
-  guint32 from, to;
-  page_range (job, page, &from, &to);
+  TaskRange range = tasks_of_page (job, page);
   g_clear_pointer (&page->write_tag, g_free);
   page->write_is_final = FALSE;
-  for (guint32 i = from; i < to; i++) {
+  for (guint32 i = range.first; i < range.end; i++) {
     HrTask *task = &job->tasks[i];
     if (!task->write_in_flight)
       continue;
@@ -138,30 +143,24 @@
     if (task->state == HR_TASK_ASSIGNING && job->state != HR_JOB_QUEUED)
       store->events->assignment_dropped (store->core, job, i);
   }
-  mark_page (store, job, page); /* what is still meant is written anew */
-}
-
-void
-hr_record_writer_back_off (HrStore *store, HrJob *job)
-{
-  job->record.back_off_s = CLAMP (2 * job->record.back_off_s, BACK_OFF_S, MAX_BACK_OFF_S);
-  job->record.next_write_at = store->now + job->record.back_off_s;
+  mark_page (store, job, page);
 }
 
-/* What was to be written is larger than the state service takes: it is not sent. Endings wait
- * for the split; assignments wait too, or are given up where none is possible yet. */
+/* The value is larger than the store takes: it is not sent. Endings wait for the record's split;
+ * assignments wait too, or are dropped where no split is possible yet. */
 static void
-handle_oversized (HrStore *store, HrJob *job, HrRecordPage *page, guint32 from, guint32 to)
+handle_oversized (HrStore *store, HrJob *job, HrRecordPage *page)
 {
-  gboolean split = hr_record_split_is_possible (store, job);
-  for (guint32 i = from; i < to; i++) {
+  TaskRange range = tasks_of_page (job, page);
+  gboolean can_split = hr_record_split_is_possible (store, job);
+  for (guint32 i = range.first; i < range.end; i++) {
     job->tasks[i].write_in_flight = 0;
-    if (!split && job->tasks[i].state == HR_TASK_ASSIGNING)
+    if (!can_split && job->tasks[i].state == HR_TASK_ASSIGNING)
       store->events->assignment_dropped (store->core, job, i);
   }
-  if (split) {
+  if (can_split) {
     hr_record_split_request (store, job, FALSE);
-    return; /* the split marks what is still meant */
+    return; /* at its end the split marks the pages */
   }
   if (!job->record.back_off_s)
     g_warning ("%s: its record is too large, and not every member is known to read a split one",
@@ -171,198 +170,141 @@
   mark_page (store, job, page);
 }
 
-/* Tombstones are small: they never wait. */
-static gboolean
-is_backing_off (const HrStore *store, const HrJob *job)
+/* ---- what to write ---- */
+
+/* Makes every unrecorded assignment and ending of the page part of its next write. */
+static TaskChanges
+take_task_changes (HrJob *job, const HrRecordPage *page)
 {
-  if (store->now >= job->record.next_write_at)
-    return FALSE;
-  return job->state == HR_JOB_QUEUED ? job->n_done < job->n_tasks : job->run.n_live > 0;
+  TaskRange range = tasks_of_page (job, page);
+  TaskChanges changes = {FALSE, FALSE};
+  for (guint32 i = range.first; i < range.end; i++) {
+    HrTask *task = &job->tasks[i];
+    /* A job that awaits others is never assigned; this is the last check of that, and the same is
+     * checked before launches. */
+    gboolean assigned = task->state == HR_TASK_ASSIGNING && job->state == HR_JOB_QUEUED &&
+                        !hr_job_has_unfinished_dependencies (job);
+    gboolean ended = task->state == HR_TASK_DONE && !task->done_recorded;
+    task->write_in_flight = assigned || ended;
+    changes.assignments |= assigned;
+    changes.any |= task->write_in_flight;
+  }
+  return changes;
 }
 
-static void
-on_record_reread (HrStore *store, int status, json_t *body, double sent, gpointer data)
+/* Tombstones replace the main record: they go with the first page. */
+static PageContent
+choose_content (const HrJob *job, const HrRecordPage *page, const TaskChanges *changes)
 {
-  Write *write = data;
-  HrRecordPage *page = page_under_write (store, write);
-  HrJob *job = store->tables.jobs->pdata[write->job];
-  guint64 revision = 0;
-  if (page && status != 200 && status != 404) {
-    send_write (store,
-                write); /* still unknown: the same write again, it holds on the same revisions */
-    return;
+  gboolean is_first = page == job->record.pages;
+  if (job->state != HR_JOB_QUEUED) {
+    if (is_first && job->run.n_live == 0 && !job->record.is_compacted)
+      return CONTENT_TOMBSTONE;
+  } else {
+    /* The last ending and the tombstone are one write where the tasks stand in the main record. */
+    guint32 n_done = job->record.tasks_per_page ? job->n_recorded_done : job->n_done;
+    if (is_first && n_done == job->n_tasks)
+      return CONTENT_TOMBSTONE;
   }
-  if (page) {
-    const json_t *value = json_object_get (body, "value");
-    const char *tag = hr_json_str (value, "w");
-    hr_json_count (body, "stamp", G_MAXINT64, &revision);
-    if (tag && g_str_equal (tag, write->tag))
-      hr_record_writer_confirmed (store, job, page, revision);
-    else {
-      if (!job->record.tasks_per_page || page->write_is_final) {
-        if (value)
-          hr_replica_apply_job (store, job, value, revision);
-      } else if (revision > page->revision)
-        page->revision = revision;
-      if (page_under_write (store, write))
-        write_failed (store, job, page);
-    }
+  return changes->any ? CONTENT_TASKS : CONTENT_NONE;
+}
+
+static char *
+content_text (const HrStore *store, const HrJob *job, const HrRecordPage *page, PageContent content,
+              const char *tag)
+{
+  const HrIntern *machines = &store->tables.machine_ids;
+  if (content == CONTENT_TOMBSTONE) {
+    HrJobState final_state = job->state == HR_JOB_QUEUED ? HR_JOB_DONE : job->state;
+    return hr_record_tombstone (job, final_state, tag);
   }
-  write_free (write);
+  if (!job->record.tasks_per_page)
+    return hr_record_main (job, store->names, machines, job->state, tag, TRUE);
+  return hr_record_page (job, page - job->record.pages, machines, tag, TRUE);
 }
 
-static void
-reread_record (HrStore *store, Write *write)
+static HrTransactionKind
+choose_kind (const HrJob *job, const TaskChanges *changes)
 {
-  HrJob *job = store->tables.jobs->pdata[write->job];
-  gboolean main = !job->record.tasks_per_page || job->record.pages[write->page].write_is_final;
-  g_autofree char *key = main ? hr_job_record_key (job) : hr_record_page_key (job, write->page);
-  store->events->call (store->core, HR_GET, g_strconcat ("/kv/", key, NULL), NULL, WRITE_TIMEOUT_S,
-                       on_record_reread, write);
+  /* Jobs that await this one can start once its end is recorded. */
+  gboolean is_awaited =
+      job->dependencies.dependents && job->state == HR_JOB_QUEUED && job->n_done == job->n_tasks;
+  return changes->assignments || is_awaited ? HR_TRANSACTION_LAUNCH : HR_TRANSACTION_BOOKKEEPING;
 }
 
 static void
-on_replica_fresh (HrStore *store, gboolean ok, gpointer data)
+write_page (HrStore *store, HrJob *job, HrRecordPage *page)
 {
-  Write *write = data;
-  if (page_under_write (store, write))
-    reread_record (store, write);
+  if (job->cancellation.told_by_peer)
+    return; /* its record has changed, and is read before it is written again */
+  TaskChanges changes = take_task_changes (job, page);
+  PageContent content = choose_content (job, page, &changes);
+  if (content == CONTENT_NONE)
+    return;
+  g_auto (HrRecordWriteContent) write = {.tag = store->events->new_tag (store->core),
+                                         .is_tombstone = content == CONTENT_TOMBSTONE,
+                                         .kind = choose_kind (job, &changes)};
+  write.text = content_text (store, job, page, content, write.tag);
+  if (content == CONTENT_TASKS && strlen (write.text) > hr_record_layout_max_bytes (store))
+    handle_oversized (store, job, page);
   else
-    write_free (write);
+    hr_record_write_start (store, job, page, &write);
 }
 
-static void
-on_written (HrStore *store, int status, json_t *body, double sent, gpointer data)
+/* ---- each step ---- */
+
+/* One write at a time for each page, and none beside a split of its record. */
+static gboolean
+must_wait (const HrStore *store, const HrJob *job, const HrRecordPage *page)
 {
-  Write *write = data;
-  HrRecordPage *page = page_under_write (store, write);
-  guint64 store_revision;
-  if (!page) {
-    write_free (write);
-    return;
-  }
-  if (status == 200 && hr_json_count (body, "epoch", G_MAXINT64, &store_revision)) {
-    hr_record_writer_confirmed (store, store->tables.jobs->pdata[write->job], page, store_revision);
-    write_free (write);
-  } else if (status == 409) {
-    /* A 409 may come from our own earlier try whose answer was lost: the record
-     * tells. The leader record may have moved too: read on before judging. */
-    hr_replica_read (store, on_replica_fresh, write);
-  } else if (status == 400) {
-    g_warning ("%s: the state service refuses the record: %s",
-               ((HrJob *)store->tables.jobs->pdata[write->job])->id, hr_json_str (body, "error"));
-    if (store->format.supported) {
-      store->format.planned_limits_in_force |=
-          write->bytes > hr_record_layout_planned_bytes (store);
-      hr_record_writer_back_off (store, store->tables.jobs->pdata[write->job]);
-    }
-    write_failed (store, store->tables.jobs->pdata[write->job], page);
-    write_free (write);
-  } else
-    send_write (store, write); /* unknown, or not carried out: the same write again */
+  return page->write_tag || job->record.split_in_flight || is_backing_off (store, job);
 }
 
 static void
-send_write (HrStore *store, Write *write)
+write_dirty_pages (HrStore *store)
 {
-  hr_transaction_submit (store, write->kind, write->transaction, WRITE_TIMEOUT_S, on_written,
-                         write);
+  g_autoptr (GArray) due = store->writer.dirty_pages;
+  store->writer.dirty_pages = g_array_new (FALSE, TRUE, sizeof (HrDirtyPage));
+  for (guint i = 0; i < due->len; i++) {
+    const HrDirtyPage *dirty = &g_array_index (due, HrDirtyPage, i);
+    HrJob *job = store->tables.jobs->pdata[dirty->job];
+    if (dirty->page >= job->record.n_pages)
+      continue; /* the job is final, or its record was split */
+    HrRecordPage *page = &job->record.pages[dirty->page];
+    if (must_wait (store, job, page)) {
+      g_array_append_val (store->writer.dirty_pages, *dirty);
+      continue;
+    }
+    page->is_dirty = FALSE;
+    write_page (store, job, page);
+  }
 }
 
 static void
-write_page (HrStore *store, HrJob *job, HrRecordPage *page)
+send_transactions (HrStore *store)
 {
-  guint32 from, to;
-  guint n = page - job->record.pages;
-  gboolean launch = FALSE, change = FALSE;
-  if (job->cancellation.told_by_peer)
-    return; /* its record has changed, and is read before it is written again */
-  page_range (job, page, &from, &to);
-  for (guint32 i = from; i < to; i++) {
-    HrTask *task = &job->tasks[i];
-    /* A job that waits for others has no task: the last guard, here and before launches. */
-    gboolean assign = task->state == HR_TASK_ASSIGNING && job->state == HR_JOB_QUEUED &&
-                      !hr_job_has_unfinished_dependencies (job);
-    task->write_in_flight = assign || (task->state == HR_TASK_DONE && !task->done_recorded);
-    launch |= assign;
-    change |= task->write_in_flight;
+  HrTransactions *transactions = &store->transactions;
+  if (store->replica.is_unavailable) {
+    if (store->now - transactions->paused_until <= OUTAGE_RETRY_S)
+      return;
+    transactions->paused_until = store->now;
   }
-  /* The last ending and the tombstone are one write where the tasks stand inline. */
-  gboolean done =
-      job->state == HR_JOB_QUEUED &&
-      (job->record.tasks_per_page ? job->n_recorded_done : job->n_done) == job->n_tasks &&
-      (!job->record.tasks_per_page || n == 0);
-  gboolean gone =
-      job->state != HR_JOB_QUEUED && job->run.n_live == 0 && !job->record.is_compacted && n == 0;
-  if (!change && !done && !gone)
-    return;
-  g_autofree char *tag = store->events->new_tag (store->core);
-  char *text =
-      done || gone ? hr_record_tombstone (job, done ? HR_JOB_DONE : job->state, tag)
-      : !job->record.tasks_per_page
-          ? hr_record_main (job, store->names, &store->tables.machine_ids, job->state, tag, TRUE)
-          : hr_record_page (job, n, &store->tables.machine_ids, tag, TRUE);
-  gsize bytes = strlen (text);
-  if (bytes > hr_record_layout_max_bytes (store) && !done && !gone) {
-    g_free (text);
-    handle_oversized (store, job, page, from, to);
-    return;
-  }
-  Write *write = g_new0 (Write, 1);
-  write->job = job->index;
-  write->page = n;
-  write->replica_generation = store->replica.generation;
-  write->bytes = bytes;
-  write->tag = g_steal_pointer (&tag);
-  write->transaction = hr_transaction_new ();
-  /* Those that await the job start once its end is recorded. */
-  gboolean awaited =
-      job->dependencies.dependents && job->state == HR_JOB_QUEUED && job->n_done == job->n_tasks;
-  write->kind = launch || awaited ? HR_TRANSACTION_LAUNCH : HR_TRANSACTION_BOOKKEEPING;
-  page->write_tag = g_strdup (write->tag);
-  page->write_is_final = done || gone;
-  g_autofree char *key = hr_job_record_key (job);
-  hr_transaction_require (write->transaction, HR_STORE_KEY_LEADER_RECORD,
-                          store->events->leader_record_revision (store->core));
-  hr_transaction_require (write->transaction, key, job->record.revision);
-  if (page->write_is_final || !job->record.tasks_per_page)
-    hr_transaction_put (write->transaction, key, text);
-  else {
-    g_autofree char *pkey = hr_record_page_key (job, n);
-    hr_transaction_require (write->transaction, pkey, page->revision);
-    hr_transaction_put (write->transaction, pkey, text);
-  }
-  send_write (store, write);
+  hr_transactions_send (store);
+}
+
+/* A write under a fencing token that is being raised would be refused. */
+static gboolean
+may_write (const HrStore *store)
+{
+  return hr_store_is_leader (store) && !store->events->token_raise_in_flight (store->core);
 }
 
 void
 hr_record_writer_tick (HrStore *store)
 {
-  if (hr_store_is_leader (store) && store->writer.dirty_pages->len &&
-      !store->events->token_raise_in_flight (store->core)) {
-    g_autoptr (GArray) list = store->writer.dirty_pages;
-    store->writer.dirty_pages = g_array_new (FALSE, TRUE, sizeof (HrDirtyPage));
-    for (guint i = 0; i < list->len; i++) {
-      HrDirtyPage *dirty = &g_array_index (list, HrDirtyPage, i);
-      HrJob *job = store->tables.jobs->pdata[dirty->job];
-      if (dirty->page >= job->record.n_pages)
-        continue;
-      HrRecordPage *page = &job->record.pages[dirty->page];
-      if (page->write_tag || job->record.split_in_flight ||
-          is_backing_off (store, job)) { /* one write at a time */
-        g_array_append_val (store->writer.dirty_pages, *dirty);
-        continue;
-      }
-      page->is_dirty = FALSE;
-      write_page (store, job, page);
-    }
-  }
-  if (hr_store_is_leader (store) && !store->events->token_raise_in_flight (store->core) &&
-      store->replica.state == HR_REPLICA_FOLLOWING)
+  if (may_write (store) && store->writer.dirty_pages->len)
+    write_dirty_pages (store);
+  if (may_write (store) && store->replica.state == HR_REPLICA_FOLLOWING)
     hr_record_split_tick (store);
-  if (!store->replica.is_unavailable || store->now - store->transactions.paused_until > 0.5) {
-    if (store->replica.is_unavailable)
-      store->transactions.paused_until = store->now; /* an outage: try on, but gently */
-    hr_transactions_send (store);
-  }
+  send_transactions (store);
 }
