--- /dev/null
+++ b/src/bookkeeping/record_split_steps.c
@@ -0,0 +1,249 @@
+#include "bookkeeping/record_split_steps.h"
+#include "bookkeeping/record.h"
+#include "bookkeeping/record_layout.h"
+#include "bookkeeping/record_split.h"
+#include "bookkeeping/record_writer.h"
+#include "bookkeeping/replica.h"
+#include "bookkeeping/staged_pages.h"
+#include "bookkeeping/store_keys.h"
+#include "bookkeeping/tables.h"
+#include "bookkeeping/transactions.h"
+#include "protocol/json_util.h"
+#include <string.h>
+
+#define SPLIT_TIMEOUT_S 2.0
+/* Transactions may hold 64 KiB; the conditions and keys take some of it. */
+#define MAX_TRANSACTION_BYTES ((gsize)40 * 1024)
+/* Times that a split begins anew because the record changed. */
+#define MAX_ATTEMPTS 4
+
+typedef struct {
+  guint32 job;
+  guint replica_generation;
+  guint64 base_revision; /* revision of the main record whose facts are being written */
+  guint tasks_per_page, n_pages;
+  guint first_page, end_page;  /* pages of the step under way */
+  gboolean writes_main_record; /* and the main record */
+  guint attempts;
+  char *tag;
+  HrTransaction *transaction; /* the step under way; NULL: none */
+} RecordSplit;
+
+static void
+record_split_free (RecordSplit *split)
+{
+  g_clear_pointer (&split->transaction, hr_transaction_unref);
+  g_free (split->tag);
+  g_free (split);
+}
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (RecordSplit, record_split_free)
+
+static HrJob *
+job_of (const HrStore *store, const RecordSplit *split)
+{
+  return store->tables.jobs->pdata[split->job];
+}
+
+/* Has the split been carried out? */
+static gboolean
+is_layout_in_force (const HrJob *job, const RecordSplit *split)
+{
+  return job->record.sized_page_keys && job->record.tasks_per_page == split->tasks_per_page;
+}
+
+/* ---- ends ---- */
+
+/* Frees the split. What waited for it is looked at again. */
+static void
+end_split (HrStore *store, RecordSplit *split)
+{
+  HrJob *job = job_of (store, split);
+  if (split->replica_generation == store->replica.generation) {
+    store->splitter.in_flight--;
+    job->record.split_in_flight = FALSE;
+    hr_record_writer_mark_all (store, job);
+  }
+  record_split_free (split);
+}
+
+static void
+give_up (HrStore *store, RecordSplit *split, const char *why)
+{
+  HrJob *job = job_of (store, split);
+  g_warning ("%s: its record is not split yet: %s", job->id, why);
+  hr_record_writer_back_off (store, job);
+  end_split (store, split);
+}
+
+/* ---- steps ---- */
+
+static void on_step_written (HrStore *store, int status, json_t *body, double sent, gpointer data);
+
+static void
+submit_step (HrStore *store, RecordSplit *split)
+{
+  hr_transaction_submit (store, HR_TRANSACTION_LAUNCH, split->transaction, SPLIT_TIMEOUT_S,
+                         on_step_written, split);
+}
+
+/* An empty step, with the conditions that all steps have. */
+static void
+begin_step (HrStore *store, RecordSplit *split)
+{
+  g_clear_pointer (&split->transaction, hr_transaction_unref);
+  g_free (split->tag);
+  split->tag = store->events->new_tag (store->core);
+  split->transaction = hr_transaction_new ();
+  split->first_page = split->end_page;
+  split->writes_main_record = FALSE; /* an earlier attempt may have come to its last step */
+  g_autofree char *key = hr_job_record_key (job_of (store, split));
+  hr_transaction_require (split->transaction, HR_STORE_KEY_LEADER_RECORD,
+                          store->events->leader_record_revision (store->core));
+  hr_transaction_require (split->transaction, key, split->base_revision);
+}
+
+/* Takes the page's text over. */
+static void
+add_page (RecordSplit *split, HrJob *job, char *text)
+{
+  g_autofree char *key = hr_record_page_key_of (job, split->tasks_per_page, split->end_page);
+  const HrStagedPage *known = hr_staged_page_find (job, split->tasks_per_page, split->end_page);
+  hr_transaction_require (split->transaction, key, known ? known->revision : 0);
+  hr_transaction_put (split->transaction, key, text);
+  split->end_page++;
+}
+
+/* Adds pages, at least one, while changes and bytes of the transaction allow it. */
+static void
+add_pages (HrStore *store, RecordSplit *split, guint max_changes)
+{
+  HrJob *job = job_of (store, split);
+  gsize bytes = 0;
+  while (split->end_page < split->n_pages && split->end_page - split->first_page < max_changes) {
+    g_autofree char *text =
+        hr_record_page_of (job, split->end_page * split->tasks_per_page, split->tasks_per_page,
+                           &store->tables.machine_ids, split->tag, FALSE);
+    bytes += strlen (text);
+    if (bytes > MAX_TRANSACTION_BYTES && split->end_page > split->first_page)
+      return;
+    add_page (split, job, g_steal_pointer (&text));
+  }
+}
+
+static void
+add_main_record (HrStore *store, RecordSplit *split)
+{
+  const HrJob *job = job_of (store, split);
+  HrJob after = *job;
+  after.record.tasks_per_page = split->tasks_per_page;
+  after.record.sized_page_keys = TRUE;
+  g_autofree char *key = hr_job_record_key (job);
+  char *text = hr_record_main (&after, store->names, &store->tables.machine_ids, job->state,
+                               split->tag, FALSE);
+  hr_transaction_put (split->transaction, key, text);
+  split->writes_main_record = TRUE;
+}
+
+static void
+next_step (HrStore *store, RecordSplit *split)
+{
+  /* A step must fit into what the allowance can save up. */
+  guint saved_up = store->transactions.allowance.burst / 2;
+  guint max_changes = MAX (1, MIN (store->limits.txn_ops, saved_up));
+  begin_step (store, split);
+  add_pages (store, split, max_changes);
+  if (split->end_page == split->n_pages && split->end_page - split->first_page < max_changes)
+    add_main_record (store, split);
+  submit_step (store, split);
+}
+
+static void
+begin_attempt (HrStore *store, RecordSplit *split)
+{
+  HrJob *job = job_of (store, split);
+  if (!hr_record_split_is_possible (store, job)) {
+    end_split (store, split);
+    return;
+  }
+  if (++split->attempts > MAX_ATTEMPTS) {
+    give_up (store, split, "it changes again and again");
+    return;
+  }
+  split->base_revision = job->record.revision;
+  split->tasks_per_page = hr_record_layout_smaller (store, job);
+  split->n_pages = hr_page_count (job->n_tasks, split->tasks_per_page);
+  split->first_page = split->end_page = 0;
+  next_step (store, split);
+}
+
+void
+hr_record_split_start (HrStore *store, HrJob *job)
+{
+  RecordSplit *split = g_new0 (RecordSplit, 1);
+  split->job = job->index;
+  split->replica_generation = store->replica.generation;
+  store->splitter.in_flight++;
+  job->record.split_in_flight = TRUE;
+  begin_attempt (store, split);
+}
+
+/* ---- answers ---- */
+
+static void
+on_replica_fresh (HrStore *store, gboolean ok, gpointer data)
+{
+  g_autoptr (RecordSplit) split = data;
+  if (split->replica_generation != store->replica.generation)
+    return;
+  if (is_layout_in_force (job_of (store, split), split))
+    end_split (store, g_steal_pointer (&split)); /* it was carried out; the answer was lost */
+  else
+    begin_attempt (store, g_steal_pointer (&split));
+}
+
+/* The main record names the new layout, at this revision. */
+static void
+complete (HrStore *store, RecordSplit *split, guint64 revision)
+{
+  HrJob *job = job_of (store, split);
+  if (!is_layout_in_force (job, split)) { /* else the change was read before the answer came */
+    job->record.revision = revision;
+    g_free (job->record.tag);
+    job->record.tag = g_strdup (split->tag);
+    hr_staged_pages_adopt (store, job, split->tasks_per_page, revision);
+  }
+  g_info ("%s: its record is split into %u pages", job->id, job->record.n_pages);
+  job->record.next_write_at = job->record.back_off_s = 0;
+  end_split (store, split);
+}
+
+static void
+handle_step_done (HrStore *store, RecordSplit *split, guint64 revision)
+{
+  HrJob *job = job_of (store, split);
+  if (!is_layout_in_force (job, split))
+    for (guint page = split->first_page; page < split->end_page; page++)
+      hr_staged_page_update (job, split->tasks_per_page, page, revision, NULL);
+  if (split->writes_main_record)
+    complete (store, split, revision);
+  else
+    next_step (store, split);
+}
+
+static void
+on_step_written (HrStore *store, int status, json_t *body, double sent, gpointer data)
+{
+  g_autoptr (RecordSplit) split = data;
+  guint64 store_revision;
+  if (split->replica_generation != store->replica.generation || !job_of (store, split)->tasks)
+    return;
+  if (status == 200 && hr_json_count (body, "epoch", G_MAXINT64, &store_revision))
+    handle_step_done (store, g_steal_pointer (&split), store_revision);
+  else if (status == 409)
+    hr_replica_read (store, on_replica_fresh, g_steal_pointer (&split));
+  else if (status == 400)
+    give_up (store, g_steal_pointer (&split), hr_json_str (body, "error"));
+  else
+    submit_step (store,
+                 g_steal_pointer (&split)); /* unknown: the same again, on the same revisions */
+}
--- a/src/bookkeeping/record_writer.c
+++ b/src/bookkeeping/record_writer.c
@@ -58,6 +58,13 @@
     mark_page (store, job, hr_job_page (job, task_index));
 }
 
+void
+hr_record_writer_mark_all (HrStore *store, HrJob *job)
+{
+  for (guint i = 0; i < job->record.n_pages; i++)
+    mark_page (store, job, &job->record.pages[i]);
+}
+
 void
 hr_record_writer_back_off (HrStore *store, HrJob *job)
 {
--- a/src/bookkeeping/record_writer.h
+++ b/src/bookkeeping/record_writer.h
@@ -25,6 +25,15 @@
  */
 void hr_record_writer_mark (HrStore *store, HrJob *job, guint32 task_index);
 
+/**
+ * hr_record_writer_mark_all:
+ * @store: the store
+ * @job: a job
+ *
+ * Marks all pages of the job's record. Does nothing for a final job.
+ */
+void hr_record_writer_mark_all (HrStore *store, HrJob *job);
+
 /**
  * hr_record_writer_confirmed:
  * @store: the store
--- a/src/bookkeeping/replica_changes.c
+++ b/src/bookkeeping/replica_changes.c
@@ -3,8 +3,8 @@
 #include "bookkeeping/garbage_collection.h"
 #include "bookkeeping/record.h"
 #include "bookkeeping/record_format.h"
-#include "bookkeeping/record_split.h"
 #include "bookkeeping/record_writer.h"
+#include "bookkeeping/staged_pages.h"
 #include "bookkeeping/store.h"
 #include "bookkeeping/store_keys.h"
 #include "bookkeeping/tables.h"
@@ -74,7 +74,7 @@
     job->record.sized_page_keys = record.sized_page_keys && store->format.supported;
   } else if (store->format.supported && record.sized_page_keys &&
              record.tasks_per_page != job->record.tasks_per_page)
-    hr_record_split_apply (store, job, record.tasks_per_page, revision);
+    hr_staged_pages_adopt (store, job, record.tasks_per_page, revision);
   if (store->format.supported) {
     json_decref (job->record.unknown_members);
     job->record.unknown_members = g_steal_pointer (&record.extra);
@@ -112,7 +112,7 @@
   if (value && (job->record.is_compacted || !tasks_per_page))
     hr_garbage_add_page (store, job, tasks_per_page, page);
   else if (!job->record.is_compacted && tasks_per_page && job->tasks)
-    hr_record_split_stage_page (job, tasks_per_page, page, value ? revision : 0, value);
+    hr_staged_page_update (job, tasks_per_page, page, value ? revision : 0, value);
 }
 
 /* per_page: of a page under h/u; 0: one under h/t. */
--- a/src/bookkeeping/tables.c
+++ b/src/bookkeeping/tables.c
@@ -42,7 +42,7 @@
   job->record.tasks_per_page = tasks_per_page;
   job->record.sized_page_keys = FALSE;
   job->record.next_write_at = job->record.back_off_s = 0;
-  job->record.n_pages = tasks_per_page ? (spec->tasks + tasks_per_page - 1) / tasks_per_page : 1;
+  job->record.n_pages = tasks_per_page ? hr_page_count (spec->tasks, tasks_per_page) : 1;
   job->record.pages = g_new0 (HrRecordPage, job->record.n_pages);
   job->tasks = g_new0 (HrTask, spec->tasks);
   for (guint i = 0; i < spec->tasks; i++) {
--- a/src/bookkeeping/tables.h
+++ b/src/bookkeeping/tables.h
@@ -267,6 +267,19 @@
   GArray *open_jobs;             /* guint32: jobs that are not final, or not compacted */
 } HrTables;
 
+/**
+ * hr_page_count:
+ * @n_tasks: tasks of a job
+ * @tasks_per_page: not 0
+ *
+ * Returns: how many pages hold them
+ */
+static inline guint
+hr_page_count (guint32 n_tasks, guint tasks_per_page)
+{
+  return (n_tasks + tasks_per_page - 1) / tasks_per_page;
+}
+
 void hr_job_free (HrJob *job);
 void hr_machine_free (HrMachine *machine);
 void hr_job_set_spec (HrJob *job, const HrJobSpec *spec, guint tasks_per_page);
