--- a/src/bookkeeping/record.h
+++ b/src/bookkeeping/record.h
@@ -41,6 +41,16 @@
 /* Longer than any writer's tag: with it a main record is at its largest. */
 #define HR_LONGEST_TAG "................................................................"
 
+/* What is wrong with a record. */
+typedef enum {
+  HR_RECORD_ERROR_MEMBER, /* a member is missing, or has no valid value */
+  HR_RECORD_ERROR_SPEC,   /* the job's specification cannot be read */
+  HR_RECORD_ERROR_TASKS   /* the array of tasks, or a task in it, is invalid */
+} HrRecordError;
+
+#define HR_RECORD_ERROR (hr_record_error_quark ())
+GQuark hr_record_error_quark (void);
+
 /**
  * hr_record_first:
  * @spec: what the user submitted
@@ -111,10 +121,11 @@
  * @value: (nullable): a main record or tombstone
  * @names: names that its specification refers to; new ones are added
  * @out: (out): the record; borrows from @value
+ * @error: (out) (optional): in %HR_RECORD_ERROR, which member is invalid
  *
  * Returns: FALSE when the record is invalid; then nothing may be concluded about the job
  */
-gboolean hr_record_read (const json_t *value, HrNames *names, HrRecord *out);
+gboolean hr_record_read (const json_t *value, HrNames *names, HrRecord *out, GError **error);
 
 /**
  * hr_record_clear:
@@ -131,9 +142,11 @@
  * @first: its first task in @tasks
  * @tasks: (nullable): the tasks of a main record, or of a page in the job's present layout
  * @machines: names of machines; new ones are added
+ * @error: (out) (optional): in %HR_RECORD_ERROR, which task is invalid
  *
  * Sets what is recorded of these tasks.
  *
  * Returns: FALSE when they are invalid; tasks before the invalid one are set all the same
  */
-gboolean hr_record_tasks (HrJob *job, guint32 first, const json_t *tasks, HrIntern *machines);
+gboolean hr_record_tasks (HrJob *job, guint32 first, const json_t *tasks, HrIntern *machines,
+                          GError **error);
--- a/src/bookkeeping/staged_pages.c
+++ b/src/bookkeeping/staged_pages.c
@@ -71,7 +71,7 @@
     return;
   const json_t *tasks = json_object_get (staged->value, HR_RECORD_TASKS);
   if (!hr_record_tasks (job, staged->page * job->record.tasks_per_page, tasks,
-                        &store->tables.machine_ids))
+                        &store->tables.machine_ids, NULL))
     job->record.tasks_unreadable = TRUE;
 }
 
--- a/tests/test_fixtures.c
+++ b/tests/test_fixtures.c
@@ -57,12 +57,12 @@
   hr_intern_init (&read->machines);
   json_t *value = json_loads (text, 0, NULL);
   read->job = g_new0 (HrJob, 1);
-  assert_true (hr_record_read (value, &read->names, &read->record));
+  assert_true (hr_record_read (value, &read->names, &read->record, NULL));
   if (!read->record.is_tombstone) {
     hr_job_set_spec (read->job, &read->record.spec, read->record.tasks_per_page);
     read->job->submitted_at = read->record.submitted_at;
     if (!read->record.tasks_per_page)
-      assert_true (hr_record_tasks (read->job, 0, read->record.tasks, &read->machines));
+      assert_true (hr_record_tasks (read->job, 0, read->record.tasks, &read->machines, NULL));
   }
   for (guint i = 0; read->record.awaits && read->record.awaits[i]; i++) {
     HrJob **awaits =
@@ -119,7 +119,7 @@
       assert_int_equal (read.job->record.tasks_per_page, atoi (fields[3]));
     json_t *value = json_loads (text, 0, NULL);
     assert_true (hr_record_tasks (read.job, page * read.job->record.tasks_per_page,
-                                  json_object_get (value, "x"), &read.machines));
+                                  json_object_get (value, "x"), &read.machines, NULL));
     g_autofree char *back =
         hr_record_page (read.job, page, &read.machines, hr_json_str (value, "w"), FALSE);
     assert_string_equal (back, text);
--- a/tests/test_record.c
+++ b/tests/test_record.c
@@ -84,20 +84,21 @@
     assert_true (strlen (main) <= 4096);
     json_t *value = json_loads (main, 0, NULL);
     HrRecord rec;
-    assert_true (hr_record_read (value, &names, &rec));
+    assert_true (hr_record_read (value, &names, &rec, NULL));
     assert_int_equal (rec.state, HR_JOB_CANCELLED);
     assert_string_equal (rec.tag, "w.1");
     assert_same_spec (&rec.spec, &spec);
     hr_job_set_spec (k, &rec.spec, rec.tasks_per_page);
     if (!per)
-      assert_true (hr_record_tasks (k, 0, rec.tasks, &machines));
+      assert_true (hr_record_tasks (k, 0, rec.tasks, &machines, NULL));
     hr_record_clear (&rec);
     json_decref (value);
     for (guint page_index = 0; per && page_index < job->record.n_pages; page_index++) {
       g_autofree char *page = hr_record_page (job, page_index, &machines, "w.2", FALSE);
       assert_true (strlen (page) <= 4096);
       value = json_loads (page, 0, NULL);
-      assert_true (hr_record_tasks (k, page_index * per, json_object_get (value, "x"), &machines));
+      assert_true (
+          hr_record_tasks (k, page_index * per, json_object_get (value, "x"), &machines, NULL));
       json_decref (value);
     }
     for (guint i = 0; i < spec.tasks; i++) {
@@ -136,7 +137,7 @@
   g_autofree char *main = hr_record_main (job, &names, &machines, HR_JOB_QUEUED, "w.1", FALSE);
   json_t *value = json_loads (main, 0, NULL);
   HrRecord rec;
-  assert_true (hr_record_read (value, &names, &rec));
+  assert_true (hr_record_read (value, &names, &rec, NULL));
   assert_same_spec (&rec.spec, &spec);
   assert_int_equal (g_strv_length (rec.awaits), 2);
   assert_string_equal (rec.awaits[0], "job-1");
@@ -151,7 +152,7 @@
   job->cancellation.root = &first;
   g_autofree char *derived = hr_record_tombstone (job, HR_JOB_CANCELLED, "w.2");
   value = json_loads (derived, 0, NULL);
-  assert_true (hr_record_read (value, &names, &rec));
+  assert_true (hr_record_read (value, &names, &rec, NULL));
   assert_true (rec.is_tombstone && !rec.awaits);
   assert_string_equal (rec.cancelled_with, "job-1");
   hr_record_clear (&rec);
@@ -182,13 +183,13 @@
   json_t *whole = json_loads (NOBODY_AWAITED, 0, NULL);
   json_object_del (whole, "a");
   HrRecord good;
-  assert_true (hr_record_read (whole, &names, &good));
+  assert_true (hr_record_read (whole, &names, &good, NULL));
   hr_record_clear (&good);
   json_decref (whole);
   for (gsize i = 0; i < G_N_ELEMENTS (bad); i++) {
     json_t *value = json_loads (bad[i], JSON_DECODE_ANY, NULL);
     HrRecord record;
-    assert_false (hr_record_read (value, &names, &record));
+    assert_false (hr_record_read (value, &names, &record, NULL));
     hr_record_clear (&record);
     json_decref (value);
   }
