--- a/src/bookkeeping/replica.c
+++ b/src/bookkeeping/replica.c
@@ -1,22 +1,30 @@
-/* Following the state store: one full reading, then changes in order. A reading is
- * /changes with no wait: it brings every change up to its epoch, so whoever
- * asked before it was sent gets an answer as new as any that was given. */
 #include "bookkeeping/replica.h"
-#include "bookkeeping/record_split.h"
 #include "bookkeeping/replica_changes.h"
-#include "bookkeeping/store.h"
+#include "bookkeeping/replica_listing.h"
 #include "bookkeeping/store_keys.h"
-#include "bookkeeping/tables.h"
 #include "protocol/http_method.h"
 #include "protocol/json_util.h"
-#include <string.h>
 
 #define READ_TIMEOUT_S 2.0
-/* Readings come every second; after a longer gap this node was not served. */
+/* The service holds a watch's answer back until there is a change, at most this long, ms. */
+#define WATCH_HOLD_MS 10000
+#define WATCH_TIMEOUT_S 14.0
+/* After a watch that failed. */
+#define MIN_WATCH_RETRY_S 0.3
+#define MAX_WATCH_RETRY_S 0.7
+/* All controllers together take half of the service's rate of requests for reads, and a quarter for
+ * watches. */
+#define READ_RATE_DIVISOR 2.0
+#define WATCH_RATE_DIVISOR 4.0
+/* Reads that nobody waits for: while the service answers, and while it does not. */
+#define IDLE_READ_GAP_S 1.0
+#define OUTAGE_READ_GAP_S 0.5
+/* Reads come every second; after a longer gap this node was not served. */
 #define UNSERVED_S 4.0
-/* Who asks waits so long while the service only says that it is busy. */
+#define FAILURES_OF_OUTAGE 2
+/* Whoever waits for a read waits on so long while the service answers 429. */
 #define BUSY_S 1.2
-/* What is left of a reading's latency in the estimate after the next reading. */
+/* Share of a read's latency that stays in the estimate after the next read. */
 #define LATENCY_KEPT 0.7
 
 gboolean
@@ -25,147 +33,130 @@
   return store->now - store->replica.confirmed_at <= UNSERVED_S;
 }
 
-static void
-note_store_answer (HrStore *store, gboolean ok)
+void
+hr_replica_note_answer (HrStore *store, gboolean is_answered)
 {
-  if (ok) {
-    if (store->replica.is_unavailable)
+  HrReplica *replica = &store->replica;
+  if (is_answered) {
+    if (replica->is_unavailable)
       g_message ("the state service answers again");
-    store->replica.is_unavailable = FALSE;
-    store->replica.failures = 0;
-  } else if (++store->replica.failures == 2) {
-    store->replica.is_unavailable = TRUE;
+    replica->is_unavailable = FALSE;
+    replica->failures = 0;
+  } else if (++replica->failures == FAILURES_OF_OUTAGE) {
+    replica->is_unavailable = TRUE;
     g_warning ("the state service does not answer this node");
   }
 }
 
-/* Applies the changes of a /changes answer, whose `after` was at most c->applied. */
+void
+hr_replica_reset (HrStore *store)
+{
+  store->replica.state = HR_REPLICA_UNREAD;
+  store->replica.generation++;
+  store->replica.list_retry_at = 0;
+}
+
+/* ---- changes ---- */
+
+/* Applies an entry of the log, unless it was applied before. Returns: its revision; 0: it is
+ * invalid. */
+static guint64
+apply_entry (HrStore *store, const json_t *entry, guint64 applied_before)
+{
+  const char *put_key = hr_json_str (entry, "set"), *deleted_key = hr_json_str (entry, "delete");
+  guint64 revision;
+  if ((!put_key && !deleted_key) || !hr_json_count (entry, "stamp", G_MAXINT64, &revision)) {
+    g_info ("a change that makes no sense was dropped");
+    return 0;
+  }
+  if (revision <= applied_before)
+    return revision; /* watches and reads overlap: each change counts once */
+  if (put_key)
+    hr_replica_apply_change (store, put_key, json_object_get (entry, "value"), revision);
+  else
+    hr_replica_apply_change (store, deleted_key, NULL, revision);
+  return revision;
+}
+
+/* Applies an answer with the changes after a revision that is not beyond the applied one. Returns:
+ * FALSE when it is invalid. */
 static gboolean
 apply_changes (HrStore *store, const json_t *body)
 {
-  guint64 store_revision;
-  json_t *log = json_object_get (body, "log"), *entry;
+  guint64 store_revision, applied_before = store->replica.applied_revision;
+  const json_t *log = json_object_get (body, "log");
+  json_t *entry;
   size_t i;
   if (!hr_json_count (body, "epoch", G_MAXINT64, &store_revision))
     return FALSE;
-  guint64 from = store->replica.applied_revision;
   json_array_foreach (log, i, entry)
   {
-    const char *settings = hr_json_str (entry, "set"), *del = hr_json_str (entry, "delete");
-    guint64 revision;
-    if ((!settings && !del) || !hr_json_count (entry, "stamp", G_MAXINT64, &revision)) {
-      g_info ("a change that makes no sense was dropped");
-      continue;
-    }
-    if (revision <= from)
-      continue; /* the watch and a reading overlap: each change counts once */
-    hr_replica_apply_change (store, settings ? settings : del,
-                             settings ? json_object_get (entry, "value") : NULL, revision);
-    store_revision = MAX (store_revision, revision);
+    guint64 revision = apply_entry (store, entry, applied_before);
+    if (revision > applied_before)
+      store_revision = MAX (store_revision, revision);
   }
   store->replica.applied_revision = MAX (store->replica.applied_revision, store_revision);
   store->events->changes_applied (store->core);
   return TRUE;
 }
 
-static void on_list_page (HrStore *store, int status, json_t *body, double sent, gpointer data);
-
 static void
-request_list_page (HrStore *store)
+request_changes (HrStore *store, guint hold_ms, double timeout_s, HrStoreCallback callback)
 {
-  char *path = store->replica.list_cursor
-                   ? g_strdup_printf ("/kv?starts=" HR_STORE_KEYS "&after=%s&limit=1000",
-                                      store->replica.list_cursor)
-                   : g_strdup ("/kv?starts=" HR_STORE_KEYS "&limit=1000");
-  store->events->call (store->core, HR_GET, path, NULL, 5, on_list_page,
+  char *path =
+      g_strdup_printf ("/changes?starts=" HR_STORE_KEYS "&after=%" G_GUINT64_FORMAT "&hold_ms=%u",
+                       store->replica.applied_revision, hold_ms);
+  store->events->call (store->core, HR_GET, path, NULL, timeout_s, callback,
                        GUINT_TO_POINTER (store->replica.generation));
 }
 
-static void
-on_list_page (HrStore *store, int status, json_t *body, double sent, gpointer data)
+/* Between the requests of one controller, so that all of them together make up the share of the
+ * service's rate that the divisor says. */
+static double
+gap_for_share (const HrStore *store, double rate_divisor)
 {
-  guint64 store_revision;
-  gboolean more = FALSE;
-  if (GPOINTER_TO_UINT (data) != store->replica.generation)
-    return;
-  if (status != 200 || !hr_json_count (body, "epoch", G_MAXINT64, &store_revision)) {
-    note_store_answer (store, FALSE);
-    store->replica.state = HR_REPLICA_UNREAD;
-    store->replica.list_retry_at = store->now + g_rand_double_range (store->random, 0.2, 0.6);
-    return;
-  }
-  note_store_answer (store, TRUE);
-  if (!store->replica.list_cursor)
-    store->replica.listed_revision =
-        store_revision; /* changes after the first page's epoch are read again, in order */
-  json_t *rows = json_object_get (body, "rows"), *entry;
-  size_t i;
-  json_array_foreach (rows, i, entry)
-  {
-    const char *path = hr_json_str (entry, "path");
-    guint64 revision;
-    if (!path || !hr_json_count (entry, "stamp", G_MAXINT64, &revision))
-      continue;
-    hr_replica_apply_change (store, path, json_object_get (entry, "value"), revision);
-    g_free (store->replica.list_cursor);
-    store->replica.list_cursor = g_strdup (path);
-  }
-  hr_json_bool (body, "more", &more);
-  if (more && json_array_size (rows)) {
-    request_list_page (store);
-    return;
-  }
-  store->replica.state = HR_REPLICA_FOLLOWING;
-  store->replica.applied_revision = store->replica.listed_revision;
-  store->replica.next_watch_at = 0;
-  store->replica.read_sent_at = 0;
-  g_message ("read the state store: %u jobs, revision %" G_GUINT64_FORMAT, store->tables.jobs->len,
-             store->replica.applied_revision);
+  return rate_divisor * (store->settings->members->len + 1) / store->limits.rps;
 }
 
-/* Begins again from a full reading; what was known of final jobs stays. */
-void
-hr_replica_reset (HrStore *store)
+/* ---- reads ---- */
+
+static void
+release_waiters (HrStore *store, GArray *waiters, gboolean ok)
 {
-  store->replica.state = HR_REPLICA_UNREAD;
-  store->replica.generation++;
-  store->replica.list_retry_at = 0;
+  /* Their callbacks may add new ones. */
+  g_autoptr (GArray) released = g_array_copy (waiters);
+  g_array_set_size (waiters, 0);
+  for (guint i = 0; i < released->len; i++) {
+    const HrReadWaiter *waiter = &g_array_index (released, HrReadWaiter, i);
+    waiter->callback (store, ok, waiter->data);
+  }
 }
 
+/* Requests are too many just now: waiters that came of late are left to the next read. */
 static void
-begin_listing (HrStore *store)
+keep_recent_waiters (HrStore *store)
 {
-  /* Rows of jobs not final are read anew: a leader's view goes beyond the record. */
-  for (guint i = 0; i < store->tables.jobs->len; i++) {
-    HrJob *job = store->tables.jobs->pdata[i];
-    if (job->is_known && job->tasks && !job->record.is_compacted) {
-      hr_job_compact (job);
-      job->record.revision = 0;
-      job->run.n_live = job->n_recorded_done = job->n_done = 0;
-      job->is_known = job->state != HR_JOB_QUEUED; /* a final answer, once given, stays */
-      job->run.is_open = FALSE;
+  GArray *in_flight = store->replica.waiters_in_flight;
+  for (guint i = 0; i < in_flight->len; i++) {
+    const HrReadWaiter *waiter = &g_array_index (in_flight, HrReadWaiter, i);
+    if (store->now - waiter->since < BUSY_S) {
+      g_array_append_val (store->replica.waiters, *waiter);
+      g_array_remove_index (in_flight, i--);
     }
   }
-  g_array_set_size (store->tables.open_jobs, 0);
-  hr_record_split_reset (store);
-  store->format.revision = 0;
-  store->events->listing_begins (store->core);
-  g_clear_pointer (&store->replica.list_cursor, g_free);
-  store->replica.state = HR_REPLICA_LISTING;
-  store->replica.generation++;
-  store->replica.watch_in_flight = store->replica.read_in_flight = FALSE;
-  request_list_page (store);
 }
 
 static void
-release_waiters (HrStore *store, GArray *list, gboolean ok)
+note_read (HrStore *store, double sent_at)
 {
-  g_autoptr (GArray) now = g_array_copy (list);
-  g_array_set_size (list, 0);
-  for (guint i = 0; i < now->len; i++) {
-    HrReadWaiter *waiter = &g_array_index (now, HrReadWaiter, i);
-    waiter->callback (store, ok, waiter->data);
-  }
+  HrReplica *replica = &store->replica;
+  double latency_s = store->now - sent_at;
+  store->events->read_answered (store->core, latency_s);
+  if (sent_at - replica->confirmed_at > UNSERVED_S)
+    replica->served_since = store->now;
+  replica->confirmed_at = MAX (replica->confirmed_at, sent_at);
+  replica->read_latency_s = MAX (latency_s, LATENCY_KEPT * replica->read_latency_s);
+  replica->synced_once = TRUE;
 }
 
 static void
@@ -175,56 +166,73 @@
     return;
   store->replica.read_in_flight = FALSE;
   gboolean ok = status == 200 && apply_changes (store, body);
-  /* 429 says that the service is there, only busy. */
-  note_store_answer (store, ok || status == 429 || status == 410);
-  if (ok) {
-    store->events->read_answered (store->core, store->now - sent);
-    if (sent - store->replica.confirmed_at > UNSERVED_S)
-      store->replica.served_since = store->now;
-    store->replica.confirmed_at = MAX (store->replica.confirmed_at, sent);
-    store->replica.read_latency_s =
-        MAX (store->now - sent, LATENCY_KEPT * store->replica.read_latency_s);
-    store->replica.synced_once = TRUE;
-  }
-  if (status == 410)
+  gboolean is_busy = status == 429, lacks_history = status == 410;
+  hr_replica_note_answer (store, ok || is_busy || lacks_history);
+  if (ok)
+    note_read (store, sent);
+  if (lacks_history)
     store->events->history_lost (store->core);
-  if (status == 429) { /* there are too many of us just now: the next reading serves them */
-    for (guint i = 0; i < store->replica.waiters_in_flight->len; i++) {
-      HrReadWaiter *waiter = &g_array_index (store->replica.waiters_in_flight, HrReadWaiter, i);
-      if (store->now - waiter->since < BUSY_S) {
-        g_array_append_val (store->replica.waiters, *waiter);
-        g_array_remove_index (store->replica.waiters_in_flight, i--);
-      }
-    }
-  }
+  if (is_busy)
+    keep_recent_waiters (store);
   release_waiters (store, store->replica.waiters_in_flight, ok);
 }
 
+void
+hr_replica_read (HrStore *store, HrReadCallback callback, gpointer data)
+{
+  HrReadWaiter waiter = {callback, data, store->now};
+  if (store->replica.state != HR_REPLICA_FOLLOWING || store->replica.is_unavailable) {
+    callback (store, FALSE, data);
+    return;
+  }
+  g_array_append_val (store->replica.waiters, waiter);
+}
+
+static gboolean
+is_read_due (const HrStore *store)
+{
+  const HrReplica *replica = &store->replica;
+  double gap = replica->is_unavailable ? OUTAGE_READ_GAP_S : IDLE_READ_GAP_S;
+  if (replica->waiters->len)
+    gap = gap_for_share (store, READ_RATE_DIVISOR);
+  return !replica->read_in_flight && store->now - replica->read_sent_at >= gap;
+}
+
+static void
+send_read (HrStore *store)
+{
+  HrReplica *replica = &store->replica;
+  GArray *released = replica->waiters_in_flight; /* empty since the last answer */
+  replica->waiters_in_flight = replica->waiters;
+  replica->waiters = released;
+  replica->read_in_flight = TRUE;
+  replica->read_sent_at = store->now;
+  request_changes (store, 0, READ_TIMEOUT_S, on_read_answer);
+}
+
+/* ---- watches ---- */
+
 static void
 on_watch_answer (HrStore *store, int status, json_t *body, double sent, gpointer data)
 {
   if (GPOINTER_TO_UINT (data) != store->replica.generation)
     return;
   store->replica.watch_in_flight = FALSE;
-  /* Each change ends the watches of all members: opened again at once, they alone would
-   * use up the service's requests. A quarter of those is theirs. */
-  store->replica.next_watch_at =
-      store->now + 4.0 * (store->settings->members->len + 1) / store->limits.rps;
+  /* Each change ends the watches of all controllers: opened again at once, they alone would use up
+   * the service's rate of requests. */
+  store->replica.next_watch_at = store->now + gap_for_share (store, WATCH_RATE_DIVISOR);
   if (status == 200)
     apply_changes (store, body);
   else
-    store->replica.next_watch_at = store->now + g_rand_double_range (store->random, 0.3, 0.7);
+    store->replica.next_watch_at =
+        store->now + g_rand_double_range (store->random, MIN_WATCH_RETRY_S, MAX_WATCH_RETRY_S);
 }
 
-void
-hr_replica_read (HrStore *store, HrReadCallback callback, gpointer data)
+static void
+send_watch (HrStore *store)
 {
-  HrReadWaiter waiter = {callback, data, store->now};
-  if (store->replica.state != HR_REPLICA_FOLLOWING || store->replica.is_unavailable) {
-    callback (store, FALSE, data); /* no reading is to be had now: say so at once */
-    return;
-  }
-  g_array_append_val (store->replica.waiters, waiter);
+  store->replica.watch_in_flight = TRUE;
+  request_changes (store, WATCH_HOLD_MS, WATCH_TIMEOUT_S, on_watch_answer);
 }
 
 void
@@ -234,33 +242,12 @@
     release_waiters (store, store->replica.waiters_in_flight, FALSE);
     release_waiters (store, store->replica.waiters, FALSE);
     if (store->now >= store->replica.list_retry_at)
-      begin_listing (store);
+      hr_replica_listing_begin (store);
   }
   if (store->replica.state != HR_REPLICA_FOLLOWING)
     return;
-  /* All members together take half of the service's allowance for readings. */
-  double gap = store->replica.waiters->len
-                   ? 2.0 * (store->settings->members->len + 1) / store->limits.rps
-               : store->replica.is_unavailable ? 0.5
-                                               : 1.0;
-  if (!store->replica.read_in_flight && store->now - store->replica.read_sent_at >= gap) {
-    GArray *ended = store->replica.waiters_in_flight;
-    store->replica.waiters_in_flight = store->replica.waiters;
-    store->replica.waiters = ended;
-    store->replica.read_in_flight = TRUE;
-    store->replica.read_sent_at = store->now;
-    store->events->call (
-        store->core, HR_GET,
-        g_strdup_printf ("/changes?starts=" HR_STORE_KEYS "&after=%" G_GUINT64_FORMAT "&hold_ms=0",
-                         store->replica.applied_revision),
-        NULL, READ_TIMEOUT_S, on_read_answer, GUINT_TO_POINTER (store->replica.generation));
-  }
-  if (!store->replica.watch_in_flight && store->now >= store->replica.next_watch_at) {
-    store->replica.watch_in_flight = TRUE;
-    store->events->call (store->core, HR_GET,
-                         g_strdup_printf ("/changes?starts=" HR_STORE_KEYS
-                                          "&after=%" G_GUINT64_FORMAT "&hold_ms=10000",
-                                          store->replica.applied_revision),
-                         NULL, 14, on_watch_answer, GUINT_TO_POINTER (store->replica.generation));
-  }
+  if (is_read_due (store))
+    send_read (store);
+  if (!store->replica.watch_in_flight && store->now >= store->replica.next_watch_at)
+    send_watch (store);
 }
