--- a/src/coordination/core.c
+++ b/src/coordination/core.c
@@ -82,10 +82,7 @@
   g_ptr_array_unref (core->scaling.fleet);
   g_clear_pointer (&core->scaling.machine_types, g_array_unref);
   g_free (core->scaling.list_cursor);
-  g_free (core->leadership.leader_label);
-  g_free (core->leadership.leader_incarnation);
-  g_free (core->leadership.lock_label);
-  g_free (core->leadership.lock_incarnation);
+  hr_leadership_clear (&core->leadership);
   g_free (core->incarnation);
   g_free (core);
 }
--- /dev/null
+++ b/src/coordination/leadership/election.c
@@ -0,0 +1,170 @@
+#include "coordination/leadership/election.h"
+#include "bookkeeping/replica.h"
+#include "bookkeeping/transactions.h"
+#include "coordination/effects.h"
+#include "coordination/leadership/leadership_decisions.h"
+#include "coordination/state.h"
+#include "protocol/http_method.h"
+#include "protocol/json_util.h"
+
+#define LOCK_KEY "h/leader"
+#define RECORD_KEY "h/map"
+/* How long an answer of the store is waited for. */
+#define STORE_TIMEOUT_S 2.0
+/* Changes that a transaction takes of the allowance: one for each key that it writes. */
+#define ELECTION_CHANGES 2
+#define TOKEN_RAISE_CHANGES 1
+/* The next attempt follows after a random pause, so that the members do not collide again. */
+#define ELECTION_PAUSE_MIN_S 0.3
+#define ELECTION_PAUSE_MAX_S 0.8
+#define LEASE_PAUSE_MIN_S 0.5
+#define LEASE_PAUSE_MAX_S 1.0
+
+/* The value of the leader record and, with token 0, of the lock. */
+static char *
+leader_record_text (const HrCore *core, guint64 fencing_token)
+{
+  return hr_json_take_text (json_pack ("{sIssss}", "b", (json_int_t)fencing_token, "o",
+                                       core->settings->label, "i", core->incarnation));
+}
+
+static void
+on_reread (HrStore *store, gboolean ok, gpointer data)
+{
+  HrLeadership *leadership = &store->core->leadership;
+  leadership->election_in_flight = leadership->token_raise_in_flight = FALSE;
+}
+
+static void
+on_leader_record_written (HrStore *store, int status, json_t *body, double sent_at, gpointer data)
+{
+  HrCore *core = store->core;
+  HrLeadership *leadership = &core->leadership;
+  if (status == 400)
+    leadership->lock_lease_id = 0;
+  leadership->next_election_at =
+      core->now + g_rand_double_range (core->random, ELECTION_PAUSE_MIN_S, ELECTION_PAUSE_MAX_S);
+  /* Won, lost or unknown: the next read says whom the leader record names. */
+  hr_replica_read (store, on_reread, NULL);
+}
+
+static void
+on_lock_lease_granted (HrCore *core, int status, json_t *body, double sent_at, gpointer data)
+{
+  HrLeadership *leadership = &core->leadership;
+  guint64 lease_id = 0;
+  leadership->lock_lease_requested_at = 0;
+  if (status == 200 && hr_json_count (body, "claim", G_MAXINT64, &lease_id) && lease_id) {
+    leadership->lock_lease_id = lease_id;
+    leadership->lock_lease_renewed_at = sent_at;
+  } else
+    leadership->next_election_at =
+        core->now + g_rand_double_range (core->random, LEASE_PAUSE_MIN_S, LEASE_PAUSE_MAX_S);
+}
+
+static void
+on_lock_lease_renewed (HrCore *core, int status, json_t *body, double sent_at, gpointer data)
+{
+  HrLeadership *leadership = &core->leadership;
+  leadership->lock_lease_renewal_in_flight = FALSE;
+  if (status == 200)
+    leadership->lock_lease_renewed_at = sent_at;
+  else if (status == 404)
+    leadership->lock_lease_id = 0; /* the lock is gone with it; we may stand again */
+}
+
+static void
+request_lock_lease (HrCore *core)
+{
+  HrLeadership *leadership = &core->leadership;
+  if (leadership->lock_lease_requested_at)
+    return;
+  leadership->lock_lease_requested_at = core->now;
+  int life_ms = (int)(core->policy.leader_lease_s * 1000);
+  hr_core_call (core, HR_TO_STORE, NULL, HR_POST, g_strdup ("/leases"),
+                g_strdup_printf ("{\"life_ms\":%d}", life_ms), STORE_TIMEOUT_S,
+                on_lock_lease_granted, NULL);
+}
+
+/* The call is given up when the next renewal is due. */
+static void
+renew_lock_lease (HrCore *core)
+{
+  HrLeadership *leadership = &core->leadership;
+  leadership->lock_lease_renewal_in_flight = TRUE;
+  leadership->lock_lease_renewal_sent_at = core->now;
+  hr_core_call (core, HR_TO_STORE, NULL, HR_POST,
+                g_strdup_printf ("/leases/%" G_GUINT64_FORMAT "/touch", leadership->lock_lease_id),
+                NULL, core->policy.leader_lease_s / HR_LOCK_LEASE_RENEWALS, on_lock_lease_renewed,
+                NULL);
+}
+
+void
+hr_election_lock_lease_tick (HrCore *core)
+{
+  switch (hr_leadership_lock_lease_verdict (core)) {
+  case HR_LOCK_LEASE_KEEP:
+    break;
+  case HR_LOCK_LEASE_RENEW:
+    renew_lock_lease (core);
+    break;
+  case HR_LOCK_LEASE_LAPSED:
+    core->leadership.lock_lease_id = 0;
+    break;
+  }
+}
+
+/* Takes the lock and writes the leader record. Both must be as we have read them. */
+static void
+submit_election (HrCore *core)
+{
+  HrLeadership *leadership = &core->leadership;
+  leadership->election_in_flight = TRUE;
+  json_t *when = hr_transaction_require (json_array (), LOCK_KEY, leadership->lock_revision);
+  when = hr_transaction_require (when, RECORD_KEY, leadership->record_revision);
+  json_t *writes = hr_transaction_put (json_array (), LOCK_KEY, leader_record_text (core, 0),
+                                       leadership->lock_lease_id);
+  guint64 token = MAX (leadership->fencing_token, leadership->resigned_token) + 1;
+  hr_transaction_put (writes, RECORD_KEY, leader_record_text (core, token), 0);
+  hr_transaction_submit (&core->store, HR_TRANSACTION_USER, when, writes, ELECTION_CHANGES,
+                         STORE_TIMEOUT_S, on_leader_record_written, NULL);
+}
+
+void
+hr_election_tick (HrCore *core)
+{
+  if (hr_leadership_election_verdict (core) != HR_ELECTION_STAND)
+    return;
+  if (core->leadership.lock_lease_id)
+    submit_election (core);
+  else
+    request_lock_lease (core);
+}
+
+void
+hr_election_token_raise_tick (HrCore *core)
+{
+  HrLeadership *leadership = &core->leadership;
+  if (hr_leadership_token_raise_verdict (core) != HR_TOKEN_RAISE_NOW)
+    return;
+  leadership->token_raise_wanted = FALSE;
+  leadership->token_raise_in_flight = TRUE;
+  leadership->token_raised_at = core->now;
+  json_t *when = hr_transaction_require (json_array (), RECORD_KEY, leadership->record_revision);
+  json_t *writes = hr_transaction_put (json_array (), RECORD_KEY,
+                                       leader_record_text (core, leadership->fencing_token + 1), 0);
+  hr_transaction_submit (&core->store, HR_TRANSACTION_USER, when, writes, TOKEN_RAISE_CHANGES,
+                         STORE_TIMEOUT_S, on_leader_record_written, NULL);
+}
+
+void
+hr_election_release_lock (HrCore *core)
+{
+  HrLeadership *leadership = &core->leadership;
+  leadership->resigned_token = leadership->fencing_token;
+  if (leadership->lock_lease_id)
+    hr_core_call (core, HR_TO_STORE, NULL, HR_DELETE,
+                  g_strdup_printf ("/leases/%" G_GUINT64_FORMAT, leadership->lock_lease_id), NULL,
+                  STORE_TIMEOUT_S, on_lock_lease_renewed, NULL);
+  leadership->lock_lease_id = 0;
+}
