--- a/src/coordination/command.h
+++ b/src/coordination/command.h
@@ -1,63 +1,23 @@
-/* What goes into the single owner of all state and what comes out: no I/O in between. */
+/* What goes into the core (commands) and what comes out of it (effects). Plain data: the core does
+ * no I/O, transport/ carries the effects out. Each value owns what its pointers point to and is
+ * freed with the function below. Times are in seconds. */
 #pragma once
+#include "coordination/membership/peer_status.h"
 #include "protocol/http_method.h"
 #include "protocol/jobspec.h"
 #include <glib.h>
 
+/* Whom a call goes to. */
 typedef enum { HR_TO_STORE, HR_TO_CLOUD, HR_TO_WORKER } HrTarget;
 
-#define HR_MAX_ECHOES 16
-/* Room for the job ids that one status names. With it the largest status still fits a frame. */
-#define HR_NAMED_CANCELLATIONS_BYTES 960
-
-/* The clock of a member, as its last status told it: for that member alone to read. */
-typedef struct {
-  char label[64], incarnation[40];
-  double clock;
-  guint64 cancellations_taken; /* position up to which the teller, who leads, has taken in that
-                                  member's log */
-} HrEcho;
-
-/* A part of a member's log of cancellations, in which it notes each one that it confirms or reads,
- * in that order. Positions count from 0 in each process. What was dropped from the log's
- * beginning has revisions up to `dropped`. */
-typedef struct {
-  gboolean is_stated; /* FALSE: the status of a version that has no such log */
-  guint64 dropped_revision, log_begin, first_position, log_end;
-  guint count;                            /* of the ids named, from position `first` on */
-  guint bytes;                            /* used of `ids` */
-  char ids[HR_NAMED_CANCELLATIONS_BYTES]; /* one after the other, each with its terminating NUL */
-} HrNamedCancellations;
-
-/* What members tell one another about once a second. Statuses, on which no rule rests, but
- * for one statement: by the time it was made, its sender and the processes before it had
- * confirmed no cancellation after `cancelled`, and of those after `named.dropped` none that is
- * not in its log. It is at least as new as the echoed clocks. */
-typedef struct {
-  char label[64], incarnation[40];
-  guint64 fencing_token, leader_record_revision;
-  gboolean store_served, is_leader;
-  guint32 worker_contacts;
-  double clock;
-  gboolean synced; /* has read the whole state store once; without that, `cancelled` says nothing */
-  guint64 latest_cancellation;
-  guint64 applied_revision; /* revision up to which the sender has read the state store */
-  HrNamedCancellations cancellations;
-  HrEcho echoes[HR_MAX_ECHOES];
-  guint n_echoes;
-  guint32 format; /* of records, that the sender reads and writes; 0: it says nothing */
-  /* Jobs that it could not cancel, since their records are too large to be written. */
-  char oversized[HR_MAX_OVERSIZED][HR_JOB_ID_MOST + 1];
-  guint n_oversized;
-} HrPeerStatus;
-
 typedef enum {
-  HR_COMMAND_REQUEST,
-  HR_COMMAND_RESULT,
-  HR_COMMAND_PEER_STATUS,
-  HR_COMMAND_TICK
+  HR_COMMAND_REQUEST,     /* of a user or a worker */
+  HR_COMMAND_RESULT,      /* the answer to a call of ours, or that there is none */
+  HR_COMMAND_PEER_STATUS, /* of another controller */
+  HR_COMMAND_TICK         /* time has passed */
 } HrCommandKind;
-/* What comes into the core. `kind` says which part holds. */
+
+/* What comes into the core. `kind` says which member of the union holds. */
 typedef struct {
   HrCommandKind kind;
   guint64 id;   /* of the request, or of the call that this is the result of */
@@ -75,15 +35,20 @@
   };
 } HrCommand;
 
-typedef enum { HR_EFFECT_REPLY, HR_EFFECT_CALL, HR_EFFECT_PEER_STATUS } HrEffectKind;
-/* What goes out of the core. `kind` says which part holds. */
+typedef enum {
+  HR_EFFECT_REPLY,      /* the answer to a request */
+  HR_EFFECT_CALL,       /* a request of ours; its result comes as a command */
+  HR_EFFECT_PEER_STATUS /* our status, for every other controller */
+} HrEffectKind;
+
+/* What goes out of the core. `kind` says which member of the union holds. */
 typedef struct {
   HrEffectKind kind;
   guint64 id; /* of the request replied to, or of the call */
   char *body; /* of a reply or call; NULL: none */
   union {
     struct {
-      int status;
+      int status;             /* HTTP status */
       int retry_after_s;      /* 0: no header */
       gboolean is_plain_text; /* else JSON */
     } reply;
@@ -98,12 +63,22 @@
   };
 } HrEffect;
 
-/* Adds a job's id to those named; FALSE when there is no room. */
-gboolean hr_named_cancellations_add (HrNamedCancellations *named, const char *id);
-/* The first id named, or the one after `id`; NULL after the last. */
-const char *hr_named_cancellations_next (const HrNamedCancellations *named, const char *id);
-
-/* With an empty status when it is to be one. */
+/**
+ * hr_command_new:
+ * @kind: the kind of command
+ *
+ * Returns: (transfer full): an empty command; one of %HR_COMMAND_PEER_STATUS has an empty status
+ */
 HrCommand *hr_command_new (HrCommandKind kind);
+
+/**
+ * hr_command_free:
+ * @command: (transfer full): the command to free, with what it holds
+ */
 void hr_command_free (HrCommand *command);
+
+/**
+ * hr_effect_free:
+ * @effect: (transfer full): the effect to free, with what it holds
+ */
 void hr_effect_free (HrEffect *effect);
--- a/src/coordination/core.c
+++ b/src/coordination/core.c
@@ -11,6 +11,7 @@
 #include "coordination/jobs/dependencies.h"
 #include "coordination/jobs/user_requests.h"
 #include "coordination/leadership/leadership.h"
+#include "coordination/membership/cancellation_log.h"
 #include "coordination/membership/membership.h"
 #include "coordination/metrics/metrics.h"
 #include "coordination/scaling/fleet.h"
@@ -42,8 +43,8 @@
   core->incarnation = g_strdup (incarnation);
   core->random = g_rand_new_with_seed (seed);
   core->calls.pending = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
-  core->membership.peers = g_array_new (FALSE, TRUE, sizeof (HrPeer));
-  core->cancellations.entries = g_array_new (FALSE, FALSE, sizeof (HrCancellation));
+  hr_membership_init (&core->membership);
+  hr_cancellation_log_init (&core->cancellations);
   core->scheduling.class_stats = g_array_new (FALSE, TRUE, sizeof (HrClassStats));
   core->dependencies.to_tombstone = g_array_new (FALSE, TRUE, sizeof (guint32));
   core->scaling.fleet = g_ptr_array_new ();
@@ -71,8 +72,8 @@
   hr_store_clear (&core->store);
   g_rand_free (core->random);
   g_hash_table_unref (core->calls.pending);
-  g_array_unref (core->membership.peers);
-  g_array_unref (core->cancellations.entries);
+  hr_membership_clear (&core->membership);
+  hr_cancellation_log_clear (&core->cancellations);
   g_array_unref (core->scheduling.class_stats);
   g_array_unref (core->scaling.capacity_refusals);
   g_array_unref (core->dependencies.to_tombstone);
--- a/src/coordination/effects.c
+++ b/src/coordination/effects.c
@@ -82,6 +82,13 @@
   hr_core_reply (core, id, status, json_pack ("{ss}", "error", text), retry_after);
 }
 
+void
+hr_core_broadcast_status (HrCore *core, HrPeerStatus *status)
+{
+  HrEffect *added = effect (core, HR_EFFECT_PEER_STATUS);
+  added->peer_status = status;
+}
+
 char *
 hr_core_new_tag (HrCore *core)
 {
--- a/src/coordination/effects.h
+++ b/src/coordination/effects.h
@@ -26,5 +26,7 @@
 void hr_core_reply_text (HrCore *core, guint64 id, char *text);
 /* Replies with an error text. */
 void hr_core_refuse (HrCore *core, guint64 id, int status, int retry_after, const char *reason);
+/* Sends our status to every other controller. Takes it. */
+void hr_core_broadcast_status (HrCore *core, HrPeerStatus *status);
 /* A tag that no other write of any process carries. To be freed. */
 char *hr_core_new_tag (HrCore *core);
--- a/src/coordination/leadership/leadership_decisions.c
+++ b/src/coordination/leadership/leadership_decisions.c
@@ -1,4 +1,5 @@
 #include "coordination/leadership/leadership_decisions.h"
+#include "coordination/membership/attestation.h"
 #include "coordination/membership/membership.h"
 #include "coordination/state.h"
 
@@ -31,7 +32,7 @@
 {
   if (!core->leadership.is_leader)
     return HR_ANSWER_NOT_LEADER;
-  double confirmed_at = MAX (core->store.replica.confirmed_at, hr_membership_attested_until (core));
+  double confirmed_at = MAX (core->store.replica.confirmed_at, hr_attestation_valid_until (core));
   double age = core->now - confirmed_at;
   if (age > core->policy.hold_s)
     return HR_ANSWER_READING_TOO_OLD;
--- a/src/coordination/membership/membership.c
+++ b/src/coordination/membership/membership.c
@@ -1,16 +1,33 @@
 #include "coordination/membership/membership.h"
 #include "bookkeeping/record_format.h"
+#include "coordination/effects.h"
 #include "coordination/leadership/leadership.h"
+#include "coordination/membership/attestation.h"
 #include "coordination/membership/cancellation_log.h"
 #include "coordination/state.h"
 #include <string.h>
 
-/* A peer that was last heard longer ago says nothing about now, s. */
+/* A peer that was last heard longer ago says nothing about now: three statuses in a row are
+ * missing. */
 #define FRESH_S 3.5
-/* Seconds between statuses, and while there is news for a peer that the store does not serve. */
+/* The store serves us as long as the latest successful read is younger. */
+#define SERVED_MAX_READ_AGE_S 2.5
+/* Between two statuses, and while there is news for a peer that the store does not serve. */
 #define STATUS_INTERVAL_S 1.0
 #define STATUS_SOON_INTERVAL_S 0.2
 
+void
+hr_membership_init (HrMembership *membership)
+{
+  membership->peers = g_array_new (FALSE, TRUE, sizeof (HrPeer));
+}
+
+void
+hr_membership_clear (HrMembership *membership)
+{
+  g_clear_pointer (&membership->peers, g_array_unref);
+}
+
 HrPeer *
 hr_membership_peer (const HrCore *core, const char *label)
 {
@@ -28,8 +45,6 @@
   return core->now - peer->received_at < FRESH_S;
 }
 
-/* A node that hears no other cannot tell an outage from a cut of its own. It takes it
- * for a cut: not ready, so that users go elsewhere, and soon silent to workers. */
 gboolean
 hr_membership_store_outage_for_all (const HrCore *core)
 {
@@ -45,35 +60,19 @@
   return heard;
 }
 
-/* Up to when nobody else can have confirmed a cancellation that we have not read, or become
- * the leader: each of the other members said so, after it had heard our clock. With none,
- * there is nobody who could. */
-double
-hr_membership_attested_until (const HrCore *core)
-{
-  double until = core->now;
-  if (!core->store.replica.synced_once)
-    return 0;
-  for (guint i = 0; i < core->settings->members->len; i++) {
-    const char *label = g_array_index (core->settings->members, HrMember, i).label;
-    const HrPeer *peer = hr_membership_peer (core, label);
-    until = MIN (until, peer ? peer->attested_at : 0);
-  }
-  return until;
-}
-
 guint
 hr_membership_count_contacts (HrCore *core)
 {
-  if (core->now - core->membership.contact_window_began_at >= HR_CONTACT_WINDOW_S) {
-    core->membership.contacts_in_last_window =
-        core->now - core->membership.contact_window_began_at < 2 * HR_CONTACT_WINDOW_S
-            ? core->membership.contacts_in_window
-            : 0;
-    core->membership.contacts_in_window = 0;
-    core->membership.contact_window_began_at = core->now;
+  HrMembership *membership = &core->membership;
+  double age = core->now - membership->contact_window_began_at;
+  if (age >= HR_CONTACT_WINDOW_S) {
+    /* After standing still for long, the window before this one is not the last one. */
+    gboolean is_last_window = age < 2 * HR_CONTACT_WINDOW_S;
+    membership->contacts_in_last_window = is_last_window ? membership->contacts_in_window : 0;
+    membership->contacts_in_window = 0;
+    membership->contact_window_began_at = core->now;
   }
-  return MAX (core->membership.contacts_in_window, core->membership.contacts_in_last_window);
+  return MAX (membership->contacts_in_window, membership->contacts_in_last_window);
 }
 
 gboolean
@@ -82,7 +81,6 @@
   return hr_membership_peer_is_fresh (core, peer) && peer->status.store_served;
 }
 
-/* What a peer stated holds on: after an upgrade its processes come back new. */
 gboolean
 hr_membership_peers_support_format (const HrCore *core, guint format)
 {
@@ -95,84 +93,89 @@
   return TRUE;
 }
 
+/* Echoes the latest clock of each peer, by which it knows how old our status is. */
 static void
-broadcast_status (HrCore *core)
+fill_echoes (const HrCore *core, HrPeerStatus *status)
 {
-  core->membership.status_sent_at = core->now;
-  core->membership.status_due_soon = FALSE;
-  HrEffect *effect = g_new0 (HrEffect, 1);
-  effect->kind = HR_EFFECT_PEER_STATUS;
-  HrPeerStatus *status = effect->peer_status = g_new0 (HrPeerStatus, 1);
+  const GArray *peers = core->membership.peers;
+  for (guint i = 0; i < MIN (peers->len, HR_MAX_ECHOES); i++) {
+    const HrPeer *peer = &g_array_index (peers, HrPeer, i);
+    HrEcho *echo = &status->echoes[status->n_echoes++];
+    g_strlcpy (echo->label, peer->status.label, sizeof echo->label);
+    g_strlcpy (echo->incarnation, peer->status.incarnation, sizeof echo->incarnation);
+    echo->clock = peer->status.clock;
+    echo->cancellations_taken = peer->cancellations_taken;
+  }
+}
+
+static HrPeerStatus *
+build_status (HrCore *core)
+{
+  const HrReplica *replica = &core->store.replica;
+  const HrRecordSplitter *splitter = &core->store.splitter;
+  HrPeerStatus *status = g_new0 (HrPeerStatus, 1);
   g_strlcpy (status->label, core->settings->label, sizeof status->label);
   g_strlcpy (status->incarnation, core->incarnation, sizeof status->incarnation);
   status->fencing_token = core->leadership.fencing_token;
   status->leader_record_revision = core->leadership.record_revision;
   status->store_served =
-      core->store.replica.synced_once && core->now - core->store.replica.confirmed_at < 2.5;
+      replica->synced_once && core->now - replica->confirmed_at < SERVED_MAX_READ_AGE_S;
   status->is_leader = core->leadership.is_leader;
   status->worker_contacts = hr_membership_count_contacts (core);
   status->clock = core->now;
-  status->synced = core->store.replica.synced_once;
+  status->synced = replica->synced_once;
   status->latest_cancellation = core->cancellations.latest_revision;
   status->format = core->store.format.supported;
-  status->n_oversized = core->store.splitter.n_oversized;
-  memcpy (status->oversized, core->store.splitter.oversized, sizeof status->oversized);
-  status->applied_revision = core->store.replica.applied_revision;
+  status->n_oversized = splitter->n_oversized;
+  memcpy (status->oversized, splitter->oversized, sizeof status->oversized);
+  status->applied_revision = replica->applied_revision;
   hr_cancellation_log_fill_status (core, status);
-  for (guint i = 0; i < MIN (core->membership.peers->len, HR_MAX_ECHOES); i++) {
-    const HrPeer *peer = &g_array_index (core->membership.peers, HrPeer, i);
-    HrEcho *echo = &status->echoes[status->n_echoes++];
-    g_strlcpy (echo->label, peer->status.label, sizeof echo->label);
-    g_strlcpy (echo->incarnation, peer->status.incarnation, sizeof echo->incarnation);
-    echo->clock = peer->status.clock;
-    echo->cancellations_taken = peer->cancellations_taken;
-  }
-  g_ptr_array_add (core->effects, effect);
+  fill_echoes (core, status);
+  return status;
 }
 
-/* Takes note of what a member states, and of when by our clock it was still so: that it knows
- * of no newer leader and of no cancellation that we have neither read nor been told. Whether the
- * state service serves it does not matter: what it decides or reads later is in what it states
- * later. */
 static void
-note_attestation (HrCore *core, HrPeer *peer)
+broadcast_status (HrCore *core)
 {
-  const HrPeerStatus *status = &peer->status;
-  if (!status->synced || status->fencing_token > core->leadership.fencing_token ||
-      (status->latest_cancellation > core->store.replica.applied_revision &&
-       !hr_cancellation_log_all_taken (core, peer)))
-    return;
-  for (guint i = 0; i < status->n_echoes; i++) {
-    const HrEcho *echo = &status->echoes[i];
-    if (g_str_equal (echo->label, core->settings->label) &&
-        g_str_equal (echo->incarnation, core->incarnation) && echo->clock <= core->now)
-      peer->attested_at = MAX (peer->attested_at, echo->clock);
-  }
+  core->membership.status_sent_at = core->now;
+  core->membership.status_due_soon = FALSE;
+  hr_core_broadcast_status (core, build_status (core));
+}
+
+static gboolean
+is_member (const HrCore *core, const char *label)
+{
+  for (guint i = 0; i < core->settings->members->len; i++)
+    if (g_str_equal (g_array_index (core->settings->members, HrMember, i).label, label))
+      return TRUE;
+  return FALSE;
+}
+
+static HrPeer *
+add_peer (HrCore *core)
+{
+  GArray *peers = core->membership.peers;
+  g_array_set_size (peers, peers->len + 1);
+  return &g_array_index (peers, HrPeer, peers->len - 1);
 }
 
 void
 hr_membership_status_received (HrCore *core, const HrPeerStatus *status)
 {
-  gboolean member = FALSE;
-  for (guint i = 0; i < core->settings->members->len; i++)
-    member |=
-        g_str_equal (g_array_index (core->settings->members, HrMember, i).label, status->label);
-  if (!member) {
+  if (!is_member (core, status->label)) {
     g_info ("a status from %s, which is no member; dropped", status->label);
     return;
   }
   HrPeer *peer = hr_membership_peer (core, status->label);
-  if (!peer) {
-    g_array_set_size (core->membership.peers, core->membership.peers->len + 1);
-    peer = &g_array_index (core->membership.peers, HrPeer, core->membership.peers->len - 1);
-  }
+  if (!peer)
+    peer = add_peer (core);
   if (strcmp (peer->status.incarnation, status->incarnation) != 0)
     peer->cancellations_taken = 0; /* positions count anew in each process */
   peer->status = *status;
   peer->received_at = core->now;
   hr_cancellation_log_take_named (core, peer);
   hr_cancellation_log_acknowledged (core, peer);
-  note_attestation (core, peer);
+  hr_attestation_note (core, peer);
   for (guint i = 0; i < status->n_oversized; i++)
     hr_record_format_peer_oversized (&core->store, status->oversized[i]);
   hr_leadership_peer_status (core, status);
--- a/src/transport/peer_status_frame.h
+++ b/src/transport/peer_status_frame.h
@@ -1,6 +1,6 @@
 /* The form of a status between controllers: a protobuf message, see peer.proto. */
 #pragma once
-#include "coordination/command.h"
+#include "coordination/membership/peer_status.h"
 
 /* Bytes. A frame that claims to be larger ends its connection, in all versions. */
 #define HR_MAX_FRAME 4096
