--- a/src/coordination/core.c
+++ b/src/coordination/core.c
@@ -24,13 +24,66 @@
 #include "coordination/store_events.h"
 #include "protocol/http_method.h"
 #include "protocol/json_util.h"
-#include <gio/gio.h>
-#include <string.h>
 
-/* A pass is followed by so many times its own duration without one; and what of a duration counts,
- * in seconds: a process that stood still says nothing about its passes. */
-#define PASS_REST 4.0
-#define PASS_MOST_S 2.0
+/* Where workers send their heartbeats. */
+#define HEARTBEAT_PATH "/hello"
+/* Planning passes begin at least so many times the duration of the latest one apart. */
+#define PASS_SPACING 4.0
+/* What of a pass's duration counts: a process that was suspended says nothing about its passes. */
+#define MAX_PASS_DURATION_S 2.0
+/* The policy's plan_gap_s is added once for each so many machines. */
+#define MACHINES_PER_PLAN_GAP 200.0
+/* The allowance for calls to the cloud refills at this share of the cloud's limit. */
+#define CLOUD_RATE_SHARE 0.8
+
+static void
+init_scheduling (HrScheduling *scheduling)
+{
+  scheduling->class_stats = g_array_new (FALSE, TRUE, sizeof (HrClassStats));
+  scheduling->team_usage = g_array_new (FALSE, TRUE, sizeof (HrTeamUsage));
+  scheduling->waiting_jobs = g_ptr_array_new ();
+}
+
+static void
+clear_scheduling (HrScheduling *scheduling)
+{
+  g_array_unref (scheduling->class_stats);
+  g_array_unref (scheduling->team_usage);
+  g_ptr_array_unref (scheduling->waiting_jobs);
+}
+
+static void
+init_scaling (HrScaling *scaling, double cloud_rps)
+{
+  scaling->fleet = g_ptr_array_new ();
+  scaling->capacity_refusals = g_array_new (FALSE, TRUE, sizeof (HrCapacityRefusal));
+  scaling->demand = g_array_new (FALSE, TRUE, sizeof (HrDemand));
+  g_queue_init (&scaling->requests_to_retry);
+  scaling->allowance = (HrTokenBucket){cloud_rps, cloud_rps * CLOUD_RATE_SHARE, cloud_rps, 0};
+}
+
+static void
+clear_scaling (HrScaling *scaling)
+{
+  g_ptr_array_unref (scaling->fleet);
+  g_array_unref (scaling->capacity_refusals);
+  g_array_unref (scaling->demand);
+  g_clear_pointer (&scaling->machine_types, g_array_unref);
+  g_free (scaling->list_cursor);
+}
+
+static void
+init_store (HrCore *core)
+{
+  HrStore *store = &core->store;
+  hr_store_init (store);
+  store->core = core;
+  store->events = &hr_core_store_events;
+  store->settings = core->settings;
+  store->names = core->names;
+  store->random = core->random;
+  hr_core_set_supported_format (core, HR_FORMAT);
+}
 
 HrCore *
 hr_core_new (const HrSettings *settings, const HrPolicy *policy, HrNames *names,
@@ -43,25 +96,12 @@
   core->incarnation = g_strdup (incarnation);
   core->random = g_rand_new_with_seed (seed);
   core->calls.pending = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
+  core->dependencies.to_tombstone = g_array_new (FALSE, TRUE, sizeof (guint32));
   hr_membership_init (&core->membership);
   hr_cancellation_log_init (&core->cancellations);
-  core->scheduling.class_stats = g_array_new (FALSE, TRUE, sizeof (HrClassStats));
-  core->dependencies.to_tombstone = g_array_new (FALSE, TRUE, sizeof (guint32));
-  core->scaling.fleet = g_ptr_array_new ();
-  core->scaling.capacity_refusals = g_array_new (FALSE, TRUE, sizeof (HrCapacityRefusal));
-  core->scheduling.team_usage = g_array_new (FALSE, TRUE, sizeof (HrTeamUsage));
-  core->scheduling.waiting_jobs = g_ptr_array_new ();
-  core->scaling.demand = g_array_new (FALSE, TRUE, sizeof (HrDemand));
-  hr_store_init (&core->store);
-  core->store.core = core;
-  core->store.events = &hr_core_store_events;
-  core->store.settings = settings;
-  core->store.names = names;
-  core->store.random = core->random;
-  hr_core_set_supported_format (core, HR_FORMAT);
-  g_queue_init (&core->scaling.requests_to_retry);
-  core->scaling.allowance =
-      (HrTokenBucket){settings->cloud_rps, settings->cloud_rps * 0.8, settings->cloud_rps, 0};
+  init_scheduling (&core->scheduling);
+  init_scaling (&core->scaling, settings->cloud_rps);
+  init_store (core);
   return core;
 }
 
@@ -70,20 +110,14 @@
 {
   hr_instance_requests_clear (core);
   hr_store_clear (&core->store);
-  g_rand_free (core->random);
-  g_hash_table_unref (core->calls.pending);
-  hr_membership_clear (&core->membership);
+  clear_scaling (&core->scaling);
+  clear_scheduling (&core->scheduling);
   hr_cancellation_log_clear (&core->cancellations);
-  g_array_unref (core->scheduling.class_stats);
-  g_array_unref (core->scaling.capacity_refusals);
-  g_array_unref (core->dependencies.to_tombstone);
-  g_array_unref (core->scaling.demand);
-  g_array_unref (core->scheduling.team_usage);
-  g_ptr_array_unref (core->scheduling.waiting_jobs);
-  g_ptr_array_unref (core->scaling.fleet);
-  g_clear_pointer (&core->scaling.machine_types, g_array_unref);
-  g_free (core->scaling.list_cursor);
+  hr_membership_clear (&core->membership);
   hr_leadership_clear (&core->leadership);
+  g_array_unref (core->dependencies.to_tombstone);
+  g_hash_table_unref (core->calls.pending);
+  g_rand_free (core->random);
   g_free (core->incarnation);
   g_free (core);
 }
@@ -108,21 +142,65 @@
   hr_counters_tick (core);
 }
 
+static void
+request_received (HrCore *core, HrCommand *command)
+{
+  const char *path = command->request.path;
+  if (g_strcmp0 (path, HEARTBEAT_PATH) == 0)
+    hr_heartbeat_received (core, command);
+  else if (g_strcmp0 (path, HR_METRICS_PATH) == 0 && command->request.method == HR_GET)
+    hr_core_reply_text (core, command->id, hr_metrics_text (core));
+  else
+    hr_user_request_received (core, command);
+}
+
+static void
+take_command (HrCore *core, HrCommand *command)
+{
+  switch (command->kind) {
+  case HR_COMMAND_REQUEST:
+    request_received (core, command);
+    break;
+  case HR_COMMAND_RESULT:
+    hr_core_take_result (core, command);
+    break;
+  case HR_COMMAND_PEER_STATUS:
+    hr_membership_status_received (core, command->peer_status);
+    break;
+  case HR_COMMAND_TICK:
+    tick (core);
+    break;
+  }
+}
+
 /* Seconds from one planning pass to the next: more with the fleet, and so that passes leave most of
- * the processor to reports and readings. A leader that plans for seconds on end answers its workers
- * too late; they report again and again, and its readings come too late for it to go on leading. */
+ * the processor to heartbeats and reads. A leader that plans for seconds on end answers its workers
+ * too late; they send their heartbeats again and again, and its reads come too late for it to go on
+ * leading. */
 static double
 plan_gap (const HrCore *core)
 {
-  double by_size = core->policy.plan_gap_s * (1 + core->scaling.fleet->len / 200.0);
-  return MAX (by_size, core->scheduling.pass_duration_s * PASS_REST);
+  double by_size = core->policy.plan_gap_s * (1 + core->scaling.fleet->len / MACHINES_PER_PLAN_GAP);
+  return MAX (by_size, core->scheduling.pass_duration_s * PASS_SPACING);
 }
 
-void
-hr_core_step_took (HrCore *core, double seconds)
+static gboolean
+planning_is_due (const HrCore *core)
 {
-  if (core->scheduling.planned_in_this_step)
-    core->scheduling.pass_duration_s = MIN (seconds, PASS_MOST_S);
+  return core->leadership.is_leader && core->scheduling.plan_is_stale &&
+         core->now - core->scheduling.planned_at >= plan_gap (core);
+}
+
+/* One planning pass; its decisions are carried out at once. */
+static void
+plan (HrCore *core)
+{
+  core->scheduling.plan_is_stale = FALSE;
+  core->scheduling.planned_at = core->now;
+  hr_quotas_pass (core);
+  hr_guarantees_mark_jobs (core);
+  hr_planner_pass (core);
+  hr_dispatch (core);
 }
 
 void
@@ -133,42 +211,20 @@
   core->now = core->store.now = now;
   core->wall_time = core->store.wall_time = wall;
   core->effects = effects;
-  for (guint i = 0; i < commands->len; i++) {
-    HrCommand *command = commands->pdata[i];
-    switch (command->kind) {
-    case HR_COMMAND_REQUEST:
-      if (g_strcmp0 (command->request.path, "/hello") == 0)
-        hr_heartbeat_received (core, command);
-      else if (g_strcmp0 (command->request.path, HR_METRICS_PATH) == 0 &&
-               command->request.method == HR_GET)
-        hr_core_reply_text (core, command->id, hr_metrics_text (core));
-      else
-        hr_user_request_received (core, command);
-      break;
-    case HR_COMMAND_RESULT:
-      hr_core_take_result (core, command);
-      break;
-    case HR_COMMAND_PEER_STATUS:
-      hr_membership_status_received (core, command->peer_status);
-      break;
-    case HR_COMMAND_TICK:
-      tick (core);
-      break;
-    }
-  }
-  core->scheduling.planned_in_this_step = FALSE;
-  if (core->leadership.is_leader && core->scheduling.plan_is_stale &&
-      now - core->scheduling.planned_at >= plan_gap (core)) {
-    core->scheduling.plan_is_stale = FALSE;
-    core->scheduling.planned_in_this_step = TRUE;
-    core->scheduling.planned_at = now;
-    hr_quotas_pass (core);
-    hr_guarantees_mark_jobs (core);
-    hr_planner_pass (core);
-    hr_dispatch (core);
-  }
+  for (guint i = 0; i < commands->len; i++)
+    take_command (core, commands->pdata[i]);
+  core->scheduling.planned_in_this_step = planning_is_due (core);
+  if (core->scheduling.planned_in_this_step)
+    plan (core);
   hr_replica_tick (&core->store);
   hr_record_writer_tick (&core->store);
   hr_direct_orders_send (core);
   core->effects = NULL;
 }
+
+void
+hr_core_step_took (HrCore *core, double seconds)
+{
+  if (core->scheduling.planned_in_this_step)
+    core->scheduling.pass_duration_s = MIN (seconds, MAX_PASS_DURATION_S);
+}
--- a/src/coordination/jobs/task_lifecycle.c
+++ b/src/coordination/jobs/task_lifecycle.c
@@ -298,7 +298,7 @@
 hr_job_cancelled (HrCore *core, HrJob *job)
 {
   g_info ("%s is cancelled", job->id);
-  core->metrics.counters.withdrawals++;
+  core->metrics.counters.cancellations++;
   if (!job->cancellation.unknown_until)
     job->cancellation.unknown_until =
         core->store.replica.confirmed_at; /* of the last reading that did not show it */
--- a/src/coordination/metrics/histogram.c
+++ b/src/coordination/metrics/histogram.c
@@ -1,6 +1,6 @@
 #include "coordination/metrics/histogram.h"
 
-/* Upper bounds, in seconds. */
+/* Upper bounds of the buckets, in seconds. */
 static const double bounds[HR_HISTOGRAM_BUCKETS] = {0.002, 0.005, 0.01, 0.02, 0.05, 0.1,
                                                     0.25,  0.5,   1,    2.5,  5,    15};
 
--- a/src/coordination/metrics/metrics.c
+++ b/src/coordination/metrics/metrics.c
@@ -6,12 +6,12 @@
 static void
 append_counters (const HrCore *core, GString *text)
 {
-#define X(name, meaning)                                                                           \
+#define X(field, name, help)                                                                       \
   g_string_append_printf (text,                                                                    \
-                          "# HELP hoprock_" #name "_total " meaning "\n"                           \
+                          "# HELP hoprock_" #name "_total " help "\n"                              \
                           "# TYPE hoprock_" #name "_total counter\n"                               \
                           "hoprock_" #name "_total %" G_GUINT64_FORMAT "\n",                       \
-                          core->metrics.counters.name);
+                          core->metrics.counters.field);
   HR_COUNTERS (X)
 #undef X
 }
@@ -40,6 +40,7 @@
                                                 : -1);
 }
 
+/* Jobs and tasks. */
 static void
 append_work (const HrCore *core, GString *text)
 {
@@ -64,7 +65,11 @@
 static void
 append_fleet (const HrCore *core, GString *text)
 {
-  static const char *const states[] = {"booting", "up", "returned"};
+  static const char *const states[] = {
+      [HR_MACHINE_BOOTING] = "booting",
+      [HR_MACHINE_UP] = "up",
+      [HR_MACHINE_DELETING] = "returned",
+  };
   guint counts[G_N_ELEMENTS (states)] = {0};
   for (guint i = 0; i < core->scaling.fleet->len; i++) {
     const HrMachine *machine = core->scaling.fleet->pdata[i];
--- a/src/coordination/metrics/metrics.h
+++ b/src/coordination/metrics/metrics.h
@@ -5,5 +5,10 @@
 
 #define HR_METRICS_PATH "/metrics"
 
-/* To be freed. */
+/**
+ * hr_metrics_text:
+ * @core: the controller
+ *
+ * Returns: (transfer full): all metrics as text
+ */
 char *hr_metrics_text (const HrCore *core);
