--- a/src/coordination/core_policy.c
+++ b/src/coordination/core_policy.c
@@ -1,25 +1,45 @@
-/* What the operators' policy may use of the platform's figures, and what has to hold between them.
- */
+/* The operators' policy and the platform: which of the platform's figures a policy may use, and
+ * what has to hold between its own figures and those. */
 #include "coordination/core.h"
 #include <gio/gio.h>
 
+/* A lease counts as over only after this factor of its life: clocks of controller and worker drift
+ * apart. */
+#define LEASE_DRIFT_FACTOR 1.002
+/* Heartbeats come every report_s, give or take a quarter. */
+#define LONGEST_HEARTBEAT_GAP 1.25
+
+/* The figures of a sample platform, to check a policy without settings. */
+#define SAMPLE_REPORT_S 2.5
+#define SAMPLE_LEASE_S 14
+#define SAMPLE_GANG_WAIT_S 30
+#define SAMPLE_GANG_PEER_S 4
+#define SAMPLE_CANCEL_S 40
+#define SAMPLE_STATE_RPS 100
+#define SAMPLE_WRITE_RPS 15
+#define SAMPLE_VALUE_KB 4
+#define SAMPLE_CLOUD_RPS 8
+#define SAMPLE_LIST_LAG_S 3
+#define SAMPLE_CONTROLLERS 3
+
 gboolean
 hr_core_policy_check (const HrPolicy *policy, GHashTable *vars, GError **error)
 {
-  const double *lease = g_hash_table_lookup (vars, "lease_s");
-  const double *cancel = g_hash_table_lookup (vars, "cancel_s");
-  /* A leader that the state service refuses cannot see a cancellation. It goes on
-   * answering workers for hold_s, and their leases outlast that. */
-  double ends = policy->hold_s + *lease * 1.002 + policy->lease_margin_s;
-  const double *report = g_hash_table_lookup (vars, "report_s");
+  const double *lease_s = g_hash_table_lookup (vars, "lease_s");
+  const double *cancel_s = g_hash_table_lookup (vars, "cancel_s");
+  const double *report_s = g_hash_table_lookup (vars, "report_s");
+  /* A leader that the store refuses cannot see a cancellation. It goes on answering workers for
+   * hold_s, and their leases outlast that; by cancel_s the cancelled tasks must be gone. */
+  double tasks_gone_s = policy->hold_s + *lease_s * LEASE_DRIFT_FACTOR + policy->lease_margin_s;
+  double longest_gap_s = LONGEST_HEARTBEAT_GAP * *report_s;
   const struct {
     gboolean good;
     const char *what, *relation;
     double limit, value;
   } figures[] = {
-      {ends < *cancel, "hold_s + lease_s + lease_margin_s", "below cancel_s", *cancel, ends},
-      /* Reports come every report_s, give or take a quarter. */
-      {policy->overdue_s > 1.25 * *report, "overdue_s", "above 1.25 report_s", 1.25 * *report,
+      {tasks_gone_s < *cancel_s, "hold_s + lease_s + lease_margin_s", "below cancel_s", *cancel_s,
+       tasks_gone_s},
+      {policy->overdue_s > longest_gap_s, "overdue_s", "above 1.25 report_s", longest_gap_s,
        policy->overdue_s},
       {policy->silent_s >= policy->overdue_s, "silent_s", "at least overdue_s", policy->overdue_s,
        policy->silent_s},
@@ -37,15 +57,16 @@
 void
 hr_core_policy_vars (const HrSettings *settings, GHashTable *vars)
 {
-  hr_policy_vars_set (vars, "report_s", settings ? settings->report_s : 2.5);
-  hr_policy_vars_set (vars, "lease_s", settings ? settings->lease_s : 14);
-  hr_policy_vars_set (vars, "gang_wait_s", settings ? settings->gang_wait_s : 30);
-  hr_policy_vars_set (vars, "gang_peer_s", settings ? settings->gang_peer_s : 4);
-  hr_policy_vars_set (vars, "cancel_s", settings ? settings->cancel_s : 40);
-  hr_policy_vars_set (vars, "state_rps", settings ? settings->planned.rps : 100);
-  hr_policy_vars_set (vars, "write_rps", settings ? settings->planned.write_rps : 15);
-  hr_policy_vars_set (vars, "value_kb", settings ? settings->planned.value_kb : 4);
-  hr_policy_vars_set (vars, "cloud_rps", settings ? settings->cloud_rps : 8);
-  hr_policy_vars_set (vars, "list_lag_s", settings ? settings->list_lag_s : 3);
-  hr_policy_vars_set (vars, "controllers", settings ? settings->members->len + 1 : 3);
+  hr_policy_vars_set (vars, "report_s", settings ? settings->report_s : SAMPLE_REPORT_S);
+  hr_policy_vars_set (vars, "lease_s", settings ? settings->lease_s : SAMPLE_LEASE_S);
+  hr_policy_vars_set (vars, "gang_wait_s", settings ? settings->gang_wait_s : SAMPLE_GANG_WAIT_S);
+  hr_policy_vars_set (vars, "gang_peer_s", settings ? settings->gang_peer_s : SAMPLE_GANG_PEER_S);
+  hr_policy_vars_set (vars, "cancel_s", settings ? settings->cancel_s : SAMPLE_CANCEL_S);
+  hr_policy_vars_set (vars, "state_rps", settings ? settings->planned.rps : SAMPLE_STATE_RPS);
+  hr_policy_vars_set (vars, "write_rps", settings ? settings->planned.write_rps : SAMPLE_WRITE_RPS);
+  hr_policy_vars_set (vars, "value_kb", settings ? settings->planned.value_kb : SAMPLE_VALUE_KB);
+  hr_policy_vars_set (vars, "cloud_rps", settings ? settings->cloud_rps : SAMPLE_CLOUD_RPS);
+  hr_policy_vars_set (vars, "list_lag_s", settings ? settings->list_lag_s : SAMPLE_LIST_LAG_S);
+  hr_policy_vars_set (vars, "controllers",
+                      settings ? settings->members->len + 1 : SAMPLE_CONTROLLERS);
 }
--- a/src/coordination/effects.c
+++ b/src/coordination/effects.c
@@ -2,15 +2,16 @@
 #include "coordination/state.h"
 #include "protocol/json_util.h"
 
+/* A call without an answer yet. One of the two callbacks is set. */
 typedef struct {
-  HrResultCallback callback; /* NULL: store_callback is to be called */
+  HrResultCallback callback;
   HrStoreCallback store_callback;
   gpointer data;
-  double sent_at;
+  double sent_at; /* steady time, s */
 } PendingCall;
 
 static HrEffect *
-effect (HrCore *core, HrEffectKind kind)
+add_effect (HrCore *core, HrEffectKind kind)
 {
   HrEffect *added = g_new0 (HrEffect, 1);
   added->kind = kind;
@@ -22,7 +23,7 @@
 send_call (HrCore *core, HrTarget target, const char *address, HrMethod method, char *path,
            char *body, double timeout_s)
 {
-  HrEffect *added = effect (core, HR_EFFECT_CALL);
+  HrEffect *added = add_effect (core, HR_EFFECT_CALL);
   added->id = ++core->calls.last_id;
   added->call.target = target;
   added->call.address = g_strdup (address);
@@ -57,7 +58,7 @@
 void
 hr_core_reply (HrCore *core, guint64 id, int status, json_t *body, int retry_after)
 {
-  HrEffect *added = effect (core, HR_EFFECT_REPLY);
+  HrEffect *added = add_effect (core, HR_EFFECT_REPLY);
   added->id = id;
   added->reply.status = status;
   added->reply.retry_after_s = retry_after;
@@ -67,7 +68,7 @@
 void
 hr_core_reply_text (HrCore *core, guint64 id, char *text)
 {
-  HrEffect *added = effect (core, HR_EFFECT_REPLY);
+  HrEffect *added = add_effect (core, HR_EFFECT_REPLY);
   added->id = id;
   added->reply.status = 200;
   added->reply.is_plain_text = TRUE;
@@ -85,7 +86,7 @@
 void
 hr_core_broadcast_status (HrCore *core, HrPeerStatus *status)
 {
-  HrEffect *added = effect (core, HR_EFFECT_PEER_STATUS);
+  HrEffect *added = add_effect (core, HR_EFFECT_PEER_STATUS);
   added->peer_status = status;
 }
 
--- a/src/coordination/invariant.c
+++ b/src/coordination/invariant.c
@@ -3,26 +3,26 @@
 #include <stdarg.h>
 
 #ifdef HR_FATAL_INVARIANTS
-static gboolean ends_the_process = TRUE;
+static gboolean is_fatal = TRUE;
 #else
-static gboolean ends_the_process = FALSE;
+static gboolean is_fatal = FALSE;
 #endif
 
 void
 hr_invariant_set_fatal (gboolean fatal)
 {
-  ends_the_process = fatal;
+  is_fatal = fatal;
 }
 
 void
 hr_invariant_violated (HrCore *core, const char *format, ...)
 {
-  va_list list;
-  va_start (list, format);
-  g_autofree char *text = g_strdup_vprintf (format, list);
-  va_end (list);
+  va_list arguments;
+  va_start (arguments, format);
+  g_autofree char *text = g_strdup_vprintf (format, arguments);
+  va_end (arguments);
   core->metrics.counters.invariants_violated++;
-  if (ends_the_process)
+  if (is_fatal)
     g_error ("invariant: %s", text);
   g_warning ("invariant: %s", text);
 }
--- a/src/coordination/invariant.h
+++ b/src/coordination/invariant.h
@@ -1,10 +1,24 @@
-/* Conditions that the rules of the protocol rest on, checked while the service runs. */
+/* Conditions that the rules of the protocol rest on, checked while the service runs. For all
+ * modules of the core. */
 #pragma once
 #include "coordination/core.h"
 
-/* The invariant that the text describes does not hold. In tests and sanitized builds (the macro
- * HR_FATAL_INVARIANTS) the process ends; else it is logged at warning and counted
- * (`invariants_violated`), and the caller does what is safe. */
+/**
+ * hr_invariant_violated:
+ * @core: the controller
+ * @format: a printf() format that says which condition does not hold, and where
+ * @...: its arguments
+ *
+ * In tests and sanitized builds (the macro HR_FATAL_INVARIANTS) the process ends. Else the
+ * violation is logged as a warning and counted (`invariants_violated`); the caller must then do
+ * what is safe.
+ */
 void hr_invariant_violated (HrCore *core, const char *format, ...) G_GNUC_PRINTF (2, 3);
-/* For tests of what a release does: whether a violation ends the process. */
+
+/**
+ * hr_invariant_set_fatal:
+ * @fatal: whether a violation ends the process
+ *
+ * For tests of what a release does.
+ */
 void hr_invariant_set_fatal (gboolean fatal);
--- a/src/coordination/store_events.c
+++ b/src/coordination/store_events.c
@@ -62,7 +62,7 @@
   core->scheduling.plan_is_stale = TRUE;
 }
 
-/* The next tick broadcasts it. */
+/* Our next status is due at the next tick. */
 static void
 status_changed (HrCore *core)
 {
--- a/src/coordination/store_events.h
+++ b/src/coordination/store_events.h
@@ -1,4 +1,5 @@
-/* What bookkeeping tells and asks the parts of coordination. */
+/* Connects bookkeeping with the rest of the core: bookkeeping calls nothing above it but these
+ * functions. What each must do is said in bookkeeping/store.h. */
 #pragma once
 #include "bookkeeping/store.h"
 
