--- a/src/coordination/agents/direct_orders.c
+++ b/src/coordination/agents/direct_orders.c
@@ -63,12 +63,10 @@
 static void
 send_orders (HrCore *core, HrMachine *machine)
 {
-  json_t *orders = json_array ();
+  g_autoptr (GArray) orders = hr_order_list_new ();
   gboolean launch = hr_orders_recorded (core, machine, orders, TRUE);
-  if (!json_array_size (orders)) {
-    json_decref (orders);
+  if (!orders->len)
     return;
-  }
   Direct *call = g_new0 (Direct, 1);
   *call = (Direct){machine->index, core->leadership.fencing_token, machine->agent.incarnation,
                    core->leadership.term_began_at, launch};
@@ -76,7 +74,7 @@
   core->metrics.counters.direct_calls++;
   g_debug ("direct: machine=%s incarnation=%u token=%" G_GUINT64_FORMAT " stops=%u launches=%u",
            machine->name, machine->agent.incarnation, core->leadership.fencing_token,
-           hr_orders_count (orders, "kill"), hr_orders_count (orders, "launch"));
+           hr_orders_count (orders, HR_ORDER_STOP), hr_orders_count (orders, HR_ORDER_LAUNCH));
   hr_core_call (core, HR_TO_WORKER, machine->address, HR_POST, g_strdup ("/do"),
                 hr_orders_text (core->leadership.fencing_token, machine->agent.incarnation, orders),
                 DIRECT_TIMEOUT_S, on_direct_answer, call);
--- a/src/coordination/agents/heartbeats.c
+++ b/src/coordination/agents/heartbeats.c
@@ -70,7 +70,7 @@
 
 static void
 handle_unrecognized (HrCore *core, HrMachine *machine, HrJob *job, const HrReportedTask *reported,
-                     json_t *orders, guint *kept)
+                     GArray *orders, guint *kept)
 {
   if (reported->state == HR_REPORTED_EXITED) {
     if (hr_termination_may_clear (core, machine, job ? job->index : HR_NONE, reported->task,
@@ -94,7 +94,7 @@
 /* Takes in a worker's task list. full: a report, whose silence about a task counts. */
 static void
 take_reported_tasks (HrCore *core, HrMachine *machine, const HrHeartbeat *heartbeat, gboolean full,
-                     json_t *orders)
+                     GArray *orders)
 {
   g_autoptr (GArray) before = g_array_copy (machine->tasks);
   g_autoptr (GHashTable) seen = g_hash_table_new (g_direct_hash, g_direct_equal);
@@ -251,7 +251,7 @@
 
 /* The report is current: its list of tasks is what the machine has. */
 static void
-take_heartbeat (HrCore *core, HrMachine *machine, const HrHeartbeat *heartbeat, json_t *orders)
+take_heartbeat (HrCore *core, HrMachine *machine, const HrHeartbeat *heartbeat, GArray *orders)
 {
   if (machine->state != HR_MACHINE_UP || !machine->agent.heard_at)
     admit_machine (core, machine);
@@ -290,7 +290,7 @@
 answer_heartbeat (HrCore *core, HrCommand *command, HrMachine *machine,
                   const HrHeartbeat *heartbeat)
 {
-  json_t *orders = json_array ();
+  g_autoptr (GArray) orders = hr_order_list_new ();
   if (heartbeat->incarnation == machine->agent.incarnation &&
       heartbeat->sequence <= machine->agent.sequence) {
     /* Overtaken by a newer list, of an answer to /do perhaps, or a late copy: nothing in
@@ -359,8 +359,7 @@
   machine->agent.sequence = heartbeat->sequence;
   machine->agent.sequence_at = core->now;
   machine->agent.fencing_token = MAX (machine->agent.fencing_token, heartbeat->fencing_token);
-  json_t *orders = json_array ();
-  take_reported_tasks (core, machine, heartbeat, FALSE,
-                       orders); /* its orders go out with the next report's answer */
-  json_decref (orders);
+  /* Not sent: the answer to the next report has them. */
+  g_autoptr (GArray) orders = hr_order_list_new ();
+  take_reported_tasks (core, machine, heartbeat, FALSE, orders);
 }
--- a/src/coordination/agents/lease_renewal.c
+++ b/src/coordination/agents/lease_renewal.c
@@ -42,7 +42,7 @@
 }
 
 static void
-stop_reported (HrCore *core, const HrMachine *machine, const HrHeartbeat *heartbeat, json_t *orders)
+stop_reported (HrCore *core, const HrMachine *machine, const HrHeartbeat *heartbeat, GArray *orders)
 {
   for (guint i = 0; i < heartbeat->tasks->len; i++) {
     const HrReportedTask *reported = &g_array_index (heartbeat->tasks, HrReportedTask, i);
@@ -54,7 +54,7 @@
 }
 
 static void
-stop_recorded (HrCore *core, const HrMachine *machine, json_t *orders)
+stop_recorded (HrCore *core, const HrMachine *machine, GArray *orders)
 {
   for (guint i = 0; i < machine->tasks->len; i++) {
     HrTaskRef ref = g_array_index (machine->tasks, HrTaskRef, i);
@@ -68,7 +68,7 @@
 
 char *
 hr_lease_renewal_missing_stop (HrCore *core, const HrMachine *machine, const HrHeartbeat *heartbeat,
-                               json_t *orders)
+                               const GArray *orders)
 {
   for (guint i = 0; i < heartbeat->tasks->len; i++) {
     const HrReportedTask *reported = &g_array_index (heartbeat->tasks, HrReportedTask, i);
@@ -99,17 +99,17 @@
 
 static void
 log_answer (const HrCore *core, const HrMachine *machine, const HrHeartbeat *heartbeat,
-            HrHeartbeatKind kind, json_t *orders)
+            HrHeartbeatKind kind, const GArray *orders)
 {
-  if (kind == HR_HEARTBEAT_CURRENT && !json_array_size (orders))
+  if (kind == HR_HEARTBEAT_CURRENT && !orders->len)
     return;
   g_debug ("answer: machine=%s kind=%s seq=%" G_GUINT64_FORMAT " incarnation=%" G_GUINT64_FORMAT
            " token=%" G_GUINT64_FORMAT " seen=%" G_GUINT64_FORMAT
            " tasks=%u stops=%u launches=%u clears=%u",
            machine->name, kind_names[kind], heartbeat->sequence, heartbeat->incarnation,
            core->leadership.fencing_token, heartbeat->fencing_token, heartbeat->tasks->len,
-           hr_orders_count (orders, "kill"), hr_orders_count (orders, "launch"),
-           hr_orders_count (orders, "clear"));
+           hr_orders_count (orders, HR_ORDER_STOP), hr_orders_count (orders, HR_ORDER_LAUNCH),
+           hr_orders_count (orders, HR_ORDER_CLEAR));
 }
 
 void
@@ -122,10 +122,8 @@
 
 /* The worker goes on to other nodes, and unless one of them renews it the lease runs out. */
 static void
-withhold (HrCore *core, HrCommand *command, const HrMachine *machine, json_t *orders,
-          const char *reason)
+withhold (HrCore *core, HrCommand *command, const HrMachine *machine, const char *reason)
 {
-  json_decref (orders);
   core->metrics.counters.reports_refused_order++;
   hr_lease_renewal_log_refusal (core, machine->name, reason);
   hr_core_refuse (core, command->id, 503, 0, "an order to this worker may still come");
@@ -133,10 +131,10 @@
 
 void
 hr_lease_renewal_answer (HrCore *core, HrCommand *command, HrMachine *machine,
-                         const HrHeartbeat *heartbeat, HrHeartbeatKind kind, json_t *orders)
+                         const HrHeartbeat *heartbeat, HrHeartbeatKind kind, GArray *orders)
 {
   if (hr_termination_cancelled_may_start (core, machine)) {
-    withhold (core, command, machine, orders, "order_may_come");
+    withhold (core, command, machine, "order_may_come");
     return;
   }
   if (kind == HR_HEARTBEAT_CURRENT && hr_orders_recorded (core, machine, orders, FALSE))
@@ -150,7 +148,7 @@
                            "token=%" G_GUINT64_FORMAT,
                            machine->name, missing, kind_names[kind],
                            core->leadership.fencing_token);
-    withhold (core, command, machine, orders, "stop_not_named");
+    withhold (core, command, machine, "stop_not_named");
     return;
   }
   machine->agent.lease_renewed_at = lease_counts_from (core, machine, kind);
@@ -159,8 +157,8 @@
   core->metrics.counters.reports_overtaken += kind == HR_HEARTBEAT_OVERTAKEN;
   core->metrics.counters.reports_before_token += kind == HR_HEARTBEAT_BEFORE_TOKEN;
   log_answer (core, machine, heartbeat, kind, orders);
-  hr_core_reply (
-      core, command->id, 200,
-      json_pack ("{sIso}", "baton", (json_int_t)core->leadership.fencing_token, "orders", orders),
-      0);
+  hr_core_reply (core, command->id, 200,
+                 json_pack ("{sIso}", "baton", (json_int_t)core->leadership.fencing_token, "orders",
+                            hr_orders_pack (orders)),
+                 0);
 }
--- a/src/coordination/agents/orders.c
+++ b/src/coordination/agents/orders.c
@@ -5,7 +5,7 @@
 #include "coordination/leadership/leadership.h"
 #include "coordination/membership/membership.h"
 #include "coordination/state.h"
-#include "protocol/json_util.h"
+#include "protocol/worker.h"
 #include <string.h>
 
 /* Seconds after which a direct stop is sent once more. */
@@ -52,7 +52,7 @@
 }
 
 static void
-append_launch (HrCore *core, HrMachine *machine, json_t *orders, HrTaskRef ref, gboolean direct)
+append_launch (HrCore *core, HrMachine *machine, GArray *orders, HrTaskRef ref, gboolean direct)
 {
   HrJob *job = core->store.tables.jobs->pdata[ref.job];
   const HrTask *task = &job->tasks[ref.task];
@@ -65,7 +65,7 @@
 }
 
 static void
-append_stop (HrCore *core, HrMachine *machine, json_t *orders, HrTaskRef ref, gboolean direct)
+append_stop (HrCore *core, HrMachine *machine, GArray *orders, HrTaskRef ref, gboolean direct)
 {
   HrJob *job = core->store.tables.jobs->pdata[ref.job];
   HrTask *task = &job->tasks[ref.task];
@@ -82,7 +82,7 @@
 }
 
 gboolean
-hr_orders_recorded (HrCore *core, HrMachine *machine, json_t *orders, gboolean direct)
+hr_orders_recorded (HrCore *core, HrMachine *machine, GArray *orders, gboolean direct)
 {
   gboolean launch = FALSE, may = may_launch (core);
   for (guint i = 0; i < machine->tasks->len; i++) {
@@ -101,7 +101,7 @@
 }
 
 void
-hr_orders_stop (HrCore *core, const HrMachine *machine, json_t *orders, const char *job_id,
+hr_orders_stop (HrCore *core, const HrMachine *machine, GArray *orders, const char *job_id,
                 guint32 task_index, guint32 attempt, const char *why)
 {
   hr_order_stop (orders, job_id, task_index, attempt, 0);
@@ -110,7 +110,7 @@
 }
 
 void
-hr_orders_clear (HrCore *core, const HrMachine *machine, json_t *orders, const char *job_id,
+hr_orders_clear (HrCore *core, const HrMachine *machine, GArray *orders, const char *job_id,
                  guint32 task_index, guint32 attempt)
 {
   hr_order_clear (orders, job_id, task_index, attempt);
@@ -119,27 +119,22 @@
 }
 
 gboolean
-hr_orders_name_stop (json_t *orders, const char *job_id, guint32 task_index, guint32 attempt)
+hr_orders_name_stop (const GArray *orders, const char *job_id, guint32 task_index, guint32 attempt)
 {
-  size_t i;
-  json_t *order;
-  g_autofree char *piece = g_strdup_printf ("%s/%u", job_id, task_index);
-  json_array_foreach (orders, i, order)
-  {
-    if (strcmp (hr_json_str (order, "verb"), "kill") == 0 &&
-        strcmp (hr_json_str (order, "piece"), piece) == 0 &&
-        json_integer_value (json_object_get (order, "try")) == attempt)
+  for (guint i = 0; i < orders->len; i++) {
+    const HrOrder *order = &g_array_index (orders, HrOrder, i);
+    if (order->kind == HR_ORDER_STOP && order->task == task_index && order->attempt == attempt &&
+        strcmp (order->job, job_id) == 0)
       return TRUE;
   }
   return FALSE;
 }
 
 guint
-hr_orders_count (json_t *orders, const char *verb)
+hr_orders_count (const GArray *orders, HrOrderKind kind)
 {
   guint n = 0;
-  size_t i;
-  json_t *order;
-  json_array_foreach (orders, i, order) n += g_strcmp0 (hr_json_str (order, "verb"), verb) == 0;
+  for (guint i = 0; i < orders->len; i++)
+    n += g_array_index (orders, HrOrder, i).kind == kind;
   return n;
 }
--- a/src/protocol/worker.c
+++ b/src/protocol/worker.c
@@ -93,38 +93,62 @@
   g_free (heartbeat);
 }
 
-static json_t *
-order (const char *verb, const char *job_id, guint32 task_index, guint32 attempt)
+/* The verbs of the protocol, by HrOrderKind. */
+static const char *const order_verbs[] = {"launch", "kill", "clear"};
+
+GArray *
+hr_order_list_new (void)
 {
-  g_autofree char *piece = g_strdup_printf ("%s/%u", job_id, task_index);
-  return json_pack ("{sssssi}", "verb", verb, "piece", piece, "try", (int)attempt);
+  return g_array_new (FALSE, FALSE, sizeof (HrOrder));
 }
 
 void
-hr_order_launch (json_t *orders, const char *job_id, guint32 task_index, guint32 attempt)
+hr_order_launch (GArray *orders, const char *job_id, guint32 task_index, guint32 attempt)
 {
-  json_array_append_new (orders, order ("launch", job_id, task_index, attempt));
+  HrOrder order = {HR_ORDER_LAUNCH, job_id, task_index, attempt, 0};
+  g_array_append_val (orders, order);
 }
 
 void
-hr_order_stop (json_t *orders, const char *job_id, guint32 task_index, guint32 attempt,
-               double grace)
+hr_order_stop (GArray *orders, const char *job_id, guint32 task_index, guint32 attempt,
+               double grace_s)
 {
-  json_t *object = order ("kill", job_id, task_index, attempt);
-  json_object_set_new (object, "leeway_s", json_real (grace));
-  json_array_append_new (orders, object);
+  HrOrder order = {HR_ORDER_STOP, job_id, task_index, attempt, grace_s};
+  g_array_append_val (orders, order);
 }
 
 void
-hr_order_clear (json_t *orders, const char *job_id, guint32 task_index, guint32 attempt)
+hr_order_clear (GArray *orders, const char *job_id, guint32 task_index, guint32 attempt)
+{
+  HrOrder order = {HR_ORDER_CLEAR, job_id, task_index, attempt, 0};
+  g_array_append_val (orders, order);
+}
+
+static json_t *
+order_pack (const HrOrder *order)
+{
+  g_autofree char *piece = g_strdup_printf ("%s/%u", order->job, order->task);
+  json_t *object = json_pack ("{sssssi}", "verb", order_verbs[order->kind], "piece", piece, "try",
+                              (int)order->attempt);
+  if (order->kind == HR_ORDER_STOP)
+    json_object_set_new (object, "leeway_s", json_real (order->grace_s));
+  return object;
+}
+
+json_t *
+hr_orders_pack (const GArray *orders)
 {
-  json_array_append_new (orders, order ("clear", job_id, task_index, attempt));
+  json_t *list = json_array ();
+  for (guint i = 0; i < orders->len; i++)
+    json_array_append_new (list, order_pack (&g_array_index (orders, HrOrder, i)));
+  return list;
 }
 
 char *
-hr_orders_text (guint64 token, guint64 incarnation, json_t *orders)
+hr_orders_text (guint64 token, guint64 incarnation, const GArray *orders)
 {
-  json_t *object = json_pack ("{sIso}", "baton", (json_int_t)token, "orders", orders);
+  json_t *object =
+      json_pack ("{sIso}", "baton", (json_int_t)token, "orders", hr_orders_pack (orders));
   if (incarnation)
     json_object_set_new (object, "tenure", json_integer (incarnation));
   return hr_json_take_text (object);
--- a/src/protocol/worker.h
+++ b/src/protocol/worker.h
@@ -46,10 +46,30 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (HrHeartbeat, hr_heartbeat_free)
 const char *hr_exit_name (HrExitCause cause);
 
-/* One order, appended to a list of orders. */
-void hr_order_launch (json_t *orders, const char *job_id, guint32 task_index, guint32 attempt);
-void hr_order_stop (json_t *orders, const char *job_id, guint32 task_index, guint32 attempt,
-                    double grace);
-void hr_order_clear (json_t *orders, const char *job_id, guint32 task_index, guint32 attempt);
-/* {"baton":..,"orders":[..]}, with "tenure" when incarnation > 0. Steals orders. */
-char *hr_orders_text (guint64 token, guint64 incarnation, json_t *orders);
+/* What a worker is ordered to do with one attempt of a task. */
+typedef enum {
+  HR_ORDER_LAUNCH,
+  HR_ORDER_STOP,
+  HR_ORDER_CLEAR /* forget an attempt that has ended */
+} HrOrderKind;
+
+/* One order. */
+typedef struct {
+  HrOrderKind kind;
+  const char *job; /* borrowed: it has to live until the orders are packed */
+  guint32 task, attempt;
+  double grace_s; /* of a stop: time for a checkpoint */
+} HrOrder;
+
+/* An empty list of HrOrder; g_array_unref() frees it. */
+GArray *hr_order_list_new (void);
+/* Each appends one order. job_id is borrowed, see HrOrder. */
+void hr_order_launch (GArray *orders, const char *job_id, guint32 task_index, guint32 attempt);
+void hr_order_stop (GArray *orders, const char *job_id, guint32 task_index, guint32 attempt,
+                    double grace_s);
+void hr_order_clear (GArray *orders, const char *job_id, guint32 task_index, guint32 attempt);
+/* The orders as the protocol has them, in their order: a new JSON array. */
+json_t *hr_orders_pack (const GArray *orders);
+/* The body of a direct call, to be freed: token and packed orders, and the incarnation that they
+ * are for where it is > 0. */
+char *hr_orders_text (guint64 token, guint64 incarnation, const GArray *orders);
--- a/tests/test_protocol.c
+++ b/tests/test_protocol.c
@@ -213,7 +213,7 @@
 static void
 orders (void **state)
 {
-  json_t *list = json_array ();
+  g_autoptr (GArray) list = hr_order_list_new ();
   hr_order_launch (list, "job-1", 4, 2);
   hr_order_stop (list, "job-2", 1, 1, 10);
   hr_order_clear (list, "job-3", 0, 1);
--- a/tests/test_renewals.c
+++ b/tests/test_renewals.c
@@ -297,7 +297,7 @@
   g_autofree char *empty = scene_write (machine_row);
   g_autoptr (HrHeartbeat) with = hr_heartbeat_parse (shown, strlen (shown), &why);
   g_autoptr (HrHeartbeat) without = hr_heartbeat_parse (empty, strlen (empty), &why);
-  json_t *orders = json_array ();
+  g_autoptr (GArray) orders = hr_order_list_new ();
   g_autofree char *first = hr_lease_renewal_missing_stop (core, machine, with, orders);
   g_autofree char *second = hr_lease_renewal_missing_stop (core, machine, without, orders);
   assert_string_equal (first, "job-a/0");
@@ -308,7 +308,6 @@
   hr_order_stop (orders, "job-a", 0, 1, 0);
   assert_null (hr_lease_renewal_missing_stop (core, machine, with, orders));
   assert_null (hr_lease_renewal_missing_stop (core, machine, without, orders));
-  json_decref (orders);
   hr_invariant_set_fatal (FALSE);
   hr_invariant_violated (core, "%s", "as a test has it");
   hr_invariant_set_fatal (TRUE);
