--- a/src/coordination/agents/lease_renewal.c
+++ b/src/coordination/agents/lease_renewal.c
@@ -1,89 +1,112 @@
 #include "coordination/agents/lease_renewal.h"
 #include "coordination/agents/orders.h"
-#include "coordination/agents/termination_proof.h"
 #include "coordination/effects.h"
 #include "coordination/invariant.h"
 #include "coordination/state.h"
 
-static const char *const kind_names[] = {"current", "overtaken", "before_token"};
+static const char *const kind_names[] = {
+    [HR_HEARTBEAT_CURRENT] = "current",
+    [HR_HEARTBEAT_OVERTAKEN] = "overtaken",
+    [HR_HEARTBEAT_BEFORE_TOKEN] = "before_token",
+};
 
-/* Cancelled or done, by what this node knows. Both are final: a stop of such a job's task is right
- * whenever it arrives, and whatever made us send it. */
-static gboolean
-is_final (const HrJob *job)
-{
-  return job->cancellation.told_by_peer || (job->is_known && job->state != HR_JOB_QUEUED);
-}
+/* What a worker reads in a refusal, by HrRenewalVerdict. */
+static const char *const refusal_texts[] = {
+    [HR_RENEWAL_NOT_LEADER] = "this node may not act for the controllers now",
+    [HR_RENEWAL_READING_TOO_OLD] = "this node may not act for the controllers now",
+    [HR_RENEWAL_NEWER_TOKEN] = "a newer baton is about",
+    [HR_RENEWAL_MACHINE_RETURNED] = "this machine is being returned, or not known yet",
+    [HR_RENEWAL_EARLIER_INCARNATION] = "this machine is being returned, or not known yet",
+    [HR_RENEWAL_TYPE_UNKNOWN] = "this machine is being returned, or not known yet",
+    [HR_RENEWAL_LAUNCH_MAY_COME] = "an order to this worker may still come",
+    [HR_RENEWAL_STOP_NOT_NAMED] = "an order to this worker may still come",
+};
 
-static const HrJob *
-job_of_reported (HrCore *core, const HrReportedTask *reported)
+/* The counter of such refusals. */
+static guint64 *
+refusal_counter (HrCore *core, HrRenewalVerdict verdict)
 {
-  guint32 i = hr_intern_find (&core->store.tables.job_ids, reported->job);
-  return i == HR_NONE ? NULL : core->store.tables.jobs->pdata[i];
+  HrCounters *counters = &core->metrics.counters;
+  switch (verdict) {
+  case HR_RENEWAL_NOT_LEADER:
+  case HR_RENEWAL_READING_TOO_OLD:
+    return &counters->reports_refused_not_entitled;
+  case HR_RENEWAL_NEWER_TOKEN:
+    return &counters->reports_refused_token;
+  case HR_RENEWAL_MACHINE_RETURNED:
+  case HR_RENEWAL_EARLIER_INCARNATION:
+  case HR_RENEWAL_TYPE_UNKNOWN:
+    return &counters->reports_refused_machine;
+  default:
+    return &counters->reports_refused_order;
+  }
 }
 
+/* Is the label in the leader record that of one of the controllers? */
 static gboolean
-reported_and_final (HrCore *core, const HrReportedTask *reported)
+leader_is_known (const HrCore *core)
 {
-  const HrJob *job =
-      reported->state == HR_REPORTED_EXITED ? NULL : job_of_reported (core, reported);
-  return job && is_final (job);
+  for (guint i = 0; i < core->settings->members->len; i++) {
+    const HrMember *member = &g_array_index (core->settings->members, HrMember, i);
+    if (g_strcmp0 (member->label, core->leadership.leader_label) == 0)
+      return TRUE;
+  }
+  return FALSE;
 }
 
-/* The record has the task on this machine in this incarnation, so a launch may have started it
- * though the report, which left earlier, lacks it. */
-static gboolean
-recorded_and_final (const HrCore *core, const HrMachine *machine, HrTaskRef ref)
+void
+hr_lease_renewal_refuse (HrCore *core, HrCommand *command, const char *machine_name,
+                         HrRenewalVerdict verdict)
 {
-  const HrJob *job = core->store.tables.jobs->pdata[ref.job];
-  const HrTask *task = &job->tasks[ref.task];
-  return is_final (job) && task->state == HR_TASK_BOUND &&
-         task->placement.incarnation == machine->agent.incarnation;
+  ++*refusal_counter (core, verdict);
+  g_debug ("refused: machine=%s reason=%s leads=%d token=%" G_GUINT64_FORMAT " reading_age=%.2f",
+           machine_name ? machine_name : "-", hr_renewal_verdict_name (verdict),
+           core->leadership.is_leader, core->leadership.fencing_token,
+           core->now - core->store.replica.confirmed_at);
+  if (verdict == HR_RENEWAL_NOT_LEADER && leader_is_known (core))
+    hr_core_reply (core, command->id, 421,
+                   json_pack ("{ss}", "foreman", core->leadership.leader_label), 0);
+  else
+    hr_core_refuse (core, command->id, 503, 0, refusal_texts[verdict]);
 }
 
-static void
-stop_reported (HrCore *core, const HrMachine *machine, const HrHeartbeat *heartbeat, GArray *orders)
+char *
+hr_lease_renewal_missing_stop (const HrCore *core, const HrMachine *machine,
+                               const HrHeartbeat *report, const GArray *orders)
 {
-  for (guint i = 0; i < heartbeat->tasks->len; i++) {
-    const HrReportedTask *reported = &g_array_index (heartbeat->tasks, HrReportedTask, i);
-    if (reported_and_final (core, reported) &&
-        !hr_orders_name_stop (orders, reported->job, reported->task, reported->attempt))
-      hr_orders_stop (core, machine, orders, reported->job, reported->task, reported->attempt,
-                      "over");
-  }
+  char *missing;
+  hr_renewal_check_orders (core, machine, report, orders, &missing);
+  return missing;
 }
 
+/* Appends the required stops that the orders do not name yet. */
 static void
-stop_recorded (HrCore *core, const HrMachine *machine, GArray *orders)
+append_required_stops (HrCore *core, const HrMachine *machine, const HrHeartbeat *report,
+                       GArray *orders)
 {
-  for (guint i = 0; i < machine->tasks->len; i++) {
-    HrTaskRef ref = g_array_index (machine->tasks, HrTaskRef, i);
-    const HrJob *job = core->store.tables.jobs->pdata[ref.job];
-    if (recorded_and_final (core, machine, ref) &&
-        !hr_orders_name_stop (orders, job->id, ref.task, job->tasks[ref.task].placement.attempt))
-      hr_orders_stop (core, machine, orders, job->id, ref.task,
-                      job->tasks[ref.task].placement.attempt, "over");
+  g_autoptr (GArray) stops = hr_renewal_required_stops (core, machine, report);
+  for (guint i = 0; i < stops->len; i++) {
+    const HrOrder *stop = &g_array_index (stops, HrOrder, i);
+    if (!hr_orders_name_stop (orders, stop->job, stop->task, stop->attempt))
+      hr_orders_stop (core, machine, orders, stop->job, stop->task, stop->attempt,
+                      HR_STOP_REASON_JOB_OVER);
   }
 }
 
-char *
-hr_lease_renewal_missing_stop (HrCore *core, const HrMachine *machine, const HrHeartbeat *heartbeat,
-                               const GArray *orders)
+/* The check that must never fail: see the invariant in the header. */
+static HrRenewalVerdict
+check_finished_orders (HrCore *core, const HrMachine *machine, const HrHeartbeat *report,
+                       HrHeartbeatKind kind, const GArray *orders)
 {
-  for (guint i = 0; i < heartbeat->tasks->len; i++) {
-    const HrReportedTask *reported = &g_array_index (heartbeat->tasks, HrReportedTask, i);
-    if (reported_and_final (core, reported) &&
-        !hr_orders_name_stop (orders, reported->job, reported->task, reported->attempt))
-      return g_strdup_printf ("%s/%u", reported->job, reported->task);
-  }
-  for (guint i = 0; i < machine->tasks->len; i++) {
-    HrTaskRef ref = g_array_index (machine->tasks, HrTaskRef, i);
-    const HrJob *job = core->store.tables.jobs->pdata[ref.job];
-    if (recorded_and_final (core, machine, ref) &&
-        !hr_orders_name_stop (orders, job->id, ref.task, job->tasks[ref.task].placement.attempt))
-      return g_strdup_printf ("%s/%u", job->id, ref.task);
-  }
-  return NULL;
+  g_autofree char *missing = NULL;
+  HrRenewalVerdict verdict = hr_renewal_check_orders (core, machine, report, orders, &missing);
+  if (verdict != HR_RENEWAL_ALLOWED)
+    hr_invariant_violated (core,
+                           "a lease would be renewed without a stop: machine=%s task=%s kind=%s "
+                           "token=%" G_GUINT64_FORMAT,
+                           machine->name, missing, kind_names[kind],
+                           core->leadership.fencing_token);
+  return verdict;
 }
 
 /* From when on the worker's lease counts, by our clock, if it gets this answer. */
@@ -98,7 +121,7 @@
 }
 
 static void
-log_answer (const HrCore *core, const HrMachine *machine, const HrHeartbeat *heartbeat,
+log_answer (const HrCore *core, const HrMachine *machine, const HrHeartbeat *report,
             HrHeartbeatKind kind, const GArray *orders)
 {
   if (kind == HR_HEARTBEAT_CURRENT && !orders->len)
@@ -106,59 +129,41 @@
   g_debug ("answer: machine=%s kind=%s seq=%" G_GUINT64_FORMAT " incarnation=%" G_GUINT64_FORMAT
            " token=%" G_GUINT64_FORMAT " seen=%" G_GUINT64_FORMAT
            " tasks=%u stops=%u launches=%u clears=%u",
-           machine->name, kind_names[kind], heartbeat->sequence, heartbeat->incarnation,
-           core->leadership.fencing_token, heartbeat->fencing_token, heartbeat->tasks->len,
+           machine->name, kind_names[kind], report->sequence, report->incarnation,
+           core->leadership.fencing_token, report->fencing_token, report->tasks->len,
            hr_orders_count (orders, HR_ORDER_STOP), hr_orders_count (orders, HR_ORDER_LAUNCH),
            hr_orders_count (orders, HR_ORDER_CLEAR));
 }
 
-void
-hr_lease_renewal_log_refusal (const HrCore *core, const char *machine, const char *reason)
-{
-  g_debug ("refused: machine=%s reason=%s leads=%d token=%" G_GUINT64_FORMAT " reading_age=%.2f",
-           machine ? machine : "-", reason, core->leadership.is_leader,
-           core->leadership.fencing_token, core->now - core->store.replica.confirmed_at);
-}
-
-/* The worker goes on to other nodes, and unless one of them renews it the lease runs out. */
+/* Renews the lease: the answer of 200. */
 static void
-withhold (HrCore *core, HrCommand *command, const HrMachine *machine, const char *reason)
+renew (HrCore *core, HrCommand *command, HrMachine *machine, const HrHeartbeat *report,
+       HrHeartbeatKind kind, const GArray *orders)
 {
-  core->metrics.counters.reports_refused_order++;
-  hr_lease_renewal_log_refusal (core, machine->name, reason);
-  hr_core_refuse (core, command->id, 503, 0, "an order to this worker may still come");
+  machine->agent.lease_renewed_at = lease_counts_from (core, machine, kind);
+  hr_histogram_add (&core->metrics.renewal_age, core->now - core->store.replica.confirmed_at);
+  core->metrics.counters.reports_answered += kind == HR_HEARTBEAT_CURRENT;
+  core->metrics.counters.reports_overtaken += kind == HR_HEARTBEAT_OVERTAKEN;
+  core->metrics.counters.reports_before_token += kind == HR_HEARTBEAT_BEFORE_TOKEN;
+  log_answer (core, machine, report, kind, orders);
+  json_t *body = json_pack ("{sIso}", "baton", (json_int_t)core->leadership.fencing_token, "orders",
+                            hr_orders_pack (orders));
+  hr_core_reply (core, command->id, 200, body, 0);
 }
 
 void
 hr_lease_renewal_answer (HrCore *core, HrCommand *command, HrMachine *machine,
-                         const HrHeartbeat *heartbeat, HrHeartbeatKind kind, GArray *orders)
+                         const HrHeartbeat *report, HrHeartbeatKind kind, GArray *orders)
 {
-  if (hr_termination_cancelled_may_start (core, machine)) {
-    withhold (core, command, machine, "order_may_come");
-    return;
+  HrRenewalVerdict verdict = hr_renewal_check_launches (core, machine);
+  if (verdict == HR_RENEWAL_ALLOWED) {
+    if (kind == HR_HEARTBEAT_CURRENT && hr_orders_recorded (core, machine, orders, FALSE))
+      machine->agent.launch_answered_sequence = report->sequence;
+    append_required_stops (core, machine, report, orders);
+    verdict = check_finished_orders (core, machine, report, kind, orders);
   }
-  if (kind == HR_HEARTBEAT_CURRENT && hr_orders_recorded (core, machine, orders, FALSE))
-    machine->agent.launch_answered_sequence = heartbeat->sequence;
-  stop_reported (core, machine, heartbeat, orders);
-  stop_recorded (core, machine, orders);
-  g_autofree char *missing = hr_lease_renewal_missing_stop (core, machine, heartbeat, orders);
-  if (missing) {
-    hr_invariant_violated (core,
-                           "a lease would be renewed without a stop: machine=%s task=%s kind=%s "
-                           "token=%" G_GUINT64_FORMAT,
-                           machine->name, missing, kind_names[kind],
-                           core->leadership.fencing_token);
-    withhold (core, command, machine, "stop_not_named");
-    return;
-  }
-  machine->agent.lease_renewed_at = lease_counts_from (core, machine, kind);
-  hr_histogram_add (&core->metrics.renewal_age, core->now - core->store.replica.confirmed_at);
-  core->metrics.counters.reports_answered += kind == HR_HEARTBEAT_CURRENT;
-  core->metrics.counters.reports_overtaken += kind == HR_HEARTBEAT_OVERTAKEN;
-  core->metrics.counters.reports_before_token += kind == HR_HEARTBEAT_BEFORE_TOKEN;
-  log_answer (core, machine, heartbeat, kind, orders);
-  hr_core_reply (core, command->id, 200,
-                 json_pack ("{sIso}", "baton", (json_int_t)core->leadership.fencing_token, "orders",
-                            hr_orders_pack (orders)),
-                 0);
+  if (verdict == HR_RENEWAL_ALLOWED)
+    renew (core, command, machine, report, kind, orders);
+  else
+    hr_lease_renewal_refuse (core, command, machine->name, verdict);
 }
--- a/src/coordination/core.c
+++ b/src/coordination/core.c
@@ -6,7 +6,7 @@
 #include "bookkeeping/replica.h"
 #include "coordination/agents/direct_orders.h"
 #include "coordination/agents/heartbeats.h"
-#include "coordination/agents/termination_proof.h"
+#include "coordination/agents/silent_machines.h"
 #include "coordination/effects.h"
 #include "coordination/jobs/dependencies.h"
 #include "coordination/jobs/user_requests.h"
--- a/src/coordination/scaling/fleet.c
+++ b/src/coordination/scaling/fleet.c
@@ -73,7 +73,7 @@
 void
 hr_machine_gone (HrCore *core, HrMachine *machine, const char *why)
 {
-  hr_termination_incarnations_over (core, machine, G_MAXUINT32, why);
+  hr_termination_incarnations_over (core, machine, G_MAXUINT32, HR_PROOF_MACHINE_DELETED);
   machine->state = HR_MACHINE_GONE;
   machine->instance.is_deleted = TRUE;
   for (guint i = 0; i < machine->plan.list->len; i++) {
