--- a/src/coordination/core.c
+++ b/src/coordination/core.c
@@ -9,7 +9,7 @@
 #include "coordination/agents/termination_proof.h"
 #include "coordination/effects.h"
 #include "coordination/jobs/dependencies.h"
-#include "coordination/jobs/user_requests.h"
+#include "coordination/jobs/request_routing.h"
 #include "coordination/leadership/leadership.h"
 #include "coordination/membership/membership.h"
 #include "coordination/metrics/metrics.h"
--- a/src/coordination/jobs/submissions.c
+++ b/src/coordination/jobs/submissions.c
@@ -1,4 +1,3 @@
-/* Submissions: accepted when the first record of the job is written, or found. */
 #include "coordination/jobs/submissions.h"
 #include "bookkeeping/record_layout.h"
 #include "bookkeeping/replica.h"
@@ -7,200 +6,234 @@
 #include "coordination/jobs/admission.h"
 #include "coordination/jobs/arrivals.h"
 #include "coordination/jobs/dependencies.h"
-#include "coordination/jobs/user_requests.h"
-#include "coordination/state.h"
 #include "protocol/json_util.h"
 #include <string.h>
 
-/* A job that was accepted stays so whatever its repeated submission says, and a repetition is
- * known by its id alone. Only a reading sent after it came tells that the job is new here, and
- * not one that another node has accepted and this one has not followed yet. */
-static void
-refuse_if_new (HrCore *core, HrUserRequest *request, int status, const char *why)
-{
-  request->refusal = status;
-  request->why_not = g_strdup (why);
-  if (!hr_request_answer_final (core, request))
-    hr_replica_read (&core->store, hr_request_on_read, request);
-}
+/* ---- the job's first record ---- */
 
-static void send_submit (HrCore *core, HrUserRequest *request);
-
-/* The job's first main record. */
 static char *
-first_record (HrCore *core, const HrUserRequest *request, guint tasks_per_page, const char *tag)
+first_record (const HrCore *core, const HrUserRequest *request, guint tasks_per_page,
+              const char *tag)
 {
   return hr_record_first (&request->spec, (const char *const *)request->awaits, core->names,
-                          request->asked, tasks_per_page, tag);
+                          request->received_at, tasks_per_page, tag);
 }
 
-/* Where the job's tasks stand. FALSE: what it awaits is more than a value of the state service
- * holds, now or at its next limits; the main record is written many times, and has to fit. */
+/* Do the ids that it awaits fit a value of the state service, now and at its planned limits? The
+ * main record holds them, and it is written many times. */
 static gboolean
-lay_out (HrCore *core, HrUserRequest *request)
+awaits_fit_record (const HrCore *core, const HrUserRequest *request)
 {
-  gsize awaits = 0;
-  for (guint i = 0; request->awaits && request->awaits[i]; i++)
-    awaits += strlen (request->awaits[i]) + strlen ("\"\",");
-  request->per_page = hr_record_layout_choose (&core->store, &request->spec, awaits);
   g_autofree char *paged = first_record (core, request, 1, HR_LONGEST_TAG);
   return strlen (paged) <= hr_record_layout_planned_bytes (&core->store);
 }
 
-/* A reading costs nothing of what may be written, and tells whether an earlier try of the write
- * was carried out. If not yet, it may still come: the next one is the same. */
-static void
-on_unsure_read (HrStore *store, gboolean ok, gpointer data)
+/* Bytes that the awaited ids take in the main record. */
+static gsize
+awaits_bytes (const HrUserRequest *request)
 {
-  HrCore *core = store->core;
-  HrUserRequest *request = data;
-  if (ok && !hr_job_find (&core->store.tables, request->id) &&
-      !hr_job_unreadable (&core->store.tables, request->id))
-    send_submit (core, request);
-  else
-    hr_request_on_read (store, ok, data);
+  gsize bytes = 0;
+  for (guint i = 0; request->awaits && request->awaits[i]; i++)
+    bytes += strlen (request->awaits[i]) + strlen ("\"\",");
+  return bytes;
 }
 
-static void
-on_submit (HrStore *store, int status, json_t *body, double sent, gpointer data)
+/* ---- decisions ---- */
+
+/* Decides on a submission of which all awaited jobs are known. A service among them is never done,
+ * so the job could never run; one that was cancelled takes the job along like any other. */
+static HrVerdict
+decide_awaited_known (HrCore *core, const HrUserRequest *request)
 {
-  HrCore *core = store->core;
-  HrUserRequest *request = data;
-  guint64 store_revision;
-  if (status == 200 && hr_json_count (body, "epoch", G_MAXINT64, &store_revision)) {
-    HrJob *job = hr_job_get (&core->store.tables, request->id);
-    if (!job->is_known) {
-      job->is_known = TRUE;
-      job->state = job->cancellation.told_by_peer ? HR_JOB_CANCELLED : HR_JOB_QUEUED;
-      job->record.revision = store_revision;
-      job->submitted_at = request->asked;
-      g_free (job->record.tag);
-      job->record.tag = g_strdup (request->tag);
-      hr_job_set_spec (job, &request->spec, request->per_page);
-      if (!job->record.tasks_per_page)
-        job->record.pages[0].revision = store_revision;
-      hr_dependencies_job_read (core, job, (const char *const *)request->awaits);
-      hr_job_open (core, job);
-      core->scheduling.plan_is_stale = TRUE;
-    }
-    hr_request_answer (core, request, job, 201);
-  } else if (status == 409)
-    hr_replica_read (&core->store, hr_request_on_read,
-                     request); /* there already: by an earlier try, perhaps */
-  else if (hr_request_may_try_again (core, request, status))
-    hr_replica_read (&core->store, on_unsure_read,
-                     request); /* lost, or the service is pacing our writes */
-  else
-    hr_request_refuse_later (core, request, status == 429 ? 429 : 503,
-                             status == 429
-                                 ? "too many jobs at once; submit again"
-                                 : "the state service did not confirm the job; submit again");
+  const char *service = hr_dependencies_find_service (core, request->awaits);
+  if (!service)
+    return hr_verdict (HR_VERDICT_WRITE);
+  g_autofree char *reason =
+      g_strdup_printf ("it awaits %s, a service, which is never done", service);
+  return hr_verdict_refuse (HR_VERDICT_REFUSE_IF_NEW, 422, reason);
 }
 
-static void
-send_submit (HrCore *core, HrUserRequest *request)
+/* Decides on a job that this node does not know, by whether it can ever run and be recorded. */
+static HrVerdict
+decide_new_job (HrCore *core, const HrUserRequest *request)
 {
-  g_autofree char *key = g_strconcat ("h/j/", request->id, NULL);
-  if (!request->tag)
-    request->tag = hr_core_new_tag (core);
-  json_t *when = hr_transaction_require (json_array (), key, 0);
-  json_t *writes = hr_transaction_put (
-      json_array (), key, first_record (core, request, request->per_page, request->tag), 0);
-  hr_transaction_submit (&core->store, HR_TRANSACTION_USER, when, writes, 1,
-                         hr_request_timeout (core, request), on_submit, request);
+  g_autoptr (GError) error = NULL;
+  if (!core->scaling.machine_types || !core->store.replica.synced_once)
+    return hr_verdict_refuse (HR_VERDICT_REFUSE_FOR_NOW, 503,
+                              "this node has only just started; submit again");
+  if (!hr_admission_check (core, &request->spec, &error))
+    return hr_verdict_refuse (HR_VERDICT_REFUSE_IF_NEW, 422, error->message);
+  if (!awaits_fit_record (core, request))
+    return hr_verdict_refuse (HR_VERDICT_REFUSE_IF_NEW, 400,
+                              "field awaits: more jobs than the job's record can hold");
+  if (core->store.replica.is_unavailable || core->store.replica.state != HR_REPLICA_FOLLOWING)
+    return hr_verdict_refuse (HR_VERDICT_REFUSE_FOR_NOW, 503,
+                              "the state service does not answer; submit again");
+  /* Known jobs never vanish; what is not known may have been accepted elsewhere just now. */
+  if (hr_dependencies_find_unknown (core, request->awaits))
+    return hr_verdict (HR_VERDICT_READ_AWAITED);
+  return decide_awaited_known (core, request);
 }
 
-/* All jobs that it awaits are known. A service among them is never done, so the job could never
- * run; one that was cancelled takes the job along like any other. */
+static HrVerdict
+decide_submission (HrCore *core, const HrUserRequest *request)
+{
+  if (hr_user_request_has_final_answer (core, request))
+    return hr_verdict_answer (200);
+  if (hr_job_find (&core->store.tables, request->job_id))
+    return hr_verdict (HR_VERDICT_READ);
+  return decide_new_job (core, request);
+}
+
+/* After a read that was sent after the submission came: what is unknown now was never accepted. */
+static HrVerdict
+decide_after_awaited_read (HrCore *core, const HrUserRequest *request, gboolean read_ok)
+{
+  if (!read_ok || hr_job_unreadable (&core->store.tables, request->job_id))
+    return hr_verdict_refuse (HR_VERDICT_REFUSE_FOR_NOW, 503,
+                              "the jobs that it awaits cannot be looked up; submit again");
+  if (hr_job_find (&core->store.tables, request->job_id))
+    return hr_verdict_answer (200); /* an earlier try of this submission */
+  const char *unknown = hr_dependencies_find_unknown (core, request->awaits);
+  if (!unknown)
+    return decide_awaited_known (core, request);
+  g_autofree char *reason = g_strdup_printf ("it awaits %s, which was never accepted", unknown);
+  return hr_verdict_refuse (HR_VERDICT_REFUSE, 422, reason);
+}
+
+/* A read costs nothing of what may be written, and tells whether an earlier write was carried out.
+ * If not yet, it may still be: the next one is the same. */
+static HrVerdict
+decide_after_retry_read (HrCore *core, const HrUserRequest *request, gboolean read_ok)
+{
+  if (read_ok && !hr_job_find (&core->store.tables, request->job_id) &&
+      !hr_job_unreadable (&core->store.tables, request->job_id))
+    return hr_verdict (HR_VERDICT_WRITE);
+  return hr_user_request_decide_after_read (core, request, read_ok);
+}
+
+static HrVerdict
+decide_after_failed_write (const HrCore *core, const HrUserRequest *request, int status)
+{
+  if (status == 409)
+    return hr_verdict (HR_VERDICT_READ); /* there already: by an earlier try, perhaps */
+  if (hr_user_request_may_try_again (core, request, status))
+    return hr_verdict (HR_VERDICT_READ_BEFORE_RETRY); /* lost, or the service paces our writes */
+  if (status == 429)
+    return hr_verdict_refuse (HR_VERDICT_REFUSE_FOR_NOW, 429,
+                              "too many jobs at once; submit again");
+  return hr_verdict_refuse (HR_VERDICT_REFUSE_FOR_NOW, 503,
+                            "the state service did not confirm the job; submit again");
+}
+
+/* ---- actions ---- */
+
+/* Brings the tables up to date with the record that the store has confirmed, unless it was read
+ * already. */
 static void
-submit_if_possible (HrCore *core, HrUserRequest *request)
+take_in_confirmed (HrCore *core, const HrUserRequest *request, guint64 revision)
 {
-  const char *service = hr_dependencies_find_service (core, request->awaits);
-  if (!service) {
-    send_submit (core, request);
+  HrJob *job = hr_job_get (&core->store.tables, request->job_id);
+  if (job->is_known)
     return;
-  }
-  g_autofree char *why = g_strdup_printf ("it awaits %s, a service, which is never done", service);
-  refuse_if_new (core, request, 422, why);
+  job->is_known = TRUE;
+  job->state = job->cancellation.told_by_peer ? HR_JOB_CANCELLED : HR_JOB_QUEUED;
+  job->record.revision = revision;
+  job->submitted_at = request->received_at;
+  g_free (job->record.tag);
+  job->record.tag = g_strdup (request->write_tag);
+  hr_job_set_spec (job, &request->spec, request->tasks_per_page);
+  if (!job->record.tasks_per_page)
+    job->record.pages[0].revision = revision;
+  hr_dependencies_job_read (core, job, (const char *const *)request->awaits);
+  hr_job_open (core, job);
+  core->scheduling.plan_is_stale = TRUE;
 }
 
-/* A reading sent after the submission came: what is unknown now was never accepted. */
 static void
-on_awaits_read (HrStore *store, gboolean ok, gpointer data)
+on_written (HrStore *store, int status, json_t *body, double sent_at, gpointer data)
 {
   HrCore *core = store->core;
   HrUserRequest *request = data;
-  const char *unknown = hr_dependencies_find_unknown (core, request->awaits);
-  HrJob *job = hr_job_find (&core->store.tables, request->id);
-  if (!ok || hr_job_unreadable (&core->store.tables, request->id))
-    hr_request_refuse_later (core, request, 503,
-                             "the jobs that it awaits cannot be looked up; submit again");
-  else if (job)
-    hr_request_answer (core, request, job, 200); /* an earlier try of this submission */
-  else if (!unknown)
-    submit_if_possible (core, request);
-  else {
-    g_autofree char *why = g_strdup_printf ("it awaits %s, which was never accepted", unknown);
-    hr_core_refuse (core, request->reply_id, 422, 0, why);
-    hr_request_free (request);
+  g_auto (HrVerdict) verdict = {0};
+  guint64 revision;
+  if (status == 200 && hr_json_count (body, "epoch", G_MAXINT64, &revision)) {
+    take_in_confirmed (core, request, revision);
+    verdict = hr_verdict_answer (201);
+  } else {
+    request->failed_writes++;
+    verdict = decide_after_failed_write (core, request, status);
   }
+  hr_user_request_act (core, request, &verdict);
+}
+
+void
+hr_submission_write (HrCore *core, HrUserRequest *request)
+{
+  g_autofree char *key = g_strconcat ("h/j/", request->job_id, NULL);
+  if (!request->write_tag)
+    request->write_tag = hr_core_new_tag (core);
+  char *text = first_record (core, request, request->tasks_per_page, request->write_tag);
+  json_t *conditions = hr_transaction_require (json_array (), key, 0);
+  json_t *writes = hr_transaction_put (json_array (), key, text, 0);
+  hr_transaction_submit (&core->store, HR_TRANSACTION_USER, conditions, writes, 1,
+                         hr_user_request_timeout (core, request), on_written, request);
 }
 
 void
-hr_submit (HrCore *core, HrCommand *command)
+hr_submission_on_awaited_read (HrStore *store, gboolean ok, gpointer data)
 {
-  gsize len = 0;
-  const char *data = command->body ? g_bytes_get_data (command->body, &len) : NULL;
-  g_autofree char *why = NULL;
+  HrUserRequest *request = data;
+  g_auto (HrVerdict) verdict = decide_after_awaited_read (store->core, request, ok);
+  hr_user_request_act (store->core, request, &verdict);
+}
+
+void
+hr_submission_on_retry_read (HrStore *store, gboolean ok, gpointer data)
+{
+  HrUserRequest *request = data;
+  g_auto (HrVerdict) verdict = decide_after_retry_read (store->core, request, ok);
+  hr_user_request_act (store->core, request, &verdict);
+}
+
+/* ---- receiving ---- */
+
+/* The submission that the body describes. *invalid: (transfer full): why it is not a valid one;
+ * NULL: it is. Returns NULL, with *invalid, where it does not even name a job. */
+static HrUserRequest *
+parse_submission (HrCore *core, const HrCommand *command, char **invalid)
+{
+  gsize length = 0;
+  const char *data = command->body ? g_bytes_get_data (command->body, &length) : NULL;
+  json_t *object = hr_json_parse (data, length, invalid);
   const char *id = NULL;
-  HrJobSpec spec;
-  GStrv awaits = NULL;
-  json_t *object = hr_json_parse (data, len, &why);
-  gboolean valid = object && hr_jobspec_parse (object, core->names, &spec, &id, &why) &&
-                   hr_jobspec_awaits (object, &awaits, &why);
-  if (!valid && !hr_job_id_valid (id)) {
-    hr_core_refuse (core, command->id, 400, 0, why);
-    json_decref (object);
-    return;
+  HrJobSpec spec = {0};
+  g_auto (GStrv) awaits = NULL;
+  gboolean is_valid = object && hr_jobspec_parse (object, core->names, &spec, &id, invalid) &&
+                      hr_jobspec_awaits (object, &awaits, invalid);
+  HrUserRequest *request = NULL;
+  if (is_valid || hr_job_id_valid (id)) {
+    request = hr_user_request_new (command->id, HR_REQUEST_SUBMIT, id, core->wall_time);
+    request->spec = spec;
+    request->awaits = g_steal_pointer (&awaits);
   }
-  HrUserRequest *request = g_new0 (HrUserRequest, 1);
-  request->reply_id = command->id;
-  request->kind = HR_REQUEST_SUBMIT;
-  request->id = g_strdup (id);
-  request->spec = spec;
-  request->awaits = awaits;
-  request->asked = core->wall_time;
   json_decref (object);
-  if (!valid) {
-    refuse_if_new (core, request, 400, why);
-    return;
-  }
-  if (hr_request_answer_final (core, request))
-    return;
-  if (hr_job_find (&core->store.tables, request->id)) {
-    hr_replica_read (&core->store, hr_request_on_read, request);
-    return;
-  }
-  if (!core->scaling.machine_types || !core->store.replica.synced_once) {
-    hr_request_refuse_later (core, request, 503, "this node has only just started; submit again");
-    return;
-  }
-  g_autofree char *never = hr_admission_refusal_reason (core, &spec);
-  if (never) {
-    refuse_if_new (core, request, 422, never);
-    return;
-  }
-  if (!lay_out (core, request)) {
-    refuse_if_new (core, request, 400, "field awaits: more jobs than the job's record can hold");
-    return;
-  }
-  if (core->store.replica.is_unavailable || core->store.replica.state != HR_REPLICA_FOLLOWING) {
-    hr_request_refuse_later (core, request, 503, "the state service does not answer; submit again");
+  return request;
+}
+
+void
+hr_submission_received (HrCore *core, HrCommand *command)
+{
+  g_autofree char *invalid = NULL;
+  HrUserRequest *request = parse_submission (core, command, &invalid);
+  if (!request) {
+    hr_core_refuse (core, command->id, 400, 0, invalid);
     return;
   }
-  /* Known jobs never vanish; what is not known may have been accepted elsewhere just now. */
-  if (hr_dependencies_find_unknown (core, request->awaits))
-    hr_replica_read (&core->store, on_awaits_read, request);
-  else
-    submit_if_possible (core, request);
+  g_auto (HrVerdict) verdict = invalid ? hr_verdict_refuse (HR_VERDICT_REFUSE_IF_NEW, 400, invalid)
+                                       : decide_submission (core, request);
+  if (verdict.kind == HR_VERDICT_WRITE || verdict.kind == HR_VERDICT_READ_AWAITED)
+    request->tasks_per_page =
+        hr_record_layout_choose (&core->store, &request->spec, awaits_bytes (request));
+  hr_user_request_act (core, request, &verdict);
 }
--- a/src/coordination/jobs/user_requests.c
+++ b/src/coordination/jobs/user_requests.c
@@ -1,284 +1,189 @@
-/* What users ask: polls, cancellations, readiness; submissions are in submissions.c. */
 #include "coordination/jobs/user_requests.h"
-#include "bookkeeping/record_format.h"
-#include "bookkeeping/record_layout.h"
 #include "bookkeeping/replica.h"
-#include "bookkeeping/transactions.h"
 #include "coordination/effects.h"
-#include "coordination/jobs/dependencies.h"
+#include "coordination/jobs/cancellations.h"
+#include "coordination/jobs/job_status.h"
 #include "coordination/jobs/submissions.h"
-#include "coordination/jobs/task_lifecycle.h"
-#include "coordination/leadership/leadership.h"
-#include "coordination/membership/cancellation_log.h"
-#include "coordination/membership/membership.h"
-#include "coordination/state.h"
-#include "protocol/http_method.h"
-#include "protocol/json_util.h"
-#include <string.h>
 
-#define MAX_ATTEMPTS 6
-/* How long a write of a user's waits for its answer, in seconds: most come within milliseconds,
- * and one that is lost does not come at all. But where the state service is slow, another try
- * would only add to what it has to do. */
-#define SHORT_TIMEOUT_S 0.15
-#define SHORT_ATTEMPTS 3
+/* Writes of one request, at most. */
+#define MAX_WRITES 6
+/* How long a user's write waits for its answer: most come within milliseconds, and one that is lost
+ * does not come at all. But where the state service is slow, another try would only add to what it
+ * has to do. So the first writes wait for a short time, later ones longer, and all of them for
+ * several times as long as the latest reads took. */
+#define FIRST_TIMEOUT_S 0.15
+#define FIRST_WRITES 3
 #define LATER_TIMEOUT_S 1.0
 #define MAX_TIMEOUT_S 2.0
-#define LATENCIES 4 /* so many times as long as the latest readings took */
-/* Who asks waits 5 s. After so long no further try is made for him. */
+#define TIMEOUT_IN_LATENCIES 4
+/* A user waits 5 s for the reply. After so long no further write is sent for it. */
 #define GIVE_UP_S 2.5
+/* When to ask again: as a rule, and while the state service does not answer this node. */
+#define RETRY_AFTER_S 1
+#define RETRY_AFTER_OUTAGE_S 2
 
-static const char *const state_names[] = {"queued", "done", "withdrawn"};
+HrUserRequest *
+hr_user_request_new (guint64 reply_id, HrRequestKind kind, const char *job_id, double received_at)
+{
+  HrUserRequest *request = g_new0 (HrUserRequest, 1);
+  request->reply_id = reply_id;
+  request->kind = kind;
+  request->job_id = g_strdup (job_id);
+  request->received_at = received_at;
+  return request;
+}
 
 void
-hr_request_free (HrUserRequest *request)
+hr_user_request_free (HrUserRequest *request)
 {
-  g_free (request->id);
-  g_free (request->tag);
-  g_free (request->why_not);
+  g_free (request->job_id);
   g_strfreev (request->awaits);
+  g_free (request->refusal_reason);
+  g_free (request->write_tag);
   g_free (request);
 }
 
-void
-hr_request_refuse_later (HrCore *core, HrUserRequest *request, int status, const char *why)
+HrVerdict
+hr_verdict (HrVerdictKind kind)
 {
-  hr_core_refuse (core, request->reply_id, status, core->store.replica.is_unavailable ? 2 : 1, why);
-  hr_request_free (request);
+  return (HrVerdict){.kind = kind};
 }
 
-/* Why the job is where it is, for the person who waits for it. */
-static char *
-status_reason (HrCore *core, HrJob *job)
+HrVerdict
+hr_verdict_answer (int status)
 {
-  if (job->state == HR_JOB_DONE)
-    return g_strdup ("all tasks are done");
-  char *others = hr_dependencies_reason (job);
-  if (others)
-    return others;
-  if (job->state == HR_JOB_CANCELLED)
-    return g_strdup ("withdrawn by its user");
-  if (!core->leadership.is_leader)
-    return g_strdup_printf ("%s plans this job", core->leadership.leader_label
-                                                     ? core->leadership.leader_label
-                                                     : "no controller yet");
-  if (job->run.failures && job->run.retry_at > core->now)
-    return g_strdup_printf (
-        "failed %u times in a row (%s), last on %s; next try in %.0f s", job->run.failures,
-        hr_exit_name (job->run.last_failure),
-        hr_intern_name (&core->store.tables.machine_ids, job->run.failed_machine),
-        job->run.retry_at - core->now);
-  if (job->run.attempt_ending)
-    return g_strdup ("an attempt of the gang has ended; waiting for its last tasks to exit");
-  if (job->run.n_live + job->n_done == job->n_tasks)
-    return g_strdup ("every task has a machine");
-  if (job->plan.next_scale_out_at > core->now)
-    return g_strdup_printf ("needs %u machines at once, more than the cloud has given; more are "
-                            "asked for in %.0f s",
-                            job->n_tasks, job->plan.next_scale_out_at - core->now);
-  return g_strdup_printf ("%u tasks wait for room; %u of them stand in a machine's plan; "
-                          "%u machines are starting",
-                          job->n_tasks - job->run.n_live - job->n_done, job->plan.n_listed,
-                          core->scheduling.booting_machines);
+  return (HrVerdict){.kind = HR_VERDICT_ANSWER, .status = status};
 }
 
-void
-hr_request_answer (HrCore *core, HrUserRequest *request, HrJob *job, int status)
+HrVerdict
+hr_verdict_refuse (HrVerdictKind kind, int status, const char *reason)
 {
-  guint32 running = 0, done = job->state == HR_JOB_DONE ? job->n_tasks : job->n_recorded_done;
-  for (guint32 i = 0; job->tasks && i < job->n_tasks && job->state == HR_JOB_QUEUED; i++)
-    running += !job->tasks[i].done_recorded &&
-               (core->leadership.is_leader ? job->tasks[i].state == HR_TASK_BOUND &&
-                                                 job->tasks[i].reported_state == HR_REPORTED_RUNNING
-                                           : job->tasks[i].recorded.machine != HR_NONE);
-  const char *state_name =
-      job->state == HR_JOB_QUEUED && running ? "running" : state_names[job->state];
-  g_autofree char *why = status_reason (core, job);
-  hr_core_reply (core, request->reply_id, status,
-                 json_pack ("{sssssisiss}", "name_id", request->id, "stance", state_name, "done",
-                            (int)done, "running", (int)running, "reason", why),
-                 0);
-  hr_request_free (request);
+  return (HrVerdict){.kind = kind, .status = status, .reason = g_strdup (reason)};
 }
 
-double
-hr_request_timeout (const HrCore *core, const HrUserRequest *request)
+void
+hr_verdict_clear (HrVerdict *verdict)
 {
-  double least = request->attempts < SHORT_ATTEMPTS ? SHORT_TIMEOUT_S : LATER_TIMEOUT_S;
-  return CLAMP (LATENCIES * core->store.replica.read_latency_s, least, MAX_TIMEOUT_S);
+  g_clear_pointer (&verdict->reason, g_free);
 }
 
+/* ---- decisions ---- */
+
 gboolean
-hr_request_may_try_again (HrCore *core, HrUserRequest *request, int status)
+hr_user_request_has_final_answer (HrCore *core, const HrUserRequest *request)
 {
-  return (status == 0 || status == 409 || status == 429) && ++request->attempts < MAX_ATTEMPTS &&
-         core->wall_time - request->asked < GIVE_UP_S;
+  const HrJob *job = hr_job_find (&core->store.tables, request->job_id);
+  return job && job->state != HR_JOB_QUEUED && !job->cancellation.told_by_peer;
 }
 
-static void send_cancel (HrCore *core, HrUserRequest *request);
-
-void
-hr_request_on_read (HrStore *store, gboolean ok, gpointer data)
+/* The read shows no such job. */
+static HrVerdict
+decide_unknown_job (const HrUserRequest *request)
 {
-  HrCore *core = store->core;
-  HrUserRequest *request = data;
-  HrJob *job = hr_job_find (&core->store.tables, request->id);
-  if (!ok) {
-    hr_request_refuse_later (core, request, 503,
-                             "the state service cannot be read just now; ask again");
-    return;
-  }
-  if (hr_job_unreadable (&core->store.tables, request->id)) {
-    /* It was accepted, and neither 404 nor an older state may be said of it. */
-    hr_request_refuse_later (core, request, 503, "its record cannot be read; ask again");
-    return;
-  }
-  if (!job) {
-    if (request->refusal) {
-      hr_core_refuse (core, request->reply_id, request->refusal, 0, request->why_not);
-      hr_request_free (request);
-    } else if (request->kind == HR_REQUEST_SUBMIT)
-      /* It gets here after a 409, so its record exists. */
-      hr_request_refuse_later (core, request, 503, "its record is being written; ask again");
-    else {
-      hr_core_refuse (core, request->reply_id, 404, 0, "no such job was accepted");
-      hr_request_free (request);
-    }
-  } else if (request->kind == HR_REQUEST_CANCEL && job->state == HR_JOB_QUEUED)
-    send_cancel (core, request);
-  else
-    hr_request_answer (core, request, job, 200);
+  if (request->refusal_status)
+    return hr_verdict_refuse (HR_VERDICT_REFUSE, request->refusal_status, request->refusal_reason);
+  if (request->kind == HR_REQUEST_SUBMIT) /* it was read after a 409, so its record exists */
+    return hr_verdict_refuse (HR_VERDICT_REFUSE_FOR_NOW, 503,
+                              "its record is being written; ask again");
+  return hr_verdict_refuse (HR_VERDICT_REFUSE, 404, HR_REASON_UNKNOWN_JOB);
 }
 
-gboolean
-hr_request_answer_final (HrCore *core, HrUserRequest *request)
+HrVerdict
+hr_user_request_decide_after_read (HrCore *core, const HrUserRequest *request, gboolean read_ok)
 {
-  HrJob *job = hr_job_find (&core->store.tables, request->id);
-  if (!job || job->state == HR_JOB_QUEUED || job->cancellation.told_by_peer)
-    return FALSE;
-  hr_request_answer (core, request, job, 200);
-  return TRUE;
+  if (!read_ok)
+    return hr_verdict_refuse (HR_VERDICT_REFUSE_FOR_NOW, 503,
+                              "the state service cannot be read just now; ask again");
+  /* It was accepted, and neither 404 nor an older state may be said of it. */
+  if (hr_job_unreadable (&core->store.tables, request->job_id))
+    return hr_verdict_refuse (HR_VERDICT_REFUSE_FOR_NOW, 503,
+                              "its record cannot be read; ask again");
+  const HrJob *job = hr_job_find (&core->store.tables, request->job_id);
+  if (!job)
+    return decide_unknown_job (request);
+  if (request->kind == HR_REQUEST_CANCEL && job->state == HR_JOB_QUEUED)
+    return hr_verdict (HR_VERDICT_WRITE);
+  return hr_verdict_answer (200);
 }
 
-/* ---- cancellations ---- */
+double
+hr_user_request_timeout (const HrCore *core, const HrUserRequest *request)
+{
+  double least = request->failed_writes < FIRST_WRITES ? FIRST_TIMEOUT_S : LATER_TIMEOUT_S;
+  return CLAMP (TIMEOUT_IN_LATENCIES * core->store.replica.read_latency_s, least, MAX_TIMEOUT_S);
+}
 
-/* The record with its tasks is larger than the state service takes. Its user asks again, and
- * meanwhile the leader splits it. */
-static void
-split_first (HrCore *core, HrUserRequest *request, HrJob *job)
+gboolean
+hr_user_request_may_try_again (const HrCore *core, const HrUserRequest *request, int status)
 {
-  hr_record_format_note_oversized (&core->store, job);
-  hr_request_refuse_later (core, request, 503, "the job's record is being split; ask again");
+  gboolean is_undecided = status == 0 || status == 409 || status == 429;
+  return is_undecided && request->failed_writes < MAX_WRITES &&
+         core->wall_time - request->received_at < GIVE_UP_S;
 }
 
+/* ---- actions ---- */
+
 static void
-on_cancel (HrStore *store, int status, json_t *body, double sent, gpointer data)
+on_read (HrStore *store, gboolean ok, gpointer data)
 {
-  HrCore *core = store->core;
   HrUserRequest *request = data;
-  HrJob *job = hr_job_find (&core->store.tables, request->id);
-  guint64 store_revision;
-  if (status == 200 && job && hr_json_count (body, "epoch", G_MAXINT64, &store_revision)) {
-    hr_cancellation_log_append (core, job, store_revision);
-    if (job->state == HR_JOB_QUEUED && store_revision > job->record.revision) {
-      job->state = HR_JOB_CANCELLED;
-      job->record.revision = store_revision;
-      if (!job->record.tasks_per_page && job->record.pages)
-        job->record.pages[0].revision = store_revision;
-      if (core->leadership.is_leader)
-        hr_job_cancelled (core, job);
-      hr_dependencies_job_final (core, job);
-    }
-    hr_request_answer (core, request, job, 200);
-  } else if (status == 400 && core->store.format.supported && job && job->tasks) {
-    core->store.format.planned_limits_in_force |=
-        request->bytes > hr_record_layout_planned_bytes (&core->store);
-    split_first (core, request, job);
-  } else if (hr_request_may_try_again (core, request, status))
-    hr_replica_read (&core->store, hr_request_on_read,
-                     request); /* the record may have moved on: read, then try again */
-  else
-    hr_request_refuse_later (core, request, 503, "the cancellation is not confirmed; ask again");
+  g_auto (HrVerdict) verdict = hr_user_request_decide_after_read (store->core, request, ok);
+  hr_user_request_act (store->core, request, &verdict);
 }
 
+/* A job that was accepted stays so whatever a repeated submission says, and a repetition is known
+ * by its id alone. Only a read sent after it came tells that the job is new, and not one that
+ * another controller has accepted and this one has not read yet. */
 static void
-send_cancel (HrCore *core, HrUserRequest *request)
+refuse_if_new (HrCore *core, HrUserRequest *request, const HrVerdict *refusal)
 {
-  HrJob *job = hr_job_find (&core->store.tables, request->id);
-  g_autofree char *key = hr_job_record_key (job);
-  g_free (request->tag);
-  request->tag = hr_core_new_tag (core);
-  char *text = hr_record_main (job, core->names, &core->store.tables.machine_ids, HR_JOB_CANCELLED,
-                               request->tag, FALSE);
-  request->bytes = strlen (text);
-  if (request->bytes > hr_record_layout_max_bytes (&core->store)) {
-    g_free (text);
-    split_first (core, request, job);
-    return;
-  }
-  json_t *when = hr_transaction_require (json_array (), key, job->record.revision);
-  json_t *writes = hr_transaction_put (json_array (), key, text, 0);
-  hr_transaction_submit (&core->store, HR_TRANSACTION_USER, when, writes, 1,
-                         hr_request_timeout (core, request), on_cancel, request);
+  request->refusal_status = refusal->status;
+  request->refusal_reason = g_strdup (refusal->reason);
+  HrVerdict next = hr_user_request_has_final_answer (core, request) ? hr_verdict_answer (200)
+                                                                    : hr_verdict (HR_VERDICT_READ);
+  hr_user_request_act (core, request, &next);
 }
 
-/* ---- the door ---- */
-
 static void
-answer_readiness (HrCore *core, HrCommand *command)
+reply_status (HrCore *core, const HrUserRequest *request, int status)
 {
-  if (!core->scaling.machine_types || !core->store.replica.synced_once)
-    hr_core_refuse (core, command->id, 503, 1, "still reading the ledger and the machine types");
-  else if (!hr_replica_is_served (&core->store) && !hr_membership_store_outage_for_all (core))
-    hr_core_refuse (core, command->id, 503, 1, "the state service does not answer this node");
-  else
-    hr_core_reply (core, command->id, 200, json_pack ("{sb}", "ready", 1), 0);
+  const HrJob *job = hr_job_find (&core->store.tables, request->job_id);
+  hr_job_status_reply (core, request->reply_id, job, status);
 }
 
 void
-hr_user_request_received (HrCore *core, HrCommand *command)
+hr_user_request_act (HrCore *core, HrUserRequest *taken, const HrVerdict *verdict)
 {
-  const char *text = command->request.path;
-  if (strcmp (text, "/ready") == 0) {
-    if (command->request.method == HR_GET)
-      answer_readiness (core, command);
-    else
-      hr_core_refuse (core, command->id, 405, 0, "use GET");
-    return;
-  }
-  if (strcmp (text, HR_JOBS_PATH) == 0) {
-    if (command->request.method != HR_POST)
-      hr_core_refuse (core, command->id, 405, 0, "use POST");
-    else if (command->request.is_too_large)
-      hr_core_refuse (core, command->id, 400, 0, "the body is larger than 64 KiB");
+  g_autoptr (HrUserRequest) request = taken;
+  switch (verdict->kind) {
+  case HR_VERDICT_ANSWER:
+    reply_status (core, request, verdict->status);
+    break;
+  case HR_VERDICT_READ:
+    hr_replica_read (&core->store, on_read, g_steal_pointer (&request));
+    break;
+  case HR_VERDICT_READ_AWAITED:
+    hr_replica_read (&core->store, hr_submission_on_awaited_read, g_steal_pointer (&request));
+    break;
+  case HR_VERDICT_READ_BEFORE_RETRY:
+    hr_replica_read (&core->store, hr_submission_on_retry_read, g_steal_pointer (&request));
+    break;
+  case HR_VERDICT_WRITE:
+    if (request->kind == HR_REQUEST_CANCEL)
+      hr_cancellation_write (core, g_steal_pointer (&request));
     else
-      hr_submit (core, command);
-    return;
-  }
-  if (!g_str_has_prefix (text, HR_JOBS_PATH "/")) {
-    hr_core_refuse (core, command->id, 404, 0, "no such path");
-    return;
+      hr_submission_write (core, g_steal_pointer (&request));
+    break;
+  case HR_VERDICT_REFUSE:
+    hr_core_refuse (core, request->reply_id, verdict->status, 0, verdict->reason);
+    break;
+  case HR_VERDICT_REFUSE_FOR_NOW:
+    hr_core_refuse (core, request->reply_id, verdict->status,
+                    core->store.replica.is_unavailable ? RETRY_AFTER_OUTAGE_S : RETRY_AFTER_S,
+                    verdict->reason);
+    break;
+  case HR_VERDICT_REFUSE_IF_NEW:
+    refuse_if_new (core, g_steal_pointer (&request), verdict);
+    break;
   }
-  g_autofree char *id = g_strdup (text + strlen (HR_JOBS_PATH "/"));
-  gboolean abort = g_str_has_suffix (id, "/abort");
-  if (abort)
-    id[strlen (id) - strlen ("/abort")] = 0;
-  if (strchr (id, '/') || command->request.method != (abort ? HR_POST : HR_GET)) {
-    hr_core_refuse (core, command->id, strchr (id, '/') ? 404 : 405, 0,
-                    strchr (id, '/') ? "no such path"
-                    : abort          ? "use POST"
-                                     : "use GET");
-    return;
-  }
-  if (!hr_job_id_valid (id)) {
-    hr_core_refuse (core, command->id, 404, 0, "no such job was accepted");
-    return;
-  }
-  HrUserRequest *request = g_new0 (HrUserRequest, 1);
-  request->reply_id = command->id;
-  request->kind = abort ? HR_REQUEST_CANCEL : HR_REQUEST_POLL;
-  request->id = g_steal_pointer (&id);
-  request->asked = core->wall_time;
-  if (!hr_request_answer_final (core, request))
-    hr_replica_read (&core->store, hr_request_on_read, request);
 }
