--- a/src/coordination/agents/heartbeats.c
+++ b/src/coordination/agents/heartbeats.c
@@ -4,6 +4,7 @@
 #include "coordination/agents/orders.h"
 #include "coordination/agents/termination_proof.h"
 #include "coordination/effects.h"
+#include "coordination/jobs/gang_scheduling.h"
 #include "coordination/jobs/task_lifecycle.h"
 #include "coordination/leadership/leadership.h"
 #include "coordination/scaling/fleet.h"
--- a/src/coordination/agents/orders.c
+++ b/src/coordination/agents/orders.c
@@ -1,7 +1,7 @@
 #include "coordination/agents/orders.h"
 #include "bookkeeping/replica.h"
 #include "coordination/agents/termination_proof.h"
-#include "coordination/jobs/task_lifecycle.h"
+#include "coordination/jobs/gang_scheduling.h"
 #include "coordination/leadership/leadership.h"
 #include "coordination/membership/membership.h"
 #include "coordination/state.h"
--- a/src/coordination/jobs/dependencies.c
+++ b/src/coordination/jobs/dependencies.c
@@ -9,7 +9,7 @@
 #include "coordination/jobs/dependencies.h"
 #include "bookkeeping/record_writer.h"
 #include "bookkeeping/replica.h"
-#include "coordination/jobs/arrivals.h"
+#include "coordination/jobs/open_jobs.h"
 #include "coordination/jobs/priority_inheritance.h"
 #include "coordination/jobs/task_lifecycle.h"
 #include "coordination/state.h"
--- a/src/coordination/jobs/failover.c
+++ b/src/coordination/jobs/failover.c
@@ -3,6 +3,7 @@
 #include "bookkeeping/record_split.h"
 #include "bookkeeping/record_writer.h"
 #include "coordination/agents/termination_proof.h"
+#include "coordination/jobs/gang_scheduling.h"
 #include "coordination/jobs/task_lifecycle.h"
 #include "coordination/scaling/fleet.h"
 #include "coordination/state.h"
--- a/src/coordination/jobs/submissions.c
+++ b/src/coordination/jobs/submissions.c
@@ -4,7 +4,7 @@
 #include "bookkeeping/transactions.h"
 #include "coordination/effects.h"
 #include "coordination/jobs/admission.h"
-#include "coordination/jobs/arrivals.h"
+#include "coordination/jobs/open_jobs.h"
 #include "coordination/jobs/dependencies.h"
 #include "protocol/json_util.h"
 #include <string.h>
--- a/src/coordination/scaling/scale_out.c
+++ b/src/coordination/scaling/scale_out.c
@@ -1,6 +1,6 @@
 /* What is to be rented for what waits and for what is expected, and what can go back. */
 #include "coordination/scaling/scale_out.h"
-#include "coordination/jobs/arrivals.h"
+#include "coordination/jobs/class_stats.h"
 #include "coordination/scaling/fleet.h"
 #include "coordination/scaling/instance_requests.h"
 #include "coordination/scheduling/free_capacity.h"
--- a/src/coordination/scheduling/dispatch.c
+++ b/src/coordination/scheduling/dispatch.c
@@ -2,6 +2,7 @@
  * for, rented for, or waits; idle machines go back. */
 #include "coordination/scheduling/dispatch.h"
 #include "bookkeeping/replica.h"
+#include "coordination/jobs/gang_scheduling.h"
 #include "coordination/jobs/task_lifecycle.h"
 #include "coordination/leadership/leadership.h"
 #include "coordination/scaling/scale_out.h"
--- a/src/coordination/scheduling/preemption.c
+++ b/src/coordination/scheduling/preemption.c
@@ -1,5 +1,6 @@
 /* Making room for a task by stopping others. */
 #include "coordination/scheduling/preemption.h"
+#include "coordination/jobs/gang_scheduling.h"
 #include "coordination/jobs/task_lifecycle.h"
 #include "coordination/scheduling/dispatch.h"
 #include "coordination/scheduling/free_capacity.h"
--- a/src/coordination/scheduling/projection.c
+++ b/src/coordination/scheduling/projection.c
@@ -1,6 +1,6 @@
 /* Where a task may go, how long it takes there, and what a list comes to. */
 #include "coordination/scheduling/projection.h"
-#include "coordination/jobs/arrivals.h"
+#include "coordination/jobs/class_stats.h"
 #include "coordination/scaling/fleet.h"
 #include "coordination/scheduling/free_capacity.h"
 #include "coordination/scheduling/plan.h"
--- a/src/coordination/scheduling/quotas.c
+++ b/src/coordination/scheduling/quotas.c
@@ -8,7 +8,7 @@
  * The ANL/IBM SP scheduling system). */
 #include "coordination/scheduling/quotas.h"
 #include "coordination/agents/termination_proof.h"
-#include "coordination/jobs/arrivals.h"
+#include "coordination/jobs/class_stats.h"
 #include "coordination/scaling/scale_out.h"
 #include "coordination/scheduling/dispatch.h"
 #include "coordination/scheduling/free_capacity.h"
--- a/src/coordination/scheduling/service_replicas.c
+++ b/src/coordination/scheduling/service_replicas.c
@@ -1,6 +1,6 @@
 /* Where the replicas of services start. They stand in no list: a replica has no end. */
 #include "coordination/scheduling/service_replicas.h"
-#include "coordination/jobs/arrivals.h"
+#include "coordination/jobs/class_stats.h"
 #include "coordination/scaling/fleet.h"
 #include "coordination/scaling/scale_out.h"
 #include "coordination/scheduling/dispatch.h"
--- a/src/coordination/store_events.c
+++ b/src/coordination/store_events.c
@@ -1,6 +1,6 @@
 #include "coordination/store_events.h"
 #include "coordination/effects.h"
-#include "coordination/jobs/arrivals.h"
+#include "coordination/jobs/open_jobs.h"
 #include "coordination/jobs/dependencies.h"
 #include "coordination/jobs/task_lifecycle.h"
 #include "coordination/leadership/leadership.h"
--- a/tests/test_readiness.c
+++ b/tests/test_readiness.c
@@ -6,7 +6,7 @@
 #include "bookkeeping/tables.h"
 #include "coordination/command.h"
 #include "coordination/core.h"
-#include "coordination/jobs/arrivals.h"
+#include "coordination/jobs/open_jobs.h"
 #include "coordination/jobs/task_lifecycle.h"
 #include "protocol/json_util.h"
 #include "sim/lone_node.h"
