--- a/src/coordination/jobs/task_lifecycle.h
+++ b/src/coordination/jobs/task_lifecycle.h
@@ -19,7 +19,7 @@
  * hr_task_assign:
  * @task_index: of an idle task
  * @machine: where it is to run
- * @attempt: number of the attempt, higher than any that may have been launched there
+ * @attempt: its number; no earlier attempt of the task on that machine may have had it
  *
  * Takes the machine's capacity for the task, and has the assignment recorded.
  */
@@ -75,8 +75,9 @@
  * @grace: how long it may take to save, s
  *
  * Takes the task from its machine by whatever its state asks for: an assignment that is not
- * recorded yet is given up, a bound task is stopped. One whose assignment is being written is
- * looked at again when that is recorded.
+ * recorded yet is given up, a bound task is stopped. One whose assignment is being written is left
+ * alone: it is not launched while its job is cancelled or its attempt is ending, and goes when its
+ * absence is proven.
  */
 void hr_task_withdraw (HrCore *core, HrJob *job, guint32 task_index, double grace);
 
