--- a/src/coordination/agents/order_verdicts.c
+++ b/src/coordination/agents/order_verdicts.c
@@ -1,5 +1,6 @@
 #include "coordination/agents/order_verdicts.h"
 #include "bookkeeping/replica.h"
+#include "coordination/jobs/gang_scheduling.h"
 #include "coordination/jobs/task_lifecycle.h"
 #include "coordination/membership/membership.h"
 #include "coordination/state.h"
