--- a/src/coordination/agents/heartbeats.c
+++ b/src/coordination/agents/heartbeats.c
@@ -7,7 +7,7 @@
 #include "coordination/jobs/task_lifecycle.h"
 #include "coordination/leadership/leadership.h"
 #include "coordination/scaling/fleet.h"
-#include "coordination/scheduling/projection.h"
+#include "coordination/scheduling/estimates.h"
 #include "coordination/state.h"
 #include "protocol/http_method.h"
 #include "protocol/json_util.h"
--- a/src/coordination/jobs/priority_inheritance.c
+++ b/src/coordination/jobs/priority_inheritance.c
@@ -3,7 +3,7 @@
  * deadline and theirs less the estimates of what comes in between (the critical path).
  * Preferences of the plan, on which no rule rests. */
 #include "coordination/jobs/priority_inheritance.h"
-#include "coordination/scheduling/projection.h"
+#include "coordination/scheduling/task_lists.h"
 #include "coordination/state.h"
 #include <math.h>
 
--- a/src/coordination/jobs/task_lifecycle.c
+++ b/src/coordination/jobs/task_lifecycle.c
@@ -2,7 +2,7 @@
 #include "coordination/jobs/task_lifecycle.h"
 #include "bookkeeping/record_writer.h"
 #include "coordination/jobs/arrivals.h"
-#include "coordination/scheduling/projection.h"
+#include "coordination/scheduling/estimates.h"
 #include "coordination/state.h"
 #include <math.h>
 #include <string.h>
--- a/src/coordination/scaling/fleet.c
+++ b/src/coordination/scaling/fleet.c
@@ -7,7 +7,7 @@
 #include "coordination/leadership/leadership.h"
 #include "coordination/scaling/instance_list.h"
 #include "coordination/scaling/instance_requests.h"
-#include "coordination/scheduling/projection.h"
+#include "coordination/scheduling/task_lists.h"
 #include "coordination/state.h"
 #include "protocol/http_method.h"
 #include "protocol/json_util.h"
@@ -201,6 +201,16 @@
   return NULL;
 }
 
+double
+hr_longest_boot_s (const HrCore *core)
+{
+  double longest_s = 0;
+  for (guint i = 0; i < core->scaling.machine_types->len; i++)
+    longest_s =
+        MAX (longest_s, g_array_index (core->scaling.machine_types, HrMachineType, i).boot_s);
+  return longest_s;
+}
+
 const HrMachineType *
 hr_machine_type_of (const HrCore *core, const HrMachine *machine)
 {
--- a/src/coordination/scaling/fleet.h
+++ b/src/coordination/scaling/fleet.h
@@ -12,3 +12,5 @@
 const HrMachineType *hr_machine_type_find (const HrCore *core, guint32 name);
 /* The copy of the machine types in the store was read. value: NULL where it was deleted. */
 void hr_machine_types_changed (HrCore *core, const json_t *value, guint64 revision);
+/* The longest boot of any machine type, s. The machine types have to be known. */
+double hr_longest_boot_s (const HrCore *core);
--- a/src/coordination/scaling/instance_requests.c
+++ b/src/coordination/scaling/instance_requests.c
@@ -130,14 +130,6 @@
       6, on_instances_answer, request);
 }
 
-void
-hr_demand_add (HrCore *core, guint32 type, guint32 zone, gboolean spot, guint count)
-{
-  HrDemand demand = {type, zone, spot, count};
-  if (count)
-    g_array_append_val (core->scaling.demand, demand);
-}
-
 /* The zone with capacity that holds the fewest of our machines, those asked for in this
  * round (by zone) included. The controllers' own zone takes twice its share: behind a cut
  * of it, its workers still hear the leader (hr_leadership_may_answer). */
--- /dev/null
+++ b/src/coordination/scaling/next_steps.c
@@ -0,0 +1,134 @@
+/* Scale out ahead of the next steps of pipelines. */
+#include "coordination/scaling/next_steps.h"
+#include "coordination/scaling/capacity_search.h"
+#include "coordination/scaling/fleet.h"
+#include "coordination/scaling/headroom.h"
+#include "coordination/scheduling/estimates.h"
+#include "coordination/scheduling/guarantees.h"
+#include "coordination/scheduling/lookups.h"
+#include "coordination/scheduling/resources.h"
+#include <math.h>
+
+/* Tasks of one step that instances are demanded for ahead. */
+#define MAX_NEXT_STEP_TASKS 200
+
+/* When the job should be done, if all its tasks are on machines; else INFINITY. */
+static double
+projected_end (HrCore *core, const HrJob *job)
+{
+  double end = core->now;
+  if (job->state != HR_JOB_QUEUED || !job->tasks || job->run.n_live + job->n_done < job->n_tasks)
+    return INFINITY;
+  for (guint32 i = 0; i < job->n_tasks && isfinite (end); i++) {
+    const HrTask *task = &job->tasks[i];
+    if (task->state != HR_TASK_BOUND && task->state != HR_TASK_ASSIGNING)
+      continue;
+    const HrMachine *machine = hr_machine_by_index (core, task->placement.machine);
+    end = MAX (end, hr_estimate_running_end (core, job, task, machine));
+  }
+  return end;
+}
+
+/* How many times the need fits into what is freed, at most n. */
+static guint
+tasks_that_fit (HrResources freed, HrResources need, guint n)
+{
+  double fit = n;
+  if (need.cpus > 0)
+    fit = MIN (fit, floor (freed.cpus / need.cpus));
+  if (need.gpus > 0)
+    fit = MIN (fit, floor (freed.gpus / need.gpus));
+  if (need.memory_gb > 0)
+    fit = MIN (fit, floor (freed.memory_gb / need.memory_gb));
+  return (guint)fit;
+}
+
+/* Is the awaited job about to end, so that what comes next has to be thought of? */
+static gboolean
+is_ending (const HrJob *awaited, double horizon)
+{
+  return awaited->run.is_open && awaited->plan.expected_end <= horizon;
+}
+
+/* May the job wait for a boot after it is ready? */
+static gboolean
+can_wait_for_boot (const HrCore *core, const HrJob *job, double ready)
+{
+  return ready + hr_longest_boot_s (core) + job->spec.estimate_s <=
+         job->plan.deadline - core->wall_time + core->now;
+}
+
+/* Those of its tasks that do not fit where the tasks of the awaited jobs end; 0 while one of these
+ * jobs is not about to end, or where there is time for a boot afterwards. ending: the awaited job
+ * from which this is looked at; the others find the same job again, and only the first one
+ * counts. */
+static guint
+tasks_ahead (const HrCore *core, const HrJob *job, const HrJob *ending, double horizon)
+{
+  HrResources freed = {0, 0, 0};
+  double ready = core->now;
+  gboolean is_first = TRUE;
+  for (guint i = 0; i < job->dependencies.n_awaited; i++) {
+    const HrJob *awaited = job->dependencies.awaited[i];
+    if (awaited->state == HR_JOB_DONE)
+      continue;
+    if (!is_ending (awaited, horizon) || (is_first && awaited != ending))
+      return 0;
+    is_first = FALSE;
+    ready = MAX (ready, awaited->plan.expected_end);
+    hr_resources_add (
+        &freed, hr_resources_multiply (hr_resources_of_task (&awaited->spec), awaited->run.n_live));
+  }
+  if (can_wait_for_boot (core, job, ready))
+    return 0;
+  return job->n_tasks - tasks_that_fit (freed, hr_resources_of_task (&job->spec), job->n_tasks);
+}
+
+/* Sets when each open job that others await should end. */
+static void
+set_expected_ends (HrCore *core)
+{
+  for (guint i = 0; i < core->store.tables.open_jobs->len; i++) {
+    HrJob *job = hr_open_job (core, i);
+    job->plan.expected_end = job->dependencies.dependents ? projected_end (core, job) : INFINITY;
+  }
+}
+
+/* Finds capacity, or demands instances, for the tasks of a step; those that the headroom of its
+ * class is for have theirs. */
+static void
+scale_out_for_step (HrCore *core, HrFleetCapacity *fleet, HrDemandPlan *demand,
+                    const HrJob *dependent, guint n_tasks, guint *headroom)
+{
+  HrTaskNeed need = hr_task_need_of_job (&dependent->spec);
+  HrCapacityCursor cursor = {0};
+  guint from_headroom = MIN (n_tasks, *headroom);
+  *headroom -= from_headroom;
+  guint left = MIN (n_tasks - from_headroom, MAX_NEXT_STEP_TASKS);
+  for (; left > 0 && hr_team_allows_start (core, dependent, 1); left--)
+    if (!hr_capacity_find (core, fleet, fleet->n, &cursor, NULL, &need))
+      hr_demand_plan_add (core, demand, &need);
+}
+
+void
+hr_scale_out_for_next_steps (HrCore *core, HrFleetCapacity *fleet, HrDemandPlan *demand)
+{
+  double horizon = core->now + hr_longest_boot_s (core);
+  g_autofree guint *headroom = g_new0 (guint, core->names->classes.names->len + 1);
+  for (guint k = 0; k < core->scheduling.class_stats->len; k++)
+    headroom[k] = hr_headroom (core, k);
+  set_expected_ends (core);
+  for (guint i = 0; i < core->store.tables.open_jobs->len; i++) {
+    const HrJob *job = hr_open_job (core, i);
+    if (job->plan.expected_end > horizon)
+      continue;
+    for (guint k = 0; k < job->dependencies.dependents->len; k++) {
+      const HrJob *dependent = job->dependencies.dependents->pdata[k];
+      if (dependent->state != HR_JOB_QUEUED || !dependent->tasks)
+        continue;
+      guint n_tasks = tasks_ahead (core, dependent, job, horizon);
+      scale_out_for_step (core, fleet, demand, dependent, n_tasks,
+                          &headroom[dependent->spec.job_class]);
+    }
+  }
+}
--- a/src/coordination/scaling/scale_out.h
+++ b/src/coordination/scaling/scale_out.h
@@ -1,24 +1,27 @@
+/* Scale out: demanding instances for what waits and has no capacity.
+ *
+ * Called in a dispatch pass, after everything that can start has started. What boots already counts
+ * first (HrFleetCapacity); all functions add to the demand of the pass.
+ */
 #pragma once
+#include "coordination/scaling/capacity_search.h"
+#include "coordination/scaling/demand.h"
 #include "coordination/scheduling/free_capacity.h"
 #include "coordination/state.h"
 
-/* Tasks of the class that spare room is kept for: as many as cannot wait for a boot, within
- * what their teams' limits leave. */
-guint hr_headroom (HrCore *core, guint32 job_class);
-guint hr_headroom_wanted (HrCore *core, guint32 job_class);
-/* Room for a task of the job on a machine that boots, or on one to be rented. booting:
- * how many rooms, the first ones, are on machines that boot. needs: what hr_scale_out_begin gave.
+/**
+ * hr_scale_out_for_task:
+ * @cursor: of this job
+ *
+ * Takes capacity for a task of the job off a machine that boots, or demands an instance for it.
+ */
+void hr_scale_out_for_task (HrCore *core, HrFleetCapacity *fleet, HrCapacityCursor *cursor,
+                            HrDemandPlan *demand, HrJob *job);
+
+/**
+ * hr_scale_out_for_lists:
+ *
+ * Demands instances for the tasks that stand in lists and would start late there, and for those
+ * that no list takes.
  */
-void hr_scale_out_for_task (HrCore *core, HrFreeCapacity *capacities, guint booting,
-                            HrCapacityCursor *cursor, GArray *needs, HrJob *job);
-void hr_scale_out_headroom (HrCore *core, HrFreeCapacity *capacities, guint n_capacities,
-                            GArray *needs);
-/* For jobs whose awaited ones are all about to end. */
-void hr_scale_out_for_next_steps (HrCore *core, HrFreeCapacity *capacities, guint n_capacities,
-                                  GArray *needs);
-void hr_scale_out_for_lists (HrCore *core, HrFreeCapacity *capacities, guint booting,
-                             GArray *needs);
-void hr_scale_in_idle (HrCore *core, HrFreeCapacity *capacities, guint n);
-GArray *hr_scale_out_begin (void);
-/* What is needed goes out with the next tick. */
-void hr_scale_out_end (HrCore *core, GArray *needs);
+void hr_scale_out_for_lists (HrCore *core, HrFleetCapacity *fleet, HrDemandPlan *demand);
--- a/src/coordination/scheduling/dispatch.h
+++ b/src/coordination/scheduling/dispatch.h
@@ -1,17 +1,15 @@
+/* The dispatch pass: from the plan to orders.
+ *
+ * What can start now starts. For what cannot, other work is preempted or instances are requested,
+ * or it waits; idle machines are returned.
+ */
 #pragma once
 #include "coordination/state.h"
 
+/**
+ * hr_dispatch:
+ *
+ * Called by the leader's core, right after hr_planner_pass(). Does nothing while nothing can be
+ * recorded.
+ */
 void hr_dispatch (HrCore *core);
-/* Up, and heard of late. */
-gboolean hr_machine_is_reachable (const HrCore *core, const HrMachine *machine);
-/* Does a task of the job fit there now, as far as machine and zones go, in room that may be kept
- * for others? */
-gboolean hr_dispatch_fits_now (HrCore *core, HrJob *job, HrMachine *machine);
-/* Could a task of the job start there now, beside what is kept for services? */
-gboolean hr_dispatch_startable (HrCore *core, HrJob *job, HrMachine *machine);
-/* HrMachine: those that something more may start on; the others need not be looked at. */
-GPtrArray *hr_dispatch_open_machines (HrCore *core);
-/* Assigns the task to the machine, as its next attempt; it leaves the plan. */
-void hr_dispatch_start (HrCore *core, HrJob *job, guint32 task_index, HrMachine *machine);
-/* Is a better than b? Sooner done first; then the cheaper machine, then the fuller one. */
-gboolean hr_dispatch_batch_better (HrCore *core, HrJob *job, HrMachine *left, HrMachine *right);
--- /dev/null
+++ b/src/coordination/scheduling/estimates.c
@@ -0,0 +1,92 @@
+/* How long tasks take. */
+#include "coordination/scheduling/estimates.h"
+#include "coordination/jobs/arrivals.h"
+#include "coordination/scaling/fleet.h"
+#include "coordination/scheduling/lookups.h"
+#include <math.h>
+
+/* Of a job without an estimate, s. */
+#define DEFAULT_ESTIMATE_S 60
+/* A fetch under way takes at least so much longer, s. */
+#define MIN_FETCH_LEFT_S 0.5
+/* A task beyond its estimate takes at least so much longer, s, and this share of its run. */
+#define MIN_RUN_LEFT_S 2
+#define OVERRUN_SHARE 0.2
+
+/* Run time without the image fetch. */
+static double
+corrected_estimate (HrCore *core, const HrJob *job)
+{
+  double run = job->spec.estimate_s > 0 ? job->spec.estimate_s : DEFAULT_ESTIMATE_S;
+  return run * hr_class_stats (core, job->spec.job_class)->run_time_correction;
+}
+
+/* How much longer the machine fetches the image of a task that it has. */
+static double
+fetch_left (const HrCore *core, const HrMachine *machine, const HrMachineType *type,
+            const HrJob *job, const HrTask *task)
+{
+  /* A machine that boots has fetched nothing yet. */
+  double since = machine->state == HR_MACHINE_UP ? core->now - task->bound_since : 0;
+  return MAX (MIN_FETCH_LEFT_S, job->spec.image_gb / type->fetch_rate - since);
+}
+
+/* Images that a machine fetches at the same time share its rate; tasks of one image share the
+ * fetch. */
+double
+hr_estimate_fetch_time (const HrCore *core, const HrJob *job, const HrMachine *machine)
+{
+  const HrMachineType *type = hr_machine_type_of (core, machine);
+  if (!type || hr_machine_has_image (machine, job->spec.image))
+    return 0;
+  double own = job->spec.image_gb / type->fetch_rate, others = 0;
+  guint32 last = HR_NONE;
+  for (guint i = 0; i < machine->tasks->len; i++) {
+    HrTaskRef ref = g_array_index (machine->tasks, HrTaskRef, i);
+    const HrJob *other = hr_job_of_task (core, ref);
+    if (other->spec.image == last || hr_machine_has_image (machine, other->spec.image))
+      continue;
+    last = other->spec.image;
+    double left = fetch_left (core, machine, type, other, &other->tasks[ref.task]);
+    if (other->spec.image == job->spec.image)
+      own = MIN (own, left);
+    else
+      others += left;
+  }
+  return own + MIN (own, others);
+}
+
+double
+hr_estimate_run_time (HrCore *core, const HrJob *job, const HrMachine *machine)
+{
+  return corrected_estimate (core, job) + hr_estimate_fetch_time (core, job, machine);
+}
+
+double
+hr_estimate_longest_run_time (HrCore *core, const HrJob *job)
+{
+  double fetch = 0;
+  if (job->spec.shape == HR_SERVICE)
+    return INFINITY;
+  for (guint i = 0; i < core->scaling.machine_types->len; i++)
+    fetch =
+        MAX (fetch, job->spec.image_gb /
+                        g_array_index (core->scaling.machine_types, HrMachineType, i).fetch_rate);
+  return corrected_estimate (core, job) + fetch;
+}
+
+double
+hr_estimate_running_end (HrCore *core, const HrJob *job, const HrTask *task,
+                         const HrMachine *machine)
+{
+  if (job->spec.shape == HR_SERVICE)
+    return INFINITY;
+  const HrMachineType *type = hr_machine_type_of (core, machine);
+  double run = corrected_estimate (core, job);
+  if (!task->running_since && type && !hr_machine_has_image (machine, job->spec.image))
+    run += job->spec.image_gb / type->fetch_rate;
+  double end = (task->running_since ? task->running_since : task->bound_since) + run;
+  /* Past its estimate: never in the past, and the longer over the longer to go. */
+  double left = MAX (MIN_RUN_LEFT_S, OVERRUN_SHARE * (core->now - task->bound_since));
+  return MAX (end, core->now + left);
+}
--- /dev/null
+++ b/src/coordination/scheduling/free_capacity.c
@@ -0,0 +1,45 @@
+/* The free capacity of the fleet as the end of a dispatch pass sees it. */
+#include "coordination/scheduling/free_capacity.h"
+#include "coordination/scheduling/lookups.h"
+#include "coordination/scheduling/resources.h"
+
+/* What is free on the machine once the tasks that are being stopped there are gone. */
+static HrResources
+free_after_stops (HrCore *core, const HrMachine *machine)
+{
+  HrResources free = machine->free;
+  for (guint k = 0; k < machine->tasks->len; k++) {
+    HrTaskRef ref = g_array_index (machine->tasks, HrTaskRef, k);
+    const HrJob *job = hr_job_of_task (core, ref);
+    if (job->tasks[ref.task].stop_wanted)
+      hr_resources_add (&free, hr_resources_of_task (&job->spec));
+  }
+  return free;
+}
+
+void
+hr_fleet_capacity_init (HrFleetCapacity *fleet, HrCore *core)
+{
+  guint n = core->scaling.fleet->len;
+  *fleet = (HrFleetCapacity){g_new0 (HrFreeCapacity, n + 1), n, 0};
+  for (guint i = 0, up = n; i < n; i++) {
+    HrMachine *machine = core->scaling.fleet->pdata[i];
+    guint at = machine->state == HR_MACHINE_BOOTING ? fleet->n_booting++ : --up;
+    fleet->machines[at] = (HrFreeCapacity){machine, free_after_stops (core, machine), FALSE};
+  }
+}
+
+void
+hr_fleet_capacity_clear (HrFleetCapacity *fleet)
+{
+  g_clear_pointer (&fleet->machines, g_free);
+}
+
+gboolean
+hr_free_capacity_take (HrFreeCapacity *capacity, HrResources need)
+{
+  if (!hr_resources_cover (capacity->free, need))
+    return FALSE;
+  hr_resources_subtract (&capacity->free, need);
+  return TRUE;
+}
--- a/src/coordination/scheduling/free_capacity.h
+++ b/src/coordination/scheduling/free_capacity.h
@@ -1,28 +1,52 @@
-/* Free room on machines as a pass of dispatch.c sees it, and the parts of that pass that
- * share it (guarantees.c, preemption.c, scale_out.c). */
+/* The free capacity of the fleet as the end of a dispatch pass sees it.
+ *
+ * dispatch.c takes the list once a pass, after everything that can start has started. Preemption
+ * (preemption.c, guarantees.c) and scaling (coordination/scaling/) then assign capacity to what
+ * still waits by subtracting it here, so nothing is counted twice. Nothing is written to the
+ * machines themselves.
+ */
 #pragma once
 #include "coordination/state.h"
 
-/* From a decision to a running task: a write, an order and a report. */
+/* From a decision to a running task: a write, an order and a heartbeat. */
 #define PREEMPTION_S 2.0
 
+/* The free capacity of one machine. */
 typedef struct {
   HrMachine *machine;
-  double cpus, gpus, memory_gb; /* free once stopped tasks are gone and claims are served */
-  gboolean is_reserved;         /* spare room is counted on it */
+  HrResources free;     /* once the tasks that are being stopped are gone */
+  gboolean is_reserved; /* something was assigned to it in this pass: it isn't idle */
 } HrFreeCapacity;
 
-/* How far a search has come: rooms only shrink, so the next one for the same goes on
- * from there. */
+/* The free capacity of the whole fleet. */
 typedef struct {
-  HrFreeCapacity *last;
-  int pass;
-  guint index;
-} HrCapacityCursor;
+  HrFreeCapacity *machines; /* those that boot come first */
+  guint n;
+  guint n_booting;
+} HrFleetCapacity;
 
-/* A task in a machine's list, and when it should start there. */
-typedef struct {
-  HrTaskRef task;
-  HrMachine *machine;
-  double start;
-} HrListedTask;
+/**
+ * hr_fleet_capacity_init:
+ * @fleet: (out caller-allocates): to be freed with hr_fleet_capacity_clear()
+ *
+ * Takes the free capacity of all machines of the fleet, that of tasks that are being stopped
+ * included.
+ */
+void hr_fleet_capacity_init (HrFleetCapacity *fleet, HrCore *core);
+
+/**
+ * hr_fleet_capacity_clear:
+ *
+ * Frees the list, but not @fleet itself.
+ */
+void hr_fleet_capacity_clear (HrFleetCapacity *fleet);
+G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (HrFleetCapacity, hr_fleet_capacity_clear)
+
+/**
+ * hr_free_capacity_take:
+ *
+ * Subtracts @need from what is free on the machine, if it fits.
+ *
+ * Returns: whether it fitted.
+ */
+gboolean hr_free_capacity_take (HrFreeCapacity *capacity, HrResources need);
--- /dev/null
+++ b/src/coordination/scheduling/lookups.h
@@ -0,0 +1,39 @@
+/* Rows of the job and machine tables by index, as scheduling and scaling look them up all the time.
+ * Inline, as planning passes call them for every task. The rows belong to the tables.
+ */
+#pragma once
+#include "coordination/state.h"
+
+/**
+ * hr_job_of_task:
+ *
+ * Returns: (transfer none): the job that the task belongs to.
+ */
+static inline HrJob *
+hr_job_of_task (const HrCore *core, HrTaskRef ref)
+{
+  return core->store.tables.jobs->pdata[ref.job];
+}
+
+/**
+ * hr_open_job:
+ * @i: less than the length of the list of open jobs
+ *
+ * Returns: (transfer none): the job at this place of the list of open jobs.
+ */
+static inline HrJob *
+hr_open_job (const HrCore *core, guint i)
+{
+  return core->store.tables.jobs->pdata[g_array_index (core->store.tables.open_jobs, guint32, i)];
+}
+
+/**
+ * hr_machine_by_index:
+ *
+ * Returns: (transfer none): the machine with this index, gone or not.
+ */
+static inline HrMachine *
+hr_machine_by_index (const HrCore *core, guint32 index)
+{
+  return core->store.tables.machines->pdata[index];
+}
--- a/src/coordination/scheduling/planner.c
+++ b/src/coordination/scheduling/planner.c
@@ -1,113 +1,157 @@
-/* The plan: one deadline-ordered list of tasks per machine. New tasks are placed
- * by MT-EDF; a bounded tabu search then moves tardy ones (Klusacek, Matyska,
- * Rudova: Local Search for Deadline Driven Grid Scheduling, figures 1 to 3). */
+/* The planning pass: brings the lists of the plan up to date. */
 #include "coordination/scheduling/planner.h"
 #include "coordination/scheduling/guarantees.h"
+#include "coordination/scheduling/job_order.h"
+#include "coordination/scheduling/lookups.h"
 #include "coordination/scheduling/mtedf.h"
-#include "coordination/scheduling/plan.h"
+#include "coordination/scheduling/placement.h"
 #include "coordination/scheduling/projection.h"
 #include "coordination/scheduling/quotas.h"
 #include "coordination/scheduling/service_reservations.h"
 #include "coordination/scheduling/shards.h"
 #include "coordination/scheduling/tabu.h"
-#include "coordination/state.h"
+#include "coordination/scheduling/task_lists.h"
 
-#define WINDOW 64 /* tasks of one job that stand in lists at a time */
+/* Tasks of one job that stand in lists at a time. */
+#define MAX_LISTED_TASKS 64
 
+/* May the task stay in the machine's list? Gangs are placed anew in each pass: their common start
+ * moves with every list. */
 static gboolean
-stands (HrCore *core, HrMachine *machine, HrTaskRef ref)
+stays_listed (HrCore *core, const HrMachine *machine, HrTaskRef ref)
 {
-  HrJob *job = hr_job_of_task (core, ref);
+  const HrJob *job = hr_job_of_task (core, ref);
   return job->tasks && job->state == HR_JOB_QUEUED && job->tasks[ref.task].state == HR_TASK_IDLE &&
          !job->run.attempt_ending && hr_job_allows_machine (core, job, machine) &&
-         hr_job_allows_zone (core, job, machine);
+         hr_job_allows_zone (core, job, machine) && job->spec.shape != HR_GANG &&
+         job->plan.n_listed <= hr_quotas_granted (core, job);
 }
 
-/* Lists hold what the team's limit lets start; what it holds back would seem late there. */
-static guint
-most_listed (HrCore *core, const HrJob *job)
-{
-  return MIN (WINDOW, hr_quotas_granted (core, job));
-}
-
-static int
-by_deadline (gconstpointer left, gconstpointer right)
+/* Takes out of the machine's list what may not stay there. */
+static void
+prune_list (HrCore *core, HrMachine *machine, gboolean is_plannable)
 {
-  const HrJob *first = *(HrJob *const *)left, *second = *(HrJob *const *)right;
-  if (first->plan.deadline != second->plan.deadline)
-    return first->plan.deadline < second->plan.deadline ? -1 : 1;
-  return first->index < second->index ? -1 : first->index > second->index;
+  GArray *list = machine->plan.list;
+  for (guint k = 0; k < list->len;) {
+    HrTaskRef ref = g_array_index (list, HrTaskRef, k);
+    if (is_plannable && stays_listed (core, machine, ref)) {
+      k++;
+      continue;
+    }
+    hr_task_unplan (hr_job_of_task (core, ref), ref.task);
+    g_array_remove_index (list, k);
+  }
 }
 
-void
-hr_planner_pass (HrCore *core)
+/* Prunes all lists. Returns the machines whose lists are planned, projected. */
+static GPtrArray *
+refresh_lists (HrCore *core)
 {
-  g_autoptr (GPtrArray) lists = g_ptr_array_new ();
-  guint queued = 0;
-  hr_shards_assign (core);
-  hr_reserve_for_services (core);
+  GPtrArray *lists = g_ptr_array_new ();
   for (guint i = 0; i < core->scaling.fleet->len; i++) {
     HrMachine *machine = core->scaling.fleet->pdata[i];
-    for (guint k = 0; k < machine->plan.list->len;) {
-      HrTaskRef ref = g_array_index (machine->plan.list, HrTaskRef, k);
-      HrJob *job = hr_job_of_task (core, ref);
-      /* Gangs are placed anew in each pass: their common start moves with every list. */
-      if (hr_machine_is_plannable (core, machine) && stands (core, machine, ref) &&
-          job->spec.shape != HR_GANG && job->plan.n_listed <= hr_quotas_granted (core, job)) {
-        k++;
-        continue;
-      }
-      hr_task_unplan (job, ref.task);
-      g_array_remove_index (machine->plan.list, k);
-    }
-    if (hr_machine_is_plannable (core, machine)) {
+    gboolean is_plannable = hr_machine_is_plannable (core, machine);
+    prune_list (core, machine, is_plannable);
+    if (is_plannable) {
       hr_project_list (core, machine, NULL);
       g_ptr_array_add (lists, machine);
     }
   }
-  g_autoptr (GPtrArray) fresh = g_ptr_array_new ();
-  for (guint i = 0; i < core->store.tables.open_jobs->len;) {
-    HrJob *job =
-        core->store.tables.jobs->pdata[g_array_index (core->store.tables.open_jobs, guint32, i)];
+  return lists;
+}
+
+/* Lists hold what the team's limit lets start; what it holds up would seem late there. */
+static guint
+max_listed (HrCore *core, const HrJob *job)
+{
+  return MIN (MAX_LISTED_TASKS, hr_quotas_granted (core, job));
+}
+
+static gboolean
+needs_lists (HrCore *core, const HrJob *job)
+{
+  return job->state == HR_JOB_QUEUED && job->spec.shape != HR_SERVICE && !job->run.attempt_ending &&
+         job->run.retry_at <= core->now && hr_team_allows_start (core, job, 1) &&
+         job->run.n_live + job->n_done < job->n_tasks;
+}
+
+/* A job without a shard, or whose shard is gone, gets one. */
+static void
+ensure_shard (HrCore *core, HrJob *job)
+{
+  if (!job->plan.shard_chosen ||
+      (job->plan.shard != HR_NONE && job->plan.shard >= core->scheduling.n_shards))
+    hr_shard_choose (core, job);
+}
+
+/* How many placements the job needs: one for a whole gang, one for each other task. */
+static guint
+tasks_to_place (HrCore *core, const HrJob *job)
+{
+  guint unlisted = job->n_tasks - job->run.n_live - job->n_done - job->plan.n_listed;
+  return job->spec.shape == HR_GANG ? 1 : MIN (unlisted, max_listed (core, job));
+}
+
+/* The jobs with tasks to place, by deadline. Jobs that are compacted leave the list of open jobs.
+ * queued: set to how many tasks there are to place. */
+static GPtrArray *
+collect_jobs (HrCore *core, guint *queued)
+{
+  GArray *open_jobs = core->store.tables.open_jobs;
+  GPtrArray *jobs = g_ptr_array_new ();
+  *queued = 0;
+  for (guint i = 0; i < open_jobs->len;) {
+    HrJob *job = hr_open_job (core, i);
     if (job->record.is_compacted || !job->tasks) {
       job->run.is_open = FALSE;
-      g_array_remove_index_fast (core->store.tables.open_jobs, i);
+      g_array_remove_index_fast (open_jobs, i);
       continue;
     }
     i++;
-    if (!job->plan.shard_chosen ||
-        (job->plan.shard != HR_NONE && job->plan.shard >= core->scheduling.n_shards))
-      hr_shard_choose (core, job);
-    if (job->state == HR_JOB_QUEUED && job->spec.shape != HR_SERVICE && !job->run.attempt_ending &&
-        job->run.retry_at <= core->now && hr_team_allows_start (core, job, 1) &&
-        job->run.n_live + job->n_done < job->n_tasks) {
-      g_ptr_array_add (fresh, job);
-      guint left = job->n_tasks - job->run.n_live - job->n_done - job->plan.n_listed;
-      queued += job->spec.shape == HR_GANG ? 1 : MIN (left, most_listed (core, job));
+    ensure_shard (core, job);
+    if (needs_lists (core, job)) {
+      g_ptr_array_add (jobs, job);
+      *queued += tasks_to_place (core, job);
     }
   }
-  g_ptr_array_sort (fresh, by_deadline);
-  /* Trials are what a pass costs: with more to place, each task gets fewer. */
-  guint tries = MAX (core->policy.sample_lists, core->policy.pass_trials / MAX (1, queued));
-  for (guint i = 0; i < fresh->len; i++) {
-    HrJob *job = fresh->pdata[i];
-    if (job->spec.shape == HR_GANG) {
-      if (job->run.n_live == 0)
-        hr_mtedf_gang (core, lists, job, MAX (tries, 2 * job->n_tasks));
+  g_ptr_array_sort (jobs, hr_by_deadline);
+  return jobs;
+}
+
+/* Places the job's tasks that stand in no list, while lists may have more of them. */
+static void
+place_tasks (HrCore *core, GPtrArray *lists, HrJob *job, guint tries)
+{
+  g_autoptr (GPtrArray) order = NULL;
+  guint most = max_listed (core, job);
+  for (guint32 k = 0; k < job->n_tasks && job->plan.n_listed < most; k++) {
+    if (job->tasks[k].state != HR_TASK_IDLE || job->tasks[k].is_listed)
       continue;
+    if (!order)
+      order = hr_mtedf_order (core, lists, job);
+    if (!hr_mtedf_task (core, order, job, k, tries)) {
+      job->plan.shard = HR_NONE; /* its shard cannot hold it after all: any list may */
+      return;
     }
-    g_autoptr (GPtrArray) order = NULL;
-    guint most = most_listed (core, job);
-    for (guint32 k = 0; k < job->n_tasks && job->plan.n_listed < most; k++) {
-      if (job->tasks[k].state != HR_TASK_IDLE || job->tasks[k].is_listed)
-        continue;
-      if (!order)
-        order = hr_mtedf_order (core, lists, job);
-      if (!hr_mtedf_task (core, order, job, k, tries)) {
-        job->plan.shard = HR_NONE; /* its part cannot hold it after all: any list may */
-        break;
-      }
-    }
+  }
+}
+
+void
+hr_planner_pass (HrCore *core)
+{
+  guint queued;
+  hr_shards_assign (core);
+  hr_reserve_for_services (core);
+  g_autoptr (GPtrArray) lists = refresh_lists (core);
+  g_autoptr (GPtrArray) jobs = collect_jobs (core, &queued);
+  /* Trials are what a pass costs: with more to place, each task gets fewer. */
+  guint tries = MAX (core->policy.sample_lists, core->policy.pass_trials / MAX (1, queued));
+  for (guint i = 0; i < jobs->len; i++) {
+    HrJob *job = jobs->pdata[i];
+    if (job->spec.shape != HR_GANG)
+      place_tasks (core, lists, job, tries);
+    else if (job->run.n_live == 0)
+      hr_mtedf_gang (core, lists, job, MAX (tries, 2 * job->n_tasks));
   }
   hr_tabu_search (core, lists);
 }
--- a/src/coordination/scheduling/preemption.c
+++ b/src/coordination/scheduling/preemption.c
@@ -1,31 +1,36 @@
-/* Making room for a task by stopping others. */
+/* Preemption: which running tasks may be stopped for a waiting one, and stopping them. */
 #include "coordination/scheduling/preemption.h"
 #include "coordination/jobs/task_lifecycle.h"
-#include "coordination/scheduling/dispatch.h"
-#include "coordination/scheduling/free_capacity.h"
 #include "coordination/scheduling/guarantees.h"
-#include "coordination/scheduling/projection.h"
-#include "coordination/state.h"
+#include "coordination/scheduling/lookups.h"
+#include "coordination/scheduling/placement.h"
+#include "coordination/scheduling/resources.h"
 #include <math.h>
 
+/* What is lost with any task, and with one that saves: time of a stop and of a new start, s. */
+#define RESTART_LOSS_S 1.0
+#define SAVE_LOSS_S 5.0
+/* Added for a gang, all of whose tasks stop: it is the last choice, s. */
+#define GANG_LOSS_S 1000.0
+/* Beyond the time that a task takes to save, s. */
+#define SAVE_GRACE_S 1.0
+
 gboolean
-hr_free_capacity_take (HrFreeCapacity *capacity, double cpus, double gpus, double memory_gb)
+hr_may_preempt (HrCore *core, const HrJob *job, HrPreemptionScope scope, const HrJob *victim,
+                guint32 task_index)
 {
-  if (cpus > capacity->cpus + 1e-6 || gpus > capacity->gpus + 1e-6 ||
-      memory_gb > capacity->memory_gb + 1e-6)
+  const HrTask *task = &victim->tasks[task_index];
+  gboolean same_team = victim->spec.team == job->spec.team;
+  if (scope == HR_PREEMPT_OWN_TEAM &&
+      (!same_team || victim->state != HR_JOB_QUEUED || victim->run.attempt_ending))
+    return FALSE;
+  if (scope == HR_PREEMPT_OTHER_TEAMS && same_team)
+    return FALSE;
+  if (task->state != HR_TASK_BOUND || task->stop_wanted)
     return FALSE;
-  capacity->cpus -= cpus;
-  capacity->gpus -= gpus;
-  capacity->memory_gb -= memory_gb;
-  return TRUE;
-}
-
-static gboolean
-may_stop (HrCore *core, const HrJob *victim, const HrJob *job)
-{
   if (hr_job_priority (victim) > hr_job_priority (job))
     return TRUE;
-  return victim->spec.team != job->spec.team && hr_team_exceeds_guarantee (core, victim, 0) &&
+  return !same_team && hr_team_exceeds_guarantee (core, victim, 0) &&
          !hr_team_exceeds_guarantee (core, job, 1);
 }
 
@@ -34,131 +39,146 @@
 {
   double ran = task->running_since ? core->now - task->running_since : 0;
   if (victim->spec.checkpoint_s > 0)
-    ran = MIN (ran, victim->spec.save_s + 5);
-  return ran + 1 + (victim->spec.shape == HR_GANG ? 1000 : 0);
+    ran = MIN (ran, victim->spec.save_s + SAVE_LOSS_S);
+  return ran + RESTART_LOSS_S + (victim->spec.shape == HR_GANG ? GANG_LOSS_S : 0);
 }
 
 void
 hr_preempt_task (HrCore *core, HrJob *victim, guint32 task_index)
 {
   const HrTask *task = &victim->tasks[task_index];
-  double grace = victim->spec.checkpoint_s > 0 && task->reported_state == HR_REPORTED_RUNNING
-                     ? victim->spec.save_s + 1
-                     : 0;
+  double save = victim->spec.save_s + SAVE_GRACE_S;
+  gboolean saves = victim->spec.checkpoint_s > 0 && task->reported_state == HR_REPORTED_RUNNING;
   if (victim->spec.shape == HR_GANG)
-    hr_gang_end_attempt (core, victim, victim->spec.save_s + 1);
+    hr_gang_end_attempt (core, victim, save);
   else
-    hr_task_stop (core, victim, task_index, grace);
+    hr_task_stop (core, victim, task_index, saves ? save : 0);
 }
 
-/* Batch tasks of the machine that would have to stop for the job, the sum of what is
- * lost with them; INFINITY when that makes no room. stop: stop them. */
+/* Finds the batch tasks of the machine that would have to stop for a replica of the job, and sums
+ * up what is lost with them. Returns INFINITY where stopping all of them is not enough.
+ * victims: (element-type HrTaskRef): set to the tasks found. */
 static double
-preemption_cost (HrCore *core, HrJob *job, HrMachine *machine, gboolean stop)
+choose_batch_victims (HrCore *core, const HrJob *job, const HrMachine *machine, GArray *victims)
 {
-  double cpus = machine->free.cpus - machine->unrecognized.cpus,
-         gpus = machine->free.gpus - machine->unrecognized.gpus,
-         memory_gb = machine->free.memory_gb - machine->unrecognized.memory_gb, cost = 0;
-  for (guint k = 0; k < machine->tasks->len; k++) {
-    if (cpus + 1e-6 >= job->spec.cpus && gpus + 1e-6 >= job->spec.gpus &&
-        memory_gb + 1e-6 >= job->spec.memory_gb)
-      break;
+  HrResources need = hr_resources_of_task (&job->spec), free = hr_machine_unused (machine);
+  double loss = 0;
+  g_array_set_size (victims, 0);
+  for (guint k = 0; k < machine->tasks->len && !hr_resources_cover (free, need); k++) {
     HrTaskRef ref = g_array_index (machine->tasks, HrTaskRef, k);
-    HrJob *victim = core->store.tables.jobs->pdata[ref.job];
-    HrTask *task = &victim->tasks[ref.task];
-    if (task->state != HR_TASK_BOUND || task->stop_wanted || victim->spec.shape != HR_BATCH ||
-        !may_stop (core, victim, job))
+    const HrJob *victim = hr_job_of_task (core, ref);
+    if (victim->spec.shape != HR_BATCH ||
+        !hr_may_preempt (core, job, HR_PREEMPT_ANY_TEAM, victim, ref.task))
       continue;
-    cpus += victim->spec.cpus;
-    gpus += victim->spec.gpus;
-    memory_gb += victim->spec.memory_gb;
-    cost += hr_preemption_loss (core, victim, task);
-    if (stop) {
-      g_info ("%s/%u on %s makes room for %s, whose image is there", victim->id, ref.task,
-              machine->name, job->id);
-      hr_task_stop (core, victim, ref.task, 0);
-    }
+    hr_resources_add (&free, hr_resources_of_task (&victim->spec));
+    loss += hr_preemption_loss (core, victim, &victim->tasks[ref.task]);
+    g_array_append_val (victims, ref);
   }
-  return cpus + 1e-6 >= job->spec.cpus && gpus + 1e-6 >= job->spec.gpus &&
-                 memory_gb + 1e-6 >= job->spec.memory_gb
-             ? cost
-             : INFINITY;
+  return hr_resources_cover (free, need) ? loss : INFINITY;
+}
+
+static gboolean
+has_cached_image (HrCore *core, HrJob *job, HrMachine *machine)
+{
+  return hr_machine_has_image (machine, job->spec.image) &&
+         hr_machine_is_reachable (core, machine) && core->now >= machine->full_until &&
+         hr_job_allows_machine (core, job, machine) && hr_job_allows_zone (core, job, machine);
 }
 
-/* A machine that has the image, where stopping the batch tasks that lose least makes
- * room. Their stop goes out before the launch, so the launch finds the room. */
 HrMachine *
 hr_preempt_for_cached_image (HrCore *core, HrJob *job)
 {
+  g_autoptr (GArray) victims = g_array_new (FALSE, FALSE, sizeof (HrTaskRef));
   HrMachine *best = NULL;
   double least = INFINITY;
   for (guint i = 0; i < core->scaling.fleet->len; i++) {
     HrMachine *machine = core->scaling.fleet->pdata[i];
-    if (!hr_machine_has_image (machine, job->spec.image) ||
-        !hr_machine_is_reachable (core, machine) || core->now < machine->full_until ||
-        !hr_job_allows_machine (core, job, machine) || !hr_job_allows_zone (core, job, machine))
+    if (!has_cached_image (core, job, machine))
       continue;
-    double cost = preemption_cost (core, job, machine, FALSE);
-    if (cost < least) {
-      least = cost;
+    double loss = choose_batch_victims (core, job, machine, victims);
+    if (loss < least) {
+      least = loss;
       best = machine;
     }
   }
-  if (best)
-    preemption_cost (core, job, best, TRUE);
+  if (!best)
+    return NULL;
+  choose_batch_victims (core, job, best, victims);
+  for (guint i = 0; i < victims->len; i++) {
+    HrTaskRef ref = g_array_index (victims, HrTaskRef, i);
+    HrJob *victim = hr_job_of_task (core, ref);
+    g_info ("%s/%u on %s is preempted for %s, whose image is there", victim->id, ref.task,
+            best->name, job->id);
+    hr_task_stop (core, victim, ref.task, 0);
+  }
   return best;
 }
 
-/* Stops the tasks of one machine whose loss is least, so that the job fits there. */
-gboolean
-hr_preempt (HrCore *core, HrJob *job, HrFreeCapacity *capacities, gboolean others)
+/* What is lost when the job preempts tasks on this machine; INFINITY where that is not enough. */
+static double
+preemption_cost (HrCore *core, HrJob *job, const HrFreeCapacity *capacity, HrPreemptionScope scope)
+{
+  const HrMachine *machine = capacity->machine;
+  HrResources need = hr_resources_of_task (&job->spec), free = capacity->free;
+  double loss = 0;
+  for (guint k = 0; k < machine->tasks->len; k++) {
+    HrTaskRef ref = g_array_index (machine->tasks, HrTaskRef, k);
+    const HrJob *victim = hr_job_of_task (core, ref);
+    if (hr_resources_at_least (free, need))
+      break;
+    if (!hr_may_preempt (core, job, scope, victim, ref.task))
+      continue;
+    hr_resources_add (&free, hr_resources_of_task (&victim->spec));
+    loss += hr_preemption_loss (core, victim, &victim->tasks[ref.task]);
+  }
+  return hr_resources_cover (free, need) ? loss : INFINITY;
+}
+
+/* The machine on which least is lost; NULL: there is none. */
+static HrFreeCapacity *
+cheapest_preemption (HrCore *core, HrJob *job, HrFleetCapacity *fleet, HrPreemptionScope scope)
 {
   HrFreeCapacity *best = NULL;
   double least = INFINITY;
-  for (guint i = 0; i < core->scaling.fleet->len; i++) {
-    HrFreeCapacity *capacity = &capacities[i];
-    HrMachine *machine = capacity->machine;
-    if (machine->state != HR_MACHINE_UP || !hr_job_allows_machine (core, job, machine) ||
-        !hr_job_allows_zone (core, job, machine))
+  for (guint i = 0; i < fleet->n; i++) {
+    HrFreeCapacity *capacity = &fleet->machines[i];
+    if (capacity->machine->state != HR_MACHINE_UP ||
+        !hr_job_allows_machine (core, job, capacity->machine) ||
+        !hr_job_allows_zone (core, job, capacity->machine))
       continue;
-    double cpus = capacity->cpus, gpus = capacity->gpus, memory_gb = capacity->memory_gb, cost = 0;
-    for (guint k = 0; k < machine->tasks->len; k++) {
-      HrTaskRef ref = g_array_index (machine->tasks, HrTaskRef, k);
-      HrJob *victim = core->store.tables.jobs->pdata[ref.job];
-      HrTask *task = &victim->tasks[ref.task];
-      if (cpus >= job->spec.cpus && gpus >= job->spec.gpus && memory_gb >= job->spec.memory_gb)
-        break;
-      if (task->state != HR_TASK_BOUND || task->stop_wanted ||
-          (others && victim->spec.team == job->spec.team) || !may_stop (core, victim, job))
-        continue;
-      cpus += victim->spec.cpus;
-      gpus += victim->spec.gpus;
-      memory_gb += victim->spec.memory_gb;
-      cost += hr_preemption_loss (core, victim, task);
-    }
-    if (cpus + 1e-6 >= job->spec.cpus && gpus + 1e-6 >= job->spec.gpus &&
-        memory_gb + 1e-6 >= job->spec.memory_gb && cost < least) {
-      least = cost;
+    double loss = preemption_cost (core, job, capacity, scope);
+    if (loss < least) {
+      least = loss;
       best = capacity;
     }
   }
-  if (!best)
-    return FALSE;
-  for (guint k = 0; k < best->machine->tasks->len; k++) {
-    HrTaskRef ref = g_array_index (best->machine->tasks, HrTaskRef, k);
-    HrJob *victim = core->store.tables.jobs->pdata[ref.job];
-    HrTask *task = &victim->tasks[ref.task];
-    if (best->cpus + 1e-6 >= job->spec.cpus && best->gpus + 1e-6 >= job->spec.gpus &&
-        best->memory_gb + 1e-6 >= job->spec.memory_gb)
-      break;
-    if (task->state != HR_TASK_BOUND || task->stop_wanted ||
-        (others && victim->spec.team == job->spec.team) || !may_stop (core, victim, job))
+  return best;
+}
+
+/* Stops tasks of the machine until one of the job fits. The list of tasks is read anew at each
+ * step: a gang that ends may take others of its tasks off the machine at once. */
+static void
+preempt_on_machine (HrCore *core, HrJob *job, HrFreeCapacity *capacity, HrPreemptionScope scope)
+{
+  const HrMachine *machine = capacity->machine;
+  HrResources need = hr_resources_of_task (&job->spec);
+  for (guint k = 0; k < machine->tasks->len && !hr_resources_cover (capacity->free, need); k++) {
+    HrTaskRef ref = g_array_index (machine->tasks, HrTaskRef, k);
+    HrJob *victim = hr_job_of_task (core, ref);
+    if (!hr_may_preempt (core, job, scope, victim, ref.task))
       continue;
-    g_info ("%s/%u on %s makes room for %s", victim->id, ref.task, best->machine->name, job->id);
-    best->cpus += victim->spec.cpus;
-    best->gpus += victim->spec.gpus;
-    best->memory_gb += victim->spec.memory_gb;
+    g_info ("%s/%u on %s is preempted for %s", victim->id, ref.task, machine->name, job->id);
+    hr_resources_add (&capacity->free, hr_resources_of_task (&victim->spec));
     hr_preempt_task (core, victim, ref.task);
   }
-  return hr_free_capacity_take (best, job->spec.cpus, job->spec.gpus, job->spec.memory_gb);
+}
+
+gboolean
+hr_preempt (HrCore *core, HrJob *job, HrFleetCapacity *fleet, HrPreemptionScope scope)
+{
+  HrFreeCapacity *best = cheapest_preemption (core, job, fleet, scope);
+  if (!best)
+    return FALSE;
+  preempt_on_machine (core, job, best, scope);
+  return hr_free_capacity_take (best, hr_resources_of_task (&job->spec));
 }
--- a/src/coordination/scheduling/quota.h
+++ b/src/coordination/scheduling/quota.h
@@ -1,56 +1,97 @@
-/* Amounts of what the limits of teams are about: processors and accelerators. */
+/* Arithmetic on the amounts that the quotas of teams are about: processors and accelerators.
+ * Pure functions; a member may be INFINITY where there is no limit.
+ */
 #pragma once
+#include "coordination/scheduling/resources.h"
 #include "protocol/jobspec.h"
 #include <math.h>
 
-/* An amount of what a team's limit is about. */
+/* An amount of what a quota is about. */
 typedef struct {
   double cpus, gpus;
 } HrQuota;
 
-/* Of n tasks. */
+/**
+ * hr_quota_unlimited:
+ *
+ * Returns: the amount that covers any other.
+ */
+static inline HrQuota
+hr_quota_unlimited (void)
+{
+  return (HrQuota){INFINITY, INFINITY};
+}
+
+/**
+ * hr_quota_of:
+ *
+ * Returns: what @n tasks of a job take of a quota.
+ */
 static inline HrQuota
 hr_quota_of (const HrJobSpec *spec, guint n)
 {
   return (HrQuota){n * spec->cpus, n * spec->gpus};
 }
 
+/**
+ * hr_quota_add:
+ *
+ * Adds @amount to @total.
+ */
 static inline void
-hr_quota_add (HrQuota *left, HrQuota right)
+hr_quota_add (HrQuota *total, HrQuota amount)
 {
-  left->cpus += right.cpus;
-  left->gpus += right.gpus;
+  total->cpus += amount.cpus;
+  total->gpus += amount.gpus;
 }
 
+/**
+ * hr_quota_subtract:
+ *
+ * Subtracts @amount from @total, which may become negative.
+ */
 static inline void
-hr_quota_subtract (HrQuota *left, HrQuota right)
+hr_quota_subtract (HrQuota *total, HrQuota amount)
 {
-  left->cpus -= right.cpus;
-  left->gpus -= right.gpus;
+  total->cpus -= amount.cpus;
+  total->gpus -= amount.gpus;
 }
 
-/* Does b fit into a? */
+/**
+ * hr_quota_covers:
+ *
+ * Returns: whether @need fits into @available, up to %HR_RESOURCE_TOLERANCE.
+ */
 static inline gboolean
-hr_quota_covers (HrQuota left, HrQuota right)
+hr_quota_covers (HrQuota available, HrQuota need)
 {
-  return right.cpus <= left.cpus + 1e-6 && right.gpus <= left.gpus + 1e-6;
+  return need.cpus <= available.cpus + HR_RESOURCE_TOLERANCE &&
+         need.gpus <= available.gpus + HR_RESOURCE_TOLERANCE;
 }
 
-/* The smaller one of each. */
+/**
+ * hr_quota_min:
+ *
+ * Returns: the smaller one of each member.
+ */
 static inline HrQuota
 hr_quota_min (HrQuota left, HrQuota right)
 {
   return (HrQuota){MIN (left.cpus, right.cpus), MIN (left.gpus, right.gpus)};
 }
 
-/* How many times it fits, at most n. */
+/**
+ * hr_quota_multiples:
+ *
+ * Returns: how many times @one fits into @available, at most @n.
+ */
 static inline guint
-hr_quota_multiples (HrQuota left, HrQuota one, guint n)
+hr_quota_multiples (HrQuota available, HrQuota one, guint n)
 {
   double most = n;
   if (one.cpus > 0)
-    most = MIN (most, floor ((left.cpus + 1e-6) / one.cpus));
+    most = MIN (most, floor ((available.cpus + HR_RESOURCE_TOLERANCE) / one.cpus));
   if (one.gpus > 0)
-    most = MIN (most, floor ((left.gpus + 1e-6) / one.gpus));
+    most = MIN (most, floor ((available.gpus + HR_RESOURCE_TOLERANCE) / one.gpus));
   return most > 0 ? most : 0;
 }
--- a/src/coordination/scheduling/service_replicas.c
+++ b/src/coordination/scheduling/service_replicas.c
@@ -1,19 +1,27 @@
-/* Where the replicas of services start. They stand in no list: a replica has no end. */
+/* Where the replicas of services start. */
 #include "coordination/scheduling/service_replicas.h"
 #include "coordination/jobs/arrivals.h"
 #include "coordination/scaling/fleet.h"
-#include "coordination/scaling/scale_out.h"
-#include "coordination/scheduling/dispatch.h"
+#include "coordination/scaling/headroom.h"
+#include "coordination/scheduling/estimates.h"
 #include "coordination/scheduling/free_capacity.h"
 #include "coordination/scheduling/guarantees.h"
 #include "coordination/scheduling/preemption.h"
-#include "coordination/scheduling/projection.h"
-#include "coordination/state.h"
+#include "coordination/scheduling/resources.h"
+#include "coordination/scheduling/start_check.h"
+#include "coordination/scheduling/starts.h"
 #include <math.h>
 
-/* Time left until the next aim for the start of the class's tasks is missed. */
+/* Weights in a machine's score for a replica; the highest score is best. */
+#define SCORE_PER_FETCH_S 10   /* taken off for each second of the image fetch */
+#define SCORE_PER_HOME_S 10    /* for each second that the controllers' own zone is worth */
+#define SCORE_PER_TASK 10      /* fuller machines first */
+#define SCORE_LAST_SLOT 1000   /* taken off where slots are short and a fetch would take the last */
+#define SCORE_PER_FREE_CPU 0.1 /* taken off; a free accelerator counts as ten processors */
+
+/* Time left until the next objective for the start of the class's tasks is missed. */
 static double
-start_left (const HrCore *core, const HrJob *job)
+time_to_objective (const HrCore *core, const HrJob *job)
 {
   double left = INFINITY, waited = core->wall_time - hr_job_eligible_since (job);
   for (guint i = 0; i < core->settings->objectives->len; i++) {
@@ -26,100 +34,150 @@
   return left;
 }
 
-/* Would a replica more fit there, once batch work made room? */
+/* Would so many more replicas fit there, once batch work was preempted? */
 static gboolean
-stays_open (const HrCore *core, const HrJobSpec *spec, const HrMachine *machine, guint replicas)
+has_slots (const HrCore *core, const HrJobSpec *spec, const HrMachine *machine, guint replicas)
 {
-  const HrMachineType *type = hr_machine_type_of (core, machine);
-  return machine->services.cpus + replicas * spec->cpus <= type->cpus + 1e-6 &&
-         machine->services.gpus + replicas * spec->gpus <= type->gpus + 1e-6 &&
-         machine->services.memory_gb + replicas * spec->memory_gb <= type->memory_gb + 1e-6;
+  HrResources services = machine->services;
+  hr_resources_add (&services, hr_resources_multiply (hr_resources_of_task (spec), replicas));
+  return hr_resources_cover (hr_resources_of_type (hr_machine_type_of (core, machine)), services);
 }
 
-/* The next arrivals need places where their image is. Are there too few for this one?
- * Machines full of replicas are none, however well the image is cached there. */
-static gboolean
-short_of_places (HrCore *core, const HrJob *job)
+/* The shortest time in which any machine type fetches the job's image. */
+static double
+shortest_fetch (const HrCore *core, const HrJob *job)
 {
-  HrClassStats *stats = hr_class_stats (core, job->spec.job_class);
-  double weight = 0, own = 0, open = 0, fetch = INFINITY, within = INFINITY;
+  double fetch = INFINITY;
   for (guint i = 0; i < core->scaling.machine_types->len; i++)
     fetch =
         MIN (fetch, job->spec.image_gb /
                         g_array_index (core->scaling.machine_types, HrMachineType, i).fetch_rate);
+  return fetch;
+}
+
+/* Does a replica start in time for its class's objective where the image has to be fetched? */
+static gboolean
+fetch_is_in_time (const HrCore *core, const HrJob *job)
+{
+  double within = INFINITY;
   for (guint i = 0; i < core->settings->objectives->len; i++) {
-    HrObjective *objective = &g_array_index (core->settings->objectives, HrObjective, i);
+    const HrObjective *objective = &g_array_index (core->settings->objectives, HrObjective, i);
     if (objective->job_class == job->spec.job_class && objective->kind == HR_OBJECTIVE_WAIT)
       within = MIN (within, objective->within_s);
   }
-  if (fetch + PREEMPTION_S <= within)
-    return FALSE; /* a fetch in time is cheaper than places kept open */
+  return shortest_fetch (core, job) + PREEMPTION_S <= within;
+}
+
+/* The machines with the job's image on which one more replica would fit. */
+static guint
+count_slots_with_image (const HrCore *core, const HrJob *job)
+{
+  guint n = 0;
+  for (guint i = 0; i < core->scaling.fleet->len; i++) {
+    const HrMachine *machine = core->scaling.fleet->pdata[i];
+    if (machine->state == HR_MACHINE_UP && !machine->is_draining && machine->type != HR_NONE &&
+        (!machine->is_spot || job->spec.allows_spot) &&
+        hr_machine_has_image (machine, job->spec.image) && has_slots (core, &job->spec, machine, 1))
+      n++;
+  }
+  return n;
+}
+
+/* The next arrivals need slots where their image is. Are there too few for this image? Machines
+ * full of replicas have none, however well the image is cached there. */
+static gboolean
+is_short_of_slots (HrCore *core, const HrJob *job)
+{
+  const HrClassStats *stats = hr_class_stats (core, job->spec.job_class);
+  double weight = 0, own = 0;
+  if (fetch_is_in_time (core, job))
+    return FALSE; /* cheaper than slots kept open */
   for (guint i = 0; i < stats->n_images; i++) {
     weight += stats->images[i].weight;
     if (stats->images[i].image == job->spec.image)
       own = stats->images[i].weight;
   }
-  for (guint i = 0; i < core->scaling.fleet->len; i++) {
-    HrMachine *machine = core->scaling.fleet->pdata[i];
-    if (machine->state == HR_MACHINE_UP && !machine->is_draining && machine->type != HR_NONE &&
-        (!machine->is_spot || job->spec.allows_spot) &&
-        hr_machine_has_image (machine, job->spec.image) &&
-        stays_open (core, &job->spec, machine, 1))
-      open++;
-  }
-  return weight > 0 && open < hr_headroom (core, job->spec.job_class) * own / weight;
+  return weight > 0 && count_slots_with_image (core, job) <
+                           hr_headroom (core, job->spec.job_class) * own / weight;
 }
 
-/* The sooner its image is there the better; then fuller machines first, so that others
- * fall empty and can be returned. */
+/* The sooner its image is there the better; then fuller machines first, so that others fall empty
+ * and can be returned. */
 static double
-service_score (const HrCore *core, const HrJob *job, const HrMachine *machine, gboolean open)
+score_machine (const HrCore *core, const HrJob *job, const HrMachine *machine, gboolean is_short)
 {
   double fetch = hr_estimate_fetch_time (core, job, machine);
-  double closes = open && fetch > 0 && !stays_open (core, &job->spec, machine, 2) ? 1000 : 0;
+  gboolean takes_last_slot = is_short && fetch > 0 && !has_slots (core, &job->spec, machine, 2);
   /* Behind a cut of the controllers' own zone its workers still hear the leader. */
-  double home = machine->zone == core->settings->home ? HR_HOME_S * 10 : 0;
-  return home - 10 * fetch - closes + machine->tasks->len * 10 -
-         (machine->free.gpus + machine->free.cpus * 0.1);
+  double home = machine->zone == core->settings->home ? HR_HOME_S * SCORE_PER_HOME_S : 0;
+  return home - SCORE_PER_FETCH_S * fetch - (takes_last_slot ? SCORE_LAST_SLOT : 0) +
+         machine->tasks->len * SCORE_PER_TASK -
+         (machine->free.gpus + machine->free.cpus * SCORE_PER_FREE_CPU);
 }
 
-void
-hr_replicas_start (HrCore *core, GPtrArray *services)
+/* The machine with the best score on which a replica can start now; NULL: there is none. */
+static HrMachine *
+best_free_machine (HrCore *core, const HrJob *job, const GPtrArray *machines, gboolean is_short)
 {
-  g_autoptr (GPtrArray) capacities = hr_dispatch_open_machines (core);
-  for (guint i = 0; i < services->len; i++) {
-    HrJob *job = services->pdata[i];
-    gboolean open = short_of_places (core, job);
-    for (guint32 k = 0; k < job->n_tasks; k++) {
-      HrMachine *best = NULL;
-      double most = 0;
-      if (job->tasks[k].state != HR_TASK_IDLE || !hr_team_allows_start (core, job, 1))
-        continue;
-      for (guint n = 0; n < capacities->len; n++) {
-        HrMachine *machine = capacities->pdata[n];
-        if (!hr_dispatch_startable (core, job, machine))
-          continue;
-        double score = service_score (core, job, machine, open);
-        if (!best || score > most) {
-          most = score;
-          best = machine;
-        }
-      }
-      double left = start_left (core, job);
-      if (isfinite (left) && core->now >= job->run.retry_at &&
-          (!best || hr_estimate_fetch_time (core, job, best) + PREEMPTION_S > left)) {
-        HrMachine *other = hr_preempt_for_cached_image (core, job);
-        if (other)
-          best = other;
-      }
-      if (!best) {
-        job->plan.shard = HR_NONE; /* not in its part: any machine may */
-        break;
-      }
-      best->services.cpus += job->spec.cpus;
-      best->services.gpus += job->spec.gpus;
-      best->services.memory_gb += job->spec.memory_gb;
-      hr_dispatch_start (core, job, k, best);
+  HrMachine *best = NULL;
+  double most = 0;
+  if (hr_start_check_job (core, job, 1) != HR_START_OK)
+    return NULL;
+  for (guint n = 0; n < machines->len; n++) {
+    HrMachine *machine = machines->pdata[n];
+    if (hr_start_check_machine (core, job, machine) != HR_START_OK)
+      continue;
+    double score = score_machine (core, job, machine, is_short);
+    if (!best || score > most) {
+      most = score;
+      best = machine;
     }
   }
+  return best;
+}
+
+/* Would a replica on the machine (NULL: there is none) miss the next objective for its start? */
+static gboolean
+misses_objective (HrCore *core, const HrJob *job, const HrMachine *machine)
+{
+  double left = time_to_objective (core, job);
+  return isfinite (left) && core->now >= job->run.retry_at &&
+         (!machine || hr_estimate_fetch_time (core, job, machine) + PREEMPTION_S > left);
+}
+
+/* The machine for the job's next replica; NULL: there is none. Batch tasks may be preempted there.
+ */
+static HrMachine *
+machine_for_replica (HrCore *core, HrJob *job, const GPtrArray *machines, gboolean is_short)
+{
+  HrMachine *best = best_free_machine (core, job, machines, is_short);
+  if (!misses_objective (core, job, best))
+    return best;
+  HrMachine *with_image = hr_preempt_for_cached_image (core, job);
+  return with_image ? with_image : best;
+}
+
+static void
+start_replicas (HrCore *core, HrJob *job, const GPtrArray *machines)
+{
+  gboolean is_short = is_short_of_slots (core, job);
+  for (guint32 k = 0; k < job->n_tasks; k++) {
+    if (job->tasks[k].state != HR_TASK_IDLE || !hr_team_allows_start (core, job, 1))
+      continue;
+    HrMachine *machine = machine_for_replica (core, job, machines, is_short);
+    if (!machine) {
+      job->plan.shard = HR_NONE; /* not in its shard: any machine may */
+      break;
+    }
+    hr_resources_add (&machine->services, hr_resources_of_task (&job->spec));
+    hr_start_task (core, job, k, machine);
+  }
+}
+
+void
+hr_replicas_start (HrCore *core, GPtrArray *services)
+{
+  g_autoptr (GPtrArray) machines = hr_machines_with_capacity (core);
+  for (guint i = 0; i < services->len; i++)
+    start_replicas (core, services->pdata[i], machines);
 }
--- a/src/coordination/scheduling/service_reservations.c
+++ b/src/coordination/scheduling/service_reservations.c
@@ -1,87 +1,110 @@
-/* Room kept for services, which stand in no list. */
+/* Reservations for services, which stand in no list of the plan. */
 #include "coordination/scheduling/service_reservations.h"
-#include "coordination/scaling/scale_out.h"
-#include "coordination/scheduling/plan.h"
-#include "coordination/scheduling/projection.h"
+#include "coordination/scaling/headroom.h"
+#include "coordination/scheduling/lookups.h"
+#include "coordination/scheduling/placement.h"
 #include "coordination/scheduling/quotas.h"
-#include "coordination/state.h"
+#include "coordination/scheduling/resources.h"
 
-/* Takes the room of up to n tasks off a machine for services. */
+/* Reserves capacity for up to n tasks on a machine. Returns how many did not fit. */
 static guint
-reserve_on_machine (HrMachine *machine, double cpus, double gpus, double memory_gb, guint n)
+reserve_on_machine (HrMachine *machine, HrResources one, guint n)
 {
-  while (n && hr_machine_has_unreserved (machine, cpus, gpus, memory_gb)) {
-    machine->reserved.cpus += cpus;
-    machine->reserved.gpus += gpus;
-    machine->reserved.memory_gb += memory_gb;
-    n--;
-  }
+  for (; n && hr_resources_cover (hr_machine_unreserved (machine), one); n--)
+    hr_resources_add (&machine->reserved, one);
   return n;
 }
 
-/* Keeps room for n tasks of a class on machines that are up, with this image if any is
- * named, on busy ones only if asked for. Returns how many found none. */
+/* Which machines a reservation for a class may be on. */
+typedef struct {
+  const HrClassStats *stats;
+  guint32 image;      /* cached there; HR_NONE: any */
+  gboolean busy_only; /* with tasks on them */
+} ReservationFilter;
+
+static gboolean
+filter_accepts (const HrCore *core, const ReservationFilter *filter, const HrMachine *machine)
+{
+  const HrClassStats *stats = filter->stats;
+  return machine->state == HR_MACHINE_UP && hr_machine_is_plannable (core, machine) &&
+         (!machine->is_spot || stats->allows_spot) &&
+         (!stats->types || stats->types >> machine->type & 1) &&
+         (!filter->busy_only || machine->tasks->len) &&
+         (filter->image == HR_NONE || hr_machine_has_image (machine, filter->image));
+}
+
+/* Reserves capacity for n tasks of a class. Returns how many found none. */
 static guint
-reserve_capacity (HrCore *core, const HrClassStats *stats, guint32 image, gboolean busy, guint n)
+reserve_for_class (HrCore *core, ReservationFilter filter, guint n)
 {
+  HrResources one = hr_resources_of_class (filter.stats);
   for (guint k = 0; k < core->scaling.fleet->len && n; k++) {
     HrMachine *machine = core->scaling.fleet->pdata[k];
-    if (machine->state == HR_MACHINE_UP && hr_machine_is_plannable (core, machine) &&
-        (!machine->is_spot || stats->allows_spot) &&
-        (!stats->types || stats->types >> machine->type & 1) && (!busy || machine->tasks->len) &&
-        (image == HR_NONE || hr_machine_has_image (machine, image)))
-      n = reserve_on_machine (machine, stats->cpus, stats->gpus, stats->memory_gb, n);
+    if (filter_accepts (core, &filter, machine))
+      n = reserve_on_machine (machine, one, n);
   }
   return n;
 }
 
-/* Services outrank the lists: what waits for a boot has its room on the machines
- * that come up next, and some room is kept for the next arrivals; the lists are
- * projected, and started, without that room. */
+static void
+count_services (HrCore *core, HrMachine *machine)
+{
+  machine->reserved = machine->services = (HrResources){0, 0, 0};
+  for (guint k = 0; k < machine->tasks->len; k++) {
+    HrTaskRef ref = g_array_index (machine->tasks, HrTaskRef, k);
+    const HrJobSpec *spec = &hr_job_of_task (core, ref)->spec;
+    if (spec->shape == HR_SERVICE)
+      hr_resources_add (&machine->services, hr_resources_of_task (spec));
+  }
+}
+
+/* Replicas that wait have their capacity on the machines that come up next. */
+static void
+reserve_on_booting_machines (HrCore *core, const HrJob *job)
+{
+  HrResources one = hr_resources_of_task (&job->spec);
+  guint left = MIN (job->n_tasks - job->run.n_live, hr_quotas_granted (core, job));
+  for (guint k = 0; k < core->scaling.fleet->len && left; k++) {
+    HrMachine *machine = core->scaling.fleet->pdata[k];
+    if (machine->state == HR_MACHINE_BOOTING && hr_job_allows_machine (core, job, machine))
+      left = reserve_on_machine (machine, one, left);
+  }
+}
+
+/* Reserves the headroom of a class: first where images are that the next arrivals may need, as a
+ * replica starts there at once; then where others run already, as whole machines are for those who
+ * need them. */
+static void
+reserve_headroom (HrCore *core, guint32 job_class)
+{
+  const HrClassStats *stats =
+      &g_array_index (core->scheduling.class_stats, HrClassStats, job_class);
+  if (!stats->is_seen || stats->shape != HR_SERVICE)
+    return;
+  guint all = hr_headroom (core, job_class), left = all;
+  double weight = 0;
+  for (guint k = 0; k < stats->n_images; k++)
+    weight += stats->images[k].weight;
+  for (guint k = 0; k < stats->n_images && left; k++) {
+    const HrImageUse *use = &stats->images[k];
+    guint share = MIN (left, (guint)(all * use->weight / weight + 0.5));
+    ReservationFilter with_image = {stats, use->image, FALSE};
+    left -= share - reserve_for_class (core, with_image, share);
+  }
+  left = reserve_for_class (core, (ReservationFilter){stats, HR_NONE, TRUE}, left);
+  reserve_for_class (core, (ReservationFilter){stats, HR_NONE, FALSE}, left);
+}
+
 void
 hr_reserve_for_services (HrCore *core)
 {
-  for (guint i = 0; i < core->scaling.fleet->len; i++) {
-    HrMachine *machine = core->scaling.fleet->pdata[i];
-    machine->reserved.cpus = machine->reserved.gpus = machine->reserved.memory_gb = 0;
-    machine->services.cpus = machine->services.gpus = machine->services.memory_gb = 0;
-    for (guint k = 0; k < machine->tasks->len; k++) {
-      const HrJobSpec *spec =
-          &hr_job_of_task (core, g_array_index (machine->tasks, HrTaskRef, k))->spec;
-      if (spec->shape != HR_SERVICE)
-        continue;
-      machine->services.cpus += spec->cpus;
-      machine->services.gpus += spec->gpus;
-      machine->services.memory_gb += spec->memory_gb;
-    }
-  }
+  for (guint i = 0; i < core->scaling.fleet->len; i++)
+    count_services (core, core->scaling.fleet->pdata[i]);
   for (guint i = 0; i < core->store.tables.open_jobs->len; i++) {
-    HrJob *job =
-        core->store.tables.jobs->pdata[g_array_index (core->store.tables.open_jobs, guint32, i)];
-    const HrJobSpec *spec = &job->spec;
-    if (job->state != HR_JOB_QUEUED || spec->shape != HR_SERVICE || !job->tasks)
-      continue;
-    guint left = MIN (job->n_tasks - job->run.n_live, hr_quotas_granted (core, job));
-    for (guint k = 0; k < core->scaling.fleet->len && left; k++) {
-      HrMachine *machine = core->scaling.fleet->pdata[k];
-      if (machine->state == HR_MACHINE_BOOTING && hr_job_allows_machine (core, job, machine))
-        left = reserve_on_machine (machine, spec->cpus, spec->gpus, spec->memory_gb, left);
-    }
-  }
-  for (guint i = 0; i < core->scheduling.class_stats->len; i++) {
-    HrClassStats *stats = &g_array_index (core->scheduling.class_stats, HrClassStats, i);
-    guint left = stats->is_seen && stats->shape == HR_SERVICE ? hr_headroom (core, i) : 0,
-          all = left;
-    double weight = 0;
-    for (guint k = 0; k < stats->n_images; k++)
-      weight += stats->images[k].weight;
-    /* Where an image is that the next arrivals may need: a replica starts there at once. */
-    for (guint k = 0; k < stats->n_images && left; k++) {
-      guint wanted = MIN (left, (guint)(all * stats->images[k].weight / weight + 0.5));
-      left -= wanted - reserve_capacity (core, stats, stats->images[k].image, FALSE, wanted);
-    }
-    /* Then where others run already: whole machines are for those who need them. */
-    left = reserve_capacity (core, stats, HR_NONE, TRUE, left);
-    reserve_capacity (core, stats, HR_NONE, FALSE, left);
+    const HrJob *job = hr_open_job (core, i);
+    if (job->state == HR_JOB_QUEUED && job->spec.shape == HR_SERVICE && job->tasks)
+      reserve_on_booting_machines (core, job);
   }
+  for (guint i = 0; i < core->scheduling.class_stats->len; i++)
+    reserve_headroom (core, i);
 }
--- /dev/null
+++ b/src/coordination/scheduling/start_check.c
@@ -0,0 +1,27 @@
+/* May a task start now, and on this machine? */
+#include "coordination/scheduling/start_check.h"
+#include "coordination/scheduling/guarantees.h"
+#include "coordination/scheduling/placement.h"
+#include "coordination/scheduling/resources.h"
+
+HrStartVerdict
+hr_start_check_job (HrCore *core, const HrJob *job, guint n)
+{
+  if (core->now < job->run.retry_at)
+    return HR_START_RETRY_PAUSE;
+  return hr_team_allows_start (core, job, n) ? HR_START_OK : HR_START_QUOTA;
+}
+
+HrStartVerdict
+hr_start_check_machine (HrCore *core, const HrJob *job, const HrMachine *machine)
+{
+  HrResources need = hr_resources_of_task (&job->spec);
+  if (!hr_resources_cover (hr_machine_unused (machine), need) || core->now < machine->full_until)
+    return HR_START_NO_CAPACITY;
+  if (!hr_machine_is_reachable (core, machine) || !hr_job_allows_machine (core, job, machine) ||
+      !hr_job_allows_zone (core, job, machine))
+    return HR_START_UNSUITABLE;
+  if (job->spec.shape != HR_SERVICE && !hr_resources_cover (hr_machine_unreserved (machine), need))
+    return HR_START_RESERVED;
+  return HR_START_OK;
+}
--- a/src/coordination/scheduling/tabu.c
+++ b/src/coordination/scheduling/tabu.c
@@ -1,102 +1,190 @@
-/* Bounded tabu search over the lists (the paper's figures 2 and 3). */
+/* Bounded tabu search over the lists of the plan. */
 #include "coordination/scheduling/tabu.h"
-#include "coordination/scheduling/mtedf.h"
+#include "coordination/scheduling/estimates.h"
+#include "coordination/scheduling/lookups.h"
+#include "coordination/scheduling/placement.h"
 #include "coordination/scheduling/plan.h"
 #include "coordination/scheduling/projection.h"
-#include "coordination/state.h"
-#include <string.h>
+#include "coordination/scheduling/task_lists.h"
+
+/* Total tardiness below which there is nothing to improve, s. */
+#define MIN_TARDINESS_S 1e-6
+
+/* A search under way. */
+typedef struct {
+  GPtrArray *lists;    /* HrMachine */
+  gboolean *is_source; /* by list: a task of it may move */
+  gboolean *is_target; /* by list: a task may move there */
+  GArray *tabu;        /* HrTaskRef that found no target, oldest first */
+  double tardiness;    /* of the whole plan */
+} TabuSearch;
+
+static void
+allow_all (gboolean *lists, guint n)
+{
+  for (guint i = 0; i < n; i++)
+    lists[i] = TRUE;
+}
+
+static HrMachine *
+list_at (const TabuSearch *search, guint i)
+{
+  return search->lists->pdata[i];
+}
 
 static gboolean
-is_tabu (GArray *tabu, HrTaskRef ref)
+is_tabu (const GArray *tabu, HrTaskRef ref)
 {
   for (guint i = 0; i < tabu->len; i++) {
-    HrTaskRef *first = &g_array_index (tabu, HrTaskRef, i);
-    if (first->job == ref.job && first->task == ref.task)
+    const HrTaskRef *other = &g_array_index (tabu, HrTaskRef, i);
+    if (other->job == ref.job && other->task == ref.task)
       return TRUE;
   }
   return FALSE;
 }
 
+static void
+add_tabu (const HrCore *core, GArray *tabu, HrTaskRef ref)
+{
+  if (tabu->len >= core->policy.tabu_jobs && tabu->len)
+    g_array_remove_index (tabu, 0); /* oldest out first */
+  g_array_append_val (tabu, ref);
+}
+
+/* The tardiest list that a task may move from; HR_NONE: there is none. */
+static guint
+choose_source (const TabuSearch *search)
+{
+  guint best = HR_NONE;
+  for (guint i = 0; i < search->lists->len; i++) {
+    const HrMachine *machine = list_at (search, i);
+    if (search->is_source[i] && machine->plan.list->len &&
+        (best == HR_NONE || machine->plan.tardiness > list_at (search, best)->plan.tardiness))
+      best = i;
+  }
+  return best;
+}
+
+/* The most tardy task of the list; its job is HR_NONE where there is none. Gangs stay: their slots
+ * hang together. */
+static HrTaskRef
+most_tardy_task (HrCore *core, const TabuSearch *search, HrMachine *machine)
+{
+  const GArray *list = machine->plan.list;
+  double *starts = hr_projection_scratch (list->len);
+  HrTaskRef worst = {HR_NONE, 0};
+  double most = 0;
+  hr_project_list (core, machine, starts);
+  for (guint i = 0; i < list->len; i++) {
+    HrTaskRef ref = g_array_index (list, HrTaskRef, i);
+    const HrJob *job = hr_job_of_task (core, ref);
+    double run_time = hr_estimate_run_time (core, job, machine);
+    double lateness = hr_task_lateness (core, job, starts[i], run_time);
+    if (lateness > most && job->spec.shape != HR_GANG && !is_tabu (search->tabu, ref)) {
+      most = lateness;
+      worst = ref;
+    }
+  }
+  return worst;
+}
+
+static gboolean
+is_better_target (const HrMachine *left, const HrMachine *right)
+{
+  return left->plan.tardiness < right->plan.tardiness ||
+         (left->plan.tardiness == right->plan.tardiness &&
+          left->plan.ready_at < right->plan.ready_at);
+}
+
+/* The least tardy list that may take the job's task; HR_NONE: there is none. */
+static guint
+choose_target (const HrCore *core, const TabuSearch *search, const HrJob *job, guint source)
+{
+  guint best = HR_NONE;
+  for (guint i = 0; i < search->lists->len; i++) {
+    const HrMachine *machine = list_at (search, i);
+    if (i != source && search->is_target[i] && hr_job_allows_machine (core, job, machine) &&
+        hr_job_allows_zone (core, job, machine) &&
+        (best == HR_NONE || is_better_target (machine, list_at (search, best))))
+      best = i;
+  }
+  return best;
+}
+
+static HrListScore
+score_of_two (const HrMachine *left, const HrMachine *right)
+{
+  return (HrListScore){left->plan.late_count + right->plan.late_count,
+                       left->plan.tardiness + right->plan.tardiness};
+}
+
+static void
+move_task (HrCore *core, HrTaskRef ref, HrMachine *from, HrMachine *to)
+{
+  hr_list_remove (from, ref);
+  hr_list_insert (core, to, ref);
+}
+
+/* Moves the task, and back where that does not make the two lists better. Returns whether it
+ * stayed; then the plan's tardiness is adjusted. */
+static gboolean
+try_move (HrCore *core, TabuSearch *search, HrTaskRef ref, HrMachine *from, HrMachine *to)
+{
+  HrListScore before = score_of_two (from, to);
+  move_task (core, ref, from, to);
+  hr_project_list (core, from, NULL);
+  hr_project_list (core, to, NULL);
+  HrListScore after = score_of_two (from, to);
+  if (hr_list_score_better (after, before)) {
+    search->tardiness += after.tardiness - before.tardiness;
+    return TRUE;
+  }
+  move_task (core, ref, to, from);
+  hr_project_list (core, from, NULL);
+  hr_project_list (core, to, NULL);
+  return FALSE;
+}
+
+/* Tries one move. Returns FALSE where there is no list left to move from. */
+static gboolean
+search_round (HrCore *core, TabuSearch *search)
+{
+  guint n = search->lists->len, source = choose_source (search);
+  if (source == HR_NONE)
+    return FALSE;
+  HrTaskRef ref = most_tardy_task (core, search, list_at (search, source));
+  if (ref.job == HR_NONE) {
+    search->is_source[source] = FALSE;
+    allow_all (search->is_target, n);
+    return TRUE;
+  }
+  guint target = choose_target (core, search, hr_job_of_task (core, ref), source);
+  if (target == HR_NONE) {
+    add_tabu (core, search->tabu, ref);
+    allow_all (search->is_target, n);
+    return TRUE;
+  }
+  if (try_move (core, search, ref, list_at (search, source), list_at (search, target))) {
+    allow_all (search->is_source, n);
+    allow_all (search->is_target, n);
+  } else
+    search->is_target[target] = FALSE; /* until a move stays */
+  return TRUE;
+}
+
 void
 hr_tabu_search (HrCore *core, GPtrArray *lists)
 {
   guint n = lists->len;
-  g_autofree gboolean *avail = g_new (gboolean, n), *cand = g_new (gboolean, n);
+  g_autofree gboolean *is_source = g_new (gboolean, n), *is_target = g_new (gboolean, n);
   g_autoptr (GArray) tabu = g_array_new (FALSE, FALSE, sizeof (HrTaskRef));
-  double total = 0;
-  for (guint i = 0; i < n; i++) {
-    avail[i] = cand[i] = TRUE;
-    total += ((HrMachine *)lists->pdata[i])->plan.tardiness;
-  }
-  for (guint round = 0; round < core->policy.tabu_rounds && total > 1e-6; round++) {
-    guint hi = HR_NONE, lo = HR_NONE;
-    for (guint i = 0; i < n; i++) {
-      HrMachine *machine = lists->pdata[i];
-      if (avail[i] && machine->plan.list->len &&
-          (hi == HR_NONE ||
-           machine->plan.tardiness > ((HrMachine *)lists->pdata[hi])->plan.tardiness))
-        hi = i;
-    }
-    if (hi == HR_NONE)
+  TabuSearch search = {lists, is_source, is_target, tabu, 0};
+  allow_all (is_source, n);
+  allow_all (is_target, n);
+  for (guint i = 0; i < n; i++)
+    search.tardiness += list_at (&search, i)->plan.tardiness;
+  for (guint round = 0; round < core->policy.tabu_rounds && search.tardiness > MIN_TARDINESS_S;
+       round++)
+    if (!search_round (core, &search))
       return;
-    HrMachine *left = lists->pdata[hi];
-    /* The most tardy job of the tardiest list. Gangs stay: their slots hang together. */
-    double *starts = hr_projection_scratch (left->plan.list->len);
-    hr_project_list (core, left, starts);
-    HrTaskRef pick = {HR_NONE, 0};
-    double worst = 0;
-    for (guint i = 0; i < left->plan.list->len; i++) {
-      HrTaskRef ref = g_array_index (left->plan.list, HrTaskRef, i);
-      HrJob *job = hr_job_of_task (core, ref);
-      double over = starts[i] + hr_estimate_run_time (core, job, left) -
-                    (job->plan.deadline - core->wall_time + core->now);
-      if (over > worst && job->spec.shape != HR_GANG && !is_tabu (tabu, ref)) {
-        worst = over;
-        pick = ref;
-      }
-    }
-    if (pick.job == HR_NONE) {
-      avail[hi] = FALSE;
-      memset (cand, 0xff, n * sizeof *cand);
-      continue;
-    }
-    HrJob *job = hr_job_of_task (core, pick);
-    for (guint i = 0; i < n; i++) {
-      HrMachine *machine = lists->pdata[i];
-      if (i != hi && cand[i] && hr_job_allows_machine (core, job, machine) &&
-          hr_job_allows_zone (core, job, machine) &&
-          (lo == HR_NONE ||
-           machine->plan.tardiness < ((HrMachine *)lists->pdata[lo])->plan.tardiness ||
-           (machine->plan.tardiness == ((HrMachine *)lists->pdata[lo])->plan.tardiness &&
-            machine->plan.ready_at < ((HrMachine *)lists->pdata[lo])->plan.ready_at)))
-        lo = i;
-    }
-    if (lo == HR_NONE) {
-      if (tabu->len >= core->policy.tabu_jobs && tabu->len)
-        g_array_remove_index (tabu, 0); /* oldest out first */
-      g_array_append_val (tabu, pick);
-      memset (cand, 0xff, n * sizeof *cand);
-      continue;
-    }
-    HrMachine *right = lists->pdata[lo];
-    HrListScore before = {left->plan.late_count + right->plan.late_count,
-                          left->plan.tardiness + right->plan.tardiness};
-    hr_list_remove (left, pick);
-    hr_list_insert (core, right, pick);
-    hr_project_list (core, left, NULL);
-    hr_project_list (core, right, NULL);
-    HrListScore after = {left->plan.late_count + right->plan.late_count,
-                         left->plan.tardiness + right->plan.tardiness};
-    if (hr_list_score_better (after, before)) {
-      total += after.tardiness - before.tardiness;
-      memset (avail, 0xff, n * sizeof *avail);
-      memset (cand, 0xff, n * sizeof *cand);
-    } else {
-      hr_list_remove (right, pick);
-      hr_list_insert (core, left, pick);
-      hr_project_list (core, left, NULL);
-      hr_project_list (core, right, NULL);
-      cand[lo] = FALSE;
-    }
-  }
 }
