--- a/src/coordination/agents/heartbeats.c
+++ b/src/coordination/agents/heartbeats.c
@@ -7,6 +7,7 @@
 #include "coordination/jobs/task_lifecycle.h"
 #include "coordination/leadership/leadership.h"
 #include "coordination/scaling/fleet.h"
+#include "coordination/scaling/machine_types.h"
 #include "coordination/scheduling/estimates.h"
 #include "coordination/state.h"
 #include "protocol/http_method.h"
--- a/src/coordination/jobs/failover.c
+++ b/src/coordination/jobs/failover.c
@@ -5,6 +5,7 @@
 #include "coordination/agents/termination_proof.h"
 #include "coordination/jobs/task_lifecycle.h"
 #include "coordination/scaling/fleet.h"
+#include "coordination/scaling/machine_types.h"
 #include "coordination/state.h"
 
 /* More than any task is tried in one leader's time. */
--- a/src/coordination/scaling/demand.c
+++ b/src/coordination/scaling/demand.c
@@ -1,6 +1,6 @@
 /* The demand for instances that a dispatch pass sums up. */
 #include "coordination/scaling/demand.h"
-#include "coordination/scaling/instance_requests.h"
+#include "coordination/scaling/capacity_refusals.h"
 #include "coordination/scheduling/resources.h"
 #include <math.h>
 
--- a/src/coordination/scaling/headroom.c
+++ b/src/coordination/scaling/headroom.c
@@ -2,7 +2,7 @@
 #include "coordination/scaling/headroom.h"
 #include "coordination/jobs/arrivals.h"
 #include "coordination/scaling/capacity_search.h"
-#include "coordination/scaling/fleet.h"
+#include "coordination/scaling/machine_types.h"
 #include <math.h>
 
 /* For how many boots' arrivals a class gets headroom; 0: for none. */
--- a/src/coordination/scaling/instance_requests.c
+++ b/src/coordination/scaling/instance_requests.c
@@ -1,116 +1,118 @@
-/* Renting machines: each request under a name of its own, repeated until it has a clear answer. */
+/* Requests for instances at the cloud. */
 #include "coordination/scaling/instance_requests.h"
 #include "bookkeeping/replica.h"
 #include "coordination/effects.h"
+#include "coordination/scaling/capacity_refusals.h"
 #include "coordination/scaling/fleet.h"
-#include "coordination/state.h"
+#include "coordination/scaling/machine_types.h"
 #include "protocol/http_method.h"
 #include "protocol/json_util.h"
-#include <string.h>
 
-/* Where the cloud had no capacity it is asked again after so many seconds. */
-#define CAPACITY_REFUSAL_S 8.0
-
-gboolean
-hr_capacity_is_refused (const HrCore *core, guint32 type, guint32 zone, gboolean spot)
-{
-  const HrMachineType *machine_type = hr_machine_type_find (core, type);
-  if (zone == HR_NONE) {
-    for (guint i = 0; machine_type && i < machine_type->zones->len; i++)
-      if (!hr_capacity_is_refused (core, type, g_array_index (machine_type->zones, guint32, i),
-                                   spot))
-        return FALSE;
-    return TRUE;
-  }
-  for (guint i = 0; i < core->scaling.capacity_refusals->len; i++) {
-    const HrCapacityRefusal *refusal =
-        &g_array_index (core->scaling.capacity_refusals, HrCapacityRefusal, i);
-    if (refusal->type == type && refusal->zone == zone && refusal->is_spot == spot &&
-        core->now < refusal->until)
-      return TRUE;
-  }
-  return FALSE;
-}
-
-static void
-note_capacity_refusal (HrCore *core, guint32 type, guint32 zone, gboolean spot)
-{
-  HrCapacityRefusal *refusal = NULL;
-  for (guint i = 0; i < core->scaling.capacity_refusals->len && !refusal; i++) {
-    HrCapacityRefusal *other =
-        &g_array_index (core->scaling.capacity_refusals, HrCapacityRefusal, i);
-    if (other->type == type && other->zone == zone && other->is_spot == spot)
-      refusal = other;
-  }
-  if (!refusal) {
-    g_array_set_size (core->scaling.capacity_refusals, core->scaling.capacity_refusals->len + 1);
-    refusal = &g_array_index (core->scaling.capacity_refusals, HrCapacityRefusal,
-                              core->scaling.capacity_refusals->len - 1);
-  }
-  *refusal = (HrCapacityRefusal){type, zone, spot, core->now + CAPACITY_REFUSAL_S};
-}
+#define MAX_INSTANCES_PER_REQUEST 50
+/* For an answer, s. */
+#define CALL_TIMEOUT_S 6
+/* Requests without a clear answer are repeated after a time drawn from between these, s. Not at
+ * once: a cloud in trouble answers in no time, and the calls would use up those of the next
+ * minutes.
+ */
+#define MIN_RETRY_PAUSE_S 0.5
+#define MAX_RETRY_PAUSE_S 1.5
 
 typedef struct {
-  double term_began_at;
+  double term_began_at; /* of the term in which it was made */
   char *name;
   guint32 type, zone;
   gboolean is_spot;
   guint count;
-} Rental;
+} InstanceRequest;
 
-static void send_instance_request (HrCore *core, Rental *request);
+/* What the cloud's answer means. */
+typedef enum {
+  ANSWER_GRANTED,     /* all of it, or as many as there are */
+  ANSWER_NO_CAPACITY, /* none */
+  ANSWER_MALFORMED,   /* the request will never be granted */
+  ANSWER_UNCLEAR,     /* no answer, trouble or too many calls: it may have been carried out */
+} RequestAnswer;
 
 static void
-instance_request_free (HrCore *core, Rental *request)
+instance_request_free (HrCore *core, InstanceRequest *request)
 {
   core->scaling.instances_requested -= request->count;
   g_free (request->name);
   g_free (request);
 }
 
+static RequestAnswer
+classify_answer (int status, json_t *body)
+{
+  if (status == 200)
+    return ANSWER_GRANTED;
+  if (status == 503 && g_strcmp0 (hr_json_str (body, "error"), "no capacity") == 0)
+    return ANSWER_NO_CAPACITY;
+  return status == 400 ? ANSWER_MALFORMED : ANSWER_UNCLEAR;
+}
+
+/* An instance that the cloud granted joins the fleet, unless it has reported before the answer
+ * came. */
+static void
+add_instance (HrCore *core, const InstanceRequest *request, const char *name, double sent)
+{
+  HrMachine *machine = name ? hr_machine_get (&core->store.tables, name) : NULL;
+  if (!machine || machine->state != HR_MACHINE_GONE || machine->instance.is_deleted)
+    return;
+  hr_machine_describe (machine, hr_machine_type_find (core, request->type), request->zone,
+                       request->is_spot);
+  machine->state = HR_MACHINE_BOOTING;
+  machine->instance.requested_here = TRUE;
+  machine->instance.requested_at = sent;
+  hr_fleet_add (core, machine);
+}
+
+static void
+take_granted (HrCore *core, const InstanceRequest *request, json_t *body, double sent)
+{
+  json_t *list = json_object_get (body, "rockhands"), *entry;
+  size_t i;
+  json_array_foreach (list, i, entry) add_instance (core, request, json_string_value (entry), sent);
+  g_info ("the cloud gave %zu of %u instances: %s%s in %s", json_array_size (list), request->count,
+          request->is_spot ? "spot " : "", hr_intern_name (&core->names->types, request->type),
+          hr_intern_name (&core->names->zones, request->zone));
+  if (json_array_size (list) < request->count)
+    hr_capacity_note_refusal (core, request->type, request->zone, request->is_spot);
+  core->scheduling.plan_is_stale = TRUE;
+}
+
+static void
+take_refusal (HrCore *core, const InstanceRequest *request)
+{
+  g_info ("no capacity for %s%s in %s", request->is_spot ? "spot " : "",
+          hr_intern_name (&core->names->types, request->type),
+          hr_intern_name (&core->names->zones, request->zone));
+  hr_capacity_note_refusal (core, request->type, request->zone, request->is_spot);
+  core->scheduling.plan_is_stale = TRUE;
+}
+
 static void
-on_instances_answer (HrCore *core, int status, json_t *body, double sent, gpointer data)
+on_answer (HrCore *core, int status, json_t *body, double sent, gpointer data)
 {
-  Rental *request = data;
+  InstanceRequest *request = data;
   if (!core->leadership.is_leader || request->term_began_at != core->leadership.term_began_at) {
-    instance_request_free (core, request); /* what it rented shows up in the list */
+    instance_request_free (core, request); /* what it brought shows up in the list */
     return;
   }
-  if (status == 200) {
-    json_t *list = json_object_get (body, "rockhands"), *entry;
-    size_t i;
-    json_array_foreach (list, i, entry)
-    {
-      const char *name = json_string_value (entry);
-      HrMachine *machine = name ? hr_machine_get (&core->store.tables, name) : NULL;
-      if (!machine || machine->state != HR_MACHINE_GONE || machine->instance.is_deleted)
-        continue; /* it may have reported before this answer came */
-      hr_machine_describe (machine, hr_machine_type_find (core, request->type), request->zone,
-                           request->is_spot);
-      machine->state = HR_MACHINE_BOOTING;
-      machine->instance.requested_here = TRUE;
-      machine->instance.requested_at = sent;
-      hr_fleet_add (core, machine);
-    }
-    g_info ("the cloud gave %zu of %u instances: %s%s in %s", json_array_size (list),
-            request->count, request->is_spot ? "spot " : "",
-            hr_intern_name (&core->names->types, request->type),
-            hr_intern_name (&core->names->zones, request->zone));
-    if (json_array_size (list) < request->count)
-      note_capacity_refusal (core, request->type, request->zone, request->is_spot);
-    core->scheduling.plan_is_stale = TRUE;
-  } else if (status == 503 && g_strcmp0 (hr_json_str (body, "error"), "no capacity") == 0) {
-    g_info ("no capacity for %s%s in %s", request->is_spot ? "spot " : "",
-            hr_intern_name (&core->names->types, request->type),
-            hr_intern_name (&core->names->zones, request->zone));
-    note_capacity_refusal (core, request->type, request->zone, request->is_spot);
-    core->scheduling.plan_is_stale = TRUE;
-  } else if (status == 400)
+  switch (classify_answer (status, body)) {
+  case ANSWER_GRANTED:
+    take_granted (core, request, body, sent);
+    break;
+  case ANSWER_NO_CAPACITY:
+    take_refusal (core, request);
+    break;
+  case ANSWER_MALFORMED:
     g_warning ("the cloud calls an instance request malformed");
-  else {
-    /* No answer, trouble or too many calls: the same name again, which rents once. Not at once: a
-     * cloud in trouble answers in no time, and the calls would use up those of the next minutes. */
-    core->scaling.paused_until = core->now + g_rand_double_range (core->random, 0.5, 1.5);
+    break;
+  case ANSWER_UNCLEAR:
+    core->scaling.paused_until =
+        core->now + g_rand_double_range (core->random, MIN_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S);
     g_queue_push_tail (&core->scaling.requests_to_retry, request);
     return;
   }
@@ -119,34 +121,41 @@
 
 /* One call of the cloud's allowance was taken for it. */
 static void
-send_instance_request (HrCore *core, Rental *request)
+send_request (HrCore *core, InstanceRequest *request)
 {
-  hr_core_call (
-      core, HR_TO_CLOUD, NULL, HR_POST, g_strdup ("/rentals"),
-      hr_json_take_text (json_pack ("{sssssssbsi}", "ask", request->name, "hull",
-                                    hr_intern_name (&core->names->types, request->type), "quarry",
-                                    hr_intern_name (&core->names->zones, request->zone), "loaners",
-                                    request->is_spot, "count", (int)request->count)),
-      6, on_instances_answer, request);
+  json_t *body = json_pack ("{sssssssbsi}", "ask", request->name, "hull",
+                            hr_intern_name (&core->names->types, request->type), "quarry",
+                            hr_intern_name (&core->names->zones, request->zone), "loaners",
+                            request->is_spot, "count", (int)request->count);
+  hr_core_call (core, HR_TO_CLOUD, NULL, HR_POST, g_strdup ("/rentals"), hr_json_take_text (body),
+                CALL_TIMEOUT_S, on_answer, request);
 }
 
-/* The zone with capacity that holds the fewest of our machines, those asked for in this
- * round (by zone) included. The controllers' own zone takes twice its share: behind a cut
- * of it, its workers still hear the leader (hr_leadership_may_answer). */
+/* The machines of the type that the zone holds. */
+static guint
+count_machines (const HrCore *core, guint32 type, guint32 zone)
+{
+  guint n = 0;
+  for (guint k = 0; k < core->scaling.fleet->len; k++) {
+    const HrMachine *machine = core->scaling.fleet->pdata[k];
+    n += machine->type == type && machine->zone == zone;
+  }
+  return n;
+}
+
+/* The zone with capacity that holds the fewest of our machines; HR_NONE: all refused. requested: by
+ * zone, in this round; they count too. The controllers' own zone takes twice its share: behind a
+ * cut of it, its workers still hear the leader (hr_leadership_may_answer). */
 static guint32
-best_zone (HrCore *core, const HrMachineType *type, gboolean spot, const guint *asked)
+choose_zone (const HrCore *core, const HrMachineType *type, gboolean spot, const guint *requested)
 {
   guint32 best = HR_NONE;
   guint least = G_MAXUINT;
   for (guint i = 0; i < type->zones->len; i++) {
     guint32 zone = g_array_index (type->zones, guint32, i);
-    guint n = asked[zone];
     if (hr_capacity_is_refused (core, type->type, zone, spot))
       continue;
-    for (guint k = 0; k < core->scaling.fleet->len; k++) {
-      HrMachine *machine = core->scaling.fleet->pdata[k];
-      n += machine->type == type->type && machine->zone == zone;
-    }
+    guint n = requested[zone] + count_machines (core, type->type, zone);
     if (zone == core->settings->home)
       n /= 2;
     if (n < least) {
@@ -157,19 +166,18 @@
   return best;
 }
 
-/* Rentals without a clear answer, once their pause is over. */
 void
 hr_instance_requests_retry (HrCore *core)
 {
-  while (!g_queue_is_empty (&core->scaling.requests_to_retry) &&
-         core->now >= core->scaling.paused_until) {
-    Rental *request = g_queue_peek_head (&core->scaling.requests_to_retry);
-    if (request->term_began_at == core->leadership.term_began_at &&
-        !hr_token_bucket_take (&core->scaling.allowance, core->now, 1, 0))
+  GQueue *to_retry = &core->scaling.requests_to_retry;
+  while (!g_queue_is_empty (to_retry) && core->now >= core->scaling.paused_until) {
+    InstanceRequest *request = g_queue_peek_head (to_retry);
+    gboolean is_of_this_term = request->term_began_at == core->leadership.term_began_at;
+    if (is_of_this_term && !hr_token_bucket_take (&core->scaling.allowance, core->now, 1, 0))
       return;
-    g_queue_pop_head (&core->scaling.requests_to_retry);
-    if (request->term_began_at == core->leadership.term_began_at)
-      send_instance_request (core, request);
+    g_queue_pop_head (to_retry);
+    if (is_of_this_term)
+      send_request (core, request);
     else
       instance_request_free (core, request);
   }
@@ -178,50 +186,75 @@
 void
 hr_instance_requests_clear (HrCore *core)
 {
-  Rental *request;
+  InstanceRequest *request;
   while ((request = g_queue_pop_head (&core->scaling.requests_to_retry)))
     instance_request_free (core, request);
 }
 
+/* What an earlier leader requested shows in the list: it is read before anything is requested. The
+ * very first leader has nothing to look for. */
+static gboolean
+knows_earlier_requests (const HrCore *core)
+{
+  return core->leadership.term_token == 1 ||
+         (core->scaling.list_is_complete &&
+          core->now - core->leadership.term_began_at > core->settings->list_lag_s);
+}
+
+/* How many instances of the demand are requested at most in one zone: where any zone will do they
+ * are spread, as a zone may be short, or fall away. */
+static guint
+most_per_request (const HrDemand *demand, const HrMachineType *type)
+{
+  guint n_zones = type->zones->len;
+  if (demand->zone != HR_NONE || n_zones <= 1)
+    return MAX_INSTANCES_PER_REQUEST;
+  guint share = MAX (1, (demand->count + n_zones - 1) / n_zones);
+  return MIN (share, MAX_INSTANCES_PER_REQUEST);
+}
+
+static void
+request_instances (HrCore *core, const HrDemand *demand, guint32 zone, guint count)
+{
+  InstanceRequest *request = g_new0 (InstanceRequest, 1);
+  request->term_began_at = core->leadership.term_began_at;
+  request->name = g_strdup_printf ("%s.%s.%" G_GUINT64_FORMAT, core->settings->label,
+                                   core->incarnation, ++core->scaling.last_request);
+  request->type = demand->type;
+  request->zone = zone;
+  request->is_spot = demand->is_spot;
+  request->count = count;
+  core->scaling.instances_requested += count;
+  send_request (core, request);
+}
+
+/* Requests the instances of one demand, while the allowance lasts and a zone has capacity.
+ * requested: by zone, in this round. */
+static void
+request_demand (HrCore *core, const HrDemand *demand, guint *requested)
+{
+  const HrMachineType *type = hr_machine_type_find (core, demand->type);
+  guint left = demand->count, most = type ? most_per_request (demand, type) : 0;
+  while (type && left && hr_token_bucket_take (&core->scaling.allowance, core->now, 1, 0)) {
+    guint32 zone = demand->zone == HR_NONE ? choose_zone (core, type, demand->is_spot, requested)
+                                           : demand->zone;
+    if (zone == HR_NONE || hr_capacity_is_refused (core, demand->type, zone, demand->is_spot))
+      return;
+    guint count = MIN (left, most);
+    requested[zone] += count;
+    left -= count;
+    request_instances (core, demand, zone, count);
+  }
+}
+
 void
 hr_instance_requests_send (HrCore *core)
 {
-  /* What an earlier leader rented shows in the list: look before renting. The
-   * very first leader has nothing to look for. */
-  gboolean looked = core->leadership.term_token == 1 ||
-                    (core->scaling.list_is_complete &&
-                     core->now - core->leadership.term_began_at > core->settings->list_lag_s);
-  if (!looked || core->scaling.instances_requested || core->now < core->scaling.paused_until ||
-      !hr_replica_is_served (&core->store))
+  if (!knows_earlier_requests (core) || core->scaling.instances_requested ||
+      core->now < core->scaling.paused_until || !hr_replica_is_served (&core->store))
     return;
-  g_autofree guint *asked = g_new0 (guint, core->names->zones.names->len + 1);
-  for (guint i = 0; i < core->scaling.demand->len; i++) {
-    HrDemand *demand = &g_array_index (core->scaling.demand, HrDemand, i);
-    const HrMachineType *type = hr_machine_type_find (core, demand->type);
-    guint share = type ? MAX (1, (demand->count + type->zones->len - 1) / type->zones->len) : 0;
-    while (type && demand->count &&
-           hr_token_bucket_take (&core->scaling.allowance, core->now, 1, 0)) {
-      guint32 zone =
-          demand->zone == HR_NONE ? best_zone (core, type, demand->is_spot, asked) : demand->zone;
-      if (zone == HR_NONE || hr_capacity_is_refused (core, demand->type, zone, demand->is_spot))
-        break;
-      /* Spread over the zones: a zone may be short, or fall away. */
-      guint n = MIN (demand->count, 50);
-      if (demand->zone == HR_NONE && type->zones->len > 1)
-        n = MIN (n, share);
-      asked[zone] += n;
-      Rental *request = g_new0 (Rental, 1);
-      request->term_began_at = core->leadership.term_began_at;
-      request->name = g_strdup_printf ("%s.%s.%" G_GUINT64_FORMAT, core->settings->label,
-                                       core->incarnation, ++core->scaling.last_request);
-      request->type = demand->type;
-      request->zone = zone;
-      request->is_spot = demand->is_spot;
-      request->count = n;
-      core->scaling.instances_requested += n;
-      demand->count -= n;
-      send_instance_request (core, request);
-    }
-  }
+  g_autofree guint *requested = g_new0 (guint, core->names->zones.names->len + 1);
+  for (guint i = 0; i < core->scaling.demand->len; i++)
+    request_demand (core, &g_array_index (core->scaling.demand, HrDemand, i), requested);
   g_array_set_size (core->scaling.demand, 0);
 }
--- a/src/coordination/scaling/next_steps.c
+++ b/src/coordination/scaling/next_steps.c
@@ -1,7 +1,7 @@
 /* Scale out ahead of the next steps of pipelines. */
 #include "coordination/scaling/next_steps.h"
 #include "coordination/scaling/capacity_search.h"
-#include "coordination/scaling/fleet.h"
+#include "coordination/scaling/machine_types.h"
 #include "coordination/scaling/headroom.h"
 #include "coordination/scheduling/estimates.h"
 #include "coordination/scheduling/guarantees.h"
--- a/src/coordination/scaling/scale_out.c
+++ b/src/coordination/scaling/scale_out.c
@@ -1,7 +1,7 @@
 /* Scale out: demanding instances for what waits and has no capacity. */
 #include "coordination/scaling/scale_out.h"
-#include "coordination/scaling/fleet.h"
-#include "coordination/scaling/instance_requests.h"
+#include "coordination/scaling/machine_types.h"
+#include "coordination/scaling/capacity_refusals.h"
 #include "coordination/scheduling/estimates.h"
 #include "coordination/scheduling/guarantees.h"
 #include "coordination/scheduling/lookups.h"
--- a/src/coordination/scheduling/estimates.c
+++ b/src/coordination/scheduling/estimates.c
@@ -1,7 +1,7 @@
 /* How long tasks take. */
 #include "coordination/scheduling/estimates.h"
 #include "coordination/jobs/arrivals.h"
-#include "coordination/scaling/fleet.h"
+#include "coordination/scaling/machine_types.h"
 #include "coordination/scheduling/lookups.h"
 #include <math.h>
 
--- a/src/coordination/scheduling/mtedf_gang.c
+++ b/src/coordination/scheduling/mtedf_gang.c
@@ -1,5 +1,5 @@
 /* MT-EDF for gangs: one slot in each chosen list, with a common start. */
-#include "coordination/scaling/fleet.h"
+#include "coordination/scaling/machine_types.h"
 #include "coordination/scheduling/estimates.h"
 #include "coordination/scheduling/mtedf.h"
 #include "coordination/scheduling/placement.h"
--- a/src/coordination/scheduling/placement.c
+++ b/src/coordination/scheduling/placement.c
@@ -1,6 +1,6 @@
 /* On which machines a job's tasks may be placed at all. */
 #include "coordination/scheduling/placement.h"
-#include "coordination/scaling/fleet.h"
+#include "coordination/scaling/machine_types.h"
 #include "coordination/scheduling/lookups.h"
 #include "coordination/scheduling/resources.h"
 
--- a/src/coordination/scheduling/projection.c
+++ b/src/coordination/scheduling/projection.c
@@ -1,6 +1,6 @@
 /* The projection of a machine's list. */
 #include "coordination/scheduling/projection.h"
-#include "coordination/scaling/fleet.h"
+#include "coordination/scaling/machine_types.h"
 #include "coordination/scheduling/estimates.h"
 #include "coordination/scheduling/lookups.h"
 #include "coordination/scheduling/resources.h"
--- a/src/coordination/scheduling/service_replicas.c
+++ b/src/coordination/scheduling/service_replicas.c
@@ -1,7 +1,7 @@
 /* Where the replicas of services start. */
 #include "coordination/scheduling/service_replicas.h"
 #include "coordination/jobs/arrivals.h"
-#include "coordination/scaling/fleet.h"
+#include "coordination/scaling/machine_types.h"
 #include "coordination/scaling/headroom.h"
 #include "coordination/scheduling/estimates.h"
 #include "coordination/scheduling/free_capacity.h"
--- a/src/coordination/store_events.c
+++ b/src/coordination/store_events.c
@@ -6,7 +6,7 @@
 #include "coordination/leadership/leadership.h"
 #include "coordination/membership/cancellation_log.h"
 #include "coordination/membership/membership.h"
-#include "coordination/scaling/fleet.h"
+#include "coordination/scaling/machine_types.h"
 #include "coordination/state.h"
 
 static gboolean
