--- a/src/coordination/scaling/capacity_refusals.h
+++ b/src/coordination/scaling/capacity_refusals.h
@@ -1,4 +1,4 @@
-/* Where the cloud had no capacity lately, so that it is not asked again at once.
+/* Where the cloud had no capacity lately, so that it gets no such request again at once.
  */
 #pragma once
 #include "coordination/state.h"
--- a/src/coordination/scaling/headroom.h
+++ b/src/coordination/scaling/headroom.h
@@ -1,7 +1,7 @@
 /* Headroom: capacity for tasks that are expected and could not wait for a boot.
  *
- * It is kept per class of jobs, as many tasks as should arrive during a boot, by the kind of the
- * class's objectives, and within what the limits of its teams leave (scheduling/quotas.c).
+ * It is set per class of jobs: as many tasks as should arrive during a boot, by the kind of the
+ * class's objectives, within what the limits of its teams leave (scheduling/quotas.c).
  */
 #pragma once
 #include "coordination/scaling/demand.h"
@@ -11,7 +11,7 @@
 /**
  * hr_headroom:
  *
- * Returns: the tasks of the class that capacity is kept for in this pass.
+ * Returns: for how many tasks of the class there is headroom in this pass.
  */
 guint hr_headroom (HrCore *core, guint32 job_class);
 
--- a/src/coordination/scaling/instance_list.c
+++ b/src/coordination/scaling/instance_list.c
@@ -30,7 +30,7 @@
   hr_core_call (core, HR_TO_CLOUD, NULL, HR_GET, path, NULL, CALL_TIMEOUT_S, on_page, NULL);
 }
 
-/* The cloud says that the instance failed: it is deleted. */
+/* The instance has failed, by the cloud's list: it is deleted. */
 static void
 delete_failed (HrCore *core, HrMachine *machine)
 {
--- a/src/coordination/scaling/instance_requests.c
+++ b/src/coordination/scaling/instance_requests.c
@@ -123,6 +123,7 @@
 static void
 send_request (HrCore *core, InstanceRequest *request)
 {
+  /* The cloud's names: request, machine type, zone, spot. */
   json_t *body = json_pack ("{sssssssbsi}", "ask", request->name, "hull",
                             hr_intern_name (&core->names->types, request->type), "quarry",
                             hr_intern_name (&core->names->zones, request->zone), "loaners",
--- a/src/coordination/scaling/machine_types.c
+++ b/src/coordination/scaling/machine_types.c
@@ -4,8 +4,8 @@
 #include "coordination/effects.h"
 #include "protocol/http_method.h"
 
-/* The types are asked for so often, s; after a failed call so long after it, while some types are
- * known and while none is. */
+/* The types are read so often, s; after a failed call so long after it, while some types are known
+ * and while none is. */
 #define REFRESH_S 30
 #define RETRY_S 5
 #define RETRY_UNKNOWN_S 1
--- a/src/coordination/scaling/next_steps.c
+++ b/src/coordination/scaling/next_steps.c
@@ -21,7 +21,7 @@
     return INFINITY;
   for (guint32 i = 0; i < job->n_tasks && isfinite (end); i++) {
     const HrTask *task = &job->tasks[i];
-    if (task->state != HR_TASK_BOUND && task->state != HR_TASK_ASSIGNING)
+    if (!hr_task_is_placed (task))
       continue;
     const HrMachine *machine = hr_machine_by_index (core, task->placement.machine);
     end = MAX (end, hr_estimate_running_end (core, job, task, machine));
--- a/src/coordination/scaling/scale_out.c
+++ b/src/coordination/scaling/scale_out.c
@@ -8,6 +8,7 @@
 #include "coordination/scheduling/placement.h"
 #include "coordination/scheduling/quotas.h"
 #include "coordination/scheduling/resources.h"
+#include "coordination/scheduling/start_check.h"
 #include "coordination/scheduling/task_lists.h"
 
 /* Tasks of one job that instances are demanded for in a pass. */
@@ -43,8 +44,8 @@
   return FALSE;
 }
 
-/* Is the whole fleet too small for the gang, while the cloud gives no more? Machines rented for it
- * would stand idle, be returned, and be rented again, for ever: it pauses. */
+/* Is the whole fleet too small for the gang, while the cloud gives no more? Instances granted for
+ * it would stand idle, be returned, and be requested again, for ever: it pauses. */
 static gboolean
 exceeds_any_fleet (HrCore *core, HrJob *job)
 {
@@ -137,9 +138,8 @@
 tasks_without_list (HrCore *core, HrJob *job)
 {
   gint left = (gint)job->n_tasks - (gint)(job->run.n_live + job->n_done + job->plan.n_listed);
-  if (job->state != HR_JOB_QUEUED || job->spec.shape == HR_SERVICE || job->run.attempt_ending ||
-      left <= 0 || job->run.retry_at > core->now || !hr_team_allows_start (core, job, 1) ||
-      exceeds_any_fleet (core, job))
+  if (left <= 0 || job->spec.shape == HR_SERVICE || !hr_job_is_waiting (core, job) ||
+      !hr_team_allows_start (core, job, 1) || exceeds_any_fleet (core, job))
     return 0;
   guint granted = hr_quotas_granted (core, job);
   if (granted < G_MAXINT)
--- a/src/coordination/scaling/scaling_state.h
+++ b/src/coordination/scaling/scaling_state.h
@@ -5,7 +5,7 @@
 #include "bookkeeping/tables.h"
 #include "bookkeeping/token_bucket.h"
 
-/* The cloud had no capacity for such instances, and is not asked for them again until then. */
+/* The cloud had no capacity for such instances, and gets no request for them until then. */
 typedef struct {
   guint32 type, zone;
   gboolean is_spot;
--- a/src/coordination/scheduling/dispatch.c
+++ b/src/coordination/scheduling/dispatch.c
@@ -228,7 +228,7 @@
 }
 
 /* While nothing can be recorded nothing can start, so nothing is preempted and no machine is idle
- * for want of work. */
+ * because there is no work. */
 static gboolean
 may_dispatch (HrCore *core)
 {
--- a/src/coordination/scheduling/estimates.h
+++ b/src/coordination/scheduling/estimates.h
@@ -33,6 +33,6 @@
 /**
  * hr_estimate_fetch_time:
  *
- * Returns: how long the image fetch keeps a task of the job from its work on the machine.
+ * Returns: how long a task of the job waits on the machine for its image.
  */
 double hr_estimate_fetch_time (const HrCore *core, const HrJob *job, const HrMachine *machine);
--- a/src/coordination/scheduling/free_capacity.h
+++ b/src/coordination/scheduling/free_capacity.h
@@ -8,9 +8,6 @@
 #pragma once
 #include "coordination/state.h"
 
-/* From a decision to a running task: a write, an order and a heartbeat. */
-#define PREEMPTION_S 2.0
-
 /* The free capacity of one machine. */
 typedef struct {
   HrMachine *machine;
--- a/src/coordination/scheduling/guarantees.c
+++ b/src/coordination/scheduling/guarantees.c
@@ -4,6 +4,7 @@
 #include "coordination/scheduling/lookups.h"
 #include "coordination/scheduling/preemption.h"
 #include "coordination/scheduling/quotas.h"
+#include "coordination/scheduling/start_check.h"
 
 /* What a job within its team's guarantee may keep others waiting for, s: by then what was
  * preempted for it is gone, or no machine is to be had. The pause that follows doubles; it is long
@@ -95,9 +96,8 @@
 static gboolean
 preempts_others (const HrCore *core, const HrJob *job)
 {
-  return job->quota.reclaims_guarantee && job->state == HR_JOB_QUEUED &&
-         job->spec.shape != HR_SERVICE && !job->run.attempt_ending &&
-         core->now >= job->run.retry_at;
+  return job->quota.reclaims_guarantee && job->spec.shape != HR_SERVICE &&
+         hr_job_is_waiting (core, job);
 }
 
 /* One machine after the other is freed, also for a gang, which starts once it has all of them. */
--- a/src/coordination/scheduling/lookups.h
+++ b/src/coordination/scheduling/lookups.h
@@ -1,4 +1,4 @@
-/* Rows of the job and machine tables by index, as scheduling and scaling look them up all the time.
+/* Look-ups in the job and machine tables, as scheduling and scaling need them all the time.
  * Inline, as planning passes call them for every task. The rows belong to the tables.
  */
 #pragma once
@@ -19,7 +19,7 @@
  * hr_open_job:
  * @i: less than the length of the list of open jobs
  *
- * Returns: (transfer none): the job at this place of the list of open jobs.
+ * Returns: (transfer none): the job at this index of the list of open jobs.
  */
 static inline HrJob *
 hr_open_job (const HrCore *core, guint i)
@@ -27,6 +27,17 @@
   return core->store.tables.jobs->pdata[g_array_index (core->store.tables.open_jobs, guint32, i)];
 }
 
+/**
+ * hr_task_is_placed:
+ *
+ * Returns: whether the task is assigned to a machine, recorded there already or not.
+ */
+static inline gboolean
+hr_task_is_placed (const HrTask *task)
+{
+  return task->state == HR_TASK_ASSIGNING || task->state == HR_TASK_BOUND;
+}
+
 /**
  * hr_machine_by_index:
  *
--- a/src/coordination/scheduling/mtedf.h
+++ b/src/coordination/scheduling/mtedf.h
@@ -18,7 +18,7 @@
 
 /**
  * hr_mtedf_task:
- * @order: (element-type HrMachine): as from hr_mtedf_order() for this job; kept in order
+ * @order: (element-type HrMachine): from hr_mtedf_order() for this job; stays in order
  * @tries: how many lists are tried at most
  *
  * Puts one task of the job, which is no gang, into the list where it adds the fewest late tasks,
--- a/src/coordination/scheduling/placement.c
+++ b/src/coordination/scheduling/placement.c
@@ -49,7 +49,7 @@
   guint here = 0;
   for (guint32 i = 0; i < job->n_tasks; i++) {
     const HrTask *task = &job->tasks[i];
-    if (task->state != HR_TASK_ASSIGNING && task->state != HR_TASK_BOUND)
+    if (!hr_task_is_placed (task))
       continue;
     guint32 zone = hr_machine_by_index (core, task->placement.machine)->zone;
     if (zone == HR_NONE)
--- a/src/coordination/scheduling/planner.c
+++ b/src/coordination/scheduling/planner.c
@@ -9,6 +9,7 @@
 #include "coordination/scheduling/quotas.h"
 #include "coordination/scheduling/service_reservations.h"
 #include "coordination/scheduling/shards.h"
+#include "coordination/scheduling/start_check.h"
 #include "coordination/scheduling/tabu.h"
 #include "coordination/scheduling/task_lists.h"
 
@@ -67,12 +68,12 @@
   return MIN (MAX_LISTED_TASKS, hr_quotas_granted (core, job));
 }
 
+/* Services stand in no list. */
 static gboolean
 needs_lists (HrCore *core, const HrJob *job)
 {
-  return job->state == HR_JOB_QUEUED && job->spec.shape != HR_SERVICE && !job->run.attempt_ending &&
-         job->run.retry_at <= core->now && hr_team_allows_start (core, job, 1) &&
-         job->run.n_live + job->n_done < job->n_tasks;
+  return hr_job_is_waiting (core, job) && job->spec.shape != HR_SERVICE &&
+         hr_team_allows_start (core, job, 1);
 }
 
 /* A job without a shard, or whose shard is gone, gets one. */
--- a/src/coordination/scheduling/preemption.h
+++ b/src/coordination/scheduling/preemption.h
@@ -1,13 +1,16 @@
 /* Preemption: which running tasks may be stopped for a waiting one, and stopping them.
  *
  * Nothing is stopped unless what is stopped makes enough capacity free. A stop is an order to the
- * agent, so the capacity is free some seconds later (%PREEMPTION_S); the order goes out before a
+ * agent, so the capacity is free some seconds later (%HR_PREEMPTION_S); the order goes out before a
  * launch to the same machine does.
  */
 #pragma once
 #include "coordination/scheduling/free_capacity.h"
 #include "coordination/state.h"
 
+/* From the decision to preempt to a running task, s: a write, an order and a heartbeat. */
+#define HR_PREEMPTION_S 2.0
+
 /* Whose tasks are considered. */
 typedef enum {
   /* Work of lower priority, and of other teams beyond their guarantee for a job within its own. */
@@ -22,7 +25,7 @@
  * hr_may_preempt:
  * @victim: a job with a task on a machine
  *
- * The one place that decides whom a job may preempt.
+ * Decides whom a job may preempt; no other module does.
  *
  * Returns: whether this task of @victim may be stopped for @job. One that is being stopped already
  * may not: its capacity is counted as free.
--- a/src/coordination/scheduling/projection.c
+++ b/src/coordination/scheduling/projection.c
@@ -23,7 +23,7 @@
   GArray *busy; /* BusyTask: those that end first in front */
 } Projection;
 
-/* The array is kept, so that a projection allocates nothing. */
+/* The same array each time, so that a projection allocates nothing. */
 static GArray *
 empty_busy_array (void)
 {
--- a/src/coordination/scheduling/projection.h
+++ b/src/coordination/scheduling/projection.h
@@ -13,7 +13,7 @@
 
 /**
  * hr_project_list:
- * @starts: (nullable): filled with the projected starts; room for the whole list
+ * @starts: (nullable): filled with the projected starts; as long as the list at least
  *
  * Projects the machine's list and sets the late count, the tardiness and the ready time of its
  * plan. The machine's type has to be known.
@@ -23,14 +23,15 @@
 /**
  * hr_projection_scratch:
  *
- * Returns: (transfer none): room for @n starts, until the next call. The core runs on one thread.
+ * Returns: (transfer none): an array for @n starts, valid until the next call. The core runs on one
+ * thread.
  */
 double *hr_projection_scratch (guint n);
 
 /**
  * hr_start_is_never:
  *
- * Returns: whether a projected start says that the task doesn't fit for good.
+ * Returns: whether a projected start says that the task does not ever fit.
  */
 static inline gboolean
 hr_start_is_never (const HrCore *core, double start)
--- a/src/coordination/scheduling/quota_preemption.c
+++ b/src/coordination/scheduling/quota_preemption.c
@@ -43,7 +43,7 @@
 }
 
 /* The machines with such work, those first where least is lost: preempted machine by machine, it
- * leaves enough free in one place for a large task. total: what all of it uses. */
+ * leaves enough free on one machine for a large task. total: what all of it uses. */
 static GArray *
 find_preemptible (HrCore *core, const HrJob *job, HrQuota *total)
 {
--- a/src/coordination/scheduling/quota_reservation.c
+++ b/src/coordination/scheduling/quota_reservation.c
@@ -2,7 +2,7 @@
 #include "coordination/scheduling/quota_reservation.h"
 #include "coordination/agents/termination_proof.h"
 #include "coordination/scheduling/estimates.h"
-#include "coordination/scheduling/free_capacity.h"
+#include "coordination/scheduling/preemption.h"
 #include "coordination/scheduling/lookups.h"
 #include "coordination/scheduling/placement.h"
 #include "coordination/scheduling/quotas.h"
@@ -30,7 +30,7 @@
   if (!is_stopping)
     return hr_estimate_running_end (core, job, task, machine);
   if (hr_machine_is_reachable (core, machine))
-    return core->now + (task->stop_grace_s + PREEMPTION_S);
+    return core->now + (task->stop_grace_s + HR_PREEMPTION_S);
   return core->now + hr_lease_duration_s (core);
 }
 
@@ -39,7 +39,7 @@
 {
   for (guint32 k = 0; k < job->n_tasks && job->run.n_live; k++) {
     const HrTask *task = &job->tasks[k];
-    if (task->state != HR_TASK_ASSIGNING && task->state != HR_TASK_BOUND)
+    if (!hr_task_is_placed (task))
       continue;
     Release release = {release_at (core, job, task), hr_quota_of (&job->spec, 1)};
     g_array_append_val (releases, release);
--- a/src/coordination/scheduling/quotas.c
+++ b/src/coordination/scheduling/quotas.c
@@ -7,10 +7,11 @@
 #include "coordination/scheduling/lookups.h"
 #include "coordination/scheduling/quota.h"
 #include "coordination/scheduling/quota_reservation.h"
+#include "coordination/scheduling/start_check.h"
 
-/* A job keeps its grant for so long without a start, s: with places in lists (a boot, mostly),
- * and where no machine of the fleet has one. Then its share is lent, for a pause that doubles
- * and is long enough for a boot: meanwhile nothing is reserved or stopped for the job. */
+/* A grant lasts for so long without a start, s: where tasks of the job stand in lists (they wait
+ * for a boot, mostly), and where none does. Then its share is lent, for a pause that doubles and is
+ * long enough for a boot: meanwhile nothing is reserved or stopped for the job. */
 #define GRANT_HOLD_S 75.0
 #define GRANT_HOLD_UNPLANNED_S 30.0
 #define LENDING_PAUSE_S 90.0
@@ -33,13 +34,6 @@
   return MAX (whole, 1); /* what waits has a task to start; callers divide by this */
 }
 
-static gboolean
-is_waiting (const HrCore *core, const HrJob *job)
-{
-  return job->state == HR_JOB_QUEUED && job->tasks && !job->run.attempt_ending &&
-         hr_job_idle_tasks (job) && core->now >= job->run.retry_at;
-}
-
 /* A gang that lost a task occupies the machines of the others meanwhile, so it goes first. */
 static int
 by_grant (gconstpointer left, gconstpointer right)
@@ -174,7 +168,7 @@
     job->quota.granted = 0;
     if (!hr_team_usage (core, job->spec.team)->is_limited)
       continue;
-    if (is_waiting (core, job))
+    if (hr_job_is_waiting (core, job))
       g_ptr_array_add (waiting, job);
     else
       job->quota.granted_since = job->quota.kept_out_since = 0;
--- a/src/coordination/scheduling/scheduling_state.h
+++ b/src/coordination/scheduling/scheduling_state.h
@@ -1,4 +1,4 @@
-/* What the scheduler keeps from one planning pass to the next (scheduling/). Steady time, s.
+/* The scheduler's state, which outlives a planning pass (scheduling/). Steady time, s.
  */
 #pragma once
 #include "coordination/scheduling/quota.h"
--- a/src/coordination/scheduling/service_replicas.c
+++ b/src/coordination/scheduling/service_replicas.c
@@ -4,7 +4,6 @@
 #include "coordination/scaling/machine_types.h"
 #include "coordination/scaling/headroom.h"
 #include "coordination/scheduling/estimates.h"
-#include "coordination/scheduling/free_capacity.h"
 #include "coordination/scheduling/guarantees.h"
 #include "coordination/scheduling/preemption.h"
 #include "coordination/scheduling/resources.h"
@@ -28,7 +27,7 @@
     const HrObjective *objective = &g_array_index (core->settings->objectives, HrObjective, i);
     if (objective->job_class == job->spec.job_class &&
         (objective->kind == HR_OBJECTIVE_WAIT || objective->kind == HR_OBJECTIVE_UP) &&
-        objective->within_s > waited + PREEMPTION_S)
+        objective->within_s > waited + HR_PREEMPTION_S)
       left = MIN (left, objective->within_s - waited);
   }
   return left;
@@ -65,7 +64,7 @@
     if (objective->job_class == job->spec.job_class && objective->kind == HR_OBJECTIVE_WAIT)
       within = MIN (within, objective->within_s);
   }
-  return shortest_fetch (core, job) + PREEMPTION_S <= within;
+  return shortest_fetch (core, job) + HR_PREEMPTION_S <= within;
 }
 
 /* The machines with the job's image on which one more replica would fit. */
@@ -91,7 +90,7 @@
   const HrClassStats *stats = hr_class_stats (core, job->spec.job_class);
   double weight = 0, own = 0;
   if (fetch_is_in_time (core, job))
-    return FALSE; /* cheaper than slots kept open */
+    return FALSE; /* cheaper than keeping slots free */
   for (guint i = 0; i < stats->n_images; i++) {
     weight += stats->images[i].weight;
     if (stats->images[i].image == job->spec.image)
@@ -142,7 +141,7 @@
 {
   double left = time_to_objective (core, job);
   return isfinite (left) && core->now >= job->run.retry_at &&
-         (!machine || hr_estimate_fetch_time (core, job, machine) + PREEMPTION_S > left);
+         (!machine || hr_estimate_fetch_time (core, job, machine) + HR_PREEMPTION_S > left);
 }
 
 /* The machine for the job's next replica; NULL: there is none. Batch tasks may be preempted there.
--- a/src/coordination/scheduling/start_check.c
+++ b/src/coordination/scheduling/start_check.c
@@ -1,9 +1,16 @@
-/* May a task start now, and on this machine? */
+/* Whether a task may start now, and on this machine. */
 #include "coordination/scheduling/start_check.h"
 #include "coordination/scheduling/guarantees.h"
 #include "coordination/scheduling/placement.h"
 #include "coordination/scheduling/resources.h"
 
+gboolean
+hr_job_is_waiting (const HrCore *core, const HrJob *job)
+{
+  return job->state == HR_JOB_QUEUED && job->tasks && !job->run.attempt_ending &&
+         job->run.n_live + job->n_done < job->n_tasks && core->now >= job->run.retry_at;
+}
+
 HrStartVerdict
 hr_start_check_job (HrCore *core, const HrJob *job, guint n)
 {
--- a/src/coordination/scheduling/start_check.h
+++ b/src/coordination/scheduling/start_check.h
@@ -1,4 +1,4 @@
-/* May a task start now, and on this machine? The one place that decides it.
+/* Whether a task may start now, and on this machine. No other module decides it.
  *
  * The verdict has two halves, as a pass asks the first once for each job and the second for many
  * machines. A start needs HR_START_OK of both.
@@ -17,6 +17,14 @@
   HR_START_RESERVED,    /* all else is right, but what is free is reserved for services */
 } HrStartVerdict;
 
+/**
+ * hr_job_is_waiting:
+ *
+ * Returns: whether the job has tasks to start, as far as the job itself goes: it is not done or
+ * cancelled, none of its attempts is ending, and it is in no pause after a failure.
+ */
+gboolean hr_job_is_waiting (const HrCore *core, const HrJob *job);
+
 /**
  * hr_start_check_job:
  * @n: tasks that would start at once
--- a/src/coordination/scheduling/starts.c
+++ b/src/coordination/scheduling/starts.c
@@ -2,7 +2,6 @@
 #include "coordination/scheduling/starts.h"
 #include "coordination/jobs/task_lifecycle.h"
 #include "coordination/scheduling/estimates.h"
-#include "coordination/scheduling/guarantees.h"
 #include "coordination/scheduling/lookups.h"
 #include "coordination/scheduling/quotas.h"
 #include "coordination/scheduling/start_check.h"
--- a/src/coordination/scheduling/starts.h
+++ b/src/coordination/scheduling/starts.h
@@ -1,8 +1,8 @@
 /* Starting tasks: the step from the plan to an assignment.
  *
- * Callers ask start_check.h first. A start takes the task out of the plan and its capacity off the
- * machine at once; the assignment is then recorded, and only after that is the task launched
- * (jobs/task_lifecycle.h).
+ * Callers check with start_check.h first. A start takes the task out of the plan and its capacity
+ * off the machine at once; the assignment is then recorded, and only after that is the task
+ * launched (jobs/task_lifecycle.h).
  */
 #pragma once
 #include "coordination/state.h"
--- a/src/coordination/scheduling/starvation_guard.c
+++ b/src/coordination/scheduling/starvation_guard.c
@@ -14,9 +14,8 @@
 static gboolean
 is_waiting (HrCore *core, const HrJob *job)
 {
-  return job->state == HR_JOB_QUEUED && job->tasks && job->spec.shape == HR_BATCH &&
-         job->run.n_live + job->n_done < job->n_tasks &&
-         hr_start_check_job (core, job, 1) == HR_START_OK;
+  return job->spec.shape == HR_BATCH && hr_job_is_waiting (core, job) &&
+         hr_team_allows_start (core, job, 1);
 }
 
 /* Is there free capacity for a task, reserved or not? */
