--- a/src/coordination/agents/heartbeats.c
+++ b/src/coordination/agents/heartbeats.c
@@ -6,6 +6,8 @@
 #include "coordination/agents/termination_proof.h"
 #include "coordination/effects.h"
 #include "coordination/scaling/fleet.h"
+#include "coordination/scaling/machine_types.h"
+#include "coordination/scheduling/estimates.h"
 #include "coordination/state.h"
 #include "protocol/http_method.h"
 #include "protocol/worker.h"
--- a/src/coordination/agents/preemption_notice.c
+++ b/src/coordination/agents/preemption_notice.c
@@ -1,6 +1,7 @@
 #include "coordination/agents/preemption_notice.h"
 #include "coordination/jobs/gang_scheduling.h"
 #include "coordination/jobs/task_lifecycle.h"
+#include "coordination/scheduling/estimates.h"
 #include "coordination/scheduling/projection.h"
 #include "coordination/state.h"
 
--- a/src/coordination/agents/renewal_checks.c
+++ b/src/coordination/agents/renewal_checks.c
@@ -3,6 +3,7 @@
 #include "coordination/agents/termination_proof.h"
 #include "coordination/leadership/leadership.h"
 #include "coordination/scaling/fleet.h"
+#include "coordination/scaling/machine_types.h"
 #include "coordination/state.h"
 
 static const char *const verdict_names[] = {
--- a/src/coordination/jobs/failover.c
+++ b/src/coordination/jobs/failover.c
@@ -5,6 +5,8 @@
 #include "coordination/jobs/gang_scheduling.h"
 #include "coordination/jobs/task_lifecycle.h"
 #include "coordination/scaling/fleet.h"
+#include "coordination/scaling/machine_types.h"
+#include "coordination/state.h"
 
 /* More than any task is tried in one leader's term. */
 #define ATTEMPTS_PER_TERM 1000
--- a/src/coordination/jobs/priority_inheritance.c
+++ b/src/coordination/jobs/priority_inheritance.c
@@ -1,5 +1,7 @@
 #include "coordination/jobs/priority_inheritance.h"
 #include "coordination/scheduling/projection.h"
+#include "coordination/scheduling/task_lists.h"
+#include "coordination/state.h"
 #include <math.h>
 
 /* Shorter estimates are taken for so long when a job has no deadline of its own. */
--- a/src/coordination/jobs/task_lifecycle.c
+++ b/src/coordination/jobs/task_lifecycle.c
@@ -3,7 +3,8 @@
 #include "coordination/jobs/class_stats.h"
 #include "coordination/jobs/gang_scheduling.h"
 #include "coordination/jobs/task_failures.h"
-#include "coordination/scheduling/projection.h"
+#include "coordination/scheduling/estimates.h"
+#include "coordination/state.h"
 
 static HrMachine *
 machine_of (HrCore *core, const HrTask *task)
