--- a/src/bookkeeping/garbage_collection.c
+++ b/src/bookkeeping/garbage_collection.c
@@ -7,6 +7,7 @@
 #include "bookkeeping/tables.h"
 #include "bookkeeping/transactions.h"
 #include "protocol/json_util.h"
+#include "protocol/store_api.h"
 
 #define PAGES_PER_TRANSACTION 4 /* of the changes that a transaction may hold */
 
@@ -75,7 +76,7 @@
     const HrObsoletePage *obsolete = &g_array_index (batch, HrObsoletePage, i);
     const HrJob *job = store->tables.jobs->pdata[obsolete->job];
     g_autofree char *key = hr_record_page_key_of (job, obsolete->tasks_per_page, obsolete->page);
-    json_array_append_new (writes, json_pack ("{ss}", "delete", key));
+    json_array_append_new (writes, hr_store_delete (key));
   }
   store->garbage.deletion_in_flight = TRUE;
   hr_transaction_submit (
--- a/src/bookkeeping/record_split.c
+++ b/src/bookkeeping/record_split.c
@@ -16,6 +16,7 @@
 #include "bookkeeping/tables.h"
 #include "bookkeeping/transactions.h"
 #include "protocol/json_util.h"
+#include "protocol/store_api.h"
 #include <string.h>
 
 #define SPLIT_TIMEOUT_S 2.0
@@ -205,7 +206,7 @@
     split_free (split);
     return;
   }
-  if (status == 200 && hr_json_count (body, "epoch", G_MAXINT64, &store_revision)) {
+  if (status == 200 && hr_store_read_revision (body, &store_revision)) {
     gboolean known =
         job->record.sized_page_keys && job->record.tasks_per_page == split->tasks_per_page;
     for (guint i = split->first_page; i < split->end_page && !known; i++)
--- a/src/bookkeeping/record_writer.c
+++ b/src/bookkeeping/record_writer.c
@@ -12,6 +12,7 @@
 #include "bookkeeping/transactions.h"
 #include "protocol/http_method.h"
 #include "protocol/json_util.h"
+#include "protocol/store_api.h"
 #include <string.h>
 
 #define WRITE_TIMEOUT_S 2.0
@@ -193,9 +194,9 @@
     return;
   }
   if (page) {
-    const json_t *value = json_object_get (body, "value");
+    const json_t *value = hr_store_read_value (body);
     const char *tag = hr_json_str (value, "w");
-    hr_json_count (body, "stamp", G_MAXINT64, &revision);
+    hr_store_read_key_revision (body, &revision);
     if (tag && g_str_equal (tag, write->tag))
       hr_record_writer_confirmed (store, job, page, revision);
     else {
@@ -217,7 +218,7 @@
   HrJob *job = store->tables.jobs->pdata[write->job];
   gboolean main = !job->record.tasks_per_page || job->record.pages[write->page].write_is_final;
   g_autofree char *key = main ? hr_job_record_key (job) : hr_record_page_key (job, write->page);
-  store->events->call (store->core, HR_GET, g_strconcat ("/kv/", key, NULL), NULL, WRITE_TIMEOUT_S,
+  store->events->call (store->core, HR_GET, hr_store_key_path (key), NULL, WRITE_TIMEOUT_S,
                        on_record_reread, write);
 }
 
@@ -241,7 +242,7 @@
     write_free (write);
     return;
   }
-  if (status == 200 && hr_json_count (body, "epoch", G_MAXINT64, &store_revision)) {
+  if (status == 200 && hr_store_read_revision (body, &store_revision)) {
     hr_record_writer_confirmed (store, store->tables.jobs->pdata[write->job], page, store_revision);
     write_free (write);
   } else if (status == 409) {
--- a/src/bookkeeping/replica.c
+++ b/src/bookkeeping/replica.c
@@ -8,10 +8,13 @@
 #include "bookkeeping/tables.h"
 #include "protocol/http_method.h"
 #include "protocol/json_util.h"
+#include "protocol/store_api.h"
 #include <string.h>
 
 #define PREFIX "h/"
 #define READ_TIMEOUT_S 2.0
+/* How long the store may wait for a change before it answers a watch. */
+#define WATCH_MS 10000
 /* Readings come every second; after a longer gap this node was not served. */
 #define UNSERVED_S 4.0
 /* Who asks waits so long while the service only says that it is busy. */
@@ -44,24 +47,23 @@
 apply_changes (HrStore *store, const json_t *body)
 {
   guint64 store_revision;
-  json_t *log = json_object_get (body, "log"), *entry;
+  const json_t *changes = hr_store_changes (body);
+  json_t *entry;
   size_t i;
-  if (!hr_json_count (body, "epoch", G_MAXINT64, &store_revision))
+  if (!hr_store_read_revision (body, &store_revision))
     return FALSE;
   guint64 from = store->replica.applied_revision;
-  json_array_foreach (log, i, entry)
+  json_array_foreach (changes, i, entry)
   {
-    const char *settings = hr_json_str (entry, "set"), *del = hr_json_str (entry, "delete");
-    guint64 revision;
-    if ((!settings && !del) || !hr_json_count (entry, "stamp", G_MAXINT64, &revision)) {
+    HrStoreChange change;
+    if (!hr_store_read_change (entry, &change)) {
       g_info ("a change that makes no sense was dropped");
       continue;
     }
-    if (revision <= from)
+    if (change.revision <= from)
       continue; /* the watch and a reading overlap: each change counts once */
-    hr_replica_apply_change (store, settings ? settings : del,
-                             settings ? json_object_get (entry, "value") : NULL, revision);
-    store_revision = MAX (store_revision, revision);
+    hr_replica_apply_change (store, change.key, change.value, change.revision);
+    store_revision = MAX (store_revision, change.revision);
   }
   store->replica.applied_revision = MAX (store->replica.applied_revision, store_revision);
   store->events->changes_applied (store->core);
@@ -73,10 +75,7 @@
 static void
 request_list_page (HrStore *store)
 {
-  char *path = store->replica.list_cursor
-                   ? g_strdup_printf ("/kv?starts=" PREFIX "&after=%s&limit=1000",
-                                      store->replica.list_cursor)
-                   : g_strdup ("/kv?starts=" PREFIX "&limit=1000");
+  char *path = hr_store_list_path (PREFIX, store->replica.list_cursor);
   store->events->call (store->core, HR_GET, path, NULL, 5, on_list_page,
                        GUINT_TO_POINTER (store->replica.generation));
 }
@@ -85,10 +84,9 @@
 on_list_page (HrStore *store, int status, json_t *body, double sent, gpointer data)
 {
   guint64 store_revision;
-  gboolean more = FALSE;
   if (GPOINTER_TO_UINT (data) != store->replica.generation)
     return;
-  if (status != 200 || !hr_json_count (body, "epoch", G_MAXINT64, &store_revision)) {
+  if (status != 200 || !hr_store_read_revision (body, &store_revision)) {
     note_store_answer (store, FALSE);
     store->replica.state = HR_REPLICA_UNREAD;
     store->replica.list_retry_at = store->now + g_rand_double_range (store->random, 0.2, 0.6);
@@ -98,20 +96,19 @@
   if (!store->replica.list_cursor)
     store->replica.listed_revision =
         store_revision; /* changes after the first page's epoch are read again, in order */
-  json_t *rows = json_object_get (body, "rows"), *entry;
+  const json_t *rows = hr_store_list_rows (body);
+  json_t *entry;
   size_t i;
   json_array_foreach (rows, i, entry)
   {
-    const char *path = hr_json_str (entry, "path");
-    guint64 revision;
-    if (!path || !hr_json_count (entry, "stamp", G_MAXINT64, &revision))
+    HrStoreChange row;
+    if (!hr_store_read_row (entry, &row))
       continue;
-    hr_replica_apply_change (store, path, json_object_get (entry, "value"), revision);
+    hr_replica_apply_change (store, row.key, row.value, row.revision);
     g_free (store->replica.list_cursor);
-    store->replica.list_cursor = g_strdup (path);
+    store->replica.list_cursor = g_strdup (row.key);
   }
-  hr_json_bool (body, "more", &more);
-  if (more && json_array_size (rows)) {
+  if (hr_store_list_has_more (body) && json_array_size (rows)) {
     request_list_page (store);
     return;
   }
@@ -250,17 +247,13 @@
     store->replica.read_in_flight = TRUE;
     store->replica.read_sent_at = store->now;
     store->events->call (
-        store->core, HR_GET,
-        g_strdup_printf ("/changes?starts=" PREFIX "&after=%" G_GUINT64_FORMAT "&hold_ms=0",
-                         store->replica.applied_revision),
+        store->core, HR_GET, hr_store_changes_path (PREFIX, store->replica.applied_revision, 0),
         NULL, READ_TIMEOUT_S, on_read_answer, GUINT_TO_POINTER (store->replica.generation));
   }
   if (!store->replica.watch_in_flight && store->now >= store->replica.next_watch_at) {
     store->replica.watch_in_flight = TRUE;
     store->events->call (store->core, HR_GET,
-                         g_strdup_printf ("/changes?starts=" PREFIX "&after=%" G_GUINT64_FORMAT
-                                          "&hold_ms=10000",
-                                          store->replica.applied_revision),
+                         hr_store_changes_path (PREFIX, store->replica.applied_revision, WATCH_MS),
                          NULL, 14, on_watch_answer, GUINT_TO_POINTER (store->replica.generation));
   }
 }
--- a/src/bookkeeping/transactions.c
+++ b/src/bookkeeping/transactions.c
@@ -6,6 +6,7 @@
 #include "bookkeeping/token_bucket.h"
 #include "protocol/http_method.h"
 #include "protocol/json_util.h"
+#include "protocol/store_api.h"
 
 #define MAX_TRANSACTIONS_IN_FLIGHT 8
 
@@ -32,7 +33,7 @@
 json_t *
 hr_transaction_require (json_t *when, const char *path, guint64 revision)
 {
-  json_array_append_new (when, json_pack ("{sssI}", "path", path, "stamp", (json_int_t)revision));
+  json_array_append_new (when, hr_store_condition (path, revision));
   return when;
 }
 
@@ -40,10 +41,7 @@
 hr_transaction_put (json_t *writes, const char *path, char *value_text, guint64 lease_id)
 {
   json_t *value = json_loads (value_text, JSON_DECODE_ANY, NULL);
-  json_t *object = json_pack ("{ssso}", "set", path, "value", value);
-  if (lease_id)
-    json_object_set_new (object, "claim", json_integer (lease_id));
-  json_array_append_new (writes, object);
+  json_array_append_new (writes, hr_store_put (path, value, lease_id));
   g_free (value_text);
   return writes;
 }
@@ -99,9 +97,8 @@
         break;
       g_queue_pop_head (&store->transactions.queues[k]);
       store->transactions.in_flight++;
-      json_t *object =
-          json_pack ("{sOsO}", "when", transaction->conditions, "writes", transaction->writes);
-      store->events->call (store->core, HR_POST, g_strdup ("/commit"), hr_json_take_text (object),
+      store->events->call (store->core, HR_POST, g_strdup (HR_STORE_COMMIT_PATH),
+                           hr_store_commit_text (transaction->conditions, transaction->writes),
                            transaction->timeout_s, on_commit, transaction);
     }
 }
--- a/src/coordination/agents/direct_orders.c
+++ b/src/coordination/agents/direct_orders.c
@@ -77,7 +77,7 @@
   g_debug ("direct: machine=%s incarnation=%u token=%" G_GUINT64_FORMAT " stops=%u launches=%u",
            machine->name, machine->agent.incarnation, core->leadership.fencing_token,
            hr_orders_count (orders, "kill"), hr_orders_count (orders, "launch"));
-  hr_core_call (core, HR_TO_WORKER, machine->address, HR_POST, g_strdup ("/do"),
+  hr_core_call (core, HR_TO_WORKER, machine->address, HR_POST, g_strdup (HR_WORKER_ORDERS_PATH),
                 hr_orders_text (core->leadership.fencing_token, machine->agent.incarnation, orders),
                 DIRECT_TIMEOUT_S, on_direct_answer, call);
 }
--- a/src/coordination/agents/heartbeats.c
+++ b/src/coordination/agents/heartbeats.c
@@ -210,8 +210,7 @@
   if (core->leadership.is_leader || !known)
     hr_core_refuse (core, command->id, 503, 0, "this node may not act for the controllers now");
   else
-    hr_core_reply (core, command->id, 421,
-                   json_pack ("{ss}", "foreman", core->leadership.leader_label), 0);
+    hr_core_reply (core, command->id, 421, hr_redirect_answer (core->leadership.leader_label), 0);
 }
 
 static void
--- a/src/coordination/agents/lease_renewal.c
+++ b/src/coordination/agents/lease_renewal.c
@@ -159,8 +159,6 @@
   core->metrics.counters.reports_overtaken += kind == HR_HEARTBEAT_OVERTAKEN;
   core->metrics.counters.reports_before_token += kind == HR_HEARTBEAT_BEFORE_TOKEN;
   log_answer (core, machine, heartbeat, kind, orders);
-  hr_core_reply (
-      core, command->id, 200,
-      json_pack ("{sIso}", "baton", (json_int_t)core->leadership.fencing_token, "orders", orders),
-      0);
+  hr_core_reply (core, command->id, 200,
+                 hr_heartbeat_answer (core->leadership.fencing_token, orders), 0);
 }
--- a/src/coordination/jobs/submissions.c
+++ b/src/coordination/jobs/submissions.c
@@ -10,6 +10,7 @@
 #include "coordination/jobs/user_requests.h"
 #include "coordination/state.h"
 #include "protocol/json_util.h"
+#include "protocol/store_api.h"
 #include <string.h>
 
 /* A job that was accepted stays so whatever its repeated submission says, and a repetition is
@@ -67,7 +68,7 @@
   HrCore *core = store->core;
   HrUserRequest *request = data;
   guint64 store_revision;
-  if (status == 200 && hr_json_count (body, "epoch", G_MAXINT64, &store_revision)) {
+  if (status == 200 && hr_store_read_revision (body, &store_revision)) {
     HrJob *job = hr_job_get (&core->store.tables, request->id);
     if (!job->is_known) {
       job->is_known = TRUE;
--- a/src/coordination/jobs/user_requests.c
+++ b/src/coordination/jobs/user_requests.c
@@ -14,6 +14,8 @@
 #include "coordination/state.h"
 #include "protocol/http_method.h"
 #include "protocol/json_util.h"
+#include "protocol/messages.h"
+#include "protocol/store_api.h"
 #include <string.h>
 
 #define MAX_ATTEMPTS 6
@@ -28,7 +30,9 @@
 /* Who asks waits 5 s. After so long no further try is made for him. */
 #define GIVE_UP_S 2.5
 
-static const char *const state_names[] = {"queued", "done", "withdrawn"};
+/* What users are told, by HrJobState. */
+static const HrJobStatusState status_states[] = {HR_JOB_STATUS_QUEUED, HR_JOB_STATUS_DONE,
+                                                 HR_JOB_STATUS_CANCELLED};
 
 void
 hr_request_free (HrUserRequest *request)
@@ -91,13 +95,11 @@
                (core->leadership.is_leader ? job->tasks[i].state == HR_TASK_BOUND &&
                                                  job->tasks[i].reported_state == HR_REPORTED_RUNNING
                                            : job->tasks[i].recorded.machine != HR_NONE);
-  const char *state_name =
-      job->state == HR_JOB_QUEUED && running ? "running" : state_names[job->state];
+  HrJobStatusState state =
+      job->state == HR_JOB_QUEUED && running ? HR_JOB_STATUS_RUNNING : status_states[job->state];
   g_autofree char *why = status_reason (core, job);
   hr_core_reply (core, request->reply_id, status,
-                 json_pack ("{sssssisiss}", "name_id", request->id, "stance", state_name, "done",
-                            (int)done, "running", (int)running, "reason", why),
-                 0);
+                 hr_job_status_body (request->id, state, done, running, why), 0);
   hr_request_free (request);
 }
 
@@ -178,7 +180,7 @@
   HrUserRequest *request = data;
   HrJob *job = hr_job_find (&core->store.tables, request->id);
   guint64 store_revision;
-  if (status == 200 && job && hr_json_count (body, "epoch", G_MAXINT64, &store_revision)) {
+  if (status == 200 && job && hr_store_read_revision (body, &store_revision)) {
     hr_cancellation_log_append (core, job, store_revision);
     if (job->state == HR_JOB_QUEUED && store_revision > job->record.revision) {
       job->state = HR_JOB_CANCELLED;
@@ -260,13 +262,11 @@
     return;
   }
   g_autofree char *id = g_strdup (text + strlen (HR_JOBS_PATH "/"));
-  gboolean abort = g_str_has_suffix (id, "/abort");
-  if (abort)
-    id[strlen (id) - strlen ("/abort")] = 0;
-  if (strchr (id, '/') || command->request.method != (abort ? HR_POST : HR_GET)) {
+  gboolean is_cancel = hr_cancel_path_strip (id);
+  if (strchr (id, '/') || command->request.method != (is_cancel ? HR_POST : HR_GET)) {
     hr_core_refuse (core, command->id, strchr (id, '/') ? 404 : 405, 0,
                     strchr (id, '/') ? "no such path"
-                    : abort          ? "use POST"
+                    : is_cancel      ? "use POST"
                                      : "use GET");
     return;
   }
@@ -276,7 +276,7 @@
   }
   HrUserRequest *request = g_new0 (HrUserRequest, 1);
   request->reply_id = command->id;
-  request->kind = abort ? HR_REQUEST_CANCEL : HR_REQUEST_POLL;
+  request->kind = is_cancel ? HR_REQUEST_CANCEL : HR_REQUEST_POLL;
   request->id = g_steal_pointer (&id);
   request->asked = core->wall_time;
   if (!hr_request_answer_final (core, request))
--- a/src/coordination/leadership/leadership.c
+++ b/src/coordination/leadership/leadership.c
@@ -12,6 +12,7 @@
 #include "coordination/state.h"
 #include "protocol/http_method.h"
 #include "protocol/json_util.h"
+#include "protocol/store_api.h"
 #include <string.h>
 
 #define MAX_ELECTION_JITTER_S 0.4
@@ -156,7 +157,7 @@
 {
   core->leadership.lock_lease_requested_at = 0;
   guint64 lease_id;
-  if (status == 200 && hr_json_count (body, "claim", G_MAXINT64, &lease_id) && lease_id) {
+  if (status == 200 && hr_store_read_lease_id (body, &lease_id)) {
     core->leadership.lock_lease_id = lease_id;
     core->leadership.lock_lease_renewed_at = sent;
   } else
@@ -205,9 +206,9 @@
   if (!core->leadership.lock_lease_id) {
     if (!core->leadership.lock_lease_requested_at) {
       core->leadership.lock_lease_requested_at = core->now;
-      hr_core_call (core, HR_TO_STORE, NULL, HR_POST, g_strdup ("/leases"),
-                    g_strdup_printf ("{\"life_ms\":%d}", (int)(core->policy.leader_lease_s * 1000)),
-                    2, on_lock_lease_granted, NULL);
+      hr_core_call (core, HR_TO_STORE, NULL, HR_POST, g_strdup (HR_STORE_LEASES_PATH),
+                    hr_store_lease_text ((int)(core->policy.leader_lease_s * 1000)), 2,
+                    on_lock_lease_granted, NULL);
     }
     return;
   }
@@ -282,8 +283,8 @@
   core->leadership.resigned_token = core->leadership.fencing_token;
   if (core->leadership.lock_lease_id)
     hr_core_call (core, HR_TO_STORE, NULL, HR_DELETE,
-                  g_strdup_printf ("/leases/%" G_GUINT64_FORMAT, core->leadership.lock_lease_id),
-                  NULL, 2, on_lock_lease_renewed, NULL);
+                  hr_store_lease_path (core->leadership.lock_lease_id), NULL, 2,
+                  on_lock_lease_renewed, NULL);
   core->leadership.lock_lease_id = 0;
 }
 
@@ -338,10 +339,9 @@
       core->now - core->leadership.lock_lease_renewal_sent_at > core->policy.leader_lease_s / 4) {
     core->leadership.lock_lease_renewal_in_flight = TRUE;
     core->leadership.lock_lease_renewal_sent_at = core->now;
-    hr_core_call (
-        core, HR_TO_STORE, NULL, HR_POST,
-        g_strdup_printf ("/leases/%" G_GUINT64_FORMAT "/touch", core->leadership.lock_lease_id),
-        NULL, core->policy.leader_lease_s / 4, on_lock_lease_renewed, NULL);
+    hr_core_call (core, HR_TO_STORE, NULL, HR_POST,
+                  hr_store_lease_renewal_path (core->leadership.lock_lease_id), NULL,
+                  core->policy.leader_lease_s / 4, on_lock_lease_renewed, NULL);
   }
   if (core->store.replica.state == HR_REPLICA_FOLLOWING) {
     consider_election (core);
--- a/src/coordination/scaling/fleet.c
+++ b/src/coordination/scaling/fleet.c
@@ -9,6 +9,7 @@
 #include "coordination/scaling/instance_requests.h"
 #include "coordination/scheduling/projection.h"
 #include "coordination/state.h"
+#include "protocol/cloud.h"
 #include "protocol/http_method.h"
 #include "protocol/json_util.h"
 #include <string.h>
@@ -151,9 +152,8 @@
     return;
   }
   core->scaling.deletions_in_flight++;
-  hr_core_call (core, HR_TO_CLOUD, NULL, HR_POST, g_strdup ("/rentals/delete"),
-                hr_json_take_text (json_pack ("{so}", "rockhands", names)), 5, on_deleted,
-                deletion);
+  hr_core_call (core, HR_TO_CLOUD, NULL, HR_POST, g_strdup (HR_CLOUD_DELETION_PATH),
+                hr_instance_deletion_text (names), 5, on_deleted, deletion);
 }
 
 static void
@@ -177,7 +177,7 @@
       (core->now - core->scaling.types_requested_at > 30 || !core->scaling.types_requested_at)) {
     core->scaling.types_in_flight = TRUE;
     core->scaling.types_requested_at = core->now;
-    hr_core_call (core, HR_TO_CLOUD, NULL, HR_GET, g_strdup ("/machine_types"), NULL, 5,
+    hr_core_call (core, HR_TO_CLOUD, NULL, HR_GET, g_strdup (HR_CLOUD_MACHINE_TYPES_PATH), NULL, 5,
                   on_machine_types, NULL);
   }
   if (!core->leadership.is_leader || !hr_leadership_may_answer (core))
--- a/src/coordination/scaling/instance_list.c
+++ b/src/coordination/scaling/instance_list.c
@@ -4,6 +4,7 @@
 #include "coordination/effects.h"
 #include "coordination/scaling/fleet.h"
 #include "coordination/state.h"
+#include "protocol/cloud.h"
 #include "protocol/http_method.h"
 #include "protocol/json_util.h"
 
@@ -13,9 +14,7 @@
 ask_list (HrCore *core)
 {
   core->scaling.list_in_flight = TRUE;
-  char *path = core->scaling.list_cursor
-                   ? g_strdup_printf ("/rentals?after=%s&limit=500", core->scaling.list_cursor)
-                   : g_strdup ("/rentals?limit=500");
+  char *path = hr_instance_list_path (core->scaling.list_cursor);
   hr_core_call (core, HR_TO_CLOUD, NULL, HR_GET, path, NULL, 5, on_list, NULL);
 }
 
@@ -62,14 +61,13 @@
                      g_free); /* the next term begins with a pass of its own */
     return;
   }
-  json_t *list = json_object_get (body, "rockhands"), *object;
-  if (status != 200 || !json_is_array (list)) {
+  const json_t *list = hr_instance_list_entries (body);
+  json_t *object;
+  if (status != 200 || !list) {
     g_clear_pointer (&core->scaling.list_cursor, g_free);
     return;
   }
-  gboolean more = FALSE;
   size_t i;
-  hr_json_bool (body, "more", &more);
   json_array_foreach (list, i, object)
   {
     HrListedInstance entry;
@@ -81,7 +79,7 @@
     g_free (core->scaling.list_cursor);
     core->scaling.list_cursor = g_strdup (entry.name);
   }
-  if (more && json_array_size (list)) {
+  if (hr_instance_list_has_more (body) && json_array_size (list)) {
     ask_list (core);
     return;
   }
--- a/src/coordination/scaling/instance_requests.c
+++ b/src/coordination/scaling/instance_requests.c
@@ -4,6 +4,7 @@
 #include "coordination/effects.h"
 #include "coordination/scaling/fleet.h"
 #include "coordination/state.h"
+#include "protocol/cloud.h"
 #include "protocol/http_method.h"
 #include "protocol/json_util.h"
 #include <string.h>
@@ -77,7 +78,8 @@
     return;
   }
   if (status == 200) {
-    json_t *list = json_object_get (body, "rockhands"), *entry;
+    const json_t *list = hr_instances_granted (body);
+    json_t *entry;
     size_t i;
     json_array_foreach (list, i, entry)
     {
@@ -99,7 +101,7 @@
     if (json_array_size (list) < request->count)
       note_capacity_refusal (core, request->type, request->zone, request->is_spot);
     core->scheduling.plan_is_stale = TRUE;
-  } else if (status == 503 && g_strcmp0 (hr_json_str (body, "error"), "no capacity") == 0) {
+  } else if (status == 503 && g_strcmp0 (hr_json_str (body, "error"), HR_CLOUD_NO_CAPACITY) == 0) {
     g_info ("no capacity for %s%s in %s", request->is_spot ? "spot " : "",
             hr_intern_name (&core->names->types, request->type),
             hr_intern_name (&core->names->zones, request->zone));
@@ -121,13 +123,11 @@
 static void
 send_instance_request (HrCore *core, Rental *request)
 {
-  hr_core_call (
-      core, HR_TO_CLOUD, NULL, HR_POST, g_strdup ("/rentals"),
-      hr_json_take_text (json_pack ("{sssssssbsi}", "ask", request->name, "hull",
-                                    hr_intern_name (&core->names->types, request->type), "quarry",
-                                    hr_intern_name (&core->names->zones, request->zone), "loaners",
-                                    request->is_spot, "count", (int)request->count)),
-      6, on_instances_answer, request);
+  HrInstanceRequest message = {request->name, hr_intern_name (&core->names->types, request->type),
+                               hr_intern_name (&core->names->zones, request->zone),
+                               request->is_spot, request->count};
+  hr_core_call (core, HR_TO_CLOUD, NULL, HR_POST, g_strdup (HR_CLOUD_INSTANCES_PATH),
+                hr_instance_request_text (&message), 6, on_instances_answer, request);
 }
 
 void
--- a/src/protocol/jobspec.c
+++ b/src/protocol/jobspec.c
@@ -1,9 +1,11 @@
 #include "protocol/jobspec.h"
 #include "protocol/json_util.h"
+#include "protocol/wire_names.h"
 #include <math.h>
 #include <string.h>
 
-static const char *const shapes[] = {"batch", "ensemble", "daemon"};
+static const char *const shapes[] = {HR_WIRE_SHAPE_BATCH, HR_WIRE_SHAPE_GANG,
+                                     HR_WIRE_SHAPE_SERVICE};
 static const char *const ranks[] = {"production", "urgent", "normal", "low"};
 
 void
@@ -111,51 +113,53 @@
     *reason = g_strdup ("the body is not a JSON object");
     return FALSE;
   }
-  *id = hr_json_str (object, "name_id");
+  *id = hr_json_str (object, HR_WIRE_ID);
   if (!hr_job_id_valid (*id))
-    return bad (reason, "name_id", "expected a job id such as job-000412");
-  int shape = find_name (shapes, 3, hr_json_str (object, "shape"));
+    return bad (reason, HR_WIRE_ID, "expected a job id such as job-000412");
+  int shape = find_name (shapes, 3, hr_json_str (object, HR_WIRE_SHAPE));
   if (shape < 0)
-    return bad (reason, "shape", "expected batch, ensemble or daemon");
-  int priority = find_name (ranks, 4, hr_json_str (object, "rank"));
+    return bad (reason, HR_WIRE_SHAPE,
+                "expected " HR_WIRE_SHAPE_BATCH ", " HR_WIRE_SHAPE_GANG
+                " or " HR_WIRE_SHAPE_SERVICE);
+  int priority = find_name (ranks, 4, hr_json_str (object, HR_WIRE_PRIORITY));
   if (priority < 0)
-    return bad (reason, "rank", "expected production, urgent, normal or low");
+    return bad (reason, HR_WIRE_PRIORITY, "expected production, urgent, normal or low");
   spec->shape = shape;
   spec->priority = priority;
   guint64 n;
-  if (!hr_json_count (object, "pieces", HR_MAX_TASKS, &n) || n == 0)
-    return bad (reason, "pieces", "expected an integer from 1 to 100000");
+  if (!hr_json_count (object, HR_WIRE_TASKS, HR_MAX_TASKS, &n) || n == 0)
+    return bad (reason, HR_WIRE_TASKS, "expected an integer from 1 to 100000");
   spec->tasks = n;
-  if (!amount (object, "vcpus", &spec->cpus, reason) ||
-      !amount (object, "accelerators", &spec->gpus, reason) ||
-      !amount (object, "memory_gb", &spec->memory_gb, reason) ||
-      !amount (object, "size_gb", &spec->image_gb, reason) ||
-      !amount (object, "guess_s", &spec->estimate_s, reason) ||
-      !amount (object, "cairn_s", &spec->checkpoint_s, reason) ||
-      !amount (object, "stash_s", &spec->save_s, reason))
+  if (!amount (object, HR_WIRE_CPUS, &spec->cpus, reason) ||
+      !amount (object, HR_WIRE_GPUS, &spec->gpus, reason) ||
+      !amount (object, HR_WIRE_MEMORY_GB, &spec->memory_gb, reason) ||
+      !amount (object, HR_WIRE_IMAGE_GB, &spec->image_gb, reason) ||
+      !amount (object, HR_WIRE_ESTIMATE_S, &spec->estimate_s, reason) ||
+      !amount (object, HR_WIRE_CHECKPOINT_S, &spec->checkpoint_s, reason) ||
+      !amount (object, HR_WIRE_SAVE_S, &spec->save_s, reason))
     return FALSE;
-  const json_t *due = json_object_get (object, "due_s");
+  const json_t *due = json_object_get (object, HR_WIRE_DEADLINE_S);
   spec->deadline_s = -1;
-  if (due && !json_is_null (due) && !amount (object, "due_s", &spec->deadline_s, reason))
+  if (due && !json_is_null (due) && !amount (object, HR_WIRE_DEADLINE_S, &spec->deadline_s, reason))
     return FALSE;
-  if (!flag (object, "together", &spec->one_zone, reason) ||
-      !flag (object, "apart", &spec->spread, reason) ||
-      !flag (object, "loaners", &spec->allows_spot, reason))
+  if (!flag (object, HR_WIRE_ONE_ZONE, &spec->one_zone, reason) ||
+      !flag (object, HR_WIRE_SPREAD, &spec->spread, reason) ||
+      !flag (object, HR_WIRE_SPOT, &spec->allows_spot, reason))
     return FALSE;
   /* Names are interned last, so that a bad submission leaves no trace. */
-  const json_t *types = json_object_get (object, "hulls"),
-               *zone = json_object_get (object, "quarry");
+  const json_t *types = json_object_get (object, HR_WIRE_MACHINE_TYPES),
+               *zone = json_object_get (object, HR_WIRE_ZONE);
   if (types && !json_is_null (types) && !json_is_array (types))
-    return bad (reason, "hulls", "expected an array of machine types, or null");
+    return bad (reason, HR_WIRE_MACHINE_TYPES, "expected an array of machine types, or null");
   if (zone && !json_is_null (zone) && (!json_is_string (zone) || !json_string_length (zone)))
-    return bad (reason, "quarry", "expected the name of a zone, or null");
+    return bad (reason, HR_WIRE_ZONE, "expected the name of a zone, or null");
   if (!only_strings (types))
-    return bad (reason, "hulls", "expected an array of machine types, or null");
+    return bad (reason, HR_WIRE_MACHINE_TYPES, "expected an array of machine types, or null");
   if (json_is_array (types) && json_array_size (types) == 0)
-    return bad (reason, "hulls", "an empty list allows no machine");
-  if (!text_field (object, "jobclass", &names->classes, &spec->job_class, reason) ||
-      !text_field (object, "crew", &names->teams, &spec->team, reason) ||
-      !text_field (object, "bundle", &names->images, &spec->image, reason))
+    return bad (reason, HR_WIRE_MACHINE_TYPES, "an empty list allows no machine");
+  if (!text_field (object, HR_WIRE_JOB_CLASS, &names->classes, &spec->job_class, reason) ||
+      !text_field (object, HR_WIRE_TEAM, &names->teams, &spec->team, reason) ||
+      !text_field (object, HR_WIRE_IMAGE, &names->images, &spec->image, reason))
     return FALSE;
   spec->types = type_bits (types, names);
   spec->zone =
@@ -186,13 +190,13 @@
 gboolean
 hr_jobspec_awaits (const json_t *object, GStrv *out, char **reason)
 {
-  const json_t *array = json_object_get (object, "awaits");
+  const json_t *array = json_object_get (object, HR_WIRE_AWAITS);
   *out = NULL;
   if (!array || json_is_null (array))
     return TRUE;
   *out = hr_job_ids_read (array);
   if (!*out)
-    return bad (reason, "awaits", "expected an array of job ids such as job-000398, or null");
+    return bad (reason, HR_WIRE_AWAITS, "expected an array of job ids such as job-000398, or null");
   if (!**out)
     g_clear_pointer (out, g_strfreev);
   return TRUE;
--- a/src/protocol/messages.h
+++ b/src/protocol/messages.h
@@ -18,6 +18,14 @@
   guint64 done, running;
 } HrJobStatus;
 
+/* States of a job in answers to users. */
+typedef enum {
+  HR_JOB_STATUS_QUEUED,
+  HR_JOB_STATUS_RUNNING,
+  HR_JOB_STATUS_DONE,
+  HR_JOB_STATUS_CANCELLED
+} HrJobStatusState;
+
 /* The body of a submission, to be freed. */
 char *hr_submission_text (const HrSubmission *submission);
 /* The id that a body of a submission names, to be freed; NULL when it names none that is valid. */
@@ -26,6 +34,9 @@
 gboolean hr_job_status_read (const char *body, gsize size, HrJobStatus *out);
 void hr_job_status_clear (HrJobStatus *status);
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (HrJobStatus, hr_job_status_clear)
+/* A controller's answer with the state of a job. done, running: numbers of tasks. */
+json_t *hr_job_status_body (const char *id, HrJobStatusState state, guint32 done, guint32 running,
+                            const char *reason);
 /* Done or cancelled: it stays so. */
 gboolean hr_job_status_is_final (const HrJobStatus *status);
 gboolean hr_job_status_is_cancelled (const HrJobStatus *status);
@@ -35,3 +46,5 @@
 /* Paths, to be freed. */
 char *hr_job_path (const char *id);
 char *hr_cancel_path (const char *id);
+/* Takes the end off a path that cancels a job. FALSE: it is none, and stays as it was. */
+gboolean hr_cancel_path_strip (char *path);
--- a/src/protocol/worker.c
+++ b/src/protocol/worker.c
@@ -1,6 +1,7 @@
 #include "protocol/worker.h"
 #include "protocol/jobspec.h"
 #include "protocol/json_util.h"
+#include "protocol/wire_names.h"
 #include <string.h>
 
 static const char *const states[] = {"fetching", "gathering", "running", "flushing", "exited"};
@@ -16,13 +17,14 @@
 static gboolean
 item_parse (const json_t *object, HrHeartbeat *heartbeat, HrReportedTask *reported)
 {
-  const char *piece = hr_json_str (object, "piece"), *state_name = hr_json_str (object, "stance"),
-             *cause = hr_json_str (object, "cause");
+  const char *piece = hr_json_str (object, HR_WIRE_TASK),
+             *state_name = hr_json_str (object, HR_WIRE_STATE),
+             *cause = hr_json_str (object, HR_WIRE_EXIT_CAUSE);
   const char *slash = piece ? strrchr (piece, '/') : NULL;
   guint64 task, attempt;
   if (!slash || !state_name ||
       !g_ascii_string_to_unsigned (slash + 1, 10, 0, HR_MAX_TASKS - 1, &task, NULL) ||
-      !hr_json_count (object, "try", G_MAXUINT32, &attempt))
+      !hr_json_count (object, HR_WIRE_ATTEMPT, G_MAXUINT32, &attempt))
     return FALSE;
   char *job_id = g_strndup (piece, slash - piece);
   g_ptr_array_add (heartbeat->texts, job_id);
@@ -39,7 +41,7 @@
     if (reported->cause == G_N_ELEMENTS (causes))
       reported->cause = HR_EXIT_ERROR; /* a cause from the future: treat as a failure */
   }
-  hr_json_bool (object, "kept", &reported->kept);
+  hr_json_bool (object, HR_WIRE_CHECKPOINT_SAVED, &reported->kept);
   return TRUE;
 }
 
@@ -53,22 +55,22 @@
   heartbeat->root = root;
   heartbeat->tasks = g_array_new (FALSE, TRUE, sizeof (HrReportedTask));
   heartbeat->texts = g_ptr_array_new_with_free_func (g_free);
-  heartbeat->machine = hr_json_str (root, "rockhand");
-  heartbeat->address = hr_json_str (root, "addr");
-  heartbeat->type = hr_json_str (root, "hull");
-  heartbeat->zone = hr_json_str (root, "quarry");
+  heartbeat->machine = hr_json_str (root, HR_WIRE_MACHINE);
+  heartbeat->address = hr_json_str (root, HR_WIRE_ADDRESS);
+  heartbeat->type = hr_json_str (root, HR_WIRE_MACHINE_TYPE);
+  heartbeat->zone = hr_json_str (root, HR_WIRE_ZONE);
   if (!heartbeat->machine || !*heartbeat->machine || strlen (heartbeat->machine) > 64 ||
       !heartbeat->address || !heartbeat->type || !heartbeat->zone ||
-      !hr_json_bool (root, "loaners", &heartbeat->is_spot) ||
-      !hr_json_count (root, "tenure", G_MAXUINT32, &heartbeat->incarnation) ||
-      !hr_json_count (root, "tally", G_MAXINT64, &heartbeat->sequence) ||
-      !hr_json_count (root, "baton", G_MAXINT64, &heartbeat->fencing_token)) {
+      !hr_json_bool (root, HR_WIRE_SPOT, &heartbeat->is_spot) ||
+      !hr_json_count (root, HR_WIRE_INCARNATION, G_MAXUINT32, &heartbeat->incarnation) ||
+      !hr_json_count (root, HR_WIRE_SEQUENCE, G_MAXINT64, &heartbeat->sequence) ||
+      !hr_json_count (root, HR_WIRE_FENCING_TOKEN, G_MAXINT64, &heartbeat->fencing_token)) {
     *reason = g_strdup ("not a worker's report: a field is missing or of the wrong type");
     return NULL;
   }
-  if (!hr_json_num (root, "warning_s", &heartbeat->preemption_notice_s))
+  if (!hr_json_num (root, HR_WIRE_PREEMPTION_NOTICE_S, &heartbeat->preemption_notice_s))
     heartbeat->preemption_notice_s = -1;
-  json_t *list = json_object_get (root, "pieces"), *object;
+  json_t *list = json_object_get (root, HR_WIRE_TASKS), *object;
   size_t i;
   json_array_foreach (list, i, object)
   {
@@ -97,35 +99,49 @@
 order (const char *verb, const char *job_id, guint32 task_index, guint32 attempt)
 {
   g_autofree char *piece = g_strdup_printf ("%s/%u", job_id, task_index);
-  return json_pack ("{sssssi}", "verb", verb, "piece", piece, "try", (int)attempt);
+  return json_pack ("{sssssi}", HR_WIRE_ORDER_VERB, verb, HR_WIRE_TASK, piece, HR_WIRE_ATTEMPT,
+                    (int)attempt);
 }
 
 void
 hr_order_launch (json_t *orders, const char *job_id, guint32 task_index, guint32 attempt)
 {
-  json_array_append_new (orders, order ("launch", job_id, task_index, attempt));
+  json_array_append_new (orders, order (HR_WIRE_ORDER_LAUNCH, job_id, task_index, attempt));
 }
 
 void
 hr_order_stop (json_t *orders, const char *job_id, guint32 task_index, guint32 attempt,
                double grace)
 {
-  json_t *object = order ("kill", job_id, task_index, attempt);
-  json_object_set_new (object, "leeway_s", json_real (grace));
+  json_t *object = order (HR_WIRE_ORDER_STOP, job_id, task_index, attempt);
+  json_object_set_new (object, HR_WIRE_ORDER_GRACE_S, json_real (grace));
   json_array_append_new (orders, object);
 }
 
 void
 hr_order_clear (json_t *orders, const char *job_id, guint32 task_index, guint32 attempt)
 {
-  json_array_append_new (orders, order ("clear", job_id, task_index, attempt));
+  json_array_append_new (orders, order (HR_WIRE_ORDER_CLEAR, job_id, task_index, attempt));
+}
+
+json_t *
+hr_heartbeat_answer (guint64 fencing_token, json_t *orders)
+{
+  return json_pack ("{sIso}", HR_WIRE_FENCING_TOKEN, (json_int_t)fencing_token, HR_WIRE_ORDERS,
+                    orders);
+}
+
+json_t *
+hr_redirect_answer (const char *leader)
+{
+  return json_pack ("{ss}", HR_WIRE_LEADER, leader);
 }
 
 char *
-hr_orders_text (guint64 token, guint64 incarnation, json_t *orders)
+hr_orders_text (guint64 fencing_token, guint64 incarnation, json_t *orders)
 {
-  json_t *object = json_pack ("{sIso}", "baton", (json_int_t)token, "orders", orders);
+  json_t *object = hr_heartbeat_answer (fencing_token, orders);
   if (incarnation)
-    json_object_set_new (object, "tenure", json_integer (incarnation));
+    json_object_set_new (object, HR_WIRE_INCARNATION, json_integer (incarnation));
   return hr_json_take_text (object);
 }
--- a/src/protocol/worker.h
+++ b/src/protocol/worker.h
@@ -51,5 +51,32 @@
 void hr_order_stop (json_t *orders, const char *job_id, guint32 task_index, guint32 attempt,
                     double grace);
 void hr_order_clear (json_t *orders, const char *job_id, guint32 task_index, guint32 attempt);
-/* {"baton":..,"orders":[..]}, with "tenure" when incarnation > 0. Steals orders. */
-char *hr_orders_text (guint64 token, guint64 incarnation, json_t *orders);
+/* Where a worker takes orders between its heartbeats. */
+#define HR_WORKER_ORDERS_PATH "/do"
+
+/**
+ * hr_orders_text:
+ * @fencing_token: of the leader
+ * @incarnation: of the worker's agent, which orders to another one are not for; 0: not named
+ * @orders: (transfer full): a list of orders
+ *
+ * Returns: (transfer full): the body of a call with orders to a worker
+ */
+char *hr_orders_text (guint64 fencing_token, guint64 incarnation, json_t *orders);
+
+/**
+ * hr_heartbeat_answer:
+ * @fencing_token: of the leader
+ * @orders: (transfer full): a list of orders
+ *
+ * Returns: (transfer full): the answer to a heartbeat, which renews the worker's lease
+ */
+json_t *hr_heartbeat_answer (guint64 fencing_token, json_t *orders);
+
+/**
+ * hr_redirect_answer:
+ * @leader: the label of the leading controller
+ *
+ * Returns: (transfer full): the answer to a heartbeat that another controller has to answer
+ */
+json_t *hr_redirect_answer (const char *leader);
