--- a/src/coordination/core_policy.c
+++ b/src/coordination/core_policy.c
@@ -1,7 +1,6 @@
 /* What the operators' policy may use of the platform's figures, and what has to hold between them.
  */
 #include "coordination/core.h"
-#include <gio/gio.h>
 
 gboolean
 hr_core_policy_check (const HrPolicy *policy, GHashTable *vars, GError **error)
@@ -26,7 +25,7 @@
   };
   for (guint i = 0; i < G_N_ELEMENTS (figures); i++)
     if (!figures[i].good) {
-      g_set_error (error, G_IO_ERROR, G_IO_ERROR_INVALID_DATA,
+      g_set_error (error, HR_POLICY_ERROR, HR_POLICY_ERROR_CONFLICT,
                    "policy: expected %s %s (%g), not %g", figures[i].what, figures[i].relation,
                    figures[i].limit, figures[i].value);
       return FALSE;
--- a/src/policy/policy.h
+++ b/src/policy/policy.h
@@ -1,9 +1,11 @@
-/* The operators' own settings: `name = expression;` lines over the platform's figures. */
+/* The operators' policy: a file of lines `name = expression;` that give each tunable its value,
+ * computed from figures of the platform. policy_parser.c has the grammar. Values are in the units
+ * that their names say; `_s` means seconds. */
 #pragma once
 #include <glib.h>
 
-/* Every tunable, with the range that the checker holds it to and what it is for.
- * X (name, least, most, meaning) */
+/* Every tunable, with the range that its value must be in, and a description that is shown to
+ * operators: X (name, min, max, description) */
 #define HR_POLICY_TUNABLES(X)                                                                      \
   X (leader_lease_s, 1, 60, "life of the leader's key in the state service")                       \
   X (hold_s, 0.5, 3600, "how long an owner without a confirmed map reading keeps answering")       \
@@ -34,20 +36,72 @@
   X (correction_most, 1, 100, "greatest factor by which a class's estimates are corrected")        \
   X (direct_launch, 0, 1, "1: send orders to workers at once; 0: with their next report")
 
+/**
+ * HrPolicyError:
+ * @HR_POLICY_ERROR_SYNTAX: the file does not follow the grammar, or names what does not exist
+ * @HR_POLICY_ERROR_RANGE: a tunable's value is out of its range
+ * @HR_POLICY_ERROR_MISSING: the file sets no value for a tunable
+ * @HR_POLICY_ERROR_CONFLICT: values that are each in range do not go together
+ */
+typedef enum {
+  HR_POLICY_ERROR_SYNTAX,
+  HR_POLICY_ERROR_RANGE,
+  HR_POLICY_ERROR_MISSING,
+  HR_POLICY_ERROR_CONFLICT
+} HrPolicyError;
+
+#define HR_POLICY_ERROR (hr_policy_error_quark ())
+GQuark hr_policy_error_quark (void);
+
 typedef struct {
-#define X(name, lo, hi, doc) double name;
+#define X(name, min, max, description) double name;
   HR_POLICY_TUNABLES (X)
 #undef X
 } HrPolicy;
 
-/* Evaluates the text. `vars`: name -> double*, the platform's figures that an
- * expression may use. The error names file, line, position and what was expected. */
+/**
+ * hr_policy_eval:
+ * @file: the file's name, for errors
+ * @text: its text
+ * @vars: from hr_policy_vars_new(): the figures that expressions may use
+ * @out: (out): the policy; without a meaning after an error
+ * @error: an #HrPolicyError; names file, line, position and what was expected
+ *
+ * Computes a policy. Every tunable has to be set, once.
+ *
+ * Returns: %FALSE with @error set when the text is not valid
+ */
 gboolean hr_policy_eval (const char *file, const char *text, GHashTable *vars, HrPolicy *out,
                          GError **error);
+
+/**
+ * hr_policy_load:
+ * @file: path of a policy file
+ * @vars: as for hr_policy_eval()
+ * @out: (out): as for hr_policy_eval()
+ * @error: a #GFileError, or as for hr_policy_eval()
+ *
+ * Returns: %FALSE with @error set when the file cannot be read or is not valid
+ */
 gboolean hr_policy_load (const char *file, GHashTable *vars, HrPolicy *out, GError **error);
-/* One line per tunable: its value, range and meaning. */
+
+/**
+ * hr_policy_describe:
+ *
+ * Returns: (transfer full): a line for each tunable, with its value and description
+ */
 char *hr_policy_describe (const HrPolicy *policy);
 
-/* name -> double*, for figures of the platform. */
+/**
+ * hr_policy_vars_new:
+ *
+ * Returns: (transfer full): an empty table of figures of the platform, name -> double *
+ */
 GHashTable *hr_policy_vars_new (void);
+
+/**
+ * hr_policy_vars_set:
+ *
+ * Sets a figure that expressions may use by its name.
+ */
 void hr_policy_vars_set (GHashTable *vars, const char *name, double value);
