--- a/src/client/hoprock.c
+++ b/src/client/hoprock.c
@@ -95,19 +95,19 @@
 
 /* ---- commands ---- */
 
+/* The body of the submission that the options describe, or that their file holds. */
 static char *
-submission (Options *options, char **error)
+submission_body (Options *options, GError **error)
 {
   char *body = NULL;
   if (options->file) {
-    g_autoptr (GError) failure = NULL;
-    if (!g_file_get_contents (options->file, &body, NULL, &failure))
-      *error = g_strdup (failure->message);
+    g_file_get_contents (options->file, &body, NULL, error);
     return body;
   }
   HrSubmission *job = &options->job;
   if (!job->job_class || !job->team || !job->image || job->cpus <= 0) {
-    *error = g_strdup ("--class, --team, --image and --cpus are needed, or --file");
+    g_set_error_literal (error, G_OPTION_ERROR, G_OPTION_ERROR_FAILED,
+                         "--class, --team, --image and --cpus are needed, or --file");
     return NULL;
   }
   if (!job->id)
@@ -120,10 +120,10 @@
 static int
 submit (Options *options, HrClient *client, const char *unused)
 {
-  g_autofree char *error = NULL;
-  g_autofree char *body = submission (options, &error);
+  g_autoptr (GError) error = NULL;
+  g_autofree char *body = submission_body (options, &error);
   if (!body)
-    return wrong_use (error);
+    return wrong_use (error->message);
   g_autofree char *id = hr_submission_id (body, strlen (body));
   if (!id)
     return wrong_use ("the job has no valid id: `job-` and letters, digits, - _ .");
--- a/src/coordination/agents/direct_orders.c
+++ b/src/coordination/agents/direct_orders.c
@@ -40,8 +40,7 @@
     return;
   }
   g_autofree char *text = json_dumps (body, JSON_COMPACT);
-  g_autofree char *why = NULL;
-  g_autoptr (HrHeartbeat) heartbeat = hr_heartbeat_parse (text, text ? strlen (text) : 0, &why);
+  g_autoptr (HrHeartbeat) heartbeat = hr_heartbeat_parse (text, text ? strlen (text) : 0, NULL);
   if (heartbeat)
     hr_heartbeat_direct_answer (core, machine, heartbeat);
 }
--- a/src/coordination/agents/heartbeats.c
+++ b/src/coordination/agents/heartbeats.c
@@ -328,12 +328,12 @@
   }
   gsize len = 0;
   const char *data = command->body ? g_bytes_get_data (command->body, &len) : NULL;
-  g_autofree char *why = NULL;
-  g_autoptr (HrHeartbeat) heartbeat = hr_heartbeat_parse (data, len, &why);
+  g_autoptr (GError) error = NULL;
+  g_autoptr (HrHeartbeat) heartbeat = hr_heartbeat_parse (data, len, &error);
   if (!heartbeat) {
-    g_info ("a report was dropped: %s", why);
+    g_info ("a report was dropped: %s", error->message);
     core->metrics.counters.reports_malformed++;
-    hr_core_refuse (core, command->id, 400, 0, why);
+    hr_core_refuse (core, command->id, 400, 0, error->message);
     return;
   }
   if (heartbeat->fencing_token > core->leadership.fencing_token) {
--- a/src/coordination/effects.c
+++ b/src/coordination/effects.c
@@ -101,11 +101,11 @@
   if (command->body && g_bytes_get_size (command->body)) {
     gsize len;
     const char *data = g_bytes_get_data (command->body, &len);
-    g_autofree char *why = NULL;
-    body = hr_json_parse (data, len, &why);
+    g_autoptr (GError) error = NULL;
+    body = hr_json_parse (data, len, &error);
     /* A success whose body can't be read is no answer: it may have been carried out. */
     if (!body && status == 200) {
-      g_info ("an answer could not be read: %s", why);
+      g_info ("an answer could not be read: %s", error->message);
       status = 0;
     }
   }
--- a/src/coordination/jobs/submissions.c
+++ b/src/coordination/jobs/submissions.c
@@ -152,15 +152,15 @@
 {
   gsize len = 0;
   const char *data = command->body ? g_bytes_get_data (command->body, &len) : NULL;
-  g_autofree char *why = NULL;
+  g_autoptr (GError) error = NULL;
   const char *id = NULL;
   HrJobSpec spec;
   GStrv awaits = NULL;
-  json_t *object = hr_json_parse (data, len, &why);
-  gboolean valid = object && hr_jobspec_parse (object, core->names, &spec, &id, &why) &&
-                   hr_jobspec_awaits (object, &awaits, &why);
+  json_t *object = hr_json_parse (data, len, &error);
+  gboolean valid = object && hr_jobspec_parse (object, core->names, &spec, &id, &error) &&
+                   hr_jobspec_awaits (object, &awaits, &error);
   if (!valid && !hr_job_id_valid (id)) {
-    hr_core_refuse (core, command->id, 400, 0, why);
+    hr_core_refuse (core, command->id, 400, 0, error->message);
     json_decref (object);
     return;
   }
@@ -173,7 +173,7 @@
   request->asked = core->wall_time;
   json_decref (object);
   if (!valid) {
-    refuse_if_new (core, request, 400, why);
+    refuse_if_new (core, request, 400, error->message);
     return;
   }
   if (hr_request_answer_final (core, request))
--- a/src/protocol/jobspec.c
+++ b/src/protocol/jobspec.c
@@ -4,9 +4,17 @@
 #include <math.h>
 #include <string.h>
 
+/* Of a class, a team or an image. */
+#define MAX_NAME_BYTES 200
+/* Of any amount in a submission. */
+#define MAX_AMOUNT 1e9
+/* Of HrJobSpec.types: stands for all types that the cloud does not offer. */
+#define UNKNOWN_TYPE_BIT 63
+
+/* By HrShape and by HrPriority. */
 static const char *const shapes[] = {HR_WIRE_SHAPE_BATCH, HR_WIRE_SHAPE_GANG,
                                      HR_WIRE_SHAPE_SERVICE};
-static const char *const ranks[] = {"production", "urgent", "normal", "low"};
+static const char *const priorities[] = {"production", "urgent", "normal", "low"};
 
 void
 hr_names_init (HrNames *names)
@@ -31,7 +39,7 @@
 gboolean
 hr_job_id_valid (const char *id)
 {
-  if (!id || strncmp (id, "job-", 4) != 0 || !id[4] || strlen (id) > 100)
+  if (!id || strncmp (id, "job-", 4) != 0 || !id[4] || strlen (id) > HR_JOB_ID_MOST)
     return FALSE;
   for (const char *text = id + 4; *text; text++)
     if (!g_ascii_isalnum (*text) && *text != '-' && *text != '_' && *text != '.')
@@ -48,36 +56,37 @@
   return -1;
 }
 
+/* Always FALSE, for the caller to return. */
 static gboolean
-bad (char **reason, const char *field, const char *why)
+bad_field (GError **error, const char *field, const char *why)
 {
-  *reason = g_strdup_printf ("field %s: %s", field, why);
+  g_set_error (error, HR_PROTOCOL_ERROR, HR_PROTOCOL_ERROR_FIELD, "field %s: %s", field, why);
   return FALSE;
 }
 
 static gboolean
-text_field (const json_t *object, const char *key, HrIntern *intern, guint32 *out, char **reason)
+parse_name (const json_t *object, const char *key, HrIntern *intern, guint32 *out, GError **error)
 {
   const char *text = hr_json_str (object, key);
-  if (!text || !*text || strlen (text) > 200)
-    return bad (reason, key, "expected a text of 1 to 200 bytes");
+  if (!text || !*text || strlen (text) > MAX_NAME_BYTES)
+    return bad_field (error, key, "expected a text of 1 to 200 bytes");
   *out = hr_intern (intern, text);
   return TRUE;
 }
 
 static gboolean
-amount (const json_t *object, const char *key, double *out, char **reason)
+parse_amount (const json_t *object, const char *key, double *out, GError **error)
 {
-  if (!hr_json_num (object, key, out) || *out < 0 || *out > 1e9)
-    return bad (reason, key, "expected a number from 0 to 1e9");
+  if (!hr_json_num (object, key, out) || *out < 0 || *out > MAX_AMOUNT)
+    return bad_field (error, key, "expected a number from 0 to 1e9");
   return TRUE;
 }
 
 static gboolean
-flag (const json_t *object, const char *key, gboolean *out, char **reason)
+parse_flag (const json_t *object, const char *key, gboolean *out, GError **error)
 {
   if (!hr_json_bool (object, key, out))
-    return bad (reason, key, "expected true or false");
+    return bad_field (error, key, "expected true or false");
   return TRUE;
 }
 
@@ -99,71 +108,104 @@
   guint64 bits = 0;
   for (size_t i = 0; i < json_array_size (types); i++) {
     guint32 type = hr_intern_find (&names->types, json_string_value (json_array_get (types, i)));
-    bits |= (guint64)1 << MIN (type, 63);
+    bits |= (guint64)1 << MIN (type, UNKNOWN_TYPE_BIT);
   }
   return bits;
 }
 
-gboolean
-hr_jobspec_parse (const json_t *object, HrNames *names, HrJobSpec *spec, const char **id,
-                  char **reason)
+static gboolean
+parse_kind (const json_t *object, HrJobSpec *spec, GError **error)
 {
-  memset (spec, 0, sizeof *spec);
-  if (!json_is_object (object)) {
-    *reason = g_strdup ("the body is not a JSON object");
-    return FALSE;
-  }
-  *id = hr_json_str (object, HR_WIRE_ID);
-  if (!hr_job_id_valid (*id))
-    return bad (reason, HR_WIRE_ID, "expected a job id such as job-000412");
-  int shape = find_name (shapes, 3, hr_json_str (object, HR_WIRE_SHAPE));
+  int shape = find_name (shapes, G_N_ELEMENTS (shapes), hr_json_str (object, HR_WIRE_SHAPE));
   if (shape < 0)
-    return bad (reason, HR_WIRE_SHAPE,
-                "expected " HR_WIRE_SHAPE_BATCH ", " HR_WIRE_SHAPE_GANG
-                " or " HR_WIRE_SHAPE_SERVICE);
-  int priority = find_name (ranks, 4, hr_json_str (object, HR_WIRE_PRIORITY));
+    return bad_field (error, HR_WIRE_SHAPE,
+                      "expected " HR_WIRE_SHAPE_BATCH ", " HR_WIRE_SHAPE_GANG
+                      " or " HR_WIRE_SHAPE_SERVICE);
+  int priority =
+      find_name (priorities, G_N_ELEMENTS (priorities), hr_json_str (object, HR_WIRE_PRIORITY));
   if (priority < 0)
-    return bad (reason, HR_WIRE_PRIORITY, "expected production, urgent, normal or low");
+    return bad_field (error, HR_WIRE_PRIORITY, "expected production, urgent, normal or low");
+  guint64 tasks;
+  if (!hr_json_count (object, HR_WIRE_TASKS, HR_MAX_TASKS, &tasks) || tasks == 0)
+    return bad_field (error, HR_WIRE_TASKS, "expected an integer from 1 to 100000");
   spec->shape = shape;
   spec->priority = priority;
-  guint64 n;
-  if (!hr_json_count (object, HR_WIRE_TASKS, HR_MAX_TASKS, &n) || n == 0)
-    return bad (reason, HR_WIRE_TASKS, "expected an integer from 1 to 100000");
-  spec->tasks = n;
-  if (!amount (object, HR_WIRE_CPUS, &spec->cpus, reason) ||
-      !amount (object, HR_WIRE_GPUS, &spec->gpus, reason) ||
-      !amount (object, HR_WIRE_MEMORY_GB, &spec->memory_gb, reason) ||
-      !amount (object, HR_WIRE_IMAGE_GB, &spec->image_gb, reason) ||
-      !amount (object, HR_WIRE_ESTIMATE_S, &spec->estimate_s, reason) ||
-      !amount (object, HR_WIRE_CHECKPOINT_S, &spec->checkpoint_s, reason) ||
-      !amount (object, HR_WIRE_SAVE_S, &spec->save_s, reason))
+  spec->tasks = tasks;
+  return TRUE;
+}
+
+static gboolean
+parse_amounts (const json_t *object, HrJobSpec *spec, GError **error)
+{
+  if (!parse_amount (object, HR_WIRE_CPUS, &spec->cpus, error) ||
+      !parse_amount (object, HR_WIRE_GPUS, &spec->gpus, error) ||
+      !parse_amount (object, HR_WIRE_MEMORY_GB, &spec->memory_gb, error) ||
+      !parse_amount (object, HR_WIRE_IMAGE_GB, &spec->image_gb, error) ||
+      !parse_amount (object, HR_WIRE_ESTIMATE_S, &spec->estimate_s, error) ||
+      !parse_amount (object, HR_WIRE_CHECKPOINT_S, &spec->checkpoint_s, error) ||
+      !parse_amount (object, HR_WIRE_SAVE_S, &spec->save_s, error))
     return FALSE;
-  const json_t *due = json_object_get (object, HR_WIRE_DEADLINE_S);
   spec->deadline_s = -1;
-  if (due && !json_is_null (due) && !amount (object, HR_WIRE_DEADLINE_S, &spec->deadline_s, reason))
-    return FALSE;
-  if (!flag (object, HR_WIRE_ONE_ZONE, &spec->one_zone, reason) ||
-      !flag (object, HR_WIRE_SPREAD, &spec->spread, reason) ||
-      !flag (object, HR_WIRE_SPOT, &spec->allows_spot, reason))
-    return FALSE;
-  /* Names are interned last, so that a bad submission leaves no trace. */
-  const json_t *types = json_object_get (object, HR_WIRE_MACHINE_TYPES),
-               *zone = json_object_get (object, HR_WIRE_ZONE);
+  const json_t *deadline = json_object_get (object, HR_WIRE_DEADLINE_S);
+  return !deadline || json_is_null (deadline) ||
+         parse_amount (object, HR_WIRE_DEADLINE_S, &spec->deadline_s, error);
+}
+
+static gboolean
+parse_flags (const json_t *object, HrJobSpec *spec, GError **error)
+{
+  return parse_flag (object, HR_WIRE_ONE_ZONE, &spec->one_zone, error) &&
+         parse_flag (object, HR_WIRE_SPREAD, &spec->spread, error) &&
+         parse_flag (object, HR_WIRE_SPOT, &spec->allows_spot, error);
+}
+
+/* types, zone: NULL or null stands for any. */
+static gboolean
+check_placement (const json_t *types, const json_t *zone, GError **error)
+{
   if (types && !json_is_null (types) && !json_is_array (types))
-    return bad (reason, HR_WIRE_MACHINE_TYPES, "expected an array of machine types, or null");
+    return bad_field (error, HR_WIRE_MACHINE_TYPES, "expected an array of machine types, or null");
   if (zone && !json_is_null (zone) && (!json_is_string (zone) || !json_string_length (zone)))
-    return bad (reason, HR_WIRE_ZONE, "expected the name of a zone, or null");
+    return bad_field (error, HR_WIRE_ZONE, "expected the name of a zone, or null");
   if (!only_strings (types))
-    return bad (reason, HR_WIRE_MACHINE_TYPES, "expected an array of machine types, or null");
+    return bad_field (error, HR_WIRE_MACHINE_TYPES, "expected an array of machine types, or null");
   if (json_is_array (types) && json_array_size (types) == 0)
-    return bad (reason, HR_WIRE_MACHINE_TYPES, "an empty list allows no machine");
-  if (!text_field (object, HR_WIRE_JOB_CLASS, &names->classes, &spec->job_class, reason) ||
-      !text_field (object, HR_WIRE_TEAM, &names->teams, &spec->team, reason) ||
-      !text_field (object, HR_WIRE_IMAGE, &names->images, &spec->image, reason))
+    return bad_field (error, HR_WIRE_MACHINE_TYPES, "an empty list allows no machine");
+  return TRUE;
+}
+
+/* zone: NULL or no text stands for any. */
+static guint32
+zone_index (const json_t *zone, HrNames *names)
+{
+  return json_is_string (zone) ? hr_intern (&names->zones, json_string_value (zone)) : HR_NONE;
+}
+
+gboolean
+hr_jobspec_parse (const json_t *object, HrNames *names, HrJobSpec *spec, const char **id,
+                  GError **error)
+{
+  memset (spec, 0, sizeof *spec);
+  if (!json_is_object (object)) {
+    g_set_error_literal (error, HR_PROTOCOL_ERROR, HR_PROTOCOL_ERROR_FIELD,
+                         "the body is not a JSON object");
+    return FALSE;
+  }
+  *id = hr_json_str (object, HR_WIRE_ID);
+  if (!hr_job_id_valid (*id))
+    return bad_field (error, HR_WIRE_ID, "expected a job id such as job-000412");
+  const json_t *types = json_object_get (object, HR_WIRE_MACHINE_TYPES);
+  const json_t *zone = json_object_get (object, HR_WIRE_ZONE);
+  if (!parse_kind (object, spec, error) || !parse_amounts (object, spec, error) ||
+      !parse_flags (object, spec, error) || !check_placement (types, zone, error))
+    return FALSE;
+  /* Names are interned last, so that a bad submission leaves no trace. */
+  if (!parse_name (object, HR_WIRE_JOB_CLASS, &names->classes, &spec->job_class, error) ||
+      !parse_name (object, HR_WIRE_TEAM, &names->teams, &spec->team, error) ||
+      !parse_name (object, HR_WIRE_IMAGE, &names->images, &spec->image, error))
     return FALSE;
   spec->types = type_bits (types, names);
-  spec->zone =
-      json_is_string (zone) ? hr_intern (&names->zones, json_string_value (zone)) : HR_NONE;
+  spec->zone = zone_index (zone, names);
   return TRUE;
 }
 
@@ -188,7 +230,7 @@
 }
 
 gboolean
-hr_jobspec_awaits (const json_t *object, GStrv *out, char **reason)
+hr_jobspec_awaits (const json_t *object, GStrv *out, GError **error)
 {
   const json_t *array = json_object_get (object, HR_WIRE_AWAITS);
   *out = NULL;
@@ -196,7 +238,8 @@
     return TRUE;
   *out = hr_job_ids_read (array);
   if (!*out)
-    return bad (reason, HR_WIRE_AWAITS, "expected an array of job ids such as job-000398, or null");
+    return bad_field (error, HR_WIRE_AWAITS,
+                      "expected an array of job ids such as job-000398, or null");
   if (!**out)
     g_clear_pointer (out, g_strfreev);
   return TRUE;
@@ -208,7 +251,7 @@
   json_t *types = json_null ();
   if (spec->types) {
     types = json_array ();
-    for (guint i = 0; i < 63; i++)
+    for (guint i = 0; i < UNKNOWN_TYPE_BIT; i++)
       if (spec->types >> i & 1)
         json_array_append_new (types, json_string (hr_intern_name (&names->types, i)));
   }
@@ -225,16 +268,17 @@
 gboolean
 hr_jobspec_unpack (const json_t *array, HrNames *names, HrJobSpec *spec)
 {
-  const char *key, *team_name, *image_name;
+  const char *class_name, *team_name, *image_name;
   int shape, priority, tasks, one_zone, spread, allows_spot;
   json_t *types, *zone;
   memset (spec, 0, sizeof *spec);
-  if (json_unpack ((json_t *)array, "[sssiiiFFFFoFFFobbbF]", &key, &team_name, &image_name, &shape,
-                   &priority, &tasks, &spec->cpus, &spec->gpus, &spec->memory_gb, &spec->image_gb,
-                   &types, &spec->estimate_s, &spec->checkpoint_s, &spec->save_s, &zone, &one_zone,
-                   &spread, &allows_spot, &spec->deadline_s) != 0)
+  if (json_unpack ((json_t *)array, "[sssiiiFFFFoFFFobbbF]", &class_name, &team_name, &image_name,
+                   &shape, &priority, &tasks, &spec->cpus, &spec->gpus, &spec->memory_gb,
+                   &spec->image_gb, &types, &spec->estimate_s, &spec->checkpoint_s, &spec->save_s,
+                   &zone, &one_zone, &spread, &allows_spot, &spec->deadline_s) != 0)
     return FALSE;
-  if (shape < 0 || shape > 2 || priority < 0 || priority > 3 || tasks < 1 || tasks > HR_MAX_TASKS)
+  if (shape < 0 || shape >= (int)G_N_ELEMENTS (shapes) || priority < 0 ||
+      priority >= (int)G_N_ELEMENTS (priorities) || tasks < 1 || tasks > HR_MAX_TASKS)
     return FALSE;
   spec->shape = shape;
   spec->priority = priority;
@@ -242,18 +286,18 @@
   spec->one_zone = one_zone;
   spec->spread = spread;
   spec->allows_spot = allows_spot;
-  spec->job_class = hr_intern (&names->classes, key);
+  spec->job_class = hr_intern (&names->classes, class_name);
   spec->team = hr_intern (&names->teams, team_name);
   spec->image = hr_intern (&names->images, image_name);
-  spec->zone =
-      json_is_string (zone) ? hr_intern (&names->zones, json_string_value (zone)) : HR_NONE;
+  spec->zone = zone_index (zone, names);
   size_t i;
   json_t *entry;
   json_array_foreach (types, i, entry)
   {
     /* A record is read before the machine types are known: intern them here. */
-    guint32 x = json_is_string (entry) ? hr_intern (&names->types, json_string_value (entry)) : 63;
-    spec->types |= (guint64)1 << MIN (x, 63);
+    guint32 type = json_is_string (entry) ? hr_intern (&names->types, json_string_value (entry))
+                                          : UNKNOWN_TYPE_BIT;
+    spec->types |= (guint64)1 << MIN (type, UNKNOWN_TYPE_BIT);
   }
   return TRUE;
 }
--- a/src/protocol/jobspec.h
+++ b/src/protocol/jobspec.h
@@ -43,10 +43,10 @@
 gboolean hr_job_id_valid (const char *id);
 /* Parses the body of a submission. On failure *reason says which field and why. */
 gboolean hr_jobspec_parse (const json_t *object, HrNames *names, HrJobSpec *out, const char **id,
-                           char **reason);
+                           GError **error);
 /* The ids that a submission's `awaits` names, each once and in order; NULL in *out when there
  * are none. On failure *reason says why. */
-gboolean hr_jobspec_awaits (const json_t *object, GStrv *out, char **reason);
+gboolean hr_jobspec_awaits (const json_t *object, GStrv *out, GError **error);
 /* An array of well-formed job ids; NULL when it is anything else. */
 GStrv hr_job_ids_read (const json_t *array);
 json_t *hr_jobspec_pack (const HrJobSpec *spec, const HrNames *names);
--- a/src/protocol/json_util.c
+++ b/src/protocol/json_util.c
@@ -44,12 +44,13 @@
 }
 
 json_t *
-hr_json_parse (const char *data, gsize len, char **error)
+hr_json_parse (const char *data, gsize len, GError **error)
 {
   json_error_t failure;
   json_t *value = json_loadb (data ? data : "", data ? len : 0, JSON_REJECT_DUPLICATES, &failure);
-  if (!value && error)
-    *error = g_strdup_printf ("not valid JSON at byte %d: %s", failure.position, failure.text);
+  if (!value)
+    g_set_error (error, HR_PROTOCOL_ERROR, HR_PROTOCOL_ERROR_SYNTAX,
+                 "not valid JSON at byte %d: %s", failure.position, failure.text);
   return value;
 }
 
--- a/src/protocol/worker.c
+++ b/src/protocol/worker.c
@@ -46,9 +46,9 @@
 }
 
 HrHeartbeat *
-hr_heartbeat_parse (const char *data, gsize len, char **reason)
+hr_heartbeat_parse (const char *data, gsize len, GError **error)
 {
-  json_t *root = hr_json_parse (data, len, reason);
+  json_t *root = hr_json_parse (data, len, error);
   if (!root)
     return NULL;
   g_autoptr (HrHeartbeat) heartbeat = g_new0 (HrHeartbeat, 1);
@@ -65,7 +65,8 @@
       !hr_json_count (root, HR_WIRE_INCARNATION, G_MAXUINT32, &heartbeat->incarnation) ||
       !hr_json_count (root, HR_WIRE_SEQUENCE, G_MAXINT64, &heartbeat->sequence) ||
       !hr_json_count (root, HR_WIRE_FENCING_TOKEN, G_MAXINT64, &heartbeat->fencing_token)) {
-    *reason = g_strdup ("not a worker's report: a field is missing or of the wrong type");
+    g_set_error_literal (error, HR_PROTOCOL_ERROR, HR_PROTOCOL_ERROR_FIELD,
+                         "not a worker's report: a field is missing or of the wrong type");
     return NULL;
   }
   if (!hr_json_num (root, HR_WIRE_PREEMPTION_NOTICE_S, &heartbeat->preemption_notice_s))
@@ -76,7 +77,8 @@
   {
     HrReportedTask reported;
     if (!item_parse (object, heartbeat, &reported)) {
-      *reason = g_strdup_printf ("pieces[%zu] is not a task's state", i);
+      g_set_error (error, HR_PROTOCOL_ERROR, HR_PROTOCOL_ERROR_FIELD,
+                   HR_WIRE_TASKS "[%zu] is not a task's state", i);
       return NULL;
     }
     g_array_append_val (heartbeat->tasks, reported);
--- a/src/protocol/worker.h
+++ b/src/protocol/worker.h
@@ -41,7 +41,7 @@
   GPtrArray *texts;
 } HrHeartbeat;
 
-HrHeartbeat *hr_heartbeat_parse (const char *data, gsize len, char **reason);
+HrHeartbeat *hr_heartbeat_parse (const char *data, gsize len, GError **error);
 void hr_heartbeat_free (HrHeartbeat *heartbeat);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (HrHeartbeat, hr_heartbeat_free)
 const char *hr_exit_name (HrExitCause cause);
--- a/tests/test_protocol.c
+++ b/tests/test_protocol.c
@@ -18,14 +18,14 @@
   "\"due_s\":900.0,\"later\":{\"unknown\":1}}"
 
 static gboolean
-parses (const char *text, HrJobSpec *spec, char **why)
+parses (const char *text, HrJobSpec *spec, GError **error)
 {
   HrNames names;
   const char *id;
   hr_names_init (&names);
   hr_intern (&names.types, "g8");
-  json_t *object = hr_json_parse (text, strlen (text), why);
-  gboolean ok = object && hr_jobspec_parse (object, &names, spec, &id, why);
+  json_t *object = hr_json_parse (text, strlen (text), error);
+  gboolean ok = object && hr_jobspec_parse (object, &names, spec, &id, error);
   json_decref (object);
   hr_names_clear (&names);
   return ok;
@@ -35,8 +35,8 @@
 a_submission (void **state)
 {
   HrJobSpec spec;
-  g_autofree char *why = NULL;
-  assert_true (parses (JOB, &spec, &why));
+  g_autoptr (GError) error = NULL;
+  assert_true (parses (JOB, &spec, &error));
   assert_int_equal (spec.tasks, 16);
   assert_int_equal (spec.shape, HR_GANG);
   assert_int_equal (spec.priority, HR_PRIORITY_URGENT);
@@ -65,21 +65,21 @@
     json_object_set_new (object, cases[i][0], json_loads (cases[i][1], JSON_DECODE_ANY, NULL));
     char *text = json_dumps (object, 0);
     HrJobSpec spec;
-    g_autofree char *why = NULL;
-    if (parses (text, &spec, &why) || !why || !strstr (why, cases[i][0]))
-      fail_msg ("%s = %s: %s", cases[i][0], cases[i][1], why ? why : "accepted");
+    g_autoptr (GError) error = NULL;
+    if (parses (text, &spec, &error) || !error || !strstr (error->message, cases[i][0]))
+      fail_msg ("%s = %s: %s", cases[i][0], cases[i][1], error ? error->message : "accepted");
     free (text);
     json_decref (object);
   }
 }
 
 static gboolean
-awaits (const char *value, GStrv *ids, char **why)
+awaits (const char *value, GStrv *ids, GError **error)
 {
   json_t *object = json_object ();
   if (value)
     json_object_set_new (object, "awaits", json_loads (value, JSON_DECODE_ANY, NULL));
-  gboolean ok = hr_jobspec_awaits (object, ids, why);
+  gboolean ok = hr_jobspec_awaits (object, ids, error);
   json_decref (object);
   return ok;
 }
@@ -94,19 +94,19 @@
                                     "[[]]",      "[\"job 1\"]", "true",    "[\"job-1\",\"job-/\"]"};
   for (gsize i = 0; i < G_N_ELEMENTS (none); i++) {
     g_auto (GStrv) ids = NULL;
-    g_autofree char *why = NULL;
-    assert_true (awaits (none[i], &ids, &why));
+    g_autoptr (GError) error = NULL;
+    assert_true (awaits (none[i], &ids, &error));
     assert_null (ids);
   }
   for (gsize i = 0; i < G_N_ELEMENTS (bad); i++) {
     g_auto (GStrv) ids = NULL;
-    g_autofree char *why = NULL;
-    if (awaits (bad[i], &ids, &why) || ids || !why || !strstr (why, "awaits"))
-      fail_msg ("awaits = %s: %s", bad[i], why ? why : "accepted");
+    g_autoptr (GError) error = NULL;
+    if (awaits (bad[i], &ids, &error) || ids || !error || !strstr (error->message, "awaits"))
+      fail_msg ("awaits = %s: %s", bad[i], error ? error->message : "accepted");
   }
   g_auto (GStrv) ids = NULL;
-  g_autofree char *why = NULL;
-  assert_true (awaits ("[\"job-2\",\"job-1\",\"job-2\"]", &ids, &why));
+  g_autoptr (GError) error = NULL;
+  assert_true (awaits ("[\"job-2\",\"job-1\",\"job-2\"]", &ids, &error));
   assert_int_equal (g_strv_length (ids), 2);
   assert_string_equal (ids[0], "job-2");
   assert_string_equal (ids[1], "job-1");
@@ -133,10 +133,10 @@
     }
     g_string_append_c (text, ']');
     g_auto (GStrv) ids = NULL;
-    g_autofree char *why = NULL;
-    assert_int_equal (awaits (text->str, &ids, &why), fine);
+    g_autoptr (GError) error = NULL;
+    assert_int_equal (awaits (text->str, &ids, &error), fine);
     if (!fine)
-      assert_non_null (why);
+      assert_non_null (error);
     else
       assert_int_equal (ids ? g_strv_length (ids) : 0, named[0] + named[1]);
     taken += fine;
@@ -152,9 +152,9 @@
                                     "{} {}", "\"", "{\"pieces\":99999999999999999999999}"};
   for (gsize i = 0; i < G_N_ELEMENTS (bad); i++) {
     HrJobSpec spec;
-    g_autofree char *why = NULL;
-    assert_false (parses (bad[i], &spec, &why));
-    assert_non_null (why);
+    g_autoptr (GError) error = NULL;
+    assert_false (parses (bad[i], &spec, &error));
+    assert_non_null (error);
   }
 }
 
@@ -169,13 +169,13 @@
     for (int k = g_rand_int_range (rand, 1, 4); k > 0; k--)
       text[g_rand_int_range (rand, 0, sizeof text - 1)] = g_rand_int_range (rand, 1, 256);
     HrJobSpec spec;
-    g_autofree char *why = NULL;
-    if (parses (text, &spec, &why)) {
+    g_autoptr (GError) error = NULL;
+    if (parses (text, &spec, &error)) {
       taken++;
       assert_true (spec.tasks >= 1 && spec.tasks <= HR_MAX_TASKS && spec.cpus >= 0 &&
                    isfinite (spec.cpus));
     } else
-      assert_non_null (why);
+      assert_non_null (error);
   }
   assert_true (taken > 50 && taken < 4500);
 }
@@ -189,8 +189,8 @@
 static void
 reports (void **state)
 {
-  g_autofree char *why = NULL;
-  g_autoptr (HrHeartbeat) heartbeat = hr_heartbeat_parse (REPORT, strlen (REPORT), &why);
+  g_autoptr (GError) error = NULL;
+  g_autoptr (HrHeartbeat) heartbeat = hr_heartbeat_parse (REPORT, strlen (REPORT), &error);
   assert_non_null (heartbeat);
   assert_int_equal (heartbeat->tasks->len, 2);
   HrReportedTask *reported = &g_array_index (heartbeat->tasks, HrReportedTask, 0);
@@ -204,9 +204,9 @@
     char text[] = REPORT;
     for (int k = g_rand_int_range (rand, 1, 4); k > 0; k--)
       text[g_rand_int_range (rand, 0, sizeof text - 1)] = g_rand_int_range (rand, 1, 256);
-    g_autofree char *text_row = NULL;
-    g_autoptr (HrHeartbeat) heartbeat_row = hr_heartbeat_parse (text, strlen (text), &text_row);
-    assert_true (heartbeat_row || text_row);
+    g_autoptr (GError) error = NULL;
+    g_autoptr (HrHeartbeat) heartbeat_row = hr_heartbeat_parse (text, strlen (text), &error);
+    assert_true (heartbeat_row || error);
   }
 }
 
--- a/tests/test_renewals.c
+++ b/tests/test_renewals.c
@@ -292,11 +292,11 @@
   scene_withdraw (scene, 0, "job-a");
   HrCore *core = scene->s->nodes[script_leader (scene->s)].core;
   HrMachine *machine = hr_machine_find (&core->store.tables, "m-1");
-  g_autofree char *shown = scene_write (machine_row), *why = NULL;
+  g_autofree char *shown = scene_write (machine_row);
   g_ptr_array_set_size (machine_row->tasks, 0);
   g_autofree char *empty = scene_write (machine_row);
-  g_autoptr (HrHeartbeat) with = hr_heartbeat_parse (shown, strlen (shown), &why);
-  g_autoptr (HrHeartbeat) without = hr_heartbeat_parse (empty, strlen (empty), &why);
+  g_autoptr (HrHeartbeat) with = hr_heartbeat_parse (shown, strlen (shown), NULL);
+  g_autoptr (HrHeartbeat) without = hr_heartbeat_parse (empty, strlen (empty), NULL);
   json_t *orders = json_array ();
   g_autofree char *first = hr_lease_renewal_missing_stop (core, machine, with, orders);
   g_autofree char *second = hr_lease_renewal_missing_stop (core, machine, without, orders);
