--- a/src/transport/http_server.c
+++ b/src/transport/http_server.c
@@ -1,8 +1,8 @@
-/* libsoup's server, the house's choice, hangs one GSource on the main loop for every
- * open connection, and GLib looks at every source in every turn. With the workers of a
- * grown deployment that alone took two to three times the processor that a controller
- * has (docs/design.md). GNU libmicrohttpd keeps its connections behind one epoll
- * descriptor, which is a single source of the main loop. */
+/* Why not libsoup, as everywhere else: its server adds one GSource to the main loop for every open
+ * connection, and GLib looks at every source in every iteration. With the workers of a large
+ * deployment that alone took two to three times the processor that a controller has
+ * (docs/design.md). GNU libmicrohttpd keeps its connections behind one epoll descriptor, which is a
+ * single source of the main loop. */
 #include "transport/http_server.h"
 #include "protocol/jobspec.h"
 #include <arpa/inet.h>
@@ -10,26 +10,29 @@
 #include <microhttpd.h>
 #include <string.h>
 
-/* Workers report and users poll every few seconds. A connection silent for longer is
- * mostly one whose other end is gone without notice: behind a cut nobody hears the FIN.
- * Kept, such connections would use up the sockets. */
-#define IDLE_S 20
-/* While more than this share of its connections is in use, users are sent away at once: a
- * worker that finds none loses its lease, a user loses a second. */
-#define SHED_SHARE 0.94
-#define SHED_RETRY "2"
-#define SHED_LOG_S 10
-/* For one connection's headers; bodies are gathered apart. */
-#define CONNECTION_MEMORY (8 * 1024)
+/* Workers send heartbeats and users poll every few seconds. A connection silent for longer is
+ * mostly one whose other end is gone without notice: behind a network partition nobody receives the
+ * FIN. Left open, such connections would use up the sockets. */
+#define IDLE_TIMEOUT_S 20
+/* Load shedding: while more than this share of its connections is in use, users' requests are
+ * refused at once. A worker that finds no free connection loses its lease; a user loses a second.
+ */
+#define OVERLOAD_SHARE 0.94
+/* What refused users are asked to wait. */
+#define OVERLOAD_RETRY_AFTER_S "2"
+/* Time between two warnings about refused requests. */
+#define OVERLOAD_LOG_INTERVAL_S 10
+/* Bytes for one connection's headers; bodies are stored elsewhere. */
+#define CONNECTION_MEMORY_BYTES (8 * 1024)
 
 struct HrHttpServer {
   struct MHD_Daemon *daemon;
   GSource *source;
   GHashTable *open; /* request id -> Request, while its answer is awaited */
-  guint64 next;
-  guint connections; /* the most it may have */
-  guint shed;        /* requests sent away since the last warning about it */
-  gint64 shed_at;
+  guint64 last_id;
+  guint max_connections;
+  guint n_refused;           /* requests refused for overload since the last warning about it */
+  gint64 overload_logged_at; /* steady clock, microseconds */
   HrCommandSink sink;
   gpointer data;
 };
@@ -37,7 +40,7 @@
 typedef struct {
   HrHttpServer *server;
   struct MHD_Connection *conn;
-  guint64 id; /* 0: not handed on yet */
+  guint64 id; /* 0: not handed to the sink yet */
   GByteArray *body;
   gboolean too_large;
   struct MHD_Response *response;
@@ -68,9 +71,9 @@
   *state = NULL;
 }
 
-/* Past the limit nothing is kept: a huge body must not cost its size in memory. */
+/* Past the limit nothing is stored: a huge body must not cost its size in memory. */
 static void
-take_body (Request *request, const char *data, gsize size)
+append_body (Request *request, const char *data, gsize size)
 {
   gsize have = request->body ? request->body->len : 0;
   if (request->too_large || have + size > HR_MAX_BODY) {
@@ -84,44 +87,70 @@
 }
 
 static gboolean
-crowded (HrHttpServer *server)
+is_overloaded (HrHttpServer *server)
 {
-  const union MHD_DaemonInfo *i =
+  const union MHD_DaemonInfo *info =
       MHD_get_daemon_info (server->daemon, MHD_DAEMON_INFO_CURRENT_CONNECTIONS);
-  return i && i->num_connections > server->connections * SHED_SHARE;
+  return info && info->num_connections > server->max_connections * OVERLOAD_SHARE;
+}
+
+/* Counts a refused request, and warns of those so far unless that was done just before. */
+static void
+note_refusal (HrHttpServer *server)
+{
+  gint64 now = g_get_monotonic_time ();
+  server->n_refused++;
+  if (now - server->overload_logged_at <= (gint64)OVERLOAD_LOG_INTERVAL_S * G_USEC_PER_SEC)
+    return;
+  g_warning ("nearly all of %u connections are in use: %u users' requests sent away",
+             server->max_connections, server->n_refused);
+  server->overload_logged_at = now;
+  server->n_refused = 0;
 }
 
 static enum MHD_Result
-send_away (HrHttpServer *server, struct MHD_Connection *conn)
+refuse_overloaded (HrHttpServer *server, struct MHD_Connection *conn)
 {
   static const char body[] = "{\"error\":\"this node has hardly a free socket; ask again\"}";
   struct MHD_Response *response =
       MHD_create_response_from_buffer (sizeof body - 1, (void *)body, MHD_RESPMEM_PERSISTENT);
   MHD_add_response_header (response, "Content-Type", "application/json");
-  MHD_add_response_header (response, "Retry-After", SHED_RETRY);
+  MHD_add_response_header (response, "Retry-After", OVERLOAD_RETRY_AFTER_S);
   MHD_add_response_header (response, "Connection", "close");
   enum MHD_Result ok = MHD_queue_response (conn, 503, response);
   MHD_destroy_response (response);
-  gint64 now = g_get_monotonic_time ();
-  server->shed++;
-  if (now - server->shed_at > (gint64)SHED_LOG_S * G_USEC_PER_SEC) {
-    g_warning ("nearly all of %u connections are in use: %u users' requests sent away",
-               server->connections, server->shed);
-    server->shed_at = now;
-    server->shed = 0;
-  }
+  note_refusal (server);
   return ok;
 }
 
+/* The request is complete; its connection waits for hr_http_server_reply(). */
+static void
+hand_to_sink (Request *request, const char *method, const char *url)
+{
+  HrHttpServer *server = request->server;
+  HrCommand *command = hr_command_new (HR_COMMAND_REQUEST);
+  command->id = request->id = ++server->last_id;
+  command->request.method = hr_method_of (method);
+  command->request.path = g_utf8_make_valid (url, -1);
+  command->request.is_too_large = request->too_large;
+  if (request->body)
+    command->body = g_byte_array_free_to_bytes (g_steal_pointer (&request->body));
+  g_hash_table_insert (server->open, &request->id, request);
+  MHD_suspend_connection (request->conn);
+  server->sink (command, server->data);
+}
+
+/* Called by libmicrohttpd for the headers, for each piece of the body, at its end, and again when
+ * the connection is resumed. */
 static enum MHD_Result
 on_request (void *data, struct MHD_Connection *conn, const char *url, const char *method,
             const char *version, const char *upload, size_t *upload_size, void **state)
 {
   HrHttpServer *server = data;
   Request *request = *state;
-  if (!request) { /* the headers only */
-    if (g_str_has_prefix (url, HR_JOBS_PATH) && crowded (server))
-      return send_away (server, conn);
+  if (!request) { /* the first call of a request: only its headers have come */
+    if (g_str_has_prefix (url, HR_JOBS_PATH) && is_overloaded (server))
+      return refuse_overloaded (server, conn);
     request = g_new0 (Request, 1);
     request->server = server;
     request->conn = conn;
@@ -129,7 +158,7 @@
     return MHD_YES;
   }
   if (*upload_size) {
-    take_body (request, upload, *upload_size);
+    append_body (request, upload, *upload_size);
     *upload_size = 0;
     return MHD_YES;
   }
@@ -137,20 +166,11 @@
     return MHD_queue_response (conn, request->status, request->response);
   if (request->id)
     return MHD_YES;
-  HrCommand *command = hr_command_new (HR_COMMAND_REQUEST);
-  command->id = request->id = ++server->next;
-  command->request.method = hr_method_of (method);
-  command->request.path = g_utf8_make_valid (url, -1);
-  command->request.is_too_large = request->too_large;
-  if (request->body)
-    command->body = g_byte_array_free_to_bytes (g_steal_pointer (&request->body));
-  g_hash_table_insert (server->open, &request->id, request);
-  MHD_suspend_connection (conn);
-  server->sink (command, server->data);
+  hand_to_sink (request, method, url);
   return MHD_YES;
 }
 
-/* ---- the main loop's side ---- */
+/* ---- the source of the main loop ---- */
 
 typedef struct {
   GSource source;
@@ -186,44 +206,64 @@
 
 static GSourceFuncs source_funcs = {source_prepare, source_check, source_dispatch, NULL};
 
+/* address: IP:PORT. */
+static gboolean
+parse_address (const char *address, struct sockaddr_in *out, GError **error)
+{
+  g_autoptr (GSocketConnectable) parsed = g_network_address_parse (address, 0, error);
+  if (!parsed)
+    return FALSE;
+  GNetworkAddress *network_address = G_NETWORK_ADDRESS (parsed);
+  *out = (struct sockaddr_in){.sin_family = AF_INET};
+  out->sin_port = htons (g_network_address_get_port (network_address));
+  if (inet_pton (AF_INET, g_network_address_get_hostname (network_address), &out->sin_addr) == 1)
+    return TRUE;
+  g_set_error (error, G_IO_ERROR, G_IO_ERROR_INVALID_ARGUMENT, "%s is not an IPv4 address",
+               address);
+  return FALSE;
+}
+
+static struct MHD_Daemon *
+start_daemon (HrHttpServer *server, struct sockaddr_in *address)
+{
+  return MHD_start_daemon (
+      MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL, on_request, server,
+      MHD_OPTION_SOCK_ADDR, address, MHD_OPTION_NOTIFY_COMPLETED, on_completed, server,
+      MHD_OPTION_CONNECTION_TIMEOUT, (unsigned int)IDLE_TIMEOUT_S, MHD_OPTION_CONNECTION_LIMIT,
+      (unsigned int)server->max_connections, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
+      (size_t)CONNECTION_MEMORY_BYTES, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u, MHD_OPTION_END);
+}
+
+static void
+attach_source (HrHttpServer *server)
+{
+  int epoll_fd = MHD_get_daemon_info (server->daemon, MHD_DAEMON_INFO_EPOLL_FD)->epoll_fd;
+  server->source = g_source_new (&source_funcs, sizeof (Source));
+  Source *source = (Source *)server->source;
+  source->server = server;
+  source->fd = g_source_add_unix_fd (server->source, epoll_fd, G_IO_IN);
+  g_source_attach (server->source, NULL);
+}
+
 HrHttpServer *
 hr_http_server_new (const char *address, guint connections, HrCommandSink sink, gpointer data,
                     GError **error)
 {
-  g_autoptr (GSocketConnectable) net = g_network_address_parse (address, 0, error);
-  if (!net)
+  struct sockaddr_in listen_address;
+  if (!parse_address (address, &listen_address, error))
     return NULL;
-  struct sockaddr_in listen_address = {.sin_family = AF_INET};
-  listen_address.sin_port = htons (g_network_address_get_port (G_NETWORK_ADDRESS (net)));
-  if (inet_pton (AF_INET, g_network_address_get_hostname (G_NETWORK_ADDRESS (net)),
-                 &listen_address.sin_addr) != 1) {
-    g_set_error (error, G_IO_ERROR, G_IO_ERROR_INVALID_ARGUMENT, "%s is not an IPv4 address",
-                 address);
-    return NULL;
-  }
   HrHttpServer *server = g_new0 (HrHttpServer, 1);
   server->sink = sink;
   server->data = data;
-  server->connections = connections;
+  server->max_connections = connections;
   server->open = g_hash_table_new (g_int64_hash, g_int64_equal);
-  server->daemon = MHD_start_daemon (
-      MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME, 0, NULL, NULL, on_request, server,
-      MHD_OPTION_SOCK_ADDR, &listen_address, MHD_OPTION_NOTIFY_COMPLETED, on_completed, server,
-      MHD_OPTION_CONNECTION_TIMEOUT, (unsigned int)IDLE_S, MHD_OPTION_CONNECTION_LIMIT,
-      (unsigned int)connections, MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)CONNECTION_MEMORY,
-      MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u, MHD_OPTION_END);
+  server->daemon = start_daemon (server, &listen_address);
   if (!server->daemon) {
     g_set_error (error, G_IO_ERROR, G_IO_ERROR_FAILED, "%s: %s", address, g_strerror (errno));
     hr_http_server_free (server);
     return NULL;
   }
-  server->source = g_source_new (&source_funcs, sizeof (Source));
-  Source *src = (Source *)server->source;
-  src->server = server;
-  src->fd = g_source_add_unix_fd (
-      server->source, MHD_get_daemon_info (server->daemon, MHD_DAEMON_INFO_EPOLL_FD)->epoll_fd,
-      G_IO_IN);
-  g_source_attach (server->source, NULL);
+  attach_source (server);
   return server;
 }
 
@@ -232,7 +272,7 @@
 {
   Request *request = g_hash_table_lookup (server->open, &effect->id);
   if (!request)
-    return; /* the asker is gone */
+    return; /* the client has closed its connection */
   g_hash_table_remove (server->open, &effect->id);
   const char *body = effect->body ? effect->body : "{}";
   request->status = effect->reply.status;
@@ -262,7 +302,7 @@
     g_source_unref (server->source);
   }
   if (server->daemon) {
-    /* What waits for an answer has to be resumed before the daemon can end. */
+    /* Requests that wait for an answer have to be resumed before libmicrohttpd can end. */
     GHashTableIter iter;
     gpointer data;
     g_hash_table_iter_init (&iter, server->open);
--- a/src/transport/peer.c
+++ b/src/transport/peer.c
@@ -3,129 +3,155 @@
 #include <gio/gio.h>
 #include <string.h>
 
+/* Bytes before a frame that say how long it is. */
+#define LENGTH_BYTES 4
+/* Peers send a status every second: a connection silent for longer is dead. */
+#define SILENCE_S 15
+/* How long an attempt to connect may take. */
+#define CONNECT_TIMEOUT_S 3
+
+/* The connection that carries this controller's statuses to one other; made again when it breaks.
+ */
 typedef struct {
   HrPeers *peers;
   char *endpoint;
   GSocketConnection *conn;
   gboolean connecting, writing;
-  guint8 frame[4 + HR_MAX_FRAME];
-} Link;
+  guint8 frame[LENGTH_BYTES + HR_MAX_FRAME]; /* being written */
+} Outgoing;
 
 struct HrPeers {
   GSocketService *service;
   GSocketClient *client;
-  GPtrArray *links;
+  GPtrArray *outgoing; /* Outgoing, one for each other controller */
   HrCommandSink sink;
   gpointer data;
 };
 
+/* A connection that another controller made, to send its statuses. */
 typedef struct {
   HrPeers *peers;
   GSocketConnection *conn;
-  guint8 head[4];
+  guint8 length[LENGTH_BYTES]; /* of the frame that follows, big-endian */
   guint8 body[HR_MAX_FRAME];
-} Reader;
+} Incoming;
 
-static void read_head (Reader *reader);
+static void read_length (Incoming *incoming);
 
 static void
-reader_free (Reader *reader)
+incoming_free (Incoming *incoming)
 {
-  g_io_stream_close_async (G_IO_STREAM (reader->conn), G_PRIORITY_DEFAULT, NULL, NULL, NULL);
-  g_object_unref (reader->conn);
-  g_free (reader);
+  g_io_stream_close_async (G_IO_STREAM (incoming->conn), G_PRIORITY_DEFAULT, NULL, NULL, NULL);
+  g_object_unref (incoming->conn);
+  g_free (incoming);
 }
 
 static void
-deliver (Reader *reader, gsize len)
+deliver (Incoming *incoming, gsize len)
 {
   HrCommand *command = hr_command_new (HR_COMMAND_PEER_STATUS);
-  if (!hr_peer_status_unpack (command->peer_status, reader->body, len)) {
+  if (!hr_peer_status_unpack (command->peer_status, incoming->body, len)) {
     g_info ("a peer sent a frame that is no status; dropped");
     hr_command_free (command);
     return;
   }
-  reader->peers->sink (command, reader->peers->data);
+  incoming->peers->sink (command, incoming->peers->data);
+}
+
+static guint32
+frame_length (const Incoming *incoming)
+{
+  guint32 length;
+  memcpy (&length, incoming->length, LENGTH_BYTES);
+  return GUINT32_FROM_BE (length);
 }
 
 static void
 on_body (GObject *src, GAsyncResult *res, gpointer data)
 {
-  Reader *reader = data;
+  Incoming *incoming = data;
   gsize n = 0;
-  guint32 want;
-  memcpy (&want, reader->head, 4);
-  want = GUINT32_FROM_BE (want);
-  if (!g_input_stream_read_all_finish (G_INPUT_STREAM (src), res, &n, NULL) || n < want) {
-    reader_free (reader);
+  if (!g_input_stream_read_all_finish (G_INPUT_STREAM (src), res, &n, NULL) ||
+      n < frame_length (incoming)) {
+    incoming_free (incoming);
     return;
   }
-  deliver (reader, n);
-  read_head (reader);
+  deliver (incoming, n);
+  read_length (incoming);
 }
 
 static void
-on_head (GObject *src, GAsyncResult *res, gpointer data)
+on_length (GObject *src, GAsyncResult *res, gpointer data)
 {
-  Reader *reader = data;
+  Incoming *incoming = data;
   gsize n = 0;
-  guint32 want;
-  if (!g_input_stream_read_all_finish (G_INPUT_STREAM (src), res, &n, NULL) || n < 4) {
-    reader_free (reader);
+  if (!g_input_stream_read_all_finish (G_INPUT_STREAM (src), res, &n, NULL) || n < LENGTH_BYTES) {
+    incoming_free (incoming);
     return;
   }
-  memcpy (&want, reader->head, 4);
-  want = GUINT32_FROM_BE (want);
-  if (want == 0 || want > HR_MAX_FRAME) {
-    reader_free (reader);
+  guint32 length = frame_length (incoming);
+  if (length == 0 || length > HR_MAX_FRAME) {
+    incoming_free (incoming);
     return;
   }
-  g_input_stream_read_all_async (G_INPUT_STREAM (src), reader->body, want, G_PRIORITY_DEFAULT, NULL,
-                                 on_body, reader);
+  g_input_stream_read_all_async (G_INPUT_STREAM (src), incoming->body, length, G_PRIORITY_DEFAULT,
+                                 NULL, on_body, incoming);
 }
 
 static void
-read_head (Reader *reader)
+read_length (Incoming *incoming)
 {
-  g_input_stream_read_all_async (g_io_stream_get_input_stream (G_IO_STREAM (reader->conn)),
-                                 reader->head, 4, G_PRIORITY_DEFAULT, NULL, on_head, reader);
+  g_input_stream_read_all_async (g_io_stream_get_input_stream (G_IO_STREAM (incoming->conn)),
+                                 incoming->length, LENGTH_BYTES, G_PRIORITY_DEFAULT, NULL,
+                                 on_length, incoming);
 }
 
 static gboolean
 on_incoming (GSocketService *service, GSocketConnection *conn, GObject *src, gpointer data)
 {
-  Reader *reader = g_new0 (Reader, 1);
-  reader->peers = data;
-  reader->conn = g_object_ref (conn);
-  /* A peer speaks every second: a silent connection is dead. */
-  g_socket_set_timeout (g_socket_connection_get_socket (conn), 15);
-  read_head (reader);
+  Incoming *incoming = g_new0 (Incoming, 1);
+  incoming->peers = data;
+  incoming->conn = g_object_ref (conn);
+  g_socket_set_timeout (g_socket_connection_get_socket (conn), SILENCE_S);
+  read_length (incoming);
   return TRUE;
 }
 
 static void
-link_drop (Link *link)
+outgoing_close (Outgoing *outgoing)
 {
-  if (link->conn)
-    g_io_stream_close_async (G_IO_STREAM (link->conn), G_PRIORITY_DEFAULT, NULL, NULL, NULL);
-  g_clear_object (&link->conn);
+  if (outgoing->conn)
+    g_io_stream_close_async (G_IO_STREAM (outgoing->conn), G_PRIORITY_DEFAULT, NULL, NULL, NULL);
+  g_clear_object (&outgoing->conn);
 }
 
 static void
 on_connected (GObject *src, GAsyncResult *res, gpointer data)
 {
-  Link *link = data;
-  link->connecting = FALSE;
-  link->conn = g_socket_client_connect_to_host_finish (G_SOCKET_CLIENT (src), res, NULL);
+  Outgoing *outgoing = data;
+  outgoing->connecting = FALSE;
+  outgoing->conn = g_socket_client_connect_to_host_finish (G_SOCKET_CLIENT (src), res, NULL);
 }
 
 static void
 on_written (GObject *src, GAsyncResult *res, gpointer data)
 {
-  Link *link = data;
-  link->writing = FALSE;
+  Outgoing *outgoing = data;
+  outgoing->writing = FALSE;
   if (!g_output_stream_write_all_finish (G_OUTPUT_STREAM (src), res, NULL, NULL))
-    link_drop (link);
+    outgoing_close (outgoing);
+}
+
+static void
+send_frame (Outgoing *outgoing, const guint8 *frame, gsize len)
+{
+  guint32 length = GUINT32_TO_BE ((guint32)len);
+  memcpy (outgoing->frame, &length, LENGTH_BYTES);
+  memcpy (outgoing->frame + LENGTH_BYTES, frame, len);
+  outgoing->writing = TRUE;
+  g_output_stream_write_all_async (g_io_stream_get_output_stream (G_IO_STREAM (outgoing->conn)),
+                                   outgoing->frame, LENGTH_BYTES + len, G_PRIORITY_DEFAULT, NULL,
+                                   on_written, outgoing);
 }
 
 void
@@ -135,25 +161,28 @@
   gsize len = hr_peer_status_pack (status, frame);
   if (!len)
     return;
-  for (guint i = 0; i < peers->links->len; i++) {
-    Link *link = peers->links->pdata[i];
-    if (!link->conn && !link->connecting) {
-      link->connecting = TRUE;
-      g_socket_client_connect_to_host_async (peers->client, link->endpoint, 0, NULL, on_connected,
-                                             link);
+  for (guint i = 0; i < peers->outgoing->len; i++) {
+    Outgoing *outgoing = peers->outgoing->pdata[i];
+    if (!outgoing->conn && !outgoing->connecting) {
+      outgoing->connecting = TRUE;
+      g_socket_client_connect_to_host_async (peers->client, outgoing->endpoint, 0, NULL,
+                                             on_connected, outgoing);
     }
-    if (!link->conn || link->writing)
-      continue; /* statuses are not queued: the next one says it all */
-    guint32 length = GUINT32_TO_BE ((guint32)len);
-    memcpy (link->frame, &length, 4);
-    memcpy (link->frame + 4, frame, len);
-    link->writing = TRUE;
-    g_output_stream_write_all_async (g_io_stream_get_output_stream (G_IO_STREAM (link->conn)),
-                                     link->frame, 4 + len, G_PRIORITY_DEFAULT, NULL, on_written,
-                                     link);
+    /* Statuses are not queued: the next one states everything anew. */
+    if (outgoing->conn && !outgoing->writing)
+      send_frame (outgoing, frame, len);
   }
 }
 
+static void
+add_outgoing (HrPeers *peers, const char *endpoint)
+{
+  Outgoing *outgoing = g_new0 (Outgoing, 1);
+  outgoing->peers = peers;
+  outgoing->endpoint = g_strdup (endpoint);
+  g_ptr_array_add (peers->outgoing, outgoing);
+}
+
 HrPeers *
 hr_peers_new (const HrSettings *settings, HrCommandSink sink, gpointer data, GError **error)
 {
@@ -166,10 +195,10 @@
   HrPeers *peers = g_new0 (HrPeers, 1);
   peers->sink = sink;
   peers->data = data;
-  peers->links = g_ptr_array_new ();
+  peers->outgoing = g_ptr_array_new ();
   peers->client = g_socket_client_new ();
   g_socket_client_set_enable_proxy (peers->client, FALSE);
-  g_socket_client_set_timeout (peers->client, 3);
+  g_socket_client_set_timeout (peers->client, CONNECT_TIMEOUT_S);
   peers->service = g_socket_service_new ();
   if (!g_socket_listener_add_address (G_SOCKET_LISTENER (peers->service), sock,
                                       G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, NULL, NULL,
@@ -179,25 +208,21 @@
   }
   g_signal_connect (peers->service, "incoming", G_CALLBACK (on_incoming), peers);
   g_socket_service_start (peers->service);
-  for (guint i = 0; i < settings->members->len; i++) {
-    Link *link = g_new0 (Link, 1);
-    link->peers = peers;
-    link->endpoint = g_strdup (g_array_index (settings->members, HrMember, i).endpoint);
-    g_ptr_array_add (peers->links, link);
-  }
+  for (guint i = 0; i < settings->members->len; i++)
+    add_outgoing (peers, g_array_index (settings->members, HrMember, i).endpoint);
   return peers;
 }
 
 void
 hr_peers_free (HrPeers *peers)
 {
-  for (guint i = 0; i < peers->links->len; i++) {
-    Link *link = peers->links->pdata[i];
-    link_drop (link);
-    g_free (link->endpoint);
-    g_free (link);
+  for (guint i = 0; i < peers->outgoing->len; i++) {
+    Outgoing *outgoing = peers->outgoing->pdata[i];
+    outgoing_close (outgoing);
+    g_free (outgoing->endpoint);
+    g_free (outgoing);
   }
-  g_ptr_array_unref (peers->links);
+  g_ptr_array_unref (peers->outgoing);
   g_clear_object (&peers->client);
   g_clear_object (&peers->service);
   g_free (peers);
