--- a/src/protocol/http_method.h
+++ b/src/protocol/http_method.h
@@ -3,5 +3,10 @@
 
 typedef enum { HR_GET, HR_POST, HR_DELETE, HR_OTHER_METHOD } HrMethod;
 
-/* The method that a request line names. */
+/**
+ * hr_method_of:
+ * @name: the method in a request line, such as "GET"
+ *
+ * Returns: %HR_OTHER_METHOD for any that the protocol does not use
+ */
 HrMethod hr_method_of (const char *name);
--- a/src/protocol/worker.c
+++ b/src/protocol/worker.c
@@ -4,6 +4,10 @@
 #include "protocol/wire_names.h"
 #include <string.h>
 
+/* Bytes of a machine's name. */
+#define MAX_MACHINE_NAME_BYTES 64
+
+/* By HrReportedState and by HrExitCause. */
 static const char *const states[] = {"fetching", "gathering", "running", "flushing", "exited"};
 static const char *const causes[] = {"",      "done", "halted", "peers",  "incomplete",
                                      "error", "full", "in_use", "unknown"};
@@ -15,36 +19,69 @@
 }
 
 static gboolean
-item_parse (const json_t *object, HrHeartbeat *heartbeat, HrReportedTask *reported)
+parse_state (const char *name, HrReportedState *out)
+{
+  for (guint i = 0; i < G_N_ELEMENTS (states); i++)
+    if (g_str_equal (states[i], name)) {
+      *out = i;
+      return TRUE;
+    }
+  return FALSE;
+}
+
+/* A cause that a later version of the worker knows counts as a failure. */
+static HrExitCause
+parse_exit_cause (const char *name)
+{
+  for (guint i = HR_EXIT_DONE; i < G_N_ELEMENTS (causes); i++)
+    if (g_strcmp0 (causes[i], name) == 0)
+      return i;
+  return HR_EXIT_ERROR;
+}
+
+static gboolean
+parse_task (const json_t *object, HrHeartbeat *heartbeat, HrReportedTask *reported)
 {
-  const char *piece = hr_json_str (object, HR_WIRE_TASK),
-             *state_name = hr_json_str (object, HR_WIRE_STATE),
-             *cause = hr_json_str (object, HR_WIRE_EXIT_CAUSE);
-  const char *slash = piece ? strrchr (piece, '/') : NULL;
+  const char *name = hr_json_str (object, HR_WIRE_TASK);
+  const char *state_name = hr_json_str (object, HR_WIRE_STATE);
+  const char *slash = name ? strrchr (name, '/') : NULL;
   guint64 task, attempt;
   if (!slash || !state_name ||
       !g_ascii_string_to_unsigned (slash + 1, 10, 0, HR_MAX_TASKS - 1, &task, NULL) ||
       !hr_json_count (object, HR_WIRE_ATTEMPT, G_MAXUINT32, &attempt))
     return FALSE;
-  char *job_id = g_strndup (piece, slash - piece);
+  char *job_id = g_strndup (name, slash - name);
   g_ptr_array_add (heartbeat->texts, job_id);
   *reported = (HrReportedTask){.job = job_id, .task = task, .attempt = attempt};
-  for (reported->state = 0; reported->state < G_N_ELEMENTS (states); reported->state++)
-    if (g_str_equal (states[reported->state], state_name))
-      break;
-  if (reported->state == G_N_ELEMENTS (states))
+  if (!parse_state (state_name, &reported->state))
     return FALSE;
-  if (reported->state == HR_REPORTED_EXITED) {
-    for (reported->cause = 1; reported->cause < G_N_ELEMENTS (causes); reported->cause++)
-      if (g_strcmp0 (causes[reported->cause], cause) == 0)
-        break;
-    if (reported->cause == G_N_ELEMENTS (causes))
-      reported->cause = HR_EXIT_ERROR; /* a cause from the future: treat as a failure */
-  }
+  if (reported->state == HR_REPORTED_EXITED)
+    reported->cause = parse_exit_cause (hr_json_str (object, HR_WIRE_EXIT_CAUSE));
   hr_json_bool (object, HR_WIRE_CHECKPOINT_SAVED, &reported->kept);
   return TRUE;
 }
 
+/* Fills in all but the tasks. */
+static gboolean
+parse_header (const json_t *root, HrHeartbeat *heartbeat)
+{
+  heartbeat->machine = hr_json_str (root, HR_WIRE_MACHINE);
+  heartbeat->address = hr_json_str (root, HR_WIRE_ADDRESS);
+  heartbeat->type = hr_json_str (root, HR_WIRE_MACHINE_TYPE);
+  heartbeat->zone = hr_json_str (root, HR_WIRE_ZONE);
+  if (!heartbeat->machine || !*heartbeat->machine ||
+      strlen (heartbeat->machine) > MAX_MACHINE_NAME_BYTES || !heartbeat->address ||
+      !heartbeat->type || !heartbeat->zone ||
+      !hr_json_bool (root, HR_WIRE_SPOT, &heartbeat->is_spot) ||
+      !hr_json_count (root, HR_WIRE_INCARNATION, G_MAXUINT32, &heartbeat->incarnation) ||
+      !hr_json_count (root, HR_WIRE_SEQUENCE, G_MAXINT64, &heartbeat->sequence) ||
+      !hr_json_count (root, HR_WIRE_FENCING_TOKEN, G_MAXINT64, &heartbeat->fencing_token))
+    return FALSE;
+  if (!hr_json_num (root, HR_WIRE_PREEMPTION_NOTICE_S, &heartbeat->preemption_notice_s))
+    heartbeat->preemption_notice_s = -1;
+  return TRUE;
+}
+
 HrHeartbeat *
 hr_heartbeat_parse (const char *data, gsize len, GError **error)
 {
@@ -55,28 +92,17 @@
   heartbeat->root = root;
   heartbeat->tasks = g_array_new (FALSE, TRUE, sizeof (HrReportedTask));
   heartbeat->texts = g_ptr_array_new_with_free_func (g_free);
-  heartbeat->machine = hr_json_str (root, HR_WIRE_MACHINE);
-  heartbeat->address = hr_json_str (root, HR_WIRE_ADDRESS);
-  heartbeat->type = hr_json_str (root, HR_WIRE_MACHINE_TYPE);
-  heartbeat->zone = hr_json_str (root, HR_WIRE_ZONE);
-  if (!heartbeat->machine || !*heartbeat->machine || strlen (heartbeat->machine) > 64 ||
-      !heartbeat->address || !heartbeat->type || !heartbeat->zone ||
-      !hr_json_bool (root, HR_WIRE_SPOT, &heartbeat->is_spot) ||
-      !hr_json_count (root, HR_WIRE_INCARNATION, G_MAXUINT32, &heartbeat->incarnation) ||
-      !hr_json_count (root, HR_WIRE_SEQUENCE, G_MAXINT64, &heartbeat->sequence) ||
-      !hr_json_count (root, HR_WIRE_FENCING_TOKEN, G_MAXINT64, &heartbeat->fencing_token)) {
+  if (!parse_header (root, heartbeat)) {
     g_set_error_literal (error, HR_PROTOCOL_ERROR, HR_PROTOCOL_ERROR_FIELD,
                          "not a worker's report: a field is missing or of the wrong type");
     return NULL;
   }
-  if (!hr_json_num (root, HR_WIRE_PREEMPTION_NOTICE_S, &heartbeat->preemption_notice_s))
-    heartbeat->preemption_notice_s = -1;
   json_t *list = json_object_get (root, HR_WIRE_TASKS), *object;
   size_t i;
   json_array_foreach (list, i, object)
   {
     HrReportedTask reported;
-    if (!item_parse (object, heartbeat, &reported)) {
+    if (!parse_task (object, heartbeat, &reported)) {
       g_set_error (error, HR_PROTOCOL_ERROR, HR_PROTOCOL_ERROR_FIELD,
                    HR_WIRE_TASKS "[%zu] is not a task's state", i);
       return NULL;
@@ -100,8 +126,8 @@
 static json_t *
 order (const char *verb, const char *job_id, guint32 task_index, guint32 attempt)
 {
-  g_autofree char *piece = g_strdup_printf ("%s/%u", job_id, task_index);
-  return json_pack ("{sssssi}", HR_WIRE_ORDER_VERB, verb, HR_WIRE_TASK, piece, HR_WIRE_ATTEMPT,
+  g_autofree char *task = g_strdup_printf ("%s/%u", job_id, task_index);
+  return json_pack ("{sssssi}", HR_WIRE_ORDER_VERB, verb, HR_WIRE_TASK, task, HR_WIRE_ATTEMPT,
                     (int)attempt);
 }
 
