--- a/src/client/hoprock.c
+++ b/src/client/hoprock.c
@@ -1,5 +1,6 @@
-/* hoprock: the users' command line. docs/man/hoprock.1 says all of it. */
+/* hoprock: the users' command line. docs/man/hoprock.1 documents it. */
 #include "client/history.h"
+#include "client/options.h"
 #include "client/requests.h"
 #include "protocol/json_util.h"
 #include "protocol/messages.h"
@@ -13,24 +14,11 @@
 #define EXIT_GAVE_UP 3   /* no final answer within a minute */
 #define EXIT_CANCELLED 4 /* status --watch: the job was cancelled */
 
-/* How long to wait for an answer, and between two looks of --watch; seconds. */
+/* How long to wait for an answer to a submission or cancellation, and to a question. */
 #define SUBMIT_ANSWER_S 5
 #define POLL_ANSWER_S 2
-#define WATCH_EVERY_S 5
-
-static const char usage[] = "COMMAND [OPTIONS]\n\nCommands:\n"
-                            "  submit   submit a job, from options or a file\n"
-                            "  status   say how a job stands; --watch until it ends\n"
-                            "  cancel   cancel a job\n"
-                            "  list     how the jobs submitted from here stand\n"
-                            "  nodes    which nodes are ready, and which one leads\n";
-
-typedef struct {
-  char *server;
-  gboolean json, quiet, watch;
-  char *file;
-  HrSubmission job;
-} Options;
+/* Between two requests of --watch. */
+#define WATCH_INTERVAL_S 5
 
 static int
 wrong_use (const char *text)
@@ -39,7 +27,7 @@
   return EXIT_WRONG_USE;
 }
 
-/* Says why there is no good answer. Returns the exit code. */
+/* Reports why there is no good answer. Returns the exit code. */
 static int
 explain (const HrAnswer *answer)
 {
@@ -56,7 +44,7 @@
 }
 
 static void
-print_state (const Options *options, const HrJobStatus *status)
+print_state (const HrClientOptions *options, const HrJobStatus *status)
 {
   if (options->json) {
     json_t *line = json_pack ("{sssssIsI}", "id", status->id, "state", status->state, "done",
@@ -74,7 +62,7 @@
 
 /* Reads and prints the state; returns the exit code. */
 static int
-show (const Options *options, const HrAnswer *answer, HrJobStatus *status)
+show (const HrClientOptions *options, const HrAnswer *answer, HrJobStatus *status)
 {
   gsize size;
   const char *text = hr_answer_text (answer, &size);
@@ -85,8 +73,8 @@
 }
 
 static int
-ask_and_show (const Options *options, HrClient *client, const char *method, const char *path,
-              guint answer_s)
+ask_and_show (const HrClientOptions *options, HrClient *client, const char *method,
+              const char *path, guint answer_s)
 {
   g_auto (HrAnswer) answer = hr_client_ask (client, method, path, NULL, answer_s);
   g_auto (HrJobStatus) status = {0};
@@ -97,7 +85,7 @@
 
 /* The body of the submission that the options describe, or that their file holds. */
 static char *
-submission_body (Options *options, GError **error)
+submission_body (HrClientOptions *options, GError **error)
 {
   char *body = NULL;
   if (options->file) {
@@ -118,7 +106,7 @@
 }
 
 static int
-submit (Options *options, HrClient *client, const char *unused)
+submit (HrClientOptions *options, HrClient *client, const char *unused)
 {
   g_autoptr (GError) error = NULL;
   g_autofree char *body = submission_body (options, &error);
@@ -136,7 +124,7 @@
 }
 
 static int
-status (Options *options, HrClient *client, const char *id)
+status (HrClientOptions *options, HrClient *client, const char *id)
 {
   g_autofree char *path = hr_job_path (id);
   if (!options->watch)
@@ -156,19 +144,19 @@
     last = g_steal_pointer (&now);
     if (hr_job_status_is_final (&read))
       return hr_job_status_is_cancelled (&read) ? EXIT_CANCELLED : 0;
-    g_usleep ((gulong)WATCH_EVERY_S * G_USEC_PER_SEC);
+    g_usleep ((gulong)WATCH_INTERVAL_S * G_USEC_PER_SEC);
   }
 }
 
 static int
-cancel (Options *options, HrClient *client, const char *id)
+cancel (HrClientOptions *options, HrClient *client, const char *id)
 {
   g_autofree char *path = hr_cancel_path (id);
   return ask_and_show (options, client, "POST", path, SUBMIT_ANSWER_S);
 }
 
 static int
-list (Options *options, HrClient *client, const char *unused)
+list (HrClientOptions *options, HrClient *client, const char *unused)
 {
   g_autoptr (GPtrArray) ids = hr_history_ids ();
   int code = 0;
@@ -197,7 +185,7 @@
 }
 
 static void
-print_node (const Options *options, const char *server, gboolean answers, gboolean ready,
+print_node (const HrClientOptions *options, const char *server, gboolean answers, gboolean ready,
             const HrAnswer *metrics)
 {
   gboolean leads = metric (metrics, "hoprock_leads") == 1;
@@ -215,7 +203,7 @@
 }
 
 static int
-nodes (Options *options, HrClient *client, const char *unused)
+nodes (HrClientOptions *options, HrClient *client, const char *unused)
 {
   guint ready = 0;
   for (guint i = 0; client->servers[i]; i++) {
@@ -229,12 +217,10 @@
   return ready ? 0 : EXIT_GAVE_UP;
 }
 
-/* ---- arguments ---- */
-
 typedef struct {
   const char *name;
   gboolean takes_id;
-  int (*run) (Options *options, HrClient *client, const char *id);
+  int (*run) (HrClientOptions *options, HrClient *client, const char *id);
 } Command;
 
 static const Command commands[] = {{"submit", FALSE, submit},
@@ -243,67 +229,6 @@
                                    {"list", FALSE, list},
                                    {"nodes", FALSE, nodes}};
 
-static GOptionGroup *
-job_options (HrSubmission *submission)
-{
-  const GOptionEntry entries[] = {
-      {"id", 0, 0, G_OPTION_ARG_STRING, &submission->id, "its id; default: drawn", "job-NAME"},
-      {"class", 0, 0, G_OPTION_ARG_STRING, &submission->job_class, "class of jobs", "NAME"},
-      {"team", 0, 0, G_OPTION_ARG_STRING, &submission->team, "team", "NAME"},
-      {"shape", 0, 0, G_OPTION_ARG_STRING, &submission->shape, "batch, ensemble or daemon",
-       "SHAPE"},
-      {"rank", 0, 0, G_OPTION_ARG_STRING, &submission->priority,
-       "production, urgent, normal or low", "RANK"},
-      {"tasks", 0, 0, G_OPTION_ARG_INT, &submission->tasks, "number of tasks", "N"},
-      {"cpus", 0, 0, G_OPTION_ARG_DOUBLE, &submission->cpus, "CPUs of each task", "N"},
-      {"gpus", 0, 0, G_OPTION_ARG_DOUBLE, &submission->accelerators, "accelerators of each task",
-       "N"},
-      {"memory", 0, 0, G_OPTION_ARG_DOUBLE, &submission->memory_gb, "memory of each task", "GB"},
-      {"image", 0, 0, G_OPTION_ARG_STRING, &submission->image, "image", "NAME"},
-      {"image-size", 0, 0, G_OPTION_ARG_DOUBLE, &submission->image_gb, "its size", "GB"},
-      {"type", 0, 0, G_OPTION_ARG_STRING_ARRAY, &submission->types,
-       "allowed machine type, repeatable", "NAME"},
-      {"zone", 0, 0, G_OPTION_ARG_STRING, &submission->zone, "the only allowed zone", "NAME"},
-      {"together", 0, 0, G_OPTION_ARG_NONE, &submission->one_zone, "all tasks in one zone", NULL},
-      {"apart", 0, 0, G_OPTION_ARG_NONE, &submission->spread, "at most half of the tasks in a zone",
-       NULL},
-      {"spot", 0, 0, G_OPTION_ARG_NONE, &submission->allows_spot, "may use spot machines", NULL},
-      {"estimate", 0, 0, G_OPTION_ARG_DOUBLE, &submission->estimate_s, "run time of a task", "S"},
-      {"checkpoint", 0, 0, G_OPTION_ARG_DOUBLE, &submission->checkpoint_s, "between checkpoints",
-       "S"},
-      {"save", 0, 0, G_OPTION_ARG_DOUBLE, &submission->save_s, "time to save when stopped", "S"},
-      {"due", 0, 0, G_OPTION_ARG_DOUBLE, &submission->deadline_s, "deadline, from now", "S"},
-      {"await", 0, 0, G_OPTION_ARG_STRING_ARRAY, &submission->awaits, "job to wait for, repeatable",
-       "ID"},
-      {NULL}};
-  GOptionGroup *group =
-      g_option_group_new ("job", "Options of submit:", "Show the options of submit", NULL, NULL);
-  g_option_group_add_entries (group, entries);
-  return group;
-}
-
-static gboolean
-parse (Options *options, int *argc, char ***argv)
-{
-  const GOptionEntry entries[] = {
-      {"server", 's', 0, G_OPTION_ARG_STRING, &options->server,
-       "nodes or load balancer; default: $HOPROCK_SERVER, or 127.0.0.1:8080", "HOST:PORT,..."},
-      {"json", 'j', 0, G_OPTION_ARG_NONE, &options->json, "one JSON object a line", NULL},
-      {"quiet", 'q', 0, G_OPTION_ARG_NONE, &options->quiet, "say nothing about retries", NULL},
-      {"watch", 'w', 0, G_OPTION_ARG_NONE, &options->watch, "status: until the job ends", NULL},
-      {"file", 'f', 0, G_OPTION_ARG_FILENAME, &options->file, "submit: a submission in JSON",
-       "FILE"},
-      {NULL}};
-  g_autoptr (GOptionContext) context = g_option_context_new (usage);
-  g_option_context_add_main_entries (context, entries, NULL);
-  g_option_context_add_group (context, job_options (&options->job));
-  g_autoptr (GError) error = NULL;
-  if (g_option_context_parse (context, argc, argv, &error))
-    return TRUE;
-  wrong_use (error->message);
-  return FALSE;
-}
-
 static const Command *
 command_of (const char *name)
 {
@@ -313,28 +238,14 @@
   return NULL;
 }
 
-static void
-options_clear (Options *options)
-{
-  HrSubmission *submission = &options->job;
-  char *texts[] = {options->server,       options->file,     submission->id,
-                   submission->job_class, submission->team,  submission->shape,
-                   submission->priority,  submission->image, submission->zone};
-  for (guint i = 0; i < G_N_ELEMENTS (texts); i++)
-    g_free (texts[i]);
-  g_strfreev (submission->types);
-  g_strfreev (submission->awaits);
-}
-
-G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (Options, options_clear)
-
 int
 main (int argc, char **argv)
 {
-  g_auto (Options) options = {.job = {.tasks = 1}};
+  g_auto (HrClientOptions) options = {.job = {.tasks = 1}};
   HrClient client = {0};
-  if (!parse (&options, &argc, &argv))
-    return EXIT_WRONG_USE;
+  g_autoptr (GError) error = NULL;
+  if (!hr_client_options_parse (&options, &argc, &argv, &error))
+    return wrong_use (error->message);
   const Command *command = command_of (argc > 1 ? argv[1] : NULL);
   if (!command)
     return wrong_use ("a command is needed: submit, status, cancel, list or nodes");
@@ -342,8 +253,10 @@
     return wrong_use (command->takes_id ? "one job's id is needed" : "unexpected argument");
   if (command->takes_id && !hr_job_id_valid (argv[2]))
     return wrong_use ("not a job's id: `job-` and letters, digits, - _ .");
-  const char *settings = g_getenv ("HOPROCK_SERVER");
-  const char *servers = options.server ? options.server : settings ? settings : "127.0.0.1:8080";
+  const char *from_environment = g_getenv ("HOPROCK_SERVER");
+  const char *servers = options.server     ? options.server
+                        : from_environment ? from_environment
+                                           : "127.0.0.1:8080";
   int code = hr_client_begin (&client, servers, options.quiet)
                  ? command->run (&options, &client, command->takes_id ? argv[2] : NULL)
                  : wrong_use ("--server names no node");
--- /dev/null
+++ b/src/client/options.c
@@ -0,0 +1,78 @@
+#include "client/options.h"
+
+static const char usage[] = "COMMAND [OPTIONS]\n\nCommands:\n"
+                            "  submit   submit a job, from options or a file\n"
+                            "  status   say how a job stands; --watch until it ends\n"
+                            "  cancel   cancel a job\n"
+                            "  list     how the jobs submitted from here stand\n"
+                            "  nodes    which nodes are ready, and which one leads\n";
+
+static GOptionGroup *
+job_options (HrSubmission *submission)
+{
+  const GOptionEntry entries[] = {
+      {"id", 0, 0, G_OPTION_ARG_STRING, &submission->id, "its id; default: drawn", "job-NAME"},
+      {"class", 0, 0, G_OPTION_ARG_STRING, &submission->job_class, "class of jobs", "NAME"},
+      {"team", 0, 0, G_OPTION_ARG_STRING, &submission->team, "team", "NAME"},
+      {"shape", 0, 0, G_OPTION_ARG_STRING, &submission->shape, "batch, ensemble or daemon",
+       "SHAPE"},
+      {"rank", 0, 0, G_OPTION_ARG_STRING, &submission->priority,
+       "production, urgent, normal or low", "RANK"},
+      {"tasks", 0, 0, G_OPTION_ARG_INT, &submission->tasks, "number of tasks", "N"},
+      {"cpus", 0, 0, G_OPTION_ARG_DOUBLE, &submission->cpus, "CPUs of each task", "N"},
+      {"gpus", 0, 0, G_OPTION_ARG_DOUBLE, &submission->accelerators, "accelerators of each task",
+       "N"},
+      {"memory", 0, 0, G_OPTION_ARG_DOUBLE, &submission->memory_gb, "memory of each task", "GB"},
+      {"image", 0, 0, G_OPTION_ARG_STRING, &submission->image, "image", "NAME"},
+      {"image-size", 0, 0, G_OPTION_ARG_DOUBLE, &submission->image_gb, "its size", "GB"},
+      {"type", 0, 0, G_OPTION_ARG_STRING_ARRAY, &submission->types,
+       "allowed machine type, repeatable", "NAME"},
+      {"zone", 0, 0, G_OPTION_ARG_STRING, &submission->zone, "the only allowed zone", "NAME"},
+      {"together", 0, 0, G_OPTION_ARG_NONE, &submission->one_zone, "all tasks in one zone", NULL},
+      {"apart", 0, 0, G_OPTION_ARG_NONE, &submission->spread, "at most half of the tasks in a zone",
+       NULL},
+      {"spot", 0, 0, G_OPTION_ARG_NONE, &submission->allows_spot, "may use spot machines", NULL},
+      {"estimate", 0, 0, G_OPTION_ARG_DOUBLE, &submission->estimate_s, "run time of a task", "S"},
+      {"checkpoint", 0, 0, G_OPTION_ARG_DOUBLE, &submission->checkpoint_s, "between checkpoints",
+       "S"},
+      {"save", 0, 0, G_OPTION_ARG_DOUBLE, &submission->save_s, "time to save when stopped", "S"},
+      {"due", 0, 0, G_OPTION_ARG_DOUBLE, &submission->deadline_s, "deadline, from now", "S"},
+      {"await", 0, 0, G_OPTION_ARG_STRING_ARRAY, &submission->awaits, "job to wait for, repeatable",
+       "ID"},
+      {NULL}};
+  GOptionGroup *group =
+      g_option_group_new ("job", "Options of submit:", "Show the options of submit", NULL, NULL);
+  g_option_group_add_entries (group, entries);
+  return group;
+}
+
+gboolean
+hr_client_options_parse (HrClientOptions *options, int *argc, char ***argv, GError **error)
+{
+  const GOptionEntry entries[] = {
+      {"server", 's', 0, G_OPTION_ARG_STRING, &options->server,
+       "nodes or load balancer; default: $HOPROCK_SERVER, or 127.0.0.1:8080", "HOST:PORT,..."},
+      {"json", 'j', 0, G_OPTION_ARG_NONE, &options->json, "one JSON object a line", NULL},
+      {"quiet", 'q', 0, G_OPTION_ARG_NONE, &options->quiet, "say nothing about retries", NULL},
+      {"watch", 'w', 0, G_OPTION_ARG_NONE, &options->watch, "status: until the job ends", NULL},
+      {"file", 'f', 0, G_OPTION_ARG_FILENAME, &options->file, "submit: a submission in JSON",
+       "FILE"},
+      {NULL}};
+  g_autoptr (GOptionContext) context = g_option_context_new (usage);
+  g_option_context_add_main_entries (context, entries, NULL);
+  g_option_context_add_group (context, job_options (&options->job));
+  return g_option_context_parse (context, argc, argv, error);
+}
+
+void
+hr_client_options_clear (HrClientOptions *options)
+{
+  HrSubmission *submission = &options->job;
+  char *texts[] = {options->server,       options->file,     submission->id,
+                   submission->job_class, submission->team,  submission->shape,
+                   submission->priority,  submission->image, submission->zone};
+  for (guint i = 0; i < G_N_ELEMENTS (texts); i++)
+    g_free (texts[i]);
+  g_strfreev (submission->types);
+  g_strfreev (submission->awaits);
+}
--- a/src/client/requests.c
+++ b/src/client/requests.c
@@ -3,16 +3,17 @@
 #include <stdio.h>
 #include <string.h>
 
-/* In all, between two tries at the least, and what a node may ask for at the most; seconds. */
+/* Time for all tries of a request. */
 #define GIVE_UP_S 60
-#define PAUSE_S 1
-#define RETRY_AFTER_MOST_S 30
+/* Between two tries: at least, and the most that an answer's Retry-After may ask for. */
+#define MIN_PAUSE_S 1
+#define MAX_PAUSE_S 30
 
 gboolean
 hr_client_begin (HrClient *client, const char *servers, gboolean quiet)
 {
   client->servers = g_strsplit (servers, ",", -1);
-  client->at = 0;
+  client->next = 0;
   client->quiet = quiet;
   client->session = soup_session_new ();
   soup_session_set_proxy_resolver (client->session, NULL);
@@ -46,7 +47,7 @@
          status == 422;
 }
 
-/* One try. *retry_after: seconds that the node asks for; 0: none. */
+/* One try. *retry_after: seconds that the answer asks to wait; 0: none. */
 static HrAnswer
 send_once (HrClient *client, const char *server, const char *method, const char *path,
            const char *body, guint answer_s, guint64 *retry_after)
@@ -67,10 +68,10 @@
   if (!answer.body)
     return answer;
   answer.status = soup_message_get_status (msg);
-  const char *asked =
+  const char *header =
       soup_message_headers_get_one (soup_message_get_response_headers (msg), "Retry-After");
-  if (asked)
-    g_ascii_string_to_unsigned (asked, 10, 0, G_MAXUINT32, retry_after, NULL);
+  if (header)
+    g_ascii_string_to_unsigned (header, 10, 0, G_MAXUINT32, retry_after, NULL);
   return answer;
 }
 
@@ -98,16 +99,16 @@
   gint64 until = g_get_monotonic_time () + (gint64)GIVE_UP_S * G_USEC_PER_SEC;
   for (guint tries = 1;; tries++) {
     guint64 retry_after;
-    const char *server = client->servers[client->at];
+    const char *server = client->servers[client->next];
     HrAnswer answer = send_once (client, server, method, path, body, answer_s, &retry_after);
     if (is_final (answer.status))
       return answer;
-    guint pause = CLAMP (retry_after, PAUSE_S, RETRY_AFTER_MOST_S);
+    guint pause = CLAMP (retry_after, MIN_PAUSE_S, MAX_PAUSE_S);
     if (g_get_monotonic_time () + (gint64)pause * G_USEC_PER_SEC > until)
       return answer;
     show_progress (client, server, &answer, tries, pause);
     hr_answer_clear (&answer);
-    client->at = client->servers[client->at + 1] ? client->at + 1 : 0;
+    client->next = client->servers[client->next + 1] ? client->next + 1 : 0;
     g_usleep ((gulong)pause * G_USEC_PER_SEC);
   }
 }
--- a/src/transport/log_writer.c
+++ b/src/transport/log_writer.c
@@ -3,11 +3,12 @@
 #include <stdio.h>
 #include <string.h>
 
-static int most = G_LOG_LEVEL_INFO;
+/* The least severe level that is written; GLib gives severe levels small numbers. */
+static int max_level = G_LOG_LEVEL_INFO;
 static HrLogFormat log_format;
 static char *node_label;
 
-/* Debug lines of the libraries below (GLib's sockets write six for each connection) bury ours. */
+/* Debug lines of libraries (GLib's sockets write six for each connection) would hide ours. */
 static gboolean
 debug_wanted (const char *domain)
 {
@@ -30,9 +31,10 @@
   return size > 0;
 }
 
-/* "NAME: KEY=VALUE ...", and nothing else after the name. FALSE leaves the object as it was. */
+/* Adds the fields of a message "NAME: KEY=VALUE ..."; FALSE, with nothing done, when anything else
+ * follows the name. */
 static gboolean
-take_fields (json_t *line, const char *message)
+add_fields (json_t *line, const char *message)
 {
   const char *colon = strstr (message, ": ");
   if (!colon || !is_name (message, colon - message))
@@ -62,7 +64,7 @@
   json_t *line = json_pack ("{sfssss}", "time", time, "level", level, "domain", domain);
   if (node_label)
     json_object_set_new (line, "label", json_string (node_label));
-  if (!take_fields (line, text))
+  if (!add_fields (line, text))
     json_object_set_new (line, "message", json_string (text));
   char *dumped = json_dumps (line, JSON_COMPACT | JSON_REAL_PRECISION (14));
   char *copy = g_strdup (dumped);
@@ -83,7 +85,7 @@
 static GLogWriterOutput
 write_log (GLogLevelFlags level, const GLogField *fields, gsize n, gpointer data)
 {
-  if ((int)(level & G_LOG_LEVEL_MASK) > most)
+  if ((int)(level & G_LOG_LEVEL_MASK) > max_level)
     return G_LOG_WRITER_HANDLED;
   const char *text = "", *domain = "hoprock";
   for (gsize i = 0; i < n; i++) {
@@ -108,11 +110,11 @@
 hr_log_writer_begin (const char *level, HrLogFormat format)
 {
   if (!level || !*level || g_str_equal (level, "info"))
-    most = G_LOG_LEVEL_INFO;
+    max_level = G_LOG_LEVEL_INFO;
   else if (g_str_equal (level, "error"))
-    most = G_LOG_LEVEL_WARNING;
+    max_level = G_LOG_LEVEL_WARNING;
   else if (g_str_equal (level, "debug"))
-    most = G_LOG_LEVEL_DEBUG;
+    max_level = G_LOG_LEVEL_DEBUG;
   else
     return FALSE;
   log_format = format;
--- a/src/transport/peer_status_frame.c
+++ b/src/transport/peer_status_frame.c
@@ -61,7 +61,7 @@
   return len <= HR_MAX_FRAME ? hr__peer_status__pack (&message, frame) : 0;
 }
 
-/* Of a list that is longer than we keep only the beginning counts. */
+/* Of a list that is too long for the table, only the beginning is read. */
 static void
 unpack_cancellations (HrNamedCancellations *named, const Hr__Cancellations *message)
 {
