--- a/src/emulator/balancer.c
+++ b/src/emulator/balancer.c
@@ -3,10 +3,12 @@
 #include "protocol/json_util.h"
 #include <string.h>
 
-#define PROBE_EVERY_S 1.0
-#define PROBE_ANSWER_S 1.0
+/* Health checks. */
+#define PROBE_INTERVAL_S 1.0
+#define PROBE_TIMEOUT_S 1.0
+#define FIRST_PROBE_S 0.1
 /* Users wait 5 s for an answer to a submission or cancellation. */
-#define ANSWER_S 5.0
+#define REQUEST_TIMEOUT_S 5.0
 
 struct Balancer {
   Live *live;
@@ -36,9 +38,9 @@
   for (int i = 0; i < world->n; i++) {
     Probe *probe = g_new (Probe, 1);
     *probe = (Probe){balancer, i};
-    w_ask (world, i, -1, HR_GET, "/ready", NULL, PROBE_ANSWER_S, on_probed, probe);
+    w_ask (world, i, -1, HR_GET, "/ready", NULL, PROBE_TIMEOUT_S, on_probed, probe);
   }
-  w_at (world, world->now + PROBE_EVERY_S, probe_all, balancer);
+  w_at (world, world->now + PROBE_INTERVAL_S, probe_all, balancer);
 }
 
 /* The healthy node with the fewest open requests; -1: none is healthy. */
@@ -54,12 +56,13 @@
 
 /* ---- requests ---- */
 
+/* A user's request that was handed to a controller. */
 typedef struct {
   Balancer *balancer;
   int node;
   SoupServerMessage *msg;
-  Question *question; /* NULL: about no job that the stand-ins know */
-} Passed;
+  Question *question; /* NULL: about no job that the world knows */
+} BalancedRequest;
 
 static void
 reply (SoupServerMessage *msg, int status, const char *text)
@@ -71,11 +74,11 @@
 static void
 on_answered (World *world, int status, json_t *body, gpointer data)
 {
-  g_autofree Passed *passed = data;
-  g_autofree Question *question = passed->question;
-  g_autoptr (SoupServerMessage) msg = passed->msg;
+  g_autofree BalancedRequest *request = data;
+  g_autofree Question *question = request->question;
+  g_autoptr (SoupServerMessage) msg = request->msg;
   g_autofree char *text = body ? hr_json_take_text (json_incref (body)) : g_strdup ("{}");
-  passed->balancer->open[passed->node]--;
+  request->balancer->open[request->node]--;
   if (question && (status == 200 || status == 201)) {
     question->job->accepted = TRUE;
     answer_check (world, question, status, body);
@@ -84,13 +87,13 @@
   soup_server_message_unpause (msg);
 }
 
-/* The stand-ins know a job from its first submission on. */
+/* The job that a request is about; the world knows one from its first submission on. */
 static SJob *
-job_asked_for (World *world, const char *path, const char *body)
+requested_job (World *world, const char *path, const char *body)
 {
-  static const char jobs[] = "/v1/jobs/";
+  static const char jobs[] = HR_JOBS_PATH "/";
   guint32 index;
-  if (body && strcmp (path, "/v1/jobs") == 0)
+  if (body && strcmp (path, HR_JOBS_PATH) == 0)
     return job_adopt (world, body);
   if (!g_str_has_prefix (path, jobs))
     return NULL;
@@ -120,15 +123,17 @@
     reply (msg, 503, "{\"error\":\"no controller is ready\"}");
     return;
   }
-  SJob *job = job_asked_for (world, path, body);
-  Passed *passed = g_new (Passed, 1);
-  *passed = (Passed){balancer, node, g_object_ref (msg), job ? question_new (world, job) : NULL};
+  SJob *job = requested_job (world, path, body);
+  BalancedRequest *request = g_new (BalancedRequest, 1);
+  *request =
+      (BalancedRequest){balancer, node, g_object_ref (msg), job ? question_new (world, job) : NULL};
   balancer->open[node]++;
   soup_server_message_pause (msg);
   HrMethod kind = strcmp (method, "GET") == 0    ? HR_GET
                   : strcmp (method, "POST") == 0 ? HR_POST
                                                  : HR_OTHER_METHOD;
-  w_ask (world, node, -1, kind, path, g_steal_pointer (&body), ANSWER_S, on_answered, passed);
+  w_ask (world, node, -1, kind, path, g_steal_pointer (&body), REQUEST_TIMEOUT_S, on_answered,
+         request);
 }
 
 Balancer *
@@ -152,7 +157,7 @@
     balancer_free (balancer);
     return NULL;
   }
-  w_at (live->world, 0.1, probe_all, balancer);
+  w_at (live->world, FIRST_PROBE_S, probe_all, balancer);
   return balancer;
 }
 
--- a/src/emulator/balancer.h
+++ b/src/emulator/balancer.h
@@ -1,10 +1,23 @@
-/* The load balancer, as far as users see it: one address for all controllers. It asks those that
- * answer /ready, and tells the stand-ins of the jobs that pass through it. */
+/* The load balancer, as users see it: one address for all controllers. It hands requests to those
+ * that answer /ready, and tells the simulated world of the jobs that pass through it. */
 #pragma once
 #include "emulator/live.h"
 
 typedef struct Balancer Balancer;
 
-/* Listens on address (IP:PORT). NULL: it cannot, and *error says why. */
+/**
+ * balancer_new:
+ * @live: the deployment
+ * @address: where to listen, "IP:PORT"
+ * @error: a #GIOErrorEnum when it cannot
+ *
+ * Returns: (transfer full) (nullable): %NULL with @error set
+ */
 Balancer *balancer_new (Live *live, const char *address, GError **error);
+
+/**
+ * balancer_free:
+ *
+ * Closes all connections. The world must not run afterwards.
+ */
 void balancer_free (Balancer *balancer);
--- a/src/emulator/control.c
+++ b/src/emulator/control.c
@@ -36,7 +36,7 @@
 control_plan (Live *live, const char *text, GError **error)
 {
   g_auto (GStrv) lines = g_strsplit (text, "\n", -1);
-  g_autoptr (GArray) day = g_array_new (FALSE, FALSE, sizeof (HrTrouble));
+  g_autoptr (GArray) troubles = g_array_new (FALSE, FALSE, sizeof (HrTrouble));
   for (guint i = 0; lines[i]; i++) {
     HrTrouble trouble;
     g_strstrip (lines[i]);
@@ -48,9 +48,9 @@
       return FALSE;
     }
     trouble.at_s += live->world->now;
-    g_array_append_val (day, trouble);
+    g_array_append_val (troubles, trouble);
   }
-  troubles_plan (live->world, (const HrTrouble *)day->data, day->len);
+  troubles_plan (live->world, (const HrTrouble *)troubles->data, troubles->len);
   return TRUE;
 }
 
--- a/src/emulator/control.h
+++ b/src/emulator/control.h
@@ -1,12 +1,27 @@
 /* The emulator's own interface, on the address of its load balancer:
- *   GET  /emulator            how the controllers, machines and jobs stand, and which rules broke
- *   POST /emulator/troubles   one trouble a line, as trouble_parse reads it; `at` counts from now
+ *   GET  /emulator            state of the controllers, machines and jobs, and which rules broke
+ *   POST /emulator/troubles   faults, one a line, as trouble_parse reads them; `at` counts from now
  */
 #pragma once
 #include "emulator/live.h"
 
-/* Answers the request if it is one of these. */
+/**
+ * control_request:
+ * @msg: a request on the load balancer's address
+ * @path: its path
+ * @body: (nullable): its body
+ *
+ * Returns: whether it was one of these, and is answered
+ */
 gboolean control_request (Live *live, SoupServerMessage *msg, const char *path, const char *body);
-/* Plans the troubles of a text, one a line; empty lines and those that begin with # count for
- * nothing. FALSE: *error names the line, and none is planned. */
+
+/**
+ * control_plan:
+ * @text: faults, one a line; empty lines and those that begin with # are ignored
+ * @error: %G_IO_ERROR_INVALID_DATA; names the line
+ *
+ * Plans all faults of the text, or none.
+ *
+ * Returns: %FALSE with @error set when a line is no fault
+ */
 gboolean control_plan (Live *live, const char *text, GError **error);
--- a/src/emulator/live.c
+++ b/src/emulator/live.c
@@ -2,6 +2,7 @@
 #include <errno.h>
 #include <glib/gstdio.h>
 
+/* Between two steps of the world. */
 #define STEP_MS 4
 
 void
--- a/src/emulator/live.h
+++ b/src/emulator/live.h
@@ -1,8 +1,7 @@
-/* Real controllers on loopback, against the stand-ins of the simulated cluster (tests/sim) over
- * real HTTP. The stand-ins check every rule of the protocol from what reaches them, by the clock of
- * this process; they see nothing of the controllers' insides. All times are in seconds since the
- * start.
- */
+/* Real controllers on the loopback interface, with a simulated cluster (tests/sim) around them over
+ * real HTTP. The simulated services and workers check every rule of the protocol on what reaches
+ * them, by the clock of this process; they do not see the insides of a controller. All times are in
+ * seconds since the start. Everything runs on the default main context. */
 #pragma once
 #include "sim/messages.h"
 #include <gio/gio.h>
@@ -10,70 +9,169 @@
 
 typedef struct Live Live;
 
-/* Requests of one controller, or to one worker, arrive here. */
+/* A simulated server: a service for one controller, or one worker. */
 typedef struct {
   Live *live;
   SoupServer *server;
-  int node; /* that asks; -1: a worker's address, whoever leads asks */
+  int node; /* the controller that uses it; -1: of a worker, any controller may */
   HrTarget target;
-  char *address; /* IP:PORT; of a worker also its name for the controllers */
+  char *address; /* IP:PORT; a worker names it in its heartbeats */
 } LiveListener;
 
+/* A controller. */
 typedef struct {
-  char *front, *back; /* IP:PORT; each port stays bound by `held`, so that nobody else gets it */
+  char *front, *back; /* IP:PORT; each port is reserved by a socket of `held` */
   GSocket *held[2];
   LiveListener *state, *cloud;
-  char *peers[MAX_NODES];        /* where it finds the others: relays */
-  SoupSession *session;          /* of workers' and users' requests to it */
-  GSubprocess *process, *ending; /* ending: killed, and perhaps not gone yet */
-  char *log;                     /* file */
+  char *peers[MAX_NODES];        /* IP:PORT of the relay to each other one */
+  SoupSession *session;          /* for workers' and users' requests to it */
+  GSubprocess *process, *ending; /* ending: killed, perhaps still ending */
+  char *log;                     /* path of its log */
 } LiveNode;
 
 struct Live {
   World *world;
-  gint64 began; /* microseconds of the steady clock */
+  gint64 began; /* steady clock, microseconds */
   const char *daemon, *policy;
-  const char *old_daemon; /* of controllers that are not upgraded yet; NULL: there are none */
-  char *dir;              /* of settings and logs */
-  gboolean remove_files;  /* and it goes at the end */
+  const char *old_daemon; /* program of controllers not upgraded yet; NULL: none */
+  char *dir;              /* directory of settings and logs */
+  gboolean remove_files;  /* delete `dir` at the end */
   LiveNode nodes[MAX_NODES];
   GPtrArray *workers; /* LiveListener */
   GPtrArray *relays;
   GHashTable *pending; /* id of a call -> SoupServerMessage */
   guint64 calls;
-  gboolean stop;                  /* live_run is to return */
+  gboolean stop;                  /* live_run has to return */
   double longest_gap;             /* between two steps of this program, in seconds */
-  guint kills, freezes, requests; /* requests: that reached a stand-in */
+  guint kills, freezes, requests; /* requests: to simulated servers */
 };
 
-/* live.c. Between live_prepare and live_begin the world's figures may be changed. */
+/* ---- live.c ---- */
+
+/**
+ * live_prepare:
+ * @live: zeroed, but for the programs and the policy
+ * @seed: of the simulated world
+ * @nodes: number of controllers
+ *
+ * Makes the world and all addresses. Until live_begin() the world's parameters may be changed.
+ */
 void live_prepare (Live *live, guint32 seed, int nodes);
+
+/**
+ * live_begin:
+ *
+ * Starts the controllers and the clock.
+ */
 void live_begin (Live *live);
-/* Lets the main loop run until that time. */
+
+/**
+ * live_run:
+ *
+ * Runs the main loop until that time, or until `stop` is set.
+ */
 void live_run (Live *live, double until);
-/* Ends all controllers; the world is still there to be looked at. */
+
+/**
+ * live_end:
+ *
+ * Ends all controllers. The world can still be examined.
+ */
 void live_end (Live *live);
-/* Brings the world to the present: before anything of outside is handed to it. */
+
+/**
+ * live_catch_up:
+ *
+ * Advances the world to the present. Called before anything from outside is handed to it.
+ */
 void live_catch_up (Live *live);
 
-/* processes.c: controllers as processes. */
+/* ---- processes.c: controllers as processes ---- */
+
+/* For the world, which starts, kills and freezes controllers. */
 extern const WControllers live_controllers;
+
+/**
+ * live_processes_prepare:
+ *
+ * Reserves the ports and makes the relays.
+ */
 void live_processes_prepare (Live *live);
-/* Ends those that run; none is left behind. */
+
+/**
+ * live_processes_end:
+ *
+ * Waits for killed processes and frees ports, relays and, if wanted, files.
+ */
 void live_processes_end (Live *live);
 
-/* wire.c: HTTP between controllers and stand-ins. */
+/* ---- wire.c: HTTP between controllers and the simulated world ---- */
+
+/**
+ * live_wire_prepare:
+ *
+ * Starts the services' servers.
+ */
 void live_wire_prepare (Live *live);
+
+/**
+ * live_wire_end:
+ *
+ * Closes all servers and requests.
+ */
 void live_wire_end (Live *live);
+
+/**
+ * live_listen:
+ * @node: the controller that uses the server; -1: any
+ * @target: what it simulates
+ *
+ * Returns: (transfer full): a server on a port that the kernel picked
+ */
 LiveListener *live_listen (Live *live, int node, HrTarget target);
+
+/**
+ * live_listener_free:
+ *
+ * Closes the server.
+ */
 void live_listener_free (LiveListener *listener);
+
+/**
+ * live_push:
+ * @command: (transfer full): a request, or the result of a call
+ *
+ * Sends what the world delivers to a controller.
+ */
 void live_push (World *world, int node, HrCommand *command);
+
+/**
+ * live_worker_address:
+ *
+ * Returns: (transfer full): IP:PORT of a new server for that machine's worker
+ */
 char *live_worker_address (World *world, guint machine);
 
-/* relay.c: the ways between controllers, which cuts close. */
-/* Returns IP:PORT where controller `from` reaches controller `to`. */
+/* ---- relay.c: connections between controllers, which network partitions cut ---- */
+
+/**
+ * live_relay:
+ *
+ * Returns: (transfer full): IP:PORT where controller @from reaches controller @to
+ */
 char *live_relay (Live *live, int from, int to);
+
+/**
+ * live_relay_free:
+ * @relay: an element of Live.relays
+ *
+ * Stops listening; open connections stay.
+ */
 void live_relay_free (gpointer relay);
 
-/* An address on loopback with a port that the kernel picked. */
+/**
+ * live_address:
+ *
+ * Returns: (transfer full): IP:PORT of an address on the loopback interface
+ */
 char *live_address (GInetSocketAddress *address);
--- a/src/emulator/main.c
+++ b/src/emulator/main.c
@@ -1,5 +1,5 @@
-/* hoprock-emulator: a whole deployment on this machine, for trying hoprock out. Real controllers;
- * state service, cloud, workers and load balancer are stand-ins. docs/emulator.md says all of it.
+/* hoprock-emulator: a whole deployment on one machine, for trying hoprock out. The controllers are
+ * real; state store, cloud, workers and load balancer are simulated. docs/emulator.md documents it.
  */
 #include "emulator/balancer.h"
 #include "emulator/control.h"
@@ -8,6 +8,7 @@
 #include <signal.h>
 #include <stdio.h>
 
+/* Without --seconds. */
 #define FOREVER_S 1e9
 
 typedef struct {
@@ -18,7 +19,7 @@
 /* Figures of the settings file, each with its range. */
 typedef struct {
   const char *key;
-  double least, most;
+  double min, max;
   gsize offset;
 } Figure;
 
@@ -26,24 +27,24 @@
   double controllers, machines, report_s, lease_s, cancel_s, seed;
 } Figures;
 
-#define FIGURE(key, least, most)                                                                   \
+#define FIGURE(key, min, max)                                                                      \
   {                                                                                                \
-#key, least, most, G_STRUCT_OFFSET(Figures, key)                                               \
+#key, min, max, G_STRUCT_OFFSET(Figures, key)                                                  \
   }
 
-static const Figure known[] = {FIGURE (controllers, 1, MAX_NODES), FIGURE (machines, 1, 200),
-                               FIGURE (report_s, 0.5, 60),         FIGURE (lease_s, 2, 600),
-                               FIGURE (cancel_s, 5, 3600),         FIGURE (seed, 0, 4e9)};
+static const Figure known_figures[] = {
+    FIGURE (controllers, 1, MAX_NODES), FIGURE (machines, 1, 200),  FIGURE (report_s, 0.5, 60),
+    FIGURE (lease_s, 2, 600),           FIGURE (cancel_s, 5, 3600), FIGURE (seed, 0, 4e9)};
 
 static gboolean
-take_figure (Figures *figures, const char *key, const json_t *value)
+set_figure (Figures *figures, const char *key, const json_t *value)
 {
-  for (guint i = 0; i < G_N_ELEMENTS (known); i++) {
+  for (guint i = 0; i < G_N_ELEMENTS (known_figures); i++) {
     double number = json_is_number (value) ? json_number_value (value) : -1;
-    if (!g_str_equal (known[i].key, key))
+    if (!g_str_equal (known_figures[i].key, key))
       continue;
-    *(double *)((char *)figures + known[i].offset) = number;
-    return number >= known[i].least && number <= known[i].most;
+    *(double *)((char *)figures + known_figures[i].offset) = number;
+    return number >= known_figures[i].min && number <= known_figures[i].max;
   }
   return FALSE;
 }
@@ -59,7 +60,7 @@
     fprintf (stderr, "hoprock-emulator: %s:%d: %s\n", file, error.line, error.text);
   json_object_foreach (root, key, value)
   {
-    if (!good || take_figure (figures, key, value))
+    if (!good || set_figure (figures, key, value))
       continue;
     fprintf (stderr, "hoprock-emulator: %s: %s is not known, or out of range\n", file, key);
     good = FALSE;
@@ -106,7 +107,7 @@
   world->report_s = figures->report_s;
   world->lease_s = figures->lease_s;
   world->cancel_s = figures->cancel_s;
-  world->loss = world->dup = 0; /* what goes wrong is what the troubles say */
+  world->loss = world->dup = 0; /* only what the troubles file says goes wrong */
 }
 
 static gboolean
@@ -122,7 +123,9 @@
   return FALSE;
 }
 
-/* Runs until it is told to end. Returns the exit code: 1 when a rule was broken. */
+/* Runs until a signal, or until --seconds are over. Returns the exit code: 1 when a rule was
+ * broken.
+ */
 static int
 emulate (Live *live, const Options *options)
 {
--- a/src/emulator/processes.c
+++ b/src/emulator/processes.c
@@ -1,5 +1,5 @@
-/* The controllers as processes: started, killed, stopped and continued, each by its id, and none
- * but those that this program started. */
+/* The controllers as processes: started, killed, frozen (SIGSTOP) and resumed, each by its process
+ * id, and only those that this program started. */
 #include "emulator/live.h"
 #include <errno.h>
 #include <fcntl.h>
@@ -8,10 +8,10 @@
 #include <sys/socket.h>
 #include <glib/gstdio.h>
 
-/* A port of the kernel's choice that stays bound, but is not listened on: the controller may listen
- * on it, again and again, and nobody else is given it. */
+/* Reserves a port that the kernel picks: it stays bound, but is not listened on, so that the
+ * controller can listen on it after each start and no other program gets it. */
 static GSocket *
-hold_port (char **address)
+reserve_port (char **address)
 {
   g_autoptr (GError) error = NULL;
   GSocket *socket =
@@ -31,8 +31,8 @@
 {
   live->relays = g_ptr_array_new_with_free_func (live_relay_free);
   for (int i = 0; i < live->world->n; i++) {
-    live->nodes[i].held[0] = hold_port (&live->nodes[i].front);
-    live->nodes[i].held[1] = hold_port (&live->nodes[i].back);
+    live->nodes[i].held[0] = reserve_port (&live->nodes[i].front);
+    live->nodes[i].held[1] = reserve_port (&live->nodes[i].back);
     live->nodes[i].log = g_strdup_printf ("%s/c%d.log", live->dir, i);
   }
   for (int i = 0; i < live->world->n; i++)
@@ -71,34 +71,36 @@
   return file;
 }
 
-/* In the child: it ends with this program, however that ends. */
+/* Runs in the child: the kernel kills it when this program ends, in whatever way. */
 static void
-end_with_parent (gpointer unused)
+die_with_parent (gpointer unused)
 {
   prctl (PR_SET_PDEATHSIG, SIGKILL);
 }
 
+/* A process whose end is waited for. */
 typedef struct {
   Live *live;
   int node;
-} Watched;
+} WatchedProcess;
 
 static void
 on_ended (GObject *source, GAsyncResult *result, gpointer data)
 {
-  g_autofree Watched *watched = data;
+  g_autofree WatchedProcess *watched = data;
   Live *live = watched->live;
   g_subprocess_wait_finish (G_SUBPROCESS (source), result, NULL);
   if (!live->world || live->nodes[watched->node].process != G_SUBPROCESS (source))
-    return; /* ended by us */
+    return; /* killed by this program */
   live_catch_up (live);
   w_broken (live->world, "ended", "c%d ended by itself", watched->node);
   node_kill (live->world, watched->node);
   node_start_at (live->world, watched->node, live->world->now + 1);
 }
 
-/* Its ports are free from here on. Waited for only when they are needed: a process with sanitizers
- * takes a while to go, and the stand-ins must not stand still meanwhile. */
+/* Waits until the killed process has ended, so that its ports are free. Called only when they are
+ * needed: a process with sanitizers takes a while to end, and the simulated world must not stand
+ * still meanwhile. */
 static void
 await_end (LiveNode *node)
 {
@@ -107,7 +109,7 @@
   g_clear_object (&node->ending);
 }
 
-/* A controller that ends before its turn comes back old. */
+/* A controller that is not upgraded yet is started again in the old version. */
 static const char *
 program_of (const Live *live, int i)
 {
@@ -125,15 +127,15 @@
   g_autoptr (GSubprocessLauncher) launcher = g_subprocess_launcher_new (G_SUBPROCESS_FLAGS_NONE);
   g_subprocess_launcher_setenv (launcher, "LOG_LEVEL", "debug", TRUE);
   g_subprocess_launcher_unsetenv (launcher, "G_MESSAGES_DEBUG");
-  g_subprocess_launcher_set_child_setup (launcher, end_with_parent, NULL, NULL);
+  g_subprocess_launcher_set_child_setup (launcher, die_with_parent, NULL, NULL);
   int log = g_open (node->log, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
   g_subprocess_launcher_take_stderr_fd (launcher, log);
   node->process = g_subprocess_launcher_spawn (launcher, &error, program_of (live, i), "--policy",
                                                live->policy, "--config", settings, NULL);
   if (!node->process)
     g_error ("emulator: %s", error->message);
-  Watched *watched = g_new (Watched, 1);
-  *watched = (Watched){live, i};
+  WatchedProcess *watched = g_new (WatchedProcess, 1);
+  *watched = (WatchedProcess){live, i};
   g_subprocess_wait_async (node->process, NULL, on_ended, watched);
 }
 
@@ -150,18 +152,19 @@
   live->nodes[i].ending = process;
 }
 
+/* A process to be resumed, unless the controller has been started anew since. */
 typedef struct {
   int node;
-  guint gen;
-} Stopped;
+  guint gen; /* counts the controller's starts */
+} FrozenProcess;
 
 static void
-go_on (World *world, gpointer data)
+resume (World *world, gpointer data)
 {
-  g_autofree Stopped *stopped = data;
+  g_autofree FrozenProcess *frozen = data;
   Live *live = world->controllers_data;
-  if (world->nodes[stopped->node].up && world->nodes[stopped->node].gen == stopped->gen)
-    g_subprocess_send_signal (live->nodes[stopped->node].process, SIGCONT);
+  if (world->nodes[frozen->node].up && world->nodes[frozen->node].gen == frozen->gen)
+    g_subprocess_send_signal (live->nodes[frozen->node].process, SIGCONT);
 }
 
 static void
@@ -170,9 +173,9 @@
   Live *live = world->controllers_data;
   live->freezes++;
   g_subprocess_send_signal (live->nodes[i].process, SIGSTOP);
-  Stopped *stopped = g_new (Stopped, 1);
-  *stopped = (Stopped){i, world->nodes[i].gen};
-  w_at (world, world->now + for_s, go_on, stopped);
+  FrozenProcess *frozen = g_new (FrozenProcess, 1);
+  *frozen = (FrozenProcess){i, world->nodes[i].gen};
+  w_at (world, world->now + for_s, resume, frozen);
 }
 
 const WControllers live_controllers = {start, end, live_push, freeze, live_worker_address};
--- a/src/emulator/relay.c
+++ b/src/emulator/relay.c
@@ -1,8 +1,11 @@
-/* One way between two controllers: what the one sends is passed on, unless a cut parts them. */
+/* A relay forwards what one controller sends to another, unless a network partition separates them.
+ */
 #include "emulator/live.h"
 
-#define CHUNK 4096
-#define LOOK_AGAIN_MS 50
+/* What is read and forwarded at once. */
+#define CHUNK_BYTES 4096
+/* How often a relay that holds data checks whether the partition has ended. */
+#define CUT_POLL_MS 50
 
 typedef struct {
   Live *live;
@@ -10,21 +13,23 @@
   GSocketService *service;
 } Relay;
 
-/* Two connections that are one; it lives as long as one of its directions is read. */
+/* A connection through the relay: one from the sender and one to the receiver. Freed when neither
+ * of its directions is read any more. */
 typedef struct {
   Relay *relay;
   GSocketConnection *ends[2];
-  int refs;
-} Link;
+  int refs; /* directions that are read */
+} RelayedConnection;
 
+/* One direction: what is read at one end is written to the other. */
 typedef struct {
-  Link *link;
-  int end; /* that is read */
-  char data[CHUNK];
+  RelayedConnection *connection;
+  int end; /* index of the end that is read */
+  char data[CHUNK_BYTES];
   gsize size;
-} Pump;
+} Direction;
 
-static void pump_read (Pump *pump);
+static void direction_read (Direction *direction);
 
 static gboolean
 is_cut (const Relay *relay)
@@ -35,75 +40,77 @@
 }
 
 static void
-pump_end (Pump *pump)
+direction_end (Direction *direction)
 {
-  Link *link = pump->link;
-  g_io_stream_close (G_IO_STREAM (link->ends[0]), NULL, NULL);
-  g_io_stream_close (G_IO_STREAM (link->ends[1]), NULL, NULL);
-  if (--link->refs == 0) {
-    g_object_unref (link->ends[0]);
-    g_object_unref (link->ends[1]);
-    g_free (link);
+  RelayedConnection *connection = direction->connection;
+  g_io_stream_close (G_IO_STREAM (connection->ends[0]), NULL, NULL);
+  g_io_stream_close (G_IO_STREAM (connection->ends[1]), NULL, NULL);
+  if (--connection->refs == 0) {
+    g_object_unref (connection->ends[0]);
+    g_object_unref (connection->ends[1]);
+    g_free (connection);
   }
-  g_free (pump);
+  g_free (direction);
 }
 
 static void
 on_written (GObject *source, GAsyncResult *result, gpointer data)
 {
-  Pump *pump = data;
+  Direction *direction = data;
   if (g_output_stream_write_all_finish (G_OUTPUT_STREAM (source), result, NULL, NULL))
-    pump_read (pump);
+    direction_read (direction);
   else
-    pump_end (pump);
+    direction_end (direction);
 }
 
-/* What was sent into a cut waits for its end. */
+/* What was sent into a partition is held back until its end. */
 static gboolean
-pump_write (gpointer data)
+direction_write (gpointer data)
 {
-  Pump *pump = data;
-  if (is_cut (pump->link->relay)) {
-    g_timeout_add (LOOK_AGAIN_MS, pump_write, pump);
+  Direction *direction = data;
+  if (is_cut (direction->connection->relay)) {
+    g_timeout_add (CUT_POLL_MS, direction_write, direction);
     return G_SOURCE_REMOVE;
   }
-  GIOStream *other = G_IO_STREAM (pump->link->ends[1 - pump->end]);
-  g_output_stream_write_all_async (g_io_stream_get_output_stream (other), pump->data, pump->size,
-                                   G_PRIORITY_DEFAULT, NULL, on_written, pump);
+  GIOStream *other = G_IO_STREAM (direction->connection->ends[1 - direction->end]);
+  g_output_stream_write_all_async (g_io_stream_get_output_stream (other), direction->data,
+                                   direction->size, G_PRIORITY_DEFAULT, NULL, on_written,
+                                   direction);
   return G_SOURCE_REMOVE;
 }
 
 static void
 on_chunk (GObject *source, GAsyncResult *result, gpointer data)
 {
-  Pump *pump = data;
+  Direction *direction = data;
   gssize n = g_input_stream_read_finish (G_INPUT_STREAM (source), result, NULL);
   if (n <= 0) {
-    pump_end (pump);
+    direction_end (direction);
     return;
   }
-  pump->size = n;
-  pump_write (pump);
+  direction->size = n;
+  direction_write (direction);
 }
 
 static void
-pump_read (Pump *pump)
+direction_read (Direction *direction)
 {
-  GIOStream *end = G_IO_STREAM (pump->link->ends[pump->end]);
-  g_input_stream_read_async (g_io_stream_get_input_stream (end), pump->data, CHUNK,
-                             G_PRIORITY_DEFAULT, NULL, on_chunk, pump);
+  GIOStream *end = G_IO_STREAM (direction->connection->ends[direction->end]);
+  g_input_stream_read_async (g_io_stream_get_input_stream (end), direction->data, CHUNK_BYTES,
+                             G_PRIORITY_DEFAULT, NULL, on_chunk, direction);
 }
 
 static void
-pump_begin (Link *link, int end)
+direction_begin (RelayedConnection *connection, int end)
 {
-  Pump *pump = g_new0 (Pump, 1);
-  pump->link = link;
-  pump->end = end;
-  link->refs++;
-  pump_read (pump);
+  Direction *direction = g_new0 (Direction, 1);
+  direction->connection = connection;
+  direction->end = end;
+  connection->refs++;
+  direction_read (direction);
 }
 
+/* A connection that came in, while the one to the receiver is made. */
 typedef struct {
   Relay *relay;
   GSocketConnection *incoming;
@@ -112,20 +119,20 @@
 static void
 on_connected (GObject *source, GAsyncResult *result, gpointer data)
 {
-  g_autofree Connecting *core = data;
-  GSocketConnection *out =
+  g_autofree Connecting *connecting = data;
+  GSocketConnection *outgoing =
       g_socket_client_connect_to_host_finish (G_SOCKET_CLIENT (source), result, NULL);
-  if (!out) {
-    g_io_stream_close (G_IO_STREAM (core->incoming), NULL, NULL);
-    g_object_unref (core->incoming);
+  if (!outgoing) {
+    g_io_stream_close (G_IO_STREAM (connecting->incoming), NULL, NULL);
+    g_object_unref (connecting->incoming);
     return;
   }
-  Link *link = g_new0 (Link, 1);
-  link->relay = core->relay;
-  link->ends[0] = core->incoming;
-  link->ends[1] = out;
-  pump_begin (link, 0);
-  pump_begin (link, 1);
+  RelayedConnection *connection = g_new0 (RelayedConnection, 1);
+  connection->relay = connecting->relay;
+  connection->ends[0] = connecting->incoming;
+  connection->ends[1] = outgoing;
+  direction_begin (connection, 0);
+  direction_begin (connection, 1);
 }
 
 static gboolean
@@ -136,11 +143,11 @@
     g_io_stream_close (G_IO_STREAM (incoming), NULL, NULL);
     return TRUE;
   }
-  Connecting *core = g_new (Connecting, 1);
-  *core = (Connecting){relay, g_object_ref (incoming)};
+  Connecting *connecting = g_new (Connecting, 1);
+  *connecting = (Connecting){relay, g_object_ref (incoming)};
   g_autoptr (GSocketClient) client = g_socket_client_new ();
   g_socket_client_connect_to_host_async (client, relay->live->nodes[relay->to].back, 0, NULL,
-                                         on_connected, core);
+                                         on_connected, connecting);
   return TRUE;
 }
 
@@ -161,7 +168,7 @@
   return live_address (G_INET_SOCKET_ADDRESS (bound));
 }
 
-/* Links that are still open refer to the relay, so only its listener goes. */
+/* Connections that are still open refer to the relay, so only its listener is closed. */
 void
 live_relay_free (gpointer relay)
 {
--- a/src/emulator/wire.c
+++ b/src/emulator/wire.c
@@ -1,15 +1,18 @@
-/* HTTP between the controllers and the stand-ins: a request of either side becomes a message of the
- * world, where troubles meet it, and what the world delivers goes out as the real thing. */
+/* HTTP between the controllers and the simulated services and workers: a request of either side
+ * becomes a message of the simulated world, which may delay, lose or repeat it as the faults say;
+ * what the world delivers is sent over real HTTP. */
 #include "emulator/live.h"
 #include <string.h>
 
-/* No call of a controller waits longer than this: its watches are the longest. */
-#define CALL_S 30.0
-/* Nobody in the world waits longer for a controller. What is given up is taken off the incarnation,
- * whose work for each message grows with those that are open. */
-#define REQUEST_S 6
+/* Timeout of calls by controllers: longer than any of theirs, of which watches are the longest. */
+#define CALL_TIMEOUT_S 30.0
+/* Timeout of requests to controllers: nothing in the world waits longer. Requests that are given up
+ * must leave the SoupSession, whose work for each message grows with the number of open ones. */
+#define REQUEST_TIMEOUT_S 6
 /* Connections to one controller. */
-#define MOST_OPEN 200
+#define MAX_CONNECTIONS 200
+/* Set on a message whose client has closed its connection. */
+#define GONE_KEY "gone"
 
 char *
 live_address (GInetSocketAddress *address)
@@ -19,7 +22,7 @@
 
 /* ---- from controllers ---- */
 
-/* Whoever wrote the leader record with this token; -1: nobody. */
+/* The controller that wrote the leader record with the order's fencing token; -1: none did. */
 static int
 node_of_token (Live *live, const char *body)
 {
@@ -32,11 +35,11 @@
   return GPOINTER_TO_INT (node);
 }
 
-/* The controller has ended, or does not wait any more. */
+/* The controller has ended, or has given the call up. */
 static void
 on_disconnected (SoupServerMessage *msg, gpointer id)
 {
-  g_object_set_data (G_OBJECT (msg), "gone", GINT_TO_POINTER (TRUE));
+  g_object_set_data (G_OBJECT (msg), GONE_KEY, GINT_TO_POINTER (TRUE));
 }
 
 static void
@@ -51,7 +54,7 @@
   g_autoptr (GBytes) bytes = soup_message_body_flatten (received);
   g_autofree char *body = g_strndup (g_bytes_get_data (bytes, NULL), g_bytes_get_size (bytes));
   int node = listener->node >= 0 ? listener->node : node_of_token (live, body);
-  if (node < 0 || !live->world->nodes[node].up) { /* of a process that has just ended */
+  if (node < 0 || !live->world->nodes[node].up) { /* sent by a process that has just ended */
     soup_server_message_set_status (msg, 503, NULL);
     return;
   }
@@ -62,7 +65,7 @@
   effect.call.path = g_strconcat (path, text ? "?" : NULL, text, NULL);
   effect.call.address = listener->address;
   effect.body = strlen (body) ? body : NULL;
-  effect.call.timeout_s = CALL_S;
+  effect.call.timeout_s = CALL_TIMEOUT_S;
   g_hash_table_insert (live->pending, g_memdup2 (&effect.id, sizeof effect.id), g_object_ref (msg));
   g_signal_connect (msg, "disconnected", G_CALLBACK (on_disconnected), NULL);
   soup_server_message_pause (msg);
@@ -70,7 +73,7 @@
   g_free (effect.call.path);
 }
 
-/* The world answers a call; status 0: no answer comes. */
+/* Sends the world's answer to a call; status 0: closes the connection without one. */
 static void
 answer_call (Live *live, const HrCommand *command)
 {
@@ -79,7 +82,7 @@
     return;
   g_free (key);
   g_autoptr (SoupServerMessage) msg = value;
-  if (g_object_get_data (G_OBJECT (msg), "gone"))
+  if (g_object_get_data (G_OBJECT (msg), GONE_KEY))
     return;
   if (!command->result.status) {
     g_autoptr (GIOStream) connection = soup_server_message_steal_connection (msg);
@@ -135,14 +138,15 @@
 
 /* ---- to controllers ---- */
 
+/* A request to a controller that waits for its answer. */
 typedef struct {
   Live *live;
   int node;
-  guint64 id;
+  guint64 id; /* of the request in the world */
   SoupMessage *msg;
-} Asked;
+} ForwardedRequest;
 
-/* Nothing listens there, or the process ended: who asked learns it at once. */
+/* Nothing listens there, or the process ended: the sender gets "no answer" at once. */
 static void
 no_answer (Live *live, int node, guint64 id)
 {
@@ -157,24 +161,24 @@
 static void
 on_answered (GObject *source, GAsyncResult *result, gpointer data)
 {
-  g_autofree Asked *asked = data;
-  Live *live = asked->live;
+  g_autofree ForwardedRequest *forwarded = data;
+  Live *live = forwarded->live;
   g_autoptr (GError) error = NULL;
-  g_autoptr (SoupMessage) msg = asked->msg;
+  g_autoptr (SoupMessage) msg = forwarded->msg;
   g_autoptr (GBytes) bytes =
       soup_session_send_and_read_finish (SOUP_SESSION (source), result, &error);
   if (!live->world)
     return;
   live_catch_up (live);
   if (!bytes) {
-    no_answer (live, asked->node, asked->id);
+    no_answer (live, forwarded->node, forwarded->id);
     return;
   }
   HrEffect effect = {
-      .kind = HR_EFFECT_REPLY, .id = asked->id, .reply.status = soup_message_get_status (msg)};
+      .kind = HR_EFFECT_REPLY, .id = forwarded->id, .reply.status = soup_message_get_status (msg)};
   effect.body = g_strndup (g_bytes_get_data (bytes, NULL), g_bytes_get_size (bytes));
-  if (live->world->nodes[asked->node].up)
-    node_perform (live->world, asked->node, &effect);
+  if (live->world->nodes[forwarded->node].up)
+    node_perform (live->world, forwarded->node, &effect);
   g_free (effect.body);
 }
 
@@ -184,15 +188,15 @@
   static const char *const methods[] = {"GET", "POST", "DELETE", "PUT"};
   g_autofree char *uri =
       g_strconcat ("http://", live->nodes[node].front, command->request.path, NULL);
-  Asked *asked = g_new (Asked, 1);
-  *asked =
-      (Asked){live, node, command->id, soup_message_new (methods[command->request.method], uri)};
-  if (!asked->msg)
+  ForwardedRequest *forwarded = g_new (ForwardedRequest, 1);
+  *forwarded = (ForwardedRequest){live, node, command->id,
+                                  soup_message_new (methods[command->request.method], uri)};
+  if (!forwarded->msg)
     g_error ("emulator: no address: %s", uri);
   if (command->body)
-    soup_message_set_request_body_from_bytes (asked->msg, "application/json", command->body);
-  soup_session_send_and_read_async (live->nodes[node].session, asked->msg, G_PRIORITY_DEFAULT, NULL,
-                                    on_answered, asked);
+    soup_message_set_request_body_from_bytes (forwarded->msg, "application/json", command->body);
+  soup_session_send_and_read_async (live->nodes[node].session, forwarded->msg, G_PRIORITY_DEFAULT,
+                                    NULL, on_answered, forwarded);
 }
 
 void
@@ -214,8 +218,9 @@
   live->pending = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_object_unref);
   live->workers = g_ptr_array_new_with_free_func ((GDestroyNotify)live_listener_free);
   for (int i = 0; i < live->world->n; i++) {
-    live->nodes[i].session = soup_session_new_with_options (
-        "max-conns", MOST_OPEN, "max-conns-per-host", MOST_OPEN, "timeout", REQUEST_S, NULL);
+    live->nodes[i].session =
+        soup_session_new_with_options ("max-conns", MAX_CONNECTIONS, "max-conns-per-host",
+                                       MAX_CONNECTIONS, "timeout", REQUEST_TIMEOUT_S, NULL);
     live->nodes[i].state = live_listen (live, i, HR_TO_STORE);
     live->nodes[i].cloud = live_listen (live, i, HR_TO_CLOUD);
   }
--- a/src/hoprockd.c
+++ b/src/hoprockd.c
@@ -1,4 +1,7 @@
-/* hoprockd: one controller of the cluster. */
+/* hoprockd: one controller of the cluster. This file joins the core, which decides and does no I/O,
+ * with the transport: what comes in is given to the core in batches, and the effects that it
+ * returns are carried out. One thread, on the default main context. docs/man/hoprockd.8 documents
+ * it. */
 #include "coordination/core.h"
 #include "policy/policy.h"
 #include "protocol/settings.h"
@@ -10,10 +13,17 @@
 #include <gio/gio.h>
 #include <stdio.h>
 
+/* Exit codes. */
+#define EXIT_WRONG_SETTINGS 1 /* settings or policy, or an address that cannot be listened on */
+#define EXIT_WRONG_USE 2
+
+/* Between two steps of the core when nothing comes in. */
 #define TICK_MS 100
+/* How long the main loop waits under load for further input before it sleeps. */
 #define GATHER_MS 5
-/* Sockets that are neither users', workers' nor our calls': listeners, the loop's own, and for
- * each member its connection, ours, and one of each that is just being replaced. */
+/* Sockets that are used neither by users, by workers nor by calls: listeners, the main loop's own,
+ * and for each other controller one connection in each direction and one of each that is being
+ * replaced. */
 #define OTHER_SOCKETS 24
 #define MEMBER_SOCKETS 4
 
@@ -22,11 +32,11 @@
   HrHttpServer *server;
   HrHttpClient *client;
   HrPeers *peers;
-  GPtrArray *queue;
-  guint pending;
+  GPtrArray *queue;   /* HrCommand, for the next step */
+  guint batch_source; /* that will take the step; 0: none */
 } Daemon;
 
-/* The core has no view of its process. */
+/* The core knows nothing of its process, so its figures are added here. */
 static void
 add_process_metrics (HrEffect *effect)
 {
@@ -40,7 +50,7 @@
 run_batch (gpointer data)
 {
   Daemon *daemon = data;
-  daemon->pending = 0;
+  daemon->batch_source = 0;
   g_autoptr (GPtrArray) batch = g_steal_pointer (&daemon->queue);
   daemon->queue = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_command_free);
   g_autoptr (GPtrArray) effects = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_effect_free);
@@ -67,10 +77,10 @@
 {
   Daemon *daemon = data;
   g_ptr_array_add (daemon->queue, command);
-  /* At the sockets' own priority: when the loop is busy, commands gather into
-   * larger batches, but the leader of the state is never starved. */
-  if (!daemon->pending)
-    daemon->pending = g_idle_add_full (G_PRIORITY_DEFAULT, run_batch, daemon, NULL);
+  /* At the same priority as sockets: when the main loop is busy, commands gather into larger
+   * batches, but the core is never starved. */
+  if (!daemon->batch_source)
+    daemon->batch_source = g_idle_add_full (G_PRIORITY_DEFAULT, run_batch, daemon, NULL);
 }
 
 static gboolean
@@ -80,7 +90,7 @@
   return G_SOURCE_CONTINUE;
 }
 
-/* Under load the loop waits a little for more to come before it sleeps: one turn, with
+/* Under load the main loop waits a little for further input before it sleeps: one iteration, with
  * its fixed cost, then serves several requests. */
 static gint
 poll_in_batches (GPollFD *fds, guint n, gint timeout)
@@ -93,13 +103,14 @@
   return g_poll (fds, n, timeout);
 }
 
-/* What our own calls leave, but half at the least. */
+/* Connections that the HTTP server may hold: what calls and others leave, but at least half of the
+ * sockets. */
 static guint
 server_share (const HrSettings *settings)
 {
-  guint own = hr_http_client_sockets (settings->sockets) + OTHER_SOCKETS +
-              MEMBER_SOCKETS * settings->members->len;
-  return MAX (settings->sockets / 2, settings->sockets - MIN (own, settings->sockets));
+  guint reserved = hr_http_client_sockets (settings->sockets) + OTHER_SOCKETS +
+                   MEMBER_SOCKETS * settings->members->len;
+  return MAX (settings->sockets / 2, settings->sockets - MIN (reserved, settings->sockets));
 }
 
 static int
@@ -112,7 +123,7 @@
   if (!hr_policy_load (file, vars, &policy, &error) ||
       !hr_core_policy_check (&policy, vars, &error)) {
     fprintf (stderr, "hoprockd: %s\n", error->message);
-    return 1;
+    return EXIT_WRONG_SETTINGS;
   }
   g_autofree char *text = hr_policy_describe (&policy);
   printf ("%s is valid. With the figures of a sample platform:\n%s", file, text);
@@ -128,7 +139,7 @@
   return hr_policy_load (file, vars, policy, error) && hr_core_policy_check (policy, vars, error);
 }
 
-/* Says what would be started, without starting it. */
+/* For --check-config. */
 static void
 print_config (const HrSettings *settings, const HrPolicy *policy)
 {
@@ -225,7 +236,7 @@
         hr_http_server_new (settings->front, server_share (settings), sink, &daemon, &error);
   if (!daemon.server) {
     fprintf (stderr, "hoprockd: cannot listen: %s\n", error->message);
-    return 1;
+    return EXIT_WRONG_SETTINGS;
   }
   g_info ("hoprockd %s: %s, incarnation %s", HR_VERSION, settings->label, incarnation);
   g_main_context_set_poll_func (g_main_context_default (), poll_in_batches);
@@ -245,18 +256,18 @@
   g_setenv ("GIO_USE_VFS", "local", TRUE);
   g_auto (Options) options = {0};
   if (!parse_options (&options, &argc, &argv))
-    return 2;
+    return EXIT_WRONG_USE;
   if (options.version) {
     printf ("hoprockd %s\n", HR_VERSION);
     return 0;
   }
   if (!begin_log (&options))
-    return 2;
+    return EXIT_WRONG_USE;
   if (options.check_policy)
     return check_policy (options.check_policy);
   if (!options.config || !options.policy) {
     fprintf (stderr, "hoprockd: --config FILE and --policy FILE are needed; see --help\n");
-    return 2;
+    return EXIT_WRONG_USE;
   }
   g_autoptr (GError) error = NULL;
   HrNames names;
@@ -265,7 +276,7 @@
   HrPolicy policy;
   if (!settings || !load_policy (options.policy, settings, &policy, &error)) {
     fprintf (stderr, "hoprockd: %s\n", error->message);
-    return 1;
+    return EXIT_WRONG_SETTINGS;
   }
   if (options.check_config) {
     print_config (settings, &policy);
