--- a/src/bookkeeping/record_split_steps.c
+++ b/src/bookkeeping/record_split_steps.c
@@ -9,6 +9,7 @@
 #include "bookkeeping/tables.h"
 #include "bookkeeping/transactions.h"
 #include "protocol/json_util.h"
+#include "protocol/store_api.h"
 #include <string.h>
 
 #define SPLIT_TIMEOUT_S 2.0
@@ -237,7 +238,7 @@
   guint64 store_revision;
   if (split->replica_generation != store->replica.generation || !job_of (store, split)->tasks)
     return;
-  if (status == 200 && hr_json_count (body, "epoch", G_MAXINT64, &store_revision))
+  if (status == 200 && hr_store_read_revision (body, &store_revision))
     handle_step_done (store, g_steal_pointer (&split), store_revision);
   else if (status == 409)
     hr_replica_read (store, on_replica_fresh, g_steal_pointer (&split));
--- a/src/bookkeeping/record_write.c
+++ b/src/bookkeeping/record_write.c
@@ -8,6 +8,7 @@
 #include "bookkeeping/transactions.h"
 #include "protocol/http_method.h"
 #include "protocol/json_util.h"
+#include "protocol/store_api.h"
 #include <string.h>
 
 #define WRITE_TIMEOUT_S 2.0
@@ -140,9 +141,9 @@
     submit (store, g_steal_pointer (&write));
     return;
   }
-  const json_t *value = json_object_get (body, "value");
+  const json_t *value = hr_store_read_value (body);
   const char *tag = hr_json_str (value, HR_RECORD_TAG);
-  hr_json_count (body, "stamp", G_MAXINT64, &revision);
+  hr_store_read_key_revision (body, &revision);
   if (tag && g_str_equal (tag, write->tag))
     hr_record_writer_confirmed (store, job_of (store, write), page, revision);
   else
@@ -159,7 +160,7 @@
   const HrJob *job = job_of (store, write);
   g_autofree char *key = writes_main_record (job, page) ? hr_job_record_key (job)
                                                         : hr_record_page_key (job, write->page);
-  store->events->call (store->core, HR_GET, g_strconcat ("/kv/", key, NULL), NULL, WRITE_TIMEOUT_S,
+  store->events->call (store->core, HR_GET, hr_store_key_path (key), NULL, WRITE_TIMEOUT_S,
                        on_record_reread, g_steal_pointer (&write));
 }
 
@@ -186,7 +187,7 @@
   guint64 store_revision;
   if (!page)
     return;
-  if (status == 200 && hr_json_count (body, "epoch", G_MAXINT64, &store_revision))
+  if (status == 200 && hr_store_read_revision (body, &store_revision))
     hr_record_writer_confirmed (store, job_of (store, write), page, store_revision);
   else if (status == 409)
     /* Perhaps because of an earlier try of ours whose answer was lost: the record tells. The leader
--- a/src/bookkeeping/replica.c
+++ b/src/bookkeeping/replica.c
@@ -4,6 +4,7 @@
 #include "bookkeeping/store_keys.h"
 #include "protocol/http_method.h"
 #include "protocol/json_util.h"
+#include "protocol/store_api.h"
 
 #define READ_TIMEOUT_S 2.0
 /* The service holds a watch's answer back until there is a change, at most this long, ms. */
@@ -63,19 +64,15 @@
 static guint64
 apply_entry (HrStore *store, const json_t *entry, guint64 applied_before)
 {
-  const char *put_key = hr_json_str (entry, "set"), *deleted_key = hr_json_str (entry, "delete");
-  guint64 revision;
-  if ((!put_key && !deleted_key) || !hr_json_count (entry, "stamp", G_MAXINT64, &revision)) {
+  HrStoreChange change;
+  if (!hr_store_read_change (entry, &change)) {
     g_info ("a change that makes no sense was dropped");
     return 0;
   }
-  if (revision <= applied_before)
-    return revision; /* watches and reads overlap: each change counts once */
-  if (put_key)
-    hr_replica_apply_change (store, put_key, json_object_get (entry, "value"), revision);
-  else
-    hr_replica_apply_change (store, deleted_key, NULL, revision);
-  return revision;
+  /* Watches and reads overlap: each change counts once. */
+  if (change.revision > applied_before)
+    hr_replica_apply_change (store, change.key, change.value, change.revision);
+  return change.revision;
 }
 
 /* Applies an answer with the changes after a revision that is not beyond the applied one. Returns:
@@ -84,10 +81,10 @@
 apply_changes (HrStore *store, const json_t *body)
 {
   guint64 store_revision, applied_before = store->replica.applied_revision;
-  const json_t *log = json_object_get (body, "log");
+  const json_t *log = hr_store_changes (body);
   json_t *entry;
   size_t i;
-  if (!hr_json_count (body, "epoch", G_MAXINT64, &store_revision))
+  if (!hr_store_read_revision (body, &store_revision))
     return FALSE;
   json_array_foreach (log, i, entry)
   {
@@ -103,9 +100,7 @@
 static void
 request_changes (HrStore *store, guint hold_ms, double timeout_s, HrStoreCallback callback)
 {
-  char *path =
-      g_strdup_printf ("/changes?starts=" HR_STORE_KEYS "&after=%" G_GUINT64_FORMAT "&hold_ms=%u",
-                       store->replica.applied_revision, hold_ms);
+  char *path = hr_store_changes_path (HR_STORE_KEYS, store->replica.applied_revision, hold_ms);
   store->events->call (store->core, HR_GET, path, NULL, timeout_s, callback,
                        GUINT_TO_POINTER (store->replica.generation));
 }
--- a/src/bookkeeping/replica_listing.c
+++ b/src/bookkeeping/replica_listing.c
@@ -6,12 +6,11 @@
 #include "bookkeeping/tables.h"
 #include "protocol/http_method.h"
 #include "protocol/json_util.h"
+#include "protocol/store_api.h"
 
 #define LISTING_TIMEOUT_S 5.0
 #define MIN_RETRY_S 0.2
 #define MAX_RETRY_S 0.6
-#define LISTING_PATH "/kv?starts=" HR_STORE_KEYS
-#define LISTING_LIMIT "&limit=1000" /* rows of a page */
 
 static void on_listing_page (HrStore *store, int status, json_t *body, double sent, gpointer data);
 
@@ -19,8 +18,7 @@
 request_page (HrStore *store)
 {
   const char *cursor = store->replica.list_cursor;
-  char *path = cursor ? g_strdup_printf (LISTING_PATH "&after=%s" LISTING_LIMIT, cursor)
-                      : g_strdup (LISTING_PATH LISTING_LIMIT);
+  char *path = hr_store_list_path (HR_STORE_KEYS, cursor);
   store->events->call (store->core, HR_GET, path, NULL, LISTING_TIMEOUT_S, on_listing_page,
                        GUINT_TO_POINTER (store->replica.generation));
 }
@@ -29,16 +27,15 @@
 apply_rows (HrStore *store, const json_t *rows)
 {
   size_t i;
-  json_t *row;
-  json_array_foreach (rows, i, row)
+  json_t *entry;
+  json_array_foreach (rows, i, entry)
   {
-    const char *key = hr_json_str (row, "path");
-    guint64 revision;
-    if (!key || !hr_json_count (row, "stamp", G_MAXINT64, &revision))
+    HrStoreChange row;
+    if (!hr_store_read_row (entry, &row))
       continue;
-    hr_replica_apply_change (store, key, json_object_get (row, "value"), revision);
+    hr_replica_apply_change (store, row.key, row.value, row.revision);
     g_free (store->replica.list_cursor);
-    store->replica.list_cursor = g_strdup (key);
+    store->replica.list_cursor = g_strdup (row.key);
   }
 }
 
@@ -66,10 +63,9 @@
 on_listing_page (HrStore *store, int status, json_t *body, double sent, gpointer data)
 {
   guint64 store_revision;
-  gboolean has_more = FALSE;
   if (GPOINTER_TO_UINT (data) != store->replica.generation)
     return;
-  if (status != 200 || !hr_json_count (body, "epoch", G_MAXINT64, &store_revision)) {
+  if (status != 200 || !hr_store_read_revision (body, &store_revision)) {
     retry_later (store);
     return;
   }
@@ -77,10 +73,9 @@
   /* Changes after the first page's revision are read again, in order. */
   if (!store->replica.list_cursor)
     store->replica.listed_revision = store_revision;
-  const json_t *rows = json_object_get (body, "rows");
+  const json_t *rows = hr_store_list_rows (body);
   apply_rows (store, rows);
-  hr_json_bool (body, "more", &has_more);
-  if (has_more && json_array_size (rows))
+  if (hr_store_list_has_more (body) && json_array_size (rows))
     request_page (store);
   else
     complete (store);
--- a/src/bookkeeping/transactions.c
+++ b/src/bookkeeping/transactions.c
@@ -2,6 +2,7 @@
 #include "bookkeeping/token_bucket.h"
 #include "protocol/http_method.h"
 #include "protocol/json_util.h"
+#include "protocol/store_api.h"
 
 #define MAX_TRANSACTIONS_IN_FLIGHT 8
 /* The store answered 429: its allowance, which all controllers share, is used up. Pauses are drawn
@@ -44,36 +45,34 @@
 hr_transaction_require (HrTransaction *transaction, const char *key, guint64 revision)
 {
   json_array_append_new (transaction->conditions,
-                         json_pack ("{sssI}", "path", key, "stamp", (json_int_t)revision));
+                         hr_store_condition (key, revision));
 }
 
 static json_t *
-pack_put (const char *key, char *value_text)
+pack_put (const char *key, char *value_text, guint64 lease_id)
 {
   json_t *value = json_loads (value_text, JSON_DECODE_ANY, NULL);
   g_free (value_text);
-  return json_pack ("{ssso}", "set", key, "value", value);
+  return hr_store_put (key, value, lease_id);
 }
 
 void
 hr_transaction_put (HrTransaction *transaction, const char *key, char *value_text)
 {
-  json_array_append_new (transaction->writes, pack_put (key, value_text));
+  json_array_append_new (transaction->writes, pack_put (key, value_text, 0));
 }
 
 void
 hr_transaction_put_with_lease (HrTransaction *transaction, const char *key, char *value_text,
                                guint64 lease_id)
 {
-  json_t *write = pack_put (key, value_text);
-  json_object_set_new (write, "claim", json_integer (lease_id));
-  json_array_append_new (transaction->writes, write);
+  json_array_append_new (transaction->writes, pack_put (key, value_text, lease_id));
 }
 
 void
 hr_transaction_delete (HrTransaction *transaction, const char *key)
 {
-  json_array_append_new (transaction->writes, json_pack ("{ss}", "delete", key));
+  json_array_append_new (transaction->writes, hr_store_delete (key));
 }
 
 /* ---- sending ---- */
@@ -138,9 +137,8 @@
 {
   const HrTransaction *transaction = pending->transaction;
   store->transactions.in_flight++;
-  json_t *body =
-      json_pack ("{sOsO}", "when", transaction->conditions, "writes", transaction->writes);
-  store->events->call (store->core, HR_POST, g_strdup ("/commit"), hr_json_take_text (body),
+  char *body = hr_store_commit_text (transaction->conditions, transaction->writes);
+  store->events->call (store->core, HR_POST, g_strdup (HR_STORE_COMMIT_PATH), body,
                        pending->timeout_s, on_commit, pending);
 }
 
--- a/src/coordination/agents/heartbeats.c
+++ b/src/coordination/agents/heartbeats.c
@@ -151,12 +151,12 @@
 {
   gsize len = 0;
   const char *data = command->body ? g_bytes_get_data (command->body, &len) : NULL;
-  g_autofree char *reason = NULL;
-  HrHeartbeat *report = hr_heartbeat_parse (data, len, &reason);
+  g_autoptr (GError) error = NULL;
+  HrHeartbeat *report = hr_heartbeat_parse (data, len, &error);
   if (!report) {
-    g_info ("a report was dropped: %s", reason);
+    g_info ("a report was dropped: %s", error->message);
     core->metrics.counters.reports_malformed++;
-    hr_core_refuse (core, command->id, 400, 0, reason);
+    hr_core_refuse (core, command->id, 400, 0, error->message);
   }
   return report;
 }
--- a/src/coordination/agents/lease_renewal.c
+++ b/src/coordination/agents/lease_renewal.c
@@ -3,6 +3,7 @@
 #include "coordination/effects.h"
 #include "coordination/invariant.h"
 #include "coordination/state.h"
+#include "protocol/worker.h"
 
 static const char *const kind_names[] = {
     [HR_HEARTBEAT_CURRENT] = "current",
@@ -65,7 +66,7 @@
            core->now - core->store.replica.confirmed_at);
   if (verdict == HR_RENEWAL_NOT_LEADER && leader_is_known (core))
     hr_core_reply (core, command->id, 421,
-                   json_pack ("{ss}", "foreman", core->leadership.leader_label), 0);
+                   hr_redirect_answer (core->leadership.leader_label), 0);
   else
     hr_core_refuse (core, command->id, 503, 0, refusal_texts[verdict]);
 }
@@ -146,8 +147,7 @@
   core->metrics.counters.reports_overtaken += kind == HR_HEARTBEAT_OVERTAKEN;
   core->metrics.counters.reports_before_token += kind == HR_HEARTBEAT_BEFORE_TOKEN;
   log_answer (core, machine, report, kind, orders);
-  json_t *body = json_pack ("{sIso}", "baton", (json_int_t)core->leadership.fencing_token, "orders",
-                            hr_orders_pack (orders));
+  json_t *body = hr_heartbeat_answer (core->leadership.fencing_token, orders);
   hr_core_reply (core, command->id, 200, body, 0);
 }
 
--- a/src/coordination/jobs/cancellations.c
+++ b/src/coordination/jobs/cancellations.c
@@ -8,6 +8,7 @@
 #include "coordination/jobs/task_lifecycle.h"
 #include "coordination/membership/cancellation_log.h"
 #include "protocol/json_util.h"
+#include "protocol/store_api.h"
 #include <string.h>
 
 /* The record with its tasks is larger than the state service takes. Its user asks again, and
@@ -61,7 +62,7 @@
   HrJob *job = hr_job_find (&core->store.tables, request->job_id);
   g_auto (HrVerdict) verdict = {0};
   guint64 revision;
-  if (status == 200 && job && hr_json_count (body, "epoch", G_MAXINT64, &revision)) {
+  if (status == 200 && job && hr_store_read_revision (body, &revision)) {
     take_in_confirmed (core, job, revision);
     verdict = hr_verdict_answer (200);
   } else if (is_too_large (core, job, status)) {
--- a/src/coordination/jobs/job_status.c
+++ b/src/coordination/jobs/job_status.c
@@ -2,9 +2,14 @@
 #include "coordination/effects.h"
 #include "coordination/jobs/dependencies.h"
 #include "coordination/jobs/task_lifecycle.h"
+#include "protocol/messages.h"
 
 /* How users are told of a HrJobState. */
-static const char *const state_names[] = {"queued", "done", "withdrawn"};
+static const HrJobStatusState user_states[] = {
+    [HR_JOB_QUEUED] = HR_JOB_STATUS_QUEUED,
+    [HR_JOB_DONE] = HR_JOB_STATUS_DONE,
+    [HR_JOB_CANCELLED] = HR_JOB_STATUS_CANCELLED,
+};
 
 /* What the leader knows of a queued job whose tasks do not all run. */
 static char *
@@ -75,9 +80,8 @@
 {
   guint32 done = job->state == HR_JOB_DONE ? job->n_tasks : job->n_recorded_done;
   guint32 running = running_tasks (core, job);
-  const char *state_name = running ? "running" : state_names[job->state];
   g_autofree char *reason = status_reason (core, job);
-  json_t *body = json_pack ("{sssssisiss}", "name_id", job->id, "stance", state_name, "done",
-                            (int)done, "running", (int)running, "reason", reason);
+  HrJobStatusState state = running ? HR_JOB_STATUS_RUNNING : user_states[job->state];
+  json_t *body = hr_job_status_body (job->id, state, done, running, reason);
   hr_core_reply (core, reply_id, status, body, 0);
 }
--- a/src/coordination/jobs/request_routing.c
+++ b/src/coordination/jobs/request_routing.c
@@ -4,10 +4,10 @@
 #include "coordination/jobs/submissions.h"
 #include "coordination/jobs/user_requests.h"
 #include "coordination/membership/membership.h"
+#include "protocol/messages.h"
 #include <string.h>
 
 #define READINESS_PATH "/ready"
-#define CANCEL_SUFFIX "/abort"
 /* When to ask again whether this node is ready, s. */
 #define READINESS_RETRY_AFTER_S 1
 
@@ -48,9 +48,8 @@
 static Route
 route_job (HrMethod method, const char *rest)
 {
-  gboolean is_cancel = g_str_has_suffix (rest, CANCEL_SUFFIX);
-  gsize id_length = strlen (rest) - (is_cancel ? strlen (CANCEL_SUFFIX) : 0);
-  g_autofree char *id = g_strndup (rest, id_length);
+  g_autofree char *id = g_strdup (rest);
+  gboolean is_cancel = hr_cancel_path_strip (id);
   if (strchr (id, '/'))
     return refuse (404, "no such path");
   if (method != (is_cancel ? HR_POST : HR_GET))
--- a/src/coordination/jobs/submissions.c
+++ b/src/coordination/jobs/submissions.c
@@ -8,6 +8,7 @@
 #include "coordination/jobs/open_jobs.h"
 #include "coordination/jobs/dependencies.h"
 #include "protocol/json_util.h"
+#include "protocol/store_api.h"
 #include <string.h>
 
 /* ---- the job's first record ---- */
@@ -158,7 +159,7 @@
   HrUserRequest *request = data;
   g_auto (HrVerdict) verdict = {0};
   guint64 revision;
-  if (status == 200 && hr_json_count (body, "epoch", G_MAXINT64, &revision)) {
+  if (status == 200 && hr_store_read_revision (body, &revision)) {
     take_in_confirmed (core, request, revision);
     verdict = hr_verdict_answer (201);
   } else {
@@ -203,7 +204,7 @@
 /* The submission that the body describes. *invalid: (transfer full): why it is not a valid one;
  * NULL: it is. Returns NULL, with *invalid, where it does not even name a job. */
 static HrUserRequest *
-parse_submission (HrCore *core, const HrCommand *command, char **invalid)
+parse_submission (HrCore *core, const HrCommand *command, GError **invalid)
 {
   gsize length = 0;
   const char *data = command->body ? g_bytes_get_data (command->body, &length) : NULL;
@@ -226,13 +227,13 @@
 void
 hr_submission_received (HrCore *core, HrCommand *command)
 {
-  g_autofree char *invalid = NULL;
+  g_autoptr (GError) invalid = NULL;
   HrUserRequest *request = parse_submission (core, command, &invalid);
   if (!request) {
-    hr_core_refuse (core, command->id, 400, 0, invalid);
+    hr_core_refuse (core, command->id, 400, 0, invalid->message);
     return;
   }
-  g_auto (HrVerdict) verdict = invalid ? hr_verdict_refuse (HR_VERDICT_REFUSE_IF_NEW, 400, invalid)
+  g_auto (HrVerdict) verdict = invalid ? hr_verdict_refuse (HR_VERDICT_REFUSE_IF_NEW, 400, invalid->message)
                                        : decide_submission (core, request);
   if (verdict.kind == HR_VERDICT_WRITE || verdict.kind == HR_VERDICT_READ_AWAITED)
     request->tasks_per_page =
--- a/src/coordination/leadership/election.c
+++ b/src/coordination/leadership/election.c
@@ -7,6 +7,7 @@
 #include "coordination/state.h"
 #include "protocol/http_method.h"
 #include "protocol/json_util.h"
+#include "protocol/store_api.h"
 
 /* How long an answer of the store is waited for. */
 #define STORE_TIMEOUT_S 2.0
@@ -50,7 +51,7 @@
   HrLeadership *leadership = &core->leadership;
   guint64 lease_id = 0;
   leadership->lock_lease_requested_at = 0;
-  if (status == 200 && hr_json_count (body, "claim", G_MAXINT64, &lease_id) && lease_id) {
+  if (status == 200 && hr_store_read_lease_id (body, &lease_id)) {
     leadership->lock_lease_id = lease_id;
     leadership->lock_lease_renewed_at = sent_at;
   } else
@@ -77,8 +78,8 @@
     return;
   leadership->lock_lease_requested_at = core->now;
   int life_ms = (int)(core->policy.leader_lease_s * 1000);
-  hr_core_call (core, HR_TO_STORE, NULL, HR_POST, g_strdup ("/leases"),
-                g_strdup_printf ("{\"life_ms\":%d}", life_ms), STORE_TIMEOUT_S,
+  hr_core_call (core, HR_TO_STORE, NULL, HR_POST, g_strdup (HR_STORE_LEASES_PATH),
+                hr_store_lease_text (life_ms), STORE_TIMEOUT_S,
                 on_lock_lease_granted, NULL);
 }
 
@@ -90,7 +91,7 @@
   leadership->lock_lease_renewal_in_flight = TRUE;
   leadership->lock_lease_renewal_sent_at = core->now;
   hr_core_call (core, HR_TO_STORE, NULL, HR_POST,
-                g_strdup_printf ("/leases/%" G_GUINT64_FORMAT "/touch", leadership->lock_lease_id),
+                hr_store_lease_renewal_path (leadership->lock_lease_id),
                 NULL, core->policy.leader_lease_s / HR_LOCK_LEASE_RENEWALS, on_lock_lease_renewed,
                 NULL);
 }
@@ -162,7 +163,7 @@
   leadership->resigned_token = leadership->fencing_token;
   if (leadership->lock_lease_id)
     hr_core_call (core, HR_TO_STORE, NULL, HR_DELETE,
-                  g_strdup_printf ("/leases/%" G_GUINT64_FORMAT, leadership->lock_lease_id), NULL,
+                  hr_store_lease_path (leadership->lock_lease_id), NULL,
                   STORE_TIMEOUT_S, on_lock_lease_renewed, NULL);
   leadership->lock_lease_id = 0;
 }
--- a/src/coordination/scaling/instance_deletions.c
+++ b/src/coordination/scaling/instance_deletions.c
@@ -5,6 +5,7 @@
 #include "coordination/scheduling/lookups.h"
 #include "protocol/http_method.h"
 #include "protocol/json_util.h"
+#include "protocol/cloud.h"
 
 #define MAX_MACHINES_PER_CALL 100
 #define MAX_CALLS_IN_FLIGHT 2
@@ -73,7 +74,7 @@
   for (guint i = 0; i < deletion->n; i++)
     json_array_append_new (names,
                            json_string (hr_machine_by_index (core, deletion->machines[i])->name));
-  return hr_json_take_text (json_pack ("{so}", "rockhands", names));
+  return hr_instance_deletion_text (names);
 }
 
 void
@@ -88,6 +89,6 @@
     return;
   }
   core->scaling.deletions_in_flight++;
-  hr_core_call (core, HR_TO_CLOUD, NULL, HR_POST, g_strdup ("/rentals/delete"),
+  hr_core_call (core, HR_TO_CLOUD, NULL, HR_POST, g_strdup (HR_CLOUD_DELETION_PATH),
                 deletion_text (core, deletion), CALL_TIMEOUT_S, on_deleted, deletion);
 }
--- a/src/coordination/scaling/instance_list.c
+++ b/src/coordination/scaling/instance_list.c
@@ -5,6 +5,7 @@
 #include "coordination/scaling/machine_types.h"
 #include "protocol/http_method.h"
 #include "protocol/json_util.h"
+#include "protocol/cloud.h"
 
 /* Instances in a page of the list. */
 #define PAGE_SIZE 500
@@ -25,8 +26,7 @@
 {
   const char *cursor = core->scaling.list_cursor;
   core->scaling.list_in_flight = TRUE;
-  char *path = cursor ? g_strdup_printf ("/rentals?after=%s&limit=%d", cursor, PAGE_SIZE)
-                      : g_strdup_printf ("/rentals?limit=%d", PAGE_SIZE);
+  char *path = hr_instance_list_path (cursor);
   hr_core_call (core, HR_TO_CLOUD, NULL, HR_GET, path, NULL, CALL_TIMEOUT_S, on_page, NULL);
 }
 
@@ -80,7 +80,7 @@
 
 /* Takes the entries of a page; the last one is where the next page begins. */
 static void
-take_page (HrCore *core, json_t *list)
+take_page (HrCore *core, const json_t *list)
 {
   json_t *object;
   size_t i;
@@ -112,17 +112,15 @@
 static void
 on_page (HrCore *core, int status, json_t *body, double sent, gpointer data)
 {
-  json_t *list = json_object_get (body, "rockhands");
-  gboolean has_more = FALSE;
+  const json_t *list = hr_instance_list_entries (body);
   core->scaling.list_in_flight = FALSE;
   /* A pass that breaks off begins anew, and so does the next term. */
-  if (!core->leadership.is_leader || status != 200 || !json_is_array (list)) {
+  if (!core->leadership.is_leader || status != 200 || !list) {
     g_clear_pointer (&core->scaling.list_cursor, g_free);
     return;
   }
-  hr_json_bool (body, "more", &has_more);
   take_page (core, list);
-  if (has_more && json_array_size (list))
+  if (hr_instance_list_has_more (body) && json_array_size (list))
     request_page (core);
   else
     finish_pass (core);
--- a/src/coordination/scaling/instance_requests.c
+++ b/src/coordination/scaling/instance_requests.c
@@ -7,6 +7,7 @@
 #include "coordination/scaling/machine_types.h"
 #include "protocol/http_method.h"
 #include "protocol/json_util.h"
+#include "protocol/cloud.h"
 
 #define MAX_INSTANCES_PER_REQUEST 50
 /* For an answer, s. */
@@ -71,7 +72,8 @@
 static void
 take_granted (HrCore *core, const InstanceRequest *request, json_t *body, double sent)
 {
-  json_t *list = json_object_get (body, "rockhands"), *entry;
+  const json_t *list = hr_instances_granted (body);
+  json_t *entry;
   size_t i;
   json_array_foreach (list, i, entry) add_instance (core, request, json_string_value (entry), sent);
   g_info ("the cloud gave %zu of %u instances: %s%s in %s", json_array_size (list), request->count,
@@ -123,13 +125,11 @@
 static void
 send_request (HrCore *core, InstanceRequest *request)
 {
-  /* The cloud's names: request, machine type, zone, spot. */
-  json_t *body = json_pack ("{sssssssbsi}", "ask", request->name, "hull",
-                            hr_intern_name (&core->names->types, request->type), "quarry",
-                            hr_intern_name (&core->names->zones, request->zone), "loaners",
-                            request->is_spot, "count", (int)request->count);
-  hr_core_call (core, HR_TO_CLOUD, NULL, HR_POST, g_strdup ("/rentals"), hr_json_take_text (body),
-                CALL_TIMEOUT_S, on_answer, request);
+  HrInstanceRequest message = {request->name, hr_intern_name (&core->names->types, request->type),
+                               hr_intern_name (&core->names->zones, request->zone),
+                               request->is_spot, request->count};
+  hr_core_call (core, HR_TO_CLOUD, NULL, HR_POST, g_strdup (HR_CLOUD_INSTANCES_PATH),
+                hr_instance_request_text (&message), CALL_TIMEOUT_S, on_answer, request);
 }
 
 /* The machines of the type that the zone holds. */
--- a/src/coordination/scaling/machine_types.c
+++ b/src/coordination/scaling/machine_types.c
@@ -4,6 +4,7 @@
 #include "bookkeeping/transactions.h"
 #include "coordination/effects.h"
 #include "protocol/http_method.h"
+#include "protocol/cloud.h"
 
 /* The types are read so often, s; after a failed call so long after it, while some types are known
  * and while none is. */
@@ -83,7 +84,7 @@
     return;
   scaling->types_in_flight = TRUE;
   scaling->types_requested_at = core->now;
-  hr_core_call (core, HR_TO_CLOUD, NULL, HR_GET, g_strdup ("/machine_types"), NULL, CALL_TIMEOUT_S,
+  hr_core_call (core, HR_TO_CLOUD, NULL, HR_GET, g_strdup (HR_CLOUD_MACHINE_TYPES_PATH), NULL, CALL_TIMEOUT_S,
                 on_types, NULL);
 }
 
