--- a/src/bookkeeping/transactions.c
+++ b/src/bookkeeping/transactions.c
@@ -44,8 +44,7 @@
 void
 hr_transaction_require (HrTransaction *transaction, const char *key, guint64 revision)
 {
-  json_array_append_new (transaction->conditions,
-                         hr_store_condition (key, revision));
+  json_array_append_new (transaction->conditions, hr_store_condition (key, revision));
 }
 
 static json_t *
--- a/src/coordination/agents/lease_renewal.c
+++ b/src/coordination/agents/lease_renewal.c
@@ -65,8 +65,7 @@
            core->leadership.is_leader, core->leadership.fencing_token,
            core->now - core->store.replica.confirmed_at);
   if (verdict == HR_RENEWAL_NOT_LEADER && leader_is_known (core))
-    hr_core_reply (core, command->id, 421,
-                   hr_redirect_answer (core->leadership.leader_label), 0);
+    hr_core_reply (core, command->id, 421, hr_redirect_answer (core->leadership.leader_label), 0);
   else
     hr_core_refuse (core, command->id, 503, 0, refusal_texts[verdict]);
 }
--- a/src/coordination/jobs/submissions.c
+++ b/src/coordination/jobs/submissions.c
@@ -233,8 +233,9 @@
     hr_core_refuse (core, command->id, 400, 0, invalid->message);
     return;
   }
-  g_auto (HrVerdict) verdict = invalid ? hr_verdict_refuse (HR_VERDICT_REFUSE_IF_NEW, 400, invalid->message)
-                                       : decide_submission (core, request);
+  g_auto (HrVerdict) verdict =
+      invalid ? hr_verdict_refuse (HR_VERDICT_REFUSE_IF_NEW, 400, invalid->message)
+              : decide_submission (core, request);
   if (verdict.kind == HR_VERDICT_WRITE || verdict.kind == HR_VERDICT_READ_AWAITED)
     request->tasks_per_page =
         hr_record_layout_choose (&core->store, &request->spec, awaits_bytes (request));
--- a/src/coordination/leadership/election.c
+++ b/src/coordination/leadership/election.c
@@ -79,8 +79,7 @@
   leadership->lock_lease_requested_at = core->now;
   int life_ms = (int)(core->policy.leader_lease_s * 1000);
   hr_core_call (core, HR_TO_STORE, NULL, HR_POST, g_strdup (HR_STORE_LEASES_PATH),
-                hr_store_lease_text (life_ms), STORE_TIMEOUT_S,
-                on_lock_lease_granted, NULL);
+                hr_store_lease_text (life_ms), STORE_TIMEOUT_S, on_lock_lease_granted, NULL);
 }
 
 /* The call is given up when the next renewal is due. */
@@ -91,9 +90,8 @@
   leadership->lock_lease_renewal_in_flight = TRUE;
   leadership->lock_lease_renewal_sent_at = core->now;
   hr_core_call (core, HR_TO_STORE, NULL, HR_POST,
-                hr_store_lease_renewal_path (leadership->lock_lease_id),
-                NULL, core->policy.leader_lease_s / HR_LOCK_LEASE_RENEWALS, on_lock_lease_renewed,
-                NULL);
+                hr_store_lease_renewal_path (leadership->lock_lease_id), NULL,
+                core->policy.leader_lease_s / HR_LOCK_LEASE_RENEWALS, on_lock_lease_renewed, NULL);
 }
 
 void
@@ -163,7 +161,7 @@
   leadership->resigned_token = leadership->fencing_token;
   if (leadership->lock_lease_id)
     hr_core_call (core, HR_TO_STORE, NULL, HR_DELETE,
-                  hr_store_lease_path (leadership->lock_lease_id), NULL,
-                  STORE_TIMEOUT_S, on_lock_lease_renewed, NULL);
+                  hr_store_lease_path (leadership->lock_lease_id), NULL, STORE_TIMEOUT_S,
+                  on_lock_lease_renewed, NULL);
   leadership->lock_lease_id = 0;
 }
--- a/src/coordination/scaling/machine_types.c
+++ b/src/coordination/scaling/machine_types.c
@@ -84,8 +84,8 @@
     return;
   scaling->types_in_flight = TRUE;
   scaling->types_requested_at = core->now;
-  hr_core_call (core, HR_TO_CLOUD, NULL, HR_GET, g_strdup (HR_CLOUD_MACHINE_TYPES_PATH), NULL, CALL_TIMEOUT_S,
-                on_types, NULL);
+  hr_core_call (core, HR_TO_CLOUD, NULL, HR_GET, g_strdup (HR_CLOUD_MACHINE_TYPES_PATH), NULL,
+                CALL_TIMEOUT_S, on_types, NULL);
 }
 
 const HrMachineType *
--- a/src/protocol/worker.c
+++ b/src/protocol/worker.c
@@ -159,8 +159,8 @@
 order_pack (const HrOrder *order)
 {
   g_autofree char *task = g_strdup_printf ("%s/%u", order->job, order->task);
-  json_t *object = json_pack ("{sssssi}", HR_WIRE_ORDER_VERB, order_verbs[order->kind], HR_WIRE_TASK,
-                              task, HR_WIRE_ATTEMPT, (int)order->attempt);
+  json_t *object = json_pack ("{sssssi}", HR_WIRE_ORDER_VERB, order_verbs[order->kind],
+                              HR_WIRE_TASK, task, HR_WIRE_ATTEMPT, (int)order->attempt);
   if (order->kind == HR_ORDER_STOP)
     json_object_set_new (object, HR_WIRE_ORDER_GRACE_S, json_real (order->grace_s));
   return object;
