--- a/src/coordination/jobs/admission.c
+++ b/src/coordination/jobs/admission.c
@@ -1,3 +1,5 @@
+/* Admission: a check of a new job against the machine types and the settings, condition by
+ * condition. */
 #include "coordination/jobs/admission.h"
 #include "coordination/scheduling/quotas.h"
 
--- a/src/coordination/jobs/cancellations.c
+++ b/src/coordination/jobs/cancellations.c
@@ -1,3 +1,4 @@
+/* Cancellations: the write, and what its answer means. */
 #include "coordination/jobs/cancellations.h"
 #include "bookkeeping/record_format.h"
 #include "bookkeeping/record_layout.h"
--- a/src/coordination/jobs/class_stats.c
+++ b/src/coordination/jobs/class_stats.c
@@ -1,3 +1,4 @@
+/* Statistics of job classes: smoothed means, updated with each arrival and each end of a task. */
 #include "coordination/jobs/class_stats.h"
 #include <math.h>
 
--- a/src/coordination/jobs/class_stats.h
+++ b/src/coordination/jobs/class_stats.h
@@ -1,6 +1,7 @@
 /* Statistics of job classes: how fast tasks of a class arrive, what they look like, and how their
  * run times compare with their estimates. Spare capacity and projections rest on them; no rule
- * does. Kept in memory: each leader begins from what it sees. */
+ * does. Every controller keeps them in memory: arrivals by what it reads, run times by what it sees
+ * as the leader. */
 #pragma once
 #include "coordination/state.h"
 
--- a/src/coordination/jobs/failover.c
+++ b/src/coordination/jobs/failover.c
@@ -1,3 +1,4 @@
+/* Failover: the order of what a new leader takes over is the order of the parts below. */
 #include "coordination/jobs/failover.h"
 #include "bookkeeping/record_split.h"
 #include "bookkeeping/record_writer.h"
--- a/src/coordination/jobs/gang_scheduling.c
+++ b/src/coordination/jobs/gang_scheduling.c
@@ -1,3 +1,4 @@
+/* Gangs: readiness, the loss of a task, the end of an attempt, and completion. */
 #include "coordination/jobs/gang_scheduling.h"
 #include "bookkeeping/record_writer.h"
 #include "coordination/jobs/task_lifecycle.h"
@@ -55,13 +56,13 @@
 }
 
 void
-hr_gang_end_attempt (HrCore *core, HrJob *job, double grace)
+hr_gang_end_attempt (HrCore *core, HrJob *job, double grace_s)
 {
   job->run.attempt_ending = TRUE;
   job->run.gang_incomplete_since = 0;
   for (guint32 i = 0; i < job->n_tasks; i++)
     if (!job->tasks[i].stop_wanted)
-      hr_task_withdraw (core, job, i, grace);
+      hr_task_withdraw (core, job, i, grace_s);
 }
 
 /* Of a task that is on no machine: one of the gang's others is done. */
--- a/src/coordination/jobs/gang_scheduling.h
+++ b/src/coordination/jobs/gang_scheduling.h
@@ -43,11 +43,11 @@
 
 /**
  * hr_gang_end_attempt:
- * @grace: how long its tasks may take to save, s
+ * @grace_s: how long its tasks may take to save
  *
  * Ends the gang's attempt: all its tasks have to go before the next one.
  */
-void hr_gang_end_attempt (HrCore *core, HrJob *job, double grace);
+void hr_gang_end_attempt (HrCore *core, HrJob *job, double grace_s);
 
 /**
  * hr_gang_done:
--- a/src/coordination/jobs/job_status.c
+++ b/src/coordination/jobs/job_status.c
@@ -1,3 +1,4 @@
+/* What users are told of a job: the reply's fields, and the reason for its state. */
 #include "coordination/jobs/job_status.h"
 #include "coordination/effects.h"
 #include "coordination/jobs/dependencies.h"
--- a/src/coordination/jobs/open_jobs.c
+++ b/src/coordination/jobs/open_jobs.c
@@ -1,3 +1,4 @@
+/* The list of open jobs, and which jobs that come into it count as arrivals. */
 #include "coordination/jobs/open_jobs.h"
 #include "coordination/jobs/class_stats.h"
 #include "coordination/jobs/priority_inheritance.h"
--- a/src/coordination/jobs/priority_inheritance.c
+++ b/src/coordination/jobs/priority_inheritance.c
@@ -1,3 +1,4 @@
+/* Priority inheritance: what holds for one job, the order of visits, and propagation. */
 #include "coordination/jobs/priority_inheritance.h"
 #include "coordination/scheduling/projection.h"
 #include <math.h>
--- a/src/coordination/jobs/request_routing.c
+++ b/src/coordination/jobs/request_routing.c
@@ -1,3 +1,4 @@
+/* Routes of users' requests, and readiness. */
 #include "coordination/jobs/request_routing.h"
 #include "bookkeeping/replica.h"
 #include "coordination/effects.h"
@@ -72,7 +73,8 @@
   return refuse (404, "no such path");
 }
 
-/* Why this node cannot answer users; NULL: it can. In an outage for all nodes, none is better. */
+/* Why this node cannot answer users; NULL: it can. While the state service answers no controller,
+ * this one is as fit as any other. */
 static const char *
 unready_reason (HrCore *core)
 {
--- a/src/coordination/jobs/submissions.c
+++ b/src/coordination/jobs/submissions.c
@@ -1,3 +1,4 @@
+/* Submissions: parsing, the decisions, the write, and what its answer means. */
 #include "coordination/jobs/submissions.h"
 #include "bookkeeping/record_layout.h"
 #include "bookkeeping/replica.h"
@@ -9,6 +10,9 @@
 #include "protocol/json_util.h"
 #include <string.h>
 
+/* Of the key of a job's main record in the state store. */
+#define JOB_KEY_PREFIX "h/j/"
+
 /* ---- the job's first record ---- */
 
 static char *
@@ -170,7 +174,7 @@
 void
 hr_submission_write (HrCore *core, HrUserRequest *request)
 {
-  g_autofree char *key = g_strconcat ("h/j/", request->job_id, NULL);
+  g_autofree char *key = g_strconcat (JOB_KEY_PREFIX, request->job_id, NULL);
   if (!request->write_tag)
     request->write_tag = hr_core_new_tag (core);
   char *text = first_record (core, request, request->tasks_per_page, request->write_tag);
--- a/src/coordination/jobs/task_failures.c
+++ b/src/coordination/jobs/task_failures.c
@@ -1,3 +1,4 @@
+/* Failures of tasks: classes of exits, pauses, avoided and faulty machines. */
 #include "coordination/jobs/task_failures.h"
 #include <math.h>
 
--- a/src/coordination/jobs/task_lifecycle.c
+++ b/src/coordination/jobs/task_lifecycle.c
@@ -1,3 +1,4 @@
+/* The transitions of a task; the table of them is in the header. */
 #include "coordination/jobs/task_lifecycle.h"
 #include "bookkeeping/record_writer.h"
 #include "coordination/jobs/class_stats.h"
@@ -167,31 +168,31 @@
 
 /* A stop that is under way is repeated only to leave less time. */
 static gboolean
-may_stop (const HrTask *task, double grace)
+may_stop (const HrTask *task, double grace_s)
 {
-  return task->state == HR_TASK_BOUND && !(task->stop_wanted && task->stop_grace_s <= grace);
+  return task->state == HR_TASK_BOUND && !(task->stop_wanted && task->stop_grace_s <= grace_s);
 }
 
 void
-hr_task_stop (HrCore *core, HrJob *job, guint32 task_index, double grace)
+hr_task_stop (HrCore *core, HrJob *job, guint32 task_index, double grace_s)
 {
   HrTask *task = &job->tasks[task_index];
-  if (!may_stop (task, grace))
+  if (!may_stop (task, grace_s))
     return;
   task->stop_wanted = 1;
-  task->stop_grace_s = grace;
+  task->stop_grace_s = grace_s;
   task->stop_sent_at = 0;
   mark_urgent (core, machine_of (core, task));
 }
 
 void
-hr_task_withdraw (HrCore *core, HrJob *job, guint32 task_index, double grace)
+hr_task_withdraw (HrCore *core, HrJob *job, guint32 task_index, double grace_s)
 {
   const HrTask *task = &job->tasks[task_index];
   if (task->state == HR_TASK_ASSIGNING && !task->write_in_flight)
     hr_task_unassign (core, job, task_index);
   else if (task->state == HR_TASK_BOUND)
-    hr_task_stop (core, job, task_index, grace);
+    hr_task_stop (core, job, task_index, grace_s);
 }
 
 void
--- a/src/coordination/jobs/task_lifecycle.h
+++ b/src/coordination/jobs/task_lifecycle.h
@@ -64,22 +64,22 @@
 
 /**
  * hr_task_stop:
- * @grace: how long it may take to save, s
+ * @grace_s: how long it may take to save
  *
  * Has a bound task stopped. A stop that is under way is only ever made shorter.
  */
-void hr_task_stop (HrCore *core, HrJob *job, guint32 task_index, double grace);
+void hr_task_stop (HrCore *core, HrJob *job, guint32 task_index, double grace_s);
 
 /**
  * hr_task_withdraw:
- * @grace: how long it may take to save, s
+ * @grace_s: how long it may take to save
  *
  * Takes the task from its machine by whatever its state asks for: an assignment that is not
  * recorded yet is given up, a bound task is stopped. One whose assignment is being written is left
  * alone: it is not launched while its job is cancelled or its attempt is ending, and goes when its
  * absence is proven.
  */
-void hr_task_withdraw (HrCore *core, HrJob *job, guint32 task_index, double grace);
+void hr_task_withdraw (HrCore *core, HrJob *job, guint32 task_index, double grace_s);
 
 /**
  * hr_job_cancelled:
--- a/src/coordination/jobs/user_requests.c
+++ b/src/coordination/jobs/user_requests.c
@@ -1,3 +1,4 @@
+/* Users' requests: what all kinds of them share of decisions and actions. */
 #include "coordination/jobs/user_requests.h"
 #include "bookkeeping/replica.h"
 #include "coordination/effects.h"
--- a/src/coordination/jobs/user_requests.h
+++ b/src/coordination/jobs/user_requests.h
@@ -8,8 +8,8 @@
  *   request came; final states never change, so they need none.
  * - That a job is not known is said only after such a read.
  *
- * Used by request_routing.c, submissions.c and cancellations.c. Functions that take a request own
- * it from then on: HrUserRequest is freed with its reply. */
+ * Used by request_routing.c, submissions.c and cancellations.c. A function that takes a request as
+ * (transfer full) owns it from then on; it is freed with its reply. */
 #pragma once
 #include "coordination/state.h"
 
