--- a/src/bookkeeping/garbage_collection.c
+++ b/src/bookkeeping/garbage_collection.c
@@ -1,16 +1,16 @@
-/* Pages of jobs that are final: their record is a tombstone, and nobody reads them again.
- * Every follower notes them, so that whoever leads tidies up after a predecessor; they go
- * a few at a time, when the store's allowance has nothing more urgent. */
 #include "bookkeeping/garbage_collection.h"
 #include "bookkeeping/replica.h"
-#include "bookkeeping/store.h"
 #include "bookkeeping/store_keys.h"
 #include "bookkeeping/tables.h"
 #include "bookkeeping/transactions.h"
-#include "protocol/json_util.h"
 
-#define PAGES_PER_TRANSACTION 4 /* of the changes that a transaction may hold */
+#define MAX_PAGES_PER_TRANSACTION 4
 #define DELETE_TIMEOUT_S 2.0
+#define DELETE_GAP_S 1.0
+/* Pages are deleted only while so much of the burst of changes is saved up. */
+#define MIN_ALLOWANCE_SHARE 0.8
+
+/* ---- noting ---- */
 
 void
 hr_garbage_add_page (HrStore *store, const HrJob *job, guint tasks_per_page, guint page)
@@ -19,68 +19,87 @@
   g_array_append_val (store->garbage.pages, obsolete);
 }
 
-/* The job has become final, or its record is split anew: so far as we know, these of its pages
- * are in the state store. */
 void
 hr_garbage_add_job (HrStore *store, const HrJob *job)
 {
-  for (guint i = 0; job->record.tasks_per_page && i < job->record.n_pages; i++)
-    if (job->record.pages[i].revision)
-      hr_garbage_add_page (store, job, job->record.sized_page_keys ? job->record.tasks_per_page : 0,
-                           i);
-  for (guint i = 0; job->record.staged_pages && i < job->record.staged_pages->len; i++) {
-    const HrStagedPage *staged = &g_array_index (job->record.staged_pages, HrStagedPage, i);
+  const HrJobRecord *record = &job->record;
+  guint size_in_key = record->sized_page_keys ? record->tasks_per_page : 0;
+  for (guint i = 0; record->tasks_per_page && i < record->n_pages; i++)
+    if (record->pages[i].revision)
+      hr_garbage_add_page (store, job, size_in_key, i);
+  for (guint i = 0; record->staged_pages && i < record->staged_pages->len; i++) {
+    const HrStagedPage *staged = &g_array_index (record->staged_pages, HrStagedPage, i);
     if (staged->revision)
       hr_garbage_add_page (store, job, staged->tasks_per_page, staged->page);
   }
 }
 
-/* The page is gone from the state store. */
 void
 hr_garbage_page_deleted (HrStore *store, const HrJob *job, guint tasks_per_page, guint page)
 {
-  for (guint i = 0; i < store->garbage.pages->len; i++) {
-    HrObsoletePage *obsolete = &g_array_index (store->garbage.pages, HrObsoletePage, i);
+  GArray *pages = store->garbage.pages;
+  for (guint i = 0; i < pages->len; i++) {
+    const HrObsoletePage *obsolete = &g_array_index (pages, HrObsoletePage, i);
     if (obsolete->job == job->index && obsolete->page == page &&
         obsolete->tasks_per_page == tasks_per_page)
-      g_array_remove_index_fast (store->garbage.pages, i--);
+      g_array_remove_index_fast (pages, i--);
   }
 }
 
+/* ---- deleting ---- */
+
+/* After a failure the pages are still noted, and are deleted later. */
 static void
 on_pages_deleted (HrStore *store, int status, json_t *body, double sent, gpointer data)
 {
   g_autoptr (GArray) batch = data;
   store->garbage.deletion_in_flight = FALSE;
-  store->garbage.next_deletion_at = store->now + 1;
-  for (guint i = 0; i < batch->len && status == 200; i++) {
+  store->garbage.next_deletion_at = store->now + DELETE_GAP_S;
+  if (status != 200)
+    return;
+  for (guint i = 0; i < batch->len; i++) {
     const HrObsoletePage *obsolete = &g_array_index (batch, HrObsoletePage, i);
-    hr_garbage_page_deleted (store, store->tables.jobs->pdata[obsolete->job],
-                             obsolete->tasks_per_page, obsolete->page);
-  } /* otherwise it is tried again */
+    const HrJob *job = store->tables.jobs->pdata[obsolete->job];
+    hr_garbage_page_deleted (store, job, obsolete->tasks_per_page, obsolete->page);
+  }
 }
 
-void
-hr_garbage_tick (HrStore *store)
+static gboolean
+may_delete (const HrStore *store)
 {
-  guint n = MIN (MIN (store->garbage.pages->len, PAGES_PER_TRANSACTION), store->limits.txn_ops);
-  /* Only what is left over of the allowance. */
-  if (!hr_store_is_leader (store) || !n || store->garbage.deletion_in_flight ||
-      store->now < store->garbage.next_deletion_at || store->writer.dirty_pages->len ||
-      !hr_replica_is_served (store) ||
-      store->transactions.allowance.tokens < store->transactions.allowance.burst * 0.8)
-    return;
-  g_autoptr (HrTransaction) transaction = hr_transaction_new ();
+  const HrTokenBucket *allowance = &store->transactions.allowance;
+  return hr_store_is_leader (store) && !store->garbage.deletion_in_flight &&
+         store->now >= store->garbage.next_deletion_at && !store->writer.dirty_pages->len &&
+         hr_replica_is_served (store) &&
+         allowance->tokens >= allowance->burst * MIN_ALLOWANCE_SHARE;
+}
+
+/* A leader's writes hold on the leader record. */
+static HrTransaction *
+build_deletion (const HrStore *store, const GArray *batch)
+{
+  HrTransaction *transaction = hr_transaction_new ();
   hr_transaction_require (transaction, HR_STORE_KEY_LEADER_RECORD,
                           store->events->leader_record_revision (store->core));
-  GArray *batch = g_array_new (FALSE, FALSE, sizeof (HrObsoletePage));
-  g_array_append_vals (batch, store->garbage.pages->data, n);
-  for (guint i = 0; i < n; i++) {
+  for (guint i = 0; i < batch->len; i++) {
     const HrObsoletePage *obsolete = &g_array_index (batch, HrObsoletePage, i);
     const HrJob *job = store->tables.jobs->pdata[obsolete->job];
     g_autofree char *key = hr_record_page_key_of (job, obsolete->tasks_per_page, obsolete->page);
     hr_transaction_delete (transaction, key);
   }
+  return transaction;
+}
+
+void
+hr_garbage_tick (HrStore *store)
+{
+  const GArray *pages = store->garbage.pages;
+  guint n = MIN (MIN (pages->len, MAX_PAGES_PER_TRANSACTION), store->limits.txn_ops);
+  if (!n || !may_delete (store))
+    return;
+  GArray *batch = g_array_new (FALSE, FALSE, sizeof (HrObsoletePage));
+  g_array_append_vals (batch, pages->data, n);
+  g_autoptr (HrTransaction) transaction = build_deletion (store, batch);
   store->garbage.deletion_in_flight = TRUE;
   hr_transaction_submit (store, HR_TRANSACTION_BOOKKEEPING, transaction, DELETE_TIMEOUT_S,
                          on_pages_deleted, batch);
--- /dev/null
+++ b/src/bookkeeping/job.c
@@ -0,0 +1,81 @@
+#include "bookkeeping/job.h"
+
+#define BYTES_PER_KIB 1024
+/* Of a main record, for the job's specification. */
+#define SPEC_BYTES 1024
+
+void
+hr_job_free (HrJob *job)
+{
+  hr_job_compact (job);
+  g_free (job->dependencies.awaited);
+  if (job->dependencies.dependents)
+    g_ptr_array_unref (job->dependencies.dependents);
+  g_free (job->record.tag);
+  g_free (job);
+}
+
+void
+hr_job_compact (HrJob *job)
+{
+  g_clear_pointer (&job->tasks, g_free);
+  for (guint i = 0; i < job->record.n_pages; i++)
+    g_free (job->record.pages[i].write_tag);
+  g_clear_pointer (&job->record.pages, g_free);
+  job->record.n_pages = 0;
+  GArray *staged_pages = job->record.staged_pages;
+  for (guint i = 0; staged_pages && i < staged_pages->len; i++)
+    json_decref (g_array_index (staged_pages, HrStagedPage, i).value);
+  g_clear_pointer (&job->record.staged_pages, g_array_unref);
+  g_clear_pointer (&job->record.unknown_members, json_decref);
+  job->record.split_wanted = job->record.split_in_flight = FALSE;
+}
+
+void
+hr_job_set_spec (HrJob *job, const HrJobSpec *spec, guint tasks_per_page)
+{
+  hr_job_compact (job);
+  job->spec = *spec;
+  job->plan.priority = spec->priority;
+  job->n_tasks = spec->tasks;
+  job->record.tasks_per_page = tasks_per_page;
+  job->record.sized_page_keys = FALSE;
+  job->record.next_write_at = job->record.back_off_s = 0;
+  job->record.n_pages = tasks_per_page ? hr_page_count (spec->tasks, tasks_per_page) : 1;
+  job->record.pages = g_new0 (HrRecordPage, job->record.n_pages);
+  job->tasks = g_new0 (HrTask, spec->tasks);
+  for (guint i = 0; i < spec->tasks; i++) {
+    job->tasks[i].recorded.machine = job->tasks[i].placement.machine = HR_NONE;
+    job->tasks[i].reported_state = HR_NOT_REPORTED;
+  }
+  job->run.failed_machine = HR_NONE;
+}
+
+gboolean
+hr_job_has_unfinished_dependencies (const HrJob *job)
+{
+  for (guint i = 0; i < job->dependencies.n_awaited; i++)
+    if (job->dependencies.awaited[i]->state != HR_JOB_DONE)
+      return TRUE;
+  return FALSE;
+}
+
+double
+hr_job_eligible_since (const HrJob *job)
+{
+  return job->dependencies.n_awaited ? job->dependencies.ready_since : job->submitted_at;
+}
+
+HrRecordPage *
+hr_job_page (HrJob *job, guint32 task_index)
+{
+  guint tasks_per_page = job->record.tasks_per_page;
+  return &job->record.pages[tasks_per_page ? task_index / tasks_per_page : 0];
+}
+
+guint
+hr_tasks_per_page (double value_kb)
+{
+  double capacity = value_kb * BYTES_PER_KIB - SPEC_BYTES;
+  return MAX (1, (gint)(capacity / HR_PLACED_TASK_BYTES));
+}
--- a/src/bookkeeping/store.c
+++ b/src/bookkeeping/store.c
@@ -17,15 +17,15 @@
   store->writer.dirty_pages = g_array_new (FALSE, TRUE, sizeof (HrDirtyPage));
   store->garbage.pages = g_array_new (FALSE, TRUE, sizeof (HrObsoletePage));
   store->splitter.queue = g_array_new (FALSE, TRUE, sizeof (guint32));
-  for (int i = 0; i < HR_TRANSACTION_KINDS; i++)
-    g_queue_init (&store->transactions.queues[i]);
+  for (int kind = 0; kind < HR_TRANSACTION_KINDS; kind++)
+    g_queue_init (&store->transactions.queues[kind]);
 }
 
 void
 hr_store_clear (HrStore *store)
 {
-  for (int i = 0; i < HR_TRANSACTION_KINDS; i++)
-    g_queue_clear_full (&store->transactions.queues[i],
+  for (int kind = 0; kind < HR_TRANSACTION_KINDS; kind++)
+    g_queue_clear_full (&store->transactions.queues[kind],
                         (GDestroyNotify)hr_pending_transaction_free);
   g_array_unref (store->splitter.queue);
   g_array_unref (store->garbage.pages);
--- a/src/bookkeeping/store.h
+++ b/src/bookkeeping/store.h
@@ -1,25 +1,47 @@
-/* What this node knows of the state store and has under way there: its replica of the store, the
- * tables that it fills, and the transactions that write to it. Owned by the core; each part is
- * written by the module that the comment above it names. Times are in seconds of the steady clock
- * unless said otherwise; revisions are the store's. */
+/* The store: what this node knows of the replicated state store, and has in flight there.
+ *
+ * HrStore holds the replica of the state store, the tables that it fills, and the transactions that
+ * write to it. It is owned by the core. Each of its parts is changed by the module that the comment
+ * above it names alone; others may read it. Bookkeeping does no I/O and reads no clock: requests go
+ * out through HrStoreEvents, and `now` is set before each step.
+ *
+ * Times are in seconds of the steady clock unless said otherwise; revisions are the store's, which
+ * grow with every change of it. Answers to requests come as callbacks, never within the call that
+ * made the request, but for hr_replica_read(). */
 #pragma once
 #include "bookkeeping/tables.h"
 #include "bookkeeping/token_bucket.h"
 #include "protocol/http_method.h"
+#include "protocol/jobspec.h"
 #include "protocol/settings.h"
+#include <glib.h>
 #include <jansson.h>
 
 /* Whoever composes the store with the rest of a controller; bookkeeping only hands it on. */
 typedef struct HrCore HrCore;
 typedef struct HrStore HrStore;
 
-/* The answer to a call of ours. status: HTTP status; 0: no answer, so the call may have been
- * carried out, or may yet be. body: NULL where there is none. sent_at: when the call was made. */
+/**
+ * HrStoreCallback:
+ * @store: the store
+ * @status: HTTP status; 0: no answer, so the request may have been carried out, or may yet be
+ * @body: (nullable): the answer's body
+ * @sent_at: steady time, s, when the request was made
+ * @data: as passed with the request
+ *
+ * The answer to a request.
+ */
 typedef void (*HrStoreCallback) (HrStore *store, int status, json_t *body, double sent_at,
                                  gpointer data);
 
-/* A read of the store that began after it was asked for has ended. ok: FALSE when it failed, and
- * nothing may be concluded. */
+/**
+ * HrReadCallback:
+ * @store: the store
+ * @ok: FALSE: the read failed, and nothing may be concluded
+ * @data: as passed with the request
+ *
+ * A read of the store that began after it was requested has ended.
+ */
 typedef void (*HrReadCallback) (HrStore *store, gboolean ok, gpointer data);
 
 typedef enum {
@@ -35,10 +57,10 @@
   double since;
 } HrReadWaiter;
 
-/* The copy of the store that this node follows (replica.c). */
+/* The replica of the state store (replica.c, replica_listing.c). */
 typedef struct {
   HrReplicaState state;
-  guint generation;         /* counts listings: answers to earlier calls are void */
+  guint generation;         /* counts resets and listings: answers to earlier requests are void */
   guint64 applied_revision; /* all changes up to there are in the tables */
   guint64 listed_revision;  /* of the listing's first page */
   char *list_cursor;        /* the listing's last key so far; NULL: none */
@@ -49,7 +71,7 @@
   GArray *waiters_in_flight; /* HrReadWaiter, for the read in flight */
   double read_sent_at;
   double confirmed_at;   /* when the last successful read was sent */
-  double read_latency_s; /* of late; long ones count for longer */
+  double read_latency_s; /* recent; a long one counts for several reads */
   double served_since;   /* the store has answered this node without a gap since */
   double list_retry_at;
   gboolean is_unavailable; /* the store does not answer this node */
@@ -89,99 +111,115 @@
   guint32 job, page;
 } HrDirtyPage;
 
-/* Pages with something to record (record_writer.c). */
+/* Pages that are due to be written (record_writer.c). */
 typedef struct {
   GArray *dirty_pages; /* HrDirtyPage */
 } HrRecordWriter;
 
-/* A page in the store that nobody reads any more. */
+/* A page in the store that no main record names any more. */
 typedef struct {
   guint32 job, page;
-  guint tasks_per_page; /* under h/u, of that size; 0: under h/t */
+  guint tasks_per_page; /* the size in its key, under h/u; 0: none, under h/t */
 } HrObsoletePage;
 
-/* Pages of final jobs and of layouts left behind (garbage_collection.c). */
+/* Pages to be deleted: of final jobs, and of earlier layouts (garbage_collection.c). */
 typedef struct {
   GArray *pages; /* HrObsoletePage */
   gboolean deletion_in_flight;
   double next_deletion_at;
 } HrGarbage;
 
-/* Which format of records every member understands (record_format.c). */
+/* Which format of records every controller understands (record_format.c). */
 typedef struct {
   guint supported; /* the newest that this node understands; 0: there were no formats yet */
-  guint agreed;    /* that the store states every member understands */
+  guint agreed;    /* that every controller understands, as the store states */
   guint64 revision;
   gboolean write_in_flight;
   double next_write_at;
   gboolean planned_limits_in_force; /* the store refused what only the planned limits forbid */
 } HrRecordFormat;
 
-/* How long machine names are (record_layout.c). */
+/* Lengths of machine names (record_layout.c). */
 typedef struct {
   guint names_measured;
   gsize longest_name; /* bytes */
 } HrRecordLayout;
 
-/* Records that are too large (record_split.c). */
+/* Records that are too large (record_split.c, record_split_steps.c; the list: record_format.c). */
 typedef struct {
   GArray *queue;      /* guint32: jobs, the most urgent first */
   guint in_flight;    /* splits */
   guint next_scanned; /* position in the list of open jobs */
-  /* Jobs that cannot be cancelled until their record is split; told to peers. */
+  /* Jobs that cannot be cancelled until their record is split; stated to peers. */
   char oversized[HR_MAX_OVERSIZED][HR_JOB_ID_MOST + 1];
   guint n_oversized;
 } HrRecordSplitter;
 
-/* What bookkeeping asks of the rest of the controller, and tells it. Bookkeeping calls nothing else
- * above it. core.c fills it in. */
+/**
+ * HrStoreEvents:
+ * @call: sends a request to the store. Takes over path and body (NULL: none); the callback is
+ * called once, with the answer or the timeout
+ * @new_tag: returns a tag that no other write of any process carries; (transfer full)
+ * @is_leader: may this node write as the leader, by what it has read?
+ * @token_raise_in_flight: is a new fencing token being written, so that a write under the present
+ * one would be refused?
+ * @leader_record_revision: returns the revision of the leader record, on which the leader's writes
+ *   hold; 0: not read yet
+ * @peers_support_format: has every other controller stated that it understands the format of
+ * records?
+ * @listing_begins: the whole store is about to be read anew; what was read of keys other than jobs'
+ *   is void
+ * @leader_record_read: a change of the leader record was read; value NULL: it was deleted
+ * @leader_lock_read: a change of the leader lock was read; value NULL: it was deleted
+ * @machine_types_read: a change of the machine types was read; value NULL: they were deleted
+ * @changes_applied: all changes of an answer were applied
+ * @read_answered: a read was answered, so many seconds after it was sent
+ * @history_lost: the changes since the last read are no longer in the store's log; the replica must
+ *   be reset
+ * @cancellation_read: a record says that the job is cancelled; called before the job's state
+ * changes
+ * @job_read: an open job's record was read. awaited: ids of the jobs that it awaits, or NULL.
+ *   newly_cancelled: no record said so before; a leader has its tasks to stop
+ * @job_final: the job's record is a tombstone
+ * @assignment_recorded: the task's assignment is in the store: the task may be launched
+ * @assignment_dropped: the task's assignment will not be recorded: it must not be launched
+ * @plan_changed: the scheduler's plan is out of date
+ * @status_changed: there is something to state to the other controllers at once
+ *
+ * The requests and events of bookkeeping. It calls nothing else of the rest of the controller. All
+ * members are set (coordination/store_events.c), and are called from within a step, on its thread.
+ */
 typedef struct {
-  /* Sends a request to the store. Takes path and body (NULL: none). */
+  /* Requests. */
   void (*call) (HrCore *core, HrMethod method, char *path, char *body, double timeout_s,
                 HrStoreCallback callback, gpointer data);
-  /* A tag that no other write of any process carries. To be freed. */
   char *(*new_tag) (HrCore *core);
-  /* May this node write as the leader, by what it has read? */
   gboolean (*is_leader) (const HrCore *core);
-  /* Is a new fencing token on its way, so that a write under this one would be refused? */
   gboolean (*token_raise_in_flight) (const HrCore *core);
-  /* Revision of the leader record: what the leader's writes hold on. 0: not read yet. */
   guint64 (*leader_record_revision) (const HrCore *core);
-  /* Has every other controller stated that it reads records of this format? */
   gboolean (*peers_support_format) (const HrCore *core, guint format);
 
-  /* The whole store is about to be read anew: what was read of other keys than jobs' is void. */
+  /* Events of the replica. */
   void (*listing_begins) (HrCore *core);
-  /* A change was read of the leader record, of the leader's lock, of the machine types. value: NULL
-   * where the key was deleted. */
   void (*leader_record_read) (HrCore *core, const json_t *value, guint64 revision);
   void (*leader_lock_read) (HrCore *core, const json_t *value, guint64 revision);
   void (*machine_types_read) (HrCore *core, const json_t *value, guint64 revision);
-  /* All changes of an answer were applied. */
   void (*changes_applied) (HrCore *core);
-  /* A read was answered, so many seconds after it was sent. */
   void (*read_answered) (HrCore *core, double latency_s);
-  /* Changes since the last read are no longer to be had. */
   void (*history_lost) (HrCore *core);
 
-  /* A record says that the job is cancelled; told before its state changes. */
+  /* Events of jobs. */
   void (*cancellation_read) (HrCore *core, const HrJob *job, guint64 revision);
-  /* An open job's record was read. awaited: ids of the jobs that it awaits, or NULL.
-   * newly_cancelled: for a leader, which has its tasks to stop. */
   void (*job_read) (HrCore *core, HrJob *job, const char *const *awaited, gboolean newly_cancelled);
-  /* The job's record is a tombstone. */
   void (*job_final) (HrCore *core, HrJob *job);
-  /* The task's assignment is recorded; is given up before it was recorded. */
   void (*assignment_recorded) (HrCore *core, HrJob *job, guint32 task_index);
   void (*assignment_dropped) (HrCore *core, HrJob *job, guint32 task_index);
-  /* What the plan rests on has changed. */
   void (*plan_changed) (HrCore *core);
-  /* There is news for the other controllers. */
   void (*status_changed) (HrCore *core);
 } HrStoreEvents;
 
 struct HrStore {
-  HrCore *core; /* for `events` */
+  HrCore *core; /* passed to `events` */
   const HrStoreEvents *events;
   const HrSettings *settings;
   HrNames *names;
@@ -199,15 +237,31 @@
   HrStateLimits limits; /* that this node plans for */
 };
 
-/* May this node write as the leader? */
+/**
+ * hr_store_is_leader:
+ * @store: the store
+ *
+ * Returns: may this node write as the leader, by what it has read?
+ */
 static inline gboolean
 hr_store_is_leader (const HrStore *store)
 {
   return store->events->is_leader (store->core);
 }
 
-/* Makes the empty tables and queues of a zeroed store. The pointers to what it uses are the
- * caller's to set, before anything else is called. */
+/**
+ * hr_store_init:
+ * @store: a zeroed store
+ *
+ * Makes the empty tables and queues. The pointers to what the store uses are the caller's to set,
+ * before anything else is called.
+ */
 void hr_store_init (HrStore *store);
-/* Frees what hr_store_init made; data of transactions without an answer is not freed. */
+
+/**
+ * hr_store_clear:
+ * @store: a store
+ *
+ * Frees what hr_store_init() made. Data of requests without an answer is not freed.
+ */
 void hr_store_clear (HrStore *store);
