--- a/src/coordination/scheduling/preemption.c
+++ b/src/coordination/scheduling/preemption.c
@@ -19,13 +19,13 @@
 hr_may_preempt (HrCore *core, const HrJob *job, HrPreemptionScope scope, const HrJob *victim,
                 guint32 task_index)
 {
-  const HrTask *task = &victim->tasks[task_index];
   gboolean same_team = victim->spec.team == job->spec.team;
   if (scope == HR_PREEMPT_OWN_TEAM &&
       (!same_team || victim->state != HR_JOB_QUEUED || victim->run.attempt_ending))
     return FALSE;
   if (scope == HR_PREEMPT_OTHER_TEAMS && same_team)
     return FALSE;
+  const HrTask *task = &victim->tasks[task_index];
   if (task->state != HR_TASK_BOUND || task->stop_wanted)
     return FALSE;
   if (hr_job_priority (victim) > hr_job_priority (job))
--- a/src/coordination/scheduling/quota.h
+++ b/src/coordination/scheduling/quota.h
@@ -57,6 +57,17 @@
   total->gpus -= amount.gpus;
 }
 
+/**
+ * hr_quota_multiply:
+ *
+ * Returns: @n times @one.
+ */
+static inline HrQuota
+hr_quota_multiply (HrQuota one, guint n)
+{
+  return (HrQuota){n * one.cpus, n * one.gpus};
+}
+
 /**
  * hr_quota_covers:
  *
--- a/src/coordination/scheduling/quotas.c
+++ b/src/coordination/scheduling/quotas.c
@@ -136,7 +136,7 @@
     guint more = wanted - n;
     if (usage->is_limited)
       more = hr_quota_multiples (hr_quota_min (usage->available, usage->backfill), one, more);
-    HrQuota taken = {more * one.cpus, more * one.gpus};
+    HrQuota taken = hr_quota_multiply (one, more);
     hr_quota_subtract (&usage->available, taken);
     hr_quota_subtract (&usage->backfill, taken);
     n += more;
--- a/src/coordination/scheduling/shards.c
+++ b/src/coordination/scheduling/shards.c
@@ -61,7 +61,7 @@
   const HrTeam *team = hr_team (core, job->spec.team);
   return core->scheduling.n_shards == 1 || job->spec.shape == HR_SERVICE ||
          (job->spec.shape == HR_GANG && job->n_tasks > 1) || job->spec.one_zone ||
-         job->spec.spread || (team && (team->cpus_max > 0 || team->gpus_max > 0));
+         job->spec.spread || (team && hr_team_is_limited (team));
 }
 
 void
--- a/src/coordination/scheduling/start_check.h
+++ b/src/coordination/scheduling/start_check.h
@@ -1,6 +1,6 @@
 /* Whether a task may start now, and on this machine. No other module decides it.
  *
- * The verdict has two halves, as a pass asks the first once for each job and the second for many
+ * The verdict has two halves, as a pass needs the first once for each job and the second for many
  * machines. A start needs HR_START_OK of both.
  */
 #pragma once
--- a/src/coordination/scheduling/starts.c
+++ b/src/coordination/scheduling/starts.c
@@ -4,6 +4,7 @@
 #include "coordination/scheduling/estimates.h"
 #include "coordination/scheduling/lookups.h"
 #include "coordination/scheduling/quotas.h"
+#include "coordination/scheduling/resources.h"
 #include "coordination/scheduling/start_check.h"
 #include "coordination/scheduling/task_lists.h"
 #include <math.h>
@@ -120,7 +121,7 @@
   for (guint i = 0; i < core->scaling.fleet->len; i++) {
     HrMachine *machine = core->scaling.fleet->pdata[i];
     if (machine->state == HR_MACHINE_UP && !machine->is_draining &&
-        machine->free.cpus - machine->unrecognized.cpus > 0)
+        hr_machine_unused (machine).cpus > 0)
       g_ptr_array_add (machines, machine);
   }
   return machines;
--- a/src/coordination/scheduling/team_usage.c
+++ b/src/coordination/scheduling/team_usage.c
@@ -12,6 +12,12 @@
   return NULL;
 }
 
+gboolean
+hr_team_is_limited (const HrTeam *team)
+{
+  return team->cpus_max > 0 || team->gpus_max > 0;
+}
+
 HrTeamUsage *
 hr_team_usage (HrCore *core, guint32 team)
 {
@@ -28,7 +34,7 @@
   for (guint i = 0; i < core->settings->teams->len; i++) {
     const HrTeam *team = &g_array_index (core->settings->teams, HrTeam, i);
     HrTeamUsage *usage = hr_team_usage (core, team->team);
-    usage->is_limited = team->cpus_max > 0 || team->gpus_max > 0;
+    usage->is_limited = hr_team_is_limited (team);
     usage->limit.cpus = team->cpus_max > 0 ? team->cpus_max : INFINITY;
     usage->limit.gpus = team->gpus_max > 0 ? team->gpus_max : INFINITY;
     usage->shadow_time = INFINITY;
--- a/src/coordination/scheduling/team_usage.h
+++ b/src/coordination/scheduling/team_usage.h
@@ -9,6 +9,13 @@
  */
 const HrTeam *hr_team (const HrCore *core, guint32 team);
 
+/**
+ * hr_team_is_limited:
+ *
+ * Returns: whether the settings limit what the team may run.
+ */
+gboolean hr_team_is_limited (const HrTeam *team);
+
 /**
  * hr_team_usage:
  *
