--- /dev/null
+++ b/tests/check_includes.py
@@ -0,0 +1,165 @@
+#!/usr/bin/env python3
+"""check_includes.py SOURCES: keeps the shape of the source tree.
+
+Fails when, below SOURCES,
+  * a file includes a header of a folder that its own folder may not know (ALLOWED_FOLDERS,
+    ALLOWED_HEADERS);
+  * headers include each other in a circle;
+  * more .c files call each other in a circle than the ceilings below allow.
+
+Who calls whom is read from the text: a file depends on another one when it names a function that the
+other one defines without `static`. A function that is only handed on as a pointer counts too.
+Prints the sizes that it measured.
+"""
+import collections
+import pathlib
+import re
+import sys
+
+# The most .c files that may depend on each other in a circle.
+MAX_CYCLE_FILES = 6
+# The same where COORDINATION_MODULES take part, as measured. May only go down.
+MAX_COORDINATION_CYCLE_FILES = 12
+COORDINATION_MODULES = (
+    "coordination/agents/",
+    "coordination/jobs/",
+    "coordination/leadership/",
+    "coordination/membership/",
+    "coordination/scaling/",
+    "coordination/scheduling/",
+)
+
+# The folders whose headers each folder may include. The key "" is the daemon's main file.
+COORDINATION_FOLDERS = ("protocol", "policy", "bookkeeping", "coordination")
+ALLOWED_FOLDERS = {
+    "protocol": ("protocol",),
+    "policy": ("protocol", "policy"),
+    "bookkeeping": ("protocol", "bookkeeping"),
+    "coordination": COORDINATION_FOLDERS,
+    "transport": ("protocol", "transport"),
+    "client": ("protocol", "client"),
+    "emulator": None,  # any, the tests' simulated machines included
+    "": COORDINATION_FOLDERS + ("transport",),
+}
+# Single headers beyond those: what the transport carries between users, controllers and the core.
+ALLOWED_HEADERS = {
+    "transport": ("coordination/command.h", "coordination/peer_status.h", "peer.pb-c.h"),
+}
+
+INCLUDE = re.compile(r'^\s*#\s*include\s+"([^"]+)"', re.MULTILINE)
+COMMENT_OR_TEXT = re.compile(r'/\*.*?\*/|//[^\n]*|"(?:\\.|[^"\\\n])*"|\'(?:\\.|[^\'\\\n])*\'', re.DOTALL)
+# GNU layout: the return type on its own line, the name at the start of the next one.
+DEFINITION = re.compile(r"^(\w[^\n;}]*)\n([a-z_]\w*) \(", re.MULTILINE)
+# Names that are no member of a struct or union.
+IDENTIFIER = re.compile(r"(?<![\w.>])[A-Za-z_]\w*")
+
+
+def folder_of(path):
+    """The folder of ALLOWED_FOLDERS that a path relative to the sources belongs to."""
+    return path.split("/")[0] if "/" in path else ""
+
+
+def components(graph):
+    """The strongly connected components of a graph {node: set of nodes} (Tarjan)."""
+    index, low, stack, on_stack, found = {}, {}, [], set(), []
+
+    def visit(node):
+        index[node] = low[node] = len(index)
+        stack.append(node)
+        on_stack.add(node)
+        for target in sorted(graph[node]):
+            if target not in index:
+                visit(target)
+                low[node] = min(low[node], low[target])
+            elif target in on_stack:
+                low[node] = min(low[node], index[target])
+        if low[node] == index[node]:
+            component = []
+            while not component or component[-1] != node:
+                component.append(stack.pop())
+                on_stack.discard(component[-1])
+            found.append(sorted(component))
+
+    for node in sorted(graph):
+        if node not in index:
+            visit(node)
+    return sorted(found, key=len, reverse=True)
+
+
+def forbidden_includes(texts):
+    """One line for each include that ALLOWED_FOLDERS and ALLOWED_HEADERS don't allow."""
+    problems = []
+    for path, text in sorted(texts.items()):
+        folder = folder_of(path)
+        if folder not in ALLOWED_FOLDERS:
+            problems.append(f"{path}: the folder {folder} is not in ALLOWED_FOLDERS")
+            continue
+        if ALLOWED_FOLDERS[folder] is None:
+            continue
+        for header in INCLUDE.findall(text):
+            allowed = header in texts and folder_of(header) in ALLOWED_FOLDERS[folder]
+            if not allowed and header not in ALLOWED_HEADERS.get(folder, ()):
+                problems.append(f"{path}: may not include {header}")
+    return problems
+
+
+def header_circles(texts):
+    """The groups of headers that include each other."""
+    headers = {path for path in texts if path.endswith(".h")}
+    graph = {path: set(INCLUDE.findall(texts[path])) & headers for path in headers}
+    circles = [group for group in components(graph) if len(group) > 1]
+    return circles + [[path] for path in sorted(headers) if path in graph[path]]
+
+
+def call_graph(texts):
+    """{.c file: the .c files that define functions which it names}."""
+    code = {path: COMMENT_OR_TEXT.sub(" ", text) for path, text in texts.items() if path.endswith(".c")}
+    definers = collections.defaultdict(set)
+    own_names = collections.defaultdict(set)
+    for path, text in code.items():
+        for before, name in DEFINITION.findall(text):
+            own_names[path].add(name)
+            if not before.startswith("static") and name != "main":
+                definers[name].add(path)
+    return {
+        path: {
+            definer
+            for name in set(IDENTIFIER.findall(text)) - own_names[path]
+            for definer in definers.get(name, ())
+        }
+        for path, text in code.items()
+    }
+
+
+def main():
+    sources = pathlib.Path(sys.argv[1])
+    texts = {
+        path.relative_to(sources).as_posix(): path.read_text()
+        for path in sorted(sources.rglob("*.[ch]"))
+    }
+    problems = forbidden_includes(texts)
+    problems += ["headers in a circle: " + ", ".join(group) for group in header_circles(texts)]
+
+    largest = {"coordination": 0, "elsewhere": 0}
+    for group in components(call_graph(texts)):
+        coordination = any(path.startswith(COORDINATION_MODULES) for path in group)
+        within = "coordination" if coordination else "elsewhere"
+        ceiling = MAX_COORDINATION_CYCLE_FILES if coordination else MAX_CYCLE_FILES
+        if len(group) == 1:
+            continue
+        largest[within] = max(largest[within], len(group))
+        print(f"{len(group)} files call each other: {' '.join(group)}")
+        if len(group) > ceiling:
+            problems.append(f"{len(group)} files call each other, above the ceiling of {ceiling}")
+    print(
+        f"{len(texts)} files; the largest circle of .c files has {largest['coordination']} in"
+        f" coordination (at most {MAX_COORDINATION_CYCLE_FILES}) and {largest['elsewhere']} elsewhere"
+        f" (at most {MAX_CYCLE_FILES})"
+    )
+    for problem in problems:
+        print(f"FAILED: {problem}")
+    return 1 if problems else 0
+
+
+if __name__ == "__main__":
+    sys.exit(main())
