--- a/tests/command_line.sh
+++ b/tests/command_line.sh
@@ -3,6 +3,7 @@
 set -u
 tmp=$(mktemp -d)
 trap 'rm -rf "$tmp"' EXIT
+# shellcheck source=tests/expect.sh
 . "$(dirname "$0")/expect.sh"
 expect 0 'hoprockd [0-9]' "$1" --version
 expect 0 'check-policy' "$1" --help
--- a/tests/expect.sh
+++ b/tests/expect.sh
@@ -1,3 +1,4 @@
+# shellcheck shell=sh
 # For shell tests, to be sourced: counts in $fails what did not come out as expected.
 fails=0
 expect() { # expected status, text in the output, command...
