--- a/tests/bench_core.c
+++ b/tests/bench_core.c
@@ -208,7 +208,8 @@
 }
 
 static GLogWriterOutput
-silent (GLogLevelFlags level, const GLogField *fields, gsize n, gpointer data)
+silent (GLogLevelFlags level G_GNUC_UNUSED, const GLogField *fields G_GNUC_UNUSED,
+        gsize n G_GNUC_UNUSED, gpointer data G_GNUC_UNUSED)
 {
   return G_LOG_WRITER_HANDLED;
 }
--- a/tests/script.c
+++ b/tests/script.c
@@ -103,7 +103,7 @@
     ScriptWorker *worker = script->workers->pdata[i];
     if (strcmp (worker->name, call->addr) != 0)
       continue;
-    *status = script_direct (script, worker, call);
+    *status = script_direct (worker, call);
     return script_worker_text (worker);
   }
   *status = 0;
@@ -426,7 +426,7 @@
 }
 
 GLogWriterOutput
-script_log (GLogLevelFlags level, const GLogField *fields, gsize n, gpointer data)
+script_log (GLogLevelFlags level, const GLogField *fields, gsize n, gpointer data G_GNUC_UNUSED)
 {
   if (level & G_LOG_FLAG_FATAL)
     return g_log_writer_default (level, fields, n, NULL);
--- a/tests/script.h
+++ b/tests/script.h
@@ -147,7 +147,7 @@
 /* Submits a job of one task at the node and waits until the worker runs it. */
 void script_place (Script *script, ScriptWorker *worker, int node, const char *id);
 /* A direct call reaches the worker now; whether it counts depends on token and incarnation. */
-int script_direct (Script *script, ScriptWorker *worker, const ScriptCall *call);
+int script_direct (ScriptWorker *worker, const ScriptCall *call);
 /* All its tasks have ended with this cause. */
 void script_worker_ends (ScriptWorker *worker, const char *cause);
 gboolean script_worker_has (const ScriptWorker *worker, const char *job_id);
--- a/tests/script_worker.c
+++ b/tests/script_worker.c
@@ -59,7 +59,7 @@
 }
 
 int
-script_direct (Script *script, ScriptWorker *worker, const ScriptCall *call)
+script_direct (ScriptWorker *worker, const ScriptCall *call)
 {
   json_t *object = json_loads (call->body, 0, NULL), *order;
   guint64 fencing_token = json_integer_value (json_object_get (object, "baton"));
--- a/tests/sim/cloud.c
+++ b/tests/sim/cloud.c
@@ -14,7 +14,7 @@
 {
   if (machine->gone)
     return;
-  machine_stop_all (world, machine, NULL);
+  machine_stop_all (world, machine);
   machine->gone = TRUE;
   machine->up = FALSE;
   machine->gone_at = world->now;
--- a/tests/sim/faults.c
+++ b/tests/sim/faults.c
@@ -21,7 +21,7 @@
 }
 
 static void
-fault (World *world, gpointer data)
+fault (World *world, gpointer data G_GNUC_UNUSED)
 {
   int i = g_rand_int_range (world->rand, 0, world->n);
   Node *n = &world->nodes[i];
@@ -148,7 +148,7 @@
 }
 
 static void
-deafen (World *world, gpointer data)
+deafen (World *world, gpointer data G_GNUC_UNUSED)
 {
   SMachine *machine = NULL;
   for (guint i = 0; i < world->machines->len; i++) {
@@ -193,7 +193,7 @@
 /* All controllers behind one cut, which holds back what is sent to them; they hear one
  * another. Nothing that was up before may be given away because of it. */
 static void
-kept (World *world, gpointer data)
+kept (World *world, gpointer data G_GNUC_UNUSED)
 {
   guint up, lost = fault_marked (world, is_gone, &up);
   if (!up || lost * 3 > up)
@@ -201,7 +201,7 @@
 }
 
 static void
-cut_ends (World *world, gpointer data)
+cut_ends (World *world, gpointer data G_GNUC_UNUSED)
 {
   for (guint i = 0; i < world->machines->len; i++) {
     SMachine *machine = world->machines->pdata[i];
@@ -211,7 +211,7 @@
 }
 
 static void
-cut_all (World *world, gpointer data)
+cut_all (World *world, gpointer data G_GNUC_UNUSED)
 {
   for (int k = 0; k < world->n; k++) {
     Node *n = &world->nodes[k];
@@ -229,7 +229,7 @@
 }
 
 void
-world_calm (World *world, gpointer unused)
+world_calm (World *world, gpointer unused G_GNUC_UNUSED)
 {
   if (world->now < MAX (world->faults_to, world->troubles.over_at))
     return;
--- a/tests/sim/faults_fleet.c
+++ b/tests/sim/faults_fleet.c
@@ -10,7 +10,7 @@
 /* That half of all is silent looks like a trouble of the new leader's own, and proof by time
  * takes it hold_s and a lease. The cloud's list tells sooner. */
 static void
-proven (World *world, gpointer data)
+proven (World *world, gpointer data G_GNUC_UNUSED)
 {
   guint gone, kept = fault_marked (world, is_kept, &gone);
   if (!gone || kept)
@@ -19,7 +19,7 @@
 }
 
 static void
-half_gone (World *world, gpointer data)
+half_gone (World *world, gpointer data G_GNUC_UNUSED)
 {
   int owner = store_owner (world);
   guint n = 0;
@@ -41,7 +41,7 @@
 }
 
 static void
-owner_ends (World *world, gpointer data)
+owner_ends (World *world, gpointer data G_GNUC_UNUSED)
 {
   int owner = store_owner (world);
   if (owner >= 0)
@@ -49,21 +49,21 @@
 }
 
 static void
-all_end (World *world, gpointer data)
+all_end (World *world, gpointer data G_GNUC_UNUSED)
 {
   for (int k = 0; k < world->n; k++)
     fault_crash (world, k);
 }
 
 static void
-all_unserved (World *world, gpointer data)
+all_unserved (World *world, gpointer data G_GNUC_UNUSED)
 {
   for (int k = 0; k < world->n; k++)
     fault_store_away (world, k);
 }
 
 static void
-two_owners (World *world, gpointer data)
+two_owners (World *world, gpointer data G_GNUC_UNUSED)
 {
   int owner = store_owner (world);
   if (owner < 0)
@@ -82,7 +82,7 @@
 }
 
 static void
-tear (World *world, gpointer data)
+tear (World *world, gpointer data G_GNUC_UNUSED)
 {
   all_end (world, NULL);
   if (!store_tear (world))
@@ -96,7 +96,7 @@
 }
 
 static void
-mass (World *world, gpointer data)
+mass (World *world, gpointer data G_GNUC_UNUSED)
 {
   guint n = 0, dead = 0, hung = 0;
   for (guint i = 0; i < world->machines->len; i++) {
@@ -166,7 +166,7 @@
 }
 
 static void
-change_owner (World *world, gpointer data)
+change_owner (World *world, gpointer data G_GNUC_UNUSED)
 {
   /* Whoever leads: all but one go, one after the other, so that a node that knows
    * nothing leads next. */
@@ -181,7 +181,7 @@
 }
 
 static void
-changes_gone (World *world, gpointer data)
+changes_gone (World *world, gpointer data G_GNUC_UNUSED)
 {
   int owner = store_owner (world);
   if (owner >= 0)
--- a/tests/sim/faults_members.c
+++ b/tests/sim/faults_members.c
@@ -12,7 +12,7 @@
 #define CUT_ALL_S 50.0
 
 static void
-still_held (World *world, gpointer data)
+still_held (World *world, gpointer data G_GNUC_UNUSED)
 {
   guint up = 0, lost = 0;
   for (guint i = 0; i < world->machines->len; i++) {
@@ -44,7 +44,7 @@
 }
 
 static void
-all_away (World *world, gpointer data)
+all_away (World *world, gpointer data G_GNUC_UNUSED)
 {
   for (int k = 0; k < world->n; k++)
     fault_store_away (world, k);
@@ -95,7 +95,7 @@
 }
 
 static void
-withdraw_elsewhere (World *world, gpointer data)
+withdraw_elsewhere (World *world, gpointer data G_GNUC_UNUSED)
 {
   int owner = store_owner (world);
   for (int k = 0; k < world->n; k++)
@@ -104,14 +104,14 @@
 }
 
 static void
-outage_for_all (World *world, gpointer data)
+outage_for_all (World *world, gpointer data G_GNUC_UNUSED)
 {
   world->outage = world->now + CUT_ALL_S;
   watch_leases (world);
 }
 
 static void
-withdrawal_gap (World *world, gpointer data)
+withdrawal_gap (World *world, gpointer data G_GNUC_UNUSED)
 {
   int owner = store_owner (world);
   if (owner < 0)
@@ -130,7 +130,7 @@
 
 /* Nothing that runs may be given away because its reports do not reach the leader. */
 static void
-reached_again (World *world, gpointer data)
+reached_again (World *world, gpointer data G_GNUC_UNUSED)
 {
   guint up, lost = fault_marked (world, is_lost, &up);
   if (!up || lost)
--- a/tests/sim/odd.c
+++ b/tests/sim/odd.c
@@ -248,7 +248,7 @@
 typedef enum { CONTENT_SMALLER, CONTENT_NO_TEAM, CONTENT_NO_MACHINE, CONTENTS } Content;
 
 static char *
-other_content (World *world, const SJob *job, Content content, const char *mark)
+other_content (const SJob *job, Content content, const char *mark)
 {
   json_t *object = json_loads (job->body, 0, NULL);
   g_autofree char *image = g_strconcat ("img-", mark, NULL);
@@ -281,7 +281,7 @@
   odd->job = repeat_row->job;
   odd->question = question_new (world, repeat_row->job);
   post (world, odd, repeat_row->node, "/v1/jobs",
-        other_content (world, repeat_row->job, repeat_row->content, mark));
+        other_content (repeat_row->job, repeat_row->content, mark));
 }
 
 static void
@@ -314,7 +314,7 @@
 }
 
 static void
-odd_round (World *world, gpointer data)
+odd_round (World *world, gpointer data G_GNUC_UNUSED)
 {
   if (world->troubles.odd_until <= world->now)
     return;
--- a/tests/sim/pipeline.c
+++ b/tests/sim/pipeline.c
@@ -183,7 +183,7 @@
 /* One array, then a few that await it, a gang that awaits those, and a last job with the
  * deadline of all: mostly an array, now and then a service. */
 static void
-new_pipeline (World *world, gpointer data)
+new_pipeline (World *world, gpointer data G_GNUC_UNUSED)
 {
   double cancelled = world->pipelines_cancelled;
   Pipeline *line = g_new0 (Pipeline, 1);
@@ -213,7 +213,7 @@
 
 /* A job that awaits what nobody submitted is never accepted. */
 static void
-on_stranger (World *world, int status, json_t *body, gpointer data)
+on_stranger (World *world, int status, json_t *body G_GNUC_UNUSED, gpointer data G_GNUC_UNUSED)
 {
   if (status == 200 || status == 201)
     w_broken (world, "invented", "a job that awaits an unknown one is accepted");
@@ -222,7 +222,7 @@
 }
 
 static void
-stranger (World *world, gpointer data)
+stranger (World *world, gpointer data G_GNUC_UNUSED)
 {
   guint n = ++world->invented_asked;
   int node = g_rand_int_range (world->rand, 0, world->n);
--- a/tests/sim/store.c
+++ b/tests/sim/store.c
@@ -108,7 +108,7 @@
 }
 
 static void
-leases_tick (World *world, gpointer data)
+leases_tick (World *world, gpointer data G_GNUC_UNUSED)
 {
   GHashTableIter iter;
   gpointer value;
--- a/tests/sim/user.c
+++ b/tests/sim/user.c
@@ -146,14 +146,14 @@
 }
 
 static void
-on_stranger (World *world, int status, json_t *body, gpointer data)
+on_stranger (World *world, int status, json_t *body G_GNUC_UNUSED, gpointer data G_GNUC_UNUSED)
 {
   if (status == 200)
     w_broken (world, "invented", "a job that nobody submitted gets 200");
 }
 
 static void
-stranger (World *world, gpointer data)
+stranger (World *world, gpointer data G_GNUC_UNUSED)
 {
   g_autofree char *path = g_strdup_printf ("/v1/jobs/job-x%u", ++world->invented_asked);
   w_ask (world, any_node (world), -1, HR_GET, path, NULL, 2, on_stranger, NULL);
@@ -161,7 +161,7 @@
 }
 
 static void
-on_probe (World *world, int status, json_t *body, gpointer data)
+on_probe (World *world, int status, json_t *body G_GNUC_UNUSED, gpointer data)
 {
   int i = GPOINTER_TO_INT (data);
   if (status == 200 && node_alone (world, i))
@@ -169,7 +169,7 @@
 }
 
 static void
-probe (World *world, gpointer data)
+probe (World *world, gpointer data G_GNUC_UNUSED)
 {
   for (int i = 0; i < world->n; i++)
     w_ask (world, i, -1, HR_GET, "/ready", NULL, 1, on_probe, GINT_TO_POINTER (i));
@@ -228,7 +228,7 @@
 }
 
 static void
-new_job (World *world, gpointer data)
+new_job (World *world, gpointer data G_GNUC_UNUSED)
 {
   SJob *job = job_new (world);
   guint n = world->jobs->len;
@@ -295,7 +295,7 @@
 }
 
 static void
-paged_job (World *world, gpointer data)
+paged_job (World *world, gpointer data G_GNUC_UNUSED)
 {
   job_submit (world, batch_of (world, 140, 40));
 }
@@ -364,7 +364,7 @@
 }
 
 static void
-borrower (World *world, gpointer data)
+borrower (World *world, gpointer data G_GNUC_UNUSED)
 {
   job_submit (world, batch_of (world, 60, 300));
 }
--- a/tests/sim/worker.c
+++ b/tests/sim/worker.c
@@ -28,7 +28,7 @@
 }
 
 static void
-end (World *world, SMachine *machine, STask *task, const char *cause)
+end (World *world, STask *task, const char *cause)
 {
   SJob *owner_job = job (world, task);
   if (task->state == S_EXIT)
@@ -45,10 +45,10 @@
 
 /* The machine or its incarnation ends: its tasks are gone, and nobody says so. */
 void
-machine_stop_all (World *world, SMachine *machine, const char *why)
+machine_stop_all (World *world, SMachine *machine)
 {
   for (guint i = 0; i < machine->tasks->len; i++)
-    end (world, machine, &g_array_index (machine->tasks, STask, i), "lost");
+    end (world, &g_array_index (machine->tasks, STask, i), "lost");
   g_array_set_size (machine->tasks, 0);
 }
 
@@ -148,7 +148,7 @@
         task->state = S_SAVE;
         task->until = world->now + owner_job->save;
       } else if (task->state != S_SAVE || grace == 0)
-        end (world, machine, task, "halted");
+        end (world, task, "halted");
       break;
     }
   }
@@ -157,7 +157,7 @@
 /* ---- the life of tasks ---- */
 
 static SMachine *
-peer_of (World *world, SJob *job, guint32 index, guint32 task_index, guint32 attempt, STask **out)
+peer_of (World *world, guint32 index, guint32 task_index, guint32 attempt, STask **out)
 {
   for (guint i = 0; i < world->machines->len; i++) {
     SMachine *machine = world->machines->pdata[i];
@@ -174,13 +174,13 @@
 }
 
 static void
-gang_step (World *world, SMachine *machine, STask *task)
+gang_step (World *world, STask *task)
 {
   SJob *owner_job = job (world, task);
   gboolean all = TRUE, ready = TRUE;
   for (guint32 i = 0; i < owner_job->tasks; i++) {
     STask *peer = NULL;
-    if (!peer_of (world, owner_job, task->job, i, task->try, &peer))
+    if (!peer_of (world, task->job, i, task->try, &peer))
       all = FALSE;
     else
       ready = ready && (peer->state == S_GATHER || peer->state == S_RUN);
@@ -193,12 +193,12 @@
         owner_job->first = world->now;
       task->base = owner_job->progress[0];
     } else if (world->now - task->since > GANG_WAIT)
-      end (world, machine, task, "incomplete");
+      end (world, task, "incomplete");
   } else if (task->state == S_RUN && !all) {
     if (!task->until)
       task->until = world->now + w_rand (world, 0.5, GANG_PEER);
     else if (world->now > task->until)
-      end (world, machine, task, "peers");
+      end (world, task, "peers");
   }
 }
 
@@ -215,30 +215,30 @@
     task->state = owner_job->shape == HR_GANG ? S_GATHER : S_RUN;
     task->base = owner_job->shape == HR_BATCH ? owner_job->progress[task->task] : 0;
     if (owner_job->done[task->task])
-      end (world, machine, task, "done");
+      end (world, task, "done");
   }
   if (owner_job->shape == HR_GANG && (task->state == S_GATHER || task->state == S_RUN))
-    gang_step (world, machine, task);
+    gang_step (world, task);
   if (task->state == S_RUN && task->failing && world->now - task->since > 1)
-    end (world, machine, task, "error");
+    end (world, task, "error");
   else if (task->state == S_RUN && owner_job->shape != HR_SERVICE &&
            progress (world, task) >= owner_job->run) {
     if (owner_job->shape == HR_GANG)
       for (guint32 i = 0; i < owner_job->tasks; i++) {
         STask *peer = NULL;
-        SMachine *peer_machine = peer_of (world, owner_job, task->job, i, task->try, &peer);
+        SMachine *peer_machine = peer_of (world, task->job, i, task->try, &peer);
         owner_job->done[i] = TRUE;
         if (peer_machine && peer != task)
-          end (world, peer_machine, peer, "done");
+          end (world, peer, "done");
       }
     owner_job->done[task->task] = TRUE;
-    end (world, machine, task, "done");
+    end (world, task, "done");
     if (job_all_done (owner_job))
       troubles_job_ended (world, owner_job);
   } else if (task->state == S_SAVE && world->now >= task->until) {
     owner_job->progress[owner_job->shape == HR_GANG ? 0 : task->task] = task->base;
     task->kept = TRUE;
-    end (world, machine, task, "halted");
+    end (world, task, "halted");
   }
   return task->state != before;
 }
@@ -253,7 +253,7 @@
         machine); /* hundreds: coarser, to be fast */
   /* A hanging machine may resume within its lease, not after it. */
   if (world->now - machine->lease_at > world->lease_s) {
-    machine_stop_all (world, machine, "lease");
+    machine_stop_all (world, machine);
     machine->tenure++;
     machine->lease_at = world->now;
     if (!machine->out)
--- a/tests/sim/workloads.c
+++ b/tests/sim/workloads.c
@@ -31,7 +31,7 @@
 
 /* A gang of two, for which two machines are enough. */
 static void
-small_gang (World *world, gpointer data)
+small_gang (World *world, gpointer data G_GNUC_UNUSED)
 {
   SJob *job = job_gang (world, 2, world->gang_image > 0 ? world->gang_image : 1, 40);
   job->image = world->jobs->len; /* its own, to be fetched */
@@ -46,7 +46,7 @@
 }
 
 static void
-give_up (World *world, gpointer data)
+give_up (World *world, gpointer data G_GNUC_UNUSED)
 {
   SJob *job = world->jobs->pdata[world->jobs->len - 1];
   job->cancel = TRUE;
@@ -126,7 +126,7 @@
 }
 
 static void
-oversized_gang (World *world, gpointer data)
+oversized_gang (World *world, gpointer data G_GNUC_UNUSED)
 {
   job_submit (world, job_gang (world, 500, 1, 20));
 }
--- a/tests/sim/world.c
+++ b/tests/sim/world.c
@@ -16,7 +16,7 @@
 } Event;
 
 static int
-by_time (gconstpointer left, gconstpointer right, gpointer data)
+by_time (gconstpointer left, gconstpointer right, gpointer data G_GNUC_UNUSED)
 {
   const Event *first = left, *second = right;
   return first->t < second->t       ? -1
@@ -364,7 +364,7 @@
 }
 
 static void
-second (World *world, gpointer data)
+second (World *world, gpointer data G_GNUC_UNUSED)
 {
   judge_tick (world);
   w_at (world, world->now + 0.5, second, NULL);
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -299,7 +299,7 @@
 void machine_end (World *world, SMachine *machine);
 void worker_request (World *world, Req *request);
 void worker_boot (World *world, SMachine *machine);
-void machine_stop_all (World *world, SMachine *machine, const char *why);
+void machine_stop_all (World *world, SMachine *machine);
 void users_init (World *world, guint jobs, double span);
 /* This user polls, submits again or cancels now, at that node (-1: any). */
 void user_poll_at (World *world, SJob *job, int node);
--- a/tests/soak.c
+++ b/tests/soak.c
@@ -184,7 +184,7 @@
 
 /* Each one comes back in the version that it has by then. */
 static void
-end_all (World *world, gpointer unused)
+end_all (World *world, gpointer unused G_GNUC_UNUSED)
 {
   for (int i = 0; i < world->n; i++) {
     node_kill (world, i);
--- a/tests/test_allowance.c
+++ b/tests/test_allowance.c
@@ -13,7 +13,7 @@
 /* Work for every controller: launches and ends by the hundred wait for the leader's allowance. A
  * user's write does not wait behind them. */
 static void
-users_write_before_launches (void **state)
+users_write_before_launches (void **state G_GNUC_UNUSED)
 {
   Script *script = script_new (1);
   script_limit_writes (script, SCARCE_WRITES);
@@ -45,7 +45,7 @@
 /* Twice as many as the service takes in a second, at once and at all nodes: those that it refuses
  * are tried again, out of step, and nobody is sent away. */
 static void
-a_burst_beyond_the_allowance_is_paced (void **state)
+a_burst_beyond_the_allowance_is_paced (void **state G_GNUC_UNUSED)
 {
   Script *script = script_new (3);
   guint64 asked[30];
@@ -169,7 +169,7 @@
 /* One-task jobs, four a second, a quarter of them cancelled, at 15 changes a second: all are
  * accepted, confirmed and told in time, and nothing piles up. */
 static void
-a_stream_of_small_jobs_fits_the_allowance (void **state)
+a_stream_of_small_jobs_fits_the_allowance (void **state G_GNUC_UNUSED)
 {
   Script *script = script_new (3);
   Stream stream = {.s = script, .run_s = 6};
@@ -231,7 +231,7 @@
 }
 
 static void
-a_slow_service_then_a_refused_leader_then_an_outage (void **state)
+a_slow_service_then_a_refused_leader_then_an_outage (void **state G_GNUC_UNUSED)
 {
   Script *script = script_led (3);
   int leader = script_leader (script), next = (leader + 1) % 3, third = (leader + 2) % 3;
--- a/tests/test_attestation.c
+++ b/tests/test_attestation.c
@@ -55,7 +55,7 @@
 /* Its tasks are stopped with the next report, others go on for as long as it lasts, and no user
  * is told what only a member said. */
 static void
-a_named_withdrawal_is_carried_out (void **state)
+a_named_withdrawal_is_carried_out (void **state G_GNUC_UNUSED)
 {
   Case k = case_new ();
   knows (k.c1, k.stamp, 1);
@@ -82,7 +82,7 @@
 
 /* The tasks of others are lost then, but no more than that: the rule as it was. */
 static void
-an_older_version_names_nothing (void **state)
+an_older_version_names_nothing (void **state G_GNUC_UNUSED)
 {
   Case k = case_new ();
   knows (k.c1, k.stamp, 0);
@@ -92,7 +92,7 @@
 }
 
 static void
-a_list_that_was_cut_short_is_not_enough (void **state)
+a_list_that_was_cut_short_is_not_enough (void **state G_GNUC_UNUSED)
 {
   Case k = case_new ();
   knows (k.c1, k.stamp, 3);
@@ -110,7 +110,7 @@
 }
 
 static void
-a_list_with_a_gap_is_not_enough (void **state)
+a_list_with_a_gap_is_not_enough (void **state G_GNUC_UNUSED)
 {
   Case k = case_new ();
   knows (k.c1, k.stamp, 2);
@@ -122,7 +122,7 @@
 
 /* Its log no longer holds all that c0 has not read. */
 static void
-a_log_that_dropped_some_is_not_enough (void **state)
+a_log_that_dropped_some_is_not_enough (void **state G_GNUC_UNUSED)
 {
   Case k = case_new ();
   knows (k.c1, k.stamp + 1, 5);
@@ -135,7 +135,7 @@
 
 /* Not even a place in the log was kept for it. */
 static void
-an_empty_log_that_lacks_some_is_not_enough (void **state)
+an_empty_log_that_lacks_some_is_not_enough (void **state G_GNUC_UNUSED)
 {
   Case k = case_new ();
   knows (k.c1, k.stamp, 0);
@@ -146,7 +146,7 @@
 
 /* Nor do statuses that were made before that, and come after it, make up for what was dropped. */
 static void
-late_copies_after_some_were_dropped (void **state)
+late_copies_after_some_were_dropped (void **state G_GNUC_UNUSED)
 {
   Case k = case_new ();
   HrPeerStatus before;
@@ -166,7 +166,7 @@
 
 /* What was dropped from the beginning, c0 has read. */
 static void
-a_log_that_begins_later_is_enough (void **state)
+a_log_that_begins_later_is_enough (void **state G_GNUC_UNUSED)
 {
   Case k = case_new ();
   knows (k.c1, k.stamp, 5);
@@ -180,7 +180,7 @@
 
 /* It may have confirmed what its new process does not know. */
 static void
-a_member_that_restarted_says_nothing_unread (void **state)
+a_member_that_restarted_says_nothing_unread (void **state G_GNUC_UNUSED)
 {
   Case k = case_new ();
   g_strlcpy (k.c1->incarnation, "c1-2", sizeof k.c1->incarnation);
@@ -191,7 +191,7 @@
 
 /* Positions of one process say nothing in another one's log. */
 static void
-a_member_that_restarted_names_anew (void **state)
+a_member_that_restarted_names_anew (void **state G_GNUC_UNUSED)
 {
   Case k = case_new ();
   knows (k.c1, k.stamp, 1);
@@ -210,7 +210,7 @@
 
 /* It stands still between confirming and telling; what it said before comes again and again. */
 static void
-a_late_copy_is_as_old_as_its_echo (void **state)
+a_late_copy_is_as_old_as_its_echo (void **state G_GNUC_UNUSED)
 {
   Case k = case_new ();
   k.s->members[0].echo_stays = TRUE;
@@ -219,7 +219,7 @@
 }
 
 static void
-a_newer_owner_counts_whatever_is_named (void **state)
+a_newer_owner_counts_whatever_is_named (void **state G_GNUC_UNUSED)
 {
   Case k = case_new ();
   knows (k.c1, k.stamp, 1);
@@ -232,7 +232,7 @@
 
 /* Each answers for itself alone: c2 may have confirmed more than c1 read. */
 static void
-two_members_each_name_what_they_know (void **state)
+two_members_each_name_what_they_know (void **state G_GNUC_UNUSED)
 {
   Case k = case_new ();
   knows (k.c1, k.stamp, 1);
@@ -247,7 +247,7 @@
 /* c0 reads the submission only after it was told of the cancellation, in an answer that is older
  * than that. Nothing of the job may start. */
 static void
-a_job_that_is_not_known_yet (void **state)
+a_job_that_is_not_known_yet (void **state G_GNUC_UNUSED)
 {
   Case k = case_new ();
   Script *script = k.s;
@@ -272,7 +272,7 @@
 /* A launch whose answer was lost may come at any time while the worker's incarnation lasts and no
  * newer token is to be had: the worker is not answered, so that its incarnation ends. */
 static void
-a_late_launch_of_a_withdrawn_job (void **state)
+a_late_launch_of_a_withdrawn_job (void **state G_GNUC_UNUSED)
 {
   Script *script = script_new ("c0");
   script_report_for (script, 6);
--- a/tests/test_awaits.c
+++ b/tests/test_awaits.c
@@ -15,7 +15,7 @@
 /* ---- submissions ---- */
 
 static void
-named_jobs_are_checked (void **state)
+named_jobs_are_checked (void **state G_GNUC_UNUSED)
 {
   Ledger *store = ledger_new ();
   LoneNode *n = node_up (store);
@@ -39,7 +39,7 @@
 
 /* What no node accepts leaves nothing behind. */
 static void
-odd_lists_are_refused (void **state)
+odd_lists_are_refused (void **state G_GNUC_UNUSED)
 {
   static const struct {
     const char *awaits;
@@ -78,7 +78,7 @@
 }
 
 static void
-unknown_jobs_cannot_be_judged_in_an_outage (void **state)
+unknown_jobs_cannot_be_judged_in_an_outage (void **state G_GNUC_UNUSED)
 {
   Ledger *store = ledger_new ();
   LoneNode *n = node_up (store);
@@ -108,7 +108,7 @@
 
 /* A repeat at a node that has not read the job yet counts by its id alone, whatever it awaits. */
 static void
-a_repeat_is_known_by_its_id (void **state)
+a_repeat_is_known_by_its_id (void **state G_GNUC_UNUSED)
 {
   Ledger *store = ledger_new ();
   LoneNode *n = node_up (store);
@@ -129,7 +129,7 @@
 
 /* The smaller of today's and the announced limit bounds what a job may await. */
 static void
-records_have_room (void **state)
+records_have_room (void **state G_GNUC_UNUSED)
 {
   static const char *const limits[] = {"", ",\"next\":{\"value_kb\":2}"};
   guint most[2] = {0, 0};
@@ -188,7 +188,7 @@
 #define CHAIN 600
 
 static void
-a_cancellation_takes_a_chain_along (void **state)
+a_cancellation_takes_a_chain_along (void **state G_GNUC_UNUSED)
 {
   Ledger *store = ledger_new ();
   LoneNode *n = node_up (store);
@@ -256,7 +256,7 @@
 #define BREADTH 3000
 
 static void
-a_cancellation_takes_thousands_along (void **state)
+a_cancellation_takes_thousands_along (void **state G_GNUC_UNUSED)
 {
   Ledger *store = ledger_new ();
   LoneNode *n = node_up (store);
@@ -276,7 +276,7 @@
 /* Their records are shortened when nothing else is to be written: a task's end is recorded at
  * once, also where the state service takes 15 changes a second. */
 static void
-thousands_hold_nobody_up (void **state)
+thousands_hold_nobody_up (void **state G_GNUC_UNUSED)
 {
   Ledger *store = ledger_new ();
   LoneNode *n = node_new (store, ",\"write_rps\":15");
--- a/tests/test_client.c
+++ b/tests/test_client.c
@@ -22,8 +22,8 @@
 } FakeNode;
 
 static void
-on_request (SoupServer *server, SoupServerMessage *msg, const char *path, GHashTable *query,
-            gpointer data)
+on_request (SoupServer *server G_GNUC_UNUSED, SoupServerMessage *msg, const char *path,
+            GHashTable *query G_GNUC_UNUSED, gpointer data)
 {
   FakeNode *fake = data;
   g_autoptr (GBytes) body = soup_message_body_flatten (soup_server_message_get_request_body (msg));
@@ -124,7 +124,7 @@
 }
 
 static void
-a_submission_is_repeated_as_it_was (void **state)
+a_submission_is_repeated_as_it_was (void **state G_GNUC_UNUSED)
 {
   static const Said said[] = {
       {503, "{\"error\":\"not yet\"}", NULL},
@@ -146,7 +146,7 @@
 }
 
 static void
-a_refusal_is_final (void **state)
+a_refusal_is_final (void **state G_GNUC_UNUSED)
 {
   static const Said said[] = {{422, "{\"error\":\"no machine type fits\"}", NULL}};
   FakeNode *fake = fake_node (said, 1);
@@ -158,7 +158,7 @@
 }
 
 static void
-a_watch_ends_with_the_job (void **state)
+a_watch_ends_with_the_job (void **state G_GNUC_UNUSED)
 {
   static const Said said[] = {
       {200, "{\"name_id\":\"job-a\",\"stance\":\"running\",\"done\":1,\"running\":2}", NULL},
@@ -172,7 +172,7 @@
 }
 
 static void
-submitted_jobs_are_listed (void **state)
+submitted_jobs_are_listed (void **state G_GNUC_UNUSED)
 {
   static const Said said[] = {
       {200, "{\"name_id\":\"job-b\",\"stance\":\"done\",\"done\":1}", NULL}};
@@ -195,7 +195,7 @@
 }
 
 static void
-nodes_are_shown (void **state)
+nodes_are_shown (void **state G_GNUC_UNUSED)
 {
   static const Said said[] = {{200, "{}", NULL},
                               {200, "# TYPE hoprock_leads gauge\nhoprock_leads 1\n", NULL}};
@@ -210,7 +210,7 @@
 }
 
 static void
-wrong_words_are_named (void **state)
+wrong_words_are_named (void **state G_GNUC_UNUSED)
 {
   static const char *const wrong[] = {"",
                                       "fly",
--- a/tests/test_fixtures.c
+++ b/tests/test_fixtures.c
@@ -131,7 +131,7 @@
 }
 
 static void
-records_are_written_as_read (void **state)
+records_are_written_as_read (void **state G_GNUC_UNUSED)
 {
   static const char *const files[] = {"ecb9b3c/ledger.txt", "ecb9b3c/withdrawn.txt",
                                       "764e988/ledger.txt", "764e988/split.txt"};
@@ -164,7 +164,7 @@
 
 /* What a later version puts into a main record stays there, in tombstones too. */
 static void
-unknown_members_stay (void **state)
+unknown_members_stay (void **state G_GNUC_UNUSED)
 {
   const char *text =
       "{\"w\":\"1-1.8\",\"s\":0,\"t\":1000000009.25,\"q\":0,\"j\":[\"k\",\"t\",\"i\",0,2,1,4.0,1.0,"
@@ -187,7 +187,7 @@
 } Polls;
 
 static void
-on_poll (World *world, int status, json_t *body, gpointer data)
+on_poll (World *world G_GNUC_UNUSED, int status, json_t *body, gpointer data)
 {
   Polls *polls = data;
   polls->left--;
@@ -241,7 +241,7 @@
 }
 
 static void
-ledgers_are_taken_over (void **state)
+ledgers_are_taken_over (void **state G_GNUC_UNUSED)
 {
   take_over ("ecb9b3c/ledger.txt", 0);
   take_over ("764e988/ledger.txt", HR_FORMAT);
@@ -284,8 +284,8 @@
 }
 
 static gboolean
-on_connection (GSocketService *service, GSocketConnection *connection, GObject *source,
-               gpointer data)
+on_connection (GSocketService *service G_GNUC_UNUSED, GSocketConnection *connection,
+               GObject *source G_GNUC_UNUSED, gpointer data)
 {
   Wire *wire = data;
   g_object_ref (connection);
@@ -367,7 +367,7 @@
 }
 
 static void
-frames_are_written_as_read (void **state)
+frames_are_written_as_read (void **state G_GNUC_UNUSED)
 {
   read_and_write_frame ("ecb9b3c/hint.hex", 0, FIRST_PORT);
   read_and_write_frame ("764e988/hint.hex", 1, FIRST_PORT + 2);
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -58,7 +58,7 @@
 /* Far more work than the limit lets run: machines are rented for what may start, and are not
  * returned and rented again in cycles. */
 static void
-renting (void **state)
+renting (void **state G_GNUC_UNUSED)
 {
   static const HrLimitJob work[] = {
       {5, HR_BATCH, 60, 40, NULL, 0, FALSE, NULL},  {6, HR_BATCH, 60, 40, NULL, 0, FALSE, NULL},
@@ -83,7 +83,7 @@
 
 /* Services arrive and find the limit used up: no room is kept for the next ones. */
 static void
-spare_room (void **state)
+spare_room (void **state G_GNUC_UNUSED)
 {
   static HrLimitJob work[24];
   const guint needed = LIMIT_GPUS / MACHINE_GPUS;
@@ -106,7 +106,7 @@
 
 /* A gang that wants the whole limit, beside a stream of small ones that alone nearly fills it. */
 static void
-gang_in_a_stream (void **state)
+gang_in_a_stream (void **state G_GNUC_UNUSED)
 {
   static const HrLimitJob gang[] = {{60, HR_GANG, 6, 25, NULL, 0, TRUE, NULL}};
   guint broken = 0;
@@ -130,7 +130,7 @@
 /* Long work of the lowest priority fills the limit. What comes with a higher priority begins at
  * once, by having that work stopped; of one priority the earlier deadline goes first. */
 static void
-order (void **state)
+order (void **state G_GNUC_UNUSED)
 {
   static const HrLimitJob work[] = {
       {5, HR_BATCH, 24, 250, "low", 900, FALSE, NULL},
@@ -173,7 +173,7 @@
 /* The limit is full but for one machine's worth, and a gang waits for all of it. A long job behind
  * that gang does not get short work stopped that fills the gap meanwhile. */
 static void
-short_work_fills_a_gap (void **state)
+short_work_fills_a_gap (void **state G_GNUC_UNUSED)
 {
   static const HrLimitJob work[] = {
       {5, HR_GANG, 5, 200, NULL, 0, FALSE, NULL},
@@ -199,7 +199,7 @@
 
 /* A gang within the limit that no machines are left for: the others do not wait for it. */
 static void
-gang_without_machines (void **state)
+gang_without_machines (void **state G_GNUC_UNUSED)
 {
   static const HrLimitJob work[] = {
       {5, HR_GANG, 12, 30, NULL, 0, TRUE, NULL},     {20, HR_BATCH, 8, 30, NULL, 0, FALSE, NULL},
@@ -226,7 +226,7 @@
 /* A job within its team's guarantee that no machines are left for: others need not wait for it
  * beside machines with room. */
 static void
-guarantee_without_machines (void **state)
+guarantee_without_machines (void **state G_GNUC_UNUSED)
 {
   static const HrLimitJob work[] = {
       {5, HR_GANG, 3, 30, NULL, 0, TRUE, "guests"},
@@ -257,7 +257,7 @@
 /* Every team is at its limit when machines cannot be asked or hang, jobs are cancelled in that
  * spell and the leader changes: what may still run holds its share until it is proven gone. */
 static void
-leader_changes (void **state)
+leader_changes (void **state G_GNUC_UNUSED)
 {
   static const HrLimitJob work[] = {
       {5, HR_BATCH, 40, 60, NULL, 0, FALSE, NULL},  {6, HR_BATCH, 30, 60, NULL, 0, FALSE, NULL},
--- a/tests/test_meetings.c
+++ b/tests/test_meetings.c
@@ -7,7 +7,7 @@
 /* A transaction is carried out late, after newer ones of the same controller, while users look
  * closely. */
 static void
-late_writes_and_looks (void **state)
+late_writes_and_looks (void **state G_GNUC_UNUSED)
 {
   static const HrTrouble day[] = {
       {.at_s = 40, .kind = TROUBLE_LATE_WRITES, .for_s = 60, .share = 0.3},
@@ -20,7 +20,7 @@
 /* Users call jobs off within milliseconds after they were accepted, and look closely. Launches that
  * are on their way then still start a task here and there. */
 static void
-cancels_at_once_and_looks (void **state)
+cancels_at_once_and_looks (void **state G_GNUC_UNUSED)
 {
   static const HrTrouble day[] = {
       {.at_s = 2, .kind = TROUBLE_CLOSE_LOOKS, .for_s = 300, .share = 0.6},
@@ -31,7 +31,7 @@
 /* A transaction is carried out at once and only its answer is lost, while other controllers
  * read what it wrote, and users cancel. */
 static void
-lost_answers_and_cancels (void **state)
+lost_answers_and_cancels (void **state G_GNUC_UNUSED)
 {
   static const HrTrouble day[] = {
       {.at_s = 40, .kind = TROUBLE_LATE_WRITES, .for_s = 60, .share = 0.5, .at_once = TRUE},
@@ -44,7 +44,7 @@
 
 /* A report is held back until a new leader has acted, and then arrives there. */
 static void
-reports_for_the_next_leader (void **state)
+reports_for_the_next_leader (void **state G_GNUC_UNUSED)
 {
   static const HrTrouble day[] = {
       /* Some are of machines that go, and are gone for long when the copies come. */
@@ -57,7 +57,7 @@
 
 /* An old report reaches every controller just as a new leader begins. */
 static void
-reports_as_a_leader_begins (void **state)
+reports_as_a_leader_begins (void **state G_GNUC_UNUSED)
 {
   static const HrTrouble day[] = {
       {.at_s = 35, .kind = TROUBLE_LATE_REPORTS, .for_s = 24, .share = 0.7, .to_all = TRUE},
@@ -72,7 +72,7 @@
 /* A direct order is held up for seconds, unanswered, while its job is called off and machines do
  * not hear their controllers. */
 static void
-late_commands_and_deaf_machines (void **state)
+late_commands_and_deaf_machines (void **state G_GNUC_UNUSED)
 {
   static const HrTrouble day[] = {
       {.at_s = 40, .kind = TROUBLE_LATE_COMMANDS, .for_s = 150, .share = 0.4},
@@ -85,7 +85,7 @@
 /* Workers reach no controller while direct orders reach them; jobs are called off meanwhile, and
  * the leader ends. */
 static void
-mute_machines_and_cancels (void **state)
+mute_machines_and_cancels (void **state G_GNUC_UNUSED)
 {
   static const HrTrouble day[] = {
       {.at_s = 80, .kind = TROUBLE_MACHINE_MUTE, .for_s = 25, .share = 0.4},
@@ -99,7 +99,7 @@
 /* A leader is cut from the state service and the other controllers, not from workers and users,
  * and jobs are called off through the new one. */
 static void
-cut_leaders_and_cancels (void **state)
+cut_leaders_and_cancels (void **state G_GNUC_UNUSED)
 {
   static const HrTrouble day[] = {
       {.at_s = 60, .kind = TROUBLE_CLOSE_LOOKS, .for_s = 160},
@@ -125,7 +125,7 @@
 /* Jobs are called off at the very moment at which the state service refuses the leader alone; a
  * second later it is out for longer than cancel_s. */
 static void
-refused_leaders_and_outages (void **state)
+refused_leaders_and_outages (void **state G_GNUC_UNUSED)
 {
   static const HrTrouble day[] = {
       {.at_s = 80, .kind = TROUBLE_STATE_REFUSES, .who = WHO_LEADER, .for_s = 14},
@@ -139,7 +139,7 @@
 
 /* The state service answers slowly while users cancel and look closely. */
 static void
-slow_state_and_looks (void **state)
+slow_state_and_looks (void **state G_GNUC_UNUSED)
 {
   static const HrTrouble day[] = {
       {.at_s = 40, .kind = TROUBLE_STATE_SLOW, .for_s = 120, .delay_s = 0.8},
@@ -153,7 +153,7 @@
 /* Requests that must be turned away or change nothing, while writes lose their answers and the
  * leader changes. */
 static void
-odd_requests_and_new_leaders (void **state)
+odd_requests_and_new_leaders (void **state G_GNUC_UNUSED)
 {
   static const HrTrouble day[] = {
       {.at_s = 10, .kind = TROUBLE_ODD_REQUESTS, .for_s = 250},
@@ -166,7 +166,7 @@
 
 /* Leaders change ten times in two minutes, also inside an outage. */
 static void
-ten_leaders_and_an_outage (void **state)
+ten_leaders_and_an_outage (void **state G_GNUC_UNUSED)
 {
   static const HrTrouble day[] = {
       {.at_s = 60, .kind = TROUBLE_NODE_CRASH, .who = WHO_LEADER, .times = 10, .every_s = 12},
@@ -178,7 +178,7 @@
 /* The leader ends while machines hear nothing, or cannot be reached, and copies of their reports
  * are kept for the next one. */
 static void
-deaf_machines_and_the_next_leader (void **state)
+deaf_machines_and_the_next_leader (void **state G_GNUC_UNUSED)
 {
   static const HrTrouble day[] = {
       {.at_s = 60, .kind = TROUBLE_LATE_REPORTS, .for_s = 45, .share = 0.5, .for_next = TRUE},
@@ -194,7 +194,7 @@
 /* A leader stands still for seconds and goes on with what it believed, is refused by the state
  * service alone, and the service is out for all. */
 static void
-standing_leaders_and_refusals (void **state)
+standing_leaders_and_refusals (void **state G_GNUC_UNUSED)
 {
   static const HrTrouble day[] = {
       {.at_s = 70, .kind = TROUBLE_NODE_FREEZE, .who = WHO_LEADER, .for_s = 3.5},
--- a/tests/test_meetings_fleet.c
+++ b/tests/test_meetings_fleet.c
@@ -7,7 +7,7 @@
 /* New machines are up within two seconds and get work at once while writes lag, and the leader
  * ends. */
 static void
-fast_boots_and_late_writes (void **state)
+fast_boots_and_late_writes (void **state G_GNUC_UNUSED)
 {
   static const HrTrouble day[] = {
       {.at_s = 0.1, .kind = TROUBLE_FAST_BOOT, .for_s = 250},
@@ -28,7 +28,7 @@
 /* One-task jobs come four a second for minutes, a quarter of them cancelled; leaders change
  * meanwhile and answers to writes are lost. */
 static void
-single_jobs_and_new_leaders (void **state)
+single_jobs_and_new_leaders (void **state G_GNUC_UNUSED)
 {
   static const HrTrouble day[] = {
       {.at_s = 30, .kind = TROUBLE_CANCEL_AT_END, .for_s = 150, .share = 0.2},
@@ -41,7 +41,7 @@
 
 /* A zone with workers and a controller is cut off for longer than lease_s; leading or not. */
 static void
-cut_zones_and_cancels (void **state)
+cut_zones_and_cancels (void **state G_GNUC_UNUSED)
 {
   static const HrTrouble day[] = {
       {.at_s = 70, .kind = TROUBLE_ZONE_CUT, .zone = ZONE (0), .who = WHO_LEADER, .for_s = 30},
@@ -59,7 +59,7 @@
 /* Every team is at its limit while jobs are called off whose machines are cut off or hang, and
  * the leader changes. */
 static void
-full_teams_and_cut_machines (void **state)
+full_teams_and_cut_machines (void **state G_GNUC_UNUSED)
 {
   static const HrTrouble day[] = {
       {.at_s = 80, .kind = TROUBLE_MACHINE_CUT, .share = 0.4, .for_s = 22, .hold = TRUE},
@@ -74,7 +74,7 @@
 /* All controllers are away for longer than lease_s; a zone's machines are cut off as they come
  * back. */
 static void
-no_controllers_and_cut_machines (void **state)
+no_controllers_and_cut_machines (void **state G_GNUC_UNUSED)
 {
   static const HrTrouble day[] = {
       {.at_s = 80, .kind = TROUBLE_NODE_CRASH, .who = WHO_ALL, .back_s = 18},
@@ -93,7 +93,7 @@
 
 /* Jobs bound to one zone, arrays too, lose machines. */
 static void
-bound_jobs_and_lost_machines (void **state)
+bound_jobs_and_lost_machines (void **state G_GNUC_UNUSED)
 {
   static const HrTrouble day[] = {
       {.at_s = 70, .kind = TROUBLE_MACHINE_CRASH, .zone = ZONE (0), .share = 0.6},
@@ -119,7 +119,7 @@
 /* A team is near its limit, a gang waits for more of it than there is left, and the leader
  * changes: arrays for which there is room beside it run. */
 static void
-a_gang_beyond_the_limit_and_new_leaders (void **state)
+a_gang_beyond_the_limit_and_new_leaders (void **state G_GNUC_UNUSED)
 {
   static const HrTrouble day[] = {
       {.at_s = 60, .kind = TROUBLE_NODE_CRASH, .who = WHO_LEADER},
@@ -129,7 +129,7 @@
 
 /* There is more work than room, urgent and not, over slow links. */
 static void
-overload_and_slow_links (void **state)
+overload_and_slow_links (void **state G_GNUC_UNUSED)
 {
   static const HrTrouble day[] = {
       {.at_s = 20, .kind = TROUBLE_SLOW_LINKS, .for_s = 150, .delay_s = 0.25},
@@ -146,7 +146,7 @@
 /* Tasks of a job end far apart, across changes of the leader; machines go before their ends are
  * recorded, and only the answers to writes are lost. */
 static void
-ends_far_apart_and_new_leaders (void **state)
+ends_far_apart_and_new_leaders (void **state G_GNUC_UNUSED)
 {
   static const HrTrouble day[] = {
       {.at_s = 40, .kind = TROUBLE_CLOSE_LOOKS, .for_s = 200},
@@ -160,7 +160,7 @@
 /* The cloud is in trouble while machines go, and the leader ends: when that is over machines are
  * returned and rented at once again. */
 static void
-cloud_outages_and_lost_machines (void **state)
+cloud_outages_and_lost_machines (void **state G_GNUC_UNUSED)
 {
   static const HrTrouble day[] = {{.at_s = 60, .kind = TROUBLE_CLOUD_OUTAGE, .for_s = 25},
                                   {.at_s = 62, .kind = TROUBLE_MACHINE_CRASH, .share = 0.4},
--- a/tests/test_pacing.c
+++ b/tests/test_pacing.c
@@ -31,7 +31,7 @@
 /* Of a pass that takes a second, at most every fifth second is planned; one that takes a
  * millisecond changes nothing; and a process that stood still for a minute plans on. */
 static void
-long_passes_are_spaced (void **state)
+long_passes_are_spaced (void **state G_GNUC_UNUSED)
 {
   guint usual = passes (0);
   assert_in_range (passes (1), 2, (guint)(RUN_S / 4) + 1);
--- a/tests/test_pipelines.c
+++ b/tests/test_pipelines.c
@@ -52,7 +52,7 @@
 }
 
 static void
-quiet_days (void **state)
+quiet_days (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 2000; seed < 2003; seed++)
@@ -61,7 +61,7 @@
 }
 
 static void
-days_with_troubles (void **state)
+days_with_troubles (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 2010; seed < 2026; seed++)
@@ -71,7 +71,7 @@
 
 /* Again and again another node leads, which knows what it read alone. */
 static void
-days_of_new_owners (void **state)
+days_of_new_owners (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 2030; seed < 2036; seed++) {
@@ -84,7 +84,7 @@
 
 /* All controllers end right after a cancellation was told, and the state service goes away. */
 static void
-days_of_shocks (void **state)
+days_of_shocks (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 2040; seed < 2050; seed++)
@@ -93,7 +93,7 @@
 }
 
 static void
-days_with_a_team_limit (void **state)
+days_with_a_team_limit (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 2050; seed < 2054; seed++) {
@@ -106,7 +106,7 @@
 }
 
 static void
-days_with_one_or_five_controllers (void **state)
+days_with_one_or_five_controllers (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 2060; seed < 2066; seed++)
@@ -137,7 +137,7 @@
 }
 
 static void
-days_of_an_upgrade (void **state)
+days_of_an_upgrade (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 2070; seed < 2078; seed++)
--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -30,7 +30,7 @@
 }
 
 static void
-arithmetic (void **state)
+arithmetic (void **state G_GNUC_UNUSED)
 {
   assert_float_equal (value ("2 + 3 * 4"), 14, 1e-9);
   assert_float_equal (value ("(2 + 3) * 4"), 20, 1e-9);
@@ -45,7 +45,7 @@
 }
 
 static void
-mistakes (void **state)
+mistakes (void **state G_GNUC_UNUSED)
 {
   static const char *const bad[] = {"",        "1 +",    "nothing", "1 / 0",   "min()", "(1",
                                     "1 ? 2",   "1 == ",  "-1",      "1e99",    "1 2",   "&& 1",
@@ -59,7 +59,7 @@
 
 /* Whatever bytes stand in the file: an answer, with a place in the file, and no crash. */
 static void
-generated_files (void **state)
+generated_files (void **state G_GNUC_UNUSED)
 {
   g_autoptr (GRand) rand = g_rand_new_with_seed (7);
   g_autoptr (GHashTable) vars = hr_policy_vars_new ();
--- a/tests/test_protocol.c
+++ b/tests/test_protocol.c
@@ -32,7 +32,7 @@
 }
 
 static void
-a_submission (void **state)
+a_submission (void **state G_GNUC_UNUSED)
 {
   HrJobSpec spec;
   g_autofree char *why = NULL;
@@ -48,7 +48,7 @@
 
 /* A field replaced by something wrong: refused, with the field's name. */
 static void
-wrong_fields (void **state)
+wrong_fields (void **state G_GNUC_UNUSED)
 {
   static const char *const cases[][2] = {
       {"name_id", "\"job 1\""}, {"name_id", "7"},    {"name_id", "\"job-\""}, {"shape", "\"gang\""},
@@ -86,7 +86,7 @@
 
 /* Each id once, in the order given; none at all is no array to keep. */
 static void
-awaited_jobs (void **state)
+awaited_jobs (void **state G_GNUC_UNUSED)
 {
   static const char *const none[] = {NULL, "null", "[]"};
   static const char *const bad[] = {"\"job-1\"", "7",           "{}",      "[7]",
@@ -114,7 +114,7 @@
 
 /* Of generated lists exactly those of well-formed ids are taken, with all that they name. */
 static void
-generated_awaits (void **state)
+generated_awaits (void **state G_GNUC_UNUSED)
 {
   static const char *const parts[] = {
       "\"job-000398\"", "\"job-a.b_c-d\"", "\"job-\"", "\"x\"", "null", "12", "[]", "\"job-é\""};
@@ -145,7 +145,7 @@
 }
 
 static void
-wrong_bodies (void **state)
+wrong_bodies (void **state G_GNUC_UNUSED)
 {
   static const char *const bad[] = {"",      "{",  "[]",
                                     "null",  "7",  "{\"pieces\":1}",
@@ -160,7 +160,7 @@
 
 /* A bit of any body changed: taken or refused with a reason, never anything else. */
 static void
-generated_bodies (void **state)
+generated_bodies (void **state G_GNUC_UNUSED)
 {
   g_autoptr (GRand) rand = g_rand_new_with_seed (11);
   guint taken = 0;
@@ -187,7 +187,7 @@
   "{\"piece\":\"job-000398/0\",\"try\":1,\"stance\":\"exited\",\"cause\":\"done\"}]}"
 
 static void
-reports (void **state)
+reports (void **state G_GNUC_UNUSED)
 {
   g_autofree char *why = NULL;
   g_autoptr (HrHeartbeat) heartbeat = hr_heartbeat_parse (REPORT, strlen (REPORT), &why);
@@ -211,7 +211,7 @@
 }
 
 static void
-orders (void **state)
+orders (void **state G_GNUC_UNUSED)
 {
   json_t *list = json_array ();
   hr_order_launch (list, "job-1", 4, 2);
@@ -229,7 +229,7 @@
 }
 
 static void
-machine_types (void **state)
+machine_types (void **state G_GNUC_UNUSED)
 {
   HrNames names;
   hr_names_init (&names);
@@ -272,7 +272,7 @@
 }
 
 static void
-settings_files (void **state)
+settings_files (void **state G_GNUC_UNUSED)
 {
   g_autoptr (GError) error = NULL;
   HrNames names;
--- a/tests/test_readiness.c
+++ b/tests/test_readiness.c
@@ -20,7 +20,7 @@
 /* ---- readiness ---- */
 
 static void
-a_job_opens_when_the_last_one_is_done (void **state)
+a_job_opens_when_the_last_one_is_done (void **state G_GNUC_UNUSED)
 {
   Ledger *store = ledger_new ();
   LoneNode *n = node_up (store);
@@ -52,7 +52,7 @@
 
 /* Its user may still cancel what its tasks have done but no record says: that decides. */
 static void
-done_means_recorded (void **state)
+done_means_recorded (void **state G_GNUC_UNUSED)
 {
   Ledger *store = ledger_new ();
   LoneNode *n = node_up (store);
@@ -82,7 +82,7 @@
 /* The same after all was read anew, by a leader that comes later, and with the newest records
  * first. */
 static void
-a_later_owner_opens_the_same_jobs (void **state)
+a_later_owner_opens_the_same_jobs (void **state G_GNUC_UNUSED)
 {
   for (guint k = 0; k < 2; k++) {
     Ledger *store = ledger_new ();
@@ -109,7 +109,7 @@
 
 /* An awaited job whose record was never seen counts as not done, and keeps nobody from asking. */
 static void
-an_unknown_awaited_job_is_not_done (void **state)
+an_unknown_awaited_job_is_not_done (void **state G_GNUC_UNUSED)
 {
   Ledger *store = ledger_new ();
   LoneNode *n = node_up (store);
@@ -141,7 +141,7 @@
 
 /* Whatever else goes wrong, nothing is recorded of a job that waits. */
 static void
-no_assignment_is_recorded (void **state)
+no_assignment_is_recorded (void **state G_GNUC_UNUSED)
 {
   Ledger *store = ledger_new ();
   LoneNode *n = node_up (store);
@@ -175,7 +175,7 @@
 
 /* Nor is it launched, though a record should name a machine for it. */
 static void
-no_launch_is_ordered (void **state)
+no_launch_is_ordered (void **state G_GNUC_UNUSED)
 {
   Ledger *store = ledger_new ();
   LoneNode *n = node_up (store);
@@ -197,7 +197,8 @@
 static guint circles_warned; /* counted from the log */
 
 static void
-count_circles (const char *domain, GLogLevelFlags level, const char *message, gpointer data)
+count_circles (const char *domain G_GNUC_UNUSED, GLogLevelFlags level G_GNUC_UNUSED,
+               const char *message, gpointer data G_GNUC_UNUSED)
 {
   if (strstr (message, "awaits itself"))
     circles_warned++;
@@ -206,7 +207,7 @@
 #define LAST_STEP ",\"due_s\":500,\"rank\":\"urgent\""
 
 static void
-urgency_flows_up_and_back (void **state)
+urgency_flows_up_and_back (void **state G_GNUC_UNUSED)
 {
   Ledger *store = ledger_new ();
   LoneNode *n = node_up (store);
@@ -318,7 +319,7 @@
 }
 
 static void
-urgency_of_drawn_pipelines (void **state)
+urgency_of_drawn_pipelines (void **state G_GNUC_UNUSED)
 {
   g_autoptr (GRand) rand = g_rand_new_with_seed (DRAWN_SEED);
   for (guint round = 0; round < 12; round++) {
@@ -350,7 +351,7 @@
 /* Layers in which each job awaits both of the layer before: the number of ways through them
  * doubles with each, and the work must not. */
 static void
-urgency_of_many_diamonds (void **state)
+urgency_of_many_diamonds (void **state G_GNUC_UNUSED)
 {
   enum { LAYERS = 60 };
   Ledger *store = ledger_new ();
@@ -377,7 +378,7 @@
 /* Records that await one another in a circle are no work of this service. They are said to be, and
  * keep nobody busy. */
 static void
-a_circle_is_said_to_be_one (void **state)
+a_circle_is_said_to_be_one (void **state G_GNUC_UNUSED)
 {
   static const char *const ids[] = {"job-x", "job-y", "job-z"};
   Ledger *store = ledger_new ();
@@ -406,7 +407,7 @@
 
 /* The end of a job that others await is recorded before other ends: they start after it. */
 static void
-awaited_ends_go_first (void **state)
+awaited_ends_go_first (void **state G_GNUC_UNUSED)
 {
   Ledger *store = ledger_new ();
   LoneNode *n = node_up (store);
@@ -444,7 +445,7 @@
 
 /* A deadline that moves while tasks stand in a list moves them in it. */
 static void
-lists_stay_in_order (void **state)
+lists_stay_in_order (void **state G_GNUC_UNUSED)
 {
   Ledger *store = ledger_new ();
   LoneNode *n = node_up (store);
@@ -496,7 +497,7 @@
 }
 
 static void
-machines_are_wanted_a_boot_ahead (void **state)
+machines_are_wanted_a_boot_ahead (void **state G_GNUC_UNUSED)
 {
   assert_int_equal (wanted_ahead (",\"due_s\":45,\"rank\":\"low\"", 20), 2);
   assert_int_equal (wanted_ahead (",\"due_s\":900,\"rank\":\"low\"", 20), 0); /* it has time */
--- a/tests/test_record.c
+++ b/tests/test_record.c
@@ -55,7 +55,7 @@
 }
 
 static void
-there_and_back (void **state)
+there_and_back (void **state G_GNUC_UNUSED)
 {
   g_autoptr (GRand) rand = g_rand_new_with_seed (3);
   for (guint n = 0; n < 300; n++) {
@@ -117,7 +117,7 @@
  * record stays as the versions before wrote it. The tombstone drops it, and names the cancelled
  * job that took this one along. */
 static void
-awaited_jobs (void **state)
+awaited_jobs (void **state G_GNUC_UNUSED)
 {
   g_autoptr (GRand) rand = g_rand_new_with_seed (5);
   HrNames names;
@@ -168,7 +168,7 @@
   "0.0,null,false,false,false,-1.0],\"x\":[0],\"a\":[7]}"
 
 static void
-nonsense (void **state)
+nonsense (void **state G_GNUC_UNUSED)
 {
   static const char *const bad[] = {"{}",
                                     "[]",
--- a/tests/test_record_split.c
+++ b/tests/test_record_split.c
@@ -54,7 +54,7 @@
 
 /* Another node cancels the job between two steps: the cancellation stays. */
 static void
-a_withdrawal_between_steps (void **state)
+a_withdrawal_between_steps (void **state G_GNUC_UNUSED)
 {
   Ledger *store = ledger_new ();
   g_autofree char *queued = record (0), *cancelled = record (2);
@@ -73,7 +73,7 @@
 
 /* Without that, all steps are carried out. */
 static void
-all_steps (void **state)
+all_steps (void **state G_GNUC_UNUSED)
 {
   Ledger *store = ledger_new ();
   g_autofree char *queued = record (0);
@@ -90,7 +90,7 @@
 
 /* Another node becomes the leader between two steps: none of ours is carried out any more. */
 static void
-an_owner_between_steps (void **state)
+an_owner_between_steps (void **state G_GNUC_UNUSED)
 {
   Ledger *store = ledger_new ();
   g_autofree char *queued = record (0);
--- a/tests/test_renewals.c
+++ b/tests/test_renewals.c
@@ -93,7 +93,7 @@
 /* Each leader ends right after its first answer to the worker. All know the job as cancelled as
  * they begin; the worker keeps its lease, and lives by the protocol otherwise. */
 static void
-leaders_that_end_after_their_first_answer (void **state)
+leaders_that_end_after_their_first_answer (void **state G_GNUC_UNUSED)
 {
   Scene *scene = scene_new (3);
   Script *script = scene->s;
@@ -117,7 +117,7 @@
 }
 
 static void
-a_report_from_before_the_token_gets_the_stop (void **state)
+a_report_from_before_the_token_gets_the_stop (void **state G_GNUC_UNUSED)
 {
   Scene *scene = scene_new (2);
   SceneMachine *machine = machine_running (scene, "job-a");
@@ -134,7 +134,7 @@
 }
 
 static void
-an_overtaken_report_gets_the_stop (void **state)
+an_overtaken_report_gets_the_stop (void **state G_GNUC_UNUSED)
 {
   Scene *scene = scene_new (2);
   SceneMachine *machine = machine_running (scene, "job-a");
@@ -151,7 +151,7 @@
 
 /* The report left before the direct launch arrived, and its answer comes after the cancellation. */
 static void
-a_task_that_the_report_lacks_gets_the_stop (void **state)
+a_task_that_the_report_lacks_gets_the_stop (void **state G_GNUC_UNUSED)
 {
   Scene *scene = scene_new (2);
   SceneMachine *machine = scene_machine (scene, "m-1", "z0");
@@ -173,7 +173,7 @@
  * would make it void is not answered, and the cloud deletes nothing: its worker's lease has to run
  * out in time. */
 static void
-a_launch_that_may_still_come_ends_the_lease (void **state)
+a_launch_that_may_still_come_ends_the_lease (void **state G_GNUC_UNUSED)
 {
   Scene *scene = scene_new (2);
   Script *script = scene->s;
@@ -246,7 +246,7 @@
 }
 
 static void
-generated_reports_get_their_stops (void **state)
+generated_reports_get_their_stops (void **state G_GNUC_UNUSED)
 {
   static const char *const over[] = {"job-b", "job-c", NULL};
   Scene *scene = scene_new (2);
@@ -284,7 +284,7 @@
  * that the report shows and of one that only the record has there. A release counts that and ends
  * no process. */
 static void
-a_stop_that_is_missing_is_found (void **state)
+a_stop_that_is_missing_is_found (void **state G_GNUC_UNUSED)
 {
   Scene *scene = scene_new (2);
   SceneMachine *machine_row = machine_running (scene, "job-a");
--- a/tests/test_replica.c
+++ b/tests/test_replica.c
@@ -129,7 +129,7 @@
 /* The main record is read before the split, and the old pages are deleted before the reading
  * comes to them: what they held is in the staged ones. */
 static void
-old_pages_are_gone (void **state)
+old_pages_are_gone (void **state G_GNUC_UNUSED)
 {
   Rig rig;
   begin (&rig);
@@ -151,7 +151,7 @@
 
 /* A page that the reading shows as it became after the split counts as that. */
 static void
-a_page_changes_after_the_split (void **state)
+a_page_changes_after_the_split (void **state G_GNUC_UNUSED)
 {
   Rig rig;
   begin (&rig);
@@ -172,7 +172,7 @@
 
 /* Until the main record names them, staged pages are no facts. */
 static void
-staged_pages_are_no_facts (void **state)
+staged_pages_are_no_facts (void **state G_GNUC_UNUSED)
 {
   Rig rig;
   begin (&rig);
@@ -186,7 +186,7 @@
 
 /* All of it in one transaction, the main record first or last. */
 static void
-one_transaction (void **state)
+one_transaction (void **state G_GNUC_UNUSED)
 {
   static const char *const logs[] = {
       LOG (SET ("h/j/" JOB, MAIN ("2", ",\"u\":1"),
@@ -210,7 +210,7 @@
 
 /* Production takes pages of another size for its own: such a record is not written beside it. */
 static void
-production_misreads (void **state)
+production_misreads (void **state G_GNUC_UNUSED)
 {
   Rig rig;
   rig_init (&rig);
@@ -229,7 +229,7 @@
 /* A cancellation whose record is larger than the state service takes is not sent. Its user is to
  * ask again soon, and the others hear of it at once, so that the leader splits the record. */
 static void
-withdrawal_too_large (void **state)
+withdrawal_too_large (void **state G_GNUC_UNUSED)
 {
   Rig rig;
   begin (&rig);
--- a/tests/test_requests.c
+++ b/tests/test_requests.c
@@ -50,7 +50,7 @@
 }
 
 static void
-every_field_is_required_that_may_not_be_null (void **state)
+every_field_is_required_that_may_not_be_null (void **state G_GNUC_UNUSED)
 {
   static const char *const required[] = {
       "name_id", "jobclass",     "crew",      "shape",  "rank",    "pieces",
@@ -86,7 +86,7 @@
 } Odd;
 
 static void
-wrong_values_are_refused (void **state)
+wrong_values_are_refused (void **state G_GNUC_UNUSED)
 {
   static const Odd odd[] = {
       /* ids: the key of a record, and part of a path */
@@ -157,7 +157,7 @@
 }
 
 static void
-wrong_bodies_are_refused (void **state)
+wrong_bodies_are_refused (void **state G_GNUC_UNUSED)
 {
   g_autofree char *deep = g_strnfill (40000, '[');
   g_autofree char *many = g_strnfill (65536, ' ');
@@ -202,7 +202,7 @@
 
 /* More than the team's limit: one task of an array, all tasks of the others. */
 static void
-more_than_the_limit_is_refused (void **state)
+more_than_the_limit_is_refused (void **state G_GNUC_UNUSED)
 {
   static const struct {
     const char *shape, *id;
@@ -225,7 +225,7 @@
 
 /* Half of its tasks may be in one zone, and it allows no second one. */
 static void
-a_gang_without_a_second_zone_is_refused (void **state)
+a_gang_without_a_second_zone_is_refused (void **state G_GNUC_UNUSED)
 {
   static const struct {
     const char *id, *quarry;
@@ -252,7 +252,7 @@
 /* A job is known by its id alone: accepted, it stays so whatever a repetition says, also at a node
  * that has not followed its record yet, and while it is read anew. */
 static void
-a_repetition_with_other_content_gets_the_job (void **state)
+a_repetition_with_other_content_gets_the_job (void **state G_GNUC_UNUSED)
 {
   static const char *const other[][2] = {{"pieces", "7"},       {"crew", "\"strangers\""},
                                          {"vcpus", "1e9"},      {"rank", NULL},
@@ -289,7 +289,7 @@
 
 /* Neither refused for good nor accepted while nothing can be read. */
 static void
-an_odd_submission_waits_for_the_state_service (void **state)
+an_odd_submission_waits_for_the_state_service (void **state G_GNUC_UNUSED)
 {
   Script *script = script_led (2);
   script->outage = TRUE;
@@ -305,7 +305,7 @@
 }
 
 static void
-cancellations_of_done_and_unknown_jobs (void **state)
+cancellations_of_done_and_unknown_jobs (void **state G_GNUC_UNUSED)
 {
   Script *script = script_led (2);
   int leader = script_leader (script), other = 1 - leader;
@@ -335,7 +335,7 @@
 }
 
 static void
-odd_paths_and_methods (void **state)
+odd_paths_and_methods (void **state G_GNUC_UNUSED)
 {
   static const struct {
     HrMethod method;
@@ -379,7 +379,7 @@
 /* A record that makes no sense: its job was accepted, so it is neither unknown nor in the state
  * that was read before. */
 static void
-a_record_that_cannot_be_read_is_not_forgotten (void **state)
+a_record_that_cannot_be_read_is_not_forgotten (void **state G_GNUC_UNUSED)
 {
   Script *script = script_led (2);
   script_submit (script, 0, "job-a", 1);
--- a/tests/test_sim.c
+++ b/tests/test_sim.c
@@ -75,37 +75,37 @@
 }
 
 static void
-quiet_days (void **state)
+quiet_days (void **state G_GNUC_UNUSED)
 {
   play_seeds (1, 4, 0, 0, 0);
 }
 
 static void
-days_with_one_trouble (void **state)
+days_with_one_trouble (void **state G_GNUC_UNUSED)
 {
   play_seeds (100, 112, 1, 0, 0);
 }
 
 static void
-days_with_many_troubles (void **state)
+days_with_many_troubles (void **state G_GNUC_UNUSED)
 {
   play_seeds (200, 224, 8, 0, 0);
 }
 
 static void
-days_with_a_team_limit (void **state)
+days_with_a_team_limit (void **state G_GNUC_UNUSED)
 {
   play_seeds (300, 308, 5, 12, 0);
 }
 
 static void
-days_with_several_parts (void **state)
+days_with_several_parts (void **state G_GNUC_UNUSED)
 {
   play_seeds (400, 408, 4, 0, 4);
 }
 
 static void
-days_with_one_or_five_controllers (void **state)
+days_with_one_or_five_controllers (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 600; seed < 612; seed++)
@@ -116,7 +116,7 @@
 /* Of the troubles that the users added, each alone and long. With a single controller a
  * deaf machine never falls silent: it asks the same node again and again. */
 static void
-days_with_deaf_machines (void **state)
+days_with_deaf_machines (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 800; seed < 806; seed++) {
@@ -129,7 +129,7 @@
 }
 
 static void
-days_with_a_held_cut (void **state)
+days_with_a_held_cut (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 850; seed < 856; seed++) {
@@ -143,7 +143,7 @@
 /* No controller is served for longer than a leader alone may go on: its members' attestation lets
  * tasks live, but not those of a job that one of them withdrew meanwhile. */
 static void
-days_of_members_word (void **state)
+days_of_members_word (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 870; seed < 884; seed++) {
@@ -162,7 +162,7 @@
 /* Cancellations that the leader cannot read are named to it, so that no lease has to run out; the
  * cancelled jobs' tasks are gone in time all the same, whatever orders come late. */
 static void
-days_of_withdrawal_gaps (void **state)
+days_of_withdrawal_gaps (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 1100; seed < 1110; seed++) {
@@ -194,7 +194,7 @@
 /* Another owner is there, and nobody is served: by the members' attestation the earlier one would
  * keep tasks alive that the other takes for gone. */
 static void
-days_of_two_owners (void **state)
+days_of_two_owners (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 1080; seed < 1088; seed++) {
@@ -208,7 +208,7 @@
 /* A gang that no fleet can hold stays known, and neither keeps others from their machines nor
  * has the whole cloud rented and returned again and again. */
 static void
-days_of_an_oversized_gang (void **state)
+days_of_an_oversized_gang (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 985; seed < 988; seed++) {
@@ -232,7 +232,7 @@
 
 /* One task of a gang has its image, the others fetch it for longer than the first would wait. */
 static void
-days_of_long_fetches (void **state)
+days_of_long_fetches (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 990; seed < 1000; seed++) {
@@ -255,7 +255,7 @@
 /* A gang that loses a task before its start is completed, not begun anew; that may come too
  * late where a machine must boot for it first. */
 static void
-days_of_lost_places (void **state)
+days_of_lost_places (void **state G_GNUC_UNUSED)
 {
   guint broken = 0, lost = 0, anew = 0;
   for (guint seed = 960; seed < 964; seed++) {
@@ -281,7 +281,7 @@
 
 /* Machines go and owners change while copies of reports are still on their way. */
 static void
-days_with_copies_and_new_owners (void **state)
+days_with_copies_and_new_owners (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 900; seed < 908; seed++) {
@@ -296,7 +296,7 @@
 /* Small urgent gangs that alone would nearly fill the fleet must not keep a large job from
  * beginning, nor a large job them: each begins within four minutes. */
 static void
-days_of_a_stream (void **state)
+days_of_a_stream (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 700; seed < 706; seed++) {
@@ -318,7 +318,7 @@
 
 /* A gang that waits for machines that boot is no reason to rent more in every pass. */
 static void
-days_of_few_gangs (void **state)
+days_of_few_gangs (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 950; seed < 954; seed++) {
@@ -339,7 +339,7 @@
 
 /* Messages lost and carried out again, far more often than anywhere. */
 static void
-days_with_late_copies (void **state)
+days_with_late_copies (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 500; seed < 512; seed++) {
@@ -355,7 +355,7 @@
 /* Direct orders that get no answer and are carried out half a minute or more later, for jobs
  * that are cancelled meanwhile: that their worker does not show a task proves nothing. */
 static void
-days_with_late_orders (void **state)
+days_with_late_orders (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 970; seed < 982; seed++) {
@@ -370,7 +370,7 @@
 /* The leader lags so far behind that it has to read the state store anew, while direct orders of
  * its are still on their way: it forgets them, so its token must not stay what they carry. */
 static void
-days_with_changes_gone (void **state)
+days_with_changes_gone (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 1100; seed < 1108; seed++) {
@@ -387,7 +387,7 @@
  * leadership, than hold_s and than a lease; the leader, the others, or all; also repeated,
  * and beside other troubles. */
 static void
-days_with_frozen_controllers (void **state)
+days_with_frozen_controllers (void **state G_GNUC_UNUSED)
 {
   static const double lengths[] = {2.5, 4.5, 9, 16, 25, 40};
   guint broken = 0;
@@ -406,7 +406,7 @@
 /* The leader loses its way to the workers, which others still have. Their reports come spread
  * over a period: it must not delete the machines a few at a time as each falls silent. */
 static void
-days_of_unreached_owners (void **state)
+days_of_unreached_owners (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 1030; seed < 1036; seed++) {
@@ -419,7 +419,7 @@
 
 /* Half of the fleet ends together with the leader. */
 static void
-days_of_half_fleets (void **state)
+days_of_half_fleets (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 1040; seed < 1046; seed++) {
@@ -433,7 +433,7 @@
 /* A team that wants no more than it is guaranteed does not wait for another one's long work,
  * also where that has the earlier deadlines and fills the whole fleet. */
 static void
-days_of_a_guarantee (void **state)
+days_of_a_guarantee (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 1070; seed < 1074; seed++) {
@@ -456,7 +456,7 @@
 /* Pages that cannot be read name no machine, but their tasks are on some: none is placed twice,
  * and all are done in the end. */
 static void
-days_of_unreadable_pages (void **state)
+days_of_unreadable_pages (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 1060; seed < 1064; seed++) {
@@ -508,13 +508,13 @@
 }
 
 static void
-a_large_day_of_three (void **state)
+a_large_day_of_three (void **state G_GNUC_UNUSED)
 {
   play_large (1050, 3);
 }
 
 static void
-a_large_day_of_five (void **state)
+a_large_day_of_five (void **state G_GNUC_UNUSED)
 {
   play_large (1051, 5);
 }
@@ -543,7 +543,7 @@
 }
 
 static void
-days_of_an_upgrade (void **state)
+days_of_an_upgrade (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 1100; seed < 1106; seed++)
--- a/tests/test_store_reads.c
+++ b/tests/test_store_reads.c
@@ -10,7 +10,7 @@
 #include <cmocka.h>
 
 static void
-a_job_runs_to_its_end (void **state)
+a_job_runs_to_its_end (void **state G_GNUC_UNUSED)
 {
   Script *script = script_led (2);
   int leader = script_leader (script), other = 1 - leader;
@@ -41,7 +41,7 @@
 
 /* A reading that was sent before the question knows nothing of what was accepted in between. */
 static void
-a_reading_sent_before_the_question_does_not_answer_it (void **state)
+a_reading_sent_before_the_question_does_not_answer_it (void **state G_GNUC_UNUSED)
 {
   Script *script = script_led (2);
   int leader = script_leader (script), other = 1 - leader;
@@ -69,7 +69,7 @@
 
 /* Hundreds ask at once, close after one another and while a reading is out: one at a time. */
 static void
-one_reading_serves_all_who_asked_before_it (void **state)
+one_reading_serves_all_who_asked_before_it (void **state G_GNUC_UNUSED)
 {
   Script *script = script_led (2);
   int other = 1 - script_leader (script);
@@ -99,7 +99,7 @@
 /* Too many requests: who asked waits for the next reading, for a while, and is then sent away;
  * nobody is answered from memory. */
 static void
-a_refused_reading_answers_nobody (void **state)
+a_refused_reading_answers_nobody (void **state G_GNUC_UNUSED)
 {
   Script *script = script_led (2);
   int leader = script_leader (script), other = 1 - leader;
@@ -128,7 +128,7 @@
 /* The changes since the last reading are gone: all is read anew, and until then nothing is
  * said of jobs that are not final. */
 static void
-a_reading_too_old_is_read_anew (void **state)
+a_reading_too_old_is_read_anew (void **state G_GNUC_UNUSED)
 {
   Script *script = script_led (2);
   int leader = script_leader (script), other = 1 - leader;
@@ -172,7 +172,7 @@
 
 /* A new process answers nothing before it has read the state store. */
 static void
-a_new_process_says_nothing_before_it_has_read (void **state)
+a_new_process_says_nothing_before_it_has_read (void **state G_GNUC_UNUSED)
 {
   Script *script = script_led (2);
   int leader = script_leader (script), other = 1 - leader;
@@ -213,7 +213,7 @@
 
 /* An answer to a reading from before a reset, when those who wait have asked since. */
 static void
-a_reading_from_before_a_reset_does_not_count (void **state)
+a_reading_from_before_a_reset_does_not_count (void **state G_GNUC_UNUSED)
 {
   Script *script = script_led (2);
   int old = script_leader (script), next = 1 - old;
@@ -258,7 +258,7 @@
 /* A watch's answer that a newer reading has overtaken changes nothing: the leader's key would
  * look free for good, and this node would stand against the leader again and again. */
 static void
-an_overtaken_watch_is_dropped (void **state)
+an_overtaken_watch_is_dropped (void **state G_GNUC_UNUSED)
 {
   Script *script = script_led (2);
   int leader = script_leader (script), other = 1 - leader;
@@ -294,7 +294,7 @@
 /* The same submission twice at one node and once at another, all on their way at once: one
  * record, and every answer says that it is accepted. */
 static void
-a_submission_in_flight_is_repeated (void **state)
+a_submission_in_flight_is_repeated (void **state G_GNUC_UNUSED)
 {
   Script *script = script_led (3);
   int leader = script_leader (script), attempt = (leader + 1) % 3, b = (leader + 2) % 3;
@@ -330,7 +330,7 @@
 /* The answer to the write of a submission comes last, after the job was cancelled elsewhere and
  * this node has read that: it does not bring the job back. */
 static void
-a_late_answer_does_not_bring_a_job_back (void **state)
+a_late_answer_does_not_bring_a_job_back (void **state G_GNUC_UNUSED)
 {
   Script *script = script_led (2);
   int leader = script_leader (script), other = 1 - leader;
@@ -353,7 +353,7 @@
 
 /* All nodes are asked, and the submission repeated, in the milliseconds after each answer. */
 static void
-nobody_answers_something_older (void **state)
+nobody_answers_something_older (void **state G_GNUC_UNUSED)
 {
   Script *script = script_led (3);
   int leader = script_leader (script);
--- a/tests/test_transport.c
+++ b/tests/test_transport.c
@@ -132,7 +132,7 @@
 static const char *const get = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
 static void
-a_connection_stays_open (void **state)
+a_connection_stays_open (void **state G_GNUC_UNUSED)
 {
   Probe probe = {0};
   guint16 port = free_port ();
@@ -152,7 +152,7 @@
 }
 
 static void
-bodies_have_a_limit (void **state)
+bodies_have_a_limit (void **state G_GNUC_UNUSED)
 {
   for (int over = 0; over < 2; over++) {
     Probe probe = {0};
@@ -174,7 +174,7 @@
 /* Guards against one source of the main loop per connection: GLib looks at each in every
  * turn, which took several times a controller's processor with 600 workers. */
 static void
-connections_cost_the_loop_nothing (void **state)
+connections_cost_the_loop_nothing (void **state G_GNUC_UNUSED)
 {
   Probe probe = {0};
   guint16 port = free_port ();
@@ -198,7 +198,7 @@
 }
 
 static void
-an_asker_may_leave (void **state)
+an_asker_may_leave (void **state G_GNUC_UNUSED)
 {
   Probe probe = {.hold = TRUE};
   guint16 port = free_port ();
@@ -220,7 +220,7 @@
 /* Guards against workers that lose their leases because users' connections fill the node:
  * near the limit users are sent away at once, with when to come back, and make room. */
 static void
-workers_come_before_users (void **state)
+workers_come_before_users (void **state G_GNUC_UNUSED)
 {
   static const char user[] = "GET /v1/jobs/job-000001 HTTP/1.1\r\nHost: x\r\n\r\n";
   static const char worker[] = "POST /hello HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{}";
@@ -266,7 +266,7 @@
 /* Guards against libsoup's way to end a cancelled call only once another one that waits
  * for a connection has ended: two controllers took 12 s longer than a cut to read again. */
 static void
-calls_end_at_their_deadline (void **state)
+calls_end_at_their_deadline (void **state G_GNUC_UNUSED)
 {
   g_autoptr (GSocket) listener =
       g_socket_new (G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, NULL);
--- a/tests/test_users_days.c
+++ b/tests/test_users_days.c
@@ -54,7 +54,7 @@
 /* Answers are lost while users look closely and the leader's work changes hands, again and again,
  * jobs being called off in those seconds. */
 static void
-lost_answers_over_hand_overs (void **state)
+lost_answers_over_hand_overs (void **state G_GNUC_UNUSED)
 {
   static const HrTrouble day[] = {
       {.at_s = 30, .kind = TROUBLE_CLOSE_LOOKS, .for_s = 250, .share = 0.3},
@@ -70,7 +70,7 @@
 
 /* Transactions are carried out after newer ones while jobs are called off at their end. */
 static void
-late_writes_at_the_end (void **state)
+late_writes_at_the_end (void **state G_GNUC_UNUSED)
 {
   static const HrTrouble day[] = {
       {.at_s = 30, .kind = TROUBLE_CANCEL_AT_END, .for_s = 250, .share = 0.6},
@@ -85,7 +85,7 @@
 /* The state service is slow, refuses the leader alone, and is then out for longer than cancel_s;
  * users cancel and ask all the while. */
 static void
-slow_refused_and_away (void **state)
+slow_refused_and_away (void **state G_GNUC_UNUSED)
 {
   static const HrTrouble day[] = {
       {.at_s = 30, .kind = TROUBLE_CLOSE_LOOKS, .for_s = 250, .share = 0.3},
--- a/tests/test_watching.c
+++ b/tests/test_watching.c
@@ -48,7 +48,7 @@
 }
 
 static void
-metrics_say_what_happened (void **state)
+metrics_say_what_happened (void **state G_GNUC_UNUSED)
 {
   Script *script = script_led (2);
   ScriptWorker *worker = script_worker (script, "m-1");
@@ -98,7 +98,7 @@
 }
 
 static void
-fields_become_members (void **state)
+fields_become_members (void **state G_GNUC_UNUSED)
 {
   json_t *object = parsed ("leads: token=7 epoch=12 why=a=b");
   assert_string_equal (member (object, "event"), "leads");
@@ -121,7 +121,7 @@
 
 /* Whatever is logged, its line is one JSON object with the keys that every line has. */
 static void
-any_message_is_one_line (void **state)
+any_message_is_one_line (void **state G_GNUC_UNUSED)
 {
   static const char alphabet[] = "ab=: \"\\\n\t{}\xc3\xa9\xff%_0";
   g_autoptr (GRand) rand = g_rand_new_with_seed (SEED);
--- a/tests/test_windows.c
+++ b/tests/test_windows.c
@@ -400,7 +400,7 @@
 static guint first = 1, last = 61;
 
 static void
-drawn_meetings_keep_the_rules (void **state)
+drawn_meetings_keep_the_rules (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = first; seed < last; seed++)
--- a/tests/test_withdrawals.c
+++ b/tests/test_withdrawals.c
@@ -44,7 +44,7 @@
 }
 
 static void
-a_confirmed_withdrawal_is_named_at_once (void **state)
+a_confirmed_withdrawal_is_named_at_once (void **state G_GNUC_UNUSED)
 {
   HrPeerStatus *leader;
   Script *script = member_new (&leader);
@@ -64,7 +64,7 @@
 /* Until the leader says that it has it, and again to one that has not; it is dropped when the
  * leader has read it. */
 static void
-it_is_named_until_it_is_known (void **state)
+it_is_named_until_it_is_known (void **state G_GNUC_UNUSED)
 {
   HrPeerStatus *leader;
   Script *script = member_new (&leader);
@@ -92,7 +92,7 @@
 
 /* The leader still echoes a process of c0 that has ended, and how much of its log it had. */
 static void
-an_echo_of_an_earlier_process (void **state)
+an_echo_of_an_earlier_process (void **state G_GNUC_UNUSED)
 {
   HrPeerStatus *leader;
   Script *script = member_new (&leader);
@@ -108,7 +108,7 @@
 
 /* Its beginning goes when it grows too long, and the log says so. */
 static void
-a_log_that_grew_too_long (void **state)
+a_log_that_grew_too_long (void **state G_GNUC_UNUSED)
 {
   enum { JOBS = 1200 };
   HrPeerStatus *leader;
@@ -131,7 +131,7 @@
 /* The write was carried out, but its answer is lost, and c0 does not know: it tells no user, and
  * states nothing, until it has read it. */
 static void
-a_write_whose_answer_was_lost (void **state)
+a_write_whose_answer_was_lost (void **state G_GNUC_UNUSED)
 {
   HrPeerStatus *leader;
   Script *script = member_new (&leader);
@@ -157,7 +157,7 @@
 
 /* The same, but c0 can read: the user is told after that reading, and the job is named. */
 static void
-a_write_that_is_read_before_its_user_is_told (void **state)
+a_write_that_is_read_before_its_user_is_told (void **state G_GNUC_UNUSED)
 {
   HrPeerStatus *leader;
   Script *script = member_new (&leader);
@@ -174,7 +174,7 @@
 
 /* What another member confirmed, and c0 read, is c0's to name as well. */
 static void
-a_withdrawal_that_was_read_is_named (void **state)
+a_withdrawal_that_was_read_is_named (void **state G_GNUC_UNUSED)
 {
   HrPeerStatus *leader;
   Script *script = member_new (&leader);
@@ -186,7 +186,7 @@
 
 /* More than a status holds: each names a part, from where the leader is. */
 static void
-a_long_list_goes_in_parts (void **state)
+a_long_list_goes_in_parts (void **state G_GNUC_UNUSED)
 {
   enum { JOBS = 300 };
   HrPeerStatus *leader;
@@ -223,7 +223,7 @@
 
 /* It would not understand them. */
 static void
-nothing_is_named_to_an_older_version (void **state)
+nothing_is_named_to_an_older_version (void **state G_GNUC_UNUSED)
 {
   HrPeerStatus *leader;
   Script *script = member_new (&leader);
--- a/tests/test_workers.c
+++ b/tests/test_workers.c
@@ -26,7 +26,7 @@
 }
 
 static gboolean
-led_by_1 (Scene *scene, gpointer data)
+led_by_1 (Scene *scene, gpointer data G_GNUC_UNUSED)
 {
   return script_leader (scene->s) == 1;
 }
@@ -89,7 +89,7 @@
 /* The leader has to read the whole state store anew, and leads on: it has forgotten which orders
  * are on their way, so its token has to be a new one. */
 static void
-an_owner_that_reads_anew_raises_its_token (void **state)
+an_owner_that_reads_anew_raises_its_token (void **state G_GNUC_UNUSED)
 {
   Scene *scene = scene_led (2);
   Script *script = scene->s;
@@ -124,7 +124,7 @@
 /* A process with the same label is back within a fraction of a second and takes its predecessor's
  * key over: a launch of the predecessor that is still on its way no longer counts. */
 static void
-a_process_that_is_back_at_once_raises_the_token (void **state)
+a_process_that_is_back_at_once_raises_the_token (void **state G_GNUC_UNUSED)
 {
   Scene *scene = scene_led (2);
   Script *script = scene->s;
@@ -155,7 +155,7 @@
 /* A launch was given up and is still on its way when its job is cancelled. That the worker's
  * reports lack the task proves nothing until it has seen a newer token. */
 static void
-a_late_launch_after_its_kill_is_void (void **state)
+a_late_launch_after_its_kill_is_void (void **state G_GNUC_UNUSED)
 {
   Scene *scene = scene_led (2);
   Script *script = scene->s;
@@ -180,7 +180,7 @@
 /* A launch was carried out, and a copy of it comes long after the task's end. While the worker
  * has seen no newer token, the task stays in its reports, where a copy changes nothing. */
 static void
-a_copy_of_a_launch_after_the_end_is_void (void **state)
+a_copy_of_a_launch_after_the_end_is_void (void **state G_GNUC_UNUSED)
 {
   Scene *scene = scene_led (2);
   Script *script = scene->s;
@@ -207,7 +207,7 @@
  * reach it. It stops answering in time, so that a job that was cancelled through the next one
  * ends, and what was there is placed anew only when it is surely gone. */
 static void
-a_leader_on_an_island_lets_go (void **state)
+a_leader_on_an_island_lets_go (void **state G_GNUC_UNUSED)
 {
   Scene *scene = scene_led (2);
   SceneMachine *first = scene_machine (scene, "m-1", "z0");
@@ -235,7 +235,7 @@
 /* The leader ends while several machines with long tasks reach only a former leader, which goes on
  * answering them for a while: their tasks stay bound until that and a lease are surely over. */
 static void
-a_new_leader_waits_for_leases_that_a_former_one_renewed (void **state)
+a_new_leader_waits_for_leases_that_a_former_one_renewed (void **state G_GNUC_UNUSED)
 {
   Scene *scene = scene_led (2);
   SceneMachine *m[4];
@@ -265,7 +265,7 @@
  * only when its incarnation is over, and as soon as that shows: long before a returned machine
  * would be given up. */
 static void
-a_deaf_machine_keeps_its_task_until_its_session_ends (void **state)
+a_deaf_machine_keeps_its_task_until_its_session_ends (void **state G_GNUC_UNUSED)
 {
   Scene *scene = scene_led (2);
   SceneMachine *first = scene_machine (scene, "m-1", "z0");
@@ -286,7 +286,7 @@
 /* A machine reaches no controller, while direct orders reach it. A cancelled job's task is stopped
  * that way; another is placed anew only after the lease, which direct orders do not renew. */
 static void
-a_mute_machine_is_told_directly (void **state)
+a_mute_machine_is_told_directly (void **state G_GNUC_UNUSED)
 {
   Scene *scene = scene_led (2);
   SceneMachine *first = scene_machine (scene, "m-1", "z0");
@@ -309,7 +309,7 @@
 /* The cloud answers no deletion. What a machine held that is being returned waits no longer than
  * its lease: nobody has answered it since. */
 static void
-a_deletion_without_answer_holds_tasks_no_longer_than_a_lease (void **state)
+a_deletion_without_answer_holds_tasks_no_longer_than_a_lease (void **state G_GNUC_UNUSED)
 {
   Scene *scene = scene_led (2);
   SceneMachine *first = scene_machine (scene, "m-1", "z0");
@@ -328,7 +328,7 @@
 /* A hanging machine resumes within its lease, after its job was cancelled: it is stopped then, and
  * the record goes on naming its place until that is shown. */
 static void
-a_machine_that_hung_is_stopped_when_it_resumes (void **state)
+a_machine_that_hung_is_stopped_when_it_resumes (void **state G_GNUC_UNUSED)
 {
   Scene *scene = scene_led (2);
   SceneMachine *first = scene_machine (scene, "m-1", "z0");
@@ -353,7 +353,7 @@
 /* The leader launches what another controller has confirmed as cancelled a moment before: the task
  * is stopped as soon as the leader reads that, and does not start again. */
 static void
-a_launch_that_meets_a_withdrawal_is_stopped (void **state)
+a_launch_that_meets_a_withdrawal_is_stopped (void **state G_GNUC_UNUSED)
 {
   Scene *scene = scene_led (2);
   Script *script = scene->s;
@@ -401,7 +401,7 @@
 }
 
 static void
-a_withdrawal_that_the_leader_cannot_read_ends_in_time (void **state)
+a_withdrawal_that_the_leader_cannot_read_ends_in_time (void **state G_GNUC_UNUSED)
 {
   unread_withdrawal (FALSE);
   unread_withdrawal (TRUE);
@@ -411,7 +411,7 @@
  * another controller confirms that the job is cancelled. The leader, which answers its workers
  * still, launches nothing. */
 static void
-a_refused_leader_launches_nothing (void **state)
+a_refused_leader_launches_nothing (void **state G_GNUC_UNUSED)
 {
   Scene *scene = scene_led (2);
   SceneMachine *first = scene_machine (scene, "m-1", "z0");
@@ -429,7 +429,7 @@
 /* A zone with a worker and a controller that does not lead is cut off for longer than a lease:
  * that controller does not renew the worker's lease. */
 static void
-a_controller_in_a_cut_zone_renews_no_lease (void **state)
+a_controller_in_a_cut_zone_renews_no_lease (void **state G_GNUC_UNUSED)
 {
   Scene *scene = scene_led (3);
   SceneMachine *first = scene_machine (scene, "m-1", "z0");
@@ -450,7 +450,7 @@
 /* The leader stands still, wakes, and finds a report before anything else, of a worker that has
  * heard of no other: it has not read the leader record for so long that it must not answer. */
 static void
-a_leader_that_stood_still_does_not_answer (void **state)
+a_leader_that_stood_still_does_not_answer (void **state G_GNUC_UNUSED)
 {
   Scene *scene = scene_led (2);
   SceneMachine *first = scene_machine (scene, "m-1", "z0");
@@ -473,7 +473,7 @@
 /* Late copies of what a member told before it ended, while the state service is out: they are as
  * old as the clock that they echo, and the leader stops answering in time. */
 static void
-late_copies_of_hints_attest_nothing_new (void **state)
+late_copies_of_hints_attest_nothing_new (void **state G_GNUC_UNUSED)
 {
   Scene *scene = scene_led (2);
   Script *script = scene->s;
@@ -499,7 +499,7 @@
 /* A report of a machine that is gone is kept back until the next leader has begun, and arrives
  * there: nothing is placed on that machine. */
 static void
-a_report_kept_for_the_next_leader_counts_for_its_order_only (void **state)
+a_report_kept_for_the_next_leader_counts_for_its_order_only (void **state G_GNUC_UNUSED)
 {
   Scene *scene = scene_led (2);
   SceneMachine *first = scene_machine (scene, "m-1", "z1");
@@ -556,13 +556,13 @@
 }
 
 static void
-an_old_report_proves_nothing (void **state)
+an_old_report_proves_nothing (void **state G_GNUC_UNUSED)
 {
   old_report (FALSE);
 }
 
 static void
-a_report_of_an_earlier_session_proves_nothing (void **state)
+a_report_of_an_earlier_session_proves_nothing (void **state G_GNUC_UNUSED)
 {
   old_report (TRUE);
 }
@@ -572,7 +572,7 @@
 /* New machines are up at once while writes lag, and the leader ends: nothing was launched that is
  * not recorded, so the next leader may place what it does not see. */
 static void
-nothing_is_launched_before_its_record (void **state)
+nothing_is_launched_before_its_record (void **state G_GNUC_UNUSED)
 {
   Scene *scene = scene_led (2);
   Script *script = scene->s;
@@ -616,7 +616,7 @@
 /* A task of two has ended and its leader ends before that is recorded: the worker goes on showing
  * the end, so the task is not run again, and the job is done only with the other one. */
 static void
-an_end_is_shown_until_it_is_recorded (void **state)
+an_end_is_shown_until_it_is_recorded (void **state G_GNUC_UNUSED)
 {
   Scene *scene = scene_led (2);
   Script *script = scene->s;
@@ -661,7 +661,7 @@
 /* A team is at its limit, its job is cancelled, the leader changes, and the machine cannot be
  * asked: the limit has room again only when the task is proven gone. */
 static void
-a_withdrawn_task_counts_until_it_is_gone (void **state)
+a_withdrawn_task_counts_until_it_is_gone (void **state G_GNUC_UNUSED)
 {
   Scene *scene = scene_led (2);
   limit_cpus (scene, 12);
@@ -719,19 +719,19 @@
 }
 
 static void
-a_task_that_may_still_be_there_binds_its_zone (void **state)
+a_task_that_may_still_be_there_binds_its_zone (void **state G_GNUC_UNUSED)
 {
   bound_zone (FALSE, "together", "z0");
 }
 
 static void
-a_task_that_may_still_be_there_counts_for_the_spread (void **state)
+a_task_that_may_still_be_there_counts_for_the_spread (void **state G_GNUC_UNUSED)
 {
   bound_zone (FALSE, "apart", "z1");
 }
 
 static void
-an_unknown_zone_rules_out_all (void **state)
+an_unknown_zone_rules_out_all (void **state G_GNUC_UNUSED)
 {
   bound_zone (TRUE, "together", "z0");
   bound_zone (TRUE, "apart", "z1");
@@ -743,7 +743,7 @@
  * cancellation still answers ends before cancel_s, clocks that drift apart by 0.05% included, and
  * whoever leads next counts at least as long. */
 static void
-the_policy_ends_tasks_in_time (void **state)
+the_policy_ends_tasks_in_time (void **state G_GNUC_UNUSED)
 {
   static const double drift = 0.0005;
   for (double lease = 5; lease < 60; lease += 2.5)
@@ -770,7 +770,7 @@
 /* Leaders change ten times in two minutes, also inside an outage; machines fall silent and jobs
  * are cancelled meanwhile. */
 static void
-ten_leaders_in_two_minutes (void **state)
+ten_leaders_in_two_minutes (void **state G_GNUC_UNUSED)
 {
   Scene *scene = scene_led (3);
   Script *script = scene->s;
@@ -820,7 +820,7 @@
 /* All controllers are away for longer than a lease; one returns, ends, and is back within a second,
  * and a report from before arrives. */
 static void
-all_are_away_longer_than_a_lease (void **state)
+all_are_away_longer_than_a_lease (void **state G_GNUC_UNUSED)
 {
   Scene *scene = scene_led (3);
   Script *script = scene->s;
--- a/tests/test_writes.c
+++ b/tests/test_writes.c
@@ -73,7 +73,7 @@
 /* ---- carried out at once, only the answer is lost ---- */
 
 static void
-a_submission_without_answer_is_known_everywhere (void **state)
+a_submission_without_answer_is_known_everywhere (void **state G_GNUC_UNUSED)
 {
   Script *script = script_led (2);
   Meeting meeting = {script, script_leader (script), 1 - script_leader (script),
@@ -102,7 +102,7 @@
 /* Repeated at the same node before that has followed the record: the condition that there is none
  * fails, and the record's job is what is answered. */
 static void
-a_submission_without_answer_is_repeated (void **state)
+a_submission_without_answer_is_repeated (void **state G_GNUC_UNUSED)
 {
   Meeting meeting_row = meeting ();
   Script *script = meeting_row.s;
@@ -134,7 +134,7 @@
 }
 
 static void
-a_cancellation_without_answer_is_known_everywhere (void **state)
+a_cancellation_without_answer_is_known_everywhere (void **state G_GNUC_UNUSED)
 {
   for (int at_leader = 0; at_leader < 2; at_leader++) {
     Meeting meeting_row = meeting ();
@@ -167,7 +167,7 @@
 
 /* Lost once: sent again after a moment, and the user is answered within half a second. */
 static void
-a_lost_answer_costs_a_moment (void **state)
+a_lost_answer_costs_a_moment (void **state G_GNUC_UNUSED)
 {
   static const char *const wanted[] = {"queued", "withdrawn"};
   for (int carried_out = 0; carried_out < 2; carried_out++) {
@@ -201,7 +201,7 @@
 
 /* The record of an assignment: read before its answer is lost, it counts, and is written once. */
 static void
-an_assignment_without_answer_is_launched_once (void **state)
+an_assignment_without_answer_is_launched_once (void **state G_GNUC_UNUSED)
 {
   for (int by_reading = 0; by_reading < 2; by_reading++) {
     Meeting meeting_row = meeting ();
@@ -243,7 +243,7 @@
 
 /* The tombstone of a job that is done: told as soon as it is read, and written once. */
 static void
-a_tombstone_without_answer_is_told (void **state)
+a_tombstone_without_answer_is_told (void **state G_GNUC_UNUSED)
 {
   Meeting meeting_row = meeting ();
   Script *script = meeting_row.s;
@@ -270,7 +270,7 @@
 
 /* The leader record is written, and nobody tells the writer: what it reads decides. */
 static void
-an_election_without_answer_is_read (void **state)
+an_election_without_answer_is_read (void **state G_GNUC_UNUSED)
 {
   Script *script = script_new (2);
   script_hold (script, 0, "/commit", "h/leader");
@@ -295,7 +295,7 @@
 
 /* The submission whose answer was lost comes when the job is over. */
 static void
-a_late_submission_does_not_bring_a_job_back (void **state)
+a_late_submission_does_not_bring_a_job_back (void **state G_GNUC_UNUSED)
 {
   Meeting meeting_row = meeting ();
   Script *script = meeting_row.s;
@@ -319,7 +319,7 @@
 
 /* The cancellation that nobody confirmed comes after the job is done. */
 static void
-a_late_cancellation_does_not_undo_an_end (void **state)
+a_late_cancellation_does_not_undo_an_end (void **state G_GNUC_UNUSED)
 {
   Meeting meeting_row = meeting ();
   Script *script = meeting_row.s;
@@ -344,7 +344,7 @@
 
 /* An assignment of a leader that another has followed: neither recorded nor launched. */
 static void
-a_late_assignment_of_a_former_leader_fails (void **state)
+a_late_assignment_of_a_former_leader_fails (void **state G_GNUC_UNUSED)
 {
   Meeting meeting_row = meeting ();
   Script *script = meeting_row.s;
@@ -363,7 +363,7 @@
 
 /* The tombstone of a former leader comes late, after another has seen the task end too. */
 static void
-a_late_tombstone_of_a_former_leader_fails (void **state)
+a_late_tombstone_of_a_former_leader_fails (void **state G_GNUC_UNUSED)
 {
   Meeting meeting_row = meeting ();
   Script *script = meeting_row.s;
@@ -390,7 +390,7 @@
 /* A leader's writes of the leader record and of its key: late, after another leads; and with a
  * claim that has ended meanwhile, when nobody leads. */
 static void
-a_late_election_changes_nothing (void **state)
+a_late_election_changes_nothing (void **state G_GNUC_UNUSED)
 {
   Meeting meeting_row = meeting ();
   Script *script = meeting_row.s;
@@ -426,7 +426,7 @@
 
 /* Both are on their way at once; whichever is carried out first decides, at every node. */
 static void
-a_cancellation_meets_the_end (void **state)
+a_cancellation_meets_the_end (void **state G_GNUC_UNUSED)
 {
   for (int variant = 0; variant < 4; variant++) {
     gboolean at_leader = variant & 1, end_first = variant & 2;
@@ -469,7 +469,7 @@
 
 /* With no trouble at all: the tasks go, whoever confirmed it. */
 static void
-a_cancellation_stops_the_tasks (void **state)
+a_cancellation_stops_the_tasks (void **state G_GNUC_UNUSED)
 {
   for (int at_leader = 0; at_leader < 2; at_leader++) {
     Meeting meeting_row = meeting ();
@@ -493,7 +493,7 @@
 /* A controller that no longer leads, and does not know, confirms a cancellation: the next one
  * stops the tasks. */
 static void
-a_former_leader_confirms_a_cancellation (void **state)
+a_former_leader_confirms_a_cancellation (void **state G_GNUC_UNUSED)
 {
   Meeting meeting_row = meeting ();
   Script *script = meeting_row.s;
@@ -527,7 +527,7 @@
 
 /* Confirmed after the leader record was written and before the new leader has read it. */
 static void
-a_cancellation_falls_into_the_hand_over (void **state)
+a_cancellation_falls_into_the_hand_over (void **state G_GNUC_UNUSED)
 {
   Script *script = script_led (3);
   int old = script_leader (script);
@@ -569,7 +569,7 @@
  * its orders are on their way. The worker's report lacks the task, which is placed anew; so the
  * old order, when it comes, must be void. */
 static void
-a_leader_that_reads_anew_voids_its_orders (void **state)
+a_leader_that_reads_anew_voids_its_orders (void **state G_GNUC_UNUSED)
 {
   Meeting meeting_row = meeting ();
   Script *script = meeting_row.s;
@@ -595,7 +595,7 @@
       script_report (script, other, leader);
   }
   assert_true (script_worker_has (meeting_row.w, "job-a") || script_worker_has (other, "job-a"));
-  assert_int_equal (script_direct (script, meeting_row.w, order), 409);
+  assert_int_equal (script_direct (meeting_row.w, order), 409);
   script_free (script);
 }
 
