--- a/tests/script_scene.c
+++ b/tests/script_scene.c
@@ -100,12 +100,12 @@
     const SceneMachine *other = scene->machines->pdata[i];
     for (guint k = 0; k < other->tasks->len && !other->gone; k++) {
       const SceneTask *task = other->tasks->pdata[k];
-      g_autofree char *of = job_of (task->piece);
-      const SceneJob *job_row = g_hash_table_lookup (scene->jobs, of);
+      g_autofree char *job_id = job_of (task->piece);
+      const SceneJob *job_row = g_hash_table_lookup (scene->jobs, job_id);
       if (task->exited)
         continue;
       cpus += job_row ? job_row->cpus : 0;
-      if (!g_str_equal (of, id))
+      if (!g_str_equal (job_id, id))
         continue;
       here += g_str_equal (other->zone, machine->zone);
       elsewhere += !g_str_equal (other->zone, machine->zone);
--- a/tests/sim/faults.c
+++ b/tests/sim/faults.c
@@ -172,14 +172,14 @@
 /* Of the machines marked for it when a trouble began: how many there are, and for how many it is
  * so. */
 guint
-fault_marked (World *world, gboolean (*is) (const SMachine *), guint *all)
+fault_marked (World *world, gboolean (*is_so) (const SMachine *), guint *all)
 {
   guint n = 0;
   *all = 0;
   for (guint i = 0; i < world->machines->len; i++) {
     const SMachine *machine = world->machines->pdata[i];
     *all += machine->through_cut;
-    n += machine->through_cut && is (machine);
+    n += machine->through_cut && is_so (machine);
   }
   return n;
 }
--- a/tests/sim/node_checks.c
+++ b/tests/sim/node_checks.c
@@ -15,10 +15,10 @@
     g_autofree char *key =
         g_strdup_printf ("%s/%d", json_string_value (json_object_get (entry, "piece")),
                          (int)json_integer_value (json_object_get (entry, "try")));
-    const char *by = g_hash_table_lookup (world->assigned, key);
+    const char *recorder = g_hash_table_lookup (world->assigned, key);
     if (strcmp (json_string_value (json_object_get (entry, "verb")), "launch") == 0 &&
-        g_strcmp0 (by, incarnation) != 0)
-      w_broken (world, "launch", "c%d launches %s, recorded by %s", i, key, by ? by : "nobody");
+        g_strcmp0 (recorder, incarnation) != 0)
+      w_broken (world, "launch", "c%d launches %s, recorded by %s", i, key, recorder ? recorder : "nobody");
   }
   json_decref (object);
 }
--- a/tests/sim/troubles.c
+++ b/tests/sim/troubles.c
@@ -42,9 +42,9 @@
 {
   for (guint i = list->len; i > 1; i--) {
     guint k = g_rand_int_range (world->troubles.rand, 0, i);
-    gpointer t = list->pdata[k];
+    gpointer swapped = list->pdata[k];
     list->pdata[k] = list->pdata[i - 1];
-    list->pdata[i - 1] = t;
+    list->pdata[i - 1] = swapped;
   }
 }
 
--- a/tests/sim/user.c
+++ b/tests/sim/user.c
@@ -7,10 +7,10 @@
 SJob *
 job_by_id (World *world, const char *id, guint32 *index)
 {
-  guint v = GPOINTER_TO_UINT (g_hash_table_lookup (world->job_index, id));
-  if (!v)
+  guint place = GPOINTER_TO_UINT (g_hash_table_lookup (world->job_index, id));
+  if (!place)
     return NULL;
-  *index = v - 1;
+  *index = place - 1;
   return world->jobs->pdata[v - 1];
 }
 
--- a/tests/sim/worker.c
+++ b/tests/sim/worker.c
@@ -34,8 +34,8 @@
   if (task->state == S_EXIT)
     return;
   if (task->state == S_RUN && owner_job->checkpoint > 0) {
-    double p = progress (world, task);
-    double saved = ((int)(p / owner_job->checkpoint)) * owner_job->checkpoint;
+    double reached = progress (world, task);
+    double saved = ((int)(reached / owner_job->checkpoint)) * owner_job->checkpoint;
     owner_job->progress[task->task] = MAX (owner_job->progress[task->task], saved);
   }
   task->state = S_EXIT;
@@ -321,8 +321,8 @@
     }
     w_at (world, next, report_later, machine);
   } else {
-    const char *f = json_string_value (json_object_get (body, "foreman"));
-    int to = f ? f[1] - '0' : -1;
+    const char *foreman = json_string_value (json_object_get (body, "foreman"));
+    int to = foreman ? foreman[1] - '0' : -1;
     gboolean follow = status == 421 && to >= 0 && to < world->n && to != machine->node;
     machine->node = follow ? to : (machine->node + 1) % world->n;
     w_at (world, world->now + (follow ? w_rand (world, 0, 0.5) : 1), report_next_node, machine);
--- a/tests/sim/world.c
+++ b/tests/sim/world.c
@@ -36,10 +36,10 @@
 void
 w_broken (World *world, const char *rule, const char *fmt, ...)
 {
-  va_list ap;
-  va_start (ap, fmt);
-  g_autofree char *what = g_strdup_vprintf (fmt, ap);
-  va_end (ap);
+  va_list arguments;
+  va_start (arguments, fmt);
+  g_autofree char *what = g_strdup_vprintf (fmt, arguments);
+  va_end (arguments);
   g_ptr_array_add (world->broken, g_strdup_printf ("%.3f %s: %s", world->now, rule, what));
 }
 
--- a/tests/test_sim.c
+++ b/tests/test_sim.c
@@ -393,11 +393,11 @@
   guint broken = 0;
   for (guint seed = 1000; seed < 1018; seed++) {
     World *world = world_new (seed, seed % 3 == 2 ? 5 : 3);
-    double d = lengths[seed % G_N_ELEMENTS (lengths)];
+    double for_s = lengths[seed % G_N_ELEMENTS (lengths)];
     FreezeWho who = seed / 6 % 3;
-    faults_freeze (world, 60, who, d);
-    faults_freeze (world, 60 + d + 0.6, who, d);
-    faults_freeze (world, 190, FREEZE_OWNER, d);
+    faults_freeze (world, 60, who, for_s);
+    faults_freeze (world, 60 + for_s + 0.6, who, for_s);
+    faults_freeze (world, 190, FREEZE_OWNER, for_s);
     broken += play_on (world, seed, seed % 2 ? 3 : 0, 0, 0);
   }
   assert_int_equal (broken, 0);
--- a/tests/test_store_reads.c
+++ b/tests/test_store_reads.c
@@ -297,20 +297,20 @@
 a_submission_in_flight_is_repeated (void **state G_GNUC_UNUSED)
 {
   Script *script = script_led (3);
-  int leader = script_leader (script), attempt = (leader + 1) % 3, b = (leader + 2) % 3;
+  int leader = script_leader (script), attempt = (leader + 1) % 3, third_node = (leader + 2) % 3;
   script_hold (script, attempt, "/commit", NULL);
-  script_hold (script, b, "/commit", NULL);
+  script_hold (script, third_node, "/commit", NULL);
   guint64 first = script_submit (script, attempt, "job-a", 1),
           second = script_submit (script, attempt, "job-a", 3),
-          third = script_submit (script, b, "job-a", 1);
+          third = script_submit (script, third_node, "job-a", 1);
   script_tick (script, 0.05);
   assert_int_equal (script_count (script, attempt, "/commit", "job-a"), 2);
   ScriptCall *one = script_call (script, attempt, "/commit", "job-a");
   script_carry_out (script, one);
   guint64 revision = script_stamp (script, "h/j/job-a");
-  script_answer (script, script_call (script, b, "/commit", "job-a"));
+  script_answer (script, script_call (script, third_node, "/commit", "job-a"));
   script_run (script, 0.3);
-  assert_int_equal (script_status (script, b, third), 200);
+  assert_int_equal (script_status (script, third_node, third), 200);
   for (guint i = 0; i < script->calls->len; i++)
     if (script->calls->pdata[i] != one &&
         ((ScriptCall *)script->calls->pdata[i])->node == attempt &&
--- a/tests/test_transport.c
+++ b/tests/test_transport.c
@@ -70,10 +70,10 @@
 static void
 serve (Probe *probe, guint16 port, guint sockets)
 {
-  g_autofree char *a = g_strdup_printf ("127.0.0.1:%u", port);
+  g_autofree char *address = g_strdup_printf ("127.0.0.1:%u", port);
   g_autoptr (GError) error = NULL;
   probe->queue = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_command_free);
-  probe->server = hr_http_server_new (a, sockets, sink, probe, &error);
+  probe->server = hr_http_server_new (address, sockets, sink, probe, &error);
   assert_non_null (probe->server);
 }
 
--- a/tests/test_workers.c
+++ b/tests/test_workers.c
@@ -238,18 +238,18 @@
 a_new_leader_waits_for_leases_that_a_former_one_renewed (void **state G_GNUC_UNUSED)
 {
   Scene *scene = scene_led (2);
-  SceneMachine *m[4];
-  for (guint i = 0; i < G_N_ELEMENTS (m); i++) {
+  SceneMachine *machines[4];
+  for (guint i = 0; i < G_N_ELEMENTS (machines); i++) {
     g_autofree char *name = g_strdup_printf ("m-%u", i), *id = g_strdup_printf ("job-%u", i);
-    m[i] = scene_machine (scene, name, "z0");
+    machines[i] = scene_machine (scene, name, "z0");
     scene_run (scene, 4);
     scene_submit (scene, 0, id, whole_machine (id));
     scene_run (scene, 4);
-    assert_int_equal (m[i]->tasks->len, 1);
+    assert_int_equal (machines[i]->tasks->len, 1);
   }
   cut_off (scene, 0);
-  for (guint i = 0; i < G_N_ELEMENTS (m); i++)
-    m[i]->only = 0;
+  for (guint i = 0; i < G_N_ELEMENTS (machines); i++)
+    machines[i]->only = 0;
   SceneMachine *spare = scene_machine (scene, "m-9", "z0");
   spare->only = 1;
   scene_until (scene, led_by_1, NULL, 12);
@@ -774,10 +774,10 @@
 {
   Scene *scene = scene_led (3);
   Script *script = scene->s;
-  SceneMachine *m[5];
-  for (guint i = 0; i < G_N_ELEMENTS (m); i++) {
+  SceneMachine *machines[5];
+  for (guint i = 0; i < G_N_ELEMENTS (machines); i++) {
     g_autofree char *name = g_strdup_printf ("m-%u", i);
-    m[i] = scene_machine (scene, name, "z0");
+    machines[i] = scene_machine (scene, name, "z0");
   }
   scene_run (scene, 4);
   scene_submit (scene, 1, "job-a", script_job ("job-a", 6));
@@ -786,9 +786,9 @@
   for (int i = 0; i < 10; i++) {
     int leader = script_leader (script);
     guint64 before = baton_of (scene);
-    g_autofree char *report = scene_write (m[i % 5]);
-    m[(i + 1) % 5]->hangs = i % 3 == 0;
-    m[(i + 2) % 5]->hears = i % 4 != 1;
+    g_autofree char *report = scene_write (machines[i % 5]);
+    machines[(i + 1) % 5]->hangs = i % 3 == 0;
+    machines[(i + 2) % 5]->hears = i % 4 != 1;
     script_end (script, leader);
     script->outage = i == 5;
     scene_run (scene, 5);
@@ -803,9 +803,9 @@
     scene_run (scene, 1);
     assert_true (i == 5 || baton_of (scene) > before);
   }
-  for (guint i = 0; i < G_N_ELEMENTS (m); i++) {
-    m[i]->hears = TRUE;
-    m[i]->hangs = FALSE;
+  for (guint i = 0; i < G_N_ELEMENTS (machines); i++) {
+    machines[i]->hears = TRUE;
+    machines[i]->hangs = FALSE;
   }
   scene_run (scene, 60);
   guint runs = 0;
