--- a/src/emulator/balancer.c
+++ b/src/emulator/balancer.c
@@ -85,18 +85,18 @@
 }
 
 /* The stand-ins know a job from its first submission on. */
-static SJob *
+static SimJob *
 job_asked_for (World *world, const char *path, const char *body)
 {
   static const char jobs[] = "/v1/jobs/";
   guint32 index;
   if (body && strcmp (path, "/v1/jobs") == 0)
-    return job_adopt (world, body);
+    return external_job (world, body);
   if (!g_str_has_prefix (path, jobs))
     return NULL;
   const char *rest = path + strlen (jobs);
   g_autofree char *id = g_strndup (rest, strcspn (rest, "/"));
-  SJob *job = job_by_id (world, id, &index);
+  SimJob *job = job_by_id (world, id, &index);
   if (job && g_str_has_suffix (path, "/abort"))
     job->asked_cancel = TRUE;
   return job;
@@ -120,7 +120,7 @@
     reply (msg, 503, "{\"error\":\"no controller is ready\"}");
     return;
   }
-  SJob *job = job_asked_for (world, path, body);
+  SimJob *job = job_asked_for (world, path, body);
   Passed *passed = g_new (Passed, 1);
   *passed = (Passed){balancer, node, g_object_ref (msg), job ? question_new (world, job) : NULL};
   balancer->open[node]++;
--- a/src/emulator/control.c
+++ b/src/emulator/control.c
@@ -16,13 +16,13 @@
   guint up = 0, tasks = 0, done = 0;
   json_t *nodes = json_array (), *broken = json_array ();
   for (guint i = 0; i < world->machines->len; i++) {
-    const SMachine *machine = world->machines->pdata[i];
+    const SimMachine *machine = world->machines->pdata[i];
     up += machine->up && !machine->gone;
     for (guint k = 0; k < machine->tasks->len; k++)
-      tasks += !machine->gone && g_array_index (machine->tasks, STask, k).on;
+      tasks += !machine->gone && g_array_index (machine->tasks, SimTask, k).on;
   }
   for (guint i = 0; i < world->jobs->len; i++)
-    done += ((const SJob *)world->jobs->pdata[i])->told_done > 0;
+    done += ((const SimJob *)world->jobs->pdata[i])->told_done > 0;
   for (int i = 0; i < world->n; i++)
     json_array_append_new (nodes, json_boolean (world->nodes[i].up));
   for (guint i = 0; i < world->broken->len; i++)
--- a/src/emulator/live.h
+++ b/src/emulator/live.h
@@ -57,7 +57,7 @@
 void live_catch_up (Live *live);
 
 /* processes.c: controllers as processes. */
-extern const WControllers live_controllers;
+extern const SimControllers live_controllers;
 void live_processes_prepare (Live *live);
 /* Ends those that run; none is left behind. */
 void live_processes_end (Live *live);
--- a/src/emulator/processes.c
+++ b/src/emulator/processes.c
@@ -175,7 +175,7 @@
   w_at (world, world->now + for_s, go_on, stopped);
 }
 
-const WControllers live_controllers = {start, end, live_push, freeze, live_worker_address};
+const SimControllers live_controllers = {start, end, live_push, freeze, live_worker_address};
 
 static void
 remove_file (const char *file)
--- a/src/emulator/wire.c
+++ b/src/emulator/wire.c
@@ -147,7 +147,7 @@
 no_answer (Live *live, int node, guint64 id)
 {
   Node *n = &live->world->nodes[node];
-  Req *request = n->up ? g_hash_table_lookup (n->open, &id) : NULL;
+  SimRequest *request = n->up ? g_hash_table_lookup (n->open, &id) : NULL;
   if (!request)
     return;
   w_answer (live->world, request, 0, NULL);
--- a/tests/meetings.h
+++ b/tests/fault_scenarios.h
@@ -1,6 +1,6 @@
 /* What the programs of meetings share: the seeds that a day is played with, and the parts. */
 #pragma once
-#include "sim/meeting.h"
+#include "sim/fault_scenario.h"
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -12,7 +12,7 @@
 static guint other_from, other_to;
 
 static void
-play_seeds (guint from, guint to, const MeetingSetting *settings, const HrTrouble *day, guint n)
+play_seeds (guint from, guint to, const FaultScenario *settings, const HrTrouble *day, guint n)
 {
   guint broken = 0;
   if (other_to > other_from) {
@@ -20,17 +20,17 @@
     to = other_to;
   }
   for (guint seed = from; seed < to; seed++)
-    broken += meeting_play (seed, settings, day, n);
+    broken += fault_scenario_play (seed, settings, day, n);
   assert_int_equal (broken, 0);
 }
 
-#define PLAY(from, to, day) play_seeds (from, to, &(MeetingSetting){0}, day, G_N_ELEMENTS (day))
+#define PLAY(from, to, day) play_seeds (from, to, &(FaultScenario){0}, day, G_N_ELEMENTS (day))
 #define PLAY_SET(from, to, day, ...)                                                               \
-  play_seeds (from, to, &(MeetingSetting){__VA_ARGS__}, day, G_N_ELEMENTS (day))
+  play_seeds (from, to, &(FaultScenario){__VA_ARGS__}, day, G_N_ELEMENTS (day))
 
 /* Plays all parts, or the one that is named. */
 static int
-meetings_main (int argc, char **argv, const struct CMUnitTest *tests, guint n)
+fault_scenarios_main (int argc, char **argv, const struct CMUnitTest *tests, guint n)
 {
   if (argc == 4) {
     other_from = atoi (argv[2]);
--- a/tests/script_worker.c
+++ b/tests/scripted_cluster_worker.c
@@ -1,31 +1,31 @@
-/* The workers of tests/script.h. */
+/* The workers of tests/scripted_cluster.h. */
 #include "coordination/command.h"
 #include "protocol/json_util.h"
-#include "script.h"
+#include "scripted_cluster.h"
 #include <string.h>
 
 void
-script_worker_free (gpointer data)
+cluster_worker_free (gpointer data)
 {
-  ScriptWorker *worker = data;
+  ClusterWorker *worker = data;
   g_ptr_array_unref (worker->tasks);
   g_free (worker->name);
   g_free (worker);
 }
 
-ScriptWorker *
-script_worker (Script *script, const char *name)
+ClusterWorker *
+cluster_worker (Cluster *cluster, const char *name)
 {
-  ScriptWorker *worker = g_new0 (ScriptWorker, 1);
+  ClusterWorker *worker = g_new0 (ClusterWorker, 1);
   worker->name = g_strdup (name);
   worker->tenure = 1;
   worker->tasks = g_ptr_array_new_with_free_func ((GDestroyNotify)json_decref);
-  g_ptr_array_add (script->workers, worker);
+  g_ptr_array_add (cluster->workers, worker);
   return worker;
 }
 
 static void
-obey (ScriptWorker *worker, json_t *order)
+obey (ClusterWorker *worker, json_t *order)
 {
   const char *verb = hr_json_str (order, "verb"), *piece = hr_json_str (order, "piece");
   json_t *attempt = json_object_get (order, "try"), *task = NULL;
@@ -47,7 +47,7 @@
 }
 
 char *
-script_worker_text (ScriptWorker *worker)
+cluster_worker_text (ClusterWorker *worker)
 {
   json_t *pieces = json_array ();
   for (guint i = 0; i < worker->tasks->len; i++)
@@ -55,19 +55,19 @@
   return hr_json_take_text (json_pack (
       "{sssssssssbsisisIsnso}", "rockhand", worker->name, "addr", worker->name, "hull", "g2",
       "quarry", "z0", "loaners", 0, "tenure", (int)worker->tenure, "tally", (int)++worker->tally,
-      "baton", (json_int_t)worker->baton, "warning_s", "pieces", pieces));
+      "baton", (json_int_t)worker->token, "warning_s", "pieces", pieces));
 }
 
 int
-script_direct (ScriptWorker *worker, const ScriptCall *call)
+cluster_direct (ClusterWorker *worker, const ClusterCall *call)
 {
   json_t *object = json_loads (call->body, 0, NULL), *order;
   guint64 fencing_token = json_integer_value (json_object_get (object, "baton"));
   guint64 tenure = json_integer_value (json_object_get (object, "tenure"));
-  gboolean counts = fencing_token >= worker->baton && tenure == worker->tenure;
+  gboolean counts = fencing_token >= worker->token && tenure == worker->tenure;
   size_t i;
   if (counts) {
-    worker->baton = fencing_token;
+    worker->token = fencing_token;
     json_array_foreach (json_object_get (object, "orders"), i, order) obey (worker, order);
   }
   json_decref (object);
@@ -75,40 +75,40 @@
 }
 
 int
-script_report (Script *script, ScriptWorker *worker, int node)
+cluster_report (Cluster *cluster, ClusterWorker *worker, int node)
 {
   json_t *order;
-  g_autofree char *body = script_worker_text (worker);
-  guint64 id = script_request (script, node, HR_POST, "/hello", body);
-  const ScriptReply *reply = script_reply (script, node, id);
+  g_autofree char *body = cluster_worker_text (worker);
+  guint64 id = cluster_request (cluster, node, HR_POST, "/hello", body);
+  const ClusterReply *reply = cluster_reply (cluster, node, id);
   if (!reply || reply->status != 200)
     return reply ? reply->status : 0;
   guint64 fencing_token = json_integer_value (json_object_get (reply->body, "baton"));
-  if (fencing_token < worker->baton)
+  if (fencing_token < worker->token)
     return reply->status;
-  worker->baton = fencing_token;
+  worker->token = fencing_token;
   size_t i;
   json_array_foreach (json_object_get (reply->body, "orders"), i, order) obey (worker, order);
   return reply->status;
 }
 
 void
-script_place (Script *script, ScriptWorker *worker, int node, const char *id)
+cluster_place (Cluster *cluster, ClusterWorker *worker, int node, const char *id)
 {
-  script_submit (script, node, id, 1);
-  for (int i = 0; i < 20 && !script_worker_has (worker, id); i++) {
-    script_run (script, 0.5);
-    script_report (script, worker, script_leader (script));
+  cluster_submit (cluster, node, id, 1);
+  for (int i = 0; i < 20 && !cluster_worker_has (worker, id); i++) {
+    cluster_run (cluster, 0.5);
+    cluster_report (cluster, worker, cluster_leader (cluster));
   }
-  if (!script_worker_has (worker, id))
+  if (!cluster_worker_has (worker, id))
     g_error ("script: %s was not placed on %s", id, worker->name);
-  script_run (script, 0.5);
-  script_report (script, worker, script_leader (script)); /* it is seen there */
-  script_run (script, 0.5);
+  cluster_run (cluster, 0.5);
+  cluster_report (cluster, worker, cluster_leader (cluster)); /* it is seen there */
+  cluster_run (cluster, 0.5);
 }
 
 void
-script_worker_ends (ScriptWorker *worker, const char *cause)
+cluster_worker_ends (ClusterWorker *worker, const char *cause)
 {
   for (guint i = 0; i < worker->tasks->len; i++) {
     json_object_set_new (worker->tasks->pdata[i], "stance", json_string ("exited"));
@@ -117,7 +117,7 @@
 }
 
 gboolean
-script_worker_has (const ScriptWorker *worker, const char *job_id)
+cluster_worker_has (const ClusterWorker *worker, const char *job_id)
 {
   g_autofree char *prefix = g_strconcat (job_id, "/", NULL);
   for (guint i = 0; i < worker->tasks->len; i++) {
--- a/tests/scripted.h
+++ b/tests/scripted_controller.h
@@ -11,7 +11,7 @@
 typedef struct {
   gboolean speaks;
   gboolean echo_stays; /* echoes the clock that it echoed last, as a late copy does */
-  HrPeerStatus hint;
+  HrPeerStatus status;
 } ScriptedMember;
 
 typedef struct {
@@ -31,7 +31,7 @@
   ScriptedMember members[SCRIPTED_MEMBERS];
   double said_at;    /* the members last spoke */
   HrPeerStatus said; /* the latest status of c0 */
-  double hint_at;    /* its time */
+  double status_at;  /* its time */
   GHashTable *on;    /* "job/task" -> attempt: what the worker has */
   guint tally, session;
   guint64 token; /* the highest that the worker has seen */
@@ -40,26 +40,27 @@
   guint watched_writes; /* of that key that c0 has tried */
   int status;           /* of the latest answer to a report or user */
   char *answer;
-} Script;
+} ScriptedController;
 
 /* The log is shown with HR_SIM_VERBOSE=1, fatal messages always. */
-void script_log_init (void);
+void scripted_log_init (void);
 /* leader: whom the leader record names; "c0" becomes the leader by itself. */
-Script *script_new (const char *leader);
-void script_free (Script *script);
+ScriptedController *scripted_new (const char *leader);
+void scripted_free (ScriptedController *controller);
 /* Time passes; c0 ticks, and members speak. */
-void script_run (Script *script, double seconds);
+void scripted_run (ScriptedController *controller, double seconds);
 /* A user asks; the status is returned. Waits at most 3 s for the answer. */
-int script_ask (Script *script, HrMethod method, const char *path, const char *body);
-void script_submit (Script *script, const char *id);
+int scripted_ask (ScriptedController *controller, HrMethod method, const char *path,
+                  const char *body);
+void scripted_submit (ScriptedController *controller, const char *id);
 /* The worker reports, and obeys the answer; its status is returned. */
-int script_report (Script *script);
+int scripted_report (ScriptedController *controller);
 /* The same again and again for so long; returns the status of the last one. */
-int script_report_for (Script *script, double seconds);
+int scripted_report_for (ScriptedController *controller, double seconds);
 /* c0 gets this status, with its own clock echoed. */
-void script_hint (Script *script, HrPeerStatus *status);
+void scripted_send_status (ScriptedController *controller, HrPeerStatus *status);
 /* Somebody else changes the state store. */
-void script_write (Script *script, const char *key, const char *value);
+void scripted_write (ScriptedController *controller, const char *key, const char *value);
 /* Somebody else cancels the job; its revision is returned. */
-guint64 script_withdraw (Script *script, const char *id);
-gboolean script_runs (const Script *script, const char *id);
+guint64 scripted_cancel_elsewhere (ScriptedController *controller, const char *id);
+gboolean scripted_runs (const ScriptedController *controller, const char *id);
--- a/tests/sim/answers.c
+++ b/tests/sim/answer_checks.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 Question *
-question_new (World *world, SJob *job)
+question_new (World *world, SimJob *job)
 {
   Question *question = g_new (Question, 1);
   *question = (Question){job, ++world->answers, world->now};
@@ -14,7 +14,7 @@
 }
 
 gboolean
-job_all_done (const SJob *job)
+job_all_done (const SimJob *job)
 {
   for (guint i = 0; i < job->tasks; i++)
     if (!job->done[i])
@@ -30,9 +30,9 @@
 
 /* Of what only one can ever be true, no controller may tell both, in whatever order. */
 static void
-check_final (World *world, const SJob *job, gboolean done, gboolean cancelled)
+check_final (World *world, const SimJob *job, gboolean done, gboolean cancelled)
 {
-  if ((done && job->heard_withdrawn) || (cancelled && job->heard_done))
+  if ((done && job->heard_cancelled) || (cancelled && job->heard_done))
     w_broken (world, "went_back", "%s is called %s, and was called %s", job->id,
               done ? "done" : "withdrawn", done ? "withdrawn" : "done");
 }
@@ -40,7 +40,7 @@
 void
 answer_check (World *world, const Question *question, int status, json_t *body)
 {
-  SJob *job = question->job;
+  SimJob *job = question->job;
   const char *state = json_string_value (json_object_get (body, "stance"));
   const char *id = json_string_value (json_object_get (body, "name_id"));
   world->answers++;
@@ -57,24 +57,24 @@
   if (cancelled && !pipeline_cancel_asked (job))
     w_broken (world, "went_back", "%s is called withdrawn, nobody asked for that", job->id);
   if ((heard_before (job->heard_done, question) && !done) ||
-      (heard_before (job->heard_withdrawn, question) && !cancelled))
+      (heard_before (job->heard_cancelled, question) && !cancelled))
     w_broken (world, "went_back", "%s is called %s", job->id, state);
   check_final (world, job, done, cancelled);
   pipeline_told (world, job, state, question->sent_at);
   if (status == 201 && heard_before (job->heard_accepted, question))
     w_broken (world, "status", "%s is accepted as new a second time", job->id);
   gboolean first = !job->heard_accepted;
-  gboolean news = first || (done && !job->heard_done) || (cancelled && !job->heard_withdrawn);
+  gboolean news = first || (done && !job->heard_done) || (cancelled && !job->heard_cancelled);
   if (first)
     job->heard_accepted = world->answers;
   if (done && !job->told_done) {
     job->heard_done = world->answers;
     job->told_done = world->now;
   }
-  if (cancelled && !job->told_withdrawn) {
-    job->heard_withdrawn = world->answers;
-    job->told_withdrawn = world->now;
-    judge_withdrawn (world, job);
+  if (cancelled && !job->told_cancelled) {
+    job->heard_cancelled = world->answers;
+    job->told_cancelled = world->now;
+    check_cancelled_job (world, job);
   }
   job->ok_at = world->now;
   if (news)
@@ -84,7 +84,7 @@
 void
 answer_unknown (World *world, const Question *question, const char *what, int status)
 {
-  SJob *job = question->job;
+  SimJob *job = question->job;
   world->answers++;
   if (heard_before (job->heard_accepted, question))
     w_broken (world, "forgotten", "%s: %s gets %d", job->id, what, status);
--- a/tests/sim/cloud.c
+++ b/tests/sim/cloud.c
@@ -10,7 +10,7 @@
 static const char *const zones[] = {"z0", "z1"};
 
 void
-machine_end (World *world, SMachine *machine)
+machine_end (World *world, SimMachine *machine)
 {
   if (machine->gone)
     return;
@@ -28,7 +28,7 @@
 }
 
 void
-machine_take (World *world, SMachine *machine)
+machine_take (World *world, SimMachine *machine)
 {
   if (machine->gone || machine->warned)
     return;
@@ -43,7 +43,7 @@
 static void
 boot (World *world, gpointer data)
 {
-  SMachine *machine = data;
+  SimMachine *machine = data;
   if (machine->gone)
     return;
   machine->up = TRUE;
@@ -51,7 +51,7 @@
 }
 
 static void
-rent (World *world, Req *request)
+rent (World *world, SimRequest *request)
 {
   json_t *object = json_loads (request->body, 0, NULL);
   const char *ask = json_string_value (json_object_get (object, "ask"));
@@ -66,7 +66,7 @@
   }
   guint live = 0;
   for (guint i = 0; i < world->machines->len; i++) {
-    SMachine *machine = world->machines->pdata[i];
+    SimMachine *machine = world->machines->pdata[i];
     live += !machine->gone && machine->spot == spot;
   }
   guint capacity = spot ? world->capacity / 3 : world->capacity;
@@ -78,7 +78,7 @@
   }
   json_t *names = json_array ();
   for (guint i = 0; i < n; i++) {
-    SMachine *machine = g_new0 (SMachine, 1);
+    SimMachine *machine = g_new0 (SimMachine, 1);
     machine->name = g_strdup_printf (
         world->long_names ? "m-%06u-of-the-eastern-render-hall" : "m-%06u", world->machines->len);
     machine->addr = world->controllers
@@ -88,10 +88,11 @@
     machine->spot = spot;
     machine->rented = world->now;
     machine->faulty = w_rand (world, 0, 1) < 0.03;
-    machine->tasks = g_array_new (FALSE, TRUE, sizeof (STask));
+    machine->tasks = g_array_new (FALSE, TRUE, sizeof (SimTask));
     machine->images = g_hash_table_new (g_direct_hash, g_direct_equal);
     double boot_s = w_rand (world, 0, 1) < 0.05 ? 1 : w_rand (world, 12, 30);
-    machine->boots = troubles_boots (world, w_rand (world, 0, 1) < 0.04 ? 1e9 : world->now + boot_s);
+    machine->boots =
+        troubles_boots (world, w_rand (world, 0, 1) < 0.04 ? 1e9 : world->now + boot_s);
     g_ptr_array_add (world->machines, machine);
     json_array_append_new (names, json_string (machine->name));
     if (machine->boots < 1e8)
@@ -105,14 +106,14 @@
 }
 
 static void
-del (World *world, Req *request)
+del (World *world, SimRequest *request)
 {
   json_t *object = json_loads (request->body, 0, NULL), *entry;
   size_t i;
   json_array_foreach (json_object_get (object, "rockhands"), i, entry)
   {
     for (guint k = 0; k < world->machines->len; k++) {
-      SMachine *machine = world->machines->pdata[k];
+      SimMachine *machine = world->machines->pdata[k];
       if (strcmp (machine->name, json_string_value (entry)) != 0)
         continue;
       /* Longer than any outage, and no record names it, or did of late: the leader's view is
@@ -132,7 +133,7 @@
 }
 
 static void
-list (World *world, Req *request)
+list (World *world, SimRequest *request)
 {
   double at = world->now - w_rand (world, 0.5, 2) * LAG;
   const char *after = strstr (request->path, "after=");
@@ -140,7 +141,7 @@
   json_t *rows = json_array ();
   gboolean more = FALSE;
   for (guint i = 0; i < world->machines->len; i++) {
-    SMachine *machine = world->machines->pdata[i];
+    SimMachine *machine = world->machines->pdata[i];
     if (machine->rented > at || (machine->gone && machine->gone_at < at) ||
         strcmp (machine->name, from) <= 0)
       continue;
@@ -161,7 +162,7 @@
 /* More calls than the cloud allows, also while it is in trouble, take away from those that matter
  * when that is over. Late copies are not the controllers' doing. */
 static void
-check_rate (World *world, const Req *request)
+check_rate (World *world, const SimRequest *request)
 {
   if (request->answered)
     return;
@@ -176,7 +177,7 @@
 }
 
 void
-cloud_request (World *world, Req *request)
+cloud_request (World *world, SimRequest *request)
 {
   check_rate (world, request);
   if (world->cloud_outage > world->now)
@@ -199,7 +200,7 @@
 static void
 machine_free (gpointer data)
 {
-  SMachine *machine = data;
+  SimMachine *machine = data;
   g_free (machine->name);
   g_free (machine->addr);
   g_array_unref (machine->tasks);
--- a/tests/sim/adopt.c
+++ b/tests/sim/external_jobs.c
@@ -32,17 +32,17 @@
   json_array_foreach (json_object_get (object, "awaits"), i, id)
   {
     guint32 index;
-    SJob *before = json_is_string (id) ? job_by_id (world, json_string_value (id), &index) : NULL;
+    SimJob *before = json_is_string (id) ? job_by_id (world, json_string_value (id), &index) : NULL;
     if (before)
       g_ptr_array_add (awaits, before);
   }
   return awaits;
 }
 
-static SJob *
+static SimJob *
 read_job (World *world, const json_t *object)
 {
-  SJob *job = g_new0 (SJob, 1);
+  SimJob *job = g_new0 (SimJob, 1);
   const char *zone = hr_json_str (object, "quarry"), *image = hr_json_str (object, "bundle");
   job->id = g_strdup (hr_json_str (object, "name_id"));
   job->shape = shape_of (hr_json_str (object, "shape"));
@@ -66,13 +66,13 @@
   return job;
 }
 
-SJob *
-job_adopt (World *world, const char *body)
+SimJob *
+external_job (World *world, const char *body)
 {
   json_t *object = json_loads (body, 0, NULL);
   const char *id = hr_json_str (object, "name_id");
   guint32 index;
-  SJob *job = id ? job_by_id (world, id, &index) : NULL;
+  SimJob *job = id ? job_by_id (world, id, &index) : NULL;
   if (!job && hr_job_id_valid (id)) {
     job = read_job (world, object);
     g_ptr_array_add (world->jobs, job);
--- a/tests/sim/meeting.c
+++ b/tests/sim/fault_scenario.c
@@ -1,5 +1,5 @@
 /* Days on which troubles meet: played, and looked at when they are over. */
-#include "sim/meeting.h"
+#include "sim/fault_scenario.h"
 #include <stdio.h>
 
 #define DAY_S 700.0 /* long enough after the last trouble for all work to end */
@@ -9,10 +9,10 @@
 check_end (World *world, const HrTrouble *day, guint n)
 {
   for (guint i = 0; i < world->jobs->len; i++) {
-    SJob *job = world->jobs->pdata[i];
+    SimJob *job = world->jobs->pdata[i];
     if (!job->accepted)
       w_broken (world, "liveness", "%s was never accepted", job->id);
-    else if (job->asked_cancel && !job->told_withdrawn && !job->told_done)
+    else if (job->asked_cancel && !job->told_cancelled && !job->told_done)
       w_broken (world, "liveness", "%s was not withdrawn", job->id);
     else if (!job->asked_cancel && job->shape != HR_SERVICE && !job->told_done)
       w_broken (world, "liveness", "%s (%d, %u tasks) is not done", job->id, job->shape,
@@ -26,7 +26,7 @@
 }
 
 guint
-meeting_play (guint32 seed, const MeetingSetting *settings, const HrTrouble *day, guint n)
+fault_scenario_play (guint32 seed, const FaultScenario *settings, const HrTrouble *day, guint n)
 {
   World *world = world_new (seed, seed % 3 == 2 ? 5 : 3);
   world->quota_gpus = settings->quota_gpus;
@@ -41,16 +41,16 @@
   troubles_plan (world, day, n);
   world_run (world, settings->until > 0 ? settings->until : DAY_S);
   check_end (world, day, n);
-  if (settings->started_withdrawn && world->started_withdrawn > settings->started_withdrawn)
+  if (settings->started_cancelled && world->started_cancelled > settings->started_cancelled)
     w_broken (world, "started_withdrawn", "%u tasks start after a confirmed cancellation",
-              world->started_withdrawn);
+              world->started_cancelled);
   guint broken = world->broken->len;
   for (guint i = 0; i < MIN (broken, 12); i++)
     fprintf (stderr, "seed %u: %s\n", seed, (char *)world->broken->pdata[i]);
   if (g_getenv ("HR_SIM_VERBOSE"))
     fprintf (stderr,
              "seed %u: %u jobs, %u starts, %u of cancelled jobs, epoch %" G_GUINT64_FORMAT "\n",
-             seed, world->jobs->len, world->starts, world->started_withdrawn, world->epoch);
+             seed, world->jobs->len, world->starts, world->started_cancelled, world->epoch);
   world_free (world);
   return broken;
 }
--- a/tests/sim/meeting.h
+++ b/tests/sim/fault_scenario.h
@@ -7,11 +7,12 @@
   void (*users) (World *world); /* their jobs; NULL: forty of all shapes within five minutes */
   double quota_gpus;            /* the limit of the only team */
   guint capacity;               /* machines that the cloud has; a third as many spot machines */
-  guint started_withdrawn; /* starts after a confirmed cancellation: more are a fault; 0: any */
+  guint started_cancelled; /* starts after a confirmed cancellation: more are a fault; 0: any */
   double until;            /* the day's end; 0: 700, long enough for all work to end */
-} MeetingSetting;
+} FaultScenario;
 
 /* Plays the day with this seed: three controllers, or five. Every rule is asserted at every event;
  * in the end all work is done, and each trouble took effect on something. What broke is printed.
  * Returns how often a rule broke. */
-guint meeting_play (guint32 seed, const MeetingSetting *settings, const HrTrouble *day, guint n);
+guint fault_scenario_play (guint32 seed, const FaultScenario *settings, const HrTrouble *day,
+                           guint n);
--- a/tests/sim/faults.c
+++ b/tests/sim/faults.c
@@ -25,7 +25,7 @@
 {
   int i = g_rand_int_range (world->rand, 0, world->n);
   Node *n = &world->nodes[i];
-  SMachine *machine =
+  SimMachine *machine =
       world->machines->len
           ? world->machines->pdata[g_rand_int_range (world->rand, 0, world->machines->len)]
           : NULL;
@@ -75,7 +75,7 @@
     break;
   case 10:
     for (guint k = 0; k < world->machines->len; k++)
-      if (((SMachine *)world->machines->pdata[k])->spot && w_rand (world, 0, 1) < 0.5)
+      if (((SimMachine *)world->machines->pdata[k])->spot && w_rand (world, 0, 1) < 0.5)
         machine_take (world, world->machines->pdata[k]);
     break;
   case 11:
@@ -89,7 +89,7 @@
   case 13:
   case 14: /* several, so that it looks like a trouble of the controller's */
     for (guint k = 0; k < world->machines->len; k++) {
-      SMachine *other = world->machines->pdata[k];
+      SimMachine *other = world->machines->pdata[k];
       if (other == machine || (kind == 14 && w_rand (world, 0, 1) < 0.3))
         other->deaf = world->now + d;
     }
@@ -122,9 +122,9 @@
 freeze (World *world, gpointer data)
 {
   Freeze *freeze_row = data;
-  int owner = MAX (0, store_owner (world));
+  int owner = MAX (0, store_leader (world));
   for (int k = 0; k < world->n; k++)
-    if (freeze_row->who == FREEZE_ALL || (freeze_row->who == FREEZE_OWNER) == (k == owner))
+    if (freeze_row->who == FREEZE_ALL || (freeze_row->who == FREEZE_LEADER) == (k == owner))
       node_freeze (world, k, freeze_row->for_s);
   g_free (freeze_row);
 }
@@ -142,7 +142,7 @@
 static void
 still_there (World *world, gpointer data)
 {
-  SMachine *machine = data;
+  SimMachine *machine = data;
   if (!machine->gone)
     w_broken (world, "deaf", "%s hears nothing and is kept", machine->name);
 }
@@ -150,9 +150,9 @@
 static void
 deafen (World *world, gpointer data G_GNUC_UNUSED)
 {
-  SMachine *machine = NULL;
+  SimMachine *machine = NULL;
   for (guint i = 0; i < world->machines->len; i++) {
-    SMachine *other = world->machines->pdata[i];
+    SimMachine *other = world->machines->pdata[i];
     if (other->up && !other->gone && !other->warned &&
         (!machine || other->tasks->len > machine->tasks->len))
       machine = other;
@@ -164,7 +164,7 @@
 }
 
 void
-faults_deaf (World *world, double at)
+faults_inbound_cut (World *world, double at)
 {
   w_at (world, at, deafen, NULL);
 }
@@ -172,12 +172,12 @@
 /* Of the machines marked for it when a trouble began: how many there are, and for how many it is
  * so. */
 guint
-fault_marked (World *world, gboolean (*is_so) (const SMachine *), guint *all)
+fault_marked (World *world, gboolean (*is_so) (const SimMachine *), guint *all)
 {
   guint n = 0;
   *all = 0;
   for (guint i = 0; i < world->machines->len; i++) {
-    const SMachine *machine = world->machines->pdata[i];
+    const SimMachine *machine = world->machines->pdata[i];
     *all += machine->through_cut;
     n += machine->through_cut && is_so (machine);
   }
@@ -185,7 +185,7 @@
 }
 
 static gboolean
-is_gone (const SMachine *machine)
+is_gone (const SimMachine *machine)
 {
   return machine->gone;
 }
@@ -204,7 +204,7 @@
 cut_ends (World *world, gpointer data G_GNUC_UNUSED)
 {
   for (guint i = 0; i < world->machines->len; i++) {
-    SMachine *machine = world->machines->pdata[i];
+    SimMachine *machine = world->machines->pdata[i];
     machine->through_cut =
         machine->up && !machine->gone && machine->tasks->len == 0 && machine->tenure > 1;
   }
--- a/tests/sim/faults.h
+++ b/tests/sim/faults.h
@@ -10,4 +10,4 @@
 void fault_store_away (World *world, int node);
 /* Of the machines marked for it when a trouble began: how many there are, and for how many it is
  * so. */
-guint fault_marked (World *world, gboolean (*is_so) (const SMachine *), guint *all);
+guint fault_marked (World *world, gboolean (*is_so) (const SimMachine *), guint *all);
--- a/tests/sim/faults_fleet.c
+++ b/tests/sim/faults_fleet.c
@@ -2,7 +2,7 @@
 #include "sim/faults.h"
 
 static gboolean
-is_kept (const SMachine *machine)
+is_kept (const SimMachine *machine)
 {
   return !machine->asked_gone;
 }
@@ -21,10 +21,10 @@
 static void
 half_gone (World *world, gpointer data G_GNUC_UNUSED)
 {
-  int owner = store_owner (world);
+  int owner = store_leader (world);
   guint n = 0;
   for (guint i = 0; i < world->machines->len; i++) {
-    SMachine *machine = world->machines->pdata[i];
+    SimMachine *machine = world->machines->pdata[i];
     machine->through_cut = machine->up && !machine->gone && machine->tasks->len && n++ % 2;
     if (machine->through_cut)
       machine_end (world, machine);
@@ -41,9 +41,9 @@
 }
 
 static void
-owner_ends (World *world, gpointer data G_GNUC_UNUSED)
+leader_ends (World *world, gpointer data G_GNUC_UNUSED)
 {
-  int owner = store_owner (world);
+  int owner = store_leader (world);
   if (owner >= 0)
     fault_crash (world, owner);
 }
@@ -63,9 +63,9 @@
 }
 
 static void
-two_owners (World *world, gpointer data G_GNUC_UNUSED)
+two_leaders (World *world, gpointer data G_GNUC_UNUSED)
 {
-  int owner = store_owner (world);
+  int owner = store_leader (world);
   if (owner < 0)
     return;
   Node *n = &world->nodes[owner];
@@ -76,23 +76,23 @@
 }
 
 void
-faults_two_owners (World *world, double at)
+faults_two_leaders (World *world, double at)
 {
-  w_at (world, at, two_owners, NULL);
+  w_at (world, at, two_leaders, NULL);
 }
 
 static void
-tear (World *world, gpointer data G_GNUC_UNUSED)
+corrupt_pages (World *world, gpointer data G_GNUC_UNUSED)
 {
   all_end (world, NULL);
-  if (!store_tear (world))
+  if (!store_corrupt_pages (world))
     w_broken (world, "unreadable", "no page is there");
 }
 
 void
 faults_unreadable_pages (World *world, double at)
 {
-  w_at (world, at, tear, NULL);
+  w_at (world, at, corrupt_pages, NULL);
 }
 
 static void
@@ -100,7 +100,7 @@
 {
   guint n = 0, dead = 0, hung = 0;
   for (guint i = 0; i < world->machines->len; i++) {
-    SMachine *machine = world->machines->pdata[i];
+    SimMachine *machine = world->machines->pdata[i];
     if (!machine->up || machine->gone)
       continue;
     n++;
@@ -118,10 +118,10 @@
 faults_mass (World *world, double at)
 {
   w_at (world, at, mass, NULL);
-  w_at (world, at + 4, owner_ends, NULL);
+  w_at (world, at + 4, leader_ends, NULL);
   w_at (world, at + 80, all_end, NULL);
   w_at (world, at + 130, all_end, NULL);
-  faults_freeze (world, at + 170, FREEZE_OWNER, 20);
+  faults_freeze (world, at + 170, FREEZE_LEADER, 20);
 }
 
 static void
@@ -129,14 +129,14 @@
 {
   double *to = data;
   for (guint i = 0; world->jobs && i < world->jobs->len; i++) {
-    SJob *job = world->jobs->pdata[i];
-    SMachine *last = NULL;
+    SimJob *job = world->jobs->pdata[i];
+    SimMachine *last = NULL;
     guint here = 0;
     for (guint k = 0; k < world->machines->len; k++) {
-      SMachine *machine = world->machines->pdata[k];
+      SimMachine *machine = world->machines->pdata[k];
       for (guint n = 0; !machine->gone && n < machine->tasks->len; n++) {
-        STask *task = &g_array_index (machine->tasks, STask, n);
-        if (task->job == i && task->state == S_FETCH) {
+        SimTask *task = &g_array_index (machine->tasks, SimTask, n);
+        if (task->job == i && task->state == SIM_TASK_FETCH) {
           here++;
           last = machine;
         }
@@ -160,13 +160,13 @@
 }
 
 void
-faults_owner_ends (World *world, double at)
+faults_leader_ends (World *world, double at)
 {
-  w_at (world, at, owner_ends, NULL);
+  w_at (world, at, leader_ends, NULL);
 }
 
 static void
-change_owner (World *world, gpointer data G_GNUC_UNUSED)
+change_leader (World *world, gpointer data G_GNUC_UNUSED)
 {
   /* Whoever leads: all but one go, one after the other, so that a node that knows
    * nothing leads next. */
@@ -174,7 +174,7 @@
   for (int k = 0; k < world->n - 1; k++)
     fault_crash (world, (i + k) % world->n);
   for (guint k = 0; k < world->machines->len; k++) {
-    SMachine *machine = world->machines->pdata[k];
+    SimMachine *machine = world->machines->pdata[k];
     if (machine->up && !machine->gone && w_rand (world, 0, 1) < 0.2)
       machine_end (world, machine);
   }
@@ -183,7 +183,7 @@
 static void
 changes_gone (World *world, gpointer data G_GNUC_UNUSED)
 {
-  int owner = store_owner (world);
+  int owner = store_leader (world);
   if (owner >= 0)
     world->nodes[owner].too_old = world->epoch;
 }
@@ -196,8 +196,8 @@
 }
 
 void
-faults_owners (World *world, double from, double to)
+faults_leaders (World *world, double from, double to)
 {
   for (double until = from; until < to; until += 35)
-    w_at (world, until, change_owner, NULL);
+    w_at (world, until, change_leader, NULL);
 }
--- a/tests/sim/faults_members.c
+++ b/tests/sim/faults_members.c
@@ -2,7 +2,7 @@
 #include "sim/faults.h"
 
 static gboolean
-is_lost (const SMachine *machine)
+is_lost (const SimMachine *machine)
 {
   return machine->gone || machine->tenure > 1;
 }
@@ -16,7 +16,7 @@
 {
   guint up = 0, lost = 0;
   for (guint i = 0; i < world->machines->len; i++) {
-    SMachine *machine = world->machines->pdata[i];
+    SimMachine *machine = world->machines->pdata[i];
     up += machine->through_cut && !machine->gone;
     lost += machine->through_cut && !machine->gone && machine->tenure > 1;
   }
@@ -37,7 +37,7 @@
 watch_leases (World *world)
 {
   for (guint i = 0; i < world->machines->len; i++) {
-    SMachine *machine = world->machines->pdata[i];
+    SimMachine *machine = world->machines->pdata[i];
     machine->through_cut = machine->up && !machine->gone && !machine->spot && machine->tenure == 1;
   }
   w_at (world, world->now + CUT_ALL_S - 2, still_held, NULL);
@@ -69,38 +69,38 @@
       fault_store_away (world, k);
   if (GPOINTER_TO_INT (data) >= MAX_NODES)
     fault_stumble (world, GINT_TO_POINTER (other));
-  else if (world->nodes[store_owner (world)].frozen <=
+  else if (world->nodes[store_leader (world)].frozen <=
            world->now) /* else that costs leases by itself */
     watch_leases (world);
 }
 
 static void
-missed_withdrawal (World *world, gpointer data)
+missed_cancellation (World *world, gpointer data)
 {
-  int owner = store_owner (world);
+  int owner = store_leader (world);
   if (owner < 0)
     return;
   int other = (owner + 1) % world->n;
   for (int k = 0; k < world->n; k++)
     if (k != other)
       fault_store_away (world, k);
-  users_withdraw_at (world, other);
+  users_cancel_service_at (world, other);
   w_at (world, world->now + 0.8, others_away, GINT_TO_POINTER (other + (data ? MAX_NODES : 0)));
 }
 
 void
-faults_missed_withdrawal (World *world, double at, gboolean restart)
+faults_missed_cancellation (World *world, double at, gboolean restart)
 {
-  w_at (world, at, missed_withdrawal, GINT_TO_POINTER (restart));
+  w_at (world, at, missed_cancellation, GINT_TO_POINTER (restart));
 }
 
 static void
-withdraw_elsewhere (World *world, gpointer data G_GNUC_UNUSED)
+cancel_elsewhere (World *world, gpointer data G_GNUC_UNUSED)
 {
-  int owner = store_owner (world);
+  int owner = store_leader (world);
   for (int k = 0; k < world->n; k++)
     if (k != owner)
-      users_withdraw_at (world, k);
+      users_cancel_service_at (world, k);
 }
 
 static void
@@ -111,21 +111,21 @@
 }
 
 static void
-withdrawal_gap (World *world, gpointer data G_GNUC_UNUSED)
+cancellation_gap (World *world, gpointer data G_GNUC_UNUSED)
 {
-  int owner = store_owner (world);
+  int owner = store_leader (world);
   if (owner < 0)
     return;
   world->nodes[owner].refused = world->now + 14;
   for (double until = 0.3; until < 1.5; until += 0.4)
-    w_at (world, world->now + until, withdraw_elsewhere, NULL);
+    w_at (world, world->now + until, cancel_elsewhere, NULL);
   w_at (world, world->now + 2, outage_for_all, NULL);
 }
 
 void
-faults_withdrawal_gap (World *world, double at)
+faults_cancellation_gap (World *world, double at)
 {
-  w_at (world, at, withdrawal_gap, NULL);
+  w_at (world, at, cancellation_gap, NULL);
 }
 
 /* Nothing that runs may be given away because its reports do not reach the leader. */
@@ -139,15 +139,15 @@
 }
 
 static void
-owner_unreached (World *world, gpointer data)
+leader_unreached (World *world, gpointer data)
 {
-  int owner = store_owner (world);
+  int owner = store_leader (world);
   if (owner < 0)
     return;
   world->nodes[owner].cut_workers = world->now + 40;
   world->nodes[owner].hold = data != NULL;
   for (guint i = 0; i < world->machines->len; i++) {
-    SMachine *machine = world->machines->pdata[i];
+    SimMachine *machine = world->machines->pdata[i];
     machine->through_cut =
         machine->up && !machine->gone && machine->tenure == 1 && machine->tasks->len;
   }
@@ -155,7 +155,7 @@
 }
 
 void
-faults_owner_unreached (World *world, double at, gboolean hold)
+faults_leader_unreached (World *world, double at, gboolean hold)
 {
-  w_at (world, at, owner_unreached, GINT_TO_POINTER (hold));
+  w_at (world, at, leader_unreached, GINT_TO_POINTER (hold));
 }
--- a/tests/sim/judge.c
+++ b/tests/sim/invariant_checks.c
@@ -13,17 +13,17 @@
 /* ---- a team's limit ---- */
 
 void
-judge_quota (World *world, double starting_gpus)
+check_quota (World *world, double starting_gpus)
 {
   double gpus = starting_gpus;
   if (world->quota_gpus <= 0)
     return;
   g_autoptr (GString) who = g_string_new (NULL);
   for (guint i = 0; i < world->machines->len; i++) {
-    SMachine *machine = world->machines->pdata[i];
+    SimMachine *machine = world->machines->pdata[i];
     for (guint k = 0; !machine->gone && k < machine->tasks->len; k++) {
-      STask *task = &g_array_index (machine->tasks, STask, k);
-      SJob *job = world->jobs->pdata[task->job];
+      SimTask *task = &g_array_index (machine->tasks, SimTask, k);
+      SimJob *job = world->jobs->pdata[task->job];
       if (!task->on || job->team)
         continue;
       gpus += job->gpus;
@@ -39,11 +39,11 @@
 static void
 time_is_over (World *world, gpointer data)
 {
-  SJob *job = data;
+  SimJob *job = data;
   for (guint i = 0; i < world->machines->len; i++) {
-    SMachine *machine = world->machines->pdata[i];
+    SimMachine *machine = world->machines->pdata[i];
     for (guint k = 0; !machine->gone && k < machine->tasks->len; k++) {
-      STask *task = &g_array_index (machine->tasks, STask, k);
+      SimTask *task = &g_array_index (machine->tasks, SimTask, k);
       if (task->on && world->jobs->pdata[task->job] == job)
         w_broken (world, "ran_cancelled", "%s/%u is on %s when its time is over", job->id,
                   task->task, machine->name);
@@ -52,7 +52,7 @@
 }
 
 void
-judge_withdrawn (World *world, SJob *job)
+check_cancelled_job (World *world, SimJob *job)
 {
   w_at (world, world->now + world->cancel_s + JUST_AFTER, time_is_over, job);
 }
@@ -61,7 +61,7 @@
 check_launch (World *world, int node, guint64 known, const char *piece)
 {
   g_autofree char *id = g_strndup (piece, strcspn (piece, "/"));
-  const guint64 *store_revision = g_hash_table_lookup (world->withdrawn, id);
+  const guint64 *store_revision = g_hash_table_lookup (world->cancelled_jobs, id);
   if (store_revision && *store_revision <= known)
     w_broken (world, "launch_withdrawn",
               "c%d launches %s, of whose withdrawal it read before (%" G_GUINT64_FORMAT ")", node,
@@ -69,7 +69,7 @@
 }
 
 void
-judge_launches (World *world, int node, guint64 known, const GPtrArray *effects)
+check_launches (World *world, int node, guint64 known, const GPtrArray *effects)
 {
   for (guint i = 0; i < effects->len; i++) {
     const HrEffect *effect = effects->pdata[i];
@@ -93,13 +93,13 @@
 } Room;
 
 static Room
-room_on (World *world, const SMachine *machine)
+room_on (World *world, const SimMachine *machine)
 {
   Room room = {MACHINE_CPUS, MACHINE_GPUS, MACHINE_MEM};
   for (guint k = 0; k < machine->tasks->len; k++) {
-    const STask *task = &g_array_index (machine->tasks, STask, k);
-    const SJob *job = world->jobs->pdata[task->job];
-    if (task->state == S_EXIT)
+    const SimTask *task = &g_array_index (machine->tasks, SimTask, k);
+    const SimJob *job = world->jobs->pdata[task->job];
+    if (task->state == SIM_TASK_EXIT)
       continue;
     room.cpus -= job->cpus;
     room.gpus -= job->gpus;
@@ -110,7 +110,7 @@
 
 /* How many tasks of the job find room there. */
 static guint
-fitting (World *world, const SJob *job, const SMachine *machine)
+fitting (World *world, const SimJob *job, const SimMachine *machine)
 {
   if (!machine->up || machine->gone || machine->warned || machine->faulty ||
       (machine->spot && !job->spot) || (job->zone && machine->zone + 1 != job->zone))
@@ -130,14 +130,14 @@
 } Placed;
 
 static Placed
-placed_tasks (World *world, const SJob *job)
+placed_tasks (World *world, const SimJob *job)
 {
   Placed placed = {0};
   for (guint i = 0; i < world->machines->len; i++) {
-    const SMachine *machine = world->machines->pdata[i];
+    const SimMachine *machine = world->machines->pdata[i];
     for (guint k = 0; !machine->gone && k < machine->tasks->len; k++) {
-      const STask *task = &g_array_index (machine->tasks, STask, k);
-      if (world->jobs->pdata[task->job] == job && task->state != S_EXIT) {
+      const SimTask *task = &g_array_index (machine->tasks, SimTask, k);
+      if (world->jobs->pdata[task->job] == job && task->state != SIM_TASK_EXIT) {
         placed.placed++;
         placed.here[machine->zone]++;
       }
@@ -153,11 +153,11 @@
 {
   double gpus = 0;
   for (guint i = 0; i < world->machines->len; i++) {
-    const SMachine *machine = world->machines->pdata[i];
+    const SimMachine *machine = world->machines->pdata[i];
     for (guint k = 0; !machine->gone && k < machine->tasks->len; k++) {
-      const STask *task = &g_array_index (machine->tasks, STask, k);
-      const SJob *job = world->jobs->pdata[task->job];
-      if (task->state != S_EXIT && !job->team)
+      const SimTask *task = &g_array_index (machine->tasks, SimTask, k);
+      const SimJob *job = world->jobs->pdata[task->job];
+      if (task->state != SIM_TASK_EXIT && !job->team)
         gpus += job->gpus;
     }
   }
@@ -167,7 +167,7 @@
 /* Tasks of the job wait, and there is room for one of them, or for the whole gang. beside: a
  * machine of that room. */
 static gboolean
-waits_beside_room (World *world, const SJob *job, const SMachine **beside)
+waits_beside_room (World *world, const SimJob *job, const SimMachine **beside)
 {
   Placed placed = placed_tasks (world, job);
   guint needed = job->shape == HR_GANG ? job->tasks : 1, fit[2] = {0};
@@ -177,7 +177,7 @@
       team_gpus (world) + needed * job->gpus > world->quota_gpus + 1e-6)
     return FALSE;
   for (guint i = 0; i < world->machines->len; i++) {
-    const SMachine *machine = world->machines->pdata[i];
+    const SimMachine *machine = world->machines->pdata[i];
     guint n = !job->spread || placed.here[machine->zone] + 1 <= (job->tasks + 1) / 2
                   ? fitting (world, job, machine)
                   : 0;
@@ -189,7 +189,7 @@
 }
 
 void
-judge_waits (World *world)
+check_waiting_jobs (World *world)
 {
   if (world_troubled (world)) {
     world->quiet_at = 0;
@@ -198,8 +198,8 @@
   if (!world->quiet_at)
     world->quiet_at = world->now;
   for (guint i = 0; i < world->jobs->len; i++) {
-    SJob *job = world->jobs->pdata[i];
-    const SMachine *beside = NULL;
+    SimJob *job = world->jobs->pdata[i];
+    const SimMachine *beside = NULL;
     gboolean waits = job->accepted && !job->asked_cancel && !job->broken && !job->told_done &&
                      pipeline_ready (job) && waits_beside_room (world, job, &beside);
     if (!waits)
@@ -217,32 +217,32 @@
 /* ---- starts, and every half second ---- */
 
 void
-judge_start (World *world, SMachine *machine, STask *task)
+check_task_start (World *world, SimMachine *machine, SimTask *task)
 {
-  SJob *job = world->jobs->pdata[task->job];
+  SimJob *job = world->jobs->pdata[task->job];
   guint here = 0;
   world->starts++;
   pipeline_start (world, job, task->task);
   job->started = world->now;
   if (!job->first && job->shape != HR_GANG) /* a gang begins when all its tasks run */
     job->first = world->now;
-  if (job->heard_withdrawn) {
-    world->started_withdrawn++;
+  if (job->heard_cancelled) {
+    world->started_cancelled++;
     g_debug ("%s/%u starts on %s %.3f s after its user heard that it is withdrawn", job->id,
-             task->task, machine->name, world->now - job->told_withdrawn);
+             task->task, machine->name, world->now - job->told_cancelled);
   }
-  if (job->told_withdrawn && world->now > job->told_withdrawn + world->cancel_s)
+  if (job->told_cancelled && world->now > job->told_cancelled + world->cancel_s)
     w_broken (world, "ran_cancelled", "%s/%u starts on %s", job->id, task->task, machine->name);
   if (machine->spot && !job->spot)
     w_broken (world, "wrong_place", "%s/%u starts on a spot machine", job->id, task->task);
   if (job->zone && machine->zone + 1 != job->zone)
     w_broken (world, "wrong_place", "%s/%u starts outside the zone it is bound to", job->id,
               task->task);
-  judge_quota (world, job->gpus);
+  check_quota (world, job->gpus);
   for (guint i = 0; i < world->machines->len; i++) {
-    SMachine *other_row = world->machines->pdata[i];
+    SimMachine *other_row = world->machines->pdata[i];
     for (guint k = 0; !other_row->gone && k < other_row->tasks->len; k++) {
-      STask *other = &g_array_index (other_row->tasks, STask, k);
+      SimTask *other = &g_array_index (other_row->tasks, SimTask, k);
       if (other == task || !other->on || other->job != task->job)
         continue;
       if (other->task == task->task)
@@ -263,7 +263,7 @@
 judge_forgotten (World *world)
 {
   for (guint i = 0; i < world->jobs->len; i++) {
-    SJob *job = world->jobs->pdata[i];
+    SimJob *job = world->jobs->pdata[i];
     if (job->accepted && !job->forgotten && world->now - MAX (job->ok_at, world->calm_at) > 75) {
       job->forgotten = TRUE;
       w_broken (world, "forgotten", "no question about %s is answered", job->id);
@@ -272,18 +272,18 @@
 }
 
 void
-judge_tick (World *world)
+check_periodically (World *world)
 {
   if (world->calm)
     judge_forgotten (world);
-  judge_quota (world, 0);
-  judge_waits (world);
+  check_quota (world, 0);
+  check_waiting_jobs (world);
   for (guint i = 0; i < world->machines->len; i++) {
-    SMachine *machine = world->machines->pdata[i];
+    SimMachine *machine = world->machines->pdata[i];
     for (guint k = 0; !machine->gone && k < machine->tasks->len; k++) {
-      STask *task = &g_array_index (machine->tasks, STask, k);
-      SJob *job = world->jobs->pdata[task->job];
-      if (task->on && job->told_withdrawn && world->now > job->told_withdrawn + world->cancel_s)
+      SimTask *task = &g_array_index (machine->tasks, SimTask, k);
+      SimJob *job = world->jobs->pdata[task->job];
+      if (task->on && job->told_cancelled && world->now > job->told_cancelled + world->cancel_s)
         w_broken (world, "ran_cancelled", "%s/%u is still on %s", job->id, task->task,
                   machine->name);
       pipeline_on_machine (world, job, task->task);
--- a/tests/sim/limits.c
+++ b/tests/sim/limits.c
@@ -5,7 +5,7 @@
 submit_planned (World *world, gpointer data)
 {
   const HrLimitJob *plan = data;
-  SJob *job = job_new (world);
+  SimJob *job = job_new (world);
   job->shape = plan->shape;
   job->tasks = plan->tasks;
   job->cpus = plan->shape == HR_GANG ? 10 : 4;
@@ -52,7 +52,7 @@
   w_at (world, from, stream_gang, stream);
 }
 
-SJob *
+SimJob *
 limits_job (World *world, guint n)
 {
   g_assert (n < world->jobs->len);
--- a/tests/sim/limits.h
+++ b/tests/sim/limits.h
@@ -19,4 +19,4 @@
 /* Gangs of one task, each gap_s after the one before. */
 void limits_stream (World *world, double from, double to, double gap_s, double run_s);
 /* The nth job of the plan, as submitted. */
-SJob *limits_job (World *world, guint n);
+SimJob *limits_job (World *world, guint n);
--- a/tests/sim/odd.c
+++ b/tests/sim/malformed_requests.c
@@ -21,12 +21,12 @@
   int expected;
   char *path, *body;
   guint tries;
-  SJob *job; /* a job that it is about; NULL: none */
+  SimJob *job; /* a job that it is about; NULL: none */
   Question *question;
-} Odd;
+} WrongValue;
 
 static void
-odd_free (Odd *odd)
+odd_free (WrongValue *odd)
 {
   g_free (odd->mark);
   g_free (odd->what);
@@ -39,7 +39,7 @@
 static void
 not_recorded (World *world, gpointer data)
 {
-  Odd *odd = data;
+  WrongValue *odd = data;
   if (odd->mark && store_names (world, odd->mark))
     w_broken (world, "recorded", "%s, of a request that gets %d: %s", odd->mark, odd->expected,
               odd->what);
@@ -47,7 +47,7 @@
 }
 
 static void
-check_body (World *world, const Odd *odd, json_t *body)
+check_body (World *world, const WrongValue *odd, json_t *body)
 {
   if (odd->expected >= 400 && !json_string_length (json_object_get (body, "error")))
     w_broken (world, "odd", "%s: an answer of %d without an error text", odd->what, odd->expected);
@@ -64,7 +64,7 @@
 static void
 on_odd (World *world, int status, json_t *body, gpointer data)
 {
-  Odd *odd = data;
+  WrongValue *odd = data;
   gboolean undecided = status == 0 || status == 503 || status == 429;
   gboolean names_none = odd->expected == 400 && !odd->mark;
   if (undecided && (status == 0 || !names_none) && odd->tries < MOST_TRIES) {
@@ -84,10 +84,10 @@
   w_at (world, world->now + RECORDED_AFTER_S, not_recorded, odd);
 }
 
-static Odd *
+static WrongValue *
 odd_new (const char *mark, const char *what, int expected)
 {
-  Odd *odd = g_new0 (Odd, 1);
+  WrongValue *odd = g_new0 (WrongValue, 1);
   odd->mark = g_strdup (mark);
   odd->what = g_strdup (what);
   odd->expected = expected;
@@ -96,7 +96,7 @@
 
 /* Takes the body. */
 static void
-post (World *world, Odd *odd, int node, const char *path, char *body)
+post (World *world, WrongValue *odd, int node, const char *path, char *body)
 {
   odd->path = g_strdup (path);
   odd->body = body;
@@ -106,7 +106,7 @@
 static void
 ask_again (World *world, gpointer data)
 {
-  Odd *odd = data;
+  WrongValue *odd = data;
   odd->tries++;
   if (odd->question) { /* what has been told meanwhile counts for this answer too */
     g_free (odd->question);
@@ -224,21 +224,22 @@
 static void
 final_jobs (World *world)
 {
-  SJob *chosen[2] = {NULL, NULL};
+  SimJob *chosen[2] = {NULL, NULL};
   for (guint i = 0, seen[2] = {0}; i < world->jobs->len; i++) {
-    SJob *job = world->jobs->pdata[i];
-    if (!job->told_done && !job->told_withdrawn)
+    SimJob *job = world->jobs->pdata[i];
+    if (!job->told_done && !job->told_cancelled)
       continue;
-    int k = job->told_withdrawn > 0;
+    int k = job->told_cancelled > 0;
     if (g_rand_int_range (world->troubles.rand, 0, ++seen[k]) == 0)
       chosen[k] = job;
   }
   for (int k = 0; k < 2; k++) {
-    SJob *job = chosen[k];
+    SimJob *job = chosen[k];
     if (!job)
       continue;
     g_autofree char *path = g_strconcat ("/v1/jobs/", job->id, "/abort", NULL);
-    Odd *odd = odd_new (NULL, k ? "a second cancellation" : "a cancellation of a done job", 200);
+    WrongValue *odd =
+        odd_new (NULL, k ? "a second cancellation" : "a cancellation of a done job", 200);
     odd->job = job;
     odd->question = question_new (world, job);
     post (world, odd, any_node (world), path, NULL);
@@ -248,7 +249,7 @@
 typedef enum { CONTENT_SMALLER, CONTENT_NO_TEAM, CONTENT_NO_MACHINE, CONTENTS } Content;
 
 static char *
-other_content (const SJob *job, Content content, const char *mark)
+other_content (const SimJob *job, Content content, const char *mark)
 {
   json_t *object = json_loads (job->body, 0, NULL);
   g_autofree char *image = g_strconcat ("img-", mark, NULL);
@@ -263,7 +264,7 @@
 }
 
 typedef struct {
-  SJob *job;
+  SimJob *job;
   int node;
   Content content;
 } Repeat;
@@ -277,7 +278,7 @@
   g_autofree char *mark = g_strdup_printf ("job-odd-%u", ++world->troubles.odd_requests);
   g_autofree char *what =
       g_strdup_printf ("a repeated submission with other content (%s)", names[repeat_row->content]);
-  Odd *odd = odd_new (mark, what, 200);
+  WrongValue *odd = odd_new (mark, what, 200);
   odd->job = repeat_row->job;
   odd->question = question_new (world, repeat_row->job);
   post (world, odd, repeat_row->node, "/v1/jobs",
@@ -285,7 +286,7 @@
 }
 
 static void
-plan_repeat (World *world, SJob *job, int node)
+plan_repeat (World *world, SimJob *job, int node)
 {
   Repeat *repeat_row = g_new (Repeat, 1);
   *repeat_row = (Repeat){job, node, g_rand_int_range (world->troubles.rand, 0, CONTENTS)};
@@ -293,7 +294,7 @@
 }
 
 void
-odd_repeat (World *world, SJob *job)
+malformed_requests_repeat (World *world, SimJob *job)
 {
   for (int node = 0; node < world->n; node++)
     plan_repeat (world, job, node);
@@ -302,10 +303,10 @@
 static void
 unfinished_jobs (World *world)
 {
-  SJob *chosen = NULL;
+  SimJob *chosen = NULL;
   for (guint i = 0, seen = 0; i < world->jobs->len; i++) {
-    SJob *job = world->jobs->pdata[i];
-    if (job->accepted && !job->told_done && !job->told_withdrawn &&
+    SimJob *job = world->jobs->pdata[i];
+    if (job->accepted && !job->told_done && !job->told_cancelled &&
         g_rand_int_range (world->troubles.rand, 0, ++seen) == 0)
       chosen = job;
   }
@@ -329,7 +330,7 @@
 }
 
 void
-odd_begin (World *world)
+malformed_requests_begin (World *world)
 {
   odd_round (world, NULL);
 }
--- a/tests/sim/messages.c
+++ b/tests/sim/messages.c
@@ -12,7 +12,7 @@
 }
 
 void
-req_unref (Req *request)
+req_unref (SimRequest *request)
 {
   if (--request->refs)
     return;
@@ -25,14 +25,14 @@
 /* ---- answers ---- */
 
 typedef struct {
-  Req *r;
+  SimRequest *r;
   int status;
   char *body;
 } Answer;
 
 /* The state service answered this node; has it read what others decided? */
 static void
-served (World *world, const Req *request, const char *body)
+served (World *world, const SimRequest *request, const char *body)
 {
   Node *n = &world->nodes[request->node];
   n->store_at = world->now;
@@ -52,7 +52,7 @@
 deliver_answer (World *world, gpointer data)
 {
   Answer *answer = data;
-  Req *request = answer->r;
+  SimRequest *request = answer->r;
   if (!request->answered) {
     request->answered = TRUE;
     if (request->node >= 0) {
@@ -80,11 +80,11 @@
   g_free (answer);
 }
 
-static SMachine *
+static SimMachine *
 machine_at (World *world, const char *addr)
 {
   for (guint i = 0; i < world->machines->len; i++) {
-    SMachine *machine = world->machines->pdata[i];
+    SimMachine *machine = world->machines->pdata[i];
     if (strcmp (machine->addr, addr) == 0)
       return machine;
   }
@@ -93,15 +93,15 @@
 
 /* Until when the way between a controller and what it talks to is cut. */
 static double
-cut_until (World *world, Req *request, gboolean *hold)
+cut_until (World *world, SimRequest *request, gboolean *hold)
 {
   Node *n = &world->nodes[request->node >= 0 ? request->node : request->to];
   double until = 0;
   *hold = n->hold;
-  SMachine *worker = request->machine >= 0 ? world->machines->pdata[request->machine]
-                     : request->target == HR_TO_WORKER && request->node >= 0
-                         ? machine_at (world, request->addr)
-                         : NULL;
+  SimMachine *worker = request->machine >= 0 ? world->machines->pdata[request->machine]
+                       : request->target == HR_TO_WORKER && request->node >= 0
+                           ? machine_at (world, request->addr)
+                           : NULL;
   double zone = troubles_zone_cut (world, request, worker);
   if (zone > world->now) {
     *hold = world->troubles.zone_hold;
@@ -110,7 +110,7 @@
   if (request->node < 0) {
     until = request->machine >= 0 ? n->cut_workers : n->cut_users;
     if (request->machine >= 0) {
-      SMachine *machine = world->machines->pdata[request->machine];
+      SimMachine *machine = world->machines->pdata[request->machine];
       if (machine->cut > until) {
         until = machine->cut;
         *hold = machine->hold;
@@ -119,7 +119,7 @@
   } else if (request->target == HR_TO_STORE)
     until = n->cut_store;
   else if (request->target == HR_TO_WORKER) {
-    SMachine *machine = machine_at (world, request->addr);
+    SimMachine *machine = machine_at (world, request->addr);
     until = n->cut_workers;
     if (machine && machine->cut > until) {
       until = machine->cut;
@@ -130,14 +130,14 @@
 }
 
 void
-w_answer (World *world, Req *request, int status, char *body)
+w_answer (World *world, SimRequest *request, int status, char *body)
 {
   gboolean hold;
   double cut = cut_until (world, request, &hold),
          until = world->now + net_delay (world) + troubles_delay (world, request);
   if (request->answer_lost ||
       (request->node < 0 && request->machine >= 0 &&
-       ((SMachine *)world->machines->pdata[request->machine])->deaf > world->now)) {
+       ((SimMachine *)world->machines->pdata[request->machine])->deaf > world->now)) {
     g_free (body);
     return;
   }
@@ -163,7 +163,7 @@
 void
 req_arrive (World *world, gpointer data)
 {
-  Req *request = data;
+  SimRequest *request = data;
   if (request->node >= 0) {
     if (request->target == HR_TO_STORE)
       store_request (world, request);
@@ -187,7 +187,7 @@
       g_hash_table_insert (n->open, key, request);
       if (world->controllers && request->machine >= 0)
         node_note_report (world, request->to, command->id,
-                          ((SMachine *)world->machines->pdata[request->machine])->name);
+                          ((SimMachine *)world->machines->pdata[request->machine])->name);
       node_push (world, request->to, command);
     }
   }
@@ -197,16 +197,16 @@
 static void
 expire (World *world, gpointer data)
 {
-  Req *request = data;
+  SimRequest *request = data;
   Answer *answer = g_new0 (Answer, 1);
   answer->r = request;
   deliver_answer (world, answer); /* no answer came; drops the reference too */
 }
 
-Req *
-req_copy (const Req *request, int to)
+SimRequest *
+req_copy (const SimRequest *request, int to)
 {
-  Req *core = g_new0 (Req, 1);
+  SimRequest *core = g_new0 (SimRequest, 1);
   core->node = -1;
   core->to = to;
   core->machine = request->machine;
@@ -219,7 +219,7 @@
 }
 
 void
-req_stray (World *world, Req *request, double until)
+req_stray (World *world, SimRequest *request, double until)
 {
   world->stray_until = MAX (world->stray_until, until);
   w_at (world, until, req_arrive, request);
@@ -227,13 +227,13 @@
 
 /* A copy of a report comes seconds to well over a lease later. Nobody waits for its answer. */
 static void
-late_copy (World *world, Req *request)
+late_copy (World *world, SimRequest *request)
 {
   req_stray (world, req_copy (request, request->to), world->now + w_rand (world, 1, 90));
 }
 
 void
-req_send (World *world, Req *request)
+req_send (World *world, SimRequest *request)
 {
   gboolean hold;
   double cut = cut_until (world, request, &hold), until = world->now + net_delay (world);
@@ -242,9 +242,9 @@
     troubles_moment (world, ON_WRITE_SENT);
   request->refs++;
   w_at (world, world->now + request->timeout, expire, request);
-  SMachine *worker = request->node >= 0 && request->target == HR_TO_WORKER
-                         ? machine_at (world, request->addr)
-                         : NULL;
+  SimMachine *worker = request->node >= 0 && request->target == HR_TO_WORKER
+                           ? machine_at (world, request->addr)
+                           : NULL;
   if (worker && worker->deaf > world->now)
     return;
   if (!world->calm && request->node < 0 && request->machine >= 0 &&
@@ -258,7 +258,7 @@
   if (troubles_take (world, request, until))
     return;
   if (world->choose) {
-    w_meet_fate (world, request, world->choose (world, request, world->choose_data), until);
+    w_apply_outcome (world, request, world->choose (world, request, world->choose_data), until);
     return;
   }
   if (!world->calm && worker && world->late_orders > 0 &&
@@ -287,7 +287,7 @@
 w_ask (World *world, int node, int machine, HrMethod method, const char *path, char *body,
        double timeout, void (*done) (World *, int, json_t *, gpointer), gpointer data)
 {
-  Req *request = g_new0 (Req, 1);
+  SimRequest *request = g_new0 (SimRequest, 1);
   request->node = -1;
   request->to = node;
   request->machine = machine;
--- a/tests/sim/messages.h
+++ b/tests/sim/messages.h
@@ -6,7 +6,7 @@
 /* How long one message takes, in seconds. */
 double net_delay (World *world);
 /* The request leaves whoever asks. */
-void req_send (World *world, Req *request);
+void req_send (World *world, SimRequest *request);
 /* A command for this controller's next batch. Takes it over. */
 void node_push (World *world, int node, HrCommand *command);
 /* What the controller sends: an answer, a call, a status. */
--- a/tests/sim/node_checks.c
+++ b/tests/sim/node_checks.c
@@ -18,7 +18,8 @@
     const char *recorder = g_hash_table_lookup (world->assigned, key);
     if (strcmp (json_string_value (json_object_get (entry, "verb")), "launch") == 0 &&
         g_strcmp0 (recorder, incarnation) != 0)
-      w_broken (world, "launch", "c%d launches %s, recorded by %s", i, key, recorder ? recorder : "nobody");
+      w_broken (world, "launch", "c%d launches %s, recorded by %s", i, key,
+                recorder ? recorder : "nobody");
   }
   json_decref (object);
 }
@@ -52,12 +53,12 @@
 }
 
 /* The newest report of the worker that the controller has answered; made where there is none. */
-static WNewest *
+static SimReportOrder *
 newest_answered (World *world, int i, const char *machine)
 {
-  WNewest *newest = g_hash_table_lookup (world->nodes[i].heard, machine);
+  SimReportOrder *newest = g_hash_table_lookup (world->nodes[i].heard, machine);
   if (!newest) {
-    newest = g_new0 (WNewest, 1);
+    newest = g_new0 (SimReportOrder, 1);
     g_hash_table_insert (world->nodes[i].heard, g_strdup (machine), newest);
   }
   return newest;
@@ -66,7 +67,7 @@
 void
 node_note_report (World *world, int i, guint64 id, const char *machine)
 {
-  const WNewest *newest = newest_answered (world, i, machine);
+  const SimReportOrder *newest = newest_answered (world, i, machine);
   g_hash_table_insert (world->nodes[i].heard_before, g_memdup2 (&id, sizeof id),
                        g_memdup2 (newest, sizeof *newest));
 }
@@ -74,11 +75,12 @@
 /* What the controller had answered when it made this answer, at the least. Answers of a process
  * come over several connections, in any order: two reports that it has at the same time are
  * answered in the right order, and may be seen in the other one. */
-static WNewest
-answered_before (World *world, int i, guint64 id, const WNewest *newest)
+static SimReportOrder
+answered_before (World *world, int i, guint64 id, const SimReportOrder *newest)
 {
-  const WNewest *before = g_hash_table_lookup (world->nodes[i].heard_before, &id);
-  WNewest answered = world->controllers ? (before ? *before : (WNewest){0, 0}) : *newest;
+  const SimReportOrder *before = g_hash_table_lookup (world->nodes[i].heard_before, &id);
+  SimReportOrder answered =
+      world->controllers ? (before ? *before : (SimReportOrder){0, 0}) : *newest;
   g_hash_table_remove (world->nodes[i].heard_before, &id);
   return answered;
 }
@@ -93,15 +95,15 @@
   guint64 incarnation = json_integer_value (json_object_get (report_row, "tenure")),
           n = json_integer_value (json_object_get (report_row, "tally"));
   const char *name = json_string_value (json_object_get (report_row, "rockhand"));
-  WNewest *newest = newest_answered (world, i, name);
-  WNewest before = answered_before (world, i, id, newest);
+  SimReportOrder *newest = newest_answered (world, i, name);
+  SimReportOrder before = answered_before (world, i, id, newest);
   if (incarnation < before.session)
     w_broken (world, "order", "c%d answers %s in a session that is over", i, name);
   else if (incarnation == before.session && n < before.number &&
            !only_final_stops (world, json_object_get (array, "orders")))
     w_broken (world, "order", "c%d gives orders on an overtaken report of %s", i, name);
   if (incarnation > newest->session || (incarnation == newest->session && n > newest->number))
-    *newest = (WNewest){incarnation, n};
+    *newest = (SimReportOrder){incarnation, n};
   json_decref (report_row);
   json_decref (array);
 }
@@ -152,18 +154,18 @@
   {
     const char *piece = json_string_value (json_object_get (item, "piece"));
     g_autofree char *id = g_strndup (piece, strrchr (piece, '/') - piece);
-    const guint64 *store_revision = g_hash_table_lookup (world->withdrawn, id);
+    const guint64 *store_revision = g_hash_table_lookup (world->cancelled_jobs, id);
     guint32 index;
-    SJob *job = job_by_id (world, id, &index);
+    SimJob *job = job_by_id (world, id, &index);
     if (strcmp (json_string_value (json_object_get (item, "stance")), "exited") == 0 ||
         stop_named (array, item))
       continue;
     if (store_revision && *store_revision <= epoch_known (world, i))
       w_broken (world, "renewal", "c%d renews the lease of %s, and has read that it is withdrawn",
                 i, piece);
-    if (job && job->withdrawn_at && world->now - job->withdrawn_at > world->pol.hold_s + 3)
+    if (job && job->cancelled_at && world->now - job->cancelled_at > world->pol.hold_s + 3)
       w_broken (world, "hold", "c%d lets %s go on %.1f s after its withdrawal", i, piece,
-                world->now - job->withdrawn_at);
+                world->now - job->cancelled_at);
   }
   json_decref (report_row);
   json_decref (array);
--- a/tests/sim/pipeline.c
+++ b/tests/sim/pipeline.c
@@ -8,7 +8,7 @@
 
 /* One user's pipeline: each step is submitted once those that it awaits are accepted. */
 typedef struct {
-  SJob *steps[MOST_STEPS];
+  SimJob *steps[MOST_STEPS];
   guint nsteps, sent;
   gboolean late; /* the last step is submitted only when the others are over */
 } Pipeline;
@@ -17,12 +17,12 @@
 
 /* When a user was first told that a job before this one is cancelled; 0: none was. */
 static double
-told_before (const SJob *job)
+told_before (const SimJob *job)
 {
   double first = 0;
   for (guint i = 0; job->awaits && i < job->awaits->len; i++) {
-    const SJob *before = job->awaits->pdata[i];
-    double told = before->told_withdrawn ? before->told_withdrawn : told_before (before);
+    const SimJob *before = job->awaits->pdata[i];
+    double told = before->told_cancelled ? before->told_cancelled : told_before (before);
     if (told && (!first || told < first))
       first = told;
   }
@@ -31,14 +31,14 @@
 
 /* The same, counted from when the job itself was accepted where that is later. */
 static double
-orphan_since (const SJob *job)
+orphan_since (const SimJob *job)
 {
   double told = told_before (job);
   return told && job->accepted ? MAX (told, job->accepted_at) : 0;
 }
 
 gboolean
-pipeline_cancel_asked (const SJob *job)
+pipeline_cancel_asked (const SimJob *job)
 {
   gboolean asked = job->asked_cancel;
   for (guint i = 0; job->awaits && i < job->awaits->len; i++)
@@ -47,7 +47,7 @@
 }
 
 gboolean
-pipeline_ready (const SJob *job)
+pipeline_ready (const SimJob *job)
 {
   for (guint i = 0; job->awaits && i < job->awaits->len; i++)
     if (!job_all_done (job->awaits->pdata[i]))
@@ -56,10 +56,10 @@
 }
 
 void
-pipeline_start (World *world, const SJob *job, guint32 task_index)
+pipeline_start (World *world, const SimJob *job, guint32 task_index)
 {
   for (guint i = 0; job->awaits && i < job->awaits->len; i++) {
-    const SJob *before = job->awaits->pdata[i];
+    const SimJob *before = job->awaits->pdata[i];
     for (guint k = 0; k < before->tasks; k++)
       if (!before->done[k]) {
         w_broken (world, "too_early", "%s/%u starts before %s/%u is done", job->id, task_index,
@@ -71,7 +71,7 @@
 }
 
 void
-pipeline_on_machine (World *world, const SJob *job, guint32 task_index)
+pipeline_on_machine (World *world, const SimJob *job, guint32 task_index)
 {
   double since = orphan_since (job);
   if (since && world->now > since + world->cancel_s)
@@ -91,7 +91,7 @@
 }
 
 void
-pipeline_told (World *world, SJob *job, const char *state, double sent)
+pipeline_told (World *world, SimJob *job, const char *state, double sent)
 {
   gboolean over = strcmp (state, "withdrawn") == 0 || strcmp (state, "done") == 0;
   double since = orphan_since (job);
@@ -100,7 +100,7 @@
   if (since && since < sent && !over)
     w_broken (world, "orphaned", "%s is called %s %.1f s after one before it was called withdrawn",
               job->id, state, sent - since);
-  if (world->shock && !world->calm && strcmp (state, "withdrawn") == 0 && !job->told_withdrawn &&
+  if (world->shock && !world->calm && strcmp (state, "withdrawn") == 0 && !job->told_cancelled &&
       world->now - world->shocked_at > 20) {
     world->shocked_at = world->now;
     shock (world);
@@ -111,16 +111,16 @@
 pipelines_verdict (World *world)
 {
   for (guint i = 0; i < world->jobs->len; i++) {
-    const SJob *job = world->jobs->pdata[i];
+    const SimJob *job = world->jobs->pdata[i];
     if (!job->submitted)
       continue;
     if (!job->accepted)
       w_broken (world, "liveness", "%s was never accepted", job->id);
-    else if (job->asked_cancel && !job->told_withdrawn && !job->told_done)
+    else if (job->asked_cancel && !job->told_cancelled && !job->told_done)
       w_broken (world, "liveness", "%s was not withdrawn", job->id);
-    else if (told_before (job) && !job->told_withdrawn)
+    else if (told_before (job) && !job->told_cancelled)
       w_broken (world, "orphaned", "%s was never called withdrawn", job->id);
-    else if (!job->told_withdrawn && (job->shape == HR_SERVICE ? !job->started : !job->told_done))
+    else if (!job->told_cancelled && (job->shape == HR_SERVICE ? !job->started : !job->told_done))
       w_broken (world, "liveness", "%s (%d, %u tasks) is not done", job->id, job->shape,
                 job->tasks);
   }
@@ -129,19 +129,19 @@
 /* ---- users ---- */
 
 static gboolean
-over (const SJob *job)
+over (const SimJob *job)
 {
-  return job->told_done || job->told_withdrawn;
+  return job->told_done || job->told_cancelled;
 }
 
 static void
 go_on (World *world, gpointer data)
 {
   Pipeline *line = data;
-  SJob *next = line->steps[line->sent];
+  SimJob *next = line->steps[line->sent];
   gboolean now = TRUE, last = line->sent + 1 == line->nsteps;
   for (guint i = 0; i < line->sent; i++) {
-    const SJob *before = line->steps[i];
+    const SimJob *before = line->steps[i];
     now &= before->accepted && (!last || !line->late || over (before));
   }
   if (now) {
@@ -154,10 +154,10 @@
     g_free (line);
 }
 
-static SJob *
+static SimJob *
 step_of (World *world, HrShape shape, guint tasks)
 {
-  SJob *job = job_new (world);
+  SimJob *job = job_new (world);
   job->shape = shape;
   job->tasks = tasks;
   job->cpus = shape == HR_GANG ? 4 : 1;
@@ -174,7 +174,7 @@
 }
 
 static void
-await_steps (SJob *job, Pipeline *line, guint from, guint to)
+await_steps (SimJob *job, Pipeline *line, guint from, guint to)
 {
   for (guint i = from; i < to; i++)
     g_ptr_array_add (job->awaits, line->steps[i]);
@@ -204,7 +204,7 @@
   line->nsteps = middle + 3;
   line->late = w_rand (world, 0, 1) < 0.25;
   if (w_rand (world, 0, 1) < cancelled) {
-    SJob *root = line->steps[g_rand_int_range (world->rand, 0, line->nsteps - 1)];
+    SimJob *root = line->steps[g_rand_int_range (world->rand, 0, line->nsteps - 1)];
     root->cancel = TRUE;
     root->due_cancel = world->now + w_rand (world, 1, 40);
   }
--- a/tests/sim/pipeline.h
+++ b/tests/sim/pipeline.h
@@ -19,13 +19,13 @@
 void pipelines_verdict (World *world);
 
 /* Has the user of the job, or of one before it, asked to cancel that? */
-gboolean pipeline_cancel_asked (const SJob *job);
+gboolean pipeline_cancel_asked (const SimJob *job);
 
 /* All that the job awaits is done, and no user was told that one before it is cancelled. */
-gboolean pipeline_ready (const SJob *job);
+gboolean pipeline_ready (const SimJob *job);
 
 /* Hooks of the stand-ins. */
-void pipeline_start (World *world, const SJob *job, guint32 task_index);
-void pipeline_on_machine (World *world, const SJob *job, guint32 task_index);
+void pipeline_start (World *world, const SimJob *job, guint32 task_index);
+void pipeline_on_machine (World *world, const SimJob *job, guint32 task_index);
 /* The job's user hears its stance; sent: when he asked. */
-void pipeline_told (World *world, SJob *job, const char *state, double sent);
+void pipeline_told (World *world, SimJob *job, const char *state, double sent);
--- a/tests/sim/fate.c
+++ b/tests/sim/request_outcomes.c
@@ -16,10 +16,10 @@
 }
 
 /* The request that a copy is made of may be answered and gone by then. */
-static Req *
-copy_of (const Req *request)
+static SimRequest *
+copy_of (const SimRequest *request)
 {
-  Req *core = g_new0 (Req, 1);
+  SimRequest *core = g_new0 (SimRequest, 1);
   *core = *request;
   core->addr = g_strdup (request->addr);
   core->path = g_strdup (request->path);
@@ -30,7 +30,7 @@
 }
 
 static void
-end_and_return (World *world, const Req *request, double at, double away)
+end_and_return (World *world, const SimRequest *request, double at, double away)
 {
   gpointer node = GINT_TO_POINTER (request->node >= 0 ? request->node : request->to);
   w_at (world, at, end_process, node);
@@ -38,26 +38,26 @@
 }
 
 void
-w_meet_fate (World *world, Req *request, WFate fate, double until)
+w_apply_outcome (World *world, SimRequest *request, SimOutcome fate, double until)
 {
   /* The answer takes at least as long: the process ends before it comes. */
   const double carried_out = until + 1e-5;
   switch (fate) {
-  case FATE_LOST:
+  case OUTCOME_LOST:
     return;
-  case FATE_ANSWER_LOST:
+  case OUTCOME_ANSWER_LOST:
     request->answer_lost = TRUE;
     break;
-  case FATE_LATE:
+  case OUTCOME_LATE:
     until += LATE_S;
     break;
-  case FATE_COPIED:
+  case OUTCOME_COPIED:
     w_at (world, until + COPY_S, req_arrive, copy_of (request));
     break;
-  case FATE_ENDS_BACK:
+  case OUTCOME_ENDS_BACK:
     end_and_return (world, request, carried_out, BACK_S);
     break;
-  case FATE_ENDS_AWAY:
+  case OUTCOME_ENDS_AWAY:
     end_and_return (world, request, carried_out, AWAY_S);
     break;
   default:
--- a/tests/sim/lone_node.c
+++ b/tests/sim/single_node.c
@@ -3,7 +3,7 @@
 #include "coordination/core.h"
 #include "coordination/scaling/fleet.h"
 #include "protocol/json_util.h"
-#include "sim/lone_node.h"
+#include "sim/single_node.h"
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -32,10 +32,10 @@
   g_free (change->text);
 }
 
-Ledger *
-ledger_new (void)
+FakeStore *
+fake_store_new (void)
 {
-  Ledger *store = g_new0 (Ledger, 1);
+  FakeStore *store = g_new0 (FakeStore, 1);
   store->log = g_array_new (FALSE, TRUE, sizeof (Change));
   g_array_set_clear_func (store->log, change_clear);
   store->stamp = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
@@ -43,7 +43,7 @@
 }
 
 void
-ledger_free (Ledger *store)
+fake_store_free (FakeStore *store)
 {
   g_array_unref (store->log);
   g_hash_table_unref (store->stamp);
@@ -51,7 +51,7 @@
 }
 
 void
-ledger_set (Ledger *store, const char *path, const char *text)
+fake_store_set (FakeStore *store, const char *path, const char *text)
 {
   Change change = {g_strdup (path), g_strdup (text), store->epoch};
   g_array_append_val (store->log, change);
@@ -60,7 +60,7 @@
 }
 
 static guint64
-stamp_of (const Ledger *store, const char *path)
+stamp_of (const FakeStore *store, const char *path)
 {
   const guint64 *revision = g_hash_table_lookup (store->stamp, path);
   return revision ? *revision : 0;
@@ -68,7 +68,7 @@
 
 /* The record as it stands, or NULL. */
 const char *
-ledger_job (const Ledger *store, const char *id)
+fake_store_job (const FakeStore *store, const char *id)
 {
   g_autofree char *path = g_strconcat ("h/j/", id, NULL);
   for (guint i = store->log->len; i > 0; i--) {
@@ -81,7 +81,7 @@
 
 /* The changes after an epoch, or (as rows of a reading) the latest of each record. */
 static char *
-changes (const Ledger *store, guint64 after, gboolean rows)
+changes (const FakeStore *store, guint64 after, gboolean rows)
 {
   json_t *list = json_array ();
   for (guint i = 0; i < store->log->len; i++) {
@@ -101,7 +101,7 @@
 }
 
 static int
-commit (Ledger *store, const char *body, char **text)
+commit (FakeStore *store, const char *body, char **text)
 {
   json_t *object = json_loads (body, 0, NULL), *entry;
   size_t i;
@@ -119,7 +119,7 @@
       continue;
     g_autofree char *value = json_dumps (json_object_get (entry, "value"), JSON_COMPACT);
     assert_true (strlen (value) <= 4096);
-    ledger_set (store, hr_json_str (entry, "set"), value);
+    fake_store_set (store, hr_json_str (entry, "set"), value);
   }
   json_decref (object);
   *text = g_strdup_printf ("{\"epoch\":%" G_GUINT64_FORMAT ",\"failed\":[]}", store->epoch);
@@ -128,10 +128,10 @@
 
 /* ---- a node ---- */
 
-LoneNode *
-node_new (Ledger *store, const char *state_more)
+SingleNode *
+single_node_new (FakeStore *store, const char *state_more)
 {
-  LoneNode *n = g_new0 (LoneNode, 1);
+  SingleNode *n = g_new0 (SingleNode, 1);
   g_autoptr (GError) error = NULL;
   g_autofree char *text = g_strdup_printf (SETTINGS, state_more);
   json_t *root = json_loads (text, 0, NULL);
@@ -143,7 +143,7 @@
   HrPolicy policy;
   hr_core_policy_vars (n->set, vars);
   assert_true (hr_policy_load (SOURCE_ROOT "/deploy/policy.hop", vars, &policy, &error));
-  n->ledger = store;
+  n->store = store;
   n->now = 100;
   n->core = hr_core_new (n->set, &policy, &n->names, "inc", 7);
   n->inbox = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_command_free);
@@ -152,7 +152,7 @@
 }
 
 void
-node_free (LoneNode *n)
+single_node_free (SingleNode *n)
 {
   hr_core_free (n->core);
   hr_settings_free (n->set);
@@ -164,7 +164,7 @@
 }
 
 static void
-result (LoneNode *n, guint64 id, int status, char *text)
+result (SingleNode *n, guint64 id, int status, char *text)
 {
   HrCommand *command = hr_command_new (HR_COMMAND_RESULT);
   command->id = id;
@@ -174,9 +174,9 @@
 }
 
 static void
-call (LoneNode *n, const HrEffect *effect)
+call (SingleNode *n, const HrEffect *effect)
 {
-  Ledger *store = n->ledger;
+  FakeStore *store = n->store;
   char *text = NULL;
   if (effect->call.target == HR_TO_CLOUD)
     result (n, effect->id, strcmp (effect->call.path, "/machine_types") == 0 ? 200 : 503,
@@ -197,7 +197,7 @@
 }
 
 static void
-step (LoneNode *n)
+step (SingleNode *n)
 {
   g_autoptr (GPtrArray) batch = n->inbox;
   g_autoptr (GPtrArray) out = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_effect_free);
@@ -219,14 +219,14 @@
 }
 
 void
-node_run (LoneNode *n, double for_s)
+single_node_run (SingleNode *n, double for_s)
 {
   for (double until = n->now + for_s; n->now < until;)
     step (n);
 }
 
 int
-node_ask (LoneNode *n, HrMethod method, const char *path, char *body)
+single_node_request (SingleNode *n, HrMethod method, const char *path, char *body)
 {
   HrCommand *command = hr_command_new (HR_COMMAND_REQUEST);
   guint64 id = ++n->next;
@@ -244,10 +244,10 @@
 }
 
 static int
-submit (LoneNode *n, const char *id, const char *shape, guint estimate, const char *awaits,
+submit (SingleNode *n, const char *id, const char *shape, guint estimate, const char *awaits,
         const char *more)
 {
-  return node_ask (
+  return single_node_request (
       n, HR_POST, "/v1/jobs",
       g_strdup_printf ("{\"name_id\":\"%s\",\"jobclass\":\"k\",\"crew\":\"crew\","
                        "\"shape\":\"%s\",\"pieces\":2,\"vcpus\":1,\"accelerators\":0,"
@@ -259,43 +259,43 @@
 }
 
 int
-node_submit (LoneNode *n, const char *id, const char *awaits, const char *more)
+single_node_submit (SingleNode *n, const char *id, const char *awaits, const char *more)
 {
   return submit (n, id, "batch", 20, awaits, more ? more : ",\"due_s\":null,\"rank\":\"low\"");
 }
 
 int
-node_submit_service (LoneNode *n, const char *id)
+single_node_submit_service (SingleNode *n, const char *id)
 {
   return submit (n, id, "daemon", 0, NULL, ",\"due_s\":null,\"rank\":\"production\"");
 }
 
 const char *
-node_poll (LoneNode *n, const char *id)
+single_node_poll (SingleNode *n, const char *id)
 {
   g_autofree char *path = g_strconcat ("/v1/jobs/", id, NULL);
-  int status = node_ask (n, HR_GET, path, NULL);
+  int status = single_node_request (n, HR_GET, path, NULL);
   return status == 200 ? hr_json_str (n->body, "stance") : status == 404 ? "unknown" : "none";
 }
 
 int
-node_cancel (LoneNode *n, const char *id)
+single_node_cancel (SingleNode *n, const char *id)
 {
   g_autofree char *path = g_strconcat ("/v1/jobs/", id, "/abort", NULL);
-  return node_ask (n, HR_POST, path, NULL);
+  return single_node_request (n, HR_POST, path, NULL);
 }
 
-LoneNode *
-node_up (Ledger *store)
+SingleNode *
+single_node_leading (FakeStore *store)
 {
-  LoneNode *n = node_new (store, "");
-  node_run (n, 5);
+  SingleNode *n = single_node_new (store, "");
+  single_node_run (n, 5);
   assert_true (n->core->leadership.is_leader);
   return n;
 }
 
 gboolean
-node_opens (LoneNode *n, const char *id)
+single_node_lists_open (SingleNode *n, const char *id)
 {
   const HrJob *job = hr_job_find (&n->core->store.tables, id);
   for (guint i = 0; job && i < n->core->store.tables.open_jobs->len; i++)
@@ -305,15 +305,15 @@
 }
 
 void
-ledger_done (Ledger *store, const char *id)
+fake_store_done (FakeStore *store, const char *id)
 {
   g_autofree char *path = g_strconcat ("h/j/", id, NULL);
   store->epoch++;
-  ledger_set (store, path, "{\"w\":\"x.1\",\"s\":1,\"n\":2,\"d\":2}");
+  fake_store_set (store, path, "{\"w\":\"x.1\",\"s\":1,\"n\":2,\"d\":2}");
 }
 
 HrMachine *
-node_machine (LoneNode *n)
+single_node_machine (SingleNode *n)
 {
   HrMachine *machine = hr_machine_get (&n->core->store.tables, "m-1");
   machine->state = HR_MACHINE_UP;
--- a/tests/sim/lone_node.h
+++ b/tests/sim/single_node.h
@@ -14,17 +14,17 @@
   GHashTable *stamp; /* path -> guint64: the latest change */
   guint64 epoch;
   gboolean down, backwards; /* backwards: a full reading gives the newest record first */
-} Ledger;
+} FakeStore;
 
-Ledger *ledger_new (void);
-void ledger_free (Ledger *store);
+FakeStore *fake_store_new (void);
+void fake_store_free (FakeStore *store);
 /* A change at the present epoch. */
-void ledger_set (Ledger *store, const char *path, const char *text);
+void fake_store_set (FakeStore *store, const char *path, const char *text);
 /* The job's main record as it stands, or NULL. */
-const char *ledger_job (const Ledger *store, const char *id);
+const char *fake_store_job (const FakeStore *store, const char *id);
 
 typedef struct {
-  Ledger *ledger;
+  FakeStore *store;
   HrCore *core;
   HrNames names;
   HrSettings *set;
@@ -33,27 +33,27 @@
   guint64 next;
   GHashTable *answers; /* request id -> status */
   json_t *body;        /* of the latest answer */
-} LoneNode;
+} SingleNode;
 
 /* state_more: more members of the settings' `state`, with a comma before them. */
-LoneNode *node_new (Ledger *store, const char *state_more);
-void node_free (LoneNode *n);
-void node_run (LoneNode *n, double for_s);
+SingleNode *single_node_new (FakeStore *store, const char *state_more);
+void single_node_free (SingleNode *n);
+void single_node_run (SingleNode *n, double for_s);
 /* Asks the node, and gives its answer's status; 0 when none came within a minute. */
-int node_ask (LoneNode *n, HrMethod method, const char *path, char *body);
+int single_node_request (SingleNode *n, HrMethod method, const char *path, char *body);
 /* A node that leads. */
-LoneNode *node_up (Ledger *store);
+SingleNode *single_node_leading (FakeStore *store);
 /* Submits a job with these fields beside the usual ones (an array of two small tasks of 20 s).
  * awaits: an array, or NULL; more: `due_s` and `priority` with a comma before them, or NULL. */
-int node_submit (LoneNode *n, const char *id, const char *awaits, const char *more);
+int single_node_submit (SingleNode *n, const char *id, const char *awaits, const char *more);
 /* A service of two small replicas. */
-int node_submit_service (LoneNode *n, const char *id);
+int single_node_submit_service (SingleNode *n, const char *id);
 /* The job's stance as the node tells it; "unknown" with a 404. */
-const char *node_poll (LoneNode *n, const char *id);
-int node_cancel (LoneNode *n, const char *id);
+const char *single_node_poll (SingleNode *n, const char *id);
+int single_node_cancel (SingleNode *n, const char *id);
 /* Is the job in the list of those that the leader has to look at? */
-gboolean node_opens (LoneNode *n, const char *id);
+gboolean single_node_lists_open (SingleNode *n, const char *id);
 /* The job's record, as if its last task had ended. */
-void ledger_done (Ledger *store, const char *id);
+void fake_store_done (FakeStore *store, const char *id);
 /* m-1, which is up and has room. */
-HrMachine *node_machine (LoneNode *n);
+HrMachine *single_node_machine (SingleNode *n);
--- a/tests/sim/store.c
+++ b/tests/sim/store.c
@@ -10,12 +10,12 @@
 typedef struct {
   char *text; /* the value */
   guint64 stamp, claim;
-} SKey;
+} StoreKey;
 
 typedef struct {
   char *path, *text; /* text NULL: deleted */
   guint64 stamp;
-} SChange;
+} StoreChange;
 
 typedef struct {
   guint64 id;
@@ -23,7 +23,7 @@
 } SLease;
 
 typedef struct {
-  Req *r;
+  SimRequest *r;
   char *prefix;
   guint64 after;
   double ends;
@@ -32,7 +32,7 @@
 static void
 key_free (gpointer data)
 {
-  SKey *k = data;
+  StoreKey *k = data;
   g_free (k->text);
   g_free (k);
 }
@@ -41,9 +41,9 @@
 static void
 note_named (World *world, const char *path)
 {
-  SKey *old = g_hash_table_lookup (world->keys, path);
+  StoreKey *old = g_hash_table_lookup (world->keys, path);
   for (guint i = 0; old && i < world->machines->len; i++) {
-    SMachine *machine = world->machines->pdata[i];
+    SimMachine *machine = world->machines->pdata[i];
     if (machine->gone && strstr (old->text, machine->name))
       machine->named_at = world->now;
   }
@@ -53,13 +53,13 @@
 change (World *world, const char *path, char *text, guint64 lease_id)
 {
   note_named (world, path);
-  SChange core = {g_strdup (path), g_strdup (text), world->epoch};
+  StoreChange core = {g_strdup (path), g_strdup (text), world->epoch};
   g_array_append_val (world->log, core);
   if (!text) {
     g_hash_table_remove (world->keys, path);
     return;
   }
-  SKey *k = g_new0 (SKey, 1);
+  StoreKey *k = g_new0 (StoreKey, 1);
   k->text = text;
   k->stamp = world->epoch;
   k->claim = lease_id;
@@ -72,7 +72,7 @@
   json_t *log = json_array ();
   *n = 0;
   for (guint i = 0; i < world->log->len; i++) {
-    SChange *core = &g_array_index (world->log, SChange, i);
+    StoreChange *core = &g_array_index (world->log, StoreChange, i);
     if (core->stamp <= after || !g_str_has_prefix (core->path, prefix))
       continue;
     json_t *object = json_pack ("{sssI}", core->text ? "set" : "delete", core->path, "stamp",
@@ -128,7 +128,7 @@
     gpointer k;
     g_hash_table_iter_init (&iter, world->keys);
     while (g_hash_table_iter_next (&iter, &k, &value))
-      if (((SKey *)value)->claim == lease->id)
+      if (((StoreKey *)value)->claim == lease->id)
         g_ptr_array_add (dead, g_strdup (k));
     if (dead->len)
       world->epoch++;
@@ -146,7 +146,7 @@
 check_place (World *world, const char *what, const char *machine)
 {
   for (guint i = 0; machine && i < world->machines->len; i++) {
-    SMachine *host = world->machines->pdata[i];
+    SimMachine *host = world->machines->pdata[i];
     if (host->gone && world->now - host->gone_at > 45 && strcmp (host->name, machine) == 0)
       w_broken (world, "stale", "%s is placed on %s, %.0f s after that went", what, machine,
                 world->now - host->gone_at);
@@ -167,7 +167,7 @@
   if (path[2] == 'u')
     return atoi (path + strlen ("h/u/") + strlen (id) + 1);
   g_autofree char *main = g_strconcat ("h/j/", id, NULL);
-  SKey *k = g_hash_table_lookup (world->keys, main);
+  StoreKey *k = g_hash_table_lookup (world->keys, main);
   json_t *object = k ? json_loads (k->text, 0, NULL) : NULL;
   guint n = json_integer_value (json_object_get (object, "q"));
   json_decref (object);
@@ -231,17 +231,17 @@
 /* The leader record's change, and a cancellation, are what a leader must not miss for long:
  * check_kills in world.c sees to the latter. */
 static void
-note_decision (World *world, const Req *request, json_t *put)
+note_decision (World *world, const SimRequest *request, json_t *put)
 {
   const char *path = json_string_value (json_object_get (put, "set"));
   json_t *state = json_object_get (json_object_get (put, "value"), "s");
   if (json_integer_value (state) == 2 && g_str_has_prefix (path, "h/j/")) {
     guint32 index;
-    SJob *job = job_by_id (world, path + strlen ("h/j/"), &index);
-    if (job && !job->withdrawn_at)
-      job->withdrawn_at = world->now;
-    if (!g_hash_table_contains (world->withdrawn, path + 4))
-      g_hash_table_insert (world->withdrawn, g_strdup (path + 4),
+    SimJob *job = job_by_id (world, path + strlen ("h/j/"), &index);
+    if (job && !job->cancelled_at)
+      job->cancelled_at = world->now;
+    if (!g_hash_table_contains (world->cancelled_jobs, path + 4))
+      g_hash_table_insert (world->cancelled_jobs, g_strdup (path + 4),
                            g_memdup2 (&world->epoch, sizeof world->epoch));
   }
   if (g_strcmp0 (path, "h/map") != 0)
@@ -277,7 +277,7 @@
 
 /* Values beyond the limit are refused; of the new version none is sent again and again. */
 static gboolean
-refuse_size (World *world, Req *request, json_t *put)
+refuse_size (World *world, SimRequest *request, json_t *put)
 {
   if (!json_object_get (put, "value"))
     return FALSE;
@@ -313,7 +313,7 @@
 }
 
 static void
-commit (World *world, Req *request)
+commit (World *world, SimRequest *request)
 {
   json_t *object = request->body ? json_loads (request->body, 0, NULL) : NULL, *entry;
   json_t *when = json_object_get (object, "when"), *writes = json_object_get (object, "writes");
@@ -349,7 +349,7 @@
   json_array_foreach (when, i, entry)
   {
     const char *path = json_string_value (json_object_get (entry, "path"));
-    SKey *k = g_hash_table_lookup (world->keys, path);
+    StoreKey *k = g_hash_table_lookup (world->keys, path);
     if ((guint64)json_integer_value (json_object_get (entry, "stamp")) != (k ? k->stamp : 0))
       json_array_append_new (failed, json_string (path));
   }
@@ -393,14 +393,14 @@
   gpointer k;
   g_hash_table_iter_init (&iter, world->keys);
   while (g_hash_table_iter_next (&iter, NULL, &k))
-    if (strstr (((SKey *)k)->text, machine))
+    if (strstr (((StoreKey *)k)->text, machine))
       return TRUE;
   return FALSE;
 }
 
 /* Every page of tasks becomes one that cannot be read. */
 guint
-store_tear (World *world)
+store_corrupt_pages (World *world)
 {
   GHashTableIter iter;
   gpointer path, k;
@@ -408,8 +408,8 @@
   g_hash_table_iter_init (&iter, world->keys);
   while (g_hash_table_iter_next (&iter, &path, &k))
     if (g_str_has_prefix (path, "h/t/")) {
-      g_free (((SKey *)k)->text);
-      ((SKey *)k)->text = g_strdup ("{\"w\":\"torn\",\"x\":[0,\"m-0\",1]}");
+      g_free (((StoreKey *)k)->text);
+      ((StoreKey *)k)->text = g_strdup ("{\"w\":\"torn\",\"x\":[0,\"m-0\",1]}");
       n++;
     }
   return n;
@@ -429,7 +429,7 @@
     const char *rest = (char *)path + strlen ("h/t/");
     g_autofree char *id = g_strndup (rest, strcspn (rest, "/"));
     g_autofree char *main = g_strconcat ("h/j/", id, NULL);
-    SKey *k = g_hash_table_lookup (world->keys, main);
+    StoreKey *k = g_hash_table_lookup (world->keys, main);
     n += k && !strstr (k->text, "\"j\":"); /* a tombstone has no description */
   }
   return n;
@@ -443,7 +443,7 @@
   guint n = 0;
   g_hash_table_iter_init (&iter, world->keys);
   while (g_hash_table_iter_next (&iter, &path, &k))
-    n += is_record (path) && strlen (((SKey *)k)->text) > NEXT_VALUE_KB * 1024;
+    n += is_record (path) && strlen (((StoreKey *)k)->text) > NEXT_VALUE_KB * 1024;
   return n;
 }
 
@@ -451,7 +451,7 @@
 store_split (World *world, const char *id)
 {
   g_autofree char *main = g_strconcat ("h/j/", id, NULL);
-  SKey *k = g_hash_table_lookup (world->keys, main);
+  StoreKey *k = g_hash_table_lookup (world->keys, main);
   return k && strstr (k->text, "\"u\":1");
 }
 
@@ -469,9 +469,9 @@
 }
 
 int
-store_owner (World *world)
+store_leader (World *world)
 {
-  SKey *k = g_hash_table_lookup (world->keys, "h/map");
+  StoreKey *k = g_hash_table_lookup (world->keys, "h/map");
   json_t *object = k ? json_loads (k->text, 0, NULL) : NULL;
   const char *label = json_string_value (json_object_get (object, "o"));
   int node = label ? label[1] - '0' : -1;
@@ -498,7 +498,7 @@
 }
 
 static void
-range (World *world, Req *request)
+range (World *world, SimRequest *request)
 {
   g_autofree char *prefix = query (request->path, "starts"),
                   *after = query (request->path, "after");
@@ -514,7 +514,7 @@
   g_ptr_array_sort (keys, by_text);
   json_t *rows = json_array ();
   for (guint i = 0; i < keys->len && i < 7; i++) { /* short pages, so that paging is tested */
-    SKey *key = g_hash_table_lookup (world->keys, keys->pdata[i]);
+    StoreKey *key = g_hash_table_lookup (world->keys, keys->pdata[i]);
     json_array_append_new (rows, json_pack ("{sssosI}", "path", keys->pdata[i], "value",
                                             json_loads (key->text, JSON_DECODE_ANY, NULL), "stamp",
                                             (json_int_t)key->stamp));
@@ -525,7 +525,7 @@
 }
 
 static void
-lease (World *world, Req *request)
+lease (World *world, SimRequest *request)
 {
   guint64 id = 0;
   if (strcmp (request->path, "/leases") == 0) {
@@ -551,7 +551,7 @@
 }
 
 void
-store_request (World *world, Req *request)
+store_request (World *world, SimRequest *request)
 {
   if (world->outage > world->now || world->nodes[request->node].refused > world->now)
     w_answer (world, request, 503, g_strdup ("{\"error\":\"trouble\"}"));
@@ -562,7 +562,7 @@
   else if (g_str_has_prefix (request->path, "/kv?"))
     range (world, request);
   else if (g_str_has_prefix (request->path, "/kv/")) {
-    SKey *k = g_hash_table_lookup (world->keys, request->path + 4);
+    StoreKey *k = g_hash_table_lookup (world->keys, request->path + 4);
     if (!k)
       w_answer (world, request, 404,
                 g_strdup_printf ("{\"epoch\":%" G_GUINT64_FORMAT "}", world->epoch));
@@ -594,7 +594,7 @@
 static void
 change_clear (gpointer data)
 {
-  SChange *core = data;
+  StoreChange *core = data;
   g_free (core->path);
   g_free (core->text);
 }
@@ -607,7 +607,7 @@
     g_hash_table_remove (world->keys, "h/format");
     return;
   }
-  SKey *k = g_new0 (SKey, 1);
+  StoreKey *k = g_new0 (StoreKey, 1);
   k->text = g_strdup_printf ("{\"f\":%d}", HR_FORMAT);
   k->stamp = ++world->epoch;
   g_hash_table_replace (world->keys, g_strdup ("h/format"), k);
@@ -618,21 +618,21 @@
 {
   world->keys = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, key_free);
   world->leases = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
-  world->log = g_array_new (FALSE, TRUE, sizeof (SChange));
+  world->log = g_array_new (FALSE, TRUE, sizeof (StoreChange));
   g_array_set_clear_func (world->log, change_clear);
   world->watches = g_ptr_array_new ();
   world->too_large = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   world->token_nodes = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, NULL);
   world->assigned = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   store_format (world, TRUE);
-  world->withdrawn = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  world->cancelled_jobs = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   w_at (world, 0.05, leases_tick, NULL);
 }
 
 const char *
 store_text (World *world, const char *key)
 {
-  const SKey *k = g_hash_table_lookup (world->keys, key);
+  const StoreKey *k = g_hash_table_lookup (world->keys, key);
   return k ? k->text : "";
 }
 
@@ -652,5 +652,5 @@
   g_hash_table_unref (world->token_nodes);
   g_hash_table_unref (world->assigned);
   g_hash_table_unref (world->too_large);
-  g_hash_table_unref (world->withdrawn);
+  g_hash_table_unref (world->cancelled_jobs);
 }
--- a/tests/sim/trouble_messages.c
+++ b/tests/sim/trouble_messages.c
@@ -9,13 +9,13 @@
 /* ---- requests on their way ---- */
 
 static gboolean
-is_report (const Req *request)
+is_report (const SimRequest *request)
 {
   return request->node < 0 && request->machine >= 0 && strcmp (request->path, "/hello") == 0;
 }
 
 static void
-carry_out_late (World *world, Req *request, double until)
+carry_out_late (World *world, SimRequest *request, double until)
 {
   request->answer_lost = TRUE;
   request->refs++;
@@ -23,7 +23,7 @@
 }
 
 static gboolean
-take_write (World *world, Req *request, double until)
+take_write (World *world, SimRequest *request, double until)
 {
   HrTroubles *troubles = &world->troubles;
   if (trouble_strikes (world, &troubles->lost_answers)) {
@@ -39,7 +39,7 @@
 }
 
 static gboolean
-take_command (World *world, Req *request, double until)
+take_command (World *world, SimRequest *request, double until)
 {
   if (!trouble_strikes (world, &world->troubles.late_commands))
     return FALSE;
@@ -50,7 +50,7 @@
 }
 
 static void
-copy_report (World *world, const Req *request)
+copy_report (World *world, const SimRequest *request)
 {
   HrTroubles *troubles = &world->troubles;
   if (trouble_strikes (world, &troubles->late_reports)) {
@@ -65,10 +65,10 @@
 }
 
 gboolean
-troubles_take (World *world, Req *request, double until)
+troubles_take (World *world, SimRequest *request, double until)
 {
   if (request->node < 0 && request->machine >= 0) {
-    const SMachine *machine = world->machines->pdata[request->machine];
+    const SimMachine *machine = world->machines->pdata[request->machine];
     if (machine->mute > world->now)
       return TRUE;
     if (is_report (request))
@@ -84,7 +84,7 @@
 }
 
 double
-troubles_delay (World *world, const Req *request)
+troubles_delay (World *world, const SimRequest *request)
 {
   const HrTroubles *troubles = &world->troubles;
   if (request->node < 0 || request->target != HR_TO_STORE ||
@@ -103,7 +103,7 @@
 }
 
 double
-troubles_zone_cut (World *world, const Req *request, const SMachine *machine)
+troubles_zone_cut (World *world, const SimRequest *request, const SimMachine *machine)
 {
   const HrTroubles *troubles = &world->troubles;
   int node = request->node >= 0 ? request->node : request->to;
@@ -129,7 +129,7 @@
 /* ---- copies of reports for a new leader ---- */
 
 static void
-let_go (World *world, Req *copy, int node, double within)
+let_go (World *world, SimRequest *copy, int node, double within)
 {
   req_stray (world, req_copy (copy, node), world->now + trouble_rand (world, 0, within));
   world->troubles.played[TROUBLE_LATE_REPORTS]++;
@@ -144,7 +144,7 @@
     return;
   g_free (troubles->leader_process);
   troubles->leader_process = g_strdup (process);
-  troubles->leader_baton = json_integer_value (json_object_get (map, "b"));
+  troubles->leader_token = json_integer_value (json_object_get (map, "b"));
   troubles->leaders++;
   troubles_moment (world, ON_HAND_OVER);
   for (guint i = 0; i < troubles->kept_all->len; i++)
@@ -162,7 +162,7 @@
     return;
   json_t *object = json_loads (answer, 0, NULL);
   gboolean acted =
-      (guint64)json_integer_value (json_object_get (object, "baton")) >= troubles->leader_baton;
+      (guint64)json_integer_value (json_object_get (object, "baton")) >= troubles->leader_token;
   json_decref (object);
   if (!acted)
     return;
--- a/tests/sim/trouble_users.c
+++ b/tests/sim/trouble_users.c
@@ -10,7 +10,7 @@
 
 typedef enum { ASK_POLL, ASK_SUBMIT, ASK_CANCEL } AskKind;
 typedef struct {
-  SJob *job;
+  SimJob *job;
   AskKind kind;
   int node;
 } PlannedAsk;
@@ -29,7 +29,7 @@
 }
 
 static void
-ask_after (World *world, SJob *job, AskKind kind, int node, double after)
+ask_after (World *world, SimJob *job, AskKind kind, int node, double after)
 {
   PlannedAsk *planned = g_new (PlannedAsk, 1);
   *planned = (PlannedAsk){job, kind, node};
@@ -37,7 +37,7 @@
 }
 
 static void
-look_closely (World *world, SJob *job)
+look_closely (World *world, SimJob *job)
 {
   for (int node = 0; node < world->n; node++) {
     for (guint i = 0; i < 3; i++)
@@ -50,11 +50,11 @@
 }
 
 void
-troubles_told (World *world, SJob *job, gboolean accepted)
+troubles_told (World *world, SimJob *job, gboolean accepted)
 {
   const HrSwitch *looks = &world->troubles.close_looks;
   if (accepted && world->troubles.odd_until > world->now)
-    odd_repeat (world, job);
+    malformed_requests_repeat (world, job);
   if (!trouble_on (world, looks))
     return;
   look_closely (world, job);
@@ -64,7 +64,7 @@
 }
 
 void
-troubles_job_ended (World *world, SJob *job)
+troubles_job_ended (World *world, SimJob *job)
 {
   if (trouble_on (world, &world->troubles.close_looks))
     look_closely (world, job);
@@ -77,10 +77,10 @@
 
 /* It runs, and neither ends soon nor was called off. */
 static gboolean
-long_to_go (World *world, const STask *task)
+long_to_go (World *world, const SimTask *task)
 {
-  const SJob *job = world->jobs->pdata[task->job];
-  return task->state == S_RUN && job->accepted && !job->asked_cancel &&
+  const SimJob *job = world->jobs->pdata[task->job];
+  return task->state == SIM_TASK_RUN && job->accepted && !job->asked_cancel &&
          (job->shape == HR_SERVICE ||
           job->run - task->base - (world->now - task->since) > LONG_TO_GO_S);
 }
@@ -91,10 +91,10 @@
   g_autoptr (GPtrArray) jobs = g_ptr_array_new ();
   g_autoptr (GPtrArray) machines = g_ptr_array_new ();
   for (guint i = 0; world->jobs && i < world->machines->len; i++) {
-    SMachine *machine = world->machines->pdata[i];
+    SimMachine *machine = world->machines->pdata[i];
     for (guint k = 0; !machine->gone && k < machine->tasks->len; k++) {
-      const STask *task = &g_array_index (machine->tasks, STask, k);
-      SJob *job = world->jobs->pdata[task->job];
+      const SimTask *task = &g_array_index (machine->tasks, SimTask, k);
+      SimJob *job = world->jobs->pdata[task->job];
       if (long_to_go (world, task) && !g_ptr_array_find (jobs, job, NULL))
         g_ptr_array_add (jobs, job);
     }
@@ -108,9 +108,9 @@
   if (trouble->hang_s <= 0)
     return;
   for (guint i = 0; i < world->machines->len; i++) {
-    SMachine *machine = world->machines->pdata[i];
+    SimMachine *machine = world->machines->pdata[i];
     for (guint k = 0; !machine->gone && k < machine->tasks->len; k++) {
-      const STask *task = &g_array_index (machine->tasks, STask, k);
+      const SimTask *task = &g_array_index (machine->tasks, SimTask, k);
       if (task->on && g_ptr_array_find (jobs, world->jobs->pdata[task->job], NULL)) {
         g_ptr_array_add (machines, machine);
         break;
@@ -119,5 +119,5 @@
   }
   trouble_shuffle (world, machines);
   for (guint i = 0; i < MIN (machines->len, CANCEL_NOW_HANGS); i++)
-    ((SMachine *)machines->pdata[i])->hang = world->now + trouble->hang_s;
+    ((SimMachine *)machines->pdata[i])->hang = world->now + trouble->hang_s;
 }
--- a/tests/sim/troubles.c
+++ b/tests/sim/troubles.c
@@ -57,7 +57,7 @@
   g_autoptr (GPtrArray) up = g_ptr_array_new ();
   GPtrArray *picked = g_ptr_array_new ();
   for (guint i = 0; i < world->machines->len; i++) {
-    SMachine *machine = world->machines->pdata[i];
+    SimMachine *machine = world->machines->pdata[i];
     if (machine->up && !machine->gone && (!trouble->zone || machine->zone + 1 == trouble->zone))
       g_ptr_array_add (up, machine);
   }
@@ -67,7 +67,7 @@
                                  : up->len;
   for (int busy = 1; busy >= 0; busy--)
     for (guint i = 0; i < up->len && picked->len < n; i++) {
-      SMachine *machine = up->pdata[i];
+      SimMachine *machine = up->pdata[i];
       if ((machine->tasks->len > 0) == busy)
         g_ptr_array_add (picked, machine);
     }
@@ -78,7 +78,7 @@
 static gboolean
 is_hit (World *world, HrWho who, int node)
 {
-  int leader = MAX (0, store_owner (world));
+  int leader = MAX (0, store_leader (world));
   switch (who) {
   case WHO_LEADER:
     return node == leader;
@@ -145,7 +145,7 @@
   g_autoptr (GPtrArray) list = pick_machines (world, trouble);
   double until = world->now + trouble->for_s;
   for (guint i = 0; i < list->len; i++) {
-    SMachine *machine = list->pdata[i];
+    SimMachine *machine = list->pdata[i];
     if (trouble->kind == TROUBLE_MACHINE_DEAF)
       machine->deaf = until;
     else if (trouble->kind == TROUBLE_MACHINE_MUTE)
@@ -266,7 +266,7 @@
     break;
   case TROUBLE_ODD_REQUESTS:
     troubles->odd_until = world->now + trouble->for_s;
-    odd_begin (world);
+    malformed_requests_begin (world);
     break;
   case TROUBLE_KINDS:
     break;
@@ -328,7 +328,7 @@
 }
 
 static gboolean
-machine_troubled (const World *world, const SMachine *machine)
+machine_troubled (const World *world, const SimMachine *machine)
 {
   return !machine->gone && (machine->cut > world->now || machine->hang > world->now ||
                             machine->deaf > world->now || machine->mute > world->now);
--- a/tests/sim/troubles.h
+++ b/tests/sim/troubles.h
@@ -71,8 +71,8 @@
   /* The cloud answers 503 to everything. Fields: for_s. */
   TROUBLE_CLOUD_OUTAGE,
   /* Every 1.5 s users send one request of each kind that must be turned away or change nothing:
-   * sim/odd.c lists them with the answers they must get. Of jobs just accepted the submission is
-   * repeated with other content. Fields: for_s. */
+   * sim/malformed_requests.c lists them with the answers they must get. Of jobs just accepted the
+   * submission is repeated with other content. Fields: for_s. */
   TROUBLE_ODD_REQUESTS,
   TROUBLE_KINDS
 } HrTroubleKind;
@@ -138,11 +138,11 @@
   double zone_cut_until; /* of zone_cut, with the controllers whose bits zone_nodes has */
   guint zone_cut, zone_nodes;
   gboolean zone_hold;
-  GPtrArray *kept_next, *kept_all; /* Req, copies of reports */
+  GPtrArray *kept_next, *kept_all; /* SimRequest, copies of reports */
   /* Leaders that the leader record has named, and how many of them had answered a worker when
    * copies were last let go; token with which the newest one began. */
   guint leaders, leaders_acted;
-  guint64 leader_baton;
+  guint64 leader_token;
   char *leader_process;
   GPtrArray *armed;            /* HrTrouble that begin with a moment */
   guint played[TROUBLE_KINDS]; /* how often each kind took effect on something */
--- a/tests/sim/user.c
+++ b/tests/sim/user.c
@@ -4,14 +4,14 @@
 #include "sim/pipeline.h"
 #include <string.h>
 
-SJob *
+SimJob *
 job_by_id (World *world, const char *id, guint32 *index)
 {
   guint place = GPOINTER_TO_UINT (g_hash_table_lookup (world->job_index, id));
   if (!place)
     return NULL;
   *index = place - 1;
-  return world->jobs->pdata[v - 1];
+  return world->jobs->pdata[place - 1];
 }
 
 static void submit (World *world, gpointer data);
@@ -40,23 +40,23 @@
 static void
 on_regular_poll (World *world, int status, json_t *body, gpointer data)
 {
-  SJob *job = ((Question *)data)->job;
+  SimJob *job = ((Question *)data)->job;
   on_poll (world, status, body, data);
   if (!world->calm && w_rand (world, 0, 1) < 0.02)
     w_at (world, world->now + w_rand (world, 1, 20), submit,
           job); /* a late retry of the submission */
-  w_at (world, world->now + (job->told_done || job->told_withdrawn ? 15 : 5), poll, job);
+  w_at (world, world->now + (job->told_done || job->told_cancelled ? 15 : 5), poll, job);
 }
 
 static void
-ask_at (World *world, SJob *job, int node, void (*done) (World *, int, json_t *, gpointer))
+ask_at (World *world, SimJob *job, int node, void (*done) (World *, int, json_t *, gpointer))
 {
   g_autofree char *path = g_strconcat ("/v1/jobs/", job->id, NULL);
   w_ask (world, node, -1, HR_GET, path, NULL, 2, done, question_new (world, job));
 }
 
 void
-user_poll_at (World *world, SJob *job, int node)
+user_poll_at (World *world, SimJob *job, int node)
 {
   ask_at (world, job, node < 0 ? any_node (world) : node, on_poll);
 }
@@ -71,7 +71,7 @@
 on_submit (World *world, int status, json_t *body, gpointer data)
 {
   Question *question = data;
-  SJob *job = question->job;
+  SimJob *job = question->job;
   if (status == 201 || status == 200) {
     if (!job->accepted) {
       w_at (world, world->now + 1, poll, job);
@@ -89,7 +89,7 @@
 }
 
 void
-user_submit_at (World *world, SJob *job, int node)
+user_submit_at (World *world, SimJob *job, int node)
 {
   job->submitted = TRUE;
   w_ask (world, node < 0 ? any_node (world) : node, -1, HR_POST, "/v1/jobs", g_strdup (job->body),
@@ -116,7 +116,7 @@
 }
 
 void
-user_cancel_at (World *world, SJob *job, int node)
+user_cancel_at (World *world, SimJob *job, int node)
 {
   if (!job->asked_cancel)
     job->asked_cancel_at = world->now;
@@ -133,10 +133,10 @@
 }
 
 void
-users_withdraw_at (World *world, int node)
+users_cancel_service_at (World *world, int node)
 {
   for (guint i = 0; i < world->jobs->len; i++) {
-    SJob *job = world->jobs->pdata[i];
+    SimJob *job = world->jobs->pdata[i];
     if (job->shape != HR_SERVICE || !job->started || job->cancel)
       continue;
     job->cancel = TRUE;
@@ -184,17 +184,17 @@
 
 /* ---- what is submitted ---- */
 
-SJob *
+SimJob *
 job_new (World *world)
 {
-  SJob *job = g_new0 (SJob, 1);
+  SimJob *job = g_new0 (SimJob, 1);
   job->id = g_strdup_printf ("job-%06u", 7919 * ++world->named % 1000000);
   return job;
 }
 
 /* The job is complete: its user submits it. */
 void
-job_submit (World *world, SJob *job)
+job_submit (World *world, SimJob *job)
 {
   job->done = g_new0 (guint, job->tasks);
   job->progress = g_new0 (double, job->tasks);
@@ -215,7 +215,7 @@
     if (!i)
       json_object_set_new (object, "awaits", json_array ());
     json_array_append_new (json_object_get (object, "awaits"),
-                           json_string (((SJob *)job->awaits->pdata[i])->id));
+                           json_string (((SimJob *)job->awaits->pdata[i])->id));
   }
   if (job->shape == HR_BATCH && !job->no_deadline)
     json_object_set_new (object, "due_s", json_real (job->due > 0 ? job->due : job->run * 2 + 30));
@@ -230,7 +230,7 @@
 static void
 new_job (World *world, gpointer data G_GNUC_UNUSED)
 {
-  SJob *job = job_new (world);
+  SimJob *job = job_new (world);
   guint n = world->jobs->len;
   double dice = w_rand (world, 0, 1);
   job->shape = dice < 0.2 ? HR_SERVICE : dice < 0.45 ? HR_GANG : HR_BATCH;
@@ -265,10 +265,10 @@
 }
 
 /* A gang whose tasks each want a whole machine. */
-SJob *
+SimJob *
 job_gang (World *world, guint tasks, double image_gb, double run)
 {
-  SJob *job = job_new (world);
+  SimJob *job = job_new (world);
   job->shape = HR_GANG;
   job->tasks = tasks;
   job->cpus = 10;
@@ -280,10 +280,10 @@
 }
 
 /* An array, of which two tasks fit on a machine. */
-static SJob *
+static SimJob *
 batch_of (World *world, guint tasks, double run)
 {
-  SJob *job = job_new (world);
+  SimJob *job = job_new (world);
   job->shape = HR_BATCH;
   job->tasks = tasks;
   job->cpus = 4;
@@ -305,7 +305,7 @@
 large_array (World *world, gpointer data)
 {
   guint n = GPOINTER_TO_UINT (data);
-  SJob *job = batch_of (world, n % 2 ? 60 : 140, w_rand (world, 15, 35));
+  SimJob *job = batch_of (world, n % 2 ? 60 : 140, w_rand (world, 15, 35));
   job->spot = n % 3 == 0;
   job->cancel = n % 4 == 3;
   job->due_cancel = world->now + w_rand (world, 20, 50);
@@ -316,7 +316,7 @@
 static void
 large_service (World *world, gpointer data)
 {
-  SJob *job = batch_of (world, 46, 0);
+  SimJob *job = batch_of (world, 46, 0);
   job->shape = HR_SERVICE;
   job->cancel = TRUE;
   job->due_cancel = world->now + (data ? w_rand (world, 75, 140) : w_rand (world, 180, 220));
@@ -349,7 +349,7 @@
 array_wanted (World *world, gpointer data)
 {
   g_autofree ArrayWanted *wanted = data;
-  SJob *job = batch_of (world, wanted->tasks, wanted->run);
+  SimJob *job = batch_of (world, wanted->tasks, wanted->run);
   job->cancel = wanted->cancel_at > 0;
   job->due_cancel = wanted->cancel_at;
   job_submit (world, job);
@@ -372,7 +372,7 @@
 static void
 guaranteed (World *world, gpointer data)
 {
-  SJob *job = data ? job_gang (world, 2, 1, 25) : batch_of (world, 6, 25);
+  SimJob *job = data ? job_gang (world, 2, 1, 25) : batch_of (world, 6, 25);
   job->team = "guests";
   job_submit (world, job);
 }
@@ -390,7 +390,7 @@
 static void
 job_free (gpointer data)
 {
-  SJob *job = data;
+  SimJob *job = data;
   g_free (job->id);
   g_free (job->body);
   if (job->awaits)
--- a/tests/sim/worker.c
+++ b/tests/sim/worker.c
@@ -15,54 +15,54 @@
 
 static void report_due (World *world, gpointer data);
 
-static SJob *
-job (World *world, const STask *task)
+static SimJob *
+job (World *world, const SimTask *task)
 {
   return world->jobs->pdata[task->job];
 }
 
 static double
-progress (World *world, const STask *task)
+progress (World *world, const SimTask *task)
 {
-  return task->base + (task->state == S_RUN ? world->now - task->since : 0);
+  return task->base + (task->state == SIM_TASK_RUN ? world->now - task->since : 0);
 }
 
 static void
-end (World *world, STask *task, const char *cause)
+end (World *world, SimTask *task, const char *cause)
 {
-  SJob *owner_job = job (world, task);
-  if (task->state == S_EXIT)
+  SimJob *task_job = job (world, task);
+  if (task->state == SIM_TASK_EXIT)
     return;
-  if (task->state == S_RUN && owner_job->checkpoint > 0) {
+  if (task->state == SIM_TASK_RUN && task_job->checkpoint > 0) {
     double reached = progress (world, task);
-    double saved = ((int)(reached / owner_job->checkpoint)) * owner_job->checkpoint;
-    owner_job->progress[task->task] = MAX (owner_job->progress[task->task], saved);
+    double saved = ((int)(reached / task_job->checkpoint)) * task_job->checkpoint;
+    task_job->progress[task->task] = MAX (task_job->progress[task->task], saved);
   }
-  task->state = S_EXIT;
+  task->state = SIM_TASK_EXIT;
   task->on = FALSE;
   task->cause = cause;
 }
 
 /* The machine or its incarnation ends: its tasks are gone, and nobody says so. */
 void
-machine_stop_all (World *world, SMachine *machine)
+machine_stop_all (World *world, SimMachine *machine)
 {
   for (guint i = 0; i < machine->tasks->len; i++)
-    end (world, &g_array_index (machine->tasks, STask, i), "lost");
+    end (world, &g_array_index (machine->tasks, SimTask, i), "lost");
   g_array_set_size (machine->tasks, 0);
 }
 
 static char *
-report_text (World *world, SMachine *machine)
+report_text (World *world, SimMachine *machine)
 {
   json_t *list = json_array ();
   machine->tally++;
   for (guint i = 0; i < machine->tasks->len; i++) {
-    STask *task = &g_array_index (machine->tasks, STask, i);
+    SimTask *task = &g_array_index (machine->tasks, SimTask, i);
     g_autofree char *piece = g_strdup_printf ("%s/%u", job (world, task)->id, task->task);
     json_t *object = json_pack ("{sssiss}", "piece", piece, "try", (int)task->try, "stance",
                                 states[task->state]);
-    if (task->state == S_EXIT)
+    if (task->state == SIM_TASK_EXIT)
       json_object_set_new (object, "cause", json_string (task->cause));
     if (task->kept)
       json_object_set_new (object, "kept", json_true ());
@@ -71,51 +71,51 @@
   json_t *object = json_pack (
       "{sssssssssbsisisIso}", "rockhand", machine->name, "addr", machine->addr, "hull", "g2",
       "quarry", zones[machine->zone], "loaners", machine->spot, "tenure", (int)machine->tenure,
-      "tally", (int)machine->tally, "baton", (json_int_t)machine->baton, "pieces", list);
+      "tally", (int)machine->tally, "baton", (json_int_t)machine->token, "pieces", list);
   if (machine->warned)
     json_object_set_new (object, "warning_s", json_real (MAX (0, machine->warned - world->now)));
   return hr_json_take_text (object);
 }
 
 static void
-launch (World *world, SMachine *machine, const char *id, guint32 task_index, guint32 attempt)
+launch (World *world, SimMachine *machine, const char *id, guint32 task_index, guint32 attempt)
 {
   guint32 index;
-  SJob *owner_job = job_by_id (world, id, &index);
-  STask task = {.job = index, .task = task_index, .try = attempt, .state = S_FETCH};
+  SimJob *task_job = job_by_id (world, id, &index);
+  SimTask task = {.job = index, .task = task_index, .try = attempt, .state = SIM_TASK_FETCH};
   double cpus = 0, gpus = 0, memory_gb = 0;
-  if (!owner_job || task_index >= owner_job->tasks) {
+  if (!task_job || task_index >= task_job->tasks) {
     w_broken (world, "protocol", "launch of %s/%u", id, task_index);
     return;
   }
   for (guint i = 0; i < machine->tasks->len; i++) {
-    STask *other = &g_array_index (machine->tasks, STask, i);
+    SimTask *other = &g_array_index (machine->tasks, SimTask, i);
     if (other->job == index && other->task == task_index && other->try == attempt)
       return;
-    if (other->state == S_EXIT)
+    if (other->state == SIM_TASK_EXIT)
       continue;
     if (other->job == index && other->task == task_index) {
-      task.state = S_EXIT;
+      task.state = SIM_TASK_EXIT;
       task.cause = "in_use";
     }
     cpus += job (world, other)->cpus;
     gpus += job (world, other)->gpus;
     memory_gb += job (world, other)->mem;
   }
-  if (task.state != S_EXIT && (cpus + owner_job->cpus > 12.001 || gpus + owner_job->gpus > 2.001 ||
-                               memory_gb + owner_job->mem > 96.001)) {
-    task.state = S_EXIT;
+  if (task.state != SIM_TASK_EXIT &&
+      (cpus + task_job->cpus > 12.001 || gpus + task_job->gpus > 2.001 ||
+       memory_gb + task_job->mem > 96.001)) {
+    task.state = SIM_TASK_EXIT;
     task.cause = "full";
   }
-  gboolean cached =
-      g_hash_table_contains (machine->images, GUINT_TO_POINTER (owner_job->image + 1));
-  task.ready = world->now + (cached ? 0.05 : owner_job->image_gb);
-  task.failing = owner_job->broken || (machine->faulty && w_rand (world, 0, 1) < 0.7);
+  gboolean cached = g_hash_table_contains (machine->images, GUINT_TO_POINTER (task_job->image + 1));
+  task.ready = world->now + (cached ? 0.05 : task_job->image_gb);
+  task.failing = task_job->broken || (machine->faulty && w_rand (world, 0, 1) < 0.7);
   g_array_append_val (machine->tasks, task);
 }
 
 static void
-obey (World *world, SMachine *machine, json_t *orders)
+obey (World *world, SimMachine *machine, json_t *orders)
 {
   size_t i;
   json_t *object;
@@ -133,21 +133,21 @@
       continue;
     }
     for (guint k = 0; k < machine->tasks->len; k++) {
-      STask *task = &g_array_index (machine->tasks, STask, k);
+      SimTask *task = &g_array_index (machine->tasks, SimTask, k);
       if (task->job != index || task->task != task_index || task->try != attempt)
         continue;
       if (strcmp (verb, "clear") == 0) {
-        if (task->state == S_EXIT)
+        if (task->state == SIM_TASK_EXIT)
           g_array_remove_index (machine->tasks, k);
         break;
       }
       double grace = json_number_value (json_object_get (object, "leeway_s"));
-      SJob *owner_job = job (world, task);
-      if (task->state == S_RUN && owner_job->checkpoint > 0 && grace >= owner_job->save) {
+      SimJob *task_job = job (world, task);
+      if (task->state == SIM_TASK_RUN && task_job->checkpoint > 0 && grace >= task_job->save) {
         task->base = progress (world, task);
-        task->state = S_SAVE;
-        task->until = world->now + owner_job->save;
-      } else if (task->state != S_SAVE || grace == 0)
+        task->state = SIM_TASK_SAVE;
+        task->until = world->now + task_job->save;
+      } else if (task->state != SIM_TASK_SAVE || grace == 0)
         end (world, task, "halted");
       break;
     }
@@ -156,15 +156,15 @@
 
 /* ---- the life of tasks ---- */
 
-static SMachine *
-peer_of (World *world, guint32 index, guint32 task_index, guint32 attempt, STask **out)
+static SimMachine *
+peer_of (World *world, guint32 index, guint32 task_index, guint32 attempt, SimTask **out)
 {
   for (guint i = 0; i < world->machines->len; i++) {
-    SMachine *machine = world->machines->pdata[i];
+    SimMachine *machine = world->machines->pdata[i];
     for (guint k = 0; !machine->gone && k < machine->tasks->len; k++) {
-      STask *task = &g_array_index (machine->tasks, STask, k);
+      SimTask *task = &g_array_index (machine->tasks, SimTask, k);
       if (task->job == index && task->task == task_index && task->try == attempt &&
-          task->state != S_EXIT) {
+          task->state != SIM_TASK_EXIT) {
         *out = task;
         return machine;
       }
@@ -174,27 +174,27 @@
 }
 
 static void
-gang_step (World *world, STask *task)
+gang_step (World *world, SimTask *task)
 {
-  SJob *owner_job = job (world, task);
+  SimJob *task_job = job (world, task);
   gboolean all = TRUE, ready = TRUE;
-  for (guint32 i = 0; i < owner_job->tasks; i++) {
-    STask *peer = NULL;
+  for (guint32 i = 0; i < task_job->tasks; i++) {
+    SimTask *peer = NULL;
     if (!peer_of (world, task->job, i, task->try, &peer))
       all = FALSE;
     else
-      ready = ready && (peer->state == S_GATHER || peer->state == S_RUN);
+      ready = ready && (peer->state == SIM_TASK_GATHER || peer->state == SIM_TASK_RUN);
   }
-  if (task->state == S_GATHER) {
+  if (task->state == SIM_TASK_GATHER) {
     if (all && ready) {
-      task->state = S_RUN;
+      task->state = SIM_TASK_RUN;
       task->since = world->now;
-      if (!owner_job->first)
-        owner_job->first = world->now;
-      task->base = owner_job->progress[0];
+      if (!task_job->first)
+        task_job->first = world->now;
+      task->base = task_job->progress[0];
     } else if (world->now - task->since > GANG_WAIT)
       end (world, task, "incomplete");
-  } else if (task->state == S_RUN && !all) {
+  } else if (task->state == SIM_TASK_RUN && !all) {
     if (!task->until)
       task->until = world->now + w_rand (world, 0.5, GANG_PEER);
     else if (world->now > task->until)
@@ -203,40 +203,40 @@
 }
 
 static gboolean
-task_step (World *world, SMachine *machine, STask *task)
+task_step (World *world, SimMachine *machine, SimTask *task)
 {
-  SJob *owner_job = job (world, task);
-  SState before = task->state;
-  if (task->state == S_FETCH && world->now >= task->ready) {
-    g_hash_table_add (machine->images, GUINT_TO_POINTER (owner_job->image + 1));
-    judge_start (world, machine, task);
+  SimJob *task_job = job (world, task);
+  SimTaskState before = task->state;
+  if (task->state == SIM_TASK_FETCH && world->now >= task->ready) {
+    g_hash_table_add (machine->images, GUINT_TO_POINTER (task_job->image + 1));
+    check_task_start (world, machine, task);
     task->on = TRUE;
     task->since = world->now;
-    task->state = owner_job->shape == HR_GANG ? S_GATHER : S_RUN;
-    task->base = owner_job->shape == HR_BATCH ? owner_job->progress[task->task] : 0;
-    if (owner_job->done[task->task])
+    task->state = task_job->shape == HR_GANG ? SIM_TASK_GATHER : SIM_TASK_RUN;
+    task->base = task_job->shape == HR_BATCH ? task_job->progress[task->task] : 0;
+    if (task_job->done[task->task])
       end (world, task, "done");
   }
-  if (owner_job->shape == HR_GANG && (task->state == S_GATHER || task->state == S_RUN))
+  if (task_job->shape == HR_GANG && (task->state == SIM_TASK_GATHER || task->state == SIM_TASK_RUN))
     gang_step (world, task);
-  if (task->state == S_RUN && task->failing && world->now - task->since > 1)
+  if (task->state == SIM_TASK_RUN && task->failing && world->now - task->since > 1)
     end (world, task, "error");
-  else if (task->state == S_RUN && owner_job->shape != HR_SERVICE &&
-           progress (world, task) >= owner_job->run) {
-    if (owner_job->shape == HR_GANG)
-      for (guint32 i = 0; i < owner_job->tasks; i++) {
-        STask *peer = NULL;
-        SMachine *peer_machine = peer_of (world, task->job, i, task->try, &peer);
-        owner_job->done[i] = TRUE;
+  else if (task->state == SIM_TASK_RUN && task_job->shape != HR_SERVICE &&
+           progress (world, task) >= task_job->run) {
+    if (task_job->shape == HR_GANG)
+      for (guint32 i = 0; i < task_job->tasks; i++) {
+        SimTask *peer = NULL;
+        SimMachine *peer_machine = peer_of (world, task->job, i, task->try, &peer);
+        task_job->done[i] = TRUE;
         if (peer_machine && peer != task)
           end (world, peer, "done");
       }
-    owner_job->done[task->task] = TRUE;
+    task_job->done[task->task] = TRUE;
     end (world, task, "done");
-    if (job_all_done (owner_job))
-      troubles_job_ended (world, owner_job);
-  } else if (task->state == S_SAVE && world->now >= task->until) {
-    owner_job->progress[owner_job->shape == HR_GANG ? 0 : task->task] = task->base;
+    if (job_all_done (task_job))
+      troubles_job_ended (world, task_job);
+  } else if (task->state == SIM_TASK_SAVE && world->now >= task->until) {
+    task_job->progress[task_job->shape == HR_GANG ? 0 : task->task] = task->base;
     task->kept = TRUE;
     end (world, task, "halted");
   }
@@ -246,7 +246,7 @@
 static void
 live (World *world, gpointer data)
 {
-  SMachine *machine = data;
+  SimMachine *machine = data;
   if (machine->gone)
     return;
   w_at (world, world->now + (world->capacity > 100 ? 0.75 : 0.25), live,
@@ -264,7 +264,7 @@
     return;
   gboolean changed = FALSE;
   for (guint i = 0; i < machine->tasks->len; i++)
-    changed |= task_step (world, machine, &g_array_index (machine->tasks, STask, i));
+    changed |= task_step (world, machine, &g_array_index (machine->tasks, SimTask, i));
   if (changed && !machine->out && world->now - machine->report_sent > 0.5)
     report_due (world, machine);
 }
@@ -272,7 +272,7 @@
 /* ---- reports ---- */
 
 typedef struct {
-  SMachine *m;
+  SimMachine *m;
   guint report, tenure;
   double sent;
 } Out;
@@ -280,7 +280,7 @@
 static void
 report_later (World *world, gpointer data)
 {
-  SMachine *machine = data;
+  SimMachine *machine = data;
   if (!machine->gone && !machine->out &&
       world->now - machine->report_sent > REPORT_SENT_SHARE * world->report_s)
     report_due (world, machine);
@@ -289,7 +289,7 @@
 static void
 report_next_node (World *world, gpointer data)
 {
-  SMachine *machine = data;
+  SimMachine *machine = data;
   if (!machine->out)
     report_due (world, machine);
 }
@@ -298,7 +298,7 @@
 on_report (World *world, int status, json_t *body, gpointer data)
 {
   Out *out = data;
-  SMachine *machine = out->m;
+  SimMachine *machine = out->m;
   if (machine->gone || out->report != machine->report) {
     g_free (out);
     return;
@@ -308,14 +308,14 @@
   if (status == 200) {
     guint64 fencing_token = json_integer_value (json_object_get (body, "baton"));
     /* A hanging worker reads nothing before it wakes. */
-    if (fencing_token >= machine->baton && out->tenure == machine->tenure &&
+    if (fencing_token >= machine->token && out->tenure == machine->tenure &&
         machine->hang <= world->now) {
       /* A higher token is a change, at most once in half a lease. */
-      if (fencing_token > machine->baton && world->now - machine->token_told > world->lease_s / 2) {
+      if (fencing_token > machine->token && world->now - machine->token_told > world->lease_s / 2) {
         machine->token_told = world->now;
         w_at (world, machine->report_sent + 0.51, report_next_node, machine);
       }
-      machine->baton = fencing_token;
+      machine->token = fencing_token;
       machine->lease_at = out->sent;
       obey (world, machine, json_object_get (body, "orders"));
     }
@@ -333,7 +333,7 @@
 static void
 report_due (World *world, gpointer data)
 {
-  SMachine *machine = data;
+  SimMachine *machine = data;
   if (machine->gone || machine->out)
     return;
   if (machine->hang > world->now) {
@@ -351,7 +351,7 @@
 }
 
 void
-worker_boot (World *world, SMachine *machine)
+worker_boot (World *world, SimMachine *machine)
 {
   machine->tenure = 1;
   machine->lease_at = world->now;
@@ -365,17 +365,17 @@
 static void
 do_late (World *world, gpointer data)
 {
-  Req *request = data;
+  SimRequest *request = data;
   worker_request (world, request);
   req_unref (request);
 }
 
 void
-worker_request (World *world, Req *request)
+worker_request (World *world, SimRequest *request)
 {
-  SMachine *machine = NULL;
+  SimMachine *machine = NULL;
   for (guint i = 0; i < world->machines->len; i++)
-    if (strcmp (((SMachine *)world->machines->pdata[i])->addr, request->addr) == 0)
+    if (strcmp (((SimMachine *)world->machines->pdata[i])->addr, request->addr) == 0)
       machine = world->machines->pdata[i];
   if (!machine || machine->gone || !machine->up)
     return;
@@ -387,10 +387,10 @@
   json_t *object = json_loads (request->body, 0, NULL);
   guint64 fencing_token = json_integer_value (json_object_get (object, "baton"));
   gboolean ok =
-      fencing_token >= machine->baton &&
+      fencing_token >= machine->token &&
       json_integer_value (json_object_get (object, "tenure")) == (json_int_t)machine->tenure;
   if (ok) {
-    machine->baton = fencing_token;
+    machine->token = fencing_token;
     obey (world, machine, json_object_get (object, "orders"));
   }
   json_decref (object);
--- a/tests/sim/workloads.c
+++ b/tests/sim/workloads.c
@@ -17,7 +17,7 @@
 static void
 large_job (World *world, gpointer data)
 {
-  SJob *job = job_new (world);
+  SimJob *job = job_new (world);
   job->shape = GPOINTER_TO_INT (data);
   job->large = TRUE;
   job->tasks = job->shape == HR_GANG ? 8 : 40;
@@ -33,7 +33,7 @@
 static void
 small_gang (World *world, gpointer data G_GNUC_UNUSED)
 {
-  SJob *job = job_gang (world, 2, world->gang_image > 0 ? world->gang_image : 1, 40);
+  SimJob *job = job_gang (world, 2, world->gang_image > 0 ? world->gang_image : 1, 40);
   job->image = world->jobs->len; /* its own, to be fetched */
   job_submit (world, job);
 }
@@ -48,7 +48,7 @@
 static void
 give_up (World *world, gpointer data G_GNUC_UNUSED)
 {
-  SJob *job = world->jobs->pdata[world->jobs->len - 1];
+  SimJob *job = world->jobs->pdata[world->jobs->len - 1];
   job->cancel = TRUE;
   user_cancel_at (world, job, -1);
 }
@@ -70,7 +70,7 @@
 static void
 service (World *world, gpointer data)
 {
-  SJob *job = job_new (world);
+  SimJob *job = job_new (world);
   job->shape = HR_SERVICE;
   job->tasks = GPOINTER_TO_UINT (data);
   job->cpus = 4;
@@ -95,7 +95,7 @@
 {
   guint i = GPOINTER_TO_UINT (data);
   static const guint replicas[] = {2, 4, 6}, gangs[] = {1, 2, 4, 8};
-  SJob *job = job_new (world);
+  SimJob *job = job_new (world);
   job->shape = i % 5 < 2 ? HR_SERVICE : i % 5 < 4 ? HR_GANG : HR_BATCH;
   job->tasks = job->shape == HR_SERVICE ? replicas[i % 3]
                : job->shape == HR_GANG  ? gangs[i / 5 % 4]
--- a/tests/sim/crowds.c
+++ b/tests/sim/workloads_large.c
@@ -14,7 +14,7 @@
 single (World *world, gpointer data)
 {
   Singles *singles = data;
-  SJob *job = job_new (world);
+  SimJob *job = job_new (world);
   job->shape = HR_BATCH;
   job->tasks = 1;
   job->cpus = 2;
@@ -47,7 +47,7 @@
 {
   guint i = GPOINTER_TO_UINT (data);
   static const guint tasks[] = {3, 12, 2, 4};
-  SJob *job = job_new (world);
+  SimJob *job = job_new (world);
   job->shape = i % 4 == 0 ? HR_SERVICE : i % 4 == 2 ? HR_GANG : HR_BATCH;
   job->tasks = tasks[i % 4];
   job->cpus = job->shape == HR_GANG ? 10 : 4;
@@ -77,7 +77,7 @@
 overload_job (World *world, gpointer data)
 {
   guint i = GPOINTER_TO_UINT (data);
-  SJob *job = job_new (world);
+  SimJob *job = job_new (world);
   job->shape = i % 3 == 0 ? HR_GANG : HR_BATCH;
   job->tasks = job->shape == HR_GANG ? 1 + i % 4 : 6 + i % 10;
   job->cpus = job->shape == HR_GANG ? 10 : 4;
@@ -107,7 +107,7 @@
 limit_job (World *world, gpointer data)
 {
   HrShape shape = GPOINTER_TO_INT (data);
-  SJob *job = job_new (world);
+  SimJob *job = job_new (world);
   job->shape = shape;
   job->tasks = shape == HR_GANG ? 3 : 2;
   job->cpus = shape == HR_GANG ? 10 : 4;
--- a/tests/sim/world.c
+++ b/tests/sim/world.c
@@ -11,7 +11,7 @@
 typedef struct {
   double t;
   guint64 seq;
-  WFn fn;
+  SimCallback fn;
   gpointer data;
 } Event;
 
@@ -26,7 +26,7 @@
 }
 
 void
-w_at (World *world, double until, WFn callback, gpointer data)
+w_at (World *world, double until, SimCallback callback, gpointer data)
 {
   Event *event = g_new (Event, 1);
   *event = (Event){until, ++world->seq, callback, data};
@@ -77,16 +77,16 @@
 
 typedef struct {
   int to;
-  HrPeerStatus hint;
+  HrPeerStatus status;
 } Hint;
 
 static void
-deliver_hint (World *world, gpointer data)
+deliver_status (World *world, gpointer data)
 {
   Hint *sent = data;
   if (world->nodes[sent->to].up) {
     HrCommand *command = hr_command_new (HR_COMMAND_PEER_STATUS);
-    *command->peer_status = sent->hint;
+    *command->peer_status = sent->status;
     node_push (world, sent->to, command);
   }
   g_free (sent);
@@ -97,7 +97,7 @@
 {
   Node *n = &world->nodes[i];
   if (effect->kind == HR_EFFECT_REPLY) {
-    Req *request = g_hash_table_lookup (n->open, &effect->id);
+    SimRequest *request = g_hash_table_lookup (n->open, &effect->id);
     if (request) {
       if (effect->reply.status >= 500 && effect->reply.status != 503)
         w_broken (world, "status", "%s answered %d", request->path, effect->reply.status);
@@ -125,7 +125,7 @@
   } else if (effect->kind == HR_EFFECT_CALL) {
     if (effect->call.target == HR_TO_WORKER)
       node_check_launches (world, i, effect->body);
-    Req *request = g_new0 (Req, 1);
+    SimRequest *request = g_new0 (SimRequest, 1);
     request->node = i;
     request->gen = n->gen;
     request->call = effect->id;
@@ -144,7 +144,7 @@
       if (k != i && n->cut_peers <= world->now && world->nodes[k].cut_peers <= world->now) {
         Hint *sent = g_new (Hint, 1);
         *sent = (Hint){k, *effect->peer_status};
-        w_at (world, world->now + net_delay (world), deliver_hint, sent);
+        w_at (world, world->now + net_delay (world), deliver_status, sent);
       }
 }
 
@@ -210,7 +210,7 @@
                 batch, out);
   for (guint k = 0; k < out->len; k++)
     sim_digest_add (world->digest, world->now, i, out->pdata[k]);
-  judge_launches (world, i, n->epoch_read, out);
+  check_launches (world, i, n->epoch_read, out);
   n->epoch_acting = n->epoch_read;
   n->epoch_read = n->epoch_sent;
   if (n->freeze_next > 0) {
@@ -366,7 +366,7 @@
 static void
 second (World *world, gpointer data G_GNUC_UNUSED)
 {
-  judge_tick (world);
+  check_periodically (world);
   w_at (world, world->now + 0.5, second, NULL);
 }
 
@@ -428,7 +428,7 @@
     if (event->t > until)
       break;
     world->now = MAX (world->now, event->t);
-    WFn callback = event->fn;
+    SimCallback callback = event->fn;
     gpointer data = event->data;
     g_sequence_remove (iter);
     callback (world, data);
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -7,7 +7,7 @@
 #include "sim/troubles.h"
 #include <jansson.h>
 
-typedef void (*WFn) (World *world, gpointer data);
+typedef void (*SimCallback) (World *world, gpointer data);
 
 /* How the controllers are run, where they are not cores in this process (tests/soak). Time is that
  * of the world, in seconds. */
@@ -19,24 +19,24 @@
   void (*freeze) (World *world, int node, double for_s);
   /* Where a new machine's worker takes direct orders: IP:PORT, to be freed. */
   char *(*worker_address) (World *world, guint machine);
-} WControllers;
+} SimControllers;
 
 /* What becomes of one request, where a search decides it instead of the drawn losses. */
 typedef enum {
-  FATE_DELIVERED,
-  FATE_LOST,        /* never carried out */
-  FATE_ANSWER_LOST, /* carried out at once; its answer is lost */
-  FATE_LATE,        /* carried out seconds after its sender gave up */
-  FATE_COPIED,      /* carried out at once, and again later */
-  FATE_ENDS_BACK,   /* carried out; the controller concerned ends then, and is back at once */
-  FATE_ENDS_AWAY,   /* the same, and it stays away for longer than a leader's lease */
-  FATE_COUNT
-} WFate;
+  OUTCOME_DELIVERED,
+  OUTCOME_LOST,        /* never carried out */
+  OUTCOME_ANSWER_LOST, /* carried out at once; its answer is lost */
+  OUTCOME_LATE,        /* carried out seconds after its sender gave up */
+  OUTCOME_COPIED,      /* carried out at once, and again later */
+  OUTCOME_ENDS_BACK,   /* carried out; the controller concerned ends then, and is back at once */
+  OUTCOME_ENDS_AWAY,   /* the same, and it stays away for longer than a leader's lease */
+  OUTCOME_COUNT
+} SimOutcome;
 
 /* The newest of a worker's reports: by incarnation, then by number. */
 typedef struct {
   guint64 session, number;
-} WNewest;
+} SimReportOrder;
 
 /* A request on its way, to any server of the world, and its way back. */
 typedef struct {
@@ -54,7 +54,7 @@
   int machine; /* of the asking worker, or -1 */
   void (*done) (World *world, int status, json_t *body, gpointer data);
   gpointer data;
-} Req;
+} SimRequest;
 
 /* What the state service told a controller. */
 typedef struct {
@@ -73,9 +73,10 @@
   gboolean upgraded; /* its next process is of the new version */
   GPtrArray *queue;
   gboolean stepping;
-  GHashTable *open;         /* request id -> Req */
-  GHashTable *heard;        /* machine -> WNewest answered */
-  GHashTable *heard_before; /* request id -> WNewest answered when it was handed over; processes */
+  GHashTable *open;  /* request id -> SimRequest */
+  GHashTable *heard; /* machine -> SimReportOrder answered */
+  GHashTable
+      *heard_before; /* request id -> SimReportOrder answered when it was handed over; processes */
   guint64 next;
   double store_at;  /* when the state service last answered it */
   double behind_at; /* when another changed the leader record, not read yet; 0: never */
@@ -94,17 +95,23 @@
 
 #define MAX_NODES 5
 
-typedef enum { S_FETCH, S_GATHER, S_RUN, S_SAVE, S_EXIT } SState;
+typedef enum {
+  SIM_TASK_FETCH,
+  SIM_TASK_GATHER,
+  SIM_TASK_RUN,
+  SIM_TASK_SAVE,
+  SIM_TASK_EXIT
+} SimTaskState;
 typedef struct {
   guint32 job, task, try;
-  SState state;
+  SimTaskState state;
   const char *cause;
   gboolean kept, failing;
   double ready, until; /* image there; saved by */
   double since;        /* gathering or running since */
   double base;         /* progress when it began to run */
   gboolean on;         /* has its image, not exited */
-} STask;
+} SimTask;
 
 typedef struct {
   char *name, *addr, *ask;
@@ -115,7 +122,7 @@
   double asked_gone; /* its deletion was first asked for then; 0: never */
   double named_at;   /* when a record last ceased to name it, after it went */
   guint tenure, tally;
-  guint64 baton;
+  guint64 token;
   double lease_at; /* sent time of the last report that got an answer */
   int node;        /* reports to */
   gboolean out;    /* a report is on its way */
@@ -127,9 +134,9 @@
   gboolean hold;
   double warned; /* taken at; 0: no notice */
   gboolean faulty, through_cut;
-  GArray *tasks; /* STask */
+  GArray *tasks; /* SimTask */
   GHashTable *images;
-} SMachine;
+} SimMachine;
 
 typedef struct {
   char *id, *body;
@@ -140,15 +147,15 @@
   gboolean one_zone, spread, spot, broken, submitted, accepted, refused;
   gboolean cancel, asked_cancel;
   double asked_cancel_at; /* the first time */
-  double due_cancel, told_withdrawn, told_done, started, first, done_at;
+  double due_cancel, told_cancelled, told_done, started, first, done_at;
   double poll_at, ok_at;
   /* By the clock of answers (World.answers), 0: not yet: when a user first heard that it is */
-  guint64 heard_accepted, heard_done, heard_withdrawn;
+  guint64 heard_accepted, heard_done, heard_cancelled;
   double accepted_at;
-  double withdrawn_at; /* its record says so since; 0: it does not */
+  double cancelled_at; /* its record says so since; 0: it does not */
   gboolean large, forgotten, lost_place;
   const char *team;     /* NULL: the first one */
-  GPtrArray *awaits;    /* SJob, or NULL */
+  GPtrArray *awaits;    /* SimJob, or NULL */
   gboolean no_deadline; /* also as an array */
   guint zone;           /* it is bound to, plus one; 0: none */
   double waits_at;      /* waits beside room since; 0: does not */
@@ -156,7 +163,7 @@
   double due;           /* an array's deadline, s after it was submitted; 0: by its run time */
   guint *done;          /* per task */
   double *progress;
-} SJob;
+} SimJob;
 
 struct World {
   double now;
@@ -164,7 +171,7 @@
   SimDigest *digest;
   GSequence *events;
   guint64 seq;
-  const WControllers *controllers; /* NULL: cores in this process */
+  const SimControllers *controllers; /* NULL: cores in this process */
   gpointer controllers_data;
   GHashTable
       *token_nodes; /* token -> node that wrote the leader record with it; of `controllers` alone */
@@ -176,8 +183,8 @@
   double quota_gpus, machines_per_part; /* 0: as the policy says */
   GHashTable *assigned;                 /* "job/task/try" -> the process that recorded it */
   /* state service */
-  GHashTable *keys; /* path -> SKey */
-  GArray *log;      /* SChange */
+  GHashTable *keys; /* path -> StoreKey */
+  GArray *log;      /* StoreChange */
   GHashTable *leases;
   guint64 epoch, claims;
   GPtrArray *watches;
@@ -189,14 +196,14 @@
   double write_tokens, write_tokens_at;
   GHashTable *too_large; /* path -> times that a value for it was refused */
   /* cloud */
-  GPtrArray *machines; /* SMachine */
+  GPtrArray *machines; /* SimMachine */
   GHashTable *asks;
   double cloud_outage;
   double cloud_calls, cloud_called; /* calls that fill its allowance, as of then */
   guint capacity;
   gboolean long_names; /* of machines */
   /* users */
-  GPtrArray *jobs; /* SJob */
+  GPtrArray *jobs; /* SimJob */
   GHashTable *job_index;
   guint named; /* jobs that have a name, submitted or not */
   guint streamed;
@@ -209,20 +216,20 @@
   GPtrArray *broken; /* texts */
   guint starts;
   double loss, dup, late;
-  double late_orders;    /* share of direct orders that get no answer and come half a minute or more
-                            late */
-  double copies;         /* share of reports of which a copy comes late */
-  GHashTable *withdrawn; /* job id -> guint64, epoch of its cancellation */
-  gboolean calm;         /* no more faults */
+  double late_orders; /* share of direct orders that get no answer and come half a minute or more
+                         late */
+  double copies;      /* share of reports of which a copy comes late */
+  GHashTable *cancelled_jobs; /* job id -> guint64, epoch of its cancellation */
+  gboolean calm;              /* no more faults */
   double calm_at, faults_to;
   double stray_until; /* messages that were held up or copied are on their way until then */
   double quiet_at;    /* no trouble has a hold on anything since; 0: one has */
   HrTroubles troubles;
   guint64 answers;         /* counts what users ask and hear: the one clock of answers */
-  guint started_withdrawn; /* starts after a confirmed cancellation */
+  guint started_cancelled; /* starts after a confirmed cancellation */
   guint invented_asked;
   /* A search's choice for each request; NULL: losses are drawn. */
-  WFate (*choose) (World *world, const Req *request, gpointer data);
+  SimOutcome (*choose) (World *world, const SimRequest *request, gpointer data);
   gpointer choose_data;
 };
 
@@ -242,7 +249,7 @@
 void world_restart (World *world);
 void world_run (World *world, double until);
 void world_free (World *world);
-void w_at (World *world, double until, WFn callback, gpointer data);
+void w_at (World *world, double until, SimCallback callback, gpointer data);
 /* Cut off from state service and members for longer than it may go on as if it were not. */
 gboolean node_alone (World *world, int i);
 void w_broken (World *world, const char *rule, const char *fmt, ...) G_GNUC_PRINTF (3, 4);
@@ -251,15 +258,15 @@
 void w_ask (World *world, int node, int machine, HrMethod method, const char *path, char *body,
             double timeout, void (*done) (World *, int, json_t *, gpointer), gpointer data);
 /* A server's answer. Takes the body text. */
-void w_answer (World *world, Req *request, int status, char *body);
-void req_unref (Req *request);
+void w_answer (World *world, SimRequest *request, int status, char *body);
+void req_unref (SimRequest *request);
 
 /* Announced for the state service in all days. */
 #define NEXT_VALUE_KB 2.0
 #define NEXT_TXN_OPS 4
 #define NEXT_WRITE_RPS 40.0
-/* fate.c: lets the request meet that fate; it would reach its receiver at time t. */
-void w_meet_fate (World *world, Req *request, WFate fate, double until);
+/* request_outcomes.c: lets the request meet that fate; it would reach its receiver at time t. */
+void w_apply_outcome (World *world, SimRequest *request, SimOutcome fate, double until);
 
 void node_start (World *world, int i);
 /* Starts it then, unless it is up by that time. */
@@ -275,7 +282,7 @@
 double upgrade_roll (World *world, double from, double gap, double last_down);
 void upgrade_limits_fall (World *world, double at);
 
-void store_request (World *world, Req *request);
+void store_request (World *world, SimRequest *request);
 void store_init (World *world);
 void store_format (World *world, gboolean known);
 gboolean store_names (World *world, const char *machine);
@@ -289,75 +296,75 @@
 gboolean store_has (World *world, const char *path);
 /* As if it had been written before the day began. */
 void store_put (World *world, const char *path, const char *text);
-guint store_tear (World *world);
-int store_owner (World *world); /* the node that the leader record names; -1: none */
+guint store_corrupt_pages (World *world);
+int store_leader (World *world); /* the node that the leader record names; -1: none */
 void store_free (World *world);
-void cloud_request (World *world, Req *request);
+void cloud_request (World *world, SimRequest *request);
 void cloud_init (World *world);
 void cloud_free (World *world);
-void machine_take (World *world, SMachine *machine);
-void machine_end (World *world, SMachine *machine);
-void worker_request (World *world, Req *request);
-void worker_boot (World *world, SMachine *machine);
-void machine_stop_all (World *world, SMachine *machine);
+void machine_take (World *world, SimMachine *machine);
+void machine_end (World *world, SimMachine *machine);
+void worker_request (World *world, SimRequest *request);
+void worker_boot (World *world, SimMachine *machine);
+void machine_stop_all (World *world, SimMachine *machine);
 void users_init (World *world, guint jobs, double span);
 /* This user polls, submits again or cancels now, at that node (-1: any). */
-void user_poll_at (World *world, SJob *job, int node);
-void user_submit_at (World *world, SJob *job, int node);
-void user_cancel_at (World *world, SJob *job, int node);
-gboolean job_all_done (const SJob *job);
+void user_poll_at (World *world, SimJob *job, int node);
+void user_submit_at (World *world, SimJob *job, int node);
+void user_cancel_at (World *world, SimJob *job, int node);
+gboolean job_all_done (const SimJob *job);
 /* A request of a worker or user that has left arrives at its controller now, or if it has left
  * one at the server it asks. Takes a reference. */
 void req_arrive (World *world, gpointer req);
 /* A copy of a worker's report, for whose answer nobody waits. */
-Req *req_copy (const Req *request, int to);
+SimRequest *req_copy (const SimRequest *request, int to);
 /* This request arrives then, later than messages usually do. Takes the reference over. */
-void req_stray (World *world, Req *request, double until);
+void req_stray (World *world, SimRequest *request, double until);
 
-/* ---- answers.c: what users are told, by one clock of answers ---- */
+/* ---- answer_checks.c: what users are told, by one clock of answers ---- */
 
 /* The newest fact about a job that any user had heard when a question left. */
 typedef struct {
-  SJob *job;
+  SimJob *job;
   guint64 sent; /* World.answers then */
   double sent_at;
 } Question;
-Question *question_new (World *world, SJob *job);
+Question *question_new (World *world, SimJob *job);
 /* An answer of 200 or 201 to this question: nothing older than was heard before it was sent. */
 void answer_check (World *world, const Question *question, int status, json_t *body);
 /* 404, 400 or 422. */
 void answer_unknown (World *world, const Question *question, const char *what, int status);
 
-/* ---- odd.c: requests that must be turned away or change nothing ---- */
+/* ---- malformed_requests.c: requests that must be turned away or change nothing ---- */
 
-void odd_begin (World *world);
+void malformed_requests_begin (World *world);
 /* The submission of a job just accepted is repeated with other content, at all controllers. */
-void odd_repeat (World *world, SJob *job);
+void malformed_requests_repeat (World *world, SimJob *job);
 
-/* ---- judge.c ---- */
+/* ---- invariant_checks.c ---- */
 
 /* At each start of a task, and every half second. */
-void judge_quota (World *world, double starting_gpus);
+void check_quota (World *world, double starting_gpus);
 /* Every half second: jobs that wait beside room. */
-void judge_waits (World *world);
+void check_waiting_jobs (World *world);
 /* A user heard that the job is cancelled: looks when its time is over. */
-void judge_withdrawn (World *world, SJob *job);
+void check_cancelled_job (World *world, SimJob *job);
 /* Launches that a controller has just decided on, which know of changes up to this epoch. */
-void judge_launches (World *world, int node, guint64 known, const GPtrArray *effects);
+void check_launches (World *world, int node, guint64 known, const GPtrArray *effects);
 
-/* ---- adopt.c ---- */
+/* ---- external_jobs.c ---- */
 
 /* A job of somebody outside, known from the body of its submission; NULL: the body names none. The
  * same again for a repeated one. Its tasks run as long as was estimated, give or take a third. */
-SJob *job_adopt (World *world, const char *body);
+SimJob *external_job (World *world, const char *body);
 
-/* ---- crowds.c ---- */
+/* ---- workloads_large.c ---- */
 
-SJob *job_new (World *world);
+SimJob *job_new (World *world);
 /* A gang whose tasks each want a whole machine. */
-SJob *job_gang (World *world, guint tasks, double image_gb, double run);
+SimJob *job_gang (World *world, guint tasks, double image_gb, double run);
 /* The job is complete: its user submits it. Takes it over. */
-void job_submit (World *world, SJob *job);
+void job_submit (World *world, SimJob *job);
 /* Arrays of one task, per_s a second; of these a share is called off within 30 s. */
 void users_singles (World *world, double from, double to, double per_s, double cancelled);
 /* Jobs of all shapes bound to one zone each. */
@@ -374,12 +381,12 @@
 void troubles_free (World *world);
 double trouble_rand (World *world, double lo, double hi);
 /* Takes over a request on its way (t: when it would arrive). FALSE: it goes on as always. */
-gboolean troubles_take (World *world, Req *request, double until);
+gboolean troubles_take (World *world, SimRequest *request, double until);
 /* Until when a cut zone parts the two ends of this request; 0: it does not. m: the worker. */
-double troubles_zone_cut (World *world, const Req *request, const SMachine *machine);
+double troubles_zone_cut (World *world, const SimRequest *request, const SimMachine *machine);
 double troubles_link_delay (World *world);
 /* How much later than usual this request's answer leaves. */
-double troubles_delay (World *world, const Req *request);
+double troubles_delay (World *world, const SimRequest *request);
 /* A trouble of any kind still has its hold on something. */
 gboolean world_troubled (const World *world);
 /* When a machine rented now is up. at: as the cloud has drawn it. */
@@ -389,20 +396,20 @@
 /* A controller answers a worker with 200. */
 void troubles_reply (World *world, int node, const char *answer);
 /* The last task of this job has ended. */
-void troubles_job_ended (World *world, SJob *job);
+void troubles_job_ended (World *world, SimJob *job);
 /* Users were first told that it is accepted, done or cancelled. */
-void troubles_told (World *world, SJob *job, gboolean accepted);
+void troubles_told (World *world, SimJob *job, gboolean accepted);
 /* ---- for other files of users ---- */
-SJob *job_new (World *world);
+SimJob *job_new (World *world);
 /* A gang whose tasks each want a whole machine. */
-SJob *job_gang (World *world, guint tasks, double image_gb, double run);
+SimJob *job_gang (World *world, guint tasks, double image_gb, double run);
 /* The job is complete: its user submits it. */
-void job_submit (World *world, SJob *job);
+void job_submit (World *world, SimJob *job);
 
 /* Probes every controller as a load balancer does. */
 void users_probe (World *world);
 /* The user of a running service cancels it, at this node. */
-void users_withdraw_at (World *world, int node);
+void users_cancel_service_at (World *world, int node);
 /* Gangs of which one task has its image at once, and others after more than gang_wait_s.
  * fickle: one more is cancelled while it fetches. */
 void users_long_fetches (World *world, gboolean fickle);
@@ -426,9 +433,9 @@
  */
 void users_stream (World *world, HrShape large, double from, double to);
 void users_free (World *world);
-void judge_start (World *world, SMachine *machine, STask *task);
-void judge_tick (World *world);
-SJob *job_by_id (World *world, const char *id, guint32 *index);
+void check_task_start (World *world, SimMachine *machine, SimTask *task);
+void check_periodically (World *world);
+SimJob *job_by_id (World *world, const char *id, guint32 *index);
 void faults_init (World *world, guint n, double from, double to);
 /* No trouble begins any more, unless one is planned for later. */
 void world_calm (World *world, gpointer unused);
@@ -438,33 +445,33 @@
 void faults_cut_from_store (World *world, double at);
 /* The same, after one of them confirmed a cancellation that the leader did not read. Leases are to
  * last all the same, but where that member restarts. */
-void faults_missed_withdrawal (World *world, double at, gboolean restart);
+void faults_missed_cancellation (World *world, double at, gboolean restart);
 /* The state service refuses the leader alone while all other members confirm cancellations, and is
  * then down for all, for longer than a cancelled job's tasks may live. */
-void faults_withdrawal_gap (World *world, double at);
+void faults_cancellation_gap (World *world, double at);
 /* No worker reaches the leader for 40 s; other controllers do. */
-void faults_owner_unreached (World *world, double at, gboolean hold);
+void faults_leader_unreached (World *world, double at, gboolean hold);
 /* Half of the machines end without notice, and so does the process of the leader. */
 void faults_half_gone (World *world, double at);
 /* The pages of large jobs become unreadable while all controllers are away for a moment. */
 void faults_unreadable_pages (World *world, double at);
 /* The leader is cut off from state service and members until another leads; then no controller
  * is served for 50 s, and all hear one another again. */
-void faults_two_owners (World *world, double at);
+void faults_two_leaders (World *world, double at);
 /* A hundred machines end, a hundred hang, a quarter is cut off; the leader ends meanwhile. Then
  * all controllers end, twice, and one stands still. */
 void faults_mass (World *world, double at);
 /* Again and again the leader changes, and machines end without notice. */
-void faults_owners (World *world, double from, double to);
+void faults_leaders (World *world, double from, double to);
 /* Each gang loses one task's machine once, while it fetches its image. */
 void faults_lost_places (World *world, double from, double to);
 /* The process of the leader ends, and is back soon. */
-void faults_owner_ends (World *world, double at);
+void faults_leader_ends (World *world, double at);
 /* Again and again the changes that the leader has not read yet are no longer kept. */
 void faults_changes_gone (World *world, double from, double to);
 /* Controllers stand still while their clocks run on: the leader, another, or all of them. */
-typedef enum { FREEZE_OWNER, FREEZE_OTHER, FREEZE_ALL } FreezeWho;
+typedef enum { FREEZE_LEADER, FREEZE_OTHER, FREEZE_ALL } FreezeWho;
 void faults_freeze (World *world, double at, FreezeWho who, double for_s);
 void node_freeze (World *world, int i, double for_s);
 /* At that time the busiest machine stops hearing what it is told. */
-void faults_deaf (World *world, double at);
+void faults_inbound_cut (World *world, double at);
--- a/tests/soak.c
+++ b/tests/soak.c
@@ -107,10 +107,10 @@
   if (!world->starts)
     w_broken (world, "nothing_ran", "no task was started");
   for (guint i = 0; i < world->jobs->len; i++) {
-    const SJob *job = world->jobs->pdata[i];
+    const SimJob *job = world->jobs->pdata[i];
     if (job->accepted && world->now - MAX (job->ok_at, world->calm_at) > ANSWERED_WITHIN_S)
       w_broken (world, "forgotten", "no question about %s is answered", job->id);
-    if (job->asked_cancel && job->accepted && !job->told_withdrawn && !job->told_done &&
+    if (job->asked_cancel && job->accepted && !job->told_cancelled && !job->told_done &&
         world->now - MAX (job->asked_cancel_at, world->calm_at) > ANSWERED_WITHIN_S)
       w_broken (world, "liveness", "%s was not withdrawn", job->id);
   }
@@ -142,11 +142,11 @@
   World *world = live->world;
   guint cancelled = 0;
   for (guint i = 0; i < world->jobs->len; i++)
-    cancelled += ((SJob *)world->jobs->pdata[i])->told_withdrawn > 0;
+    cancelled += ((SimJob *)world->jobs->pdata[i])->told_cancelled > 0;
   printf ("seed %u: %d controllers, %.0f s, %u jobs, %u withdrawn, %u starts, %u after a "
           "confirmed cancellation, %u terms, %u kills, %u pauses, %u requests: %s\n",
           seed, world->n, world->now, world->jobs->len, cancelled, world->starts,
-          world->started_withdrawn, world->troubles.leaders, live->kills, live->freezes,
+          world->started_cancelled, world->troubles.leaders, live->kills, live->freezes,
           live->requests,
           is_void (live)       ? "VOID"
           : world->broken->len ? "BROKEN"
--- a/tests/test_allowance.c
+++ b/tests/test_allowance.c
@@ -1,6 +1,6 @@
-/* Users where the state service allows few writes, is slow, or is away (script.h): what they are
- * told, and how soon. docs/meetings.md says which guard each test fails without. */
-#include "script.h"
+/* Users where the state service allows few writes, is slow, or is away (scripted_cluster.h): what
+ * they are told, and how soon. docs/meetings.md says which guard each test fails without. */
+#include "scripted_cluster.h"
 #include "protocol/json_util.h"
 #include <setjmp.h>
 #include <stdarg.h>
@@ -15,31 +15,31 @@
 static void
 users_write_before_launches (void **state G_GNUC_UNUSED)
 {
-  Script *script = script_new (1);
-  script_limit_writes (script, SCARCE_WRITES);
-  script_run (script, 6);
+  Cluster *cluster = cluster_new (1);
+  cluster_limit_writes (cluster, SCARCE_WRITES);
+  cluster_run (cluster, 6);
   for (int i = 0; i < 90; i++) {
     g_autofree char *id = g_strdup_printf ("job-%d", i);
-    script_submit (script, 0, id, 1);
-    script_run (script, 0.1);
+    cluster_submit (cluster, 0, id, 1);
+    cluster_run (cluster, 0.1);
   }
   for (int i = 0; i < 8; i++) {
     g_autofree char *name = g_strdup_printf ("m-%06d", i);
-    script_worker (script, name);
+    cluster_worker (cluster, name);
   }
   for (int round = 0; round < 2; round++)
-    for (guint i = 0; i < script->workers->len; i++)
-      script_report (script, script->workers->pdata[i], 0);
-  guint before = script->carried_out;
-  script_run (script, 0.2);
-  guint64 id = script_submit (script, 0, "job-late", 1);
-  script_run (script, 0.6);
-  assert_int_equal (script_status (script, 0, id), 201);
-  id = script_abort (script, 0, "job-89");
-  script_run (script, 0.6);
-  assert_string_equal (script_stance (script, 0, id), "withdrawn");
-  assert_in_range (script->carried_out - before, 10, 60); /* the launches are still going out */
-  script_free (script);
+    for (guint i = 0; i < cluster->workers->len; i++)
+      cluster_report (cluster, cluster->workers->pdata[i], 0);
+  guint before = cluster->carried_out;
+  cluster_run (cluster, 0.2);
+  guint64 id = cluster_submit (cluster, 0, "job-late", 1);
+  cluster_run (cluster, 0.6);
+  assert_int_equal (cluster_status (cluster, 0, id), 201);
+  id = cluster_abort (cluster, 0, "job-89");
+  cluster_run (cluster, 0.6);
+  assert_string_equal (cluster_job_state (cluster, 0, id), "withdrawn");
+  assert_in_range (cluster->carried_out - before, 10, 60); /* the launches are still going out */
+  cluster_free (cluster);
 }
 
 /* Twice as many as the service takes in a second, at once and at all nodes: those that it refuses
@@ -47,22 +47,22 @@
 static void
 a_burst_beyond_the_allowance_is_paced (void **state G_GNUC_UNUSED)
 {
-  Script *script = script_new (3);
+  Cluster *cluster = cluster_new (3);
   guint64 asked[30];
-  script_limit_writes (script, SCARCE_WRITES);
-  script_run (script, 6);
+  cluster_limit_writes (cluster, SCARCE_WRITES);
+  cluster_run (cluster, 6);
   for (guint i = 0; i < G_N_ELEMENTS (asked); i++) {
     g_autofree char *id = g_strdup_printf ("job-%u", i);
-    asked[i] = script_submit (script, i % 3, id, 1);
+    asked[i] = cluster_submit (cluster, i % 3, id, 1);
   }
-  guint before = script->refused_writes;
-  script_run (script, 2.5);
+  guint before = cluster->refused_writes;
+  cluster_run (cluster, 2.5);
   for (guint i = 0; i < G_N_ELEMENTS (asked); i++)
-    assert_in_range (script_status (script, i % 3, asked[i]), 200, 201);
+    assert_in_range (cluster_status (cluster, i % 3, asked[i]), 200, 201);
   print_message ("30 submissions at once: %u transactions refused\n",
-                 script->refused_writes - before);
-  assert_in_range (script->refused_writes - before, 1, 45);
-  script_free (script);
+                 cluster->refused_writes - before);
+  assert_in_range (cluster->refused_writes - before, 1, 45);
+  cluster_free (cluster);
 }
 
 /* ---- a stream ---- */
@@ -76,7 +76,7 @@
 } StreamJob;
 
 typedef struct {
-  Script *s;
+  Cluster *s;
   GArray *jobs;
   double run_s;
   double worst_accept, worst_cancel, worst_told;
@@ -91,41 +91,42 @@
 static void
 stream_users (Stream *stream)
 {
-  Script *script = stream->s;
+  Cluster *cluster = stream->s;
   for (guint i = 0; i < stream->jobs->len; i++) {
     StreamJob *job = &g_array_index (stream->jobs, StreamJob, i);
-    int status = script_status (script, job->node, job->submission);
+    int status = cluster_status (cluster, job->node, job->submission);
     if (!job->accepted && status) {
       if (status != 201 && status != 200) { /* asked again, as users do */
-        if (script->now - job->sent > 1) {
-          job->submission = script_submit (script, job->node, job->id, 1);
-          job->sent = script->now;
+        if (cluster->now - job->sent > 1) {
+          job->submission = cluster_submit (cluster, job->node, job->id, 1);
+          job->sent = cluster->now;
         }
         continue;
       }
-      job->accepted = script->now;
-      stream->worst_accept = MAX (stream->worst_accept, script->now - job->sent);
+      job->accepted = cluster->now;
+      stream->worst_accept = MAX (stream->worst_accept, cluster->now - job->sent);
     }
     if (!job->accepted || job->cancelled || job->told)
       continue;
-    if (job->to_cancel && !job->abort && script->now - job->accepted > i % 8) {
-      job->abort = script_abort (script, (job->node + 1) % script->n, job->id);
-      job->abort_sent = script->now;
+    if (job->to_cancel && !job->abort && cluster->now - job->accepted > i % 8) {
+      job->abort = cluster_abort (cluster, (job->node + 1) % cluster->n, job->id);
+      job->abort_sent = cluster->now;
     }
-    const char *state =
-        job->abort ? script_stance (script, (job->node + 1) % script->n, job->abort) : NULL;
-    if (state) {
-      job->cancelled = script->now;
-      stream->worst_cancel = MAX (stream->worst_cancel, script->now - job->abort_sent);
-    } else if (job->abort && script_status (script, (job->node + 1) % script->n, job->abort))
+    const char *job_state =
+        job->abort ? cluster_job_state (cluster, (job->node + 1) % cluster->n, job->abort) : NULL;
+    if (job_state) {
+      job->cancelled = cluster->now;
+      stream->worst_cancel = MAX (stream->worst_cancel, cluster->now - job->abort_sent);
+    } else if (job->abort && cluster_status (cluster, (job->node + 1) % cluster->n, job->abort))
       job->abort = 0;
-    if (!job->to_cancel && job->ends && script->now > job->ends) {
-      state = job->poll ? script_stance (script, (job->node + 2) % script->n, job->poll) : NULL;
-      if (g_strcmp0 (state, "done") == 0) {
-        job->told = script->now;
-        stream->worst_told = MAX (stream->worst_told, script->now - job->ends);
+    if (!job->to_cancel && job->ends && cluster->now > job->ends) {
+      job_state =
+          job->poll ? cluster_job_state (cluster, (job->node + 2) % cluster->n, job->poll) : NULL;
+      if (g_strcmp0 (job_state, "done") == 0) {
+        job->told = cluster->now;
+        stream->worst_told = MAX (stream->worst_told, cluster->now - job->ends);
       } else
-        job->poll = script_poll (script, (job->node + 2) % script->n, job->id);
+        job->poll = cluster_poll (cluster, (job->node + 2) % cluster->n, job->id);
     }
   }
 }
@@ -144,9 +145,9 @@
 static void
 stream_work (Stream *stream, guint round)
 {
-  Script *script = stream->s;
-  for (guint i = 0; i < script->workers->len; i++) {
-    ScriptWorker *worker = script->workers->pdata[i];
+  Cluster *cluster = stream->s;
+  for (guint i = 0; i < cluster->workers->len; i++) {
+    ClusterWorker *worker = cluster->workers->pdata[i];
     gboolean change = FALSE;
     for (guint k = 0; k < worker->tasks->len; k++) {
       json_t *task = worker->tasks->pdata[k];
@@ -154,15 +155,15 @@
       if (strcmp (hr_json_str (task, "stance"), "exited") == 0)
         continue;
       if (!job->ends)
-        job->ends = script->now + stream->run_s;
-      else if (script->now >= job->ends) {
+        job->ends = cluster->now + stream->run_s;
+      else if (cluster->now >= job->ends) {
         json_object_set_new (task, "stance", json_string ("exited"));
         json_object_set_new (task, "cause", json_string ("done"));
         change = TRUE;
       }
     }
     if (change || (round + i * 5) % 50 == 0)
-      script_report (script, worker, script_leader (script));
+      cluster_report (cluster, worker, cluster_leader (cluster));
   }
 }
 
@@ -171,25 +172,25 @@
 static void
 a_stream_of_small_jobs_fits_the_allowance (void **state G_GNUC_UNUSED)
 {
-  Script *script = script_new (3);
-  Stream stream = {.s = script, .run_s = 6};
-  script_limit_writes (script, SCARCE_WRITES);
-  script_run (script, 6);
+  Cluster *cluster = cluster_new (3);
+  Stream stream = {.s = cluster, .run_s = 6};
+  cluster_limit_writes (cluster, SCARCE_WRITES);
+  cluster_run (cluster, 6);
   stream.jobs = g_array_new (FALSE, TRUE, sizeof (StreamJob));
   g_array_set_clear_func (stream.jobs, stream_job_clear);
   for (int i = 0; i < 6; i++) {
     g_autofree char *name = g_strdup_printf ("m-%06d", i);
-    script_worker (script, name);
+    cluster_worker (cluster, name);
   }
   for (guint round = 0; round < 90 * 20; round++) {
     if (round % 5 == 0 && round < 60 * 20) {
       guint n = stream.jobs->len;
       StreamJob job = {.id = g_strdup_printf ("job-%u", n), .node = n % 3, .to_cancel = n % 4 == 3};
-      job.sent = script->now;
-      job.submission = script_submit (script, job.node, job.id, 1);
+      job.sent = cluster->now;
+      job.submission = cluster_submit (cluster, job.node, job.id, 1);
       g_array_append_val (stream.jobs, job);
     }
-    script_run (script, 0.05);
+    cluster_run (cluster, 0.05);
     stream_work (&stream, round);
     stream_users (&stream);
   }
@@ -201,98 +202,101 @@
   print_message ("%u jobs: accepted within %.2f s, cancelled within %.2f s, told within %.2f s; "
                  "%u changes, %u transactions refused\n",
                  stream.jobs->len, stream.worst_accept, stream.worst_cancel, stream.worst_told,
-                 script->carried_out, script->refused_writes);
+                 cluster->carried_out, cluster->refused_writes);
   assert_int_equal (open, 0);
   assert_true (stream.worst_accept < 2);
   assert_true (stream.worst_cancel < 2.5);
   assert_true (stream.worst_told < 3);
   g_array_unref (stream.jobs);
-  script_free (script);
+  cluster_free (cluster);
 }
 
 /* ---- slow, refused, away ---- */
 
 /* Whatever a node says of the job, it is not older than that it is cancelled. */
 static void
-nobody_says_otherwise (Script *script, const char *id)
+nobody_says_otherwise (Cluster *cluster, const char *id)
 {
-  for (int node = 0; node < script->n; node++) {
-    guint64 poll = script_poll (script, node, id), again = script_submit (script, node, id, 1);
+  for (int node = 0; node < cluster->n; node++) {
+    guint64 poll = cluster_poll (cluster, node, id), again = cluster_submit (cluster, node, id, 1);
     for (int i = 0;
-         i < 50 && !(script_reply (script, node, poll) && script_reply (script, node, again)); i++)
-      script_run (script, 0.05);
-    const char *told[] = {script_stance (script, node, poll), script_stance (script, node, again)};
+         i < 50 && !(cluster_reply (cluster, node, poll) && cluster_reply (cluster, node, again));
+         i++)
+      cluster_run (cluster, 0.05);
+    const char *told[] = {cluster_job_state (cluster, node, poll),
+                          cluster_job_state (cluster, node, again)};
     for (int i = 0; i < 2; i++)
       if (told[i])
         assert_string_equal (told[i], "withdrawn");
-    assert_int_not_equal (script_status (script, node, poll), 404);
-    assert_int_not_equal (script_status (script, node, again), 201);
+    assert_int_not_equal (cluster_status (cluster, node, poll), 404);
+    assert_int_not_equal (cluster_status (cluster, node, again), 201);
   }
 }
 
 static void
 a_slow_service_then_a_refused_leader_then_an_outage (void **state G_GNUC_UNUSED)
 {
-  Script *script = script_led (3);
-  int leader = script_leader (script), next = (leader + 1) % 3, third = (leader + 2) % 3;
-  ScriptWorker *worker = script_worker (script, "m-000001");
-  script_report (script, worker, leader);
-  script_report (script, worker, leader);
-  script_place (script, worker, next, "job-a");
-  script_place (script, worker, next, "job-b");
-  script->slow = 0.8;
-  guint64 id = script_submit (script, next, "job-e", 1);
-  script_run (script, 2.5); /* a first try given up too early, one more, and a look at the record */
-  assert_in_range (script_status (script, next, id), 200, 201);
-  id = script_submit (script, third, "job-c", 1);
-  script_run (script, 1); /* by now it is known to be slow */
-  assert_int_equal (script_status (script, third, id), 201);
+  Cluster *cluster = cluster_led (3);
+  int leader = cluster_leader (cluster), next = (leader + 1) % 3, third = (leader + 2) % 3;
+  ClusterWorker *worker = cluster_worker (cluster, "m-000001");
+  cluster_report (cluster, worker, leader);
+  cluster_report (cluster, worker, leader);
+  cluster_place (cluster, worker, next, "job-a");
+  cluster_place (cluster, worker, next, "job-b");
+  cluster->slow = 0.8;
+  guint64 id = cluster_submit (cluster, next, "job-e", 1);
+  cluster_run (cluster,
+               2.5); /* a first try given up too early, one more, and a look at the record */
+  assert_in_range (cluster_status (cluster, next, id), 200, 201);
+  id = cluster_submit (cluster, third, "job-c", 1);
+  cluster_run (cluster, 1); /* by now it is known to be slow */
+  assert_int_equal (cluster_status (cluster, third, id), 201);
   guint64 polls[3];
   for (int i = 0; i < 3; i++)
-    polls[i] = script_poll (script, i, "job-c");
-  script_run (script, 1.95); /* users wait two seconds */
+    polls[i] = cluster_poll (cluster, i, "job-c");
+  cluster_run (cluster, 1.95); /* users wait two seconds */
   for (int i = 0; i < 3; i++)
-    assert_non_null (script_stance (script, i, polls[i]));
-  guint64 abort = script_abort (script, third, "job-a");
-  script_run (script, 3);
-  assert_string_equal (script_stance (script, third, abort), "withdrawn");
-  nobody_says_otherwise (script, "job-a");
-  script->slow = 0;
-  script_run (script, 2);
+    assert_non_null (cluster_job_state (cluster, i, polls[i]));
+  guint64 abort = cluster_abort (cluster, third, "job-a");
+  cluster_run (cluster, 3);
+  assert_string_equal (cluster_job_state (cluster, third, abort), "withdrawn");
+  nobody_says_otherwise (cluster, "job-a");
+  cluster->slow = 0;
+  cluster_run (cluster, 2);
   /* The leader alone is refused, and others confirm. */
-  script->nodes[leader].served = FALSE;
-  script_run (script, 0.2);
-  abort = script_abort (script, next, "job-b");
-  script_run (script, 0.3);
-  assert_string_equal (script_stance (script, next, abort), "withdrawn");
-  nobody_says_otherwise (script, "job-b");
-  script_run (script, 0.7);
+  cluster->nodes[leader].served = FALSE;
+  cluster_run (cluster, 0.2);
+  abort = cluster_abort (cluster, next, "job-b");
+  cluster_run (cluster, 0.3);
+  assert_string_equal (cluster_job_state (cluster, next, abort), "withdrawn");
+  nobody_says_otherwise (cluster, "job-b");
+  cluster_run (cluster, 0.7);
   /* A second later it is out for all, for longer than cancel_s. */
-  script->outage = TRUE;
-  double until = script->now + 42;
-  while (script->now < until) {
-    nobody_says_otherwise (script, "job-a");
-    nobody_says_otherwise (script, "job-b");
-    script_run (script, 1);
+  cluster->outage = TRUE;
+  double until = cluster->now + 42;
+  while (cluster->now < until) {
+    nobody_says_otherwise (cluster, "job-a");
+    nobody_says_otherwise (cluster, "job-b");
+    cluster_run (cluster, 1);
   }
-  id = script_submit (script, next, "job-d", 1);
-  abort = script_abort (script, next, "job-c");
-  script_run (script, 0.3);
-  assert_int_equal (script_status (script, next, id), 503);
-  assert_int_equal (script_reply (script, next, id)->retry_after, 2);
-  assert_int_equal (script_status (script, next, abort), 503);
-  assert_string_equal (script_asked (script, next, "job-b"),
+  id = cluster_submit (cluster, next, "job-d", 1);
+  abort = cluster_abort (cluster, next, "job-c");
+  cluster_run (cluster, 0.3);
+  assert_int_equal (cluster_status (cluster, next, id), 503);
+  assert_int_equal (cluster_reply (cluster, next, id)->retry_after, 2);
+  assert_int_equal (cluster_status (cluster, next, abort), 503);
+  assert_string_equal (cluster_asked (cluster, next, "job-b"),
                        "withdrawn"); /* final: it may be told */
-  script->outage = FALSE;
-  script->nodes[leader].served = TRUE;
-  script_run (script, 10);
+  cluster->outage = FALSE;
+  cluster->nodes[leader].served = TRUE;
+  cluster_run (cluster, 10);
   for (int i = 0; i < 3; i++) {
-    assert_string_equal (script_asked (script, i, "job-a"), "withdrawn");
-    assert_string_equal (script_asked (script, i, "job-b"), "withdrawn");
-    assert_non_null (script_asked (script, i, "job-c"));
+    assert_string_equal (cluster_asked (cluster, i, "job-a"), "withdrawn");
+    assert_string_equal (cluster_asked (cluster, i, "job-b"), "withdrawn");
+    assert_non_null (cluster_asked (cluster, i, "job-c"));
   }
-  assert_null (script_value (script, "h/j/job-d"));
-  script_free (script);
+  assert_null (cluster_value (cluster, "h/j/job-d"));
+  cluster_free (cluster);
 }
 
 int
@@ -304,6 +308,6 @@
       cmocka_unit_test (a_stream_of_small_jobs_fits_the_allowance),
       cmocka_unit_test (a_slow_service_then_a_refused_leader_then_an_outage),
   };
-  g_log_set_writer_func (script_log, NULL, NULL);
+  g_log_set_writer_func (cluster_log, NULL, NULL);
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/test_exhaustive.c
+++ b/tests/test_exhaustive.c
@@ -20,11 +20,11 @@
 #define END_S 190.0
 
 /* What users do in the instant of a request: counted on from the fates. */
-enum { USER_WITHDRAWS_AT_0 = FATE_COUNT, USER_WITHDRAWS_AT_1, USER_ASKS_ALL, CHOICES };
+enum { USER_WITHDRAWS_AT_0 = OUTCOME_COUNT, USER_WITHDRAWS_AT_1, USER_ASKS_ALL, CHOICES };
 
 typedef struct {
   guint point;  /* number of the request within the window */
-  guint choice; /* a WFate, or one of the user's actions */
+  guint choice; /* a SimOutcome, or one of the user's actions */
 } Deviation;
 
 typedef struct {
@@ -62,7 +62,7 @@
 /* Renewals, lists and the readings that someone waits for always reach: a reading that is lost is
  * made again, one that a follower holds open leaves it behind. Users' own questions do too. */
 static gboolean
-is_point (const Req *request)
+is_point (const SimRequest *request)
 {
   if (request->node < 0)
     return request->method == HR_POST;
@@ -86,16 +86,16 @@
     g_checksum_update (sum, (const guchar *)text, -1);
   }
   for (guint i = 0; i < world->machines->len; i++) {
-    SMachine *machine = world->machines->pdata[i];
+    SimMachine *machine = world->machines->pdata[i];
     for (guint team = 0; team < machine->tasks->len; team++) {
-      const STask *task = &g_array_index (machine->tasks, STask, team);
+      const SimTask *task = &g_array_index (machine->tasks, SimTask, team);
       guint32 facts[] = {i, machine->tenure, task->job, task->task, task->try, task->state};
       g_checksum_update (sum, (const guchar *)facts, sizeof facts);
     }
   }
   for (guint i = 0; i < world->jobs->len; i++) {
-    const SJob *job = world->jobs->pdata[i];
-    guint32 told[] = {job->accepted, job->told_done > 0, job->told_withdrawn > 0};
+    const SimJob *job = world->jobs->pdata[i];
+    guint32 told[] = {job->accepted, job->told_done > 0, job->told_cancelled > 0};
     g_checksum_update (sum, (const guchar *)told, sizeof told);
   }
   return g_strdup (g_checksum_get_string (sum));
@@ -104,7 +104,7 @@
 static void
 user_acts (World *world, gpointer choice)
 {
-  SJob *job = world->jobs->pdata[world->jobs->len - 1];
+  SimJob *job = world->jobs->pdata[world->jobs->len - 1];
   guint action = GPOINTER_TO_UINT (choice);
   if (action != USER_ASKS_ALL) {
     user_cancel_at (world, job, action - USER_WITHDRAWS_AT_0);
@@ -116,24 +116,24 @@
   }
 }
 
-static WFate
-choose (World *world, const Req *request, gpointer data)
+static SimOutcome
+choose (World *world, const SimRequest *request, gpointer data)
 {
   Play *play = data;
   if (world->now < play->scenario->from || world->now > play->scenario->to || !is_point (request))
-    return FATE_DELIVERED;
+    return OUTCOME_DELIVERED;
   guint point = play->points++;
   g_hash_table_add (play->states, digest (world));
   for (guint i = 0; i < play->schedule->depth; i++) {
     const Deviation *deviation = &play->schedule->deviations[i];
     if (deviation->point != point)
       continue;
-    if (deviation->choice < FATE_COUNT)
+    if (deviation->choice < OUTCOME_COUNT)
       return deviation->choice;
     /* The request on its way comes first or second, as the network has it. */
     w_at (world, world->now, user_acts, GUINT_TO_POINTER (deviation->choice));
   }
-  return FATE_DELIVERED;
+  return OUTCOME_DELIVERED;
 }
 
 static void
@@ -151,10 +151,10 @@
 check_ends (World *world)
 {
   for (guint i = 0; i < world->jobs->len; i++) {
-    const SJob *job = world->jobs->pdata[i];
+    const SimJob *job = world->jobs->pdata[i];
     if (!job->accepted)
       w_broken (world, "liveness", "%s was never accepted", job->id);
-    else if (!job->told_done && !job->told_withdrawn)
+    else if (!job->told_done && !job->told_cancelled)
       w_broken (world, "liveness", "%s came to no end", job->id);
   }
 }
@@ -196,7 +196,7 @@
   Deviation *last = &next.deviations[next.depth++];
   guint first = schedule->depth ? schedule->deviations[schedule->depth - 1].point + 1 : 0;
   for (last->point = first; last->point < points; last->point++)
-    for (last->choice = FATE_DELIVERED + 1; last->choice < CHOICES; last->choice++) {
+    for (last->choice = OUTCOME_DELIVERED + 1; last->choice < CHOICES; last->choice++) {
       if (next.depth == depth && (*number)++ % stride)
         continue;
       search (scenario, &next, depth, stride, totals, number);
--- a/tests/test_meetings.c
+++ b/tests/test_fault_scenarios.c
@@ -1,8 +1,8 @@
 /* Days of the simulated cluster on which two troubles meet. One function for each meeting, with
  * a table of its troubles; it is played with several seeds. Every rule of the protocol is
  * asserted at every event, and all work is done once the troubles are over. Machines and load:
- * test_meetings_fleet.c. */
-#include "meetings.h"
+ * test_fault_scenarios_fleet.c. */
+#include "fault_scenarios.h"
 
 /* A transaction is carried out late, after newer ones of the same controller, while users look
  * closely. */
@@ -25,7 +25,7 @@
   static const HrTrouble day[] = {
       {.at_s = 2, .kind = TROUBLE_CLOSE_LOOKS, .for_s = 300, .share = 0.6},
       {.at_s = 100, .kind = TROUBLE_STATE_SLOW, .for_s = 60, .delay_s = 0.3}};
-  PLAY_SET (2200, 2204, day, .started_withdrawn = 2);
+  PLAY_SET (2200, 2204, day, .started_cancelled = 2);
 }
 
 /* A transaction is carried out at once and only its answer is lost, while other controllers
@@ -227,5 +227,5 @@
       cmocka_unit_test (deaf_machines_and_the_next_leader),
       cmocka_unit_test (standing_leaders_and_refusals),
   };
-  return meetings_main (argc, argv, tests, G_N_ELEMENTS (tests));
+  return fault_scenarios_main (argc, argv, tests, G_N_ELEMENTS (tests));
 }
--- a/tests/test_meetings_fleet.c
+++ b/tests/test_fault_scenarios_fleet.c
@@ -1,8 +1,8 @@
 /* Days of the simulated cluster on which two troubles meet. One function for each meeting, with
  * a table of its troubles; it is played with several seeds. Every rule of the protocol is
  * asserted at every event, and all work is done once the troubles are over. Users, messages and
- * leaders: test_meetings.c. */
-#include "meetings.h"
+ * leaders: test_fault_scenarios.c. */
+#include "fault_scenarios.h"
 
 /* New machines are up within two seconds and get work at once while writes lag, and the leader
  * ends. */
@@ -185,5 +185,5 @@
       cmocka_unit_test (ends_far_apart_and_new_leaders),
       cmocka_unit_test (cloud_outages_and_lost_machines),
   };
-  return meetings_main (argc, argv, tests, G_N_ELEMENTS (tests));
+  return fault_scenarios_main (argc, argv, tests, G_N_ELEMENTS (tests));
 }
--- a/tests/test_fixtures.c
+++ b/tests/test_fixtures.c
@@ -241,7 +241,7 @@
 }
 
 static void
-ledgers_are_taken_over (void **state G_GNUC_UNUSED)
+stored_records_are_taken_over (void **state G_GNUC_UNUSED)
 {
   take_over ("ecb9b3c/ledger.txt", 0);
   take_over ("764e988/ledger.txt", HR_FORMAT);
@@ -252,7 +252,7 @@
 typedef struct {
   GMainLoop *loop;
   HrPeers *peers;
-  HrPeerStatus hint;
+  HrPeerStatus status;
   gboolean heard;
   GString *sent;
   guint8 part[4096];
@@ -260,10 +260,10 @@
 } Wire;
 
 static void
-on_hint (HrCommand *command, gpointer data)
+on_status (HrCommand *command, gpointer data)
 {
   Wire *wire = data;
-  wire->hint = *command->peer_status;
+  wire->status = *command->peer_status;
   wire->heard = TRUE;
   hr_command_free (command);
   g_main_loop_quit (wire->loop);
@@ -298,7 +298,7 @@
 tell (gpointer data)
 {
   Wire *wire = data;
-  hr_peers_tell (wire->peers, &wire->hint);
+  hr_peers_tell (wire->peers, &wire->status);
   return TRUE;
 }
 
@@ -313,7 +313,7 @@
 #define FIRST_PORT 18431
 
 static void
-check_hint (const HrPeerStatus *status, guint format)
+check_status (const HrPeerStatus *status, guint format)
 {
   assert_string_equal (status->label, "c1");
   assert_int_equal (status->fencing_token, 7);
@@ -340,7 +340,7 @@
   HrMember member = {"c0", "z0", other};
   HrSettings settings = {.back = own, .members = g_array_new (FALSE, TRUE, sizeof (HrMember))};
   g_array_append_val (settings.members, member);
-  wire.peers = hr_peers_new (&settings, on_hint, &wire, NULL);
+  wire.peers = hr_peers_new (&settings, on_status, &wire, NULL);
   assert_non_null (wire.peers);
   g_autoptr (GSocketClient) client = g_socket_client_new ();
   g_socket_client_set_enable_proxy (client, FALSE);
@@ -352,7 +352,7 @@
   guint deadline = g_timeout_add_seconds (10, too_late, &wire);
   g_main_loop_run (wire.loop);
   assert_true (wire.heard);
-  check_hint (&wire.hint, format);
+  check_status (&wire.status, format);
   g_autoptr (GSocketService) peer = g_socket_service_new ();
   assert_true (g_socket_listener_add_inet_port (G_SOCKET_LISTENER (peer), port + 1, NULL, NULL));
   g_signal_connect (peer, "incoming", G_CALLBACK (on_connection), &wire);
@@ -376,8 +376,9 @@
 int
 main (void)
 {
-  const struct CMUnitTest tests[] = {
-      cmocka_unit_test (records_are_written_as_read), cmocka_unit_test (unknown_members_stay),
-      cmocka_unit_test (ledgers_are_taken_over), cmocka_unit_test (frames_are_written_as_read)};
+  const struct CMUnitTest tests[] = {cmocka_unit_test (records_are_written_as_read),
+                                     cmocka_unit_test (unknown_members_stay),
+                                     cmocka_unit_test (stored_records_are_taken_over),
+                                     cmocka_unit_test (frames_are_written_as_read)};
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -41,8 +41,8 @@
 check_done (World *world)
 {
   for (guint i = 0; i < world->jobs->len; i++) {
-    SJob *job = world->jobs->pdata[i];
-    if (job->asked_cancel ? !job->told_withdrawn && !job->told_done
+    SimJob *job = world->jobs->pdata[i];
+    if (job->asked_cancel ? !job->told_cancelled && !job->told_done
                           : job->shape != HR_SERVICE && !job->told_done)
       w_broken (world, "liveness", "%s (%d, %u tasks) is not done", job->id, job->shape,
                 job->tasks);
@@ -50,7 +50,7 @@
 }
 
 static double
-waited (const World *world, const SJob *job)
+waited (const World *world, const SimJob *job)
 {
   return (job->first > 0 ? job->first : world->now) - job->accepted_at;
 }
@@ -96,7 +96,7 @@
     world_run (world, 200);
     guint up = 0;
     for (guint i = 0; i < world->machines->len; i++)
-      up += !((SMachine *)world->machines->pdata[i])->gone;
+      up += !((SimMachine *)world->machines->pdata[i])->gone;
     if (up > needed + needed / 4)
       w_broken (world, "rented", "%u machines are kept where %u hold all that may run", up, needed);
     broken += verdict (world, incarnation);
@@ -117,7 +117,7 @@
     world_run (world, DAY_S);
     check_done (world);
     for (guint i = 0; i < world->jobs->len; i++) {
-      SJob *job = world->jobs->pdata[i];
+      SimJob *job = world->jobs->pdata[i];
       if (waited (world, job) > (job->large ? 180 : 240))
         w_broken (world, "starved", "%s of %u tasks begins after %.0f s", job->id, job->tasks,
                   waited (world, job));
@@ -158,7 +158,7 @@
 
 /* How many starts of the job's tasks were recorded. */
 static guint
-attempts (const World *world, const SJob *job)
+attempts (const World *world, const SimJob *job)
 {
   g_autofree char *prefix = g_strdup_printf ("%s/", job->id);
   GHashTableIter iter;
@@ -213,7 +213,7 @@
     limits_submit (world, work, G_N_ELEMENTS (work));
     world_run (world, DAY_S);
     for (guint i = 0; i < world->jobs->len; i++) {
-      SJob *job = world->jobs->pdata[i];
+      SimJob *job = world->jobs->pdata[i];
       if (!job->large && waited (world, job) > 90)
         w_broken (world, "idle", "%s waits %.0f s beside a machine with room, under the limit",
                   job->id, waited (world, job));
@@ -244,7 +244,7 @@
     limits_submit (world, work, G_N_ELEMENTS (work));
     world_run (world, DAY_S);
     for (guint i = 0; i < world->jobs->len; i++) {
-      SJob *job = world->jobs->pdata[i];
+      SimJob *job = world->jobs->pdata[i];
       if (!job->large && waited (world, job) > 90)
         w_broken (world, "idle", "%s waits %.0f s beside a machine with room", job->id,
                   waited (world, job));
--- a/tests/test_pacing.c
+++ b/tests/test_pacing.c
@@ -1,5 +1,5 @@
 /* Planning passes leave most of the processor to reports and readings. */
-#include "script.h"
+#include "scripted_cluster.h"
 #include "coordination/state.h"
 #include <setjmp.h>
 #include <stdarg.h>
@@ -13,18 +13,18 @@
 static guint
 passes (double took)
 {
-  Script *script = script_led (2);
-  HrCore *leader = script->nodes[script_leader (script)].core;
+  Cluster *cluster = cluster_led (2);
+  HrCore *leader = cluster->nodes[cluster_leader (cluster)].core;
   guint n = 0;
   for (double until = 0; until < RUN_S; until += STEP_S) {
     double before = leader->scheduling.planned_at;
-    script_run (script, STEP_S);
+    cluster_run (cluster, STEP_S);
     leader->scheduling.plan_is_stale = TRUE;
-    script_tick (script, 0.001);
+    cluster_tick (cluster, 0.001);
     n += leader->scheduling.planned_at > before;
     hr_core_step_took (leader, took);
   }
-  script_free (script);
+  cluster_free (cluster);
   return n;
 }
 
@@ -43,6 +43,6 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {cmocka_unit_test (long_passes_are_spaced)};
-  g_log_set_writer_func (script_log, NULL, NULL);
+  g_log_set_writer_func (cluster_log, NULL, NULL);
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/test_pairs.c
+++ b/tests/test_pairs.c
@@ -8,7 +8,7 @@
  * worker is answered, or as the leader record names a new leader. A day that breaks a rule is
  * compacted: troubles are taken out, and shortened, while it still breaks one; what is left is
  * printed. */
-#include "sim/meeting.h"
+#include "sim/fault_scenario.h"
 #include "sim/world.h"
 #include <stdio.h>
 #include <stdlib.h>
@@ -80,10 +80,10 @@
   troubles_plan (world, day->troubles, day->n);
   world_run (world, DAY_S);
   for (guint i = 0; i < world->jobs->len; i++) {
-    const SJob *job = world->jobs->pdata[i];
+    const SimJob *job = world->jobs->pdata[i];
     if (!job->accepted)
       w_broken (world, "liveness", "%s was never accepted", job->id);
-    else if (job->asked_cancel && !job->told_withdrawn && !job->told_done)
+    else if (job->asked_cancel && !job->told_cancelled && !job->told_done)
       w_broken (world, "liveness", "%s was not withdrawn", job->id);
     else if (!job->asked_cancel && job->shape != HR_SERVICE && !job->told_done)
       w_broken (world, "liveness", "%s is not done", job->id);
--- a/tests/test_peer_status_frame.c
+++ b/tests/test_peer_status_frame.c
@@ -47,7 +47,7 @@
 
 /* The shortest id that there is, what benches use, and the longest. */
 static void
-the_largest_hint_fits_a_frame (void **state G_GNUC_UNUSED)
+the_largest_status_fits_a_frame (void **state G_GNUC_UNUSED)
 {
   static const guint lengths[] = {5, 10, 100};
   for (guint i = 0; i < G_N_ELEMENTS (lengths); i++) {
@@ -70,7 +70,7 @@
 
 /* A status without a log is one of a version that has none: an empty log would say much more. */
 static void
-a_hint_without_a_log (void **state G_GNUC_UNUSED)
+a_peer_status_without_a_log (void **state G_GNUC_UNUSED)
 {
   HrPeerStatus status = {.label = "c1", .latest_cancellation = 7, .synced = TRUE}, got = {0};
   guint8 frame[HR_MAX_FRAME];
@@ -114,7 +114,7 @@
 }
 
 static void
-what_is_no_hint_is_dropped (void **state G_GNUC_UNUSED)
+what_is_no_status_is_dropped (void **state G_GNUC_UNUSED)
 {
   const guint8 text[] = "GET / HTTP/1.1\r\n\r\n";
   HrPeerStatus got = {0};
@@ -125,10 +125,10 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-      cmocka_unit_test (the_largest_hint_fits_a_frame),
-      cmocka_unit_test (a_hint_without_a_log),
+      cmocka_unit_test (the_largest_status_fits_a_frame),
+      cmocka_unit_test (a_peer_status_without_a_log),
       cmocka_unit_test (a_longer_list_is_cut_at_its_end),
-      cmocka_unit_test (what_is_no_hint_is_dropped),
+      cmocka_unit_test (what_is_no_status_is_dropped),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/test_pipelines.c
+++ b/tests/test_pipelines.c
@@ -36,8 +36,8 @@
   world_run (world, DAY_ENDS);
   guint cancelled = 0, done = 0;
   for (guint i = 0; i < world->jobs->len; i++) {
-    const SJob *job = world->jobs->pdata[i];
-    cancelled += job->told_withdrawn && !job->asked_cancel;
+    const SimJob *job = world->jobs->pdata[i];
+    cancelled += job->told_cancelled && !job->asked_cancel;
     done += job->told_done && job->awaits->len;
   }
   /* A day on which nothing was taken along, or nothing came after another, shows nothing. */
@@ -71,12 +71,12 @@
 
 /* Again and again another node leads, which knows what it read alone. */
 static void
-days_of_new_owners (void **state G_GNUC_UNUSED)
+days_of_new_leaders (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 2030; seed < 2036; seed++) {
     World *world = world_new (seed, 3);
-    faults_owners (world, 25, CALM_AT);
+    faults_leaders (world, 25, CALM_AT);
     broken += play (world, seed, 0, FALSE);
   }
   assert_int_equal (broken, 0);
@@ -132,7 +132,7 @@
   double last = upgrade_roll (world, 60, seed % 2 ? 12 : 25, 4);
   upgrade_limits_fall (world, last + fall_after_turn[seed % G_N_ELEMENTS (fall_after_turn)]);
   if (seed % 3 == 0)
-    faults_owners (world, 20, CALM_AT);
+    faults_leaders (world, 20, CALM_AT);
   return play (world, seed, seed % 3, FALSE);
 }
 
@@ -161,7 +161,7 @@
   const struct CMUnitTest tests[] = {
       cmocka_unit_test (quiet_days),
       cmocka_unit_test (days_with_troubles),
-      cmocka_unit_test (days_of_new_owners),
+      cmocka_unit_test (days_of_new_leaders),
       cmocka_unit_test (days_of_shocks),
       cmocka_unit_test (days_with_a_team_limit),
       cmocka_unit_test (days_with_one_or_five_controllers),
