--- a/tests/test_record_split.c
+++ b/tests/test_record_split.c
@@ -1,5 +1,5 @@
 /* Splitting a record in steps, on a state service that is played: what comes between two steps. */
-#include "sim/lone_node.h"
+#include "sim/single_node.h"
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -26,7 +26,7 @@
 }
 
 static gboolean
-staged (const Ledger *store)
+staged (const FakeStore *store)
 {
   GHashTableIter iter;
   gpointer path;
@@ -38,81 +38,81 @@
 }
 
 static gboolean
-split (const Ledger *store)
+split (const FakeStore *store)
 {
-  return strstr (ledger_job (store, JOB), "\"u\":1") != NULL;
+  return strstr (fake_store_job (store, JOB), "\"u\":1") != NULL;
 }
 
 static void
-until_staged (LoneNode *n)
+until_staged (SingleNode *n)
 {
-  for (guint i = 0; i < 2000 && !staged (n->ledger); i++)
-    node_run (n, 0.001);
-  assert_true (staged (n->ledger));
-  assert_false (split (n->ledger));
+  for (guint i = 0; i < 2000 && !staged (n->store); i++)
+    single_node_run (n, 0.001);
+  assert_true (staged (n->store));
+  assert_false (split (n->store));
 }
 
 /* Another node cancels the job between two steps: the cancellation stays. */
 static void
-a_withdrawal_between_steps (void **state G_GNUC_UNUSED)
+a_cancellation_between_steps (void **state G_GNUC_UNUSED)
 {
-  Ledger *store = ledger_new ();
+  FakeStore *store = fake_store_new ();
   g_autofree char *queued = record (0), *cancelled = record (2);
   store->epoch++;
-  ledger_set (store, MAIN, queued);
-  LoneNode *n = node_new (store, NEXT);
+  fake_store_set (store, MAIN, queued);
+  SingleNode *n = single_node_new (store, NEXT);
   until_staged (n);
   store->epoch++;
-  ledger_set (store, MAIN, cancelled);
-  node_run (n, 10);
-  assert_non_null (strstr (ledger_job (store, JOB), "\"s\":2"));
+  fake_store_set (store, MAIN, cancelled);
+  single_node_run (n, 10);
+  assert_non_null (strstr (fake_store_job (store, JOB), "\"s\":2"));
   assert_true (split (store)); /* and the record is split all the same */
-  node_free (n);
-  ledger_free (store);
+  single_node_free (n);
+  fake_store_free (store);
 }
 
 /* Without that, all steps are carried out. */
 static void
 all_steps (void **state G_GNUC_UNUSED)
 {
-  Ledger *store = ledger_new ();
+  FakeStore *store = fake_store_new ();
   g_autofree char *queued = record (0);
   store->epoch++;
-  ledger_set (store, MAIN, queued);
-  LoneNode *n = node_new (store, NEXT);
+  fake_store_set (store, MAIN, queued);
+  SingleNode *n = single_node_new (store, NEXT);
   until_staged (n);
-  node_run (n, 10);
+  single_node_run (n, 10);
   assert_true (split (store));
-  assert_non_null (strstr (ledger_job (store, JOB), "\"s\":0"));
-  node_free (n);
-  ledger_free (store);
+  assert_non_null (strstr (fake_store_job (store, JOB), "\"s\":0"));
+  single_node_free (n);
+  fake_store_free (store);
 }
 
 /* Another node becomes the leader between two steps: none of ours is carried out any more. */
 static void
-an_owner_between_steps (void **state G_GNUC_UNUSED)
+a_new_leader_between_steps (void **state G_GNUC_UNUSED)
 {
-  Ledger *store = ledger_new ();
+  FakeStore *store = fake_store_new ();
   g_autofree char *queued = record (0);
   store->epoch++;
-  ledger_set (store, MAIN, queued);
-  LoneNode *n = node_new (store, NEXT);
+  fake_store_set (store, MAIN, queued);
+  SingleNode *n = single_node_new (store, NEXT);
   until_staged (n);
   store->epoch++;
-  ledger_set (store, "h/leader", "{\"b\":0,\"o\":\"b\",\"i\":\"other\"}");
-  ledger_set (store, "h/map", "{\"b\":9,\"o\":\"b\",\"i\":\"other\"}");
-  node_run (n, 10);
+  fake_store_set (store, "h/leader", "{\"b\":0,\"o\":\"b\",\"i\":\"other\"}");
+  fake_store_set (store, "h/map", "{\"b\":9,\"o\":\"b\",\"i\":\"other\"}");
+  single_node_run (n, 10);
   assert_false (split (store));
   assert_false (n->core->leadership.is_leader);
-  node_free (n);
-  ledger_free (store);
+  single_node_free (n);
+  fake_store_free (store);
 }
 
 int
 main (void)
 {
-  const struct CMUnitTest tests[] = {cmocka_unit_test (a_withdrawal_between_steps),
-                                     cmocka_unit_test (an_owner_between_steps),
+  const struct CMUnitTest tests[] = {cmocka_unit_test (a_cancellation_between_steps),
+                                     cmocka_unit_test (a_new_leader_between_steps),
                                      cmocka_unit_test (all_steps)};
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/test_renewals.c
+++ b/tests/test_renewals.c
@@ -1,6 +1,6 @@
 /* Who renews a worker's lease names in the same answer a stop for each of its tasks that must not
- * run. Message by message (script_scene.h), and with generated reports. */
-#include "script_scene.h"
+ * run. Message by message (scripted_fleet.h), and with generated reports. */
+#include "scripted_fleet.h"
 #include "coordination/invariant.h"
 #include "coordination/agents/lease_renewal.h"
 #include "protocol/json_util.h"
@@ -14,56 +14,56 @@
 #define SEED 20261202
 
 static gboolean
-runs_somewhere (Scene *scene, gpointer piece)
+runs_somewhere (Fleet *fleet, gpointer piece)
 {
-  return scene_count (scene, piece) > 0;
+  return fleet_count (fleet, piece) > 0;
 }
 
-static SceneMachine *
-machine_running (Scene *scene, const char *job_id)
+static FleetMachine *
+machine_running (Fleet *fleet, const char *job_id)
 {
   g_autofree char *piece = g_strconcat (job_id, "/0", NULL);
-  SceneMachine *machine = scene_machine (scene, "m-1", "z0");
-  scene_run (scene, 4);
-  scene_submit (scene, 0, job_id, NULL);
-  scene_until (scene, runs_somewhere, piece, 8);
-  scene_run (scene, 3);
+  FleetMachine *machine = fleet_machine (fleet, "m-1", "z0");
+  fleet_run (fleet, 4);
+  fleet_submit (fleet, 0, job_id, NULL);
+  fleet_until (fleet, runs_somewhere, piece, 8);
+  fleet_run (fleet, 3);
   return machine;
 }
 
 static guint64
-token (Scene *scene)
+token (Fleet *fleet)
 {
-  json_t *map = json_loads (script_value (scene->s, "h/map"), 0, NULL);
+  json_t *map = json_loads (cluster_value (fleet->cluster, "h/map"), 0, NULL);
   guint64 number = json_integer_value (json_object_get (map, "b"));
   json_decref (map);
   return number;
 }
 
 static gboolean
-another_leads (Scene *scene, gpointer before)
+another_leads (Fleet *fleet, gpointer before)
 {
-  int leader = script_leader (scene->s);
-  return token (scene) > *(guint64 *)before && leader >= 0 && scene->s->nodes[leader].core;
+  int leader = cluster_leader (fleet->cluster);
+  return token (fleet) > *(guint64 *)before && leader >= 0 && fleet->cluster->nodes[leader].core;
 }
 
 /* The leader ends, another one leads; the machine reaches nobody meanwhile. */
 static void
-change_leader (Scene *scene, SceneMachine *machine)
+change_leader (Fleet *fleet, FleetMachine *machine)
 {
-  guint64 before = token (scene);
+  guint64 before = token (fleet);
   machine->reports = FALSE;
-  script_end (scene->s, script_leader (scene->s));
-  scene_until (scene, another_leads, &before, 12);
-  scene_run (scene, 0.5);
+  cluster_end (fleet->cluster, cluster_leader (fleet->cluster));
+  fleet_until (fleet, another_leads, &before, 12);
+  fleet_run (fleet, 0.5);
 }
 
 /* The orders of the answer to this report, or NULL when the answer does not renew the lease. */
 static json_t *
-renewed_with (Scene *scene, int node, const char *report)
+renewed_with (Fleet *fleet, int node, const char *report)
 {
-  guint64 id = script_request (scene->s, node, HR_POST, "/hello", report);
-  const ScriptReply *reply = script_reply (scene->s, node, id);
+  guint64 id = cluster_request (fleet->cluster, node, HR_POST, "/hello", report);
+  const ClusterReply *reply = cluster_reply (fleet->cluster, node, id);
   return reply && reply->status == 200 ? json_object_get (reply->body, "orders") : NULL;
 }
 
@@ -85,9 +85,9 @@
 /* ---- the incident ---- */
 
 static gboolean
-answered_by_the_leader (Scene *scene, gpointer machine)
+answered_by_the_leader (Fleet *fleet, gpointer machine)
 {
-  return ((SceneMachine *)machine)->baton == token (scene);
+  return ((FleetMachine *)machine)->token == token (fleet);
 }
 
 /* Each leader ends right after its first answer to the worker. All know the job as cancelled as
@@ -95,76 +95,76 @@
 static void
 leaders_that_end_after_their_first_answer (void **state G_GNUC_UNUSED)
 {
-  Scene *scene = scene_new (3);
-  Script *script = scene->s;
-  SceneMachine *machine = machine_running (scene, "job-a");
+  Fleet *fleet = fleet_new (3);
+  Cluster *cluster = fleet->cluster;
+  FleetMachine *machine = machine_running (fleet, "job-a");
   machine->reached = machine->reports = FALSE;
-  scene_withdraw (scene, (script_leader (script) + 1) % 3, "job-a");
-  double told = script->now;
-  while (script->now < told + scene->cancel_s + 2 && !scene->broken->len) {
-    int leader = script_leader (script);
-    guint64 before = token (scene);
-    script_end (script, leader);
-    scene_until (scene, another_leads, &before, 10);
-    script_start (script, leader);
+  fleet_cancel (fleet, (cluster_leader (cluster) + 1) % 3, "job-a");
+  double told = cluster->now;
+  while (cluster->now < told + fleet->cancel_s + 2 && !fleet->broken->len) {
+    int leader = cluster_leader (cluster);
+    guint64 before = token (fleet);
+    cluster_end (cluster, leader);
+    fleet_until (fleet, another_leads, &before, 10);
+    cluster_start (cluster, leader);
     machine->reports = TRUE;
-    machine->node = script_leader (script);
-    machine->report_at = script->now;
-    scene_until (scene, answered_by_the_leader, machine, 5);
+    machine->node = cluster_leader (cluster);
+    machine->report_at = cluster->now;
+    fleet_until (fleet, answered_by_the_leader, machine, 5);
   }
   assert_int_equal (machine->tenure, 1); /* its lease never ran out */
-  scene_end (scene);
+  fleet_end (fleet);
 }
 
 static void
 a_report_from_before_the_token_gets_the_stop (void **state G_GNUC_UNUSED)
 {
-  Scene *scene = scene_new (2);
-  SceneMachine *machine = machine_running (scene, "job-a");
+  Fleet *fleet = fleet_new (2);
+  FleetMachine *machine = machine_running (fleet, "job-a");
   machine->reached = machine->reports = FALSE;
-  scene_withdraw (scene, 0, "job-a");
-  change_leader (scene, machine);
-  g_autofree char *report = scene_write (machine);
-  json_t *orders = renewed_with (scene, script_leader (scene->s), report);
+  fleet_cancel (fleet, 0, "job-a");
+  change_leader (fleet, machine);
+  g_autofree char *report = fleet_write (machine);
+  json_t *orders = renewed_with (fleet, cluster_leader (fleet->cluster), report);
   assert_non_null (orders);
   assert_true (names_stop (orders, "job-a/0", 1));
   /* Nothing else: how old the report is nobody knows. */
   assert_int_equal (json_array_size (orders), 1);
-  scene_end (scene);
+  fleet_end (fleet);
 }
 
 static void
 an_overtaken_report_gets_the_stop (void **state G_GNUC_UNUSED)
 {
-  Scene *scene = scene_new (2);
-  SceneMachine *machine = machine_running (scene, "job-a");
+  Fleet *fleet = fleet_new (2);
+  FleetMachine *machine = machine_running (fleet, "job-a");
   machine->reached = machine->reports = FALSE;
-  scene_withdraw (scene, 0, "job-a");
-  int leader = script_leader (scene->s);
-  g_autofree char *older = scene_write (machine), *newer = scene_write (machine);
-  assert_true (names_stop (renewed_with (scene, leader, newer), "job-a/0", 1));
-  json_t *orders = renewed_with (scene, leader, older);
+  fleet_cancel (fleet, 0, "job-a");
+  int leader = cluster_leader (fleet->cluster);
+  g_autofree char *older = fleet_write (machine), *newer = fleet_write (machine);
+  assert_true (names_stop (renewed_with (fleet, leader, newer), "job-a/0", 1));
+  json_t *orders = renewed_with (fleet, leader, older);
   assert_true (names_stop (orders, "job-a/0", 1));
   assert_int_equal (json_array_size (orders), 1);
-  scene_end (scene);
+  fleet_end (fleet);
 }
 
 /* The report left before the direct launch arrived, and its answer comes after the cancellation. */
 static void
 a_task_that_the_report_lacks_gets_the_stop (void **state G_GNUC_UNUSED)
 {
-  Scene *scene = scene_new (2);
-  SceneMachine *machine = scene_machine (scene, "m-1", "z0");
-  scene_run (scene, 4);
+  Fleet *fleet = fleet_new (2);
+  FleetMachine *machine = fleet_machine (fleet, "m-1", "z0");
+  fleet_run (fleet, 4);
   machine->reports = FALSE;
-  g_autofree char *before = scene_write (machine);
-  scene_submit (scene, 0, "job-a", NULL);
-  scene_until (scene, runs_somewhere, "job-a/0", 8);
+  g_autofree char *before = fleet_write (machine);
+  fleet_submit (fleet, 0, "job-a", NULL);
+  fleet_until (fleet, runs_somewhere, "job-a/0", 8);
   machine->reached = FALSE;
-  scene_withdraw (scene, 0, "job-a");
-  json_t *orders = renewed_with (scene, script_leader (scene->s), before);
+  fleet_cancel (fleet, 0, "job-a");
+  json_t *orders = renewed_with (fleet, cluster_leader (fleet->cluster), before);
   assert_true (names_stop (orders, "job-a/0", 1));
-  scene_end (scene);
+  fleet_end (fleet);
 }
 
 /* ---- a launch that may still come ---- */
@@ -175,33 +175,33 @@
 static void
 a_launch_that_may_still_come_ends_the_lease (void **state G_GNUC_UNUSED)
 {
-  Scene *scene = scene_new (2);
-  Script *script = scene->s;
-  SceneMachine *machine = scene_machine (scene, "m-1", "z0");
-  scene_run (scene, 4);
-  int leader = script_leader (script);
-  machine->reports = scene->cloud_deletes = FALSE;
-  ScriptCall *late = script_delay (script, scene_launch_call (scene, machine, leader, "job-a"));
-  scene_withdraw (scene, 1 - leader, "job-a");
-  double told = script->now;
-  script_hold (script, leader, "/commit", "h/map");
+  Fleet *fleet = fleet_new (2);
+  Cluster *cluster = fleet->cluster;
+  FleetMachine *machine = fleet_machine (fleet, "m-1", "z0");
+  fleet_run (fleet, 4);
+  int leader = cluster_leader (cluster);
+  machine->reports = fleet->cloud_deletes = FALSE;
+  ClusterCall *late = cluster_delay (cluster, fleet_launch_call (fleet, machine, leader, "job-a"));
+  fleet_cancel (fleet, 1 - leader, "job-a");
+  double told = cluster->now;
+  cluster_hold (cluster, leader, "/commit", "h/map");
   machine->reports = TRUE;
-  while (script->now < told + scene->cancel_s - scene->lease_s + 3) {
-    scene_run (scene, 0.5);
-    ScriptCall *raise = script_call (script, leader, "/commit", "h/map");
-    if (raise && script->now - raise->sent > raise->timeout)
-      script_lose (script, raise);
+  while (cluster->now < told + fleet->cancel_s - fleet->lease_s + 3) {
+    fleet_run (fleet, 0.5);
+    ClusterCall *raise = cluster_call (cluster, leader, "/commit", "h/map");
+    if (raise && cluster->now - raise->sent > raise->timeout)
+      cluster_lose (cluster, raise);
   }
-  scene_obey_direct (machine, late->body);
-  script_late (script, late);
+  fleet_obey_direct (machine, late->body);
+  cluster_late (cluster, late);
   machine->reports = FALSE;
-  scene_run (scene, scene->lease_s + 2);
-  scene_end (scene);
+  fleet_run (fleet, fleet->lease_s + 2);
+  fleet_end (fleet);
 }
 
 /* ---- generated reports ---- */
 
-static const char *const stances[] = {"fetching", "gathering", "running", "flushing", "exited"};
+static const char *const task_states[] = {"fetching", "gathering", "running", "flushing", "exited"};
 
 /* A worker's report with tasks of known, unknown and cancelled jobs, odd attempts and numbers. */
 static json_t *
@@ -214,7 +214,7 @@
         g_strdup_printf ("%s/%d", jobs[g_rand_int_range (rand, 0, G_N_ELEMENTS (jobs))],
                          g_rand_int_range (rand, 0, 3));
     json_t *item = json_pack ("{sssiss}", "piece", piece, "try", g_rand_int_range (rand, 0, 3),
-                              "stance", stances[g_rand_int_range (rand, 0, 5)]);
+                              "stance", task_states[g_rand_int_range (rand, 0, 5)]);
     if (g_rand_boolean (rand))
       json_object_set_new (item, "cause", json_string (g_rand_boolean (rand) ? "done" : "halted"));
     json_array_append_new (pieces, item);
@@ -249,33 +249,33 @@
 generated_reports_get_their_stops (void **state G_GNUC_UNUSED)
 {
   static const char *const over[] = {"job-b", "job-c", NULL};
-  Scene *scene = scene_new (2);
-  SceneMachine *machine = machine_running (scene, "job-a");
-  scene_submit (scene, 0, "job-b", NULL);
-  scene_until (scene, runs_somewhere, "job-b/0", 8);
-  scene_exit (machine, "job-b/0", "done");
-  scene_submit (scene, 0, "job-c", NULL);
-  scene_until (scene, runs_somewhere, "job-c/0", 8);
-  scene_run (scene, 6);
-  assert_string_equal (scene_stance (scene, 0, "job-b"), "done");
+  Fleet *fleet = fleet_new (2);
+  FleetMachine *machine = machine_running (fleet, "job-a");
+  fleet_submit (fleet, 0, "job-b", NULL);
+  fleet_until (fleet, runs_somewhere, "job-b/0", 8);
+  fleet_exit (machine, "job-b/0", "done");
+  fleet_submit (fleet, 0, "job-c", NULL);
+  fleet_until (fleet, runs_somewhere, "job-c/0", 8);
+  fleet_run (fleet, 6);
+  assert_string_equal (fleet_job_state (fleet, 0, "job-b"), "done");
   machine->reports = machine->reached = FALSE;
-  scene_submit (scene, 0, "job-d", NULL);
-  scene_withdraw (scene, 0, "job-c");
-  change_leader (scene, machine);
-  int leader = script_leader (scene->s);
+  fleet_submit (fleet, 0, "job-d", NULL);
+  fleet_cancel (fleet, 0, "job-c");
+  change_leader (fleet, machine);
+  int leader = cluster_leader (fleet->cluster);
   g_autoptr (GRand) rand = g_rand_new_with_seed (SEED);
   guint renewed = 0;
   for (int i = 0; i < REPORTS; i++) {
-    json_t *report = generated_report (rand, token (scene));
+    json_t *report = generated_report (rand, token (fleet));
     g_autofree char *text = json_dumps (report, JSON_COMPACT);
-    json_t *orders = renewed_with (scene, leader, text);
+    json_t *orders = renewed_with (fleet, leader, text);
     if (orders)
       check_answer (report, orders, over);
     renewed += orders != NULL;
     json_decref (report);
   }
   assert_true (renewed > REPORTS / 20);
-  scene_end (scene);
+  fleet_end (fleet);
 }
 
 /* ---- the check itself ---- */
@@ -286,15 +286,15 @@
 static void
 a_stop_that_is_missing_is_found (void **state G_GNUC_UNUSED)
 {
-  Scene *scene = scene_new (2);
-  SceneMachine *machine_row = machine_running (scene, "job-a");
+  Fleet *fleet = fleet_new (2);
+  FleetMachine *machine_row = machine_running (fleet, "job-a");
   machine_row->reached = machine_row->reports = FALSE;
-  scene_withdraw (scene, 0, "job-a");
-  HrCore *core = scene->s->nodes[script_leader (scene->s)].core;
+  fleet_cancel (fleet, 0, "job-a");
+  HrCore *core = fleet->cluster->nodes[cluster_leader (fleet->cluster)].core;
   HrMachine *machine = hr_machine_find (&core->store.tables, "m-1");
-  g_autofree char *shown = scene_write (machine_row), *why = NULL;
+  g_autofree char *shown = fleet_write (machine_row), *why = NULL;
   g_ptr_array_set_size (machine_row->tasks, 0);
-  g_autofree char *empty = scene_write (machine_row);
+  g_autofree char *empty = fleet_write (machine_row);
   g_autoptr (HrHeartbeat) with = hr_heartbeat_parse (shown, strlen (shown), &why);
   g_autoptr (HrHeartbeat) without = hr_heartbeat_parse (empty, strlen (empty), &why);
   json_t *orders = json_array ();
@@ -313,7 +313,7 @@
   hr_invariant_violated (core, "%s", "as a test has it");
   hr_invariant_set_fatal (TRUE);
   assert_int_equal (core->metrics.counters.invariants_violated, 1);
-  scene_end (scene);
+  fleet_end (fleet);
 }
 
 int
@@ -328,6 +328,6 @@
       cmocka_unit_test (generated_reports_get_their_stops),
       cmocka_unit_test (a_stop_that_is_missing_is_found),
   };
-  g_log_set_writer_func (script_log, NULL, NULL);
+  g_log_set_writer_func (cluster_log, NULL, NULL);
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/test_replica.c
+++ b/tests/test_replica.c
@@ -229,7 +229,7 @@
 /* A cancellation whose record is larger than the state service takes is not sent. Its user is to
  * ask again soon, and the others hear of it at once, so that the leader splits the record. */
 static void
-withdrawal_too_large (void **state G_GNUC_UNUSED)
+cancellation_too_large (void **state G_GNUC_UNUSED)
 {
   Rig rig;
   begin (&rig);
@@ -288,6 +288,6 @@
                                      cmocka_unit_test (staged_pages_are_no_facts),
                                      cmocka_unit_test (one_transaction),
                                      cmocka_unit_test (production_misreads),
-                                     cmocka_unit_test (withdrawal_too_large)};
+                                     cmocka_unit_test (cancellation_too_large)};
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/test_requests.c
+++ b/tests/test_requests.c
@@ -1,8 +1,8 @@
-/* Odd requests of users: the status, the body, and that nothing is recorded. The table "Bad input"
- * of docs/meetings.md has a line for each group. */
+/* Malformed requests of users: the status, the body, and that nothing is recorded. The table "Bad
+ * input" of docs/meetings.md has a line for each group. */
 #include "coordination/command.h"
 #include "protocol/json_util.h"
-#include "script.h"
+#include "scripted_cluster.h"
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -11,12 +11,12 @@
 
 /* What a request gets at this node, which has to say why it refuses. */
 static int
-status_of (Script *script, int node, HrMethod method, const char *path, const char *body)
+status_of (Cluster *cluster, int node, HrMethod method, const char *path, const char *body)
 {
-  guint64 id = script_request (script, node, method, path, body);
-  for (int i = 0; i < 10 && !script_reply (script, node, id); i++)
-    script_run (script, 0.05);
-  const ScriptReply *reply = script_reply (script, node, id);
+  guint64 id = cluster_request (cluster, node, method, path, body);
+  for (int i = 0; i < 10 && !cluster_reply (cluster, node, id); i++)
+    cluster_run (cluster, 0.05);
+  const ClusterReply *reply = cluster_reply (cluster, node, id);
   assert_non_null (reply);
   if (reply->status >= 400)
     assert_true (strlen (hr_json_str (reply->body, "error")) > 5);
@@ -26,19 +26,19 @@
 }
 
 static int
-submit_text (Script *script, const char *body)
+submit_text (Cluster *cluster, const char *body)
 {
-  guint before = script->carried_out;
-  int status = status_of (script, 1, HR_POST, HR_JOBS_PATH, body);
-  assert_int_equal (script->carried_out - before, status == 201);
+  guint before = cluster->carried_out;
+  int status = status_of (cluster, 1, HR_POST, HR_JOBS_PATH, body);
+  assert_int_equal (cluster->carried_out - before, status == 201);
   return status;
 }
 
 /* Submits job-odd with the field set so; NULL: left out. */
 static int
-submit_with (Script *script, const char *field, const char *value)
+submit_with (Cluster *cluster, const char *field, const char *value)
 {
-  json_t *job = script_job ("job-odd", 1);
+  json_t *job = cluster_job ("job-odd", 1);
   json_object_del (job, field);
   if (value) {
     json_t *member = json_loads (value, JSON_DECODE_ANY, NULL);
@@ -46,7 +46,7 @@
     json_object_set_new (job, field, member);
   }
   g_autofree char *body = hr_json_take_text (job);
-  return submit_text (script, body);
+  return submit_text (cluster, body);
 }
 
 static void
@@ -57,38 +57,38 @@
       "vcpus",   "accelerators", "memory_gb", "bundle", "size_gb", "guess_s",
       "cairn_s", "stash_s",      "together",  "apart",  "loaners"};
   static const char *const optional[] = {"hulls", "quarry", "due_s"};
-  Script *script = script_led (2);
+  Cluster *cluster = cluster_led (2);
   for (guint i = 0; i < G_N_ELEMENTS (required); i++) {
-    assert_int_equal (submit_with (script, required[i], NULL), 400);
-    assert_int_equal (submit_with (script, required[i], "null"), 400);
-    assert_int_equal (submit_with (script, required[i], "[]"), 400);
-    assert_int_equal (submit_with (script, required[i], "{\"a\":1}"), 400);
+    assert_int_equal (submit_with (cluster, required[i], NULL), 400);
+    assert_int_equal (submit_with (cluster, required[i], "null"), 400);
+    assert_int_equal (submit_with (cluster, required[i], "[]"), 400);
+    assert_int_equal (submit_with (cluster, required[i], "{\"a\":1}"), 400);
   }
-  assert_int_equal (status_of (script, 0, HR_GET, "/v1/jobs/job-odd", NULL), 404);
+  assert_int_equal (status_of (cluster, 0, HR_GET, "/v1/jobs/job-odd", NULL), 404);
   for (guint i = 0; i < G_N_ELEMENTS (optional); i++) {
     for (int null = 0; null < 2; null++) {
       g_autofree char *id = g_strdup_printf ("job-%u-%d", i, null);
-      json_t *job = script_job (id, 1);
+      json_t *job = cluster_job (id, 1);
       json_object_del (job, optional[i]);
       if (null)
         json_object_set_new (job, optional[i], json_null ());
       g_autofree char *body = hr_json_take_text (job);
-      assert_int_equal (submit_text (script, body), 201);
+      assert_int_equal (submit_text (cluster, body), 201);
     }
-    assert_int_equal (submit_with (script, optional[i], "{\"a\":1}"), 400);
+    assert_int_equal (submit_with (cluster, optional[i], "{\"a\":1}"), 400);
   }
-  script_free (script);
+  cluster_free (cluster);
 }
 
 typedef struct {
   const char *field, *value;
   int status;
-} Odd;
+} WrongValue;
 
 static void
 wrong_values_are_refused (void **state G_GNUC_UNUSED)
 {
-  static const Odd odd[] = {
+  static const WrongValue odd[] = {
       /* ids: the key of a record, and part of a path */
       {"name_id", "\"job-\"", 400},
       {"name_id", "\"odd\"", 400},
@@ -146,14 +146,14 @@
       {"memory_gb", "97.0", 422},
       {"vcpus", "1e9", 422},
   };
-  Script *script = script_led (2);
+  Cluster *cluster = cluster_led (2);
   for (guint i = 0; i < G_N_ELEMENTS (odd); i++) {
-    int status = submit_with (script, odd[i].field, odd[i].value);
+    int status = submit_with (cluster, odd[i].field, odd[i].value);
     if (status != odd[i].status)
       fail_msg ("%s %s: %d", odd[i].field, odd[i].value, status);
   }
-  assert_int_equal (status_of (script, 0, HR_GET, "/v1/jobs/job-odd", NULL), 404);
-  script_free (script);
+  assert_int_equal (status_of (cluster, 0, HR_GET, "/v1/jobs/job-odd", NULL), 404);
+  cluster_free (cluster);
 }
 
 static void
@@ -177,27 +177,27 @@
                                        "{\"name_id\":\"job-\\u0000odd\"}",
                                        "{\"name_id\":\"job-\xff\xfe\"}",
                                        "\xef\xbb\xbf{}"};
-  Script *script = script_led (2);
+  Cluster *cluster = cluster_led (2);
   for (guint i = 0; i < G_N_ELEMENTS (bodies); i++)
-    assert_int_equal (submit_text (script, bodies[i]), 400);
-  assert_int_equal (submit_text (script, deep), 400);
-  assert_int_equal (submit_text (script, many), 400);
+    assert_int_equal (submit_text (cluster, bodies[i]), 400);
+  assert_int_equal (submit_text (cluster, deep), 400);
+  assert_int_equal (submit_text (cluster, many), 400);
   /* One that passes the limit reaches the core without its body. */
   HrCommand *command = hr_command_new (HR_COMMAND_REQUEST);
-  command->id = ++script->next_request;
+  command->id = ++cluster->next_request;
   command->request.method = HR_POST;
   command->request.path = g_strdup (HR_JOBS_PATH);
   command->request.is_too_large = TRUE;
-  script_step (script, 1, command);
-  assert_int_equal (script_status (script, 1, script->next_request), 400);
+  cluster_step (cluster, 1, command);
+  assert_int_equal (cluster_status (cluster, 1, cluster->next_request), 400);
   /* Within the limit, and with fields that nobody knows. */
-  json_t *job = script_job ("job-large", 1);
+  json_t *job = cluster_job ("job-large", 1);
   g_autofree char *padding = g_strnfill (64000, 'x');
   json_object_set_new (job, "remark", json_string (padding));
   g_autofree char *body = hr_json_take_text (job);
-  assert_int_equal (submit_text (script, body), 201);
-  assert_null (strstr (script_value (script, "h/j/job-large"), "xxx"));
-  script_free (script);
+  assert_int_equal (submit_text (cluster, body), 201);
+  assert_null (strstr (cluster_value (cluster, "h/j/job-large"), "xxx"));
+  cluster_free (cluster);
 }
 
 /* More than the team's limit: one task of an array, all tasks of the others. */
@@ -212,15 +212,15 @@
               {"daemon", "job-3", 101, 422},
               {"daemon", "job-4", 100, 201},
               {"batch", "job-5", 101, 201}};
-  Script *script = script_led (2);
+  Cluster *cluster = cluster_led (2);
   for (guint i = 0; i < G_N_ELEMENTS (jobs); i++) {
-    json_t *job = script_job (jobs[i].id, jobs[i].pieces);
+    json_t *job = cluster_job (jobs[i].id, jobs[i].pieces);
     json_object_set_new (job, "shape", json_string (jobs[i].shape));
     json_object_set_new (job, "accelerators", json_real (1));
     g_autofree char *body = hr_json_take_text (job);
-    assert_int_equal (submit_text (script, body), jobs[i].status);
+    assert_int_equal (submit_text (cluster, body), jobs[i].status);
   }
-  script_free (script);
+  cluster_free (cluster);
 }
 
 /* Half of its tasks may be in one zone, and it allows no second one. */
@@ -235,18 +235,18 @@
               {"job-3", NULL, 2, 0, 201},
               {"job-4", "z0", 1, 1, 201},
               {"job-5", "z0", 3, 1, 422}};
-  Script *script = script_led (2);
+  Cluster *cluster = cluster_led (2);
   for (guint i = 0; i < G_N_ELEMENTS (jobs); i++) {
-    json_t *job = script_job (jobs[i].id, jobs[i].pieces);
+    json_t *job = cluster_job (jobs[i].id, jobs[i].pieces);
     json_object_set_new (job, "shape", json_string ("ensemble"));
     json_object_set_new (job, "apart", json_true ());
     json_object_set_new (job, "together", json_boolean (jobs[i].together));
     if (jobs[i].quarry)
       json_object_set_new (job, "quarry", json_string (jobs[i].quarry));
     g_autofree char *body = hr_json_take_text (job);
-    assert_int_equal (submit_text (script, body), jobs[i].status);
+    assert_int_equal (submit_text (cluster, body), jobs[i].status);
   }
-  script_free (script);
+  cluster_free (cluster);
 }
 
 /* A job is known by its id alone: accepted, it stays so whatever a repetition says, also at a node
@@ -257,81 +257,82 @@
   static const char *const other[][2] = {{"pieces", "7"},       {"crew", "\"strangers\""},
                                          {"vcpus", "1e9"},      {"rank", NULL},
                                          {"pieces", "\"one\""}, {"hulls", "[]"}};
-  Script *script = script_led (2);
-  int leader = script_leader (script), node = 1 - leader;
-  script_hold (script, node, "/changes", NULL);
-  script_submit (script, leader, "job-odd", 1);
-  script_serve (script);
-  guint64 revision = script_stamp (script, "h/j/job-odd");
+  Cluster *cluster = cluster_led (2);
+  int leader = cluster_leader (cluster), node = 1 - leader;
+  cluster_hold (cluster, node, "/changes", NULL);
+  cluster_submit (cluster, leader, "job-odd", 1);
+  cluster_serve (cluster);
+  guint64 revision = cluster_stamp (cluster, "h/j/job-odd");
   guint64 asked[G_N_ELEMENTS (other)];
   for (int round = 0; round < 2; round++) {
     for (guint i = 0; i < G_N_ELEMENTS (other); i++) {
-      json_t *job = script_job ("job-odd", 1);
+      json_t *job = cluster_job ("job-odd", 1);
       json_object_del (job, other[i][0]);
       if (other[i][1])
         json_object_set_new (job, other[i][0], json_loads (other[i][1], JSON_DECODE_ANY, NULL));
       g_autofree char *body = hr_json_take_text (job);
-      asked[i] = script_request (script, node, HR_POST, HR_JOBS_PATH, body);
+      asked[i] = cluster_request (cluster, node, HR_POST, HR_JOBS_PATH, body);
       /* Nothing was read since, so nothing can be said. */
       if (round == 0)
-        assert_int_equal (script_status (script, node, asked[i]), 0);
+        assert_int_equal (cluster_status (cluster, node, asked[i]), 0);
     }
-    script_release (script);
-    script_run (script, 0.5);
+    cluster_release (cluster);
+    cluster_run (cluster, 0.5);
     for (guint i = 0; i < G_N_ELEMENTS (other); i++) {
-      assert_int_equal (script_status (script, node, asked[i]), 200);
-      assert_string_equal (script_stance (script, node, asked[i]), "queued");
+      assert_int_equal (cluster_status (cluster, node, asked[i]), 200);
+      assert_string_equal (cluster_job_state (cluster, node, asked[i]), "queued");
     }
   }
-  assert_int_equal (script_stamp (script, "h/j/job-odd"), revision);
-  script_free (script);
+  assert_int_equal (cluster_stamp (cluster, "h/j/job-odd"), revision);
+  cluster_free (cluster);
 }
 
 /* Neither refused for good nor accepted while nothing can be read. */
 static void
 an_odd_submission_waits_for_the_state_service (void **state G_GNUC_UNUSED)
 {
-  Script *script = script_led (2);
-  script->outage = TRUE;
-  script_run (script, 5);
-  assert_int_equal (submit_with (script, "rank", NULL), 503);
-  assert_int_equal (submit_with (script, "crew", "\"strangers\""), 503);
-  assert_int_equal (submit_with (script, "name_id", NULL), 400); /* no job could be meant */
-  script->outage = FALSE;
-  script_run (script, 3);
-  assert_int_equal (submit_with (script, "rank", NULL), 400);
-  assert_int_equal (submit_with (script, "crew", "\"strangers\""), 422);
-  script_free (script);
+  Cluster *cluster = cluster_led (2);
+  cluster->outage = TRUE;
+  cluster_run (cluster, 5);
+  assert_int_equal (submit_with (cluster, "rank", NULL), 503);
+  assert_int_equal (submit_with (cluster, "crew", "\"strangers\""), 503);
+  assert_int_equal (submit_with (cluster, "name_id", NULL), 400); /* no job could be meant */
+  cluster->outage = FALSE;
+  cluster_run (cluster, 3);
+  assert_int_equal (submit_with (cluster, "rank", NULL), 400);
+  assert_int_equal (submit_with (cluster, "crew", "\"strangers\""), 422);
+  cluster_free (cluster);
 }
 
 static void
 cancellations_of_done_and_unknown_jobs (void **state G_GNUC_UNUSED)
 {
-  Script *script = script_led (2);
-  int leader = script_leader (script), other = 1 - leader;
-  ScriptWorker *worker = script_worker (script, "m-000001");
-  script_report (script, worker, leader);
-  script_report (script, worker, leader);
-  script_place (script, worker, other, "job-done");
-  script_worker_ends (worker, "done");
-  script_report (script, worker, leader);
-  script_run (script, 1);
-  guint64 revision = script_stamp (script, "h/j/job-done");
+  Cluster *cluster = cluster_led (2);
+  int leader = cluster_leader (cluster), other = 1 - leader;
+  ClusterWorker *worker = cluster_worker (cluster, "m-000001");
+  cluster_report (cluster, worker, leader);
+  cluster_report (cluster, worker, leader);
+  cluster_place (cluster, worker, other, "job-done");
+  cluster_worker_ends (worker, "done");
+  cluster_report (cluster, worker, leader);
+  cluster_run (cluster, 1);
+  guint64 revision = cluster_stamp (cluster, "h/j/job-done");
   for (int i = 0; i < 2; i++) {
-    guint64 id = script_abort (script, i, "job-done");
-    script_run (script, 0.2);
-    assert_int_equal (script_status (script, i, id), 200);
-    assert_string_equal (script_stance (script, i, id), "done");
-    id = script_submit (script, i, "job-done", 3);
-    script_run (script, 0.2);
-    assert_int_equal (script_status (script, i, id), 200);
-    assert_string_equal (script_stance (script, i, id), "done");
-    assert_int_equal (status_of (script, i, HR_POST, "/v1/jobs/job-never/abort", NULL), 404);
-    assert_int_equal (status_of (script, i, HR_POST, "/v1/jobs/job-never/abort", "{\"x\":1}"), 404);
+    guint64 id = cluster_abort (cluster, i, "job-done");
+    cluster_run (cluster, 0.2);
+    assert_int_equal (cluster_status (cluster, i, id), 200);
+    assert_string_equal (cluster_job_state (cluster, i, id), "done");
+    id = cluster_submit (cluster, i, "job-done", 3);
+    cluster_run (cluster, 0.2);
+    assert_int_equal (cluster_status (cluster, i, id), 200);
+    assert_string_equal (cluster_job_state (cluster, i, id), "done");
+    assert_int_equal (status_of (cluster, i, HR_POST, "/v1/jobs/job-never/abort", NULL), 404);
+    assert_int_equal (status_of (cluster, i, HR_POST, "/v1/jobs/job-never/abort", "{\"x\":1}"),
+                      404);
   }
-  assert_int_equal (script_stamp (script, "h/j/job-done"), revision);
-  assert_null (script_value (script, "h/j/job-never"));
-  script_free (script);
+  assert_int_equal (cluster_stamp (cluster, "h/j/job-done"), revision);
+  assert_null (cluster_value (cluster, "h/j/job-never"));
+  cluster_free (cluster);
 }
 
 static void
@@ -360,20 +361,20 @@
       {HR_GET, "/hello", 405},
       {HR_GET, "", 404},
   };
-  Script *script = script_led (2);
-  script_submit (script, 0, "job-a", 1);
-  script_run (script, 0.5);
-  guint before = script->carried_out;
+  Cluster *cluster = cluster_led (2);
+  cluster_submit (cluster, 0, "job-a", 1);
+  cluster_run (cluster, 0.5);
+  guint before = cluster->carried_out;
   for (guint i = 0; i < G_N_ELEMENTS (asked); i++) {
-    int status = status_of (script, 1, asked[i].method, asked[i].path, NULL);
+    int status = status_of (cluster, 1, asked[i].method, asked[i].path, NULL);
     if (status != asked[i].status)
       fail_msg ("%s: %d", asked[i].path, status);
   }
   g_autofree char *long_id = g_strnfill (5000, '7');
   g_autofree char *path = g_strconcat ("/v1/jobs/job-", long_id, NULL);
-  assert_int_equal (status_of (script, 1, HR_GET, path, NULL), 404);
-  assert_int_equal (script->carried_out, before);
-  script_free (script);
+  assert_int_equal (status_of (cluster, 1, HR_GET, path, NULL), 404);
+  assert_int_equal (cluster->carried_out, before);
+  cluster_free (cluster);
 }
 
 /* A record that makes no sense: its job was accepted, so it is neither unknown nor in the state
@@ -381,24 +382,24 @@
 static void
 a_record_that_cannot_be_read_is_not_forgotten (void **state G_GNUC_UNUSED)
 {
-  Script *script = script_led (2);
-  script_submit (script, 0, "job-a", 1);
-  script_run (script, 0.5);
-  script_write (script, "h/j/job-a", "{\"w\":\"x\",\"s\":0,\"form\":9}");
-  script_write (script, "h/j/job-b", "[]");
-  script_run (script, 2);
+  Cluster *cluster = cluster_led (2);
+  cluster_submit (cluster, 0, "job-a", 1);
+  cluster_run (cluster, 0.5);
+  cluster_write (cluster, "h/j/job-a", "{\"w\":\"x\",\"s\":0,\"form\":9}");
+  cluster_write (cluster, "h/j/job-b", "[]");
+  cluster_run (cluster, 2);
   for (int i = 0; i < 2; i++) {
-    assert_int_equal (status_of (script, i, HR_GET, "/v1/jobs/job-a", NULL), 503);
-    assert_int_equal (status_of (script, i, HR_GET, "/v1/jobs/job-b", NULL), 503);
-    assert_int_equal (status_of (script, i, HR_POST, "/v1/jobs/job-b/abort", NULL), 503);
-    guint64 id = script_submit (script, i, "job-b", 1);
-    script_run (script, 0.5);
-    assert_int_equal (script_status (script, i, id), 503);
+    assert_int_equal (status_of (cluster, i, HR_GET, "/v1/jobs/job-a", NULL), 503);
+    assert_int_equal (status_of (cluster, i, HR_GET, "/v1/jobs/job-b", NULL), 503);
+    assert_int_equal (status_of (cluster, i, HR_POST, "/v1/jobs/job-b/abort", NULL), 503);
+    guint64 id = cluster_submit (cluster, i, "job-b", 1);
+    cluster_run (cluster, 0.5);
+    assert_int_equal (cluster_status (cluster, i, id), 503);
   }
-  script_write (script, "h/j/job-b", "{\"w\":\"x\",\"s\":2,\"n\":1,\"d\":0}");
-  script_run (script, 1);
-  assert_string_equal (script_asked (script, 0, "job-b"), "withdrawn");
-  script_free (script);
+  cluster_write (cluster, "h/j/job-b", "{\"w\":\"x\",\"s\":2,\"n\":1,\"d\":0}");
+  cluster_run (cluster, 1);
+  assert_string_equal (cluster_asked (cluster, 0, "job-b"), "withdrawn");
+  cluster_free (cluster);
 }
 
 int
@@ -416,6 +417,6 @@
       cmocka_unit_test (odd_paths_and_methods),
       cmocka_unit_test (a_record_that_cannot_be_read_is_not_forgotten),
   };
-  g_log_set_writer_func (script_log, NULL, NULL);
+  g_log_set_writer_func (cluster_log, NULL, NULL);
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/test_sim.c
+++ b/tests/test_sim.c
@@ -31,10 +31,10 @@
   if (world->starts == 0)
     w_broken (world, "nothing_ran", "no task was started");
   for (guint i = 0; i < world->jobs->len; i++) {
-    SJob *job = world->jobs->pdata[i];
+    SimJob *job = world->jobs->pdata[i];
     if (!job->accepted)
       w_broken (world, "liveness", "%s was never accepted", job->id);
-    else if (job->asked_cancel && !job->told_withdrawn && !job->told_done)
+    else if (job->asked_cancel && !job->told_cancelled && !job->told_done)
       w_broken (world, "liveness", "%s was not withdrawn", job->id);
     else if (!job->asked_cancel && job->shape != HR_SERVICE && !job->told_done)
       w_broken (world, "liveness", "%s (%d, %u tasks) is not done", job->id, job->shape,
@@ -116,13 +116,13 @@
 /* Of the troubles that the users added, each alone and long. With a single controller a
  * deaf machine never falls silent: it asks the same node again and again. */
 static void
-days_with_deaf_machines (void **state G_GNUC_UNUSED)
+days_with_inbound_loss (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 800; seed < 806; seed++) {
     World *world = world_new (seed, seed % 2 ? 3 : 1);
-    faults_deaf (world, 60);
-    faults_deaf (world, 150);
+    faults_inbound_cut (world, 60);
+    faults_inbound_cut (world, 150);
     broken += play_on (world, seed, 0, 0, 0);
   }
   assert_int_equal (broken, 0);
@@ -151,9 +151,9 @@
     if (seed < 874)
       faults_cut_from_store (world, 150);
     else
-      faults_missed_withdrawal (world, 150, seed < 877);
+      faults_missed_cancellation (world, 150, seed < 877);
     if (seed >= 880) /* on waking it hears first what its members said before the cancellation */
-      faults_freeze (world, 147.5, FREEZE_OWNER, 12);
+      faults_freeze (world, 147.5, FREEZE_LEADER, 12);
     broken += play_on (world, seed, 0, 0, 0);
   }
   assert_int_equal (broken, 0);
@@ -162,13 +162,13 @@
 /* Cancellations that the leader cannot read are named to it, so that no lease has to run out; the
  * cancelled jobs' tasks are gone in time all the same, whatever orders come late. */
 static void
-days_of_withdrawal_gaps (void **state G_GNUC_UNUSED)
+days_of_cancellation_gaps (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 1100; seed < 1110; seed++) {
     World *world = world_new (seed, seed % 2 ? 3 : 5);
-    faults_withdrawal_gap (world, 120);
-    faults_withdrawal_gap (world, 220);
+    faults_cancellation_gap (world, 120);
+    faults_cancellation_gap (world, 220);
     if (seed >= 1106) {
       world->fickle = TRUE;
       world->late_orders = 0.1;
@@ -186,20 +186,20 @@
   users_services (world, 16, 3, 2);
   world_run (world, 320);
   for (guint i = 0; i < world->jobs->len; i++)
-    if (!((SJob *)world->jobs->pdata[i])->started)
-      w_broken (world, "liveness", "%s never ran", ((SJob *)world->jobs->pdata[i])->id);
+    if (!((SimJob *)world->jobs->pdata[i])->started)
+      w_broken (world, "liveness", "%s never ran", ((SimJob *)world->jobs->pdata[i])->id);
   return verdict (world, seed);
 }
 
 /* Another owner is there, and nobody is served: by the members' attestation the earlier one would
  * keep tasks alive that the other takes for gone. */
 static void
-days_of_two_owners (void **state G_GNUC_UNUSED)
+days_of_two_leaders (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 1080; seed < 1088; seed++) {
     World *world = world_new (seed, seed % 2 ? 3 : 5);
-    faults_two_owners (world, 120);
+    faults_two_leaders (world, 120);
     broken += play_services (world, seed);
   }
   assert_int_equal (broken, 0);
@@ -217,7 +217,7 @@
     users_oversized (world, 10);
     world_run (world, 900);
     for (guint i = 0; i < world->jobs->len; i++) {
-      SJob *job = world->jobs->pdata[i];
+      SimJob *job = world->jobs->pdata[i];
       if (job->tasks < 500 && !job->told_done)
         w_broken (world, "liveness", "%s is not done", job->id);
       if (!job->accepted || world->now - job->ok_at > 30)
@@ -239,10 +239,10 @@
     World *world = world_new (seed, 3);
     users_long_fetches (world, seed >= 994);
     if (seed >= 994) /* the next owner knows images from the records alone */
-      faults_owner_ends (world, 116.5);
+      faults_leader_ends (world, 116.5);
     world_run (world, 600);
     for (guint i = 0; i < world->jobs->len; i++) {
-      SJob *job = world->jobs->pdata[i];
+      SimJob *job = world->jobs->pdata[i];
       if (!job->asked_cancel && (!job->told_done || job->first - job->accepted_at > 150))
         w_broken (world, "liveness", "%s of %u tasks begins after %.0f s", job->id, job->tasks,
                   (job->first ? job->first : world->now) - job->accepted_at);
@@ -265,7 +265,7 @@
     users_gangs (world, 6, 5, 30);
     world_run (world, 450);
     for (guint i = 0; i < world->jobs->len; i++) {
-      SJob *job = world->jobs->pdata[i];
+      SimJob *job = world->jobs->pdata[i];
       g_autofree char *again = g_strdup_printf ("%s/0/2", job->id);
       lost += job->lost_place;
       if (!job->told_done)
@@ -281,13 +281,13 @@
 
 /* Machines go and owners change while copies of reports are still on their way. */
 static void
-days_with_copies_and_new_owners (void **state G_GNUC_UNUSED)
+days_with_copies_and_new_leaders (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 900; seed < 908; seed++) {
     World *world = world_new (seed, 3);
     world->copies = 0.5;
-    faults_owners (world, 40, 320);
+    faults_leaders (world, 40, 320);
     broken += play_on (world, seed, 0, 0, 0);
   }
   assert_int_equal (broken, 0);
@@ -305,7 +305,7 @@
     users_stream (world, seed % 2 ? HR_GANG : HR_BATCH, 5, 500);
     world_run (world, 1100);
     for (guint i = 0; i < world->jobs->len; i++) {
-      SJob *job = world->jobs->pdata[i];
+      SimJob *job = world->jobs->pdata[i];
       if (!job->first || job->first - job->accepted_at > 240)
         w_broken (world, "starved", "%s, %s of %u tasks, begins after %.0f s", job->id,
                   job->large ? "large" : "small", job->tasks,
@@ -328,8 +328,8 @@
     users_gangs (world, gangs, 5, 25);
     world_run (world, 400);
     for (guint i = 0; i < world->jobs->len; i++)
-      if (!((SJob *)world->jobs->pdata[i])->told_done)
-        w_broken (world, "liveness", "%s is not done", ((SJob *)world->jobs->pdata[i])->id);
+      if (!((SimJob *)world->jobs->pdata[i])->told_done)
+        w_broken (world, "liveness", "%s is not done", ((SimJob *)world->jobs->pdata[i])->id);
     if (world->machines->len > 4 * gangs)
       w_broken (world, "rented", "%u machines for %u gangs of two", world->machines->len, gangs);
     broken += verdict (world, seed);
@@ -397,7 +397,7 @@
     FreezeWho who = seed / 6 % 3;
     faults_freeze (world, 60, who, for_s);
     faults_freeze (world, 60 + for_s + 0.6, who, for_s);
-    faults_freeze (world, 190, FREEZE_OWNER, for_s);
+    faults_freeze (world, 190, FREEZE_LEADER, for_s);
     broken += play_on (world, seed, seed % 2 ? 3 : 0, 0, 0);
   }
   assert_int_equal (broken, 0);
@@ -406,12 +406,12 @@
 /* The leader loses its way to the workers, which others still have. Their reports come spread
  * over a period: it must not delete the machines a few at a time as each falls silent. */
 static void
-days_of_unreached_owners (void **state G_GNUC_UNUSED)
+days_of_unreached_leaders (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 1030; seed < 1036; seed++) {
     World *world = world_new (seed, seed % 2 ? 5 : 3);
-    faults_owner_unreached (world, 120, seed < 1033);
+    faults_leader_unreached (world, 120, seed < 1033);
     broken += play_services (world, seed);
   }
   assert_int_equal (broken, 0);
@@ -443,7 +443,7 @@
     users_two_teams (world, 120);
     world_run (world, 330);
     for (guint i = 0; i < world->jobs->len; i++) {
-      SJob *job = world->jobs->pdata[i];
+      SimJob *job = world->jobs->pdata[i];
       if (job->team && (!job->told_done || job->told_done - job->accepted_at > 75))
         w_broken (world, "guarantee", "%s of %u tasks is done after %.0f s", job->id, job->tasks,
                   (job->told_done ? job->told_done : world->now) - job->accepted_at);
@@ -464,7 +464,7 @@
     users_paged (world, 5);
     faults_unreadable_pages (world, 60);
     world_run (world, 600);
-    if (!((SJob *)world->jobs->pdata[0])->told_done)
+    if (!((SimJob *)world->jobs->pdata[0])->told_done)
       w_broken (world, "liveness", "the job is not done");
     broken += verdict (world, seed);
   }
@@ -491,14 +491,14 @@
   faults_init (world, 0, 0, 330);
   world_run (world, 90);
   for (guint i = 0; i < world->machines->len; i++) {
-    SMachine *machine = world->machines->pdata[i];
+    SimMachine *machine = world->machines->pdata[i];
     most += machine->up && !machine->gone;
   }
   world_run (world, 640);
   if (most < 1300)
     w_broken (world, "small", "only %u machines are up", most);
   for (guint i = 0; i < world->jobs->len; i++) {
-    SJob *job = world->jobs->pdata[i];
+    SimJob *job = world->jobs->pdata[i];
     if (!job->accepted ||
         (!job->asked_cancel && (job->shape == HR_SERVICE ? !job->started : !job->told_done)))
       w_broken (world, "liveness", "%s (%d, %u tasks) is not done", job->id, job->shape,
@@ -572,8 +572,8 @@
       cmocka_unit_test (days_with_late_copies),
       cmocka_unit_test (days_with_one_or_five_controllers),
       cmocka_unit_test (days_of_a_stream),
-      cmocka_unit_test (days_with_deaf_machines),
-      cmocka_unit_test (days_with_copies_and_new_owners),
+      cmocka_unit_test (days_with_inbound_loss),
+      cmocka_unit_test (days_with_copies_and_new_leaders),
       cmocka_unit_test (days_with_a_held_cut),
       cmocka_unit_test (days_of_few_gangs),
       cmocka_unit_test (days_of_members_word),
@@ -582,15 +582,15 @@
       cmocka_unit_test (days_of_an_oversized_gang),
       cmocka_unit_test (days_of_long_fetches),
       cmocka_unit_test (days_with_frozen_controllers),
-      cmocka_unit_test (days_of_unreached_owners),
+      cmocka_unit_test (days_of_unreached_leaders),
       cmocka_unit_test (days_of_half_fleets),
       cmocka_unit_test (a_large_day_of_three),
       cmocka_unit_test (a_large_day_of_five),
       cmocka_unit_test (days_of_unreadable_pages),
       cmocka_unit_test (days_of_a_guarantee),
-      cmocka_unit_test (days_of_two_owners),
+      cmocka_unit_test (days_of_two_leaders),
       cmocka_unit_test (days_with_changes_gone),
-      cmocka_unit_test (days_of_withdrawal_gaps),
+      cmocka_unit_test (days_of_cancellation_gaps),
       cmocka_unit_test (days_of_an_upgrade),
   };
   if (argc == 2) { /* one part */
--- a/tests/test_users_days.c
+++ b/tests/test_users_days.c
@@ -15,10 +15,10 @@
 check_end (World *world)
 {
   for (guint i = 0; i < world->jobs->len; i++) {
-    SJob *job = world->jobs->pdata[i];
+    SimJob *job = world->jobs->pdata[i];
     if (!job->accepted)
       w_broken (world, "liveness", "%s was never accepted", job->id);
-    else if (job->asked_cancel && !job->told_withdrawn && !job->told_done)
+    else if (job->asked_cancel && !job->told_cancelled && !job->told_done)
       w_broken (world, "liveness", "%s was not withdrawn", job->id);
     else if (!job->asked_cancel && job->shape != HR_SERVICE && !job->told_done)
       w_broken (world, "liveness", "%s (%d, %u tasks) is not done", job->id, job->shape,
--- a/tests/test_watching.c
+++ b/tests/test_watching.c
@@ -1,5 +1,5 @@
 /* What operators see of a controller: /metrics and the lines of its log. */
-#include "script.h"
+#include "scripted_cluster.h"
 #include "coordination/metrics/metrics.h"
 #include "transport/log_writer.h"
 #include <setjmp.h>
@@ -48,14 +48,14 @@
 }
 
 static void
-metrics_say_what_happened (void **state G_GNUC_UNUSED)
+metrics_count_what_happened (void **state G_GNUC_UNUSED)
 {
-  Script *script = script_led (2);
-  ScriptWorker *worker = script_worker (script, "m-1");
-  int leader = script_leader (script);
-  script_report (script, worker, leader);
-  script_place (script, worker, leader, "job-a");
-  g_autofree char *running = hr_metrics_text (script->nodes[leader].core);
+  Cluster *cluster = cluster_led (2);
+  ClusterWorker *worker = cluster_worker (cluster, "m-1");
+  int leader = cluster_leader (cluster);
+  cluster_report (cluster, worker, leader);
+  cluster_place (cluster, worker, leader, "job-a");
+  g_autofree char *running = hr_metrics_text (cluster->nodes[leader].core);
   check_format (running);
   assert_true (sample (running, "hoprock_leads") == 1);
   assert_true (sample (running, "hoprock_may_answer") == 1);
@@ -68,17 +68,17 @@
                     sample (running, "hoprock_reports_before_token_total") +
                     sample (running, "hoprock_reports_overtaken_total");
   assert_true (sample (running, "hoprock_renewal_reading_age_seconds_count") == renewals);
-  script_abort (script, 1 - leader, "job-a");
-  script_run (script, 2);
-  script_report (script, worker, leader);
-  g_autofree char *stopped = hr_metrics_text (script->nodes[leader].core);
+  cluster_abort (cluster, 1 - leader, "job-a");
+  cluster_run (cluster, 2);
+  cluster_report (cluster, worker, leader);
+  g_autofree char *stopped = hr_metrics_text (cluster->nodes[leader].core);
   assert_true (sample (stopped, "hoprock_stops_total") >= 1);
   assert_true (sample (stopped, "hoprock_withdrawals_total") == 1);
   assert_true (sample (stopped, "hoprock_invariants_violated_total") == 0);
-  g_autofree char *other = hr_metrics_text (script->nodes[1 - leader].core);
+  g_autofree char *other = hr_metrics_text (cluster->nodes[1 - leader].core);
   assert_true (sample (other, "hoprock_leads") == 0);
   assert_true (sample (other, "hoprock_machines{state=\"up\"}") == 0);
-  script_free (script);
+  cluster_free (cluster);
 }
 
 static json_t *
@@ -143,10 +143,10 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-      cmocka_unit_test (metrics_say_what_happened),
+      cmocka_unit_test (metrics_count_what_happened),
       cmocka_unit_test (fields_become_members),
       cmocka_unit_test (any_message_is_one_line),
   };
-  g_log_set_writer_func (script_log, NULL, NULL);
+  g_log_set_writer_func (cluster_log, NULL, NULL);
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/test_windows.c
+++ b/tests/test_windows.c
@@ -1,10 +1,10 @@
-/* Meetings of workers and leaders that are drawn from seeds, on the machines of script_scene.h:
+/* Meetings of workers and leaders that are drawn from seeds, on the machines of scripted_fleet.h:
  * each second something ends, is cut off, stands still or is kept back, to arrive later. Every rule
  * is checked at every event; once all is well again every job has to run. test_windows [FROM TO]
  * another range of seeds */
 #include "coordination/command.h"
 #include "protocol/json_util.h"
-#include "script_scene.h"
+#include "scripted_fleet.h"
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -21,8 +21,8 @@
 /* A message that was kept back. */
 typedef struct {
   double at;
-  ScriptCall *write; /* a transaction, or NULL */
-  SceneMachine *machine;
+  ClusterCall *write; /* a transaction, or NULL */
+  FleetMachine *machine;
   char *report, *orders; /* one of them, for or to the machine */
   int node;
 } Late;
@@ -36,9 +36,9 @@
 } Asked;
 
 typedef struct {
-  Scene *scene;
+  Fleet *fleet;
   GRand *rand;
-  SceneMachine *machines[MACHINES];
+  FleetMachine *machines[MACHINES];
   double flag_until[MACHINES], node_until[NODES], outage_until, apart_until, cloud_until;
   gboolean frozen[NODES];
   GPtrArray *late;  /* Late */
@@ -82,18 +82,18 @@
 static void
 ask (Day *day, const char *id, const char *body, gboolean abort)
 {
-  Script *script = day->scene->s;
+  Cluster *cluster = day->fleet->cluster;
   int node = pick (day, NODES);
-  if (!script->nodes[node].core)
+  if (!cluster->nodes[node].core)
     return;
   Asked *asked = g_new0 (Asked, 1);
   asked->node = node;
-  asked->process = script->nodes[node].process;
+  asked->process = cluster->nodes[node].process;
   asked->id = g_strdup (id);
   asked->submission = body != NULL;
-  asked->request = body    ? script_request (script, node, HR_POST, HR_JOBS_PATH, body)
-                   : abort ? script_abort (script, node, id)
-                           : script_poll (script, node, id);
+  asked->request = body    ? cluster_request (cluster, node, HR_POST, HR_JOBS_PATH, body)
+                   : abort ? cluster_abort (cluster, node, id)
+                           : cluster_poll (cluster, node, id);
   g_ptr_array_add (day->asked, asked);
   if (abort)
     g_hash_table_add (day->cancelled, g_strdup (id));
@@ -103,14 +103,14 @@
 submit (Day *day)
 {
   g_autofree char *id = g_strdup_printf ("job-%u", day->jobs++);
-  json_t *body = script_job (id, 1 + pick (day, 4));
+  json_t *body = cluster_job (id, 1 + pick (day, 4));
   json_object_set_new (body, "vcpus", json_real (1 + pick (day, 6)));
   guint kind = pick (day, 4);
   if (kind == 1)
     json_object_set_new (body, "together", json_true ());
   if (kind == 2)
     json_object_set_new (body, "apart", json_true ());
-  scene_know (day->scene, id, body);
+  fleet_know (day->fleet, id, body);
   g_autofree char *text = hr_json_take_text (body);
   ask (day, id, text, FALSE);
 }
@@ -118,13 +118,13 @@
 static void
 hear_answers (Day *day)
 {
-  Script *script = day->scene->s;
+  Cluster *cluster = day->fleet->cluster;
   for (guint i = 0; i < day->asked->len;) {
     Asked *asked = day->asked->pdata[i];
-    const ScriptReply *reply = asked->process == script->nodes[asked->node].process
-                                   ? script_reply (script, asked->node, asked->request)
-                                   : NULL;
-    if (!reply && asked->process == script->nodes[asked->node].process) {
+    const ClusterReply *reply = asked->process == cluster->nodes[asked->node].process
+                                    ? cluster_reply (cluster, asked->node, asked->request)
+                                    : NULL;
+    if (!reply && asked->process == cluster->nodes[asked->node].process) {
       i++;
       continue;
     }
@@ -132,7 +132,7 @@
     if (reply && asked->submission && (reply->status == 201 || reply->status == 200))
       g_ptr_array_add (day->accepted, g_strdup (asked->id));
     if (state && reply->status < 300)
-      scene_told (day->scene, asked->id, state, reply->at);
+      fleet_answered (day->fleet, asked->id, state, reply->at);
     g_ptr_array_remove_index (day->asked, i);
   }
 }
@@ -142,23 +142,23 @@
 static void
 trouble_of_node (Day *day)
 {
-  Script *script = day->scene->s;
-  int node = pick (day, 2) ? MAX (0, script_leader (script)) : (int)pick (day, NODES);
-  if (day->node_until[node] > script->now || !script->nodes[node].core)
+  Cluster *cluster = day->fleet->cluster;
+  int node = pick (day, 2) ? MAX (0, cluster_leader (cluster)) : (int)pick (day, NODES);
+  if (day->node_until[node] > cluster->now || !cluster->nodes[node].core)
     return;
   switch (pick (day, 3)) {
   case 0:
-    script_end (script, node);
-    day->node_until[node] = script->now + (pick (day, 2) ? 0.3 : draw (day, 3, 20));
+    cluster_end (cluster, node);
+    day->node_until[node] = cluster->now + (pick (day, 2) ? 0.3 : draw (day, 3, 20));
     break;
   case 1:
-    scene_freeze (day->scene, node);
+    fleet_freeze (day->fleet, node);
     day->frozen[node] = TRUE;
-    day->node_until[node] = script->now + draw (day, 1, 15);
+    day->node_until[node] = cluster->now + draw (day, 1, 15);
     break;
   default:
-    script->nodes[node].served = FALSE;
-    day->node_until[node] = script->now + draw (day, 2, 40);
+    cluster->nodes[node].served = FALSE;
+    day->node_until[node] = cluster->now + draw (day, 2, 40);
   }
 }
 
@@ -166,10 +166,10 @@
 trouble_of_machine (Day *day)
 {
   guint i = pick (day, MACHINES);
-  SceneMachine *machine = day->machines[i];
-  if (day->flag_until[i] > day->scene->s->now)
+  FleetMachine *machine = day->machines[i];
+  if (day->flag_until[i] > day->fleet->cluster->now)
     return;
-  day->flag_until[i] = day->scene->s->now + draw (day, 2, 30);
+  day->flag_until[i] = day->fleet->cluster->now + draw (day, 2, 30);
   switch (pick (day, 5)) {
   case 0:
     machine->reports = FALSE; /* mute */
@@ -191,43 +191,44 @@
 static void
 keep_back (Day *day)
 {
-  Script *script = day->scene->s;
-  SceneMachine *machine = day->machines[pick (day, MACHINES)];
-  int leader = MAX (0, script_leader (script));
+  Cluster *cluster = day->fleet->cluster;
+  FleetMachine *machine = day->machines[pick (day, MACHINES)];
+  int leader = MAX (0, cluster_leader (cluster));
   Late *late = g_new0 (Late, 1);
-  late->at = script->now + (pick (day, 2) ? draw (day, 1, 16) : draw (day, 10, 60));
+  late->at = cluster->now + (pick (day, 2) ? draw (day, 1, 16) : draw (day, 10, 60));
   late->machine = machine;
   late->node = pick (day, NODES);
-  gboolean hears = script->nodes[leader].core != NULL; /* one that stands still hears nothing now */
-  ScriptCall *call = hears && pick (day, 2) ? scene_direct (machine, leader) : NULL;
+  gboolean hears =
+      cluster->nodes[leader].core != NULL; /* one that stands still hears nothing now */
+  ClusterCall *call = hears && pick (day, 2) ? fleet_direct (machine, leader) : NULL;
   if (call) {
     late->orders = g_strdup (call->body);
     if (pick (day, 2)) /* it is carried out now, too: a copy */
-      script_lose (script, call);
-  } else if (hears && pick (day, 2) && (call = script_call (script, leader, "/commit", NULL)) &&
+      cluster_lose (cluster, call);
+  } else if (hears && pick (day, 2) && (call = cluster_call (cluster, leader, "/commit", NULL)) &&
              call->held)
-    late->write = script_delay (script, call);
+    late->write = cluster_delay (cluster, call);
   else if (!machine->gone)
-    late->report = scene_write (machine);
+    late->report = fleet_write (machine);
   g_ptr_array_add (day->late, late);
 }
 
 static void
 arrive (Day *day, gboolean all)
 {
-  Script *script = day->scene->s;
+  Cluster *cluster = day->fleet->cluster;
   for (guint i = 0; i < day->late->len;) {
     Late *late = day->late->pdata[i];
-    if (late->at > script->now && !all) {
+    if (late->at > cluster->now && !all) {
       i++;
       continue;
     }
     if (late->write)
-      script_late (script, late->write);
+      cluster_late (cluster, late->write);
     if (late->orders)
-      scene_obey_direct (late->machine, late->orders);
-    if (late->report && script->nodes[late->node].core)
-      scene_deliver (day->scene, pick (day, 2) ? MAX (0, script_leader (script)) : late->node,
+      fleet_obey_direct (late->machine, late->orders);
+    if (late->report && cluster->nodes[late->node].core)
+      fleet_deliver (day->fleet, pick (day, 2) ? MAX (0, cluster_leader (cluster)) : late->node,
                      late->report);
     g_ptr_array_remove_index (day->late, i);
   }
@@ -236,51 +237,51 @@
 static void
 end_tasks (Day *day, gboolean well)
 {
-  SceneMachine *machine = day->machines[pick (day, MACHINES)];
+  FleetMachine *machine = day->machines[pick (day, MACHINES)];
   if (!machine->tasks->len || machine->hangs)
     return;
-  SceneTask *task = machine->tasks->pdata[pick (day, machine->tasks->len)];
+  FleetTask *task = machine->tasks->pdata[pick (day, machine->tasks->len)];
   g_autofree char *piece = g_strdup (task->piece);
-  scene_exit (machine, piece, well || pick (day, 5) ? "done" : "error");
+  fleet_exit (machine, piece, well || pick (day, 5) ? "done" : "error");
 }
 
 static void
 mend (Day *day, gboolean all)
 {
-  Script *script = day->scene->s;
+  Cluster *cluster = day->fleet->cluster;
   for (int i = 0; i < NODES; i++) {
-    if (day->node_until[i] > script->now && !all)
+    if (day->node_until[i] > cluster->now && !all)
       continue;
     if (day->frozen[i])
-      scene_thaw (day->scene, i);
+      fleet_thaw (day->fleet, i);
     day->frozen[i] = FALSE;
-    script->nodes[i].served = TRUE;
-    if (!script->nodes[i].core)
-      script_start (script, i);
-    g_array_index (script->nodes[i].set->teams, HrTeam, 0).cpus_max = CPUS_MAX;
+    cluster->nodes[i].served = TRUE;
+    if (!cluster->nodes[i].core)
+      cluster_start (cluster, i);
+    g_array_index (cluster->nodes[i].set->teams, HrTeam, 0).cpus_max = CPUS_MAX;
   }
   for (int i = 0; i < MACHINES; i++) {
-    SceneMachine *machine = day->machines[i];
-    if (day->flag_until[i] > script->now && !all)
+    FleetMachine *machine = day->machines[i];
+    if (day->flag_until[i] > cluster->now && !all)
       continue;
     machine->reports = machine->hears = machine->reached = TRUE;
     machine->hangs = FALSE;
     machine->only = -1;
     if (machine->gone) { /* rented anew */
-      g_autofree char *name = g_strdup_printf ("m-%u", 100 + day->scene->machines->len);
-      day->machines[i] = scene_machine (day->scene, name, i % 2 ? "z1" : "z0");
+      g_autofree char *name = g_strdup_printf ("m-%u", 100 + day->fleet->machines->len);
+      day->machines[i] = fleet_machine (day->fleet, name, i % 2 ? "z1" : "z0");
       day->machines[i]->node = pick (day, NODES);
     }
   }
-  script->outage = script->now < day->outage_until && !all;
-  script->hints = script->now >= day->apart_until || all;
-  day->scene->cloud_deletes = script->now >= day->cloud_until || all;
+  cluster->outage = cluster->now < day->outage_until && !all;
+  cluster->exchange_statuses = cluster->now >= day->apart_until || all;
+  day->fleet->cloud_deletes = cluster->now >= day->cloud_until || all;
 }
 
 static void
 something_happens (Day *day)
 {
-  Script *script = day->scene->s;
+  Cluster *cluster = day->fleet->cluster;
   switch (pick (day, 12)) {
   case 0:
     trouble_of_node (day);
@@ -295,23 +296,23 @@
     keep_back (day);
     break;
   case 6:
-    if (script->now > day->outage_until + 20)
-      day->outage_until = script->now + draw (day, 2, 45);
+    if (cluster->now > day->outage_until + 20)
+      day->outage_until = cluster->now + draw (day, 2, 45);
     break;
   case 7:
-    day->apart_until = script->now + draw (day, 1, 12);
+    day->apart_until = cluster->now + draw (day, 1, 12);
     break;
   case 8:
-    day->cloud_until = script->now + draw (day, 1, 25);
+    day->cloud_until = cluster->now + draw (day, 1, 25);
     break;
   case 9:
   case 10:
     end_tasks (day, FALSE);
     break;
   default:
-    scene_release (day->scene);
+    fleet_release (day->fleet);
     if (pick (day, 2))
-      script_hold (script, MAX (0, script_leader (script)), "/commit", NULL);
+      cluster_hold (cluster, MAX (0, cluster_leader (cluster)), "/commit", NULL);
   }
 }
 
@@ -320,26 +321,26 @@
 {
   memset (day, 0, sizeof *day);
   day->rand = g_rand_new_with_seed (seed);
-  day->scene = scene_new (NODES);
-  day->scene->cpus_max = CPUS_MAX;
+  day->fleet = fleet_new (NODES);
+  day->fleet->cpus_max = CPUS_MAX;
   day->late = g_ptr_array_new_with_free_func (late_free);
   day->asked = g_ptr_array_new_with_free_func (asked_free);
   day->accepted = g_ptr_array_new_with_free_func (g_free);
   day->cancelled = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   for (int i = 0; i < MACHINES; i++) {
     g_autofree char *name = g_strdup_printf ("m-%d", i);
-    day->machines[i] = scene_machine (day->scene, name, i % 2 ? "z1" : "z0");
+    day->machines[i] = fleet_machine (day->fleet, name, i % 2 ? "z1" : "z0");
   }
   mend (day, TRUE);
-  scene_run (day->scene, 3);
+  fleet_run (day->fleet, 3);
 }
 
 /* All its tasks have ended, or its user cancelled it. */
 static gboolean
 ended_well (Day *day, const char *id, guint seed)
 {
-  const SceneJob *job = g_hash_table_lookup (day->scene->jobs, id);
-  const char *state = scene_stance (day->scene, pick (day, NODES), id);
+  const FleetJob *job = g_hash_table_lookup (day->fleet->jobs, id);
+  const char *state = fleet_job_state (day->fleet, pick (day, NODES), id);
   gboolean cancelled = g_hash_table_contains (day->cancelled, id);
   if (g_strcmp0 (state, "done") == 0 || (cancelled && g_strcmp0 (state, "withdrawn") == 0))
     return TRUE;
@@ -353,9 +354,9 @@
 {
   Day day, *day_row = &day;
   day_begin (day_row, seed);
-  Script *script = day_row->scene->s;
-  double calm = script->now + TROUBLES_S;
-  while (script->now < calm) {
+  Cluster *cluster = day_row->fleet->cluster;
+  double calm = cluster->now + TROUBLES_S;
+  while (cluster->now < calm) {
     mend (day_row, FALSE);
     something_happens (day_row);
     if (!pick (day_row, 5) && day_row->jobs < 25)
@@ -364,43 +365,43 @@
       g_autofree char *id = g_strdup_printf ("job-%u", pick (day_row, day_row->jobs));
       ask (day_row, id, NULL, !pick (day_row, 8));
     }
-    scene_run (day_row->scene, draw (day_row, 0.1, 1));
+    fleet_run (day_row->fleet, draw (day_row, 0.1, 1));
     arrive (day_row, FALSE);
     hear_answers (day_row);
   }
-  scene_release (day_row->scene);
+  fleet_release (day_row->fleet);
   mend (day_row, TRUE);
   arrive (day_row, TRUE);
   for (int i = 0; i < CALM_S; i++) {
     mend (day_row, TRUE);
     for (int k = 0; k < MACHINES; k++) /* what runs ends soon, so that all have their turn */
       end_tasks (day_row, TRUE);
-    scene_run (day_row->scene, 1);
+    fleet_run (day_row->fleet, 1);
     hear_answers (day_row);
   }
   guint broken = 0;
   for (guint i = 0; i < day_row->accepted->len; i++)
     broken += !ended_well (day_row, day_row->accepted->pdata[i], seed);
-  for (guint i = 0; i < MIN (day_row->scene->broken->len, 4); i++)
-    print_message ("seed %u: %s\n", seed, (char *)day_row->scene->broken->pdata[i]);
-  broken += day_row->scene->broken->len;
+  for (guint i = 0; i < MIN (day_row->fleet->broken->len, 4); i++)
+    print_message ("seed %u: %s\n", seed, (char *)day_row->fleet->broken->pdata[i]);
+  broken += day_row->fleet->broken->len;
   if (g_getenv ("HR_SIM_VERBOSE"))
     print_message ("seed %u: %u jobs, %u starts, epoch %" G_GUINT64_FORMAT "\n", seed,
-                   day_row->jobs, day_row->scene->starts, script->epoch);
-  g_ptr_array_set_size (day_row->scene->broken, 0);
+                   day_row->jobs, day_row->fleet->starts, cluster->epoch);
+  g_ptr_array_set_size (day_row->fleet->broken, 0);
   g_ptr_array_unref (day_row->late);
   g_ptr_array_unref (day_row->asked);
   g_ptr_array_unref (day_row->accepted);
   g_hash_table_unref (day_row->cancelled);
   g_rand_free (day_row->rand);
-  scene_end (day_row->scene);
+  fleet_end (day_row->fleet);
   return broken;
 }
 
 static guint first = 1, last = 61;
 
 static void
-drawn_meetings_keep_the_rules (void **state G_GNUC_UNUSED)
+drawn_days_keep_the_rules (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = first; seed < last; seed++)
@@ -411,11 +412,11 @@
 int
 main (int argc, char **argv)
 {
-  const struct CMUnitTest tests[] = {cmocka_unit_test (drawn_meetings_keep_the_rules)};
+  const struct CMUnitTest tests[] = {cmocka_unit_test (drawn_days_keep_the_rules)};
   if (argc > 2) {
     first = strtoul (argv[1], NULL, 10);
     last = strtoul (argv[2], NULL, 10);
   }
-  g_log_set_writer_func (script_log, NULL, NULL);
+  g_log_set_writer_func (cluster_log, NULL, NULL);
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/test_workers.c
+++ b/tests/test_workers.c
@@ -1,10 +1,10 @@
-/* Meetings of workers, leases and leaders, message by message (script_scene.h).
+/* Meetings of workers, leases and leaders, message by message (scripted_fleet.h).
  * docs/meetings.md says which meeting each test brings about, and without which guard it
  * fails. */
 #include "coordination/command.h"
 #include "coordination/core.h"
 #include "protocol/json_util.h"
-#include "script_scene.h"
+#include "scripted_fleet.h"
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -14,71 +14,71 @@
 /* ---- what the tests wait for ---- */
 
 static gboolean
-on_machine (Scene *scene, gpointer piece)
+on_machine (Fleet *fleet, gpointer piece)
 {
-  return scene_count (scene, piece) > 0;
+  return fleet_count (fleet, piece) > 0;
 }
 
 static gboolean
-on_none (Scene *scene, gpointer piece)
+on_none (Fleet *fleet, gpointer piece)
 {
-  return scene_count (scene, piece) == 0;
+  return fleet_count (fleet, piece) == 0;
 }
 
 static gboolean
-led_by_1 (Scene *scene, gpointer data G_GNUC_UNUSED)
+led_by_1 (Fleet *fleet, gpointer data G_GNUC_UNUSED)
 {
-  return script_leader (scene->s) == 1;
+  return cluster_leader (fleet->cluster) == 1;
 }
 
 /* Of the two or more controllers, c0 leads. */
-static Scene *
-scene_led (int nodes)
-{
-  Scene *scene = scene_new (nodes);
-  Script *script = scene->s;
-  for (int i = 0; script_leader (script) != 0 && i < 10; i++) {
-    int leader = script_leader (script);
-    script_end (script, leader);
-    scene_run (scene, 6);
-    script_start (script, leader);
-    scene_run (scene, 3);
+static Fleet *
+fleet_led (int nodes)
+{
+  Fleet *fleet = fleet_new (nodes);
+  Cluster *cluster = fleet->cluster;
+  for (int i = 0; cluster_leader (cluster) != 0 && i < 10; i++) {
+    int leader = cluster_leader (cluster);
+    cluster_end (cluster, leader);
+    fleet_run (fleet, 6);
+    cluster_start (cluster, leader);
+    fleet_run (fleet, 3);
   }
-  assert_int_equal (script_leader (script), 0);
-  return scene;
+  assert_int_equal (cluster_leader (cluster), 0);
+  return fleet;
 }
 
 /* A job of one task that runs on the machine. */
 static void
-running (Scene *scene, SceneMachine *machine, const char *id)
+running (Fleet *fleet, FleetMachine *machine, const char *id)
 {
   g_autofree char *piece = g_strconcat (id, "/0", NULL);
-  scene_submit (scene, 0, id, NULL);
-  scene_until (scene, on_machine, piece, 8);
-  assert_true (scene_has (machine, piece));
-  scene_run (scene, 3);
+  fleet_submit (fleet, 0, id, NULL);
+  fleet_until (fleet, on_machine, piece, 8);
+  assert_true (fleet_has (machine, piece));
+  fleet_run (fleet, 3);
 }
 
 /* c0 hears neither the state service nor the others; workers and users reach it still. */
 static void
-cut_off (Scene *scene, int node)
+cut_off (Fleet *fleet, int node)
 {
-  scene->s->nodes[node].served = FALSE;
-  scene->s->hints = FALSE;
+  fleet->cluster->nodes[node].served = FALSE;
+  fleet->cluster->exchange_statuses = FALSE;
 }
 
 static json_t *
 whole_machine (const char *id)
 {
-  json_t *body = script_job (id, 1);
+  json_t *body = cluster_job (id, 1);
   json_object_set_new (body, "vcpus", json_real (12));
   return body;
 }
 
 static guint64
-baton_of (Scene *scene)
+token_of (Fleet *fleet)
 {
-  json_t *object = json_loads (script_value (scene->s, "h/map"), 0, NULL);
+  json_t *object = json_loads (cluster_value (fleet->cluster, "h/map"), 0, NULL);
   guint64 fencing_token = json_integer_value (json_object_get (object, "b"));
   json_decref (object);
   return fencing_token;
@@ -89,35 +89,35 @@
 /* The leader has to read the whole state store anew, and leads on: it has forgotten which orders
  * are on their way, so its token has to be a new one. */
 static void
-an_owner_that_reads_anew_raises_its_token (void **state G_GNUC_UNUSED)
+a_leader_that_rereads_raises_its_token (void **state G_GNUC_UNUSED)
 {
-  Scene *scene = scene_led (2);
-  Script *script = scene->s;
-  SceneMachine *first = scene_machine (scene, "m-1", "z0"),
-               *second = scene_machine (scene, "m-2", "z0");
+  Fleet *fleet = fleet_led (2);
+  Cluster *cluster = fleet->cluster;
+  FleetMachine *first = fleet_machine (fleet, "m-1", "z0"),
+               *second = fleet_machine (fleet, "m-2", "z0");
   second->reports = FALSE;
-  scene_run (scene, 4);
-  script_hold (script, 0, "/changes", NULL);
+  fleet_run (fleet, 4);
+  cluster_hold (cluster, 0, "/changes", NULL);
   first->reports = FALSE;
-  guint64 before = baton_of (scene);
-  ScriptCall *late = script_delay (script, scene_launch_call (scene, first, 0, "job-a"));
+  guint64 before = token_of (fleet);
+  ClusterCall *late = cluster_delay (cluster, fleet_launch_call (fleet, first, 0, "job-a"));
   /* Its next reading finds that the changes since the last one are gone. */
-  scene_submit (scene, 1, "job-b", NULL);
-  script_forget_changes (script);
-  scene_release (scene);
-  scene_run (scene, 1);
+  fleet_submit (fleet, 1, "job-b", NULL);
+  cluster_forget_changes (cluster);
+  fleet_release (fleet);
+  fleet_run (fleet, 1);
   /* Its machine lacks the task, and is soon taken: the task goes elsewhere. */
-  scene->cloud_deletes = FALSE;
+  fleet->cloud_deletes = FALSE;
   second->reports = first->reports = TRUE;
   first->notice = 60;
-  scene_run (scene, 9);
-  scene_obey_direct (first, late->body);
-  script_late (script, late);
-  scene_run (scene, 8);
-  assert_true (scene_has (second, "job-a/0"));
-  assert_int_equal (script_leader (script), 0);
-  gboolean raised = baton_of (scene) > before;
-  scene_end (scene);
+  fleet_run (fleet, 9);
+  fleet_obey_direct (first, late->body);
+  cluster_late (cluster, late);
+  fleet_run (fleet, 8);
+  assert_true (fleet_has (second, "job-a/0"));
+  assert_int_equal (cluster_leader (cluster), 0);
+  gboolean raised = token_of (fleet) > before;
+  fleet_end (fleet);
   assert_true (raised);
 }
 
@@ -126,28 +126,28 @@
 static void
 a_process_that_is_back_at_once_raises_the_token (void **state G_GNUC_UNUSED)
 {
-  Scene *scene = scene_led (2);
-  Script *script = scene->s;
-  SceneMachine *first = scene_machine (scene, "m-1", "z0"),
-               *second = scene_machine (scene, "m-2", "z0");
+  Fleet *fleet = fleet_led (2);
+  Cluster *cluster = fleet->cluster;
+  FleetMachine *first = fleet_machine (fleet, "m-1", "z0"),
+               *second = fleet_machine (fleet, "m-2", "z0");
   second->reports = FALSE;
-  scene_run (scene, 4);
+  fleet_run (fleet, 4);
   first->reports = FALSE;
-  guint64 before = baton_of (scene);
-  ScriptCall *late = script_delay (script, scene_launch_call (scene, first, 0, "job-a"));
-  script_end (script, 0);
-  scene_run (scene, 0.3);
-  script_start (script, 0);
-  scene->cloud_deletes = FALSE;
+  guint64 before = token_of (fleet);
+  ClusterCall *late = cluster_delay (cluster, fleet_launch_call (fleet, first, 0, "job-a"));
+  cluster_end (cluster, 0);
+  fleet_run (fleet, 0.3);
+  cluster_start (cluster, 0);
+  fleet->cloud_deletes = FALSE;
   first->notice = 60;
   first->reports = second->reports = TRUE;
-  scene_run (scene, 12);
-  assert_int_equal (script_leader (script), 0);
-  assert_true (scene_has (second, "job-a/0"));
-  gboolean raised = baton_of (scene) > before;
-  int status = scene_obey_direct (first, late->body);
-  script_late (script, late);
-  scene_end (scene);
+  fleet_run (fleet, 12);
+  assert_int_equal (cluster_leader (cluster), 0);
+  assert_true (fleet_has (second, "job-a/0"));
+  gboolean raised = token_of (fleet) > before;
+  int status = fleet_obey_direct (first, late->body);
+  cluster_late (cluster, late);
+  fleet_end (fleet);
   assert_true (raised);
   assert_int_equal (status, 409);
 }
@@ -157,24 +157,24 @@
 static void
 a_late_launch_after_its_kill_is_void (void **state G_GNUC_UNUSED)
 {
-  Scene *scene = scene_led (2);
-  Script *script = scene->s;
-  SceneMachine *machine = scene_machine (scene, "m-1", "z0");
-  scene_run (scene, 4);
+  Fleet *fleet = fleet_led (2);
+  Cluster *cluster = fleet->cluster;
+  FleetMachine *machine = fleet_machine (fleet, "m-1", "z0");
+  fleet_run (fleet, 4);
   machine->reports = FALSE;
-  guint64 before = baton_of (scene);
-  ScriptCall *late = script_delay (script, scene_launch_call (scene, machine, 0, "job-a"));
-  scene_withdraw (scene, 1, "job-a");
-  scene_run (scene, 1);
+  guint64 before = token_of (fleet);
+  ClusterCall *late = cluster_delay (cluster, fleet_launch_call (fleet, machine, 0, "job-a"));
+  fleet_cancel (fleet, 1, "job-a");
+  fleet_run (fleet, 1);
   machine->reports = TRUE;
   machine->node = 0;
-  scene_run (scene, 10);
-  assert_true (baton_of (scene) > before);
-  guint starts = scene->starts;
-  assert_int_equal (scene_obey_direct (machine, late->body), 409);
-  script_late (script, late);
-  assert_int_equal (scene->starts, starts);
-  scene_end (scene);
+  fleet_run (fleet, 10);
+  assert_true (token_of (fleet) > before);
+  guint starts = fleet->starts;
+  assert_int_equal (fleet_obey_direct (machine, late->body), 409);
+  cluster_late (cluster, late);
+  assert_int_equal (fleet->starts, starts);
+  fleet_end (fleet);
 }
 
 /* A launch was carried out, and a copy of it comes long after the task's end. While the worker
@@ -182,23 +182,23 @@
 static void
 a_copy_of_a_launch_after_the_end_is_void (void **state G_GNUC_UNUSED)
 {
-  Scene *scene = scene_led (2);
-  Script *script = scene->s;
-  SceneMachine *machine = scene_machine (scene, "m-1", "z0");
-  scene_run (scene, 4);
-  ScriptCall *call = scene_launch_call (scene, machine, 0, "job-a");
+  Fleet *fleet = fleet_led (2);
+  Cluster *cluster = fleet->cluster;
+  FleetMachine *machine = fleet_machine (fleet, "m-1", "z0");
+  fleet_run (fleet, 4);
+  ClusterCall *call = fleet_launch_call (fleet, machine, 0, "job-a");
   g_autofree char *copy = g_strdup (call->body);
   machine->reached = TRUE;
-  scene_run (scene, 3);
-  assert_true (scene_has (machine, "job-a/0"));
-  scene_exit (machine, "job-a/0", "done");
-  scene_run (scene, 8);
-  assert_string_equal (scene_stance (scene, 1, "job-a"), "done");
-  guint starts = scene->starts;
-  scene_obey_direct (machine, copy);
-  assert_int_equal (scene->starts, starts);
-  (void)script;
-  scene_end (scene);
+  fleet_run (fleet, 3);
+  assert_true (fleet_has (machine, "job-a/0"));
+  fleet_exit (machine, "job-a/0", "done");
+  fleet_run (fleet, 8);
+  assert_string_equal (fleet_job_state (fleet, 1, "job-a"), "done");
+  guint starts = fleet->starts;
+  fleet_obey_direct (machine, copy);
+  assert_int_equal (fleet->starts, starts);
+  (void)cluster;
+  fleet_end (fleet);
 }
 
 /* ---- leases ---- */
@@ -207,29 +207,29 @@
  * reach it. It stops answering in time, so that a job that was cancelled through the next one
  * ends, and what was there is placed anew only when it is surely gone. */
 static void
-a_leader_on_an_island_lets_go (void **state G_GNUC_UNUSED)
+a_partitioned_leader_steps_down (void **state G_GNUC_UNUSED)
 {
-  Scene *scene = scene_led (2);
-  SceneMachine *first = scene_machine (scene, "m-1", "z0");
-  scene_run (scene, 4);
-  running (scene, first, "job-a");
-  running (scene, first, "job-b");
+  Fleet *fleet = fleet_led (2);
+  FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
+  fleet_run (fleet, 4);
+  running (fleet, first, "job-a");
+  running (fleet, first, "job-b");
   first->only = 0;
-  SceneMachine *second = scene_machine (scene, "m-2", "z0");
+  FleetMachine *second = fleet_machine (fleet, "m-2", "z0");
   second->only = 1;
-  scene->cloud_deletes = FALSE;
-  cut_off (scene, 0);
-  scene_until (scene, led_by_1, NULL, 12);
-  scene_run (scene, 0.5);
-  assert_true (scene_has (first, "job-a/0"));
-  scene_withdraw (scene, 1, "job-a");
-  scene_run (scene, scene->s->pol.alone_s + scene->lease_s);
+  fleet->cloud_deletes = FALSE;
+  cut_off (fleet, 0);
+  fleet_until (fleet, led_by_1, NULL, 12);
+  fleet_run (fleet, 0.5);
+  assert_true (fleet_has (first, "job-a/0"));
+  fleet_cancel (fleet, 1, "job-a");
+  fleet_run (fleet, fleet->cluster->pol.alone_s + fleet->lease_s);
   assert_true (first->tenure > 1); /* it hears of no outage, so it is cut off, and lets go early */
-  scene_run (scene, scene->cancel_s);
-  assert_false (scene_has (first, "job-a/0"));
-  scene_until (scene, on_machine, "job-b/0", 40);
-  assert_true (scene_has (second, "job-b/0"));
-  scene_end (scene);
+  fleet_run (fleet, fleet->cancel_s);
+  assert_false (fleet_has (first, "job-a/0"));
+  fleet_until (fleet, on_machine, "job-b/0", 40);
+  assert_true (fleet_has (second, "job-b/0"));
+  fleet_end (fleet);
 }
 
 /* The leader ends while several machines with long tasks reach only a former leader, which goes on
@@ -237,73 +237,73 @@
 static void
 a_new_leader_waits_for_leases_that_a_former_one_renewed (void **state G_GNUC_UNUSED)
 {
-  Scene *scene = scene_led (2);
-  SceneMachine *machines[4];
+  Fleet *fleet = fleet_led (2);
+  FleetMachine *machines[4];
   for (guint i = 0; i < G_N_ELEMENTS (machines); i++) {
     g_autofree char *name = g_strdup_printf ("m-%u", i), *id = g_strdup_printf ("job-%u", i);
-    machines[i] = scene_machine (scene, name, "z0");
-    scene_run (scene, 4);
-    scene_submit (scene, 0, id, whole_machine (id));
-    scene_run (scene, 4);
+    machines[i] = fleet_machine (fleet, name, "z0");
+    fleet_run (fleet, 4);
+    fleet_submit (fleet, 0, id, whole_machine (id));
+    fleet_run (fleet, 4);
     assert_int_equal (machines[i]->tasks->len, 1);
   }
-  cut_off (scene, 0);
+  cut_off (fleet, 0);
   for (guint i = 0; i < G_N_ELEMENTS (machines); i++)
     machines[i]->only = 0;
-  SceneMachine *spare = scene_machine (scene, "m-9", "z0");
+  FleetMachine *spare = fleet_machine (fleet, "m-9", "z0");
   spare->only = 1;
-  scene_until (scene, led_by_1, NULL, 12);
-  guint starts = scene->starts;
-  scene_run (scene, 10);
-  assert_int_equal (scene->starts, starts); /* nothing is proven yet */
-  scene_run (scene, 40);
-  assert_true (scene->starts > starts);
-  scene_end (scene);
+  fleet_until (fleet, led_by_1, NULL, 12);
+  guint starts = fleet->starts;
+  fleet_run (fleet, 10);
+  assert_int_equal (fleet->starts, starts); /* nothing is proven yet */
+  fleet_run (fleet, 40);
+  assert_true (fleet->starts > starts);
+  fleet_end (fleet);
 }
 
 /* What a new leader answers does not reach a machine, whose reports arrive. Its task is placed anew
  * only when its incarnation is over, and as soon as that shows: long before a returned machine
  * would be given up. */
 static void
-a_deaf_machine_keeps_its_task_until_its_session_ends (void **state G_GNUC_UNUSED)
+a_machine_with_inbound_loss_keeps_its_task_until_its_session_ends (void **state G_GNUC_UNUSED)
 {
-  Scene *scene = scene_led (2);
-  SceneMachine *first = scene_machine (scene, "m-1", "z0");
-  scene_run (scene, 4);
-  running (scene, first, "job-a");
-  SceneMachine *second = scene_machine (scene, "m-2", "z0");
-  scene_run (scene, 4);
-  scene->cloud_deletes = FALSE;
+  Fleet *fleet = fleet_led (2);
+  FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
+  fleet_run (fleet, 4);
+  running (fleet, first, "job-a");
+  FleetMachine *second = fleet_machine (fleet, "m-2", "z0");
+  fleet_run (fleet, 4);
+  fleet->cloud_deletes = FALSE;
   first->hears = first->reached = FALSE;
-  script_end (scene->s, 0);
-  scene_until (scene, led_by_1, NULL, 12);
-  scene_run (scene, scene->s->pol.silent_s + 8);
+  cluster_end (fleet->cluster, 0);
+  fleet_until (fleet, led_by_1, NULL, 12);
+  fleet_run (fleet, fleet->cluster->pol.silent_s + 8);
   assert_true (first->tenure > 1);
-  assert_true (scene_has (second, "job-a/0"));
-  scene_end (scene);
+  assert_true (fleet_has (second, "job-a/0"));
+  fleet_end (fleet);
 }
 
 /* A machine reaches no controller, while direct orders reach it. A cancelled job's task is stopped
  * that way; another is placed anew only after the lease, which direct orders do not renew. */
 static void
-a_mute_machine_is_told_directly (void **state G_GNUC_UNUSED)
+a_machine_with_outbound_loss_gets_direct_orders (void **state G_GNUC_UNUSED)
 {
-  Scene *scene = scene_led (2);
-  SceneMachine *first = scene_machine (scene, "m-1", "z0");
-  scene_run (scene, 4);
-  running (scene, first, "job-a");
-  running (scene, first, "job-b");
-  SceneMachine *second = scene_machine (scene, "m-2", "z0");
-  scene_run (scene, 4);
-  scene->cloud_deletes = FALSE;
+  Fleet *fleet = fleet_led (2);
+  FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
+  fleet_run (fleet, 4);
+  running (fleet, first, "job-a");
+  running (fleet, first, "job-b");
+  FleetMachine *second = fleet_machine (fleet, "m-2", "z0");
+  fleet_run (fleet, 4);
+  fleet->cloud_deletes = FALSE;
   first->reports = FALSE;
-  scene_withdraw (scene, 1, "job-a");
-  scene_until (scene, on_none, "job-a/0", 2);
+  fleet_cancel (fleet, 1, "job-a");
+  fleet_until (fleet, on_none, "job-a/0", 2);
   assert_int_equal (first->tenure, 1);
-  scene_run (scene, 20);
+  fleet_run (fleet, 20);
   assert_true (first->tenure > 1);
-  assert_true (scene_has (second, "job-b/0"));
-  scene_end (scene);
+  assert_true (fleet_has (second, "job-b/0"));
+  fleet_end (fleet);
 }
 
 /* The cloud answers no deletion. What a machine held that is being returned waits no longer than
@@ -311,18 +311,18 @@
 static void
 a_deletion_without_answer_holds_tasks_no_longer_than_a_lease (void **state G_GNUC_UNUSED)
 {
-  Scene *scene = scene_led (2);
-  SceneMachine *first = scene_machine (scene, "m-1", "z0");
-  scene_run (scene, 20);
-  running (scene, first, "job-a");
-  SceneMachine *second = scene_machine (scene, "m-2", "z0");
-  scene_run (scene, 4);
-  scene->cloud_deletes = FALSE;
+  Fleet *fleet = fleet_led (2);
+  FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
+  fleet_run (fleet, 20);
+  running (fleet, first, "job-a");
+  FleetMachine *second = fleet_machine (fleet, "m-2", "z0");
+  fleet_run (fleet, 4);
+  fleet->cloud_deletes = FALSE;
   first->reports = FALSE; /* silent, and so returned */
-  scene_run (scene, scene->lease_s + 6);
+  fleet_run (fleet, fleet->lease_s + 6);
   assert_true (first->tenure > 1);
-  assert_true (scene_has (second, "job-a/0"));
-  scene_end (scene);
+  assert_true (fleet_has (second, "job-a/0"));
+  fleet_end (fleet);
 }
 
 /* A hanging machine resumes within its lease, after its job was cancelled: it is stopped then, and
@@ -330,81 +330,81 @@
 static void
 a_machine_that_hung_is_stopped_when_it_resumes (void **state G_GNUC_UNUSED)
 {
-  Scene *scene = scene_led (2);
-  SceneMachine *first = scene_machine (scene, "m-1", "z0");
-  scene_run (scene, 4);
-  running (scene, first, "job-a");
-  scene->cloud_deletes = FALSE;
-  scene_report (first, 0);
+  Fleet *fleet = fleet_led (2);
+  FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
+  fleet_run (fleet, 4);
+  running (fleet, first, "job-a");
+  fleet->cloud_deletes = FALSE;
+  fleet_report (first, 0);
   first->hangs = TRUE;
   first->node = 0;
-  scene_withdraw (scene, 1, "job-a");
-  scene_run (scene, 5);
-  assert_true (scene_has (first, "job-a/0"));
-  assert_true (scene_recorded (scene, "job-a", "\"x\""));
+  fleet_cancel (fleet, 1, "job-a");
+  fleet_run (fleet, 5);
+  assert_true (fleet_has (first, "job-a/0"));
+  assert_true (fleet_recorded (fleet, "job-a", "\"x\""));
   first->hangs = FALSE;
-  scene_run (scene, 3);
-  assert_false (scene_has (first, "job-a/0"));
+  fleet_run (fleet, 3);
+  assert_false (fleet_has (first, "job-a/0"));
   assert_int_equal (first->tenure, 1); /* not by its lease */
-  assert_false (scene_recorded (scene, "job-a", "\"x\""));
-  scene_end (scene);
+  assert_false (fleet_recorded (fleet, "job-a", "\"x\""));
+  fleet_end (fleet);
 }
 
 /* The leader launches what another controller has confirmed as cancelled a moment before: the task
  * is stopped as soon as the leader reads that, and does not start again. */
 static void
-a_launch_that_meets_a_withdrawal_is_stopped (void **state G_GNUC_UNUSED)
-{
-  Scene *scene = scene_led (2);
-  Script *script = scene->s;
-  scene_machine (scene, "m-1", "z0");
-  scene_run (scene, 4);
-  script_hold (script, 0, "/commit", "m-1");
-  scene_submit (scene, 1, "job-a", NULL);
-  for (int i = 0; i < 60 && !script_call (script, 0, "/commit", "m-1"); i++)
-    scene_run (scene, 0.05);
-  ScriptCall *write = script_call (script, 0, "/commit", "m-1");
+a_launch_that_meets_a_cancellation_is_stopped (void **state G_GNUC_UNUSED)
+{
+  Fleet *fleet = fleet_led (2);
+  Cluster *cluster = fleet->cluster;
+  fleet_machine (fleet, "m-1", "z0");
+  fleet_run (fleet, 4);
+  cluster_hold (cluster, 0, "/commit", "m-1");
+  fleet_submit (fleet, 1, "job-a", NULL);
+  for (int i = 0; i < 60 && !cluster_call (cluster, 0, "/commit", "m-1"); i++)
+    fleet_run (fleet, 0.05);
+  ClusterCall *write = cluster_call (cluster, 0, "/commit", "m-1");
   assert_non_null (write);
-  script_carry_out (script, write);
-  script_hold (script, 0, "/changes", NULL);
-  scene_withdraw (scene, 1, "job-a");
-  script_answer (script,
-                 write); /* the assignment is in the state store, as far as the leader knows */
-  scene_run (scene, 0.5);
-  assert_int_equal (scene->starts, 1);
-  scene_release (scene);
-  scene_until (scene, on_none, "job-a/0", 2);
-  scene_run (scene, 10);
-  assert_int_equal (scene->starts, 1);
-  scene_end (scene);
+  cluster_carry_out (cluster, write);
+  cluster_hold (cluster, 0, "/changes", NULL);
+  fleet_cancel (fleet, 1, "job-a");
+  cluster_answer (cluster,
+                  write); /* the assignment is in the state store, as far as the leader knows */
+  fleet_run (fleet, 0.5);
+  assert_int_equal (fleet->starts, 1);
+  fleet_release (fleet);
+  fleet_until (fleet, on_none, "job-a/0", 2);
+  fleet_run (fleet, 10);
+  assert_int_equal (fleet->starts, 1);
+  fleet_end (fleet);
 }
 
 /* The state service refuses the leader alone, another controller confirms a cancellation, and a
  * moment later the service is out for all, for longer than cancel_s. named: the leader is told of
  * the cancellation by the other controller. */
 static void
-unread_withdrawal (gboolean named)
+unread_cancellation (gboolean named)
 {
-  Scene *scene = scene_led (3);
-  SceneMachine *first = scene_machine (scene, "m-1", "z0");
-  scene_run (scene, 4);
-  running (scene, first, "job-a");
+  Fleet *fleet = fleet_led (3);
+  FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
+  fleet_run (fleet, 4);
+  running (fleet, first, "job-a");
   first->only = 0;
-  scene->s->nodes[0].served = FALSE;
-  scene_run (scene, 0.5);
-  scene->s->hints = named;
-  scene_withdraw (scene, 1, "job-a");
-  scene->s->outage = TRUE;
-  scene_run (scene, scene->cancel_s + 6);
-  assert_false (scene_has (first, "job-a/0"));
-  scene_end (scene);
+  fleet->cluster->nodes[0].served = FALSE;
+  fleet_run (fleet, 0.5);
+  fleet->cluster->exchange_statuses = named;
+  fleet_cancel (fleet, 1, "job-a");
+  fleet->cluster->outage = TRUE;
+  fleet_run (fleet, fleet->cancel_s + 6);
+  assert_false (fleet_has (first, "job-a/0"));
+  fleet_end (fleet);
 }
 
 static void
-a_withdrawal_that_the_leader_cannot_read_ends_in_time (void **state G_GNUC_UNUSED)
+a_cancellation_that_the_leader_cannot_read_ends_in_time (void **state G_GNUC_UNUSED)
 {
-  unread_withdrawal (FALSE);
-  unread_withdrawal (TRUE);
+  unread_cancellation (FALSE);
+  unread_cancellation (TRUE);
 }
 
 /* A task is recorded and its launch was lost; the state service refuses the leader alone while
@@ -413,17 +413,17 @@
 static void
 a_refused_leader_launches_nothing (void **state G_GNUC_UNUSED)
 {
-  Scene *scene = scene_led (2);
-  SceneMachine *first = scene_machine (scene, "m-1", "z0");
-  scene_run (scene, 4);
+  Fleet *fleet = fleet_led (2);
+  FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
+  fleet_run (fleet, 4);
   first->reports = FALSE;
-  scene_launch_call (scene, first, 0, "job-a");
-  cut_off (scene, 0);
-  scene_withdraw (scene, 1, "job-a");
-  scene_run (scene, 6);
-  assert_int_equal (scene_report (first, 0), 200);
-  assert_int_equal (scene->starts, 0);
-  scene_end (scene);
+  fleet_launch_call (fleet, first, 0, "job-a");
+  cut_off (fleet, 0);
+  fleet_cancel (fleet, 1, "job-a");
+  fleet_run (fleet, 6);
+  assert_int_equal (fleet_report (first, 0), 200);
+  assert_int_equal (fleet->starts, 0);
+  fleet_end (fleet);
 }
 
 /* A zone with a worker and a controller that does not lead is cut off for longer than a lease:
@@ -431,20 +431,20 @@
 static void
 a_controller_in_a_cut_zone_renews_no_lease (void **state G_GNUC_UNUSED)
 {
-  Scene *scene = scene_led (3);
-  SceneMachine *first = scene_machine (scene, "m-1", "z0");
-  scene_run (scene, 4);
-  running (scene, first, "job-a");
-  SceneMachine *second = scene_machine (scene, "m-2", "z0");
-  scene_run (scene, 4);
-  scene->cloud_deletes = FALSE;
+  Fleet *fleet = fleet_led (3);
+  FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
+  fleet_run (fleet, 4);
+  running (fleet, first, "job-a");
+  FleetMachine *second = fleet_machine (fleet, "m-2", "z0");
+  fleet_run (fleet, 4);
+  fleet->cloud_deletes = FALSE;
   first->only = 2;
   first->reached = FALSE;
-  scene->s->nodes[2].served = FALSE;
-  scene_run (scene, scene->lease_s + 8);
+  fleet->cluster->nodes[2].served = FALSE;
+  fleet_run (fleet, fleet->lease_s + 8);
   assert_true (first->tenure > 1);
-  assert_true (scene_has (second, "job-a/0"));
-  scene_end (scene);
+  assert_true (fleet_has (second, "job-a/0"));
+  fleet_end (fleet);
 }
 
 /* The leader stands still, wakes, and finds a report before anything else, of a worker that has
@@ -452,46 +452,46 @@
 static void
 a_leader_that_stood_still_does_not_answer (void **state G_GNUC_UNUSED)
 {
-  Scene *scene = scene_led (2);
-  SceneMachine *first = scene_machine (scene, "m-1", "z0");
-  scene_run (scene, 4);
-  running (scene, first, "job-a");
+  Fleet *fleet = fleet_led (2);
+  FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
+  fleet_run (fleet, 4);
+  running (fleet, first, "job-a");
   first->only = 0;
-  scene_freeze (scene, 0);
-  scene_run (scene, scene->s->pol.alone_s + 2);
-  assert_int_equal (script_leader (scene->s), 1);
-  assert_true (first->baton < baton_of (scene));
-  g_autofree char *report = scene_write (first);
-  scene_thaw (scene, 0);
-  assert_int_not_equal (scene_deliver (scene, 0, report), 200);
+  fleet_freeze (fleet, 0);
+  fleet_run (fleet, fleet->cluster->pol.alone_s + 2);
+  assert_int_equal (cluster_leader (fleet->cluster), 1);
+  assert_true (first->token < token_of (fleet));
+  g_autofree char *report = fleet_write (first);
+  fleet_thaw (fleet, 0);
+  assert_int_not_equal (fleet_deliver (fleet, 0, report), 200);
   first->only = -1;
-  scene_run (scene, 10);
-  assert_int_equal (scene_count (scene, "job-a/0"), 1);
-  scene_end (scene);
+  fleet_run (fleet, 10);
+  assert_int_equal (fleet_count (fleet, "job-a/0"), 1);
+  fleet_end (fleet);
 }
 
 /* Late copies of what a member told before it ended, while the state service is out: they are as
  * old as the clock that they echo, and the leader stops answering in time. */
 static void
-late_copies_of_hints_attest_nothing_new (void **state G_GNUC_UNUSED)
-{
-  Scene *scene = scene_led (2);
-  Script *script = scene->s;
-  SceneMachine *first = scene_machine (scene, "m-1", "z0");
-  scene_run (scene, 4);
-  running (scene, first, "job-a");
-  script->outage = TRUE;
-  scene_run (scene, 5);
-  HrPeerStatus copy = script->nodes[1].hint;
-  script_end (script, 1);
-  for (int i = 0; i < script->pol.hold_s + 2; i++) {
+late_copies_of_statuses_attest_nothing_new (void **state G_GNUC_UNUSED)
+{
+  Fleet *fleet = fleet_led (2);
+  Cluster *cluster = fleet->cluster;
+  FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
+  fleet_run (fleet, 4);
+  running (fleet, first, "job-a");
+  cluster->outage = TRUE;
+  fleet_run (fleet, 5);
+  HrPeerStatus copy = cluster->nodes[1].status;
+  cluster_end (cluster, 1);
+  for (int i = 0; i < cluster->pol.hold_s + 2; i++) {
     HrCommand *command = hr_command_new (HR_COMMAND_PEER_STATUS);
     *command->peer_status = copy;
-    script_step (script, 0, command);
-    scene_run (scene, 1);
+    cluster_step (cluster, 0, command);
+    fleet_run (fleet, 1);
   }
-  assert_int_not_equal (scene_report (first, 0), 200);
-  scene_end (scene);
+  assert_int_not_equal (fleet_report (first, 0), 200);
+  fleet_end (fleet);
 }
 
 /* ---- reports ---- */
@@ -501,20 +501,20 @@
 static void
 a_report_kept_for_the_next_leader_counts_for_its_order_only (void **state G_GNUC_UNUSED)
 {
-  Scene *scene = scene_led (2);
-  SceneMachine *first = scene_machine (scene, "m-1", "z1");
-  scene_run (scene, 6);
-  assert_true (first->baton > 0);
-  g_autofree char *report = scene_write (first);
+  Fleet *fleet = fleet_led (2);
+  FleetMachine *first = fleet_machine (fleet, "m-1", "z1");
+  fleet_run (fleet, 6);
+  assert_true (first->token > 0);
+  g_autofree char *report = fleet_write (first);
   first->gone = TRUE;
-  script_end (scene->s, 0);
-  scene_until (scene, led_by_1, NULL, 12);
-  scene_run (scene, 3);
-  scene_submit (scene, 1, "job-a", NULL);
-  scene_deliver (scene, 1, report);
-  scene_run (scene, 5);
-  assert_false (scene_recorded (scene, "job-a", "m-1"));
-  scene_end (scene);
+  cluster_end (fleet->cluster, 0);
+  fleet_until (fleet, led_by_1, NULL, 12);
+  fleet_run (fleet, 3);
+  fleet_submit (fleet, 1, "job-a", NULL);
+  fleet_deliver (fleet, 1, report);
+  fleet_run (fleet, 5);
+  assert_false (fleet_recorded (fleet, "job-a", "m-1"));
+  fleet_end (fleet);
 }
 
 /* An old report that lacks a task arrives after newer ones that showed it: the cancelled job's
@@ -523,36 +523,36 @@
 static void
 old_report (gboolean session)
 {
-  Scene *scene = scene_led (2);
-  SceneMachine *first = scene_machine (scene, "m-1", "z0");
-  scene_run (scene, 4);
-  g_autofree char *report = scene_write (first);
+  Fleet *fleet = fleet_led (2);
+  FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
+  fleet_run (fleet, 4);
+  g_autofree char *report = fleet_write (first);
   if (session) { /* numbers alone would not tell them apart */
     first->tally += 100;
     g_free (report);
-    report = scene_write (first);
+    report = fleet_write (first);
     first->tally -= 101;
     first->reports = FALSE;
-    first->lease_at -= scene->lease_s;
-    scene_run (scene, 0.1);
+    first->lease_at -= fleet->lease_s;
+    fleet_run (fleet, 0.1);
     first->reports = TRUE;
-    scene_run (scene, 3);
+    fleet_run (fleet, 3);
     assert_int_equal (first->tenure, 2);
   }
-  running (scene, first, "job-a");
-  scene_report (first, 0);
+  running (fleet, first, "job-a");
+  fleet_report (first, 0);
   first->hangs = TRUE;
-  scene_withdraw (scene, 1, "job-a");
-  scene_run (scene, 3.5); /* its direct stop is unanswered by now */
-  scene_deliver (scene, 0, report);
-  scene_run (scene, 1);
-  assert_true (scene_has (first, "job-a/0"));
-  assert_true (scene_recorded (scene, "job-a", "\"x\""));
+  fleet_cancel (fleet, 1, "job-a");
+  fleet_run (fleet, 3.5); /* its direct stop is unanswered by now */
+  fleet_deliver (fleet, 0, report);
+  fleet_run (fleet, 1);
+  assert_true (fleet_has (first, "job-a/0"));
+  assert_true (fleet_recorded (fleet, "job-a", "\"x\""));
   first->hangs = FALSE;
-  scene_run (scene, 6);
-  assert_false (scene_has (first, "job-a/0"));
-  assert_false (scene_recorded (scene, "job-a", "\"x\""));
-  scene_end (scene);
+  fleet_run (fleet, 6);
+  assert_false (fleet_has (first, "job-a/0"));
+  assert_false (fleet_recorded (fleet, "job-a", "\"x\""));
+  fleet_end (fleet);
 }
 
 static void
@@ -574,43 +574,43 @@
 static void
 nothing_is_launched_before_its_record (void **state G_GNUC_UNUSED)
 {
-  Scene *scene = scene_led (2);
-  Script *script = scene->s;
-  SceneMachine *first = scene_machine (scene, "m-1", "z0");
-  scene_run (scene, 4);
-  guint64 request = script_submit (script, 1, "job-a", 1);
-  script_hold (script, 0, "/commit", "m-1");
-  scene_run (scene, 3);
-  assert_int_equal (script_status (script, 1, request), 201);
-  ScriptCall *write = script_call (script, 0, "/commit", "m-1");
+  Fleet *fleet = fleet_led (2);
+  Cluster *cluster = fleet->cluster;
+  FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
+  fleet_run (fleet, 4);
+  guint64 request = cluster_submit (cluster, 1, "job-a", 1);
+  cluster_hold (cluster, 0, "/commit", "m-1");
+  fleet_run (fleet, 3);
+  assert_int_equal (cluster_status (cluster, 1, request), 201);
+  ClusterCall *write = cluster_call (cluster, 0, "/commit", "m-1");
   assert_non_null (write);
-  assert_null (scene_direct (first, 0));
-  assert_int_equal (scene->starts, 0);
-  ScriptCall *late = script_delay (script, write);
-  script_end (script, 0);
+  assert_null (fleet_direct (first, 0));
+  assert_int_equal (fleet->starts, 0);
+  ClusterCall *late = cluster_delay (cluster, write);
+  cluster_end (cluster, 0);
   first->only = 1;
-  SceneMachine *second = scene_machine (scene, "m-2", "z0");
+  FleetMachine *second = fleet_machine (fleet, "m-2", "z0");
   (void)second;
-  scene_until (scene, led_by_1, NULL, 12);
-  scene_run (scene, 1);
-  assert_int_equal (script_late (script, late), 409); /* of a former owner */
-  scene_until (scene, on_machine, "job-a/0", 20);
-  assert_int_equal (scene->starts, 1);
-  scene_end (scene);
+  fleet_until (fleet, led_by_1, NULL, 12);
+  fleet_run (fleet, 1);
+  assert_int_equal (cluster_late (cluster, late), 409); /* of a former owner */
+  fleet_until (fleet, on_machine, "job-a/0", 20);
+  assert_int_equal (fleet->starts, 1);
+  fleet_end (fleet);
 }
 
 /* Orders go out with the answers to reports alone. */
 static void
-launch_with_reports (Scene *scene)
+launch_with_reports (Fleet *fleet)
 {
-  Script *script = scene->s;
-  script->pol.direct_launch = 0;
-  for (int i = script->n - 1; i >= 0; i--) {
-    script_end (script, i);
-    script_start (script, i);
+  Cluster *cluster = fleet->cluster;
+  cluster->pol.direct_launch = 0;
+  for (int i = cluster->n - 1; i >= 0; i--) {
+    cluster_end (cluster, i);
+    cluster_start (cluster, i);
   }
-  scene_run (scene, 8);
-  assert_int_equal (script_leader (script), 0);
+  fleet_run (fleet, 8);
+  assert_int_equal (cluster_leader (cluster), 0);
 }
 
 /* A task of two has ended and its leader ends before that is recorded: the worker goes on showing
@@ -618,73 +618,73 @@
 static void
 an_end_is_shown_until_it_is_recorded (void **state G_GNUC_UNUSED)
 {
-  Scene *scene = scene_led (2);
-  Script *script = scene->s;
-  launch_with_reports (scene);
-  SceneMachine *first = scene_machine (scene, "m-1", "z0");
-  scene_run (scene, 4);
-  scene_submit (scene, 0, "job-a", script_job ("job-a", 2));
-  scene_until (scene, on_machine, "job-a/0", 8);
-  scene_until (scene, on_machine, "job-a/1", 8);
-  scene_run (scene, 3);
-  script_hold (script, 0, "/commit", "job-a");
-  scene_exit (first, "job-a/0", "done");
-  scene_run (scene, 6);
+  Fleet *fleet = fleet_led (2);
+  Cluster *cluster = fleet->cluster;
+  launch_with_reports (fleet);
+  FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
+  fleet_run (fleet, 4);
+  fleet_submit (fleet, 0, "job-a", cluster_job ("job-a", 2));
+  fleet_until (fleet, on_machine, "job-a/0", 8);
+  fleet_until (fleet, on_machine, "job-a/1", 8);
+  fleet_run (fleet, 3);
+  cluster_hold (cluster, 0, "/commit", "job-a");
+  fleet_exit (first, "job-a/0", "done");
+  fleet_run (fleet, 6);
   assert_int_equal (first->tasks->len, 2);
-  ScriptCall *write = script_call (script, 0, "/commit", "job-a");
+  ClusterCall *write = cluster_call (cluster, 0, "/commit", "job-a");
   assert_non_null (write);
-  ScriptCall *late = script_delay (script, write);
-  script_end (script, 0);
-  scene_until (scene, led_by_1, NULL, 12);
-  scene_run (scene, 1);
-  script_late (script, late);
-  scene_run (scene, 10);
-  assert_int_equal (scene->starts, 2);
-  assert_string_not_equal (scene_stance (scene, 1, "job-a"), "done");
-  scene_exit (first, "job-a/1", "done");
-  scene_run (scene, 8);
-  assert_string_equal (scene_stance (scene, 1, "job-a"), "done");
-  assert_int_equal (scene->starts, 2);
-  scene_end (scene);
+  ClusterCall *late = cluster_delay (cluster, write);
+  cluster_end (cluster, 0);
+  fleet_until (fleet, led_by_1, NULL, 12);
+  fleet_run (fleet, 1);
+  cluster_late (cluster, late);
+  fleet_run (fleet, 10);
+  assert_int_equal (fleet->starts, 2);
+  assert_string_not_equal (fleet_job_state (fleet, 1, "job-a"), "done");
+  fleet_exit (first, "job-a/1", "done");
+  fleet_run (fleet, 8);
+  assert_string_equal (fleet_job_state (fleet, 1, "job-a"), "done");
+  assert_int_equal (fleet->starts, 2);
+  fleet_end (fleet);
 }
 
 /* ---- limits and zones ---- */
 
 static void
-limit_cpus (Scene *scene, double cpus)
+limit_cpus (Fleet *fleet, double cpus)
 {
-  for (int i = 0; i < scene->s->n; i++)
-    if (scene->s->nodes[i].core)
-      g_array_index (scene->s->nodes[i].set->teams, HrTeam, 0).cpus_max = cpus;
+  for (int i = 0; i < fleet->cluster->n; i++)
+    if (fleet->cluster->nodes[i].core)
+      g_array_index (fleet->cluster->nodes[i].set->teams, HrTeam, 0).cpus_max = cpus;
 }
 
 /* A team is at its limit, its job is cancelled, the leader changes, and the machine cannot be
  * asked: the limit has room again only when the task is proven gone. */
 static void
-a_withdrawn_task_counts_until_it_is_gone (void **state G_GNUC_UNUSED)
-{
-  Scene *scene = scene_led (2);
-  limit_cpus (scene, 12);
-  SceneMachine *first = scene_machine (scene, "m-1", "z0");
-  scene_run (scene, 4);
-  scene_submit (scene, 0, "job-a", whole_machine ("job-a"));
-  scene_until (scene, on_machine, "job-a/0", 8);
-  scene_run (scene, 3);
-  SceneMachine *second = scene_machine (scene, "m-2", "z0");
-  scene_run (scene, 4);
-  scene->cloud_deletes = FALSE;
-  scene_report (first, 0);
+a_cancelled_task_counts_until_it_is_gone (void **state G_GNUC_UNUSED)
+{
+  Fleet *fleet = fleet_led (2);
+  limit_cpus (fleet, 12);
+  FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
+  fleet_run (fleet, 4);
+  fleet_submit (fleet, 0, "job-a", whole_machine ("job-a"));
+  fleet_until (fleet, on_machine, "job-a/0", 8);
+  fleet_run (fleet, 3);
+  FleetMachine *second = fleet_machine (fleet, "m-2", "z0");
+  fleet_run (fleet, 4);
+  fleet->cloud_deletes = FALSE;
+  fleet_report (first, 0);
   first->reports = first->reached = FALSE;
-  scene_withdraw (scene, 1, "job-a");
-  script_end (scene->s, 0);
-  scene_until (scene, led_by_1, NULL, 12);
-  scene_submit (scene, 1, "job-b", whole_machine ("job-b"));
-  for (int i = 0; i < 60 && !scene_has (second, "job-b/0"); i++) {
-    scene_run (scene, 1);
-    assert_true (scene_count (scene, "job-a/0") + scene_count (scene, "job-b/0") <= 1);
+  fleet_cancel (fleet, 1, "job-a");
+  cluster_end (fleet->cluster, 0);
+  fleet_until (fleet, led_by_1, NULL, 12);
+  fleet_submit (fleet, 1, "job-b", whole_machine ("job-b"));
+  for (int i = 0; i < 60 && !fleet_has (second, "job-b/0"); i++) {
+    fleet_run (fleet, 1);
+    assert_true (fleet_count (fleet, "job-a/0") + fleet_count (fleet, "job-b/0") <= 1);
   }
-  assert_true (scene_has (second, "job-b/0"));
-  scene_end (scene);
+  assert_true (fleet_has (second, "job-b/0"));
+  fleet_end (fleet);
 }
 
 /* An array of two bound to one zone, or spread over two, has a task on a machine that cannot be
@@ -693,29 +693,29 @@
 static void
 bound_zone (gboolean after, const char *rule, const char *other)
 {
-  Scene *scene = scene_led (2);
-  SceneMachine *first = scene_machine (scene, "m-1", "z1");
-  scene_run (scene, 4);
-  json_t *body = script_job ("job-a", 2);
+  Fleet *fleet = fleet_led (2);
+  FleetMachine *first = fleet_machine (fleet, "m-1", "z1");
+  fleet_run (fleet, 4);
+  json_t *body = cluster_job ("job-a", 2);
   json_object_set_new (body, rule, json_true ());
   json_object_set_new (body, "vcpus", json_real (12));
-  scene_submit (scene, 0, "job-a", body);
-  scene_until (scene, on_machine, "job-a/0", 8);
-  scene_run (scene, 3);
-  scene->cloud_deletes = FALSE;
+  fleet_submit (fleet, 0, "job-a", body);
+  fleet_until (fleet, on_machine, "job-a/0", 8);
+  fleet_run (fleet, 3);
+  fleet->cloud_deletes = FALSE;
   first->reports = first->reached = FALSE;
-  scene_report (first, 0);
+  fleet_report (first, 0);
   if (after) {
-    script_end (scene->s, 0);
-    scene_until (scene, led_by_1, NULL, 12);
+    cluster_end (fleet->cluster, 0);
+    fleet_until (fleet, led_by_1, NULL, 12);
   }
-  SceneMachine *second = scene_machine (scene, "m-2", other);
+  FleetMachine *second = fleet_machine (fleet, "m-2", other);
   for (int i = 0; i < 60 && !second->tasks->len; i++) {
-    scene_run (scene, 1);
-    assert_true (!scene_has (first, "job-a/0") || !second->tasks->len);
+    fleet_run (fleet, 1);
+    assert_true (!fleet_has (first, "job-a/0") || !second->tasks->len);
   }
   assert_true (second->tasks->len > 0);
-  scene_end (scene);
+  fleet_end (fleet);
 }
 
 static void
@@ -772,49 +772,49 @@
 static void
 ten_leaders_in_two_minutes (void **state G_GNUC_UNUSED)
 {
-  Scene *scene = scene_led (3);
-  Script *script = scene->s;
-  SceneMachine *machines[5];
+  Fleet *fleet = fleet_led (3);
+  Cluster *cluster = fleet->cluster;
+  FleetMachine *machines[5];
   for (guint i = 0; i < G_N_ELEMENTS (machines); i++) {
     g_autofree char *name = g_strdup_printf ("m-%u", i);
-    machines[i] = scene_machine (scene, name, "z0");
+    machines[i] = fleet_machine (fleet, name, "z0");
   }
-  scene_run (scene, 4);
-  scene_submit (scene, 1, "job-a", script_job ("job-a", 6));
-  scene_submit (scene, 2, "job-b", script_job ("job-b", 6));
-  scene_run (scene, 8);
+  fleet_run (fleet, 4);
+  fleet_submit (fleet, 1, "job-a", cluster_job ("job-a", 6));
+  fleet_submit (fleet, 2, "job-b", cluster_job ("job-b", 6));
+  fleet_run (fleet, 8);
   for (int i = 0; i < 10; i++) {
-    int leader = script_leader (script);
-    guint64 before = baton_of (scene);
-    g_autofree char *report = scene_write (machines[i % 5]);
+    int leader = cluster_leader (cluster);
+    guint64 before = token_of (fleet);
+    g_autofree char *report = fleet_write (machines[i % 5]);
     machines[(i + 1) % 5]->hangs = i % 3 == 0;
     machines[(i + 2) % 5]->hears = i % 4 != 1;
-    script_end (script, leader);
-    script->outage = i == 5;
-    scene_run (scene, 5);
+    cluster_end (cluster, leader);
+    cluster->outage = i == 5;
+    fleet_run (fleet, 5);
     if (i == 4)
-      scene_withdraw (scene, (leader + 1) % 3, "job-b");
-    script_start (script, leader);
-    scene_run (scene, 6);
-    script->outage = FALSE;
+      fleet_cancel (fleet, (leader + 1) % 3, "job-b");
+    cluster_start (cluster, leader);
+    fleet_run (fleet, 6);
+    cluster->outage = FALSE;
     for (int k = 0; k < 3; k++)
-      if (script->nodes[k].core)
-        scene_deliver (scene, k, report);
-    scene_run (scene, 1);
-    assert_true (i == 5 || baton_of (scene) > before);
+      if (cluster->nodes[k].core)
+        fleet_deliver (fleet, k, report);
+    fleet_run (fleet, 1);
+    assert_true (i == 5 || token_of (fleet) > before);
   }
   for (guint i = 0; i < G_N_ELEMENTS (machines); i++) {
     machines[i]->hears = TRUE;
     machines[i]->hangs = FALSE;
   }
-  scene_run (scene, 60);
+  fleet_run (fleet, 60);
   guint runs = 0;
   for (int i = 0; i < 6; i++) {
     g_autofree char *piece = g_strdup_printf ("job-a/%d", i);
-    runs += scene_count (scene, piece);
+    runs += fleet_count (fleet, piece);
   }
   assert_int_equal (runs, 6);
-  scene_end (scene);
+  fleet_end (fleet);
 }
 
 /* All controllers are away for longer than a lease; one returns, ends, and is back within a second,
@@ -822,62 +822,62 @@
 static void
 all_are_away_longer_than_a_lease (void **state G_GNUC_UNUSED)
 {
-  Scene *scene = scene_led (3);
-  Script *script = scene->s;
-  SceneMachine *first = scene_machine (scene, "m-1", "z0"),
-               *second = scene_machine (scene, "m-2", "z0");
-  scene_run (scene, 4);
-  scene_submit (scene, 0, "job-a", script_job ("job-a", 4));
-  scene_run (scene, 6);
-  g_autofree char *report = scene_write (first);
+  Fleet *fleet = fleet_led (3);
+  Cluster *cluster = fleet->cluster;
+  FleetMachine *first = fleet_machine (fleet, "m-1", "z0"),
+               *second = fleet_machine (fleet, "m-2", "z0");
+  fleet_run (fleet, 4);
+  fleet_submit (fleet, 0, "job-a", cluster_job ("job-a", 4));
+  fleet_run (fleet, 6);
+  g_autofree char *report = fleet_write (first);
   for (int i = 0; i < 3; i++)
-    script_end (script, i);
-  scene_run (scene, scene->lease_s + 3);
+    cluster_end (cluster, i);
+  fleet_run (fleet, fleet->lease_s + 3);
   assert_int_equal (first->tasks->len + second->tasks->len, 0);
-  script_start (script, 1);
-  scene_run (scene, 2);
-  script_end (script, 1);
-  scene_run (scene, 0.4);
-  script_start (script, 1);
-  scene_run (scene, 2);
-  scene_deliver (scene, 1, report);
-  scene_run (scene, 1);
-  scene_deliver (scene, 1, report);
-  scene_run (scene, 30);
+  cluster_start (cluster, 1);
+  fleet_run (fleet, 2);
+  cluster_end (cluster, 1);
+  fleet_run (fleet, 0.4);
+  cluster_start (cluster, 1);
+  fleet_run (fleet, 2);
+  fleet_deliver (fleet, 1, report);
+  fleet_run (fleet, 1);
+  fleet_deliver (fleet, 1, report);
+  fleet_run (fleet, 30);
   assert_int_equal (first->tasks->len + second->tasks->len, 4);
-  assert_int_equal (scene->starts, 8);
-  script_start (script, 0);
-  script_start (script, 2);
-  scene_run (scene, 2);
-  scene_end (scene);
+  assert_int_equal (fleet->starts, 8);
+  cluster_start (cluster, 0);
+  cluster_start (cluster, 2);
+  fleet_run (fleet, 2);
+  fleet_end (fleet);
 }
 
 int
 main (void)
 {
   const struct CMUnitTest tests[] = {
-      cmocka_unit_test (an_owner_that_reads_anew_raises_its_token),
+      cmocka_unit_test (a_leader_that_rereads_raises_its_token),
       cmocka_unit_test (a_process_that_is_back_at_once_raises_the_token),
       cmocka_unit_test (a_late_launch_after_its_kill_is_void),
       cmocka_unit_test (a_copy_of_a_launch_after_the_end_is_void),
-      cmocka_unit_test (a_leader_on_an_island_lets_go),
+      cmocka_unit_test (a_partitioned_leader_steps_down),
       cmocka_unit_test (a_new_leader_waits_for_leases_that_a_former_one_renewed),
-      cmocka_unit_test (a_deaf_machine_keeps_its_task_until_its_session_ends),
-      cmocka_unit_test (a_mute_machine_is_told_directly),
+      cmocka_unit_test (a_machine_with_inbound_loss_keeps_its_task_until_its_session_ends),
+      cmocka_unit_test (a_machine_with_outbound_loss_gets_direct_orders),
       cmocka_unit_test (a_deletion_without_answer_holds_tasks_no_longer_than_a_lease),
       cmocka_unit_test (a_machine_that_hung_is_stopped_when_it_resumes),
-      cmocka_unit_test (a_launch_that_meets_a_withdrawal_is_stopped),
-      cmocka_unit_test (a_withdrawal_that_the_leader_cannot_read_ends_in_time),
+      cmocka_unit_test (a_launch_that_meets_a_cancellation_is_stopped),
+      cmocka_unit_test (a_cancellation_that_the_leader_cannot_read_ends_in_time),
       cmocka_unit_test (a_refused_leader_launches_nothing),
       cmocka_unit_test (a_controller_in_a_cut_zone_renews_no_lease),
       cmocka_unit_test (a_leader_that_stood_still_does_not_answer),
-      cmocka_unit_test (late_copies_of_hints_attest_nothing_new),
+      cmocka_unit_test (late_copies_of_statuses_attest_nothing_new),
       cmocka_unit_test (a_report_kept_for_the_next_leader_counts_for_its_order_only),
       cmocka_unit_test (an_old_report_proves_nothing),
       cmocka_unit_test (a_report_of_an_earlier_session_proves_nothing),
       cmocka_unit_test (nothing_is_launched_before_its_record),
       cmocka_unit_test (an_end_is_shown_until_it_is_recorded),
-      cmocka_unit_test (a_withdrawn_task_counts_until_it_is_gone),
+      cmocka_unit_test (a_cancelled_task_counts_until_it_is_gone),
       cmocka_unit_test (a_task_that_may_still_be_there_binds_its_zone),
       cmocka_unit_test (a_task_that_may_still_be_there_counts_for_the_spread),
       cmocka_unit_test (an_unknown_zone_rules_out_all),
@@ -885,6 +885,6 @@
       cmocka_unit_test (ten_leaders_in_two_minutes),
       cmocka_unit_test (all_are_away_longer_than_a_lease),
   };
-  g_log_set_writer_func (script_log, NULL, NULL);
+  g_log_set_writer_func (cluster_log, NULL, NULL);
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/test_writes.c
+++ b/tests/test_writes.c
@@ -1,7 +1,7 @@
 /* Meetings of transactions whose answer is lost, late or refused with users' requests, with the
- * end of a job and with a change of leader, message by message (script.h). docs/meetings.md says
- * which meeting each test brings about and which guard it fails without. */
-#include "script.h"
+ * end of a job and with a change of leader, message by message (scripted_cluster.h).
+ * docs/meetings.md says which meeting each test brings about and which guard it fails without. */
+#include "scripted_cluster.h"
 #include "protocol/json_util.h"
 #include <setjmp.h>
 #include <stdarg.h>
@@ -13,60 +13,60 @@
 #define WATCH "hold_ms=10000"
 
 typedef struct {
-  Script *s;
+  Cluster *cluster;
   int leader, other;
-  ScriptWorker *w;
-} Meeting;
+  ClusterWorker *worker;
+} ControllerPair;
 
 /* A leader with a worker that it knows, and another controller. */
-static Meeting
-meeting (void)
+static ControllerPair
+controller_pair (void)
 {
-  Meeting meeting_row = {.s = script_led (2)};
-  meeting_row.leader = script_leader (meeting_row.s);
-  meeting_row.other = 1 - meeting_row.leader;
-  meeting_row.w = script_worker (meeting_row.s, "m-000001");
-  script_report (meeting_row.s, meeting_row.w, meeting_row.leader);
-  script_report (meeting_row.s, meeting_row.w, meeting_row.leader);
-  return meeting_row;
+  ControllerPair pair = {.cluster = cluster_led (2)};
+  pair.leader = cluster_leader (pair.cluster);
+  pair.other = 1 - pair.leader;
+  pair.worker = cluster_worker (pair.cluster, "m-000001");
+  cluster_report (pair.cluster, pair.worker, pair.leader);
+  cluster_report (pair.cluster, pair.worker, pair.leader);
+  return pair;
 }
 
 static void
-assert_told (Meeting *meeting, const char *id, const char *state)
+assert_answered (ControllerPair *pair, const char *id, const char *state)
 {
-  for (int i = 0; i < meeting->s->n; i++)
-    assert_string_equal (script_asked (meeting->s, i, id), state);
+  for (int i = 0; i < pair->cluster->n; i++)
+    assert_string_equal (cluster_asked (pair->cluster, i, id), state);
 }
 
 /* The leader's key lapses and the other takes over. Its own calls are held, so that it does not
  * know; the release is the test's. */
 static void
-depose_unaware (Meeting *meeting)
+depose_unaware (ControllerPair *pair)
 {
-  script_hold (meeting->s, meeting->leader, READING, NULL);
-  script_hold (meeting->s, meeting->leader, WATCH, NULL);
-  script_hold (meeting->s, meeting->leader, "/touch", NULL);
-  meeting->s->hints = FALSE;
-  for (int i = 0; i < 200 && script_leader (meeting->s) == meeting->leader; i++)
-    script_run (meeting->s, 0.05);
-  assert_int_equal (script_leader (meeting->s), meeting->other);
-  script_run (meeting->s, 0.5);
+  cluster_hold (pair->cluster, pair->leader, READING, NULL);
+  cluster_hold (pair->cluster, pair->leader, WATCH, NULL);
+  cluster_hold (pair->cluster, pair->leader, "/touch", NULL);
+  pair->cluster->exchange_statuses = FALSE;
+  for (int i = 0; i < 200 && cluster_leader (pair->cluster) == pair->leader; i++)
+    cluster_run (pair->cluster, 0.05);
+  assert_int_equal (cluster_leader (pair->cluster), pair->other);
+  cluster_run (pair->cluster, 0.5);
 }
 
 /* Every try of the user's write gets lost until the user is told something; held readings are
  * refused, so that the node can't learn of the write otherwise. */
 static void
-lose_all (Script *script, int node, const char *text, guint64 request)
+lose_all (Cluster *cluster, int node, const char *text, guint64 request)
 {
-  script_hold (script, node, "/commit", text);
-  for (int i = 0; i < 100 && !script_status (script, node, request); i++) {
-    ScriptCall *call = script_call (script, node, "/commit", text);
-    ScriptCall *reading = script_call (script, node, READING, NULL);
+  cluster_hold (cluster, node, "/commit", text);
+  for (int i = 0; i < 100 && !cluster_status (cluster, node, request); i++) {
+    ClusterCall *call = cluster_call (cluster, node, "/commit", text);
+    ClusterCall *reading = cluster_call (cluster, node, READING, NULL);
     if (call)
-      script_lose (script, call);
+      cluster_lose (cluster, call);
     if (reading && reading->held)
-      script_answer_with (script, reading, 503, "{}");
-    script_run (script, 0.05);
+      cluster_answer_with (cluster, reading, 503, "{}");
+    cluster_run (cluster, 0.05);
   }
 }
 
@@ -75,28 +75,28 @@
 static void
 a_submission_without_answer_is_known_everywhere (void **state G_GNUC_UNUSED)
 {
-  Script *script = script_led (2);
-  Meeting meeting = {script, script_leader (script), 1 - script_leader (script),
-                     NULL}; /* no machine: it waits */
-  script_hold (script, meeting.other, "/commit", NULL);
-  guint64 id = script_submit (script, meeting.other, "job-a", 1);
-  script_tick (script, 0.05);
-  ScriptCall *write = script_call (script, meeting.other, "/commit", "job-a");
-  script_carry_out (script, write);
-  script_release (script);
+  Cluster *cluster = cluster_led (2);
+  ControllerPair pair = {cluster, cluster_leader (cluster), 1 - cluster_leader (cluster),
+                         NULL}; /* no machine: it waits */
+  cluster_hold (cluster, pair.other, "/commit", NULL);
+  guint64 id = cluster_submit (cluster, pair.other, "job-a", 1);
+  cluster_tick (cluster, 0.05);
+  ClusterCall *write = cluster_call (cluster, pair.other, "/commit", "job-a");
+  cluster_carry_out (cluster, write);
+  cluster_release (cluster);
   write->held = TRUE;
-  assert_told (&meeting, "job-a", "queued");
-  script_hold (script, meeting.other, READING, NULL); /* or it would learn of it at once */
-  script_lose (script, write);
-  lose_all (script, meeting.other, "job-a", id);
-  assert_int_equal (script_status (script, meeting.other, id), 503);
-  script_release (script);
-  script_run (script, 1.5);
-  id = script_submit (script, meeting.other, "job-a", 1);
-  script_run (script, 0.3);
-  assert_int_equal (script_status (script, meeting.other, id), 200);
-  assert_string_equal (script_stance (script, meeting.other, id), "queued");
-  script_free (meeting.s);
+  assert_answered (&pair, "job-a", "queued");
+  cluster_hold (cluster, pair.other, READING, NULL); /* or it would learn of it at once */
+  cluster_lose (cluster, write);
+  lose_all (cluster, pair.other, "job-a", id);
+  assert_int_equal (cluster_status (cluster, pair.other, id), 503);
+  cluster_release (cluster);
+  cluster_run (cluster, 1.5);
+  id = cluster_submit (cluster, pair.other, "job-a", 1);
+  cluster_run (cluster, 0.3);
+  assert_int_equal (cluster_status (cluster, pair.other, id), 200);
+  assert_string_equal (cluster_job_state (cluster, pair.other, id), "queued");
+  cluster_free (pair.cluster);
 }
 
 /* Repeated at the same node before that has followed the record: the condition that there is none
@@ -104,64 +104,64 @@
 static void
 a_submission_without_answer_is_repeated (void **state G_GNUC_UNUSED)
 {
-  Meeting meeting_row = meeting ();
-  Script *script = meeting_row.s;
-  script_hold (script, meeting_row.other, "/commit", NULL);
-  script_hold (script, meeting_row.other, READING, NULL);
-  script_hold (script, meeting_row.other, WATCH, NULL);
-  guint64 id = script_submit (script, meeting_row.other, "job-a", 1);
-  script_tick (script, 0.05);
-  ScriptCall *write = script_call (script, meeting_row.other, "/commit", "job-a");
-  script_carry_out (script, write);
-  guint64 revision = script_stamp (script, "h/j/job-a");
-  lose_all (script, meeting_row.other, "job-a", id);
-  assert_int_equal (script_status (script, meeting_row.other, id), 503);
-  guint64 abort = script_abort (script, meeting_row.leader, "job-a");
-  script_run (script, 0.3);
-  assert_string_equal (script_stance (script, meeting_row.leader, abort), "withdrawn");
-  id = script_submit (script, meeting_row.other, "job-a", 2);
-  script_tick (script, 0.05);
-  write = script_call (script, meeting_row.other, "/commit", "job-a");
+  ControllerPair pair = controller_pair ();
+  Cluster *cluster = pair.cluster;
+  cluster_hold (cluster, pair.other, "/commit", NULL);
+  cluster_hold (cluster, pair.other, READING, NULL);
+  cluster_hold (cluster, pair.other, WATCH, NULL);
+  guint64 id = cluster_submit (cluster, pair.other, "job-a", 1);
+  cluster_tick (cluster, 0.05);
+  ClusterCall *write = cluster_call (cluster, pair.other, "/commit", "job-a");
+  cluster_carry_out (cluster, write);
+  guint64 revision = cluster_stamp (cluster, "h/j/job-a");
+  lose_all (cluster, pair.other, "job-a", id);
+  assert_int_equal (cluster_status (cluster, pair.other, id), 503);
+  guint64 abort = cluster_abort (cluster, pair.leader, "job-a");
+  cluster_run (cluster, 0.3);
+  assert_string_equal (cluster_job_state (cluster, pair.leader, abort), "withdrawn");
+  id = cluster_submit (cluster, pair.other, "job-a", 2);
+  cluster_tick (cluster, 0.05);
+  write = cluster_call (cluster, pair.other, "/commit", "job-a");
   assert_non_null (write); /* it knows of none, and tries */
-  script_answer (script, write);
-  assert_int_equal (script_status (script, meeting_row.other, id), 0);
-  script_release (script);
-  script_run (script, 0.3);
-  assert_int_equal (script_status (script, meeting_row.other, id), 200);
-  assert_string_equal (script_stance (script, meeting_row.other, id), "withdrawn");
-  assert_true (script_stamp (script, "h/j/job-a") > revision);
-  script_free (script);
+  cluster_answer (cluster, write);
+  assert_int_equal (cluster_status (cluster, pair.other, id), 0);
+  cluster_release (cluster);
+  cluster_run (cluster, 0.3);
+  assert_int_equal (cluster_status (cluster, pair.other, id), 200);
+  assert_string_equal (cluster_job_state (cluster, pair.other, id), "withdrawn");
+  assert_true (cluster_stamp (cluster, "h/j/job-a") > revision);
+  cluster_free (cluster);
 }
 
 static void
 a_cancellation_without_answer_is_known_everywhere (void **state G_GNUC_UNUSED)
 {
   for (int at_leader = 0; at_leader < 2; at_leader++) {
-    Meeting meeting_row = meeting ();
-    Script *script = meeting_row.s;
-    int node = at_leader ? meeting_row.leader : meeting_row.other;
-    script_place (script, meeting_row.w, meeting_row.leader, "job-a");
-    script_hold (script, node, "/commit", "\"s\":2");
-    guint64 id = script_abort (script, node, "job-a");
-    script_run (script, 0.3);
-    ScriptCall *write = script_call (script, node, "/commit", "\"s\":2");
+    ControllerPair pair = controller_pair ();
+    Cluster *cluster = pair.cluster;
+    int node = at_leader ? pair.leader : pair.other;
+    cluster_place (cluster, pair.worker, pair.leader, "job-a");
+    cluster_hold (cluster, node, "/commit", "\"s\":2");
+    guint64 id = cluster_abort (cluster, node, "job-a");
+    cluster_run (cluster, 0.3);
+    ClusterCall *write = cluster_call (cluster, node, "/commit", "\"s\":2");
     assert_non_null (write);
-    script_carry_out (script, write);
-    script_release (script);
+    cluster_carry_out (cluster, write);
+    cluster_release (cluster);
     write->held = TRUE;
-    assert_told (&meeting_row, "job-a", "withdrawn");
-    script_hold (script, node, READING, NULL);
-    script_lose (script, write);
-    lose_all (script, node, "\"s\":2", id);
-    assert_int_equal (script_status (script, node, id), 503);
-    script_release (script);
-    script_run (script, 1.5);
-    id = script_abort (script, node, "job-a");
-    script_run (script, 0.3);
-    assert_string_equal (script_stance (script, node, id), "withdrawn");
-    script_report (script, meeting_row.w, meeting_row.leader);
-    assert_false (script_worker_has (meeting_row.w, "job-a"));
-    script_free (script);
+    assert_answered (&pair, "job-a", "withdrawn");
+    cluster_hold (cluster, node, READING, NULL);
+    cluster_lose (cluster, write);
+    lose_all (cluster, node, "\"s\":2", id);
+    assert_int_equal (cluster_status (cluster, node, id), 503);
+    cluster_release (cluster);
+    cluster_run (cluster, 1.5);
+    id = cluster_abort (cluster, node, "job-a");
+    cluster_run (cluster, 0.3);
+    assert_string_equal (cluster_job_state (cluster, node, id), "withdrawn");
+    cluster_report (cluster, pair.worker, pair.leader);
+    assert_false (cluster_worker_has (pair.worker, "job-a"));
+    cluster_free (cluster);
   }
 }
 
@@ -171,31 +171,31 @@
 {
   static const char *const wanted[] = {"queued", "withdrawn"};
   for (int carried_out = 0; carried_out < 2; carried_out++) {
-    Script *script = script_led (2);
-    int node = 1 - script_leader (script);
+    Cluster *cluster = cluster_led (2);
+    int node = 1 - cluster_leader (cluster);
     for (int cancels = 0; cancels < 2; cancels++) {
-      script_hold (script, node, "/commit", NULL);
-      guint64 id =
-          cancels ? script_abort (script, node, "job-a") : script_submit (script, node, "job-a", 1);
-      script_run (script, 0.1);
-      ScriptCall *write = script_call (script, node, "/commit", "job-a");
+      cluster_hold (cluster, node, "/commit", NULL);
+      guint64 id = cancels ? cluster_abort (cluster, node, "job-a")
+                           : cluster_submit (cluster, node, "job-a", 1);
+      cluster_run (cluster, 0.1);
+      ClusterCall *write = cluster_call (cluster, node, "/commit", "job-a");
       assert_non_null (write);
       assert_true (write->timeout < 0.21);
       if (carried_out)
-        script_carry_out (script, write);
-      guint64 revision = script_stamp (script, "h/j/job-a");
+        cluster_carry_out (cluster, write);
+      guint64 revision = cluster_stamp (cluster, "h/j/job-a");
       if (!carried_out)
-        script_release (script); /* else a look at the record has to be enough */
-      ScriptCall *late = script_delay (script, write);
-      script_run (script, 0.15);
-      assert_string_equal (script_stance (script, node, id), wanted[cancels]);
+        cluster_release (cluster); /* else a look at the record has to be enough */
+      ClusterCall *late = cluster_delay (cluster, write);
+      cluster_run (cluster, 0.15);
+      assert_string_equal (cluster_job_state (cluster, node, id), wanted[cancels]);
       if (carried_out && !cancels) /* the leader's tombstone follows a cancellation */
-        assert_int_equal (script_stamp (script, "h/j/job-a"), revision);
-      assert_int_equal (script_late (script, late), 409);
-      assert_string_equal (script_asked (script, node, "job-a"), wanted[cancels]);
-      script_release (script);
+        assert_int_equal (cluster_stamp (cluster, "h/j/job-a"), revision);
+      assert_int_equal (cluster_late (cluster, late), 409);
+      assert_string_equal (cluster_asked (cluster, node, "job-a"), wanted[cancels]);
+      cluster_release (cluster);
     }
-    script_free (script);
+    cluster_free (cluster);
   }
 }
 
@@ -204,91 +204,91 @@
 an_assignment_without_answer_is_launched_once (void **state G_GNUC_UNUSED)
 {
   for (int by_reading = 0; by_reading < 2; by_reading++) {
-    Meeting meeting_row = meeting ();
-    Script *script = meeting_row.s;
-    script_hold (script, meeting_row.leader, "/commit", "m-000001");
+    ControllerPair pair = controller_pair ();
+    Cluster *cluster = pair.cluster;
+    cluster_hold (cluster, pair.leader, "/commit", "m-000001");
     if (!by_reading) {
-      script_hold (script, meeting_row.leader, READING, NULL);
-      script_hold (script, meeting_row.leader, WATCH, NULL);
+      cluster_hold (cluster, pair.leader, READING, NULL);
+      cluster_hold (cluster, pair.leader, WATCH, NULL);
     }
-    script_submit (script, meeting_row.leader, "job-a", 1);
-    script_run (script, 0.5);
-    ScriptCall *write = script_call (script, meeting_row.leader, "/commit", "m-000001");
+    cluster_submit (cluster, pair.leader, "job-a", 1);
+    cluster_run (cluster, 0.5);
+    ClusterCall *write = cluster_call (cluster, pair.leader, "/commit", "m-000001");
     assert_non_null (write);
-    script_carry_out (script, write);
-    guint64 revision = script_stamp (script, "h/j/job-a");
-    script_run (script, 0.5);
+    cluster_carry_out (cluster, write);
+    guint64 revision = cluster_stamp (cluster, "h/j/job-a");
+    cluster_run (cluster, 0.5);
     if (by_reading) /* it has read its own tag */
-      assert_true (script_worker_has (meeting_row.w, "job-a"));
+      assert_true (cluster_worker_has (pair.worker, "job-a"));
     else
-      assert_false (script_worker_has (meeting_row.w, "job-a"));
-    script_lose (script, write);
+      assert_false (cluster_worker_has (pair.worker, "job-a"));
+    cluster_lose (cluster, write);
     if (!by_reading) { /* sent again, and refused: it looks before it writes anything else */
-      script_run (script, 0.2);
-      write = script_call (script, meeting_row.leader, "/commit", "m-000001");
+      cluster_run (cluster, 0.2);
+      write = cluster_call (cluster, pair.leader, "/commit", "m-000001");
       assert_non_null (write);
-      script_answer (script, write);
-      script_run (script, 0.5);
-      assert_null (script_call (script, meeting_row.leader, "/commit", "m-000001"));
+      cluster_answer (cluster, write);
+      cluster_run (cluster, 0.5);
+      assert_null (cluster_call (cluster, pair.leader, "/commit", "m-000001"));
     }
-    script_release (script);
-    script_run (script, 1);
-    script_report (script, meeting_row.w, meeting_row.leader);
-    assert_true (script_worker_has (meeting_row.w, "job-a"));
-    assert_int_equal (meeting_row.w->tasks->len, 1);
-    assert_int_equal (script_stamp (script, "h/j/job-a"), revision);
-    script_free (script);
+    cluster_release (cluster);
+    cluster_run (cluster, 1);
+    cluster_report (cluster, pair.worker, pair.leader);
+    assert_true (cluster_worker_has (pair.worker, "job-a"));
+    assert_int_equal (pair.worker->tasks->len, 1);
+    assert_int_equal (cluster_stamp (cluster, "h/j/job-a"), revision);
+    cluster_free (cluster);
   }
 }
 
 /* The tombstone of a job that is done: told as soon as it is read, and written once. */
 static void
-a_tombstone_without_answer_is_told (void **state G_GNUC_UNUSED)
+a_tombstone_without_answer_is_reported (void **state G_GNUC_UNUSED)
 {
-  Meeting meeting_row = meeting ();
-  Script *script = meeting_row.s;
-  script_place (script, meeting_row.w, meeting_row.leader, "job-a");
-  script_hold (script, meeting_row.leader, "/commit", "\"s\":1");
-  script_worker_ends (meeting_row.w, "done");
-  script_report (script, meeting_row.w, meeting_row.leader);
-  script_run (script, 0.5);
-  ScriptCall *write = script_call (script, meeting_row.leader, "/commit", "\"s\":1");
+  ControllerPair pair = controller_pair ();
+  Cluster *cluster = pair.cluster;
+  cluster_place (cluster, pair.worker, pair.leader, "job-a");
+  cluster_hold (cluster, pair.leader, "/commit", "\"s\":1");
+  cluster_worker_ends (pair.worker, "done");
+  cluster_report (cluster, pair.worker, pair.leader);
+  cluster_run (cluster, 0.5);
+  ClusterCall *write = cluster_call (cluster, pair.leader, "/commit", "\"s\":1");
   assert_non_null (write);
   for (int i = 0; i < 2; i++) /* done in the leader's memory alone */
-    assert_string_not_equal (script_asked (script, i, "job-a"), "done");
-  script_carry_out (script, write);
-  guint64 revision = script_stamp (script, "h/j/job-a");
-  assert_string_equal (script_asked (script, meeting_row.other, "job-a"), "done");
-  assert_string_equal (script_asked (script, meeting_row.leader, "job-a"), "done");
-  script_lose (script, write);
-  script_release (script);
-  script_run (script, 1);
-  assert_told (&meeting_row, "job-a", "done");
-  assert_int_equal (script_stamp (script, "h/j/job-a"), revision);
-  script_free (script);
+    assert_string_not_equal (cluster_asked (cluster, i, "job-a"), "done");
+  cluster_carry_out (cluster, write);
+  guint64 revision = cluster_stamp (cluster, "h/j/job-a");
+  assert_string_equal (cluster_asked (cluster, pair.other, "job-a"), "done");
+  assert_string_equal (cluster_asked (cluster, pair.leader, "job-a"), "done");
+  cluster_lose (cluster, write);
+  cluster_release (cluster);
+  cluster_run (cluster, 1);
+  assert_answered (&pair, "job-a", "done");
+  assert_int_equal (cluster_stamp (cluster, "h/j/job-a"), revision);
+  cluster_free (cluster);
 }
 
 /* The leader record is written, and nobody tells the writer: what it reads decides. */
 static void
 an_election_without_answer_is_read (void **state G_GNUC_UNUSED)
 {
-  Script *script = script_new (2);
-  script_hold (script, 0, "/commit", "h/leader");
-  script_hold (script, 1, "/commit", "h/leader");
-  for (int i = 0; i < 100 && !script_call (script, 0, "/commit", "h/leader"); i++)
-    script_run (script, 0.05);
-  ScriptCall *write = script_call (script, 0, "/commit", "h/leader");
+  Cluster *cluster = cluster_new (2);
+  cluster_hold (cluster, 0, "/commit", "h/leader");
+  cluster_hold (cluster, 1, "/commit", "h/leader");
+  for (int i = 0; i < 100 && !cluster_call (cluster, 0, "/commit", "h/leader"); i++)
+    cluster_run (cluster, 0.05);
+  ClusterCall *write = cluster_call (cluster, 0, "/commit", "h/leader");
   assert_non_null (write);
-  script_carry_out (script, write);
-  script_run (script, 0.2);
-  script_lose (script, write);
-  script_release (script);
-  script_run (script, 3);
-  assert_int_equal (script_leader (script), 0);
-  ScriptWorker *worker = script_worker (script, "m-000001");
-  assert_int_equal (script_report (script, worker, 0), 200);
-  assert_int_equal (script_report (script, worker, 1), 421);
-  script_free (script);
+  cluster_carry_out (cluster, write);
+  cluster_run (cluster, 0.2);
+  cluster_lose (cluster, write);
+  cluster_release (cluster);
+  cluster_run (cluster, 3);
+  assert_int_equal (cluster_leader (cluster), 0);
+  ClusterWorker *worker = cluster_worker (cluster, "m-000001");
+  assert_int_equal (cluster_report (cluster, worker, 0), 200);
+  assert_int_equal (cluster_report (cluster, worker, 1), 421);
+  cluster_free (cluster);
 }
 
 /* ---- carried out late, after newer ones of the same controller ---- */
@@ -297,94 +297,94 @@
 static void
 a_late_submission_does_not_bring_a_job_back (void **state G_GNUC_UNUSED)
 {
-  Meeting meeting_row = meeting ();
-  Script *script = meeting_row.s;
-  script_hold (script, meeting_row.other, "/commit", NULL);
-  script_submit (script, meeting_row.other, "job-a", 1);
-  script_tick (script, 0.05);
-  ScriptCall *late =
-      script_delay (script, script_call (script, meeting_row.other, "/commit", "job-a"));
-  script_release (script);
-  script_place (script, meeting_row.w, meeting_row.other,
-                "job-a"); /* by the next try, and by a repetition */
-  script_worker_ends (meeting_row.w, "done");
-  script_report (script, meeting_row.w, meeting_row.leader);
-  script_run (script, 1);
-  assert_told (&meeting_row, "job-a", "done");
-  assert_int_equal (script_late (script, late), 409);
-  script_run (script, 1);
-  assert_told (&meeting_row, "job-a", "done");
-  script_free (script);
+  ControllerPair pair = controller_pair ();
+  Cluster *cluster = pair.cluster;
+  cluster_hold (cluster, pair.other, "/commit", NULL);
+  cluster_submit (cluster, pair.other, "job-a", 1);
+  cluster_tick (cluster, 0.05);
+  ClusterCall *late =
+      cluster_delay (cluster, cluster_call (cluster, pair.other, "/commit", "job-a"));
+  cluster_release (cluster);
+  cluster_place (cluster, pair.worker, pair.other,
+                 "job-a"); /* by the next try, and by a repetition */
+  cluster_worker_ends (pair.worker, "done");
+  cluster_report (cluster, pair.worker, pair.leader);
+  cluster_run (cluster, 1);
+  assert_answered (&pair, "job-a", "done");
+  assert_int_equal (cluster_late (cluster, late), 409);
+  cluster_run (cluster, 1);
+  assert_answered (&pair, "job-a", "done");
+  cluster_free (cluster);
 }
 
 /* The cancellation that nobody confirmed comes after the job is done. */
 static void
 a_late_cancellation_does_not_undo_an_end (void **state G_GNUC_UNUSED)
 {
-  Meeting meeting_row = meeting ();
-  Script *script = meeting_row.s;
-  script_place (script, meeting_row.w, meeting_row.leader, "job-a");
-  script_hold (script, meeting_row.other, "/commit", NULL);
-  guint64 id = script_abort (script, meeting_row.other, "job-a");
-  script_run (script, 0.3);
-  ScriptCall *late =
-      script_delay (script, script_call (script, meeting_row.other, "/commit", "job-a"));
-  lose_all (script, meeting_row.other, "job-a", id);
-  assert_int_equal (script_status (script, meeting_row.other, id), 503);
-  script_release (script);
-  script_worker_ends (meeting_row.w, "done");
-  script_report (script, meeting_row.w, meeting_row.leader);
-  script_run (script, 1);
-  assert_told (&meeting_row, "job-a", "done");
-  assert_int_equal (script_late (script, late), 409);
-  script_run (script, 1);
-  assert_told (&meeting_row, "job-a", "done");
-  script_free (script);
+  ControllerPair pair = controller_pair ();
+  Cluster *cluster = pair.cluster;
+  cluster_place (cluster, pair.worker, pair.leader, "job-a");
+  cluster_hold (cluster, pair.other, "/commit", NULL);
+  guint64 id = cluster_abort (cluster, pair.other, "job-a");
+  cluster_run (cluster, 0.3);
+  ClusterCall *late =
+      cluster_delay (cluster, cluster_call (cluster, pair.other, "/commit", "job-a"));
+  lose_all (cluster, pair.other, "job-a", id);
+  assert_int_equal (cluster_status (cluster, pair.other, id), 503);
+  cluster_release (cluster);
+  cluster_worker_ends (pair.worker, "done");
+  cluster_report (cluster, pair.worker, pair.leader);
+  cluster_run (cluster, 1);
+  assert_answered (&pair, "job-a", "done");
+  assert_int_equal (cluster_late (cluster, late), 409);
+  cluster_run (cluster, 1);
+  assert_answered (&pair, "job-a", "done");
+  cluster_free (cluster);
 }
 
 /* An assignment of a leader that another has followed: neither recorded nor launched. */
 static void
 a_late_assignment_of_a_former_leader_fails (void **state G_GNUC_UNUSED)
 {
-  Meeting meeting_row = meeting ();
-  Script *script = meeting_row.s;
-  script_hold (script, meeting_row.leader, "/commit", "m-000001");
-  script_submit (script, meeting_row.leader, "job-a", 1);
-  script_run (script, 0.5);
-  ScriptCall *write = script_call (script, meeting_row.leader, "/commit", "m-000001");
+  ControllerPair pair = controller_pair ();
+  Cluster *cluster = pair.cluster;
+  cluster_hold (cluster, pair.leader, "/commit", "m-000001");
+  cluster_submit (cluster, pair.leader, "job-a", 1);
+  cluster_run (cluster, 0.5);
+  ClusterCall *write = cluster_call (cluster, pair.leader, "/commit", "m-000001");
   assert_non_null (write);
-  depose_unaware (&meeting_row);
-  guint64 revision = script_stamp (script, "h/j/job-a");
-  script_carry_out (script, write);
+  depose_unaware (&pair);
+  guint64 revision = cluster_stamp (cluster, "h/j/job-a");
+  cluster_carry_out (cluster, write);
   assert_int_equal (write->status, 409);
-  assert_int_equal (script_stamp (script, "h/j/job-a"), revision);
-  script_free (script);
+  assert_int_equal (cluster_stamp (cluster, "h/j/job-a"), revision);
+  cluster_free (cluster);
 }
 
 /* The tombstone of a former leader comes late, after another has seen the task end too. */
 static void
 a_late_tombstone_of_a_former_leader_fails (void **state G_GNUC_UNUSED)
 {
-  Meeting meeting_row = meeting ();
-  Script *script = meeting_row.s;
-  script_place (script, meeting_row.w, meeting_row.leader, "job-a");
-  script_hold (script, meeting_row.leader, "/commit", "\"s\":1");
-  script_worker_ends (meeting_row.w, "done");
-  script_report (script, meeting_row.w, meeting_row.leader);
-  script_run (script, 0.5);
-  ScriptCall *write = script_call (script, meeting_row.leader, "/commit", "\"s\":1");
+  ControllerPair pair = controller_pair ();
+  Cluster *cluster = pair.cluster;
+  cluster_place (cluster, pair.worker, pair.leader, "job-a");
+  cluster_hold (cluster, pair.leader, "/commit", "\"s\":1");
+  cluster_worker_ends (pair.worker, "done");
+  cluster_report (cluster, pair.worker, pair.leader);
+  cluster_run (cluster, 0.5);
+  ClusterCall *write = cluster_call (cluster, pair.leader, "/commit", "\"s\":1");
   assert_non_null (write);
-  depose_unaware (&meeting_row);
-  guint64 abort = script_abort (script, meeting_row.other, "job-a");
-  script_run (script, 0.3);
-  assert_string_equal (script_stance (script, meeting_row.other, abort), "withdrawn");
-  script_carry_out (script, write);
+  depose_unaware (&pair);
+  guint64 abort = cluster_abort (cluster, pair.other, "job-a");
+  cluster_run (cluster, 0.3);
+  assert_string_equal (cluster_job_state (cluster, pair.other, abort), "withdrawn");
+  cluster_carry_out (cluster, write);
   assert_int_equal (write->status, 409);
-  script_release (script);
-  script->hints = TRUE;
-  script_run (script, 2);
-  assert_told (&meeting_row, "job-a", "withdrawn");
-  script_free (script);
+  cluster_release (cluster);
+  cluster->exchange_statuses = TRUE;
+  cluster_run (cluster, 2);
+  assert_answered (&pair, "job-a", "withdrawn");
+  cluster_free (cluster);
 }
 
 /* A leader's writes of the leader record and of its key: late, after another leads; and with a
@@ -392,34 +392,34 @@
 static void
 a_late_election_changes_nothing (void **state G_GNUC_UNUSED)
 {
-  Meeting meeting_row = meeting ();
-  Script *script = meeting_row.s;
+  ControllerPair pair = controller_pair ();
+  Cluster *cluster = pair.cluster;
   /* The other stands once, unheard; then the leader's key lapses, and it stands again. */
-  script_hold (script, meeting_row.leader, "/touch", NULL);
-  script_hold (script, meeting_row.leader, "/commit", "h/leader");
-  script_hold (script, meeting_row.other, "/commit", "h/leader");
-  for (int i = 0; i < 200 && !script_call (script, meeting_row.other, "/commit", "h/leader"); i++)
-    script_run (script, 0.05);
-  ScriptCall *late =
-      script_delay (script, script_call (script, meeting_row.other, "/commit", "h/leader"));
-  for (int i = 0; i < 200 && !script_call (script, meeting_row.other, "/commit", "h/leader"); i++)
-    script_run (script, 0.05);
-  ScriptCall *later =
-      script_delay (script, script_call (script, meeting_row.other, "/commit", "h/leader"));
-  script_release (script);
-  for (int i = 0; i < 200 && script_leader (script) != meeting_row.other; i++)
-    script_run (script, 0.05);
-  guint64 map = script_stamp (script, "h/map");
-  assert_int_equal (script_late (script, late), 409);
-  assert_int_equal (script_stamp (script, "h/map"), map);
+  cluster_hold (cluster, pair.leader, "/touch", NULL);
+  cluster_hold (cluster, pair.leader, "/commit", "h/leader");
+  cluster_hold (cluster, pair.other, "/commit", "h/leader");
+  for (int i = 0; i < 200 && !cluster_call (cluster, pair.other, "/commit", "h/leader"); i++)
+    cluster_run (cluster, 0.05);
+  ClusterCall *late =
+      cluster_delay (cluster, cluster_call (cluster, pair.other, "/commit", "h/leader"));
+  for (int i = 0; i < 200 && !cluster_call (cluster, pair.other, "/commit", "h/leader"); i++)
+    cluster_run (cluster, 0.05);
+  ClusterCall *later =
+      cluster_delay (cluster, cluster_call (cluster, pair.other, "/commit", "h/leader"));
+  cluster_release (cluster);
+  for (int i = 0; i < 200 && cluster_leader (cluster) != pair.other; i++)
+    cluster_run (cluster, 0.05);
+  guint64 map = cluster_stamp (cluster, "h/map");
+  assert_int_equal (cluster_late (cluster, late), 409);
+  assert_int_equal (cluster_stamp (cluster, "h/map"), map);
   /* The process ends; its claim lapses; its write comes then. */
-  script_end (script, meeting_row.other);
-  script_hold (script, meeting_row.leader, "/commit", "h/leader");
-  script_run (script, 10);
-  assert_null (script_value (script, "h/leader"));
-  assert_int_equal (script_late (script, later), 400);
-  assert_null (script_value (script, "h/leader"));
-  script_free (script);
+  cluster_end (cluster, pair.other);
+  cluster_hold (cluster, pair.leader, "/commit", "h/leader");
+  cluster_run (cluster, 10);
+  assert_null (cluster_value (cluster, "h/leader"));
+  assert_int_equal (cluster_late (cluster, later), 400);
+  assert_null (cluster_value (cluster, "h/leader"));
+  cluster_free (cluster);
 }
 
 /* ---- a cancellation at the end of the last task ---- */
@@ -430,40 +430,40 @@
 {
   for (int variant = 0; variant < 4; variant++) {
     gboolean at_leader = variant & 1, end_first = variant & 2;
-    Meeting meeting_row = meeting ();
-    Script *script = meeting_row.s;
-    int node = at_leader ? meeting_row.leader : meeting_row.other;
-    script_place (script, meeting_row.w, meeting_row.leader, "job-a");
-    script_hold (script, meeting_row.leader, "/commit", "\"s\":1");
-    script_hold (script, node, "/commit", "\"s\":2");
-    script_worker_ends (meeting_row.w, "done");
-    script_report (script, meeting_row.w, meeting_row.leader);
-    guint64 abort = script_abort (script, node, "job-a");
-    script_run (script, 0.5);
-    ScriptCall *end = script_call (script, meeting_row.leader, "/commit", "\"s\":1");
-    ScriptCall *withdrawal = script_call (script, node, "/commit", "\"s\":2");
+    ControllerPair pair = controller_pair ();
+    Cluster *cluster = pair.cluster;
+    int node = at_leader ? pair.leader : pair.other;
+    cluster_place (cluster, pair.worker, pair.leader, "job-a");
+    cluster_hold (cluster, pair.leader, "/commit", "\"s\":1");
+    cluster_hold (cluster, node, "/commit", "\"s\":2");
+    cluster_worker_ends (pair.worker, "done");
+    cluster_report (cluster, pair.worker, pair.leader);
+    guint64 abort = cluster_abort (cluster, node, "job-a");
+    cluster_run (cluster, 0.5);
+    ClusterCall *end = cluster_call (cluster, pair.leader, "/commit", "\"s\":1");
+    ClusterCall *cancellation = cluster_call (cluster, node, "/commit", "\"s\":2");
     assert_non_null (end);
-    assert_non_null (withdrawal);
-    script_carry_out (script, end_first ? end : withdrawal);
-    script_carry_out (script, end_first ? withdrawal : end);
-    assert_int_equal (end_first ? withdrawal->status : end->status, 409);
-    guint64 poll = script_poll (script, meeting_row.other, "job-a"),
-            again = script_submit (script, node, "job-a", 1);
-    script_run (script, 0.3);
-    const char *stance = end_first ? "done" : "withdrawn";
-    assert_string_equal (script_stance (script, meeting_row.other, poll), stance);
-    assert_string_equal (script_stance (script, node, again), stance);
-    script_answer (script, end);
-    script_answer (script, withdrawal);
-    script_release (script);
-    script_run (script, 1);
-    assert_string_equal (script_stance (script, node, abort), stance);
-    assert_told (&meeting_row, "job-a", stance);
-    script_report (script, meeting_row.w, meeting_row.leader);
-    script_report (script, meeting_row.w, meeting_row.leader);
-    script_run (script, 1);
-    assert_told (&meeting_row, "job-a", stance);
-    script_free (script);
+    assert_non_null (cancellation);
+    cluster_carry_out (cluster, end_first ? end : cancellation);
+    cluster_carry_out (cluster, end_first ? cancellation : end);
+    assert_int_equal (end_first ? cancellation->status : end->status, 409);
+    guint64 poll = cluster_poll (cluster, pair.other, "job-a"),
+            again = cluster_submit (cluster, node, "job-a", 1);
+    cluster_run (cluster, 0.3);
+    const char *job_state = end_first ? "done" : "withdrawn";
+    assert_string_equal (cluster_job_state (cluster, pair.other, poll), job_state);
+    assert_string_equal (cluster_job_state (cluster, node, again), job_state);
+    cluster_answer (cluster, end);
+    cluster_answer (cluster, cancellation);
+    cluster_release (cluster);
+    cluster_run (cluster, 1);
+    assert_string_equal (cluster_job_state (cluster, node, abort), job_state);
+    assert_answered (&pair, "job-a", job_state);
+    cluster_report (cluster, pair.worker, pair.leader);
+    cluster_report (cluster, pair.worker, pair.leader);
+    cluster_run (cluster, 1);
+    assert_answered (&pair, "job-a", job_state);
+    cluster_free (cluster);
   }
 }
 
@@ -472,19 +472,19 @@
 a_cancellation_stops_the_tasks (void **state G_GNUC_UNUSED)
 {
   for (int at_leader = 0; at_leader < 2; at_leader++) {
-    Meeting meeting_row = meeting ();
-    Script *script = meeting_row.s;
-    int node = at_leader ? meeting_row.leader : meeting_row.other;
-    script_place (script, meeting_row.w, meeting_row.leader, "job-a");
-    guint64 abort = script_abort (script, node, "job-a");
-    script_run (script, 0.5);
-    assert_string_equal (script_stance (script, node, abort), "withdrawn");
-    assert_false (script_worker_has (meeting_row.w, "job-a"));
-    script_report (script, meeting_row.w, meeting_row.leader);
-    script_report (script, meeting_row.w, meeting_row.leader);
-    script_run (script, 1);
-    assert_non_null (strstr (script_value (script, "h/j/job-a"), "\"n\":1")); /* the tombstone */
-    script_free (script);
+    ControllerPair pair = controller_pair ();
+    Cluster *cluster = pair.cluster;
+    int node = at_leader ? pair.leader : pair.other;
+    cluster_place (cluster, pair.worker, pair.leader, "job-a");
+    guint64 abort = cluster_abort (cluster, node, "job-a");
+    cluster_run (cluster, 0.5);
+    assert_string_equal (cluster_job_state (cluster, node, abort), "withdrawn");
+    assert_false (cluster_worker_has (pair.worker, "job-a"));
+    cluster_report (cluster, pair.worker, pair.leader);
+    cluster_report (cluster, pair.worker, pair.leader);
+    cluster_run (cluster, 1);
+    assert_non_null (strstr (cluster_value (cluster, "h/j/job-a"), "\"n\":1")); /* the tombstone */
+    cluster_free (cluster);
   }
 }
 
@@ -495,74 +495,73 @@
 static void
 a_former_leader_confirms_a_cancellation (void **state G_GNUC_UNUSED)
 {
-  Meeting meeting_row = meeting ();
-  Script *script = meeting_row.s;
-  script_place (script, meeting_row.w, meeting_row.leader, "job-a");
-  depose_unaware (&meeting_row);
-  assert_int_equal (script_report (script, meeting_row.w, meeting_row.other), 200);
-  assert_int_equal (script_report (script, meeting_row.w, meeting_row.other), 200);
-  assert_true (script_worker_has (meeting_row.w, "job-a"));
-  guint64 abort = script_abort (script, meeting_row.leader, "job-a");
-  script_tick (script, 0.05); /* one reading of its own, which does not bring the leader record */
-  ScriptCall *reading = script_call (script, meeting_row.leader, READING, NULL);
+  ControllerPair pair = controller_pair ();
+  Cluster *cluster = pair.cluster;
+  cluster_place (cluster, pair.worker, pair.leader, "job-a");
+  depose_unaware (&pair);
+  assert_int_equal (cluster_report (cluster, pair.worker, pair.other), 200);
+  assert_int_equal (cluster_report (cluster, pair.worker, pair.other), 200);
+  assert_true (cluster_worker_has (pair.worker, "job-a"));
+  guint64 abort = cluster_abort (cluster, pair.leader, "job-a");
+  cluster_tick (cluster, 0.05); /* one reading of its own, which does not bring the leader record */
+  ClusterCall *reading = cluster_call (cluster, pair.leader, READING, NULL);
   g_autofree char *nothing = g_strdup_printf ("{\"epoch\":0,\"log\":[]}");
-  script_answer_with (script, reading, 200, nothing);
-  script_run (script, 0.3);
-  if (!script_status (script, meeting_row.leader, abort)) {
-    script_tick (script, 0.05);
-    script_answer_with (script, script_call (script, meeting_row.leader, READING, NULL), 200,
-                        nothing);
-    script_run (script, 0.3);
+  cluster_answer_with (cluster, reading, 200, nothing);
+  cluster_run (cluster, 0.3);
+  if (!cluster_status (cluster, pair.leader, abort)) {
+    cluster_tick (cluster, 0.05);
+    cluster_answer_with (cluster, cluster_call (cluster, pair.leader, READING, NULL), 200, nothing);
+    cluster_run (cluster, 0.3);
   }
-  assert_string_equal (script_stance (script, meeting_row.leader, abort), "withdrawn");
-  script_run (script, 0.5);
-  script_report (script, meeting_row.w, meeting_row.other);
-  assert_false (script_worker_has (meeting_row.w, "job-a"));
-  script->hints = TRUE;
-  script_release (script);
-  script_run (script, 2);
-  assert_told (&meeting_row, "job-a", "withdrawn");
-  script_free (script);
+  assert_string_equal (cluster_job_state (cluster, pair.leader, abort), "withdrawn");
+  cluster_run (cluster, 0.5);
+  cluster_report (cluster, pair.worker, pair.other);
+  assert_false (cluster_worker_has (pair.worker, "job-a"));
+  cluster->exchange_statuses = TRUE;
+  cluster_release (cluster);
+  cluster_run (cluster, 2);
+  assert_answered (&pair, "job-a", "withdrawn");
+  cluster_free (cluster);
 }
 
 /* Confirmed after the leader record was written and before the new leader has read it. */
 static void
 a_cancellation_falls_into_the_hand_over (void **state G_GNUC_UNUSED)
 {
-  Script *script = script_led (3);
-  int old = script_leader (script);
-  ScriptWorker *worker = script_worker (script, "m-000001");
-  script_report (script, worker, old);
-  script_report (script, worker, old);
-  script_place (script, worker, old, "job-a");
+  Cluster *cluster = cluster_led (3);
+  int old = cluster_leader (cluster);
+  ClusterWorker *worker = cluster_worker (cluster, "m-000001");
+  cluster_report (cluster, worker, old);
+  cluster_report (cluster, worker, old);
+  cluster_place (cluster, worker, old, "job-a");
   for (int i = 0; i < 3; i++)
-    script_hold (script, i, "/commit", "h/leader");
-  script_end (script, old);
+    cluster_hold (cluster, i, "/commit", "h/leader");
+  cluster_end (cluster, old);
   int next = -1;
   for (int i = 0; i < 400 && next < 0; i++) {
-    script_run (script, 0.05);
+    cluster_run (cluster, 0.05);
     for (int k = 0; k < 3; k++)
-      if (k != old && script_call (script, k, "/commit", "h/leader"))
+      if (k != old && cluster_call (cluster, k, "/commit", "h/leader"))
         next = k;
   }
   int third = 3 - old - next;
-  script_hold (script, next, READING, NULL);
-  script_hold (script, next, WATCH, NULL);
-  ScriptCall *write = script_call (script, next, "/commit", "h/leader");
-  script_carry_out (script, write);
-  guint64 abort = script_abort (script, third, "job-a");
-  script_run (script, 0.3);
-  assert_string_equal (script_stance (script, third, abort), "withdrawn");
-  script_answer (script, write);
-  script_release (script);
-  script_run (script, 1);
-  assert_int_equal (script_leader (script), next);
+  cluster_hold (cluster, next, READING, NULL);
+  cluster_hold (cluster, next, WATCH, NULL);
+  ClusterCall *write = cluster_call (cluster, next, "/commit", "h/leader");
+  cluster_carry_out (cluster, write);
+  guint64 abort = cluster_abort (cluster, third, "job-a");
+  cluster_run (cluster, 0.3);
+  assert_string_equal (cluster_job_state (cluster, third, abort), "withdrawn");
+  cluster_answer (cluster, write);
+  cluster_release (cluster);
+  cluster_run (cluster, 1);
+  assert_int_equal (cluster_leader (cluster), next);
   for (int i = 0; i < 3; i++)
-    script_report (script, worker, next);
-  assert_false (script_worker_has (worker, "job-a"));
-  script_run (script, 1);
-  assert_string_equal (script_asked (script, next, "job-a"), "withdrawn");
-  script_free (script);
+    cluster_report (cluster, worker, next);
+  assert_false (cluster_worker_has (worker, "job-a"));
+  cluster_run (cluster, 1);
+  assert_string_equal (cluster_asked (cluster, next, "job-a"), "withdrawn");
+  cluster_free (cluster);
 }
 
 /* The changes since the leader's last reading are gone: it reads anew and has forgotten which of
@@ -571,32 +570,32 @@
 static void
 a_leader_that_reads_anew_voids_its_orders (void **state G_GNUC_UNUSED)
 {
-  Meeting meeting_row = meeting ();
-  Script *script = meeting_row.s;
-  ScriptWorker *other = script_worker (script, "m-000002");
-  script_hold (script, meeting_row.leader, "/do", NULL);
-  script_submit (script, meeting_row.other, "job-a", 1);
-  script_run (script, 0.5);
-  ScriptCall *order = script_call (script, meeting_row.leader, "/do", "job-a");
+  ControllerPair pair = controller_pair ();
+  Cluster *cluster = pair.cluster;
+  ClusterWorker *other = cluster_worker (cluster, "m-000002");
+  cluster_hold (cluster, pair.leader, "/do", NULL);
+  cluster_submit (cluster, pair.other, "job-a", 1);
+  cluster_run (cluster, 0.5);
+  ClusterCall *order = cluster_call (cluster, pair.leader, "/do", "job-a");
   assert_non_null (order); /* still on its way */
-  script_hold (script, meeting_row.leader, READING, NULL);
-  script_hold (script, meeting_row.leader, WATCH, NULL);
-  script_tick (script, 1.1);
-  script_submit (script, meeting_row.other, "job-b", 1); /* so that there is a change to miss */
-  script_serve (script);
-  script_forget_changes (script);
-  script_answer (script, script_call (script, meeting_row.leader, READING, NULL));
-  script_release (script);
+  cluster_hold (cluster, pair.leader, READING, NULL);
+  cluster_hold (cluster, pair.leader, WATCH, NULL);
+  cluster_tick (cluster, 1.1);
+  cluster_submit (cluster, pair.other, "job-b", 1); /* so that there is a change to miss */
+  cluster_serve (cluster);
+  cluster_forget_changes (cluster);
+  cluster_answer (cluster, cluster_call (cluster, pair.leader, READING, NULL));
+  cluster_release (cluster);
   order->held = TRUE;
   for (int i = 0; i < 40; i++) {
-    script_run (script, 0.5);
-    int leader = script_leader (script);
-    if (script_report (script, meeting_row.w, leader) == 200 && i > 2)
-      script_report (script, other, leader);
+    cluster_run (cluster, 0.5);
+    int leader = cluster_leader (cluster);
+    if (cluster_report (cluster, pair.worker, leader) == 200 && i > 2)
+      cluster_report (cluster, other, leader);
   }
-  assert_true (script_worker_has (meeting_row.w, "job-a") || script_worker_has (other, "job-a"));
-  assert_int_equal (script_direct (meeting_row.w, order), 409);
-  script_free (script);
+  assert_true (cluster_worker_has (pair.worker, "job-a") || cluster_worker_has (other, "job-a"));
+  assert_int_equal (cluster_direct (pair.worker, order), 409);
+  cluster_free (cluster);
 }
 
 int
@@ -608,7 +607,7 @@
       cmocka_unit_test (a_cancellation_without_answer_is_known_everywhere),
       cmocka_unit_test (a_lost_answer_costs_a_moment),
       cmocka_unit_test (an_assignment_without_answer_is_launched_once),
-      cmocka_unit_test (a_tombstone_without_answer_is_told),
+      cmocka_unit_test (a_tombstone_without_answer_is_reported),
       cmocka_unit_test (an_election_without_answer_is_read),
       cmocka_unit_test (a_late_submission_does_not_bring_a_job_back),
       cmocka_unit_test (a_late_cancellation_does_not_undo_an_end),
@@ -621,6 +620,6 @@
       cmocka_unit_test (a_cancellation_falls_into_the_hand_over),
       cmocka_unit_test (a_leader_that_reads_anew_voids_its_orders),
   };
-  g_log_set_writer_func (script_log, NULL, NULL);
+  g_log_set_writer_func (cluster_log, NULL, NULL);
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
