--- a/src/emulator/balancer.c
+++ b/src/emulator/balancer.c
@@ -1,6 +1,9 @@
 #include "emulator/balancer.h"
 #include "emulator/control.h"
 #include "protocol/json_util.h"
+#include "sim/answer_checks.h"
+#include "sim/external_jobs.h"
+#include "sim/user.h"
 #include <string.h>
 
 #define PROBE_EVERY_S 1.0
--- a/src/emulator/control.c
+++ b/src/emulator/control.c
@@ -1,5 +1,7 @@
 #include "emulator/control.h"
 #include "protocol/json_util.h"
+#include "sim/user.h"
+#include "sim/worker.h"
 #include <string.h>
 
 static void
--- a/src/emulator/main.c
+++ b/src/emulator/main.c
@@ -4,6 +4,8 @@
 #include "emulator/balancer.h"
 #include "emulator/control.h"
 #include "protocol/json_util.h"
+#include "sim/log.h"
+#include "sim/user.h"
 #include <glib-unix.h>
 #include <signal.h>
 #include <stdio.h>
--- a/src/emulator/wire.c
+++ b/src/emulator/wire.c
@@ -1,6 +1,7 @@
 /* HTTP between the controllers and the stand-ins: a request of either side becomes a message of the
  * world, where troubles meet it, and what the world delivers goes out as the real thing. */
 #include "emulator/live.h"
+#include "sim/request.h"
 #include <string.h>
 
 /* No call of a controller waits longer than this: its watches are the longest. */
--- a/tests/fault_scenarios.h
+++ b/tests/fault_scenarios.h
@@ -1,6 +1,7 @@
 /* What the programs of meetings share: the seeds that a day is played with, and the parts. */
 #pragma once
 #include "sim/fault_scenario.h"
+#include "sim/log.h"
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
--- a/tests/sim/answer_checks.c
+++ b/tests/sim/answer_checks.c
@@ -1,7 +1,11 @@
 /* What users are told. One clock counts every question that leaves and every answer that
  * arrives, whoever asks and whichever controller answers: an answer to a question that left
  * after another answer had arrived must not be older than that one. */
+#include "sim/answer_checks.h"
+#include "sim/invariant_checks.h"
 #include "sim/pipeline.h"
+#include "sim/trouble_hooks.h"
+#include "sim/user.h"
 #include "sim/world.h"
 #include <string.h>
 
--- a/tests/sim/cloud.c
+++ b/tests/sim/cloud.c
@@ -1,4 +1,9 @@
 /* A stand-in for the cloud: rentals by name, late lists, boots that fail. */
+#include "sim/cloud.h"
+#include "sim/request.h"
+#include "sim/store.h"
+#include "sim/trouble_hooks.h"
+#include "sim/worker.h"
 #include "sim/world.h"
 #include "protocol/json_util.h"
 #include <string.h>
--- a/tests/sim/external_jobs.c
+++ b/tests/sim/external_jobs.c
@@ -1,4 +1,6 @@
 /* Jobs of users outside this process: the stand-ins learn of them as they are submitted. */
+#include "sim/external_jobs.h"
+#include "sim/user.h"
 #include "sim/world.h"
 #include "protocol/json_util.h"
 
--- a/tests/sim/fault_scenario.c
+++ b/tests/sim/fault_scenario.c
@@ -1,5 +1,6 @@
 /* Days on which troubles meet: played, and looked at when they are over. */
 #include "sim/fault_scenario.h"
+#include "sim/user.h"
 #include <stdio.h>
 
 #define DAY_S 700.0 /* long enough after the last trouble for all work to end */
--- a/tests/sim/faults.c
+++ b/tests/sim/faults.c
@@ -1,5 +1,37 @@
 /* Troubles drawn from the seed: alone, together, and in the middle of each other. */
+#include "sim/cloud.h"
 #include "sim/faults.h"
+#include "sim/log.h"
+#include "sim/store.h"
+#include "sim/worker.h"
+
+/* Below the time that a cancelled task may go on (cancel_s). */
+#define OUTAGE_MAX_S 28
+
+/* Drawn evenly; a controller's crash is twice as likely as the others. */
+enum {
+  FAULT_CRASH,
+  FAULT_CRASH_AGAIN,
+  FAULT_CRASH_ALL,
+  FAULT_OUTAGE,  /* of the state service */
+  FAULT_REFUSED, /* by the state service, this controller alone */
+  FAULT_CUT_WORKERS,
+  FAULT_CUT_STORE,
+  FAULT_CUT_ALL,
+  FAULT_MACHINE_CUT,
+  FAULT_MACHINE_HANG,
+  FAULT_SPOT_TAKEN,
+  FAULT_CLOUD_OUTAGE,
+  FAULT_OUTAGE_AND_CRASH_ALL,
+  FAULT_INBOUND_CUT, /* answers and direct orders to a machine are lost */
+  FAULT_INBOUND_CUTS,
+  FAULT_CUT_STORE_AND_PEERS, /* but not its workers and users */
+  FAULT_STUMBLE,
+  FAULT_STUMBLE_ALL,
+  FAULT_FREEZE,
+  FAULT_FREEZE_ALL,
+  FAULT_KINDS
+};
 
 void
 fault_crash (World *world, int i)
@@ -20,99 +52,161 @@
   node_start_at (world, GPOINTER_TO_INT (data), world->now + w_rand (world, 0.05, 0.5));
 }
 
+/* One drawn fault: what it hits, and for how long. */
+typedef struct {
+  int node;
+  SimMachine *machine; /* NULL: there is none yet */
+  double for_s;
+  gboolean hold; /* cuts hold packets back */
+} Fault;
+
 static void
-fault (World *world, gpointer data G_GNUC_UNUSED)
-{
-  int i = g_rand_int_range (world->rand, 0, world->n);
-  Node *n = &world->nodes[i];
-  SimMachine *machine =
-      world->machines->len
-          ? world->machines->pdata[g_rand_int_range (world->rand, 0, world->machines->len)]
-          : NULL;
-  double d = w_rand (world, 3, 40);
-  gboolean hold = w_rand (world, 0, 1) < 0.5;
-  int kind = g_rand_int_range (world->rand, 0, 20);
-  sim_log_time = world->now;
-  g_debug ("fault %d on c%d or %s for %.1f s, %s", kind, i, machine ? machine->name : "-", d,
-           hold ? "held" : "lost");
+crash_all (World *world)
+{
+  for (int k = 0; k < world->n; k++)
+    fault_crash (world, k);
+}
+
+static void
+take_spot_machines (World *world)
+{
+  for (guint k = 0; k < world->machines->len; k++) {
+    SimMachine *machine = world->machines->pdata[k];
+    if (machine->spot && w_rand (world, 0, 1) < 0.5)
+      machine_take (world, machine);
+  }
+}
+
+/* With `others` several, so that it looks like a trouble of the controller's. */
+static void
+cut_inbound (World *world, const Fault *fault, gboolean others)
+{
+  for (guint k = 0; fault->machine && k < world->machines->len; k++) {
+    SimMachine *machine = world->machines->pdata[k];
+    if (machine == fault->machine || (others && w_rand (world, 0, 1) < 0.3))
+      machine->deaf = world->now + fault->for_s;
+  }
+}
+
+/* So many controllers, this one first. */
+static void
+stumble_often (World *world, int node, int count)
+{
+  for (int k = 0; k < count; k++) {
+    double after = 0;
+    while (after < 6) {
+      w_at (world, world->now + after, fault_stumble, GINT_TO_POINTER ((node + k) % world->n));
+      after += w_rand (world, 0.6, 2.5);
+    }
+  }
+}
+
+static void
+freeze_nodes (World *world, int node, int count, double for_s)
+{
+  for (int k = 0; k < count; k++)
+    node_freeze (world, (node + k) % world->n, for_s);
+}
+
+/* Cuts of this controller: from what the kind says. */
+static void
+cut_node (World *world, const Fault *fault, int kind)
+{
+  Node *n = &world->nodes[fault->node];
+  double until = world->now + fault->for_s;
+  n->hold = fault->hold;
+  if (kind == FAULT_CUT_WORKERS || kind == FAULT_CUT_ALL)
+    n->cut_workers = until;
+  if (kind != FAULT_CUT_WORKERS)
+    n->cut_store = until;
+  if (kind == FAULT_CUT_ALL)
+    n->cut_users = until;
+  if (kind == FAULT_CUT_ALL || kind == FAULT_CUT_STORE_AND_PEERS) {
+    n->cut_peers = until;
+    n->alone_at = world->now;
+  }
+}
+
+static void
+hit_machine (World *world, const Fault *fault, int kind)
+{
+  if (!fault->machine)
+    return;
+  if (kind == FAULT_MACHINE_HANG) {
+    fault->machine->hang = world->now + fault->for_s;
+    return;
+  }
+  fault->machine->cut = world->now + fault->for_s;
+  fault->machine->hold = fault->hold;
+}
+
+static void
+apply_fault (World *world, const Fault *fault, int kind)
+{
   switch (kind) {
-  case 0:
-  case 1:
-    fault_crash (world, i);
-    break;
-  case 2:
-    for (int k = 0; k < world->n; k++)
-      fault_crash (world, k);
-    break;
-  case 3:
-    world->outage = world->now + MIN (d, 28);
-    break;
-  case 4:
-    n->refused = world->now + d;
+  case FAULT_CRASH:
+  case FAULT_CRASH_AGAIN:
+    fault_crash (world, fault->node);
     break;
-  case 5:
-    n->cut_workers = world->now + d;
-    n->hold = hold;
+  case FAULT_CRASH_ALL:
+    crash_all (world);
     break;
-  case 6:
-    n->cut_store = world->now + d;
-    n->hold = hold;
+  case FAULT_OUTAGE:
+    world->outage = world->now + MIN (fault->for_s, OUTAGE_MAX_S);
     break;
-  case 7:
-    n->cut_workers = n->cut_store = n->cut_peers = n->cut_users = world->now + d;
-    n->alone_at = world->now;
-    n->hold = hold;
-    break;
-  case 8:
-    if (machine) {
-      machine->cut = world->now + d;
-      machine->hold = hold;
-    }
+  case FAULT_REFUSED:
+    world->nodes[fault->node].refused = world->now + fault->for_s;
     break;
-  case 9:
-    if (machine)
-      machine->hang = world->now + d;
+  case FAULT_CUT_WORKERS:
+  case FAULT_CUT_STORE:
+  case FAULT_CUT_ALL:
+  case FAULT_CUT_STORE_AND_PEERS:
+    cut_node (world, fault, kind);
     break;
-  case 10:
-    for (guint k = 0; k < world->machines->len; k++)
-      if (((SimMachine *)world->machines->pdata[k])->spot && w_rand (world, 0, 1) < 0.5)
-        machine_take (world, world->machines->pdata[k]);
+  case FAULT_MACHINE_CUT:
+  case FAULT_MACHINE_HANG:
+    hit_machine (world, fault, kind);
     break;
-  case 11:
-    world->cloud_outage = world->now + d;
+  case FAULT_SPOT_TAKEN:
+    take_spot_machines (world);
     break;
-  case 12:
-    world->outage = world->now + MIN (d, 28);
-    for (int k = 0; k < world->n; k++)
-      fault_crash (world, k);
+  case FAULT_CLOUD_OUTAGE:
+    world->cloud_outage = world->now + fault->for_s;
     break;
-  case 13:
-  case 14: /* several, so that it looks like a trouble of the controller's */
-    for (guint k = 0; k < world->machines->len; k++) {
-      SimMachine *other = world->machines->pdata[k];
-      if (other == machine || (kind == 14 && w_rand (world, 0, 1) < 0.3))
-        other->deaf = world->now + d;
-    }
+  case FAULT_OUTAGE_AND_CRASH_ALL:
+    world->outage = world->now + MIN (fault->for_s, OUTAGE_MAX_S);
+    crash_all (world);
     break;
-  case 15: /* but not its workers and users */
-    n->cut_store = n->cut_peers = world->now + d;
-    n->alone_at = world->now;
-    n->hold = hold;
+  case FAULT_INBOUND_CUT:
+  case FAULT_INBOUND_CUTS:
+    cut_inbound (world, fault, kind == FAULT_INBOUND_CUTS);
     break;
-  case 16:
-  case 17:
-    for (int k = 0; k < (kind == 17 ? world->n : 1); k++)
-      for (double until = 0; until < 6; until += w_rand (world, 0.6, 2.5))
-        w_at (world, world->now + until, fault_stumble, GINT_TO_POINTER ((i + k) % world->n));
+  case FAULT_STUMBLE:
+  case FAULT_STUMBLE_ALL:
+    stumble_often (world, fault->node, kind == FAULT_STUMBLE_ALL ? world->n : 1);
     break;
-  case 18:
-  case 19:
-    for (int k = 0; k < (kind == 19 ? world->n : 1); k++)
-      node_freeze (world, (i + k) % world->n, d);
+  case FAULT_FREEZE:
+  case FAULT_FREEZE_ALL:
+    freeze_nodes (world, fault->node, kind == FAULT_FREEZE_ALL ? world->n : 1, fault->for_s);
     break;
   }
 }
 
+static void
+draw_fault (World *world, gpointer data G_GNUC_UNUSED)
+{
+  Fault drawn = {.node = g_rand_int_range (world->rand, 0, world->n)};
+  if (world->machines->len)
+    drawn.machine = world->machines->pdata[g_rand_int_range (world->rand, 0, world->machines->len)];
+  drawn.for_s = w_rand (world, 3, 40);
+  drawn.hold = w_rand (world, 0, 1) < 0.5;
+  int kind = g_rand_int_range (world->rand, 0, FAULT_KINDS);
+  sim_log_time = world->now;
+  g_debug ("fault %d on c%d or %s for %.1f s, %s", kind, drawn.node,
+           drawn.machine ? drawn.machine->name : "-", drawn.for_s, drawn.hold ? "held" : "lost");
+  apply_fault (world, &drawn, kind);
+}
+
 typedef struct {
   FreezeWho who;
   double for_s;
@@ -241,7 +335,7 @@
 faults_init (World *world, guint n, double from, double to)
 {
   for (guint i = 0; i < n; i++)
-    w_at (world, w_rand (world, from, to), fault, NULL);
+    w_at (world, w_rand (world, from, to), draw_fault, NULL);
   world->faults_to = to;
   w_at (world, to, world_calm, NULL);
 }
--- a/tests/sim/faults_fleet.c
+++ b/tests/sim/faults_fleet.c
@@ -1,6 +1,13 @@
 /* Faults of machines and of whole controllers. */
+#include "sim/cloud.h"
 #include "sim/faults.h"
 
+#define CHANGES_GONE_EVERY_S 10
+#define LEADER_CHANGES_EVERY_S 35
+#include "sim/store.h"
+#include "sim/user.h"
+#include "sim/worker.h"
+
 static gboolean
 is_kept (const SimMachine *machine)
 {
@@ -191,13 +198,19 @@
 void
 faults_changes_gone (World *world, double from, double to)
 {
-  for (double until = from; until < to; until += 10)
-    w_at (world, until, changes_gone, NULL);
+  double at = from;
+  while (at < to) {
+    w_at (world, at, changes_gone, NULL);
+    at += CHANGES_GONE_EVERY_S;
+  }
 }
 
 void
 faults_leaders (World *world, double from, double to)
 {
-  for (double until = from; until < to; until += 35)
-    w_at (world, until, change_leader, NULL);
+  double at = from;
+  while (at < to) {
+    w_at (world, at, change_leader, NULL);
+    at += LEADER_CHANGES_EVERY_S;
+  }
 }
--- a/tests/sim/faults_members.c
+++ b/tests/sim/faults_members.c
@@ -1,5 +1,8 @@
 /* Faults of the ways between controllers, the state service and workers. */
 #include "sim/faults.h"
+#include "sim/store.h"
+#include "sim/user.h"
+#include "sim/worker.h"
 
 static gboolean
 is_lost (const SimMachine *machine)
@@ -117,8 +120,11 @@
   if (owner < 0)
     return;
   world->nodes[owner].refused = world->now + 14;
-  for (double until = 0.3; until < 1.5; until += 0.4)
-    w_at (world, world->now + until, cancel_elsewhere, NULL);
+  double after = 0.3;
+  while (after < 1.5) {
+    w_at (world, world->now + after, cancel_elsewhere, NULL);
+    after += 0.4;
+  }
   w_at (world, world->now + 2, outage_for_all, NULL);
 }
 
--- a/tests/sim/invariant_checks.c
+++ b/tests/sim/invariant_checks.c
@@ -1,6 +1,10 @@
 /* Rules that are checked whenever something happens, and that no job waits beside room. */
 #include "coordination/command.h"
+#include "sim/invariant_checks.h"
 #include "sim/pipeline.h"
+#include "sim/trouble_hooks.h"
+#include "sim/user.h"
+#include "sim/worker.h"
 #include <string.h>
 
 /* Of the machines that the cloud stand-in rents. */
--- a/tests/sim/limits.c
+++ b/tests/sim/limits.c
@@ -1,5 +1,6 @@
 /* Work for days on which a team is at its limit. */
 #include "sim/limits.h"
+#include "sim/user.h"
 
 static void
 submit_planned (World *world, gpointer data)
--- a/tests/sim/limits.h
+++ b/tests/sim/limits.h
@@ -1,6 +1,7 @@
 /* Work for days on which a team is at its limit (world.h: quota_gpus). Each task of an array
  * and each replica takes one GPU, each task of a gang a machine with its two. */
 #pragma once
+#include "sim/user.h"
 #include "sim/world.h"
 
 /* One job. due_s: an array's deadline, from its submission; 0: by its run time. */
--- a/tests/sim/log.c
+++ b/tests/sim/log.c
@@ -1,4 +1,5 @@
 /* What the controllers of a simulated day log. */
+#include "sim/log.h"
 #include "sim/world.h"
 #include <stdio.h>
 
--- a/tests/sim/malformed_requests.c
+++ b/tests/sim/malformed_requests.c
@@ -6,6 +6,12 @@
  * may hold. */
 #include "coordination/command.h"
 #include "protocol/json_util.h"
+#include "sim/answer_checks.h"
+#include "sim/malformed_requests.h"
+#include "sim/request.h"
+#include "sim/store.h"
+#include "sim/trouble_hooks.h"
+#include "sim/user.h"
 #include "sim/world.h"
 #include <string.h>
 
--- a/tests/sim/messages.c
+++ b/tests/sim/messages.c
@@ -1,6 +1,12 @@
 /* Requests and answers on their way: delays, cuts, losses, copies. */
 #include "coordination/command.h"
+#include "sim/cloud.h"
 #include "sim/messages.h"
+#include "sim/request.h"
+#include "sim/request_outcomes.h"
+#include "sim/store.h"
+#include "sim/trouble_hooks.h"
+#include "sim/worker.h"
 #include <string.h>
 
 double
--- a/tests/sim/messages.h
+++ b/tests/sim/messages.h
@@ -1,6 +1,7 @@
 /* Between the controllers of the simulated cluster (world.c) and the ways of their messages
  * (messages.c), with what is checked of each (node_checks.c). */
 #pragma once
+#include "sim/request.h"
 #include "sim/world.h"
 
 /* How long one message takes, in seconds. */
--- a/tests/sim/node_checks.c
+++ b/tests/sim/node_checks.c
@@ -1,5 +1,7 @@
 /* What a controller may send to its workers. */
 #include "sim/messages.h"
+#include "sim/store.h"
+#include "sim/user.h"
 #include <string.h>
 
 /* A process launches only what it recorded itself: what an earlier leader recorded
--- a/tests/sim/pipeline.c
+++ b/tests/sim/pipeline.c
@@ -1,6 +1,8 @@
 #include "coordination/command.h"
 #include "protocol/json_util.h"
 #include "sim/pipeline.h"
+#include "sim/request.h"
+#include "sim/user.h"
 #include <string.h>
 
 #define MOST_STEPS 6
--- a/tests/sim/pipeline.h
+++ b/tests/sim/pipeline.h
@@ -1,6 +1,7 @@
 /* Users of pipelines: jobs that await others, submitted one after another, and the two rules
  * that came with them (too_early, orphaned). */
 #pragma once
+#include "sim/user.h"
 #include "sim/world.h"
 
 /* What the users of a day's pipelines do. */
--- a/tests/sim/request_outcomes.c
+++ b/tests/sim/request_outcomes.c
@@ -1,4 +1,6 @@
-/* What becomes of single requests, as a search over message fates decides. Times in seconds. */
+/* What becomes of single requests, as a search over message outcomes decides. Times in seconds. */
+#include "sim/request.h"
+#include "sim/request_outcomes.h"
 #include "sim/world.h"
 
 /* After every timeout of a call, so that its sender has given up. */
@@ -38,21 +40,21 @@
 }
 
 void
-w_apply_outcome (World *world, SimRequest *request, SimOutcome fate, double until)
+w_apply_outcome (World *world, SimRequest *request, SimOutcome outcome, double arrives_at)
 {
   /* The answer takes at least as long: the process ends before it comes. */
-  const double carried_out = until + 1e-5;
-  switch (fate) {
+  const double carried_out = arrives_at + 1e-5;
+  switch (outcome) {
   case OUTCOME_LOST:
     return;
   case OUTCOME_ANSWER_LOST:
     request->answer_lost = TRUE;
     break;
   case OUTCOME_LATE:
-    until += LATE_S;
+    arrives_at += LATE_S;
     break;
   case OUTCOME_COPIED:
-    w_at (world, until + COPY_S, req_arrive, copy_of (request));
+    w_at (world, arrives_at + COPY_S, req_arrive, copy_of (request));
     break;
   case OUTCOME_ENDS_BACK:
     end_and_return (world, request, carried_out, BACK_S);
@@ -64,5 +66,5 @@
     break;
   }
   request->refs++;
-  w_at (world, until, req_arrive, request);
+  w_at (world, arrives_at, req_arrive, request);
 }
--- a/tests/sim/store.c
+++ b/tests/sim/store.c
@@ -3,6 +3,11 @@
 #include "coordination/command.h"
 #include "coordination/core.h"
 #include "protocol/json_util.h"
+#include "sim/request.h"
+#include "sim/store.h"
+#include "sim/trouble_hooks.h"
+#include "sim/user.h"
+#include "sim/worker.h"
 #include "sim/world.h"
 #include <stdlib.h>
 #include <string.h>
--- a/tests/sim/trouble_messages.c
+++ b/tests/sim/trouble_messages.c
@@ -1,6 +1,9 @@
 /* Planned troubles on the way of messages: held up, copied, without an answer, cut off. */
 #include "coordination/command.h"
+#include "sim/request.h"
+#include "sim/trouble_hooks.h"
 #include "sim/trouble_parts.h"
+#include "sim/worker.h"
 #include <string.h>
 
 #define FAST_BOOT_S 2.0
--- a/tests/sim/trouble_users.c
+++ b/tests/sim/trouble_users.c
@@ -1,5 +1,9 @@
 /* Users that planned troubles bring: they look closely, and call jobs off. */
+#include "sim/malformed_requests.h"
+#include "sim/trouble_hooks.h"
 #include "sim/trouble_parts.h"
+#include "sim/user.h"
+#include "sim/worker.h"
 
 #define CANCEL_NOW_SPAN_S 0.2
 #define CANCEL_NOW_HANGS 8
--- a/tests/sim/troubles.c
+++ b/tests/sim/troubles.c
@@ -1,5 +1,13 @@
 /* Planned troubles: each begins at its time, and hits whom it names. */
+#include "sim/cloud.h"
+#include "sim/faults.h"
+#include "sim/log.h"
+#include "sim/malformed_requests.h"
+#include "sim/request.h"
+#include "sim/store.h"
+#include "sim/trouble_hooks.h"
 #include "sim/trouble_parts.h"
+#include "sim/worker.h"
 
 #define STREAM 0x7f4a7c15u /* sets the stream of troubles apart from the day's own */
 #define LOOK_CANCEL_SHARE 0.1
@@ -128,7 +136,7 @@
 static void
 hit_nodes (World *world, const HrTrouble *trouble)
 {
-  gboolean hit[MAX_NODES];
+  gboolean hit[MAX_NODES] = {FALSE};
   for (int i = 0; i < world->n; i++)
     hit[i] = is_hit (world, trouble->who, i);
   gboolean first = TRUE;
--- a/tests/sim/upgrade.c
+++ b/tests/sim/upgrade.c
@@ -1,6 +1,8 @@
 /* An upgrade: controllers of production come back new one after the other, and some time after
  * the last the state service has its new limits, without notice. */
 #include "coordination/core.h"
+#include "sim/store.h"
+#include "sim/upgrade.h"
 #include "sim/world.h"
 
 /* Down for so long in its turn. */
--- a/tests/sim/user.c
+++ b/tests/sim/user.c
@@ -1,7 +1,10 @@
 /* Users: what they ask, and the jobs of a usual day. */
 #include "coordination/command.h"
 #include "protocol/json_util.h"
+#include "sim/answer_checks.h"
 #include "sim/pipeline.h"
+#include "sim/request.h"
+#include "sim/user.h"
 #include <string.h>
 
 SimJob *
--- a/tests/sim/worker.c
+++ b/tests/sim/worker.c
@@ -1,6 +1,11 @@
 /* A stand-in for the workers: reports, tokens, leases, tasks and gangs. */
 #include "coordination/command.h"
 #include "protocol/json_util.h"
+#include "sim/invariant_checks.h"
+#include "sim/request.h"
+#include "sim/trouble_hooks.h"
+#include "sim/user.h"
+#include "sim/worker.h"
 #include "sim/world.h"
 #include <string.h>
 
--- a/tests/sim/workloads.c
+++ b/tests/sim/workloads.c
@@ -1,4 +1,6 @@
 /* Workloads of single days: streams, gangs, services, a crowd. */
+#include "sim/user.h"
+#include "sim/workloads.h"
 #include "sim/world.h"
 
 /* One small gang of the stream, and the next one in a while. */
--- a/tests/sim/workloads_large.c
+++ b/tests/sim/workloads_large.c
@@ -1,4 +1,6 @@
 /* Workloads for days on which troubles meet. */
+#include "sim/user.h"
+#include "sim/workloads_large.h"
 #include "sim/world.h"
 
 #define BOUND_CANCEL_SHARE 0.2
--- a/tests/sim/world.c
+++ b/tests/sim/world.c
@@ -1,6 +1,13 @@
 #include "coordination/command.h"
 #include "coordination/core.h"
+#include "sim/cloud.h"
+#include "sim/invariant_checks.h"
+#include "sim/log.h"
 #include "sim/messages.h"
+#include "sim/request.h"
+#include "sim/store.h"
+#include "sim/trouble_hooks.h"
+#include "sim/user.h"
 #include <stdarg.h>
 #include <stdio.h>
 #include <string.h>
--- a/tests/soak.c
+++ b/tests/soak.c
@@ -7,7 +7,11 @@
  * Exit 0: no rule was broken, and each seed was played. */
 #include "coordination/core.h"
 #include "emulator/live.h"
+#include "sim/log.h"
 #include "sim/pipeline.h"
+#include "sim/store.h"
+#include "sim/upgrade.h"
+#include "sim/user.h"
 #include <stdio.h>
 #include <glib/gstdio.h>
 
--- a/tests/test_exhaustive.c
+++ b/tests/test_exhaustive.c
@@ -10,6 +10,12 @@
  *   test_exhaustive SCENARIO replay P:C ...   one schedule: choice C at the request number P
  */
 #include "coordination/command.h"
+#include "sim/log.h"
+#include "sim/request.h"
+#include "sim/request_outcomes.h"
+#include "sim/store.h"
+#include "sim/user.h"
+#include "sim/worker.h"
 #include "sim/world.h"
 #include <stdio.h>
 #include <stdlib.h>
--- a/tests/test_fault_scenarios_fleet.c
+++ b/tests/test_fault_scenarios_fleet.c
@@ -3,6 +3,7 @@
  * asserted at every event, and all work is done once the troubles are over. Users, messages and
  * leaders: test_fault_scenarios.c. */
 #include "fault_scenarios.h"
+#include "sim/workloads_large.h"
 
 /* New machines are up within two seconds and get work at once while writes lag, and the leader
  * ends. */
--- a/tests/test_fixtures.c
+++ b/tests/test_fixtures.c
@@ -5,6 +5,9 @@
 #include "coordination/command.h"
 #include "coordination/core.h"
 #include "protocol/json_util.h"
+#include "sim/request.h"
+#include "sim/store.h"
+#include "sim/user.h"
 #include "sim/world.h"
 #include "transport/peer.h"
 #include <gio/gio.h>
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -1,7 +1,10 @@
 /* Days of the simulated cluster on which a team is at its limit: what is rented, what starts
  * next, and that the limit holds whatever else happens. */
 #include "sim/limits.h"
+#include "sim/log.h"
 #include "sim/troubles.h"
+#include "sim/user.h"
+#include "sim/worker.h"
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
--- a/tests/test_pairs.c
+++ b/tests/test_pairs.c
@@ -9,6 +9,8 @@
  * compacted: troubles are taken out, and shortened, while it still breaks one; what is left is
  * printed. */
 #include "sim/fault_scenario.h"
+#include "sim/log.h"
+#include "sim/user.h"
 #include "sim/world.h"
 #include <stdio.h>
 #include <stdlib.h>
--- a/tests/test_pipelines.c
+++ b/tests/test_pipelines.c
@@ -1,7 +1,12 @@
 /* Days of a simulated cluster whose users submit pipelines of jobs that await one another, some
  * late, some cancelled, some after that. The stand-ins check `too_early` and `orphaned` at every
  * start, answer and half second, beside all other rules. */
+#include "sim/faults.h"
+#include "sim/log.h"
 #include "sim/pipeline.h"
+#include "sim/store.h"
+#include "sim/upgrade.h"
+#include "sim/user.h"
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
--- a/tests/test_sim.c
+++ b/tests/test_sim.c
@@ -1,5 +1,12 @@
 /* Days of a simulated cluster, with troubles drawn from seeds. Each asserts every
  * rule of the protocol, and that all work is done once the troubles are over. */
+#include "sim/faults.h"
+#include "sim/log.h"
+#include "sim/store.h"
+#include "sim/upgrade.h"
+#include "sim/user.h"
+#include "sim/worker.h"
+#include "sim/workloads.h"
 #include "sim/world.h"
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/test_users_days.c
+++ b/tests/test_users_days.c
@@ -1,6 +1,9 @@
 /* Simulated days on which users' requests meet two troubles of the state store. Every rule is
  * asserted at every event, and all work is done once the troubles are over. The same meetings
  * message by message: test_store_reads.c, test_writes.c, test_allowance.c. */
+#include "sim/log.h"
+#include "sim/user.h"
+#include "sim/workloads.h"
 #include "sim/world.h"
 #include <setjmp.h>
 #include <stdarg.h>
