--- a/src/emulator/balancer.c
+++ b/src/emulator/balancer.c
@@ -1,6 +1,9 @@
 #include "emulator/balancer.h"
 #include "emulator/control.h"
 #include "protocol/json_util.h"
+#include "sim/answer_checks.h"
+#include "sim/external_jobs.h"
+#include "sim/user.h"
 #include <string.h>
 
 /* Health checks. */
@@ -88,18 +91,18 @@
 }
 
 /* The job that a request is about; the world knows one from its first submission on. */
-static SJob *
+static SimJob *
 requested_job (World *world, const char *path, const char *body)
 {
   static const char jobs[] = HR_JOBS_PATH "/";
   guint32 index;
   if (body && strcmp (path, HR_JOBS_PATH) == 0)
-    return job_adopt (world, body);
+    return external_job (world, body);
   if (!g_str_has_prefix (path, jobs))
     return NULL;
   const char *rest = path + strlen (jobs);
   g_autofree char *id = g_strndup (rest, strcspn (rest, "/"));
-  SJob *job = job_by_id (world, id, &index);
+  SimJob *job = job_by_id (world, id, &index);
   if (job && g_str_has_suffix (path, "/abort"))
     job->asked_cancel = TRUE;
   return job;
@@ -123,7 +126,7 @@
     reply (msg, 503, "{\"error\":\"no controller is ready\"}");
     return;
   }
-  SJob *job = requested_job (world, path, body);
+  SimJob *job = requested_job (world, path, body);
   BalancedRequest *request = g_new (BalancedRequest, 1);
   *request =
       (BalancedRequest){balancer, node, g_object_ref (msg), job ? question_new (world, job) : NULL};
--- a/src/emulator/live.h
+++ b/src/emulator/live.h
@@ -89,7 +89,7 @@
 /* ---- processes.c: controllers as processes ---- */
 
 /* For the world, which starts, kills and freezes controllers. */
-extern const WControllers live_controllers;
+extern const SimControllers live_controllers;
 
 /**
  * live_processes_prepare:
--- a/src/emulator/wire.c
+++ b/src/emulator/wire.c
@@ -2,6 +2,7 @@
  * becomes a message of the simulated world, which may delay, lose or repeat it as the faults say;
  * what the world delivers is sent over real HTTP. */
 #include "emulator/live.h"
+#include "sim/request.h"
 #include <string.h>
 
 /* Timeout of calls by controllers: longer than any of theirs, of which watches are the longest. */
@@ -151,7 +152,7 @@
 no_answer (Live *live, int node, guint64 id)
 {
   Node *n = &live->world->nodes[node];
-  Req *request = n->up ? g_hash_table_lookup (n->open, &id) : NULL;
+  SimRequest *request = n->up ? g_hash_table_lookup (n->open, &id) : NULL;
   if (!request)
     return;
   w_answer (live->world, request, 0, NULL);
--- a/tests/sim/faults_fleet.c
+++ b/tests/sim/faults_fleet.c
@@ -1,8 +1,15 @@
 /* Faults of machines and of whole controllers. */
+#include "sim/cloud.h"
 #include "sim/faults.h"
 
+#define CHANGES_GONE_EVERY_S 10
+#define LEADER_CHANGES_EVERY_S 35
+#include "sim/store.h"
+#include "sim/user.h"
+#include "sim/worker.h"
+
 static gboolean
-is_kept (const SMachine *machine)
+is_kept (const SimMachine *machine)
 {
   return !machine->asked_gone;
 }
@@ -10,7 +17,7 @@
 /* That half of all is silent looks like a trouble of the new leader's own, and proof by time
  * takes it hold_s and a lease. The cloud's list tells sooner. */
 static void
-proven (World *world, gpointer data)
+proven (World *world, gpointer data G_GNUC_UNUSED)
 {
   guint gone, kept = fault_marked (world, is_kept, &gone);
   if (!gone || kept)
@@ -19,12 +26,12 @@
 }
 
 static void
-half_gone (World *world, gpointer data)
+half_gone (World *world, gpointer data G_GNUC_UNUSED)
 {
-  int owner = store_owner (world);
+  int owner = store_leader (world);
   guint n = 0;
   for (guint i = 0; i < world->machines->len; i++) {
-    SMachine *machine = world->machines->pdata[i];
+    SimMachine *machine = world->machines->pdata[i];
     machine->through_cut = machine->up && !machine->gone && machine->tasks->len && n++ % 2;
     if (machine->through_cut)
       machine_end (world, machine);
@@ -41,31 +48,31 @@
 }
 
 static void
-owner_ends (World *world, gpointer data)
+leader_ends (World *world, gpointer data G_GNUC_UNUSED)
 {
-  int owner = store_owner (world);
+  int owner = store_leader (world);
   if (owner >= 0)
     fault_crash (world, owner);
 }
 
 static void
-all_end (World *world, gpointer data)
+all_end (World *world, gpointer data G_GNUC_UNUSED)
 {
   for (int k = 0; k < world->n; k++)
     fault_crash (world, k);
 }
 
 static void
-all_unserved (World *world, gpointer data)
+all_unserved (World *world, gpointer data G_GNUC_UNUSED)
 {
   for (int k = 0; k < world->n; k++)
     fault_store_away (world, k);
 }
 
 static void
-two_owners (World *world, gpointer data)
+two_leaders (World *world, gpointer data G_GNUC_UNUSED)
 {
-  int owner = store_owner (world);
+  int owner = store_leader (world);
   if (owner < 0)
     return;
   Node *n = &world->nodes[owner];
@@ -76,31 +83,31 @@
 }
 
 void
-faults_two_owners (World *world, double at)
+faults_two_leaders (World *world, double at)
 {
-  w_at (world, at, two_owners, NULL);
+  w_at (world, at, two_leaders, NULL);
 }
 
 static void
-tear (World *world, gpointer data)
+corrupt_pages (World *world, gpointer data G_GNUC_UNUSED)
 {
   all_end (world, NULL);
-  if (!store_tear (world))
+  if (!store_corrupt_pages (world))
     w_broken (world, "unreadable", "no page is there");
 }
 
 void
 faults_unreadable_pages (World *world, double at)
 {
-  w_at (world, at, tear, NULL);
+  w_at (world, at, corrupt_pages, NULL);
 }
 
 static void
-mass (World *world, gpointer data)
+mass (World *world, gpointer data G_GNUC_UNUSED)
 {
   guint n = 0, dead = 0, hung = 0;
   for (guint i = 0; i < world->machines->len; i++) {
-    SMachine *machine = world->machines->pdata[i];
+    SimMachine *machine = world->machines->pdata[i];
     if (!machine->up || machine->gone)
       continue;
     n++;
@@ -118,10 +125,10 @@
 faults_mass (World *world, double at)
 {
   w_at (world, at, mass, NULL);
-  w_at (world, at + 4, owner_ends, NULL);
+  w_at (world, at + 4, leader_ends, NULL);
   w_at (world, at + 80, all_end, NULL);
   w_at (world, at + 130, all_end, NULL);
-  faults_freeze (world, at + 170, FREEZE_OWNER, 20);
+  faults_freeze (world, at + 170, FREEZE_LEADER, 20);
 }
 
 static void
@@ -129,14 +136,14 @@
 {
   double *to = data;
   for (guint i = 0; world->jobs && i < world->jobs->len; i++) {
-    SJob *job = world->jobs->pdata[i];
-    SMachine *last = NULL;
+    SimJob *job = world->jobs->pdata[i];
+    SimMachine *last = NULL;
     guint here = 0;
     for (guint k = 0; k < world->machines->len; k++) {
-      SMachine *machine = world->machines->pdata[k];
+      SimMachine *machine = world->machines->pdata[k];
       for (guint n = 0; !machine->gone && n < machine->tasks->len; n++) {
-        STask *task = &g_array_index (machine->tasks, STask, n);
-        if (task->job == i && task->state == S_FETCH) {
+        SimTask *task = &g_array_index (machine->tasks, SimTask, n);
+        if (task->job == i && task->state == SIM_TASK_FETCH) {
           here++;
           last = machine;
         }
@@ -160,13 +167,13 @@
 }
 
 void
-faults_owner_ends (World *world, double at)
+faults_leader_ends (World *world, double at)
 {
-  w_at (world, at, owner_ends, NULL);
+  w_at (world, at, leader_ends, NULL);
 }
 
 static void
-change_owner (World *world, gpointer data)
+change_leader (World *world, gpointer data G_GNUC_UNUSED)
 {
   /* Whoever leads: all but one go, one after the other, so that a node that knows
    * nothing leads next. */
@@ -174,16 +181,16 @@
   for (int k = 0; k < world->n - 1; k++)
     fault_crash (world, (i + k) % world->n);
   for (guint k = 0; k < world->machines->len; k++) {
-    SMachine *machine = world->machines->pdata[k];
+    SimMachine *machine = world->machines->pdata[k];
     if (machine->up && !machine->gone && w_rand (world, 0, 1) < 0.2)
       machine_end (world, machine);
   }
 }
 
 static void
-changes_gone (World *world, gpointer data)
+changes_gone (World *world, gpointer data G_GNUC_UNUSED)
 {
-  int owner = store_owner (world);
+  int owner = store_leader (world);
   if (owner >= 0)
     world->nodes[owner].too_old = world->epoch;
 }
@@ -191,13 +198,19 @@
 void
 faults_changes_gone (World *world, double from, double to)
 {
-  for (double until = from; until < to; until += 10)
-    w_at (world, until, changes_gone, NULL);
+  double at = from;
+  while (at < to) {
+    w_at (world, at, changes_gone, NULL);
+    at += CHANGES_GONE_EVERY_S;
+  }
 }
 
 void
-faults_owners (World *world, double from, double to)
+faults_leaders (World *world, double from, double to)
 {
-  for (double until = from; until < to; until += 35)
-    w_at (world, until, change_owner, NULL);
+  double at = from;
+  while (at < to) {
+    w_at (world, at, change_leader, NULL);
+    at += LEADER_CHANGES_EVERY_S;
+  }
 }
--- a/tests/sim/faults_members.c
+++ b/tests/sim/faults_members.c
@@ -1,8 +1,11 @@
 /* Faults of the ways between controllers, the state service and workers. */
 #include "sim/faults.h"
+#include "sim/store.h"
+#include "sim/user.h"
+#include "sim/worker.h"
 
 static gboolean
-is_lost (const SMachine *machine)
+is_lost (const SimMachine *machine)
 {
   return machine->gone || machine->tenure > 1;
 }
@@ -12,11 +15,11 @@
 #define CUT_ALL_S 50.0
 
 static void
-still_held (World *world, gpointer data)
+still_held (World *world, gpointer data G_GNUC_UNUSED)
 {
   guint up = 0, lost = 0;
   for (guint i = 0; i < world->machines->len; i++) {
-    SMachine *machine = world->machines->pdata[i];
+    SimMachine *machine = world->machines->pdata[i];
     up += machine->through_cut && !machine->gone;
     lost += machine->through_cut && !machine->gone && machine->tenure > 1;
   }
@@ -37,14 +40,14 @@
 watch_leases (World *world)
 {
   for (guint i = 0; i < world->machines->len; i++) {
-    SMachine *machine = world->machines->pdata[i];
+    SimMachine *machine = world->machines->pdata[i];
     machine->through_cut = machine->up && !machine->gone && !machine->spot && machine->tenure == 1;
   }
   w_at (world, world->now + CUT_ALL_S - 2, still_held, NULL);
 }
 
 static void
-all_away (World *world, gpointer data)
+all_away (World *world, gpointer data G_GNUC_UNUSED)
 {
   for (int k = 0; k < world->n; k++)
     fault_store_away (world, k);
@@ -69,68 +72,71 @@
       fault_store_away (world, k);
   if (GPOINTER_TO_INT (data) >= MAX_NODES)
     fault_stumble (world, GINT_TO_POINTER (other));
-  else if (world->nodes[store_owner (world)].frozen <=
+  else if (world->nodes[store_leader (world)].frozen <=
            world->now) /* else that costs leases by itself */
     watch_leases (world);
 }
 
 static void
-missed_withdrawal (World *world, gpointer data)
+missed_cancellation (World *world, gpointer data)
 {
-  int owner = store_owner (world);
+  int owner = store_leader (world);
   if (owner < 0)
     return;
   int other = (owner + 1) % world->n;
   for (int k = 0; k < world->n; k++)
     if (k != other)
       fault_store_away (world, k);
-  users_withdraw_at (world, other);
+  users_cancel_service_at (world, other);
   w_at (world, world->now + 0.8, others_away, GINT_TO_POINTER (other + (data ? MAX_NODES : 0)));
 }
 
 void
-faults_missed_withdrawal (World *world, double at, gboolean restart)
+faults_missed_cancellation (World *world, double at, gboolean restart)
 {
-  w_at (world, at, missed_withdrawal, GINT_TO_POINTER (restart));
+  w_at (world, at, missed_cancellation, GINT_TO_POINTER (restart));
 }
 
 static void
-withdraw_elsewhere (World *world, gpointer data)
+cancel_elsewhere (World *world, gpointer data G_GNUC_UNUSED)
 {
-  int owner = store_owner (world);
+  int owner = store_leader (world);
   for (int k = 0; k < world->n; k++)
     if (k != owner)
-      users_withdraw_at (world, k);
+      users_cancel_service_at (world, k);
 }
 
 static void
-outage_for_all (World *world, gpointer data)
+outage_for_all (World *world, gpointer data G_GNUC_UNUSED)
 {
   world->outage = world->now + CUT_ALL_S;
   watch_leases (world);
 }
 
 static void
-withdrawal_gap (World *world, gpointer data)
+cancellation_gap (World *world, gpointer data G_GNUC_UNUSED)
 {
-  int owner = store_owner (world);
+  int owner = store_leader (world);
   if (owner < 0)
     return;
   world->nodes[owner].refused = world->now + 14;
-  for (double until = 0.3; until < 1.5; until += 0.4)
-    w_at (world, world->now + until, withdraw_elsewhere, NULL);
+  double after = 0.3;
+  while (after < 1.5) {
+    w_at (world, world->now + after, cancel_elsewhere, NULL);
+    after += 0.4;
+  }
   w_at (world, world->now + 2, outage_for_all, NULL);
 }
 
 void
-faults_withdrawal_gap (World *world, double at)
+faults_cancellation_gap (World *world, double at)
 {
-  w_at (world, at, withdrawal_gap, NULL);
+  w_at (world, at, cancellation_gap, NULL);
 }
 
 /* Nothing that runs may be given away because its reports do not reach the leader. */
 static void
-reached_again (World *world, gpointer data)
+reached_again (World *world, gpointer data G_GNUC_UNUSED)
 {
   guint up, lost = fault_marked (world, is_lost, &up);
   if (!up || lost)
@@ -139,15 +145,15 @@
 }
 
 static void
-owner_unreached (World *world, gpointer data)
+leader_unreached (World *world, gpointer data)
 {
-  int owner = store_owner (world);
+  int owner = store_leader (world);
   if (owner < 0)
     return;
   world->nodes[owner].cut_workers = world->now + 40;
   world->nodes[owner].hold = data != NULL;
   for (guint i = 0; i < world->machines->len; i++) {
-    SMachine *machine = world->machines->pdata[i];
+    SimMachine *machine = world->machines->pdata[i];
     machine->through_cut =
         machine->up && !machine->gone && machine->tenure == 1 && machine->tasks->len;
   }
@@ -155,7 +161,7 @@
 }
 
 void
-faults_owner_unreached (World *world, double at, gboolean hold)
+faults_leader_unreached (World *world, double at, gboolean hold)
 {
-  w_at (world, at, owner_unreached, GINT_TO_POINTER (hold));
+  w_at (world, at, leader_unreached, GINT_TO_POINTER (hold));
 }
--- a/tests/sim/limits.h
+++ b/tests/sim/limits.h
@@ -1,6 +1,7 @@
 /* Work for days on which a team is at its limit (world.h: quota_gpus). Each task of an array
  * and each replica takes one GPU, each task of a gang a machine with its two. */
 #pragma once
+#include "sim/user.h"
 #include "sim/world.h"
 
 /* One job. due_s: an array's deadline, from its submission; 0: by its run time. */
@@ -19,4 +20,4 @@
 /* Gangs of one task, each gap_s after the one before. */
 void limits_stream (World *world, double from, double to, double gap_s, double run_s);
 /* The nth job of the plan, as submitted. */
-SJob *limits_job (World *world, guint n);
+SimJob *limits_job (World *world, guint n);
--- a/tests/sim/fate.c
+++ b/tests/sim/request_outcomes.c
@@ -1,4 +1,6 @@
-/* What becomes of single requests, as a search over message fates decides. Times in seconds. */
+/* What becomes of single requests, as a search over message outcomes decides. Times in seconds. */
+#include "sim/request.h"
+#include "sim/request_outcomes.h"
 #include "sim/world.h"
 
 /* After every timeout of a call, so that its sender has given up. */
@@ -16,10 +18,10 @@
 }
 
 /* The request that a copy is made of may be answered and gone by then. */
-static Req *
-copy_of (const Req *request)
+static SimRequest *
+copy_of (const SimRequest *request)
 {
-  Req *core = g_new0 (Req, 1);
+  SimRequest *core = g_new0 (SimRequest, 1);
   *core = *request;
   core->addr = g_strdup (request->addr);
   core->path = g_strdup (request->path);
@@ -30,7 +32,7 @@
 }
 
 static void
-end_and_return (World *world, const Req *request, double at, double away)
+end_and_return (World *world, const SimRequest *request, double at, double away)
 {
   gpointer node = GINT_TO_POINTER (request->node >= 0 ? request->node : request->to);
   w_at (world, at, end_process, node);
@@ -38,31 +40,31 @@
 }
 
 void
-w_meet_fate (World *world, Req *request, WFate fate, double until)
+w_apply_outcome (World *world, SimRequest *request, SimOutcome outcome, double arrives_at)
 {
   /* The answer takes at least as long: the process ends before it comes. */
-  const double carried_out = until + 1e-5;
-  switch (fate) {
-  case FATE_LOST:
+  const double carried_out = arrives_at + 1e-5;
+  switch (outcome) {
+  case OUTCOME_LOST:
     return;
-  case FATE_ANSWER_LOST:
+  case OUTCOME_ANSWER_LOST:
     request->answer_lost = TRUE;
     break;
-  case FATE_LATE:
-    until += LATE_S;
+  case OUTCOME_LATE:
+    arrives_at += LATE_S;
     break;
-  case FATE_COPIED:
-    w_at (world, until + COPY_S, req_arrive, copy_of (request));
+  case OUTCOME_COPIED:
+    w_at (world, arrives_at + COPY_S, req_arrive, copy_of (request));
     break;
-  case FATE_ENDS_BACK:
+  case OUTCOME_ENDS_BACK:
     end_and_return (world, request, carried_out, BACK_S);
     break;
-  case FATE_ENDS_AWAY:
+  case OUTCOME_ENDS_AWAY:
     end_and_return (world, request, carried_out, AWAY_S);
     break;
   default:
     break;
   }
   request->refs++;
-  w_at (world, until, req_arrive, request);
+  w_at (world, arrives_at, req_arrive, request);
 }
--- a/tests/sim/troubles.c
+++ b/tests/sim/troubles.c
@@ -1,5 +1,13 @@
 /* Planned troubles: each begins at its time, and hits whom it names. */
+#include "sim/cloud.h"
+#include "sim/faults.h"
+#include "sim/log.h"
+#include "sim/malformed_requests.h"
+#include "sim/request.h"
+#include "sim/store.h"
+#include "sim/trouble_hooks.h"
 #include "sim/trouble_parts.h"
+#include "sim/worker.h"
 
 #define STREAM 0x7f4a7c15u /* sets the stream of troubles apart from the day's own */
 #define LOOK_CANCEL_SHARE 0.1
@@ -42,9 +50,9 @@
 {
   for (guint i = list->len; i > 1; i--) {
     guint k = g_rand_int_range (world->troubles.rand, 0, i);
-    gpointer t = list->pdata[k];
+    gpointer swapped = list->pdata[k];
     list->pdata[k] = list->pdata[i - 1];
-    list->pdata[i - 1] = t;
+    list->pdata[i - 1] = swapped;
   }
 }
 
@@ -57,7 +65,7 @@
   g_autoptr (GPtrArray) up = g_ptr_array_new ();
   GPtrArray *picked = g_ptr_array_new ();
   for (guint i = 0; i < world->machines->len; i++) {
-    SMachine *machine = world->machines->pdata[i];
+    SimMachine *machine = world->machines->pdata[i];
     if (machine->up && !machine->gone && (!trouble->zone || machine->zone + 1 == trouble->zone))
       g_ptr_array_add (up, machine);
   }
@@ -67,7 +75,7 @@
                                  : up->len;
   for (int busy = 1; busy >= 0; busy--)
     for (guint i = 0; i < up->len && picked->len < n; i++) {
-      SMachine *machine = up->pdata[i];
+      SimMachine *machine = up->pdata[i];
       if ((machine->tasks->len > 0) == busy)
         g_ptr_array_add (picked, machine);
     }
@@ -78,7 +86,7 @@
 static gboolean
 is_hit (World *world, HrWho who, int node)
 {
-  int leader = MAX (0, store_owner (world));
+  int leader = MAX (0, store_leader (world));
   switch (who) {
   case WHO_LEADER:
     return node == leader;
@@ -128,7 +136,7 @@
 static void
 hit_nodes (World *world, const HrTrouble *trouble)
 {
-  gboolean hit[MAX_NODES];
+  gboolean hit[MAX_NODES] = {FALSE};
   for (int i = 0; i < world->n; i++)
     hit[i] = is_hit (world, trouble->who, i);
   gboolean first = TRUE;
@@ -145,7 +153,7 @@
   g_autoptr (GPtrArray) list = pick_machines (world, trouble);
   double until = world->now + trouble->for_s;
   for (guint i = 0; i < list->len; i++) {
-    SMachine *machine = list->pdata[i];
+    SimMachine *machine = list->pdata[i];
     if (trouble->kind == TROUBLE_MACHINE_DEAF)
       machine->deaf = until;
     else if (trouble->kind == TROUBLE_MACHINE_MUTE)
@@ -266,7 +274,7 @@
     break;
   case TROUBLE_ODD_REQUESTS:
     troubles->odd_until = world->now + trouble->for_s;
-    odd_begin (world);
+    malformed_requests_begin (world);
     break;
   case TROUBLE_KINDS:
     break;
@@ -328,7 +336,7 @@
 }
 
 static gboolean
-machine_troubled (const World *world, const SMachine *machine)
+machine_troubled (const World *world, const SimMachine *machine)
 {
   return !machine->gone && (machine->cut > world->now || machine->hang > world->now ||
                             machine->deaf > world->now || machine->mute > world->now);
--- a/tests/soak.c
+++ b/tests/soak.c
@@ -7,7 +7,11 @@
  * Exit 0: no rule was broken, and each seed was played. */
 #include "coordination/core.h"
 #include "emulator/live.h"
+#include "sim/log.h"
 #include "sim/pipeline.h"
+#include "sim/store.h"
+#include "sim/upgrade.h"
+#include "sim/user.h"
 #include <stdio.h>
 #include <glib/gstdio.h>
 
@@ -107,10 +111,10 @@
   if (!world->starts)
     w_broken (world, "nothing_ran", "no task was started");
   for (guint i = 0; i < world->jobs->len; i++) {
-    const SJob *job = world->jobs->pdata[i];
+    const SimJob *job = world->jobs->pdata[i];
     if (job->accepted && world->now - MAX (job->ok_at, world->calm_at) > ANSWERED_WITHIN_S)
       w_broken (world, "forgotten", "no question about %s is answered", job->id);
-    if (job->asked_cancel && job->accepted && !job->told_withdrawn && !job->told_done &&
+    if (job->asked_cancel && job->accepted && !job->told_cancelled && !job->told_done &&
         world->now - MAX (job->asked_cancel_at, world->calm_at) > ANSWERED_WITHIN_S)
       w_broken (world, "liveness", "%s was not withdrawn", job->id);
   }
@@ -142,11 +146,11 @@
   World *world = live->world;
   guint cancelled = 0;
   for (guint i = 0; i < world->jobs->len; i++)
-    cancelled += ((SJob *)world->jobs->pdata[i])->told_withdrawn > 0;
+    cancelled += ((SimJob *)world->jobs->pdata[i])->told_cancelled > 0;
   printf ("seed %u: %d controllers, %.0f s, %u jobs, %u withdrawn, %u starts, %u after a "
           "confirmed cancellation, %u terms, %u kills, %u pauses, %u requests: %s\n",
           seed, world->n, world->now, world->jobs->len, cancelled, world->starts,
-          world->started_withdrawn, world->troubles.leaders, live->kills, live->freezes,
+          world->started_cancelled, world->troubles.leaders, live->kills, live->freezes,
           live->requests,
           is_void (live)       ? "VOID"
           : world->broken->len ? "BROKEN"
@@ -184,7 +188,7 @@
 
 /* Each one comes back in the version that it has by then. */
 static void
-end_all (World *world, gpointer unused)
+end_all (World *world, gpointer unused G_GNUC_UNUSED)
 {
   for (int i = 0; i < world->n; i++) {
     node_kill (world, i);
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -1,7 +1,10 @@
 /* Days of the simulated cluster on which a team is at its limit: what is rented, what starts
  * next, and that the limit holds whatever else happens. */
 #include "sim/limits.h"
+#include "sim/log.h"
 #include "sim/troubles.h"
+#include "sim/user.h"
+#include "sim/worker.h"
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -41,8 +44,8 @@
 check_done (World *world)
 {
   for (guint i = 0; i < world->jobs->len; i++) {
-    SJob *job = world->jobs->pdata[i];
-    if (job->asked_cancel ? !job->told_withdrawn && !job->told_done
+    SimJob *job = world->jobs->pdata[i];
+    if (job->asked_cancel ? !job->told_cancelled && !job->told_done
                           : job->shape != HR_SERVICE && !job->told_done)
       w_broken (world, "liveness", "%s (%d, %u tasks) is not done", job->id, job->shape,
                 job->tasks);
@@ -50,7 +53,7 @@
 }
 
 static double
-waited (const World *world, const SJob *job)
+waited (const World *world, const SimJob *job)
 {
   return (job->first > 0 ? job->first : world->now) - job->accepted_at;
 }
@@ -58,7 +61,7 @@
 /* Far more work than the limit lets run: machines are rented for what may start, and are not
  * returned and rented again in cycles. */
 static void
-renting (void **state)
+renting (void **state G_GNUC_UNUSED)
 {
   static const HrLimitJob work[] = {
       {5, HR_BATCH, 60, 40, NULL, 0, FALSE, NULL},  {6, HR_BATCH, 60, 40, NULL, 0, FALSE, NULL},
@@ -83,7 +86,7 @@
 
 /* Services arrive and find the limit used up: no room is kept for the next ones. */
 static void
-spare_room (void **state)
+spare_room (void **state G_GNUC_UNUSED)
 {
   static HrLimitJob work[24];
   const guint needed = LIMIT_GPUS / MACHINE_GPUS;
@@ -96,7 +99,7 @@
     world_run (world, 200);
     guint up = 0;
     for (guint i = 0; i < world->machines->len; i++)
-      up += !((SMachine *)world->machines->pdata[i])->gone;
+      up += !((SimMachine *)world->machines->pdata[i])->gone;
     if (up > needed + needed / 4)
       w_broken (world, "rented", "%u machines are kept where %u hold all that may run", up, needed);
     broken += verdict (world, incarnation);
@@ -106,7 +109,7 @@
 
 /* A gang that wants the whole limit, beside a stream of small ones that alone nearly fills it. */
 static void
-gang_in_a_stream (void **state)
+gang_in_a_stream (void **state G_GNUC_UNUSED)
 {
   static const HrLimitJob gang[] = {{60, HR_GANG, 6, 25, NULL, 0, TRUE, NULL}};
   guint broken = 0;
@@ -117,7 +120,7 @@
     world_run (world, DAY_S);
     check_done (world);
     for (guint i = 0; i < world->jobs->len; i++) {
-      SJob *job = world->jobs->pdata[i];
+      SimJob *job = world->jobs->pdata[i];
       if (waited (world, job) > (job->large ? 180 : 240))
         w_broken (world, "starved", "%s of %u tasks begins after %.0f s", job->id, job->tasks,
                   waited (world, job));
@@ -130,7 +133,7 @@
 /* Long work of the lowest priority fills the limit. What comes with a higher priority begins at
  * once, by having that work stopped; of one priority the earlier deadline goes first. */
 static void
-order (void **state)
+order (void **state G_GNUC_UNUSED)
 {
   static const HrLimitJob work[] = {
       {5, HR_BATCH, 24, 250, "low", 900, FALSE, NULL},
@@ -158,7 +161,7 @@
 
 /* How many starts of the job's tasks were recorded. */
 static guint
-attempts (const World *world, const SJob *job)
+attempts (const World *world, const SimJob *job)
 {
   g_autofree char *prefix = g_strdup_printf ("%s/", job->id);
   GHashTableIter iter;
@@ -173,7 +176,7 @@
 /* The limit is full but for one machine's worth, and a gang waits for all of it. A long job behind
  * that gang does not get short work stopped that fills the gap meanwhile. */
 static void
-short_work_fills_a_gap (void **state)
+short_work_fills_a_gap (void **state G_GNUC_UNUSED)
 {
   static const HrLimitJob work[] = {
       {5, HR_GANG, 5, 200, NULL, 0, FALSE, NULL},
@@ -199,7 +202,7 @@
 
 /* A gang within the limit that no machines are left for: the others do not wait for it. */
 static void
-gang_without_machines (void **state)
+gang_without_machines (void **state G_GNUC_UNUSED)
 {
   static const HrLimitJob work[] = {
       {5, HR_GANG, 12, 30, NULL, 0, TRUE, NULL},     {20, HR_BATCH, 8, 30, NULL, 0, FALSE, NULL},
@@ -213,7 +216,7 @@
     limits_submit (world, work, G_N_ELEMENTS (work));
     world_run (world, DAY_S);
     for (guint i = 0; i < world->jobs->len; i++) {
-      SJob *job = world->jobs->pdata[i];
+      SimJob *job = world->jobs->pdata[i];
       if (!job->large && waited (world, job) > 90)
         w_broken (world, "idle", "%s waits %.0f s beside a machine with room, under the limit",
                   job->id, waited (world, job));
@@ -226,7 +229,7 @@
 /* A job within its team's guarantee that no machines are left for: others need not wait for it
  * beside machines with room. */
 static void
-guarantee_without_machines (void **state)
+guarantee_without_machines (void **state G_GNUC_UNUSED)
 {
   static const HrLimitJob work[] = {
       {5, HR_GANG, 3, 30, NULL, 0, TRUE, "guests"},
@@ -244,7 +247,7 @@
     limits_submit (world, work, G_N_ELEMENTS (work));
     world_run (world, DAY_S);
     for (guint i = 0; i < world->jobs->len; i++) {
-      SJob *job = world->jobs->pdata[i];
+      SimJob *job = world->jobs->pdata[i];
       if (!job->large && waited (world, job) > 90)
         w_broken (world, "idle", "%s waits %.0f s beside a machine with room", job->id,
                   waited (world, job));
@@ -257,7 +260,7 @@
 /* Every team is at its limit when machines cannot be asked or hang, jobs are cancelled in that
  * spell and the leader changes: what may still run holds its share until it is proven gone. */
 static void
-leader_changes (void **state)
+leader_changes (void **state G_GNUC_UNUSED)
 {
   static const HrLimitJob work[] = {
       {5, HR_BATCH, 40, 60, NULL, 0, FALSE, NULL},  {6, HR_BATCH, 30, 60, NULL, 0, FALSE, NULL},
--- a/tests/test_pipelines.c
+++ b/tests/test_pipelines.c
@@ -1,7 +1,12 @@
 /* Days of a simulated cluster whose users submit pipelines of jobs that await one another, some
  * late, some cancelled, some after that. The stand-ins check `too_early` and `orphaned` at every
  * start, answer and half second, beside all other rules. */
+#include "sim/faults.h"
+#include "sim/log.h"
 #include "sim/pipeline.h"
+#include "sim/store.h"
+#include "sim/upgrade.h"
+#include "sim/user.h"
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -36,8 +41,8 @@
   world_run (world, DAY_ENDS);
   guint cancelled = 0, done = 0;
   for (guint i = 0; i < world->jobs->len; i++) {
-    const SJob *job = world->jobs->pdata[i];
-    cancelled += job->told_withdrawn && !job->asked_cancel;
+    const SimJob *job = world->jobs->pdata[i];
+    cancelled += job->told_cancelled && !job->asked_cancel;
     done += job->told_done && job->awaits->len;
   }
   /* A day on which nothing was taken along, or nothing came after another, shows nothing. */
@@ -52,7 +57,7 @@
 }
 
 static void
-quiet_days (void **state)
+quiet_days (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 2000; seed < 2003; seed++)
@@ -61,7 +66,7 @@
 }
 
 static void
-days_with_troubles (void **state)
+days_with_troubles (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 2010; seed < 2026; seed++)
@@ -71,12 +76,12 @@
 
 /* Again and again another node leads, which knows what it read alone. */
 static void
-days_of_new_owners (void **state)
+days_of_new_leaders (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 2030; seed < 2036; seed++) {
     World *world = world_new (seed, 3);
-    faults_owners (world, 25, CALM_AT);
+    faults_leaders (world, 25, CALM_AT);
     broken += play (world, seed, 0, FALSE);
   }
   assert_int_equal (broken, 0);
@@ -84,7 +89,7 @@
 
 /* All controllers end right after a cancellation was told, and the state service goes away. */
 static void
-days_of_shocks (void **state)
+days_of_shocks (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 2040; seed < 2050; seed++)
@@ -93,7 +98,7 @@
 }
 
 static void
-days_with_a_team_limit (void **state)
+days_with_a_team_limit (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 2050; seed < 2054; seed++) {
@@ -106,7 +111,7 @@
 }
 
 static void
-days_with_one_or_five_controllers (void **state)
+days_with_one_or_five_controllers (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 2060; seed < 2066; seed++)
@@ -132,12 +137,12 @@
   double last = upgrade_roll (world, 60, seed % 2 ? 12 : 25, 4);
   upgrade_limits_fall (world, last + fall_after_turn[seed % G_N_ELEMENTS (fall_after_turn)]);
   if (seed % 3 == 0)
-    faults_owners (world, 20, CALM_AT);
+    faults_leaders (world, 20, CALM_AT);
   return play (world, seed, seed % 3, FALSE);
 }
 
 static void
-days_of_an_upgrade (void **state)
+days_of_an_upgrade (void **state G_GNUC_UNUSED)
 {
   guint broken = 0;
   for (guint seed = 2070; seed < 2078; seed++)
@@ -161,7 +166,7 @@
   const struct CMUnitTest tests[] = {
       cmocka_unit_test (quiet_days),
       cmocka_unit_test (days_with_troubles),
-      cmocka_unit_test (days_of_new_owners),
+      cmocka_unit_test (days_of_new_leaders),
       cmocka_unit_test (days_of_shocks),
       cmocka_unit_test (days_with_a_team_limit),
       cmocka_unit_test (days_with_one_or_five_controllers),
--- a/tests/test_users_days.c
+++ b/tests/test_users_days.c
@@ -1,6 +1,9 @@
 /* Simulated days on which users' requests meet two troubles of the state store. Every rule is
  * asserted at every event, and all work is done once the troubles are over. The same meetings
  * message by message: test_store_reads.c, test_writes.c, test_allowance.c. */
+#include "sim/log.h"
+#include "sim/user.h"
+#include "sim/workloads.h"
 #include "sim/world.h"
 #include <setjmp.h>
 #include <stdarg.h>
@@ -15,10 +18,10 @@
 check_end (World *world)
 {
   for (guint i = 0; i < world->jobs->len; i++) {
-    SJob *job = world->jobs->pdata[i];
+    SimJob *job = world->jobs->pdata[i];
     if (!job->accepted)
       w_broken (world, "liveness", "%s was never accepted", job->id);
-    else if (job->asked_cancel && !job->told_withdrawn && !job->told_done)
+    else if (job->asked_cancel && !job->told_cancelled && !job->told_done)
       w_broken (world, "liveness", "%s was not withdrawn", job->id);
     else if (!job->asked_cancel && job->shape != HR_SERVICE && !job->told_done)
       w_broken (world, "liveness", "%s (%d, %u tasks) is not done", job->id, job->shape,
@@ -54,7 +57,7 @@
 /* Answers are lost while users look closely and the leader's work changes hands, again and again,
  * jobs being called off in those seconds. */
 static void
-lost_answers_over_hand_overs (void **state)
+lost_answers_over_hand_overs (void **state G_GNUC_UNUSED)
 {
   static const HrTrouble day[] = {
       {.at_s = 30, .kind = TROUBLE_CLOSE_LOOKS, .for_s = 250, .share = 0.3},
@@ -70,7 +73,7 @@
 
 /* Transactions are carried out after newer ones while jobs are called off at their end. */
 static void
-late_writes_at_the_end (void **state)
+late_writes_at_the_end (void **state G_GNUC_UNUSED)
 {
   static const HrTrouble day[] = {
       {.at_s = 30, .kind = TROUBLE_CANCEL_AT_END, .for_s = 250, .share = 0.6},
@@ -85,7 +88,7 @@
 /* The state service is slow, refuses the leader alone, and is then out for longer than cancel_s;
  * users cancel and ask all the while. */
 static void
-slow_refused_and_away (void **state)
+slow_refused_and_away (void **state G_GNUC_UNUSED)
 {
   static const HrTrouble day[] = {
       {.at_s = 30, .kind = TROUBLE_CLOSE_LOOKS, .for_s = 250, .share = 0.3},
