--- a/src/coordination/leadership/election.c
+++ b/src/coordination/leadership/election.c
@@ -41,7 +41,7 @@
   HrCore *core = store->core;
   HrLeadership *leadership = &core->leadership;
   if (status == 400)
-    leadership->lock_lease_id = 0;
+    leadership->lock_lease_id = 0; /* the store knows no such lease any more */
   leadership->next_election_at =
       core->now + g_rand_double_range (core->random, ELECTION_PAUSE_MIN_S, ELECTION_PAUSE_MAX_S);
   /* Won, lost or unknown: the next read says whom the leader record names. */
--- a/src/coordination/leadership/leadership_state.h
+++ b/src/coordination/leadership/leadership_state.h
@@ -1,8 +1,9 @@
 /* What this node knows of who leads, and what it does about it.
  *
- * leadership.c writes the leader record and lock as they are read, and the fields of the term.
- * election.c writes the lease of the lock and the fields of elections and token raises. Other
- * modules only read. Times are in seconds of the steady clock; revisions are the store's. */
+ * leadership.c writes the leader record and lock as they are read, and the fields of the term;
+ * election.c writes the lease of the lock and the fields of writes in flight. Both write
+ * resigned_token, next_election_at and the flags of a token raise. Other modules only read. Times
+ * are in seconds of the steady clock; revisions are the store's. */
 #pragma once
 #include <glib.h>
 
--- a/src/coordination/metrics/metrics.c
+++ b/src/coordination/metrics/metrics.c
@@ -40,26 +40,25 @@
                                                 : -1);
 }
 
-/* Jobs and tasks. */
 static void
-append_work (const HrCore *core, GString *text)
+append_jobs (const HrCore *core, GString *text)
 {
-  guint queued = 0, bound = 0, cancelled = 0;
+  guint n_queued = 0, n_bound = 0, n_cancelled = 0;
   for (guint i = 0; i < core->store.tables.open_jobs->len; i++) {
     const HrJob *job =
         core->store.tables.jobs->pdata[g_array_index (core->store.tables.open_jobs, guint32, i)];
-    queued += job->state == HR_JOB_QUEUED;
+    n_queued += job->state == HR_JOB_QUEUED;
     for (guint32 k = 0; job->tasks && k < job->n_tasks; k++) {
-      gboolean there = job->tasks[k].state == HR_TASK_BOUND;
-      bound += there;
-      cancelled += there && job->state == HR_JOB_CANCELLED;
+      gboolean is_bound = job->tasks[k].state == HR_TASK_BOUND;
+      n_bound += is_bound;
+      n_cancelled += is_bound && job->state == HR_JOB_CANCELLED;
     }
   }
   append_gauge (text, "jobs_known", "jobs whose records it has read", core->store.tables.jobs->len);
-  append_gauge (text, "jobs_queued", "jobs that are not final and wait for none", queued);
-  append_gauge (text, "tasks_bound", "tasks recorded on machines, as the leader knows", bound);
+  append_gauge (text, "jobs_queued", "jobs that are not final and wait for none", n_queued);
+  append_gauge (text, "tasks_bound", "tasks recorded on machines, as the leader knows", n_bound);
   append_gauge (text, "tasks_withdrawn", "of these, tasks of withdrawn jobs that are to go",
-                cancelled);
+                n_cancelled);
 }
 
 static void
@@ -88,7 +87,7 @@
 {
   GString *text = g_string_new (NULL);
   append_leadership (core, text);
-  append_work (core, text);
+  append_jobs (core, text);
   append_fleet (core, text);
   append_counters (core, text);
   hr_histogram_print (&core->metrics.read_latency, text, "hoprock_reading_seconds",
