--- a/src/client/hoprock.c
+++ b/src/client/hoprock.c
@@ -20,6 +20,9 @@
 /* Between two requests of --watch. */
 #define WATCH_INTERVAL_S 5
 
+/* Where a controller's metrics are. */
+#define METRICS_PATH "/metrics"
+
 static int
 wrong_use (const char *text)
 {
@@ -208,9 +211,9 @@
   guint ready = 0;
   for (guint i = 0; client->servers[i]; i++) {
     g_auto (HrAnswer) probe =
-        hr_client_ask_node (client, client->servers[i], "/ready", POLL_ANSWER_S);
+        hr_client_ask_node (client, client->servers[i], HR_READY_PATH, POLL_ANSWER_S);
     g_auto (HrAnswer) metrics =
-        hr_client_ask_node (client, client->servers[i], "/metrics", POLL_ANSWER_S);
+        hr_client_ask_node (client, client->servers[i], METRICS_PATH, POLL_ANSWER_S);
     ready += probe.status == 200;
     print_node (options, client->servers[i], probe.status != 0, probe.status == 200, &metrics);
   }
--- a/src/client/requests.c
+++ b/src/client/requests.c
@@ -5,7 +5,7 @@
 
 /* Time for all tries of a request. */
 #define GIVE_UP_S 60
-/* Between two tries: at least, and the most that an answer's Retry-After may ask for. */
+/* Between two tries: at least, and the longest Retry-After that is obeyed. */
 #define MIN_PAUSE_S 1
 #define MAX_PAUSE_S 30
 
@@ -47,7 +47,7 @@
          status == 422;
 }
 
-/* One try. *retry_after: seconds that the answer asks to wait; 0: none. */
+/* One try. *retry_after: the answer's Retry-After in seconds; 0: none. */
 static HrAnswer
 send_once (HrClient *client, const char *server, const char *method, const char *path,
            const char *body, guint answer_s, guint64 *retry_after)
--- a/src/coordination/core.c
+++ b/src/coordination/core.c
@@ -139,7 +139,7 @@
     HrCommand *command = commands->pdata[i];
     switch (command->kind) {
     case HR_COMMAND_REQUEST:
-      if (g_strcmp0 (command->request.path, "/hello") == 0)
+      if (g_strcmp0 (command->request.path, HR_HEARTBEAT_PATH) == 0)
         hr_heartbeat_received (core, command);
       else if (g_strcmp0 (command->request.path, HR_METRICS_PATH) == 0 &&
                command->request.method == HR_GET)
--- a/src/coordination/jobs/user_requests.c
+++ b/src/coordination/jobs/user_requests.c
@@ -241,7 +241,7 @@
 hr_user_request_received (HrCore *core, HrCommand *command)
 {
   const char *text = command->request.path;
-  if (strcmp (text, "/ready") == 0) {
+  if (strcmp (text, HR_READY_PATH) == 0) {
     if (command->request.method == HR_GET)
       answer_readiness (core, command);
     else
--- a/src/emulator/balancer.c
+++ b/src/emulator/balancer.c
@@ -38,7 +38,7 @@
   for (int i = 0; i < world->n; i++) {
     Probe *probe = g_new (Probe, 1);
     *probe = (Probe){balancer, i};
-    w_ask (world, i, -1, HR_GET, "/ready", NULL, PROBE_TIMEOUT_S, on_probed, probe);
+    w_ask (world, i, -1, HR_GET, HR_READY_PATH, NULL, PROBE_TIMEOUT_S, on_probed, probe);
   }
   w_at (world, world->now + PROBE_INTERVAL_S, probe_all, balancer);
 }
--- a/src/emulator/balancer.h
+++ b/src/emulator/balancer.h
@@ -1,5 +1,5 @@
 /* The load balancer, as users see it: one address for all controllers. It hands requests to those
- * that answer /ready, and tells the simulated world of the jobs that pass through it. */
+ * that answer /ready, and notes for the simulated world the jobs that pass through it. */
 #pragma once
 #include "emulator/live.h"
 
--- a/src/emulator/main.c
+++ b/src/emulator/main.c
@@ -107,7 +107,7 @@
   world->report_s = figures->report_s;
   world->lease_s = figures->lease_s;
   world->cancel_s = figures->cancel_s;
-  world->loss = world->dup = 0; /* only what the troubles file says goes wrong */
+  world->loss = world->dup = 0; /* the only faults are those of the troubles file */
 }
 
 static gboolean
--- a/src/emulator/processes.c
+++ b/src/emulator/processes.c
@@ -99,8 +99,8 @@
 }
 
 /* Waits until the killed process has ended, so that its ports are free. Called only when they are
- * needed: a process with sanitizers takes a while to end, and the simulated world must not stand
- * still meanwhile. */
+ * needed: a process with sanitizers takes a while to end, and the simulated world must go
+ * on meanwhile. */
 static void
 await_end (LiveNode *node)
 {
--- a/src/emulator/wire.c
+++ b/src/emulator/wire.c
@@ -1,6 +1,6 @@
 /* HTTP between the controllers and the simulated services and workers: a request of either side
- * becomes a message of the simulated world, which may delay, lose or repeat it as the faults say;
- * what the world delivers is sent over real HTTP. */
+ * becomes a message of the simulated world, which may delay, lose or repeat it as the planned
+ * faults demand; what the world delivers is sent over real HTTP. */
 #include "emulator/live.h"
 #include <string.h>
 
--- a/src/hoprockd.c
+++ b/src/hoprockd.c
@@ -222,7 +222,7 @@
   g_autoptr (GError) error = NULL;
   Daemon daemon = {0};
   daemon.queue = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_command_free);
-  /* The incarnation tells this process from every earlier one of the same label. */
+  /* The incarnation distinguishes this process from every earlier one of the same label. */
   g_autofree char *uuid = g_uuid_string_random ();
   uuid[8] = 0;
   g_autofree char *incarnation =
--- a/src/protocol/cloud.c
+++ b/src/protocol/cloud.c
@@ -4,8 +4,6 @@
 
 /* Entries in one page of the list of instances. */
 #define LIST_PAGE_ENTRIES "500"
-/* A job names its types in a set of 64 bits, of which the last means none that the cloud offers. */
-#define MAX_TYPES 63
 /* An image's fetch time is its size over this rate, which may not be zero. */
 #define MIN_FETCH_RATE 1e-3
 
@@ -39,7 +37,7 @@
       type.spot_price = type.price;
     type.fetch_rate = MAX (type.fetch_rate, MIN_FETCH_RATE);
     type.type = hr_intern (&names->types, sku);
-    if (type.type >= MAX_TYPES)
+    if (type.type >= HR_MAX_MACHINE_TYPES)
       continue; /* more types than the bit set of a job holds */
     type.zones = g_array_new (FALSE, TRUE, sizeof (guint32));
     json_t *zones = json_object_get (object, HR_WIRE_ZONES);
--- a/src/protocol/jobspec.c
+++ b/src/protocol/jobspec.c
@@ -9,7 +9,7 @@
 /* Of any amount in a submission. */
 #define MAX_AMOUNT 1e9
 /* Of HrJobSpec.types: stands for all types that the cloud does not offer. */
-#define UNKNOWN_TYPE_BIT 63
+#define UNKNOWN_TYPE_BIT HR_MAX_MACHINE_TYPES
 
 /* By HrShape and by HrPriority. */
 static const char *const shapes[] = {HR_WIRE_SHAPE_BATCH, HR_WIRE_SHAPE_GANG,
@@ -251,7 +251,7 @@
   json_t *types = json_null ();
   if (spec->types) {
     types = json_array ();
-    for (guint i = 0; i < UNKNOWN_TYPE_BIT; i++)
+    for (guint i = 0; i < HR_MAX_MACHINE_TYPES; i++)
       if (spec->types >> i & 1)
         json_array_append_new (types, json_string (hr_intern_name (&names->types, i)));
   }
--- a/src/protocol/jobspec.h
+++ b/src/protocol/jobspec.h
@@ -22,8 +22,12 @@
 #define HR_JOB_ID_MOST 100
 /* Jobs with oversized records that one status of a controller names. */
 #define HR_MAX_OVERSIZED 4
+/* Machine types that the cloud may have: one bit each in HrJobSpec.types, but for the top one. */
+#define HR_MAX_MACHINE_TYPES 63
 /* Bytes of the body of a request. */
 #define HR_MAX_BODY 65536
+/* Where it is asked whether a controller can serve users. */
+#define HR_READY_PATH "/ready"
 /* Where users submit jobs; the path of a job is below it. */
 #define HR_JOBS_PATH "/v1/jobs"
 
--- a/src/protocol/messages.c
+++ b/src/protocol/messages.c
@@ -3,7 +3,7 @@
 #include "protocol/wire_names.h"
 #include <string.h>
 
-/* Of an answer that is not JSON so much is shown. */
+/* Of an answer that is not JSON: how much of it is shown. */
 #define SHOWN_BYTES 200
 
 /* By HrJobStatusState. */
--- a/src/protocol/wire_names.h
+++ b/src/protocol/wire_names.h
@@ -61,7 +61,7 @@
 #define HR_WIRE_PREEMPTION_NOTICE_S "warning_s" /* until a spot instance is taken away */
 #define HR_WIRE_ATTEMPT "try"                   /* attempt of a task */
 #define HR_WIRE_EXIT_CAUSE "cause"              /* why a task exited */
-#define HR_WIRE_CHECKPOINT_SAVED "kept"         /* the stopped task has saved its progress */
+#define HR_WIRE_PROGRESS_SAVED "kept"           /* the stopped task has saved its progress */
 #define HR_WIRE_LEADER "foreman"                /* label of the leader, where to go instead */
 #define HR_WIRE_ORDERS "orders"                 /* list of orders to a worker */
 #define HR_WIRE_ORDER_VERB "verb"               /* one of the orders below */
--- a/src/protocol/worker.c
+++ b/src/protocol/worker.c
@@ -57,7 +57,7 @@
     return FALSE;
   if (reported->state == HR_REPORTED_EXITED)
     reported->cause = parse_exit_cause (hr_json_str (object, HR_WIRE_EXIT_CAUSE));
-  hr_json_bool (object, HR_WIRE_CHECKPOINT_SAVED, &reported->kept);
+  hr_json_bool (object, HR_WIRE_PROGRESS_SAVED, &reported->progress_saved);
   return TRUE;
 }
 
--- a/src/protocol/worker.h
+++ b/src/protocol/worker.h
@@ -7,6 +7,8 @@
 #include <jansson.h>
 #include <glib.h>
 
+/* Where workers send heartbeats. */
+#define HR_HEARTBEAT_PATH "/hello"
 /* Where a worker takes orders between its heartbeats. */
 #define HR_WORKER_ORDERS_PATH "/do"
 
@@ -37,7 +39,7 @@
   guint32 attempt;
   HrReportedState state;
   HrExitCause cause;
-  gboolean kept; /* it was stopped and has saved its progress */
+  gboolean progress_saved; /* it was stopped and has saved its progress */
 } HrReportedTask;
 
 /* Texts belong to `root` or `texts`. */
--- a/src/transport/http_server.c
+++ b/src/transport/http_server.c
@@ -18,7 +18,7 @@
  * refused at once. A worker that finds no free connection loses its lease; a user loses a second.
  */
 #define OVERLOAD_SHARE 0.94
-/* What refused users are asked to wait. */
+/* Retry-After of refused requests. */
 #define OVERLOAD_RETRY_AFTER_S "2"
 /* Time between two warnings about refused requests. */
 #define OVERLOAD_LOG_INTERVAL_S 10
--- a/src/transport/peer.c
+++ b/src/transport/peer.c
@@ -3,7 +3,7 @@
 #include <gio/gio.h>
 #include <string.h>
 
-/* Bytes before a frame that say how long it is. */
+/* Bytes before a frame that hold its length. */
 #define LENGTH_BYTES 4
 /* Peers send a status every second: a connection silent for longer is dead. */
 #define SILENCE_S 15
