--- a/src/bookkeeping/garbage_collection.c
+++ b/src/bookkeeping/garbage_collection.c
@@ -50,7 +50,8 @@
 
 /* After a failure the pages are still noted, and are deleted later. */
 static void
-on_pages_deleted (HrStore *store, int status, json_t *body, double sent, gpointer data)
+on_pages_deleted (HrStore *store, int status, json_t *body G_GNUC_UNUSED, double sent G_GNUC_UNUSED,
+                  gpointer data)
 {
   g_autoptr (GArray) batch = data;
   store->garbage.deletion_in_flight = FALSE;
--- a/src/bookkeeping/record_format.c
+++ b/src/bookkeeping/record_format.c
@@ -53,7 +53,8 @@
 
 /* Carried out, refused or unknown: the next read of the record tells. */
 static void
-on_format_written (HrStore *store, int status, json_t *body, double sent, gpointer data)
+on_format_written (HrStore *store, int status G_GNUC_UNUSED, json_t *body G_GNUC_UNUSED,
+                   double sent G_GNUC_UNUSED, gpointer data G_GNUC_UNUSED)
 {
   store->format.write_in_flight = FALSE;
   store->format.next_write_at = store->now + WRITE_RETRY_S;
--- a/src/bookkeeping/record_split_steps.c
+++ b/src/bookkeeping/record_split_steps.c
@@ -191,7 +191,7 @@
 /* ---- answers ---- */
 
 static void
-on_replica_fresh (HrStore *store, gboolean ok, gpointer data)
+on_replica_fresh (HrStore *store, gboolean ok G_GNUC_UNUSED, gpointer data)
 {
   g_autoptr (RecordSplit) split = data;
   if (split->replica_generation != store->replica.generation)
@@ -232,7 +232,7 @@
 }
 
 static void
-on_step_written (HrStore *store, int status, json_t *body, double sent, gpointer data)
+on_step_written (HrStore *store, int status, json_t *body, double sent G_GNUC_UNUSED, gpointer data)
 {
   g_autoptr (RecordSplit) split = data;
   guint64 store_revision;
--- a/src/bookkeeping/record_write.c
+++ b/src/bookkeeping/record_write.c
@@ -129,7 +129,8 @@
 }
 
 static void
-on_record_reread (HrStore *store, int status, json_t *body, double sent, gpointer data)
+on_record_reread (HrStore *store, int status, json_t *body, double sent G_GNUC_UNUSED,
+                  gpointer data)
 {
   g_autoptr (RecordWrite) write = data;
   HrRecordPage *page = page_under_write (store, write);
@@ -151,7 +152,7 @@
 }
 
 static void
-on_replica_fresh (HrStore *store, gboolean ok, gpointer data)
+on_replica_fresh (HrStore *store, gboolean ok G_GNUC_UNUSED, gpointer data)
 {
   g_autoptr (RecordWrite) write = data;
   const HrRecordPage *page = page_under_write (store, write);
@@ -180,7 +181,7 @@
 }
 
 static void
-on_written (HrStore *store, int status, json_t *body, double sent, gpointer data)
+on_written (HrStore *store, int status, json_t *body, double sent G_GNUC_UNUSED, gpointer data)
 {
   g_autoptr (RecordWrite) write = data;
   HrRecordPage *page = page_under_write (store, write);
--- a/src/bookkeeping/replica.c
+++ b/src/bookkeeping/replica.c
@@ -208,7 +208,7 @@
 /* ---- watches ---- */
 
 static void
-on_watch_answer (HrStore *store, int status, json_t *body, double sent, gpointer data)
+on_watch_answer (HrStore *store, int status, json_t *body, double sent G_GNUC_UNUSED, gpointer data)
 {
   if (GPOINTER_TO_UINT (data) != store->replica.generation)
     return;
--- a/src/bookkeeping/replica_listing.c
+++ b/src/bookkeeping/replica_listing.c
@@ -60,7 +60,7 @@
 }
 
 static void
-on_listing_page (HrStore *store, int status, json_t *body, double sent, gpointer data)
+on_listing_page (HrStore *store, int status, json_t *body, double sent G_GNUC_UNUSED, gpointer data)
 {
   guint64 store_revision;
   if (GPOINTER_TO_UINT (data) != store->replica.generation)
--- a/src/client/hoprock.c
+++ b/src/client/hoprock.c
@@ -20,6 +20,9 @@
 /* Between two requests of --watch. */
 #define WATCH_INTERVAL_S 5
 
+/* Where a controller's metrics are. */
+#define METRICS_PATH "/metrics"
+
 static int
 wrong_use (const char *text)
 {
@@ -106,7 +109,7 @@
 }
 
 static int
-submit (HrClientOptions *options, HrClient *client, const char *unused)
+submit (HrClientOptions *options, HrClient *client, const char *unused G_GNUC_UNUSED)
 {
   g_autoptr (GError) error = NULL;
   g_autofree char *body = submission_body (options, &error);
@@ -156,7 +159,7 @@
 }
 
 static int
-list (HrClientOptions *options, HrClient *client, const char *unused)
+list (HrClientOptions *options, HrClient *client, const char *unused G_GNUC_UNUSED)
 {
   g_autoptr (GPtrArray) ids = hr_history_ids ();
   int code = 0;
@@ -203,14 +206,14 @@
 }
 
 static int
-nodes (HrClientOptions *options, HrClient *client, const char *unused)
+nodes (HrClientOptions *options, HrClient *client, const char *unused G_GNUC_UNUSED)
 {
   guint ready = 0;
   for (guint i = 0; client->servers[i]; i++) {
     g_auto (HrAnswer) probe =
-        hr_client_ask_node (client, client->servers[i], "/ready", POLL_ANSWER_S);
+        hr_client_ask_node (client, client->servers[i], HR_READY_PATH, POLL_ANSWER_S);
     g_auto (HrAnswer) metrics =
-        hr_client_ask_node (client, client->servers[i], "/metrics", POLL_ANSWER_S);
+        hr_client_ask_node (client, client->servers[i], METRICS_PATH, POLL_ANSWER_S);
     ready += probe.status == 200;
     print_node (options, client->servers[i], probe.status != 0, probe.status == 200, &metrics);
   }
--- a/src/coordination/agents/direct_orders.c
+++ b/src/coordination/agents/direct_orders.c
@@ -62,7 +62,8 @@
 }
 
 static void
-on_direct_answer (HrCore *core, int status, json_t *body, double sent_at, gpointer data)
+on_direct_answer (HrCore *core, int status, json_t *body, double sent_at G_GNUC_UNUSED,
+                  gpointer data)
 {
   g_autofree DirectCall *call = data;
   HrMachine *machine = core->store.tables.machines->pdata[call->machine];
@@ -111,8 +112,8 @@
            machine->name, machine->agent.incarnation, core->leadership.fencing_token,
            hr_orders_count (orders, HR_ORDER_STOP), hr_orders_count (orders, HR_ORDER_LAUNCH));
   char *body = hr_orders_text (core->leadership.fencing_token, machine->agent.incarnation, orders);
-  hr_core_call (core, HR_TO_WORKER, machine->address, HR_POST, g_strdup ("/do"), body,
-                DIRECT_TIMEOUT_S, on_direct_answer, call);
+  hr_core_call (core, HR_TO_WORKER, machine->address, HR_POST, g_strdup (HR_WORKER_ORDERS_PATH),
+                body, DIRECT_TIMEOUT_S, on_direct_answer, call);
 }
 
 static void
--- a/src/coordination/core.c
+++ b/src/coordination/core.c
@@ -26,7 +26,6 @@
 #include "protocol/json_util.h"
 
 /* Where workers send their heartbeats. */
-#define HEARTBEAT_PATH "/hello"
 /* Planning passes begin at least so many times the duration of the latest one apart. */
 #define PASS_SPACING 4.0
 /* What of a pass's duration counts: a process that was suspended says nothing about its passes. */
@@ -146,7 +145,7 @@
 request_received (HrCore *core, HrCommand *command)
 {
   const char *path = command->request.path;
-  if (g_strcmp0 (path, HEARTBEAT_PATH) == 0)
+  if (g_strcmp0 (path, HR_HEARTBEAT_PATH) == 0)
     hr_heartbeat_received (core, command);
   else if (g_strcmp0 (path, HR_METRICS_PATH) == 0 && command->request.method == HR_GET)
     hr_core_reply_text (core, command->id, hr_metrics_text (core));
--- a/src/coordination/jobs/cancellations.c
+++ b/src/coordination/jobs/cancellations.c
@@ -56,7 +56,7 @@
 }
 
 static void
-on_written (HrStore *store, int status, json_t *body, double sent_at, gpointer data)
+on_written (HrStore *store, int status, json_t *body, double sent_at G_GNUC_UNUSED, gpointer data)
 {
   HrCore *core = store->core;
   HrUserRequest *request = data;
--- a/src/coordination/jobs/request_routing.c
+++ b/src/coordination/jobs/request_routing.c
@@ -8,7 +8,6 @@
 #include "protocol/messages.h"
 #include <string.h>
 
-#define READINESS_PATH "/ready"
 /* When to ask again whether this node is ready, s. */
 #define READINESS_RETRY_AFTER_S 1
 
@@ -63,7 +62,7 @@
 static Route
 route (HrMethod method, const char *path, gboolean body_is_too_large)
 {
-  if (strcmp (path, READINESS_PATH) == 0)
+  if (strcmp (path, HR_READY_PATH) == 0)
     return method == HR_GET ? (Route){.kind = ROUTE_READINESS} : refuse (405, "use GET");
   if (strcmp (path, HR_JOBS_PATH) == 0)
     return route_submission (method, body_is_too_large);
--- a/src/coordination/jobs/submissions.c
+++ b/src/coordination/jobs/submissions.c
@@ -157,7 +157,7 @@
 }
 
 static void
-on_written (HrStore *store, int status, json_t *body, double sent_at, gpointer data)
+on_written (HrStore *store, int status, json_t *body, double sent_at G_GNUC_UNUSED, gpointer data)
 {
   HrCore *core = store->core;
   HrUserRequest *request = data;
--- a/src/coordination/leadership/election.c
+++ b/src/coordination/leadership/election.c
@@ -26,14 +26,15 @@
 }
 
 static void
-on_reread (HrStore *store, gboolean ok, gpointer data)
+on_reread (HrStore *store, gboolean ok G_GNUC_UNUSED, gpointer data G_GNUC_UNUSED)
 {
   HrLeadership *leadership = &store->core->leadership;
   leadership->election_in_flight = leadership->token_raise_in_flight = FALSE;
 }
 
 static void
-on_leader_record_written (HrStore *store, int status, json_t *body, double sent_at, gpointer data)
+on_leader_record_written (HrStore *store, int status, json_t *body G_GNUC_UNUSED,
+                          double sent_at G_GNUC_UNUSED, gpointer data G_GNUC_UNUSED)
 {
   HrCore *core = store->core;
   HrLeadership *leadership = &core->leadership;
@@ -46,7 +47,8 @@
 }
 
 static void
-on_lock_lease_granted (HrCore *core, int status, json_t *body, double sent_at, gpointer data)
+on_lock_lease_granted (HrCore *core, int status, json_t *body, double sent_at,
+                       gpointer data G_GNUC_UNUSED)
 {
   HrLeadership *leadership = &core->leadership;
   guint64 lease_id = 0;
@@ -60,7 +62,8 @@
 }
 
 static void
-on_lock_lease_renewed (HrCore *core, int status, json_t *body, double sent_at, gpointer data)
+on_lock_lease_renewed (HrCore *core, int status, json_t *body G_GNUC_UNUSED, double sent_at,
+                       gpointer data G_GNUC_UNUSED)
 {
   HrLeadership *leadership = &core->leadership;
   leadership->lock_lease_renewal_in_flight = FALSE;
--- a/src/coordination/scaling/instance_deletions.c
+++ b/src/coordination/scaling/instance_deletions.c
@@ -22,7 +22,8 @@
 } Deletion;
 
 static void
-on_deleted (HrCore *core, int status, json_t *body, double sent, gpointer data)
+on_deleted (HrCore *core, int status, json_t *body G_GNUC_UNUSED, double sent G_GNUC_UNUSED,
+            gpointer data)
 {
   g_autofree Deletion *deletion = data;
   core->scaling.deletions_in_flight--;
--- a/src/coordination/scaling/instance_list.c
+++ b/src/coordination/scaling/instance_list.c
@@ -110,7 +110,8 @@
 }
 
 static void
-on_page (HrCore *core, int status, json_t *body, double sent, gpointer data)
+on_page (HrCore *core, int status, json_t *body, double sent G_GNUC_UNUSED,
+         gpointer data G_GNUC_UNUSED)
 {
   const json_t *list = hr_instance_list_entries (body);
   core->scaling.list_in_flight = FALSE;
--- a/src/coordination/scaling/machine_types.c
+++ b/src/coordination/scaling/machine_types.c
@@ -37,7 +37,8 @@
 }
 
 static void
-on_types_saved (HrStore *store, int status, json_t *body, double sent, gpointer data)
+on_types_saved (HrStore *store, int status, json_t *body G_GNUC_UNUSED, double sent G_GNUC_UNUSED,
+                gpointer data G_GNUC_UNUSED)
 {
   HrCore *core = store->core;
   core->scaling.types_save_sent = status == 200;
@@ -61,7 +62,8 @@
 }
 
 static void
-on_types (HrCore *core, int status, json_t *body, double sent, gpointer data)
+on_types (HrCore *core, int status, json_t *body, double sent G_GNUC_UNUSED,
+          gpointer data G_GNUC_UNUSED)
 {
   core->scaling.types_in_flight = FALSE;
   if (status == 200 && load_types (core, body)) {
--- a/src/coordination/scheduling/mtedf.c
+++ b/src/coordination/scheduling/mtedf.c
@@ -15,7 +15,7 @@
 /* Earliest-starting list first, the image fetch included; then the cheaper machine, then the
  * fuller one, so that others fall empty and can be returned. */
 static int
-by_candidate_start (gconstpointer left, gconstpointer right, gpointer data)
+by_candidate_start (gconstpointer left, gconstpointer right, gpointer data G_GNUC_UNUSED)
 {
   const HrMachine *first = *(HrMachine *const *)left, *second = *(HrMachine *const *)right;
   if (first->plan.candidate_start != second->plan.candidate_start)
--- a/src/emulator/balancer.c
+++ b/src/emulator/balancer.c
@@ -28,7 +28,7 @@
 } Probe;
 
 static void
-on_probed (World *world, int status, json_t *body, gpointer data)
+on_probed (World *world G_GNUC_UNUSED, int status, json_t *body G_GNUC_UNUSED, gpointer data)
 {
   g_autofree Probe *probe = data;
   probe->balancer->healthy[probe->node] = status == 200;
@@ -41,7 +41,7 @@
   for (int i = 0; i < world->n; i++) {
     Probe *probe = g_new (Probe, 1);
     *probe = (Probe){balancer, i};
-    w_ask (world, i, -1, HR_GET, "/ready", NULL, PROBE_TIMEOUT_S, on_probed, probe);
+    w_ask (world, i, -1, HR_GET, HR_READY_PATH, NULL, PROBE_TIMEOUT_S, on_probed, probe);
   }
   w_at (world, world->now + PROBE_INTERVAL_S, probe_all, balancer);
 }
@@ -109,8 +109,8 @@
 }
 
 static void
-on_request (SoupServer *server, SoupServerMessage *msg, const char *path, GHashTable *query,
-            gpointer data)
+on_request (SoupServer *server G_GNUC_UNUSED, SoupServerMessage *msg, const char *path,
+            GHashTable *query G_GNUC_UNUSED, gpointer data)
 {
   Balancer *balancer = data;
   World *world = balancer->live->world;
--- a/src/emulator/processes.c
+++ b/src/emulator/processes.c
@@ -73,7 +73,7 @@
 
 /* Runs in the child: the kernel kills it when this program ends, in whatever way. */
 static void
-die_with_parent (gpointer unused)
+die_with_parent (gpointer unused G_GNUC_UNUSED)
 {
   prctl (PR_SET_PDEATHSIG, SIGKILL);
 }
@@ -99,8 +99,8 @@
 }
 
 /* Waits until the killed process has ended, so that its ports are free. Called only when they are
- * needed: a process with sanitizers takes a while to end, and the simulated world must not stand
- * still meanwhile. */
+ * needed: a process with sanitizers takes a while to end, and the simulated world must go
+ * on meanwhile. */
 static void
 await_end (LiveNode *node)
 {
--- a/src/emulator/relay.c
+++ b/src/emulator/relay.c
@@ -136,7 +136,8 @@
 }
 
 static gboolean
-on_incoming (GSocketService *service, GSocketConnection *incoming, GObject *source, gpointer data)
+on_incoming (GSocketService *service G_GNUC_UNUSED, GSocketConnection *incoming,
+             GObject *source G_GNUC_UNUSED, gpointer data)
 {
   Relay *relay = data;
   if (is_cut (relay)) {
--- a/src/emulator/wire.c
+++ b/src/emulator/wire.c
@@ -1,6 +1,6 @@
 /* HTTP between the controllers and the simulated services and workers: a request of either side
- * becomes a message of the simulated world, which may delay, lose or repeat it as the faults say;
- * what the world delivers is sent over real HTTP. */
+ * becomes a message of the simulated world, which may delay, lose or repeat it as the planned
+ * faults demand; what the world delivers is sent over real HTTP. */
 #include "emulator/live.h"
 #include "sim/request.h"
 #include <string.h>
@@ -38,14 +38,14 @@
 
 /* The controller has ended, or has given the call up. */
 static void
-on_disconnected (SoupServerMessage *msg, gpointer id)
+on_disconnected (SoupServerMessage *msg, gpointer id G_GNUC_UNUSED)
 {
   g_object_set_data (G_OBJECT (msg), GONE_KEY, GINT_TO_POINTER (TRUE));
 }
 
 static void
-on_call (SoupServer *server, SoupServerMessage *msg, const char *path, GHashTable *query,
-         gpointer data)
+on_call (SoupServer *server G_GNUC_UNUSED, SoupServerMessage *msg, const char *path,
+         GHashTable *query G_GNUC_UNUSED, gpointer data)
 {
   LiveListener *listener = data;
   Live *live = listener->live;
@@ -129,7 +129,7 @@
 }
 
 char *
-live_worker_address (World *world, guint machine)
+live_worker_address (World *world, guint machine G_GNUC_UNUSED)
 {
   Live *live = world->controllers_data;
   LiveListener *listener = live_listen (live, -1, HR_TO_WORKER);
--- a/src/policy/policy_parser.c
+++ b/src/policy/policy_parser.c
@@ -249,7 +249,8 @@
 }
 
 static void
-ignore_message (GScanner *scanner, gchar *message, gboolean is_error)
+ignore_message (GScanner *scanner G_GNUC_UNUSED, gchar *message G_GNUC_UNUSED,
+                gboolean is_error G_GNUC_UNUSED)
 {
 }
 
--- a/src/transport/http_server.c
+++ b/src/transport/http_server.c
@@ -18,7 +18,7 @@
  * refused at once. A worker that finds no free connection loses its lease; a user loses a second.
  */
 #define OVERLOAD_SHARE 0.94
-/* What refused users are asked to wait. */
+/* Retry-After of refused requests. */
 #define OVERLOAD_RETRY_AFTER_S "2"
 /* Time between two warnings about refused requests. */
 #define OVERLOAD_LOG_INTERVAL_S 10
@@ -58,8 +58,8 @@
 }
 
 static void
-on_completed (void *data, struct MHD_Connection *conn, void **state,
-              enum MHD_RequestTerminationCode why)
+on_completed (void *data, struct MHD_Connection *conn G_GNUC_UNUSED, void **state,
+              enum MHD_RequestTerminationCode why G_GNUC_UNUSED)
 {
   HrHttpServer *server = data;
   Request *request = *state;
@@ -144,7 +144,8 @@
  * the connection is resumed. */
 static enum MHD_Result
 on_request (void *data, struct MHD_Connection *conn, const char *url, const char *method,
-            const char *version, const char *upload, size_t *upload_size, void **state)
+            const char *version G_GNUC_UNUSED, const char *upload, size_t *upload_size,
+            void **state)
 {
   HrHttpServer *server = data;
   Request *request = *state;
@@ -198,7 +199,7 @@
 }
 
 static gboolean
-source_dispatch (GSource *source, GSourceFunc callback, gpointer data)
+source_dispatch (GSource *source, GSourceFunc callback G_GNUC_UNUSED, gpointer data G_GNUC_UNUSED)
 {
   MHD_run (((Source *)source)->server->daemon);
   return G_SOURCE_CONTINUE;
--- a/src/transport/log_writer.c
+++ b/src/transport/log_writer.c
@@ -83,7 +83,7 @@
 }
 
 static GLogWriterOutput
-write_log (GLogLevelFlags level, const GLogField *fields, gsize n, gpointer data)
+write_log (GLogLevelFlags level, const GLogField *fields, gsize n, gpointer data G_GNUC_UNUSED)
 {
   if ((int)(level & G_LOG_LEVEL_MASK) > max_level)
     return G_LOG_WRITER_HANDLED;
--- a/src/transport/peer.c
+++ b/src/transport/peer.c
@@ -3,7 +3,7 @@
 #include <gio/gio.h>
 #include <string.h>
 
-/* Bytes before a frame that say how long it is. */
+/* Bytes before a frame that hold its length. */
 #define LENGTH_BYTES 4
 /* Peers send a status every second: a connection silent for longer is dead. */
 #define SILENCE_S 15
@@ -107,7 +107,8 @@
 }
 
 static gboolean
-on_incoming (GSocketService *service, GSocketConnection *conn, GObject *src, gpointer data)
+on_incoming (GSocketService *service G_GNUC_UNUSED, GSocketConnection *conn,
+             GObject *src G_GNUC_UNUSED, gpointer data)
 {
   Incoming *incoming = g_new0 (Incoming, 1);
   incoming->peers = data;
