--- a/src/coordination/agents/lease_renewal.c
+++ b/src/coordination/agents/lease_renewal.c
@@ -10,37 +10,26 @@
     [HR_HEARTBEAT_BEFORE_TOKEN] = "before_token",
 };
 
-/* What a worker reads in a refusal, by HrRenewalVerdict. */
-static const char *const refusal_texts[] = {
-    [HR_RENEWAL_NOT_LEADER] = "this node may not act for the controllers now",
-    [HR_RENEWAL_READING_TOO_OLD] = "this node may not act for the controllers now",
-    [HR_RENEWAL_NEWER_TOKEN] = "a newer baton is about",
-    [HR_RENEWAL_MACHINE_RETURNED] = "this machine is being returned, or not known yet",
-    [HR_RENEWAL_EARLIER_INCARNATION] = "this machine is being returned, or not known yet",
-    [HR_RENEWAL_TYPE_UNKNOWN] = "this machine is being returned, or not known yet",
-    [HR_RENEWAL_LAUNCH_MAY_COME] = "an order to this worker may still come",
-    [HR_RENEWAL_STOP_NOT_NAMED] = "an order to this worker may still come",
-};
+#define NOT_ENTITLED "this node may not act for the controllers now"
+#define MACHINE_NOT_ANSWERED "this machine is being returned, or not known yet"
+#define ORDER_MAY_COME "an order to this worker may still come"
 
-/* The counter of such refusals. */
-static guint64 *
-refusal_counter (HrCore *core, HrRenewalVerdict verdict)
-{
-  HrCounters *counters = &core->metrics.counters;
-  switch (verdict) {
-  case HR_RENEWAL_NOT_LEADER:
-  case HR_RENEWAL_READING_TOO_OLD:
-    return &counters->reports_refused_not_entitled;
-  case HR_RENEWAL_NEWER_TOKEN:
-    return &counters->reports_refused_token;
-  case HR_RENEWAL_MACHINE_RETURNED:
-  case HR_RENEWAL_EARLIER_INCARNATION:
-  case HR_RENEWAL_TYPE_UNKNOWN:
-    return &counters->reports_refused_machine;
-  default:
-    return &counters->reports_refused_order;
-  }
-}
+#define COUNTER(suffix) offsetof (HrCounters, reports_refused_##suffix)
+
+/* What the worker reads in a refusal, and which counter counts it, by HrRenewalVerdict. */
+static const struct {
+  const char *text;
+  gsize counter; /* offset in HrCounters */
+} refusals[] = {
+    [HR_RENEWAL_NOT_LEADER] = {NOT_ENTITLED, COUNTER (not_entitled)},
+    [HR_RENEWAL_READING_TOO_OLD] = {NOT_ENTITLED, COUNTER (not_entitled)},
+    [HR_RENEWAL_NEWER_TOKEN] = {"a newer baton is about", COUNTER (token)},
+    [HR_RENEWAL_MACHINE_RETURNED] = {MACHINE_NOT_ANSWERED, COUNTER (machine)},
+    [HR_RENEWAL_EARLIER_INCARNATION] = {MACHINE_NOT_ANSWERED, COUNTER (machine)},
+    [HR_RENEWAL_TYPE_UNKNOWN] = {MACHINE_NOT_ANSWERED, COUNTER (machine)},
+    [HR_RENEWAL_LAUNCH_MAY_COME] = {ORDER_MAY_COME, COUNTER (order)},
+    [HR_RENEWAL_STOP_NOT_NAMED] = {ORDER_MAY_COME, COUNTER (order)},
+};
 
 /* Is the label in the leader record that of one of the controllers? */
 static gboolean
@@ -58,7 +47,7 @@
 hr_lease_renewal_refuse (HrCore *core, HrCommand *command, const char *machine_name,
                          HrRenewalVerdict verdict)
 {
-  ++*refusal_counter (core, verdict);
+  G_STRUCT_MEMBER (guint64, &core->metrics.counters, refusals[verdict].counter)++;
   g_debug ("refused: machine=%s reason=%s leads=%d token=%" G_GUINT64_FORMAT " reading_age=%.2f",
            machine_name ? machine_name : "-", hr_renewal_verdict_name (verdict),
            core->leadership.is_leader, core->leadership.fencing_token,
@@ -67,7 +56,7 @@
     hr_core_reply (core, command->id, 421,
                    json_pack ("{ss}", "foreman", core->leadership.leader_label), 0);
   else
-    hr_core_refuse (core, command->id, 503, 0, refusal_texts[verdict]);
+    hr_core_refuse (core, command->id, 503, 0, refusals[verdict].text);
 }
 
 char *
--- a/src/coordination/agents/termination_proof.c
+++ b/src/coordination/agents/termination_proof.c
@@ -37,8 +37,9 @@
   return core->now > base + hr_lease_duration_s (core);
 }
 
-gboolean
-hr_termination_orders_settled (const HrMachine *machine)
+/* No launch that this leader sent to the machine may still take effect. */
+static gboolean
+orders_are_settled (const HrMachine *machine)
 {
   return machine->agent.direct_calls_in_flight == 0 &&
          machine->agent.unanswered_launch_token == 0 &&
@@ -88,8 +89,7 @@
   if (job->state == HR_JOB_QUEUED && !task->stop_wanted && !task->from_earlier_term &&
       !job->run.attempt_ending)
     return HR_ABSENCE_TO_LAUNCH;
-  if (hr_termination_orders_settled (machine) &&
-      report->fencing_token >= core->leadership.fencing_token)
+  if (orders_are_settled (machine) && report->fencing_token >= core->leadership.fencing_token)
     return HR_ABSENCE_PROVEN;
   return machine->agent.unanswered_launch_token ? HR_ABSENCE_TOKEN_NEEDED : HR_ABSENCE_NOT_PROVEN;
 }
@@ -115,7 +115,7 @@
 hr_termination_may_clear (const HrCore *core, const HrMachine *machine, guint32 job_index,
                           guint32 task_index, guint32 attempt)
 {
-  if (!hr_termination_orders_settled (machine))
+  if (!orders_are_settled (machine))
     return HR_CLEAR_ORDERS_UNSETTLED;
   if (machine->agent.fencing_token < core->leadership.term_token)
     return HR_CLEAR_TOKEN_NOT_SEEN;
--- a/src/coordination/agents/termination_proof.h
+++ b/src/coordination/agents/termination_proof.h
@@ -57,13 +57,6 @@
  */
 gboolean hr_lease_has_expired (const HrCore *core, const HrMachine *machine);
 
-/**
- * hr_termination_orders_settled:
- *
- * Returns: whether no launch that this leader sent to the machine may still take effect.
- */
-gboolean hr_termination_orders_settled (const HrMachine *machine);
-
 /**
  * hr_termination_cancelled_may_start:
  *
