--- a/src/coordination/core.c
+++ b/src/coordination/core.c
@@ -25,7 +25,6 @@
 #include "protocol/http_method.h"
 #include "protocol/json_util.h"
 
-/* Where workers send their heartbeats. */
 /* Planning passes begin at least so many times the duration of the latest one apart. */
 #define PASS_SPACING 4.0
 /* What of a pass's duration counts: a process that was suspended says nothing about its passes. */
--- a/src/transport/http_server.c
+++ b/src/transport/http_server.c
@@ -205,7 +205,11 @@
   return G_SOURCE_CONTINUE;
 }
 
-static GSourceFuncs source_funcs = {source_prepare, source_check, source_dispatch, NULL};
+static GSourceFuncs source_funcs = {
+    .prepare = source_prepare,
+    .check = source_check,
+    .dispatch = source_dispatch,
+};
 
 /* address: IP:PORT. */
 static gboolean
