--- a/src/bookkeeping/class_stats.h
+++ b/src/bookkeeping/class_stats.h
@@ -1,6 +1,6 @@
 /* Statistics of a class of jobs: run times, arrivals, and the images that its work uses.
  *
- * They are kept up by coordination/jobs/ and scheduling/, in memory alone. */
+ * They are updated by coordination/jobs/ and scheduling/, in memory alone. */
 #pragma once
 #include "protocol/jobspec.h"
 #include <glib.h>
--- a/src/bookkeeping/job.h
+++ b/src/bookkeeping/job.h
@@ -1,6 +1,6 @@
 /* Jobs and their tasks: what is recorded of them, and what the leader knows on top.
  *
- * Rows are owned by HrTables (tables.h). Each group of members says in which module it is kept up;
+ * Rows are owned by HrTables (tables.h). Each group of members says which module updates it;
  * others only read it. Times are in seconds of the steady clock unless said otherwise; revisions
  * are the store's. */
 #pragma once
@@ -76,7 +76,7 @@
   guint n_pages;
   gboolean sized_page_keys;  /* keys of pages are under h/u, with their size; else h/t */
   GArray *staged_pages;      /* HrStagedPage; NULL: none */
-  json_t *unknown_members;   /* of the main record, kept as read; NULL: none */
+  json_t *unknown_members;   /* of the main record, preserved as read; NULL: none */
   gboolean is_compacted;     /* final: its record is a tombstone */
   gboolean tasks_unreadable; /* its recorded tasks are invalid: they may be on any machine */
   gboolean main_unreadable;  /* its latest main record is invalid: it may be in any state */
--- a/src/bookkeeping/machine.h
+++ b/src/bookkeeping/machine.h
@@ -1,6 +1,6 @@
 /* Machines: what they are, what is placed on them, and what the leader knows of their agents.
  *
- * Rows are owned by HrTables (tables.h). Each group of members says in which module it is kept up;
+ * Rows are owned by HrTables (tables.h). Each group of members says which module updates it;
  * others only read it. Times are in seconds of the steady clock. */
 #pragma once
 #include "protocol/cloud.h"
--- a/src/bookkeeping/record.h
+++ b/src/bookkeeping/record.h
@@ -12,7 +12,7 @@
  *
  * TASK is 0 (never placed), 1 (done) or [MACHINE,INCARNATION,ATTEMPT]. TAG is the tag of the write
  * that left the record: by it a writer knows its own write. Members that this version does not know
- * are kept (docs/upgrades.md). The names of the members are in record_fields.h.
+ * are preserved (docs/upgrades.md). The names of the members are in record_fields.h.
  *
  * Nothing here keeps state or sends anything. */
 #pragma once
@@ -22,7 +22,7 @@
 #include <glib.h>
 #include <jansson.h>
 
-/* A main record, as read. Cleared with hr_record_clear(), also after a failed reading. */
+/* A main record, as read. Cleared with hr_record_clear(), also after a failed read. */
 typedef struct {
   char *tag;
   HrJobState state;
--- a/src/bookkeeping/record_format.c
+++ b/src/bookkeeping/record_format.c
@@ -51,7 +51,7 @@
   hr_record_split_rescan (store);
 }
 
-/* Carried out, refused or unknown: the next read of the record tells. */
+/* Carried out, refused or unknown: the next read of the record shows it. */
 static void
 on_format_written (HrStore *store, int status, json_t *body, double sent, gpointer data)
 {
--- a/src/bookkeeping/record_split_steps.h
+++ b/src/bookkeeping/record_split_steps.h
@@ -15,6 +15,6 @@
  * @job: a job whose record can be split, and has no write in flight
  *
  * Splits the job's record into smaller pages. Until the split has ended, which its
- * `split_in_flight` tells, the record is not written otherwise; then all of its pages are marked.
+ * `split_in_flight` states, the record is not written otherwise; then all of its pages are marked.
  */
 void hr_record_split_start (HrStore *store, HrJob *job);
--- a/src/bookkeeping/record_write.c
+++ b/src/bookkeeping/record_write.c
@@ -44,7 +44,7 @@
 }
 
 /* The page whose write this still is, or NULL when it was overtaken: by a new listing of the store,
- * by the job's end, or by a change that told its outcome before the answer came. */
+ * by the job's end, or by a change that showed its outcome before the answer came. */
 static HrRecordPage *
 page_under_write (const HrStore *store, const RecordWrite *write)
 {
@@ -189,8 +189,8 @@
   if (status == 200 && hr_json_count (body, "epoch", G_MAXINT64, &store_revision))
     hr_record_writer_confirmed (store, job_of (store, write), page, store_revision);
   else if (status == 409)
-    /* Perhaps because of an earlier try of ours whose answer was lost: the record tells. The leader
-     * record may have changed too, so the changes are read before anything is concluded. */
+    /* Perhaps because of an earlier try of ours whose answer was lost: the record shows it. The
+     * leader record may have changed too, so the changes are read before anything is concluded. */
     hr_replica_read (store, on_replica_fresh, g_steal_pointer (&write));
   else if (status == 400)
     handle_refusal (store, write, page, hr_json_str (body, "error"));
--- a/src/bookkeeping/record_writer.c
+++ b/src/bookkeeping/record_writer.c
@@ -208,7 +208,7 @@
     if (is_first && job->run.n_live == 0 && !job->record.is_compacted)
       return CONTENT_TOMBSTONE;
   } else {
-    /* The last ending and the tombstone are one write where the tasks stand in the main record. */
+    /* The last ending and the tombstone are one write where the tasks are in the main record. */
     guint32 n_done = job->record.tasks_per_page ? job->n_recorded_done : job->n_done;
     if (is_first && n_done == job->n_tasks)
       return CONTENT_TOMBSTONE;
--- a/src/bookkeeping/replica.h
+++ b/src/bookkeeping/replica.h
@@ -34,7 +34,7 @@
  * @data: for @callback
  *
  * Waits for a read that begins after this call: then the tables hold every change that anyone was
- * told of before. Where no read is possible now, @callback is called at once, with FALSE.
+ * informed of before. Where no read is possible now, @callback is called at once, with FALSE.
  */
 void hr_replica_read (HrStore *store, HrReadCallback callback, gpointer data);
 
--- a/src/bookkeeping/replica_changes.c
+++ b/src/bookkeeping/replica_changes.c
@@ -94,8 +94,8 @@
 {
   gboolean was_told = job->cancellation.told_by_peer;
   HrJobState before = job->state;
-  /* The record may be older than what a peer told; the cancellation is final all the same. One that
-   * only followed from another job's is concluded again. */
+  /* The record may be older than what a peer stated; the cancellation is final all the same. One
+   * that only followed from another job's is concluded again. */
   job->cancellation.told_by_peer = was_told && recorded == HR_JOB_QUEUED;
   job->state = job->cancellation.told_by_peer ? HR_JOB_CANCELLED : recorded;
   return job->state == HR_JOB_CANCELLED && (before != HR_JOB_CANCELLED || was_told);
--- a/src/bookkeeping/replica_listing.c
+++ b/src/bookkeeping/replica_listing.c
@@ -87,7 +87,7 @@
 }
 
 /* Rows of jobs that are not final are read anew: a leader's view goes beyond the store. A final
- * state, once told to a user, stays. */
+ * state, once reported to a user, stays. */
 static void
 forget_job (HrJob *job)
 {
--- a/src/bookkeeping/replica_listing.h
+++ b/src/bookkeeping/replica_listing.h
@@ -6,7 +6,7 @@
  * hr_replica_listing_begin:
  * @store: the store, whose replica is unread
  *
- * Clears what the listing will tell anew and requests the first page. At the end the replica
+ * Clears what the listing will read anew and requests the first page. At the end the replica
  * follows the store from the first page's revision on; after a failure it is unread again, and is
  * to be listed after a while.
  */
--- a/src/bookkeeping/store_keys.h
+++ b/src/bookkeeping/store_keys.h
@@ -33,7 +33,7 @@
 
 /**
  * hr_record_page_key:
- * @job: a job whose tasks stand in pages
+ * @job: a job whose tasks are in pages
  * @page: number of the page, from 0
  *
  * Returns: (transfer full): the key of a page in the layout that the main record names
--- a/src/bookkeeping/transactions.h
+++ b/src/bookkeeping/transactions.h
@@ -3,9 +3,9 @@
  *
  * A transaction is built, then submitted. Submitted ones are queued by kind and sent within this
  * node's share of the store's allowance for changes; no more than a few are in flight. The callback
- * tells the HTTP status: 200 carried out; 409 a condition does not hold; 400 refused for its size
- * or shape; 0 and all else unknown, so it may have been carried out. The same transaction may be
- * submitted again then: its conditions keep it from taking effect twice. */
+ * receives the HTTP status: 200 carried out; 409 a condition does not hold; 400 refused for its
+ * size or shape; 0 and all else unknown, so it may have been carried out. The same transaction may
+ * be submitted again then: its conditions keep it from taking effect twice. */
 #pragma once
 #include "bookkeeping/store.h"
 #include <glib.h>
