--- a/tests/sim/faults.c
+++ b/tests/sim/faults.c
@@ -84,7 +84,7 @@
   for (guint k = 0; fault->machine && k < world->machines->len; k++) {
     SimMachine *machine = world->machines->pdata[k];
     if (machine == fault->machine || (others && w_rand (world, 0, 1) < 0.3))
-      machine->deaf = world->now + fault->for_s;
+      machine->inbound_cut = world->now + fault->for_s;
   }
 }
 
@@ -216,9 +216,9 @@
 freeze (World *world, gpointer data)
 {
   Freeze *freeze_row = data;
-  int owner = MAX (0, store_leader (world));
+  int leader = MAX (0, store_leader (world));
   for (int k = 0; k < world->n; k++)
-    if (freeze_row->who == FREEZE_ALL || (freeze_row->who == FREEZE_LEADER) == (k == owner))
+    if (freeze_row->who == FREEZE_ALL || (freeze_row->who == FREEZE_LEADER) == (k == leader))
       node_freeze (world, k, freeze_row->for_s);
   g_free (freeze_row);
 }
@@ -242,7 +242,7 @@
 }
 
 static void
-deafen (World *world, gpointer data G_GNUC_UNUSED)
+cut_inbound_of_busiest (World *world, gpointer data G_GNUC_UNUSED)
 {
   SimMachine *machine = NULL;
   for (guint i = 0; i < world->machines->len; i++) {
@@ -253,14 +253,14 @@
   }
   if (!machine)
     return;
-  machine->deaf = world->now + 200;
+  machine->inbound_cut = world->now + 200;
   w_at (world, world->now + 60, still_there, machine);
 }
 
 void
 faults_inbound_cut (World *world, double at)
 {
-  w_at (world, at, deafen, NULL);
+  w_at (world, at, cut_inbound_of_busiest, NULL);
 }
 
 /* Of the machines marked for it when a trouble began: how many there are, and for how many it is
--- a/tests/sim/faults_fleet.c
+++ b/tests/sim/faults_fleet.c
@@ -28,7 +28,7 @@
 static void
 half_gone (World *world, gpointer data G_GNUC_UNUSED)
 {
-  int owner = store_leader (world);
+  int leader = store_leader (world);
   guint n = 0;
   for (guint i = 0; i < world->machines->len; i++) {
     SimMachine *machine = world->machines->pdata[i];
@@ -36,8 +36,8 @@
     if (machine->through_cut)
       machine_end (world, machine);
   }
-  if (owner >= 0)
-    fault_crash (world, owner);
+  if (leader >= 0)
+    fault_crash (world, leader);
   w_at (world, world->now + 26, proven, NULL);
 }
 
@@ -50,9 +50,9 @@
 static void
 leader_ends (World *world, gpointer data G_GNUC_UNUSED)
 {
-  int owner = store_leader (world);
-  if (owner >= 0)
-    fault_crash (world, owner);
+  int leader = store_leader (world);
+  if (leader >= 0)
+    fault_crash (world, leader);
 }
 
 static void
@@ -72,10 +72,10 @@
 static void
 two_leaders (World *world, gpointer data G_GNUC_UNUSED)
 {
-  int owner = store_leader (world);
-  if (owner < 0)
+  int leader = store_leader (world);
+  if (leader < 0)
     return;
-  Node *n = &world->nodes[owner];
+  Node *n = &world->nodes[leader];
   n->cut_store = n->cut_peers = world->now + 7.9;
   n->alone_at = world->now;
   n->hold = FALSE;
@@ -190,9 +190,9 @@
 static void
 changes_gone (World *world, gpointer data G_GNUC_UNUSED)
 {
-  int owner = store_leader (world);
-  if (owner >= 0)
-    world->nodes[owner].too_old = world->epoch;
+  int leader = store_leader (world);
+  if (leader >= 0)
+    world->nodes[leader].too_old = world->epoch;
 }
 
 void
--- a/tests/sim/faults_members.c
+++ b/tests/sim/faults_members.c
@@ -80,10 +80,10 @@
 static void
 missed_cancellation (World *world, gpointer data)
 {
-  int owner = store_leader (world);
-  if (owner < 0)
+  int leader = store_leader (world);
+  if (leader < 0)
     return;
-  int other = (owner + 1) % world->n;
+  int other = (leader + 1) % world->n;
   for (int k = 0; k < world->n; k++)
     if (k != other)
       fault_store_away (world, k);
@@ -100,9 +100,9 @@
 static void
 cancel_elsewhere (World *world, gpointer data G_GNUC_UNUSED)
 {
-  int owner = store_leader (world);
+  int leader = store_leader (world);
   for (int k = 0; k < world->n; k++)
-    if (k != owner)
+    if (k != leader)
       users_cancel_service_at (world, k);
 }
 
@@ -116,10 +116,10 @@
 static void
 cancellation_gap (World *world, gpointer data G_GNUC_UNUSED)
 {
-  int owner = store_leader (world);
-  if (owner < 0)
+  int leader = store_leader (world);
+  if (leader < 0)
     return;
-  world->nodes[owner].refused = world->now + 14;
+  world->nodes[leader].refused = world->now + 14;
   double after = 0.3;
   while (after < 1.5) {
     w_at (world, world->now + after, cancel_elsewhere, NULL);
@@ -147,11 +147,11 @@
 static void
 leader_unreached (World *world, gpointer data)
 {
-  int owner = store_leader (world);
-  if (owner < 0)
+  int leader = store_leader (world);
+  if (leader < 0)
     return;
-  world->nodes[owner].cut_workers = world->now + 40;
-  world->nodes[owner].hold = data != NULL;
+  world->nodes[leader].cut_workers = world->now + 40;
+  world->nodes[leader].hold = data != NULL;
   for (guint i = 0; i < world->machines->len; i++) {
     SimMachine *machine = world->machines->pdata[i];
     machine->through_cut =
--- a/tests/sim/invariant_checks.c
+++ b/tests/sim/invariant_checks.c
@@ -264,7 +264,7 @@
 /* Job by job: however well the others fare, none may stay without an answer for 75 s
  * once all troubles are over. A user asks every 15 s at the least. */
 static void
-judge_forgotten (World *world)
+check_unanswered_jobs (World *world)
 {
   for (guint i = 0; i < world->jobs->len; i++) {
     SimJob *job = world->jobs->pdata[i];
@@ -279,7 +279,7 @@
 check_periodically (World *world)
 {
   if (world->calm)
-    judge_forgotten (world);
+    check_unanswered_jobs (world);
   check_quota (world, 0);
   check_waiting_jobs (world);
   for (guint i = 0; i < world->machines->len; i++) {
--- a/tests/sim/messages.c
+++ b/tests/sim/messages.c
@@ -143,7 +143,7 @@
          until = world->now + net_delay (world) + troubles_delay (world, request);
   if (request->answer_lost ||
       (request->node < 0 && request->machine >= 0 &&
-       ((SimMachine *)world->machines->pdata[request->machine])->deaf > world->now)) {
+       ((SimMachine *)world->machines->pdata[request->machine])->inbound_cut > world->now)) {
     g_free (body);
     return;
   }
@@ -251,7 +251,7 @@
   SimMachine *worker = request->node >= 0 && request->target == HR_TO_WORKER
                            ? machine_at (world, request->addr)
                            : NULL;
-  if (worker && worker->deaf > world->now)
+  if (worker && worker->inbound_cut > world->now)
     return;
   if (!world->calm && request->node < 0 && request->machine >= 0 &&
       w_rand (world, 0, 1) < world->copies)
--- a/tests/sim/trouble_messages.c
+++ b/tests/sim/trouble_messages.c
@@ -72,7 +72,7 @@
 {
   if (request->node < 0 && request->machine >= 0) {
     const SimMachine *machine = world->machines->pdata[request->machine];
-    if (machine->mute > world->now)
+    if (machine->outbound_cut > world->now)
       return TRUE;
     if (is_report (request))
       copy_report (world, request);
--- a/tests/sim/troubles.c
+++ b/tests/sim/troubles.c
@@ -155,9 +155,9 @@
   for (guint i = 0; i < list->len; i++) {
     SimMachine *machine = list->pdata[i];
     if (trouble->kind == TROUBLE_MACHINE_DEAF)
-      machine->deaf = until;
+      machine->inbound_cut = until;
     else if (trouble->kind == TROUBLE_MACHINE_MUTE)
-      machine->mute = until;
+      machine->outbound_cut = until;
     else if (trouble->kind == TROUBLE_MACHINE_HANG)
       machine->hang = until;
     else if (trouble->kind == TROUBLE_MACHINE_CRASH)
@@ -350,8 +350,9 @@
 static gboolean
 machine_troubled (const World *world, const SimMachine *machine)
 {
-  return !machine->gone && (machine->cut > world->now || machine->hang > world->now ||
-                            machine->deaf > world->now || machine->mute > world->now);
+  return !machine->gone &&
+         (machine->cut > world->now || machine->hang > world->now ||
+          machine->inbound_cut > world->now || machine->outbound_cut > world->now);
 }
 
 gboolean
--- a/tests/sim/worker.h
+++ b/tests/sim/worker.h
@@ -37,9 +37,9 @@
   gboolean out;    /* a report is on its way */
   guint report;    /* number of the report on its way */
   double report_sent, token_told;
-  double cut, hang; /* until when */
-  double deaf;      /* until when answers and commands do not reach it; reports leave */
-  double mute;      /* until when it reaches no controller; commands reach it */
+  double cut, hang;    /* until when */
+  double inbound_cut;  /* until when answers and commands do not reach it; reports leave */
+  double outbound_cut; /* until when it reaches no controller; commands reach it */
   gboolean hold;
   double warned; /* taken at; 0: no notice */
   gboolean faulty, through_cut;
--- a/tests/sim/world.c
+++ b/tests/sim/world.c
@@ -85,12 +85,12 @@
 typedef struct {
   int to;
   HrPeerStatus status;
-} Hint;
+} SentStatus;
 
 static void
 deliver_status (World *world, gpointer data)
 {
-  Hint *sent = data;
+  SentStatus *sent = data;
   if (world->nodes[sent->to].up) {
     HrCommand *command = hr_command_new (HR_COMMAND_PEER_STATUS);
     *command->peer_status = sent->status;
@@ -149,8 +149,8 @@
   } else
     for (int k = 0; k < world->n; k++)
       if (k != i && n->cut_peers <= world->now && world->nodes[k].cut_peers <= world->now) {
-        Hint *sent = g_new (Hint, 1);
-        *sent = (Hint){k, *effect->peer_status};
+        SentStatus *sent = g_new (SentStatus, 1);
+        *sent = (SentStatus){k, *effect->peer_status};
         w_at (world, world->now + net_delay (world), deliver_status, sent);
       }
 }
