--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -114,7 +114,7 @@
   double pipelines_cancelled; /* share of pipelines of which some job is cancelled */
   gboolean shock;             /* a cancellation that was told is followed by the end of all nodes */
   double shocked_at;
-  /* judge */
+  /* what the checks have found */
   GPtrArray *broken; /* texts */
   guint starts;
   double loss, dup, late;
--- a/tests/test_sim.c
+++ b/tests/test_sim.c
@@ -31,7 +31,7 @@
 
 /* No job may have stayed behind. */
 static guint
-judge_ends (World *world, guint32 seed)
+check_end_of_day (World *world, guint32 seed)
 {
   if (store_garbage (world))
     w_broken (world, "garbage", "%u pages of final jobs are kept", store_garbage (world));
@@ -63,7 +63,7 @@
   users_probe (world);
   faults_init (world, faults, 30, 320);
   world_run (world, 1000);
-  return judge_ends (world, seed);
+  return check_end_of_day (world, seed);
 }
 
 static guint
@@ -546,7 +546,7 @@
     w_broken (world, "format", "the new format was never recorded");
   if (store_large (world))
     w_broken (world, "large", "%u records are too large", store_large (world));
-  return judge_ends (world, seed);
+  return check_end_of_day (world, seed);
 }
 
 static void
