--- a/tests/check_docs.sh
+++ b/tests/check_docs.sh
@@ -6,7 +6,8 @@
 set -euo pipefail
 export LC_ALL=C
 cd "${1:-$(dirname "$0")/..}"
-pages=(docs/architecture.md docs/runbook.md docs/design.md CONTRIBUTING.md)
+pages=(docs/architecture.md docs/runbook.md docs/design.md docs/meetings.md docs/pipelines.md docs/operations.md
+  docs/upgrades.md docs/search.md docs/emulator.md docs/questions.md README.md CONTRIBUTING.md)
 missing=0
 
 report () {
