--- a/tests/check_docs.sh
+++ b/tests/check_docs.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
 # check_docs.sh [ROOT]: fails when a page for readers of the code names a file or a function that is not
-# there: paths (src/, tests/, docs/, deploy/), sources by their bare name (replica.c), and functions hr_*.
+# there: paths (src/, tests/, docs/, deploy/), sources by their bare name (replica.c), and functions hr_*; or a
+# function with another file than that which defines it (replica.c:hr_replica_read).
 # A function counts as there where a source or header of src/ or tests/ declares or defines it; a mention in a
 # comment does not count.
 set -euo pipefail
@@ -39,6 +40,9 @@
   for name in $(words "$page" '(^|[^A-Za-z0-9_])hr_[a-z0-9_]+' | grep -oE 'hr_[a-z0-9_]+'); do
     grep -qxF "$name" <<<"$declared" || report "$page" function "$name"
   done
+  for pair in $(words "$page" '[a-z0-9_]+\.c:hr_[a-z0-9_]+'); do
+    [ -n "$(find src -name "${pair%%:*}" -exec grep -lE "^${pair#*:} \(" {} +)" ] || report "$page" definition "$pair"
+  done
 done
 
 [ "$missing" -eq 0 ] || exit 1
