--- a/src/client/hoprock.c
+++ b/src/client/hoprock.c
@@ -114,7 +114,7 @@
   g_autoptr (GError) error = NULL;
   g_autofree char *body = submission_body (options, &error);
   if (!body)
-    return wrong_use (error->message);
+    return wrong_use (error ? error->message : "the job cannot be read");
   g_autofree char *id = hr_submission_id (body, strlen (body));
   if (!id)
     return wrong_use ("the job has no valid id: `job-` and letters, digits, - _ .");
--- a/src/protocol/cloud.c
+++ b/src/protocol/cloud.c
@@ -20,7 +20,7 @@
   json_t *list = json_object_get (root, HR_WIRE_MACHINE_TYPES), *object, *zone;
   GArray *out = g_array_new (FALSE, TRUE, sizeof (HrMachineType));
   g_array_set_clear_func (out, type_clear);
-  size_t i, j;
+  size_t i, k;
   json_array_foreach (list, i, object)
   {
     HrMachineType type = {0};
@@ -41,7 +41,7 @@
       continue; /* more types than the bit set of a job holds */
     type.zones = g_array_new (FALSE, TRUE, sizeof (guint32));
     json_t *zones = json_object_get (object, HR_WIRE_ZONES);
-    json_array_foreach (zones, j, zone) if (json_is_string (zone))
+    json_array_foreach (zones, k, zone) if (json_is_string (zone))
     {
       guint32 k = hr_intern (&names->zones, json_string_value (zone));
       g_array_append_val (type.zones, k);
--- a/src/protocol/intern.c
+++ b/src/protocol/intern.c
@@ -29,8 +29,8 @@
 guint32
 hr_intern_find (const HrIntern *intern, const char *name)
 {
-  guint v = GPOINTER_TO_UINT (g_hash_table_lookup (intern->by_name, name));
-  return v ? v - 1 : HR_NONE;
+  guint found = GPOINTER_TO_UINT (g_hash_table_lookup (intern->by_name, name));
+  return found ? found - 1 : HR_NONE;
 }
 
 const char *
--- a/src/protocol/json_util.c
+++ b/src/protocol/json_util.c
@@ -7,10 +7,10 @@
   const json_t *value = json_object_get (object, key);
   if (!json_is_number (value))
     return FALSE;
-  double d = json_number_value (value);
-  if (!isfinite (d))
+  double number = json_number_value (value);
+  if (!isfinite (number))
     return FALSE;
-  *out = d;
+  *out = number;
   return TRUE;
 }
 
--- a/src/transport/http_server.c
+++ b/src/transport/http_server.c
@@ -182,20 +182,20 @@
 static gboolean
 source_prepare (GSource *source, gint *timeout)
 {
-  MHD_UNSIGNED_LONG_LONG ms;
+  MHD_UNSIGNED_LONG_LONG timeout_ms;
   *timeout = -1;
-  if (MHD_get_timeout (((Source *)source)->server->daemon, &ms) == MHD_YES)
-    *timeout = MIN (ms, G_MAXINT);
+  if (MHD_get_timeout (((Source *)source)->server->daemon, &timeout_ms) == MHD_YES)
+    *timeout = MIN (timeout_ms, G_MAXINT);
   return *timeout == 0;
 }
 
 static gboolean
 source_check (GSource *source)
 {
-  MHD_UNSIGNED_LONG_LONG ms;
+  MHD_UNSIGNED_LONG_LONG timeout_ms;
   Source *server_source = (Source *)source;
   return g_source_query_unix_fd (source, server_source->fd) ||
-         (MHD_get_timeout (server_source->server->daemon, &ms) == MHD_YES && ms == 0);
+         (MHD_get_timeout (server_source->server->daemon, &timeout_ms) == MHD_YES && timeout_ms == 0);
 }
 
 static gboolean
