--- a/src/coordination/agents/reported_tasks.c
+++ b/src/coordination/agents/reported_tasks.c
@@ -104,21 +104,21 @@
                                                         : HR_STOP_REASON_NOT_RECORDED);
 }
 
-/* What one message has shown so far. */
+/* What of one message was taken so far. */
 typedef struct {
   GHashTable *recorded; /* HrTask, a set: shown where they are recorded */
   guint n_uncleared;    /* ended attempts that may not be cleared yet */
-} Shown;
+} ReportSummary;
 
 static void
-take_reported_task (HrCore *core, HrMachine *machine, const HrReportedTask *reported, Shown *shown,
-                    GArray *orders)
+take_reported_task (HrCore *core, HrMachine *machine, const HrReportedTask *reported,
+                    ReportSummary *seen, GArray *orders)
 {
   HrJob *job = hr_job_find (&core->store.tables, reported->job);
   HrTask *task = find_reported_task (machine, reported, job);
   switch (hr_reported_task_verdict (core, machine, reported, job, task)) {
   case HR_REPORTED_TASK_RECORDED:
-    g_hash_table_add (shown->recorded, task);
+    g_hash_table_add (seen->recorded, task);
     take_recorded_task (core, machine, job, task, reported);
     break;
   case HR_REPORTED_TASK_END_UNRECORDED: /* no clear before that */
@@ -128,7 +128,7 @@
     clear_ended_task (core, machine, job, reported, orders);
     break;
   case HR_REPORTED_TASK_ENDED:
-    if (++shown->n_uncleared >= MAX_UNCLEARED)
+    if (++seen->n_uncleared >= MAX_UNCLEARED)
       hr_leadership_raise_token (core,
                                  "a worker holds many ended attempts that cannot be cleared yet");
     break;
@@ -160,10 +160,10 @@
 {
   g_autoptr (GArray) before = g_array_copy (machine->tasks);
   g_autoptr (GHashTable) recorded = g_hash_table_new (g_direct_hash, g_direct_equal);
-  Shown shown = {recorded, 0};
+  ReportSummary seen = {recorded, 0};
   machine->unrecognized = (HrResources){0};
   for (guint i = 0; i < message->tasks->len; i++)
-    take_reported_task (core, machine, &g_array_index (message->tasks, HrReportedTask, i), &shown,
+    take_reported_task (core, machine, &g_array_index (message->tasks, HrReportedTask, i), &seen,
                         orders);
   for (guint i = 0; is_report && i < before->len; i++) {
     HrTaskRef ref = g_array_index (before, HrTaskRef, i);
--- a/src/coordination/jobs/gang_scheduling.c
+++ b/src/coordination/jobs/gang_scheduling.c
@@ -62,7 +62,7 @@
   job->run.gang_incomplete_since = 0;
   for (guint32 i = 0; i < job->n_tasks; i++)
     if (!job->tasks[i].stop_wanted)
-      hr_task_withdraw (core, job, i, grace_s);
+      hr_task_cancel (core, job, i, grace_s);
 }
 
 /* Of a task that is on no machine: one of the gang's others is done. */
--- a/src/coordination/jobs/priority_inheritance.c
+++ b/src/coordination/jobs/priority_inheritance.c
@@ -14,7 +14,7 @@
 typedef struct {
   HrPriority priority;
   double deadline; /* time of day, s; INFINITY: not known yet */
-} Urgency;
+} RequiredPlan;
 
 /* Does the job take part: is it queued, with its description known? */
 static gboolean
@@ -53,24 +53,24 @@
 }
 
 /* The more urgent of what is asked of a job so far, and what a dependent asks of it. */
-static Urgency
-inherit (Urgency urgency, const HrJob *dependent)
+static RequiredPlan
+inherit (RequiredPlan required, const HrJob *dependent)
 {
   double latest_end = dependent->plan.deadline - dependent->spec.estimate_s;
-  return (Urgency){.priority = MIN (urgency.priority, dependent->plan.priority),
-                   .deadline = MIN (urgency.deadline, latest_end)};
+  return (RequiredPlan){.priority = MIN (required.priority, dependent->plan.priority),
+                        .deadline = MIN (required.deadline, latest_end)};
 }
 
 /* Returns whether that is a change. */
 static gboolean
-set_urgency (HrCore *core, HrJob *job, Urgency urgency)
+set_required (HrCore *core, HrJob *job, RequiredPlan required)
 {
-  if (urgency.priority == job->plan.priority && urgency.deadline == job->plan.deadline)
+  if (required.priority == job->plan.priority && required.deadline == job->plan.deadline)
     return FALSE;
-  if (job->plan.deadline != urgency.deadline)
+  if (job->plan.deadline != required.deadline)
     hr_job_unplan (core, job); /* lists are in the order of deadlines */
-  job->plan.priority = urgency.priority;
-  job->plan.deadline = urgency.deadline;
+  job->plan.priority = required.priority;
+  job->plan.deadline = required.deadline;
   core->scheduling.plan_is_stale = TRUE;
   return TRUE;
 }
@@ -79,8 +79,8 @@
 static gboolean
 inherit_from (HrCore *core, HrJob *job, const HrJob *dependent)
 {
-  Urgency current = {job->plan.priority, job->plan.deadline};
-  return set_urgency (core, job, inherit (current, dependent));
+  RequiredPlan current = {job->plan.priority, job->plan.deadline};
+  return set_required (core, job, inherit (current, dependent));
 }
 
 /* From the job's own description and all its dependents. Returns whether anything changed. */
@@ -88,11 +88,11 @@
 recompute (HrCore *core, HrJob *job)
 {
   const GPtrArray *dependents = job->dependencies.dependents;
-  Urgency urgency = {job->spec.priority, own_deadline (core, job)};
+  RequiredPlan required = {job->spec.priority, own_deadline (core, job)};
   for (guint i = 0; dependents && i < dependents->len; i++)
     if (is_active (dependents->pdata[i]))
-      urgency = inherit (urgency, dependents->pdata[i]);
-  return set_urgency (core, job, urgency);
+      required = inherit (required, dependents->pdata[i]);
+  return set_required (core, job, required);
 }
 
 /* ---- the order of visits ---- */
--- a/src/coordination/jobs/task_lifecycle.c
+++ b/src/coordination/jobs/task_lifecycle.c
@@ -187,7 +187,7 @@
 }
 
 void
-hr_task_withdraw (HrCore *core, HrJob *job, guint32 task_index, double grace_s)
+hr_task_cancel (HrCore *core, HrJob *job, guint32 task_index, double grace_s)
 {
   const HrTask *task = &job->tasks[task_index];
   if (task->state == HR_TASK_ASSIGNING && !task->write_in_flight)
@@ -208,7 +208,7 @@
           core->store.replica.applied_revision, core->now - core->store.replica.confirmed_at,
           hr_job_bound_tasks (job));
   for (guint32 i = 0; i < job->n_tasks; i++)
-    hr_task_withdraw (core, job, i, 0);
+    hr_task_cancel (core, job, i, 0);
   if (!job->run.n_live)
     hr_record_writer_mark (&core->store, job, 0);
 }
--- a/src/coordination/jobs/task_lifecycle.h
+++ b/src/coordination/jobs/task_lifecycle.h
@@ -71,7 +71,7 @@
 void hr_task_stop (HrCore *core, HrJob *job, guint32 task_index, double grace_s);
 
 /**
- * hr_task_withdraw:
+ * hr_task_cancel:
  * @grace_s: how long it may take to save
  *
  * Takes the task from its machine by whatever its state asks for: an assignment that is not
@@ -79,7 +79,7 @@
  * alone: it is not launched while its job is cancelled or its attempt is ending, and goes when its
  * absence is proven.
  */
-void hr_task_withdraw (HrCore *core, HrJob *job, guint32 task_index, double grace_s);
+void hr_task_cancel (HrCore *core, HrJob *job, guint32 task_index, double grace_s);
 
 /**
  * hr_job_cancelled:
--- a/src/coordination/scheduling/mtedf.c
+++ b/src/coordination/scheduling/mtedf.c
@@ -108,7 +108,7 @@
 /* Tries the task in one list, and notes it where it is the best so far. Returns whether it adds no
  * tardiness there. */
 static gboolean
-try_list (HrCore *core, GPtrArray *order, guint at, HrTaskRef ref, Choice *best)
+evaluate_list (HrCore *core, GPtrArray *order, guint at, HrTaskRef ref, Choice *best)
 {
   HrMachine *machine = order->pdata[at];
   HrTrial trial = hr_trial_insert (core, machine, ref);
@@ -130,7 +130,7 @@
   for (guint k = 0; k < order->len; k++) {
     if (!sample_has (core, &sample, k) || !hr_job_allows_zone (core, job, order->pdata[k]))
       continue;
-    if (try_list (core, order, k, ref, &best))
+    if (evaluate_list (core, order, k, ref, &best))
       break; /* no tardiness: the paper stops here */
   }
   if (best.at == HR_NONE)
--- a/src/coordination/scheduling/tabu.c
+++ b/src/coordination/scheduling/tabu.c
@@ -128,7 +128,7 @@
 /* Moves the task, and back where that does not make the two lists better. Returns whether it
  * stayed; then the plan's tardiness is adjusted. */
 static gboolean
-try_move (HrCore *core, TabuSearch *search, HrTaskRef ref, HrMachine *from, HrMachine *to)
+evaluate_move (HrCore *core, TabuSearch *search, HrTaskRef ref, HrMachine *from, HrMachine *to)
 {
   HrListScore before = score_of_two (from, to);
   move_task (core, ref, from, to);
@@ -164,7 +164,7 @@
     allow_all (search->is_target, n);
     return TRUE;
   }
-  if (try_move (core, search, ref, list_at (search, source), list_at (search, target))) {
+  if (evaluate_move (core, search, ref, list_at (search, source), list_at (search, target))) {
     allow_all (search->is_source, n);
     allow_all (search->is_target, n);
   } else
--- a/src/policy/policy_parser.c
+++ b/src/policy/policy_parser.c
@@ -238,9 +238,9 @@
   if (parser->failed)
     return;
   if (!isfinite (value) || value < tunable->min || value > tunable->max) {
-    g_autofree char *want = g_strdup_printf ("%s from %g to %g, not %g", tunable->name,
-                                             tunable->min, tunable->max, value);
-    fail (parser, HR_POLICY_ERROR_RANGE, want);
+    g_autofree char *expected = g_strdup_printf ("%s from %g to %g, not %g", tunable->name,
+                                                 tunable->min, tunable->max, value);
+    fail (parser, HR_POLICY_ERROR_RANGE, expected);
     return;
   }
   require_token (parser, ';', "';'");
@@ -278,8 +278,8 @@
     parse_assignment (&parser);
   for (gsize i = 0; !parser.failed && i < hr_n_tunables; i++)
     if (!g_hash_table_contains (assigned, hr_tunables[i].name)) {
-      g_autofree char *want = g_strdup_printf ("a line that sets %s", hr_tunables[i].name);
-      fail (&parser, HR_POLICY_ERROR_MISSING, want);
+      g_autofree char *expected = g_strdup_printf ("a line that sets %s", hr_tunables[i].name);
+      fail (&parser, HR_POLICY_ERROR_MISSING, expected);
     }
   g_scanner_destroy (parser.scanner);
   return !parser.failed;
--- a/src/transport/http_server.c
+++ b/src/transport/http_server.c
@@ -195,7 +195,8 @@
   MHD_UNSIGNED_LONG_LONG timeout_ms;
   Source *server_source = (Source *)source;
   return g_source_query_unix_fd (source, server_source->fd) ||
-         (MHD_get_timeout (server_source->server->daemon, &timeout_ms) == MHD_YES && timeout_ms == 0);
+         (MHD_get_timeout (server_source->server->daemon, &timeout_ms) == MHD_YES &&
+          timeout_ms == 0);
 }
 
 static gboolean
