--- a/src/hoprockd.c
+++ b/src/hoprockd.c
@@ -36,16 +36,6 @@
   guint batch_source; /* that will take the step; 0: none */
 } Daemon;
 
-/* The core knows nothing of its process, so its figures are added here. */
-static void
-add_process_metrics (HrEffect *effect)
-{
-  GString *text = g_string_new (effect->body);
-  hr_process_metrics_append (text);
-  g_free (effect->body);
-  effect->body = g_string_free (text, FALSE);
-}
-
 static gboolean
 run_batch (gpointer data)
 {
@@ -59,8 +49,7 @@
   hr_core_step_took (daemon->core, (g_get_monotonic_time () - begun) / 1e6);
   for (guint i = 0; i < effects->len; i++) {
     HrEffect *effect = effects->pdata[i];
-    if (effect->reply.is_plain_text)
-      add_process_metrics (effect);
+    hr_process_metrics_add (effect);
     if (effect->kind == HR_EFFECT_REPLY)
       hr_http_server_reply (daemon->server, effect);
     else if (effect->kind == HR_EFFECT_CALL)
--- a/src/transport/process_metrics.c
+++ b/src/transport/process_metrics.c
@@ -7,8 +7,8 @@
   return time.tv_sec + time.tv_usec / 1e6;
 }
 
-void
-hr_process_metrics_append (GString *text)
+static void
+append_metrics (GString *text)
 {
   struct rusage use;
   if (getrusage (RUSAGE_SELF, &use) != 0)
@@ -24,3 +24,15 @@
                           "hoprock_memory_most_bytes %ld\n",
                           use.ru_maxrss * 1024);
 }
+
+void
+hr_process_metrics_add (HrEffect *effect)
+{
+  /* The kind first: the fields of a reply share their memory with those of a call. */
+  if (effect->kind != HR_EFFECT_REPLY || !effect->reply.is_plain_text)
+    return;
+  GString *text = g_string_new (effect->body);
+  append_metrics (text);
+  g_free (effect->body);
+  effect->body = g_string_free (text, FALSE);
+}
--- a/tests/test_transport.c
+++ b/tests/test_transport.c
@@ -2,6 +2,7 @@
 #include "coordination/command.h"
 #include "protocol/jobspec.h"
 #include "transport/http_client.h"
+#include "transport/process_metrics.h"
 #include <gio/gio.h>
 #include <setjmp.h>
 #include <stdarg.h>
@@ -302,10 +303,34 @@
   spin (&probe, 0.1);
 }
 
+/* Found on the emulator: a call's address was taken for a reply's flag, and orders to workers left
+ * with metrics behind them. */
+static void
+metrics_are_added_to_replies_alone (void **state G_GNUC_UNUSED)
+{
+  HrEffect call = {.kind = HR_EFFECT_CALL, .body = g_strdup ("{}")};
+  call.call.target = HR_TO_WORKER;
+  call.call.address = (char *)"127.0.0.1:1";
+  hr_process_metrics_add (&call);
+  assert_string_equal (call.body, "{}");
+  HrEffect answer = {.kind = HR_EFFECT_REPLY, .body = g_strdup ("{}")};
+  hr_process_metrics_add (&answer);
+  assert_string_equal (answer.body, "{}");
+  HrEffect metrics = {.kind = HR_EFFECT_REPLY, .body = g_strdup ("core 1\n")};
+  metrics.reply.is_plain_text = TRUE;
+  hr_process_metrics_add (&metrics);
+  assert_true (g_str_has_prefix (metrics.body, "core 1\n"));
+  assert_non_null (strstr (metrics.body, "process_cpu_seconds_total"));
+  g_free (call.body);
+  g_free (answer.body);
+  g_free (metrics.body);
+}
+
 int
 main (void)
 {
   const struct CMUnitTest tests[] = {
+      cmocka_unit_test (metrics_are_added_to_replies_alone),
       cmocka_unit_test (a_connection_stays_open),
       cmocka_unit_test (bodies_have_a_limit),
       cmocka_unit_test (connections_cost_the_loop_nothing),
