--- a/src/bookkeeping/machine.c
+++ b/src/bookkeeping/machine.c
@@ -54,15 +54,6 @@
   machine->free.memory_gb += type->memory_gb;
 }
 
-gboolean
-hr_machine_fits (const HrMachine *machine, const HrJobSpec *spec)
-{
-  return spec->cpus <= machine->free.cpus - machine->unrecognized.cpus + CAPACITY_TOLERANCE &&
-         spec->gpus <= machine->free.gpus - machine->unrecognized.gpus + CAPACITY_TOLERANCE &&
-         spec->memory_gb <=
-             machine->free.memory_gb - machine->unrecognized.memory_gb + CAPACITY_TOLERANCE;
-}
-
 gboolean
 hr_machine_has_unreserved (const HrMachine *machine, double cpus, double gpus, double memory_gb)
 {
--- a/src/bookkeeping/machine.h
+++ b/src/bookkeeping/machine.h
@@ -149,15 +149,6 @@
 void hr_machine_describe (HrMachine *machine, const HrMachineType *type, guint32 zone,
                           gboolean spot);
 
-/**
- * hr_machine_fits:
- * @machine: a machine
- * @spec: a job's specification
- *
- * Returns: is there free capacity for a task of the job, that reserved for services included?
- */
-gboolean hr_machine_fits (const HrMachine *machine, const HrJobSpec *spec);
-
 /**
  * hr_machine_has_unreserved:
  * @machine: a machine
--- a/src/coordination/agents/termination_proof.c
+++ b/src/coordination/agents/termination_proof.c
@@ -3,9 +3,6 @@
 #include "coordination/jobs/task_lifecycle.h"
 #include "coordination/state.h"
 
-/* How much slower than ours a worker's clock may run. */
-#define CLOCK_DRIFT_FACTOR 1.002
-
 static const char *const proof_texts[] = {
     [HR_PROOF_ABSENT_FROM_REPORT] = "its worker's report lacks it",
     [HR_PROOF_LATER_INCARNATION] = "its worker is in a later session",
@@ -23,7 +20,7 @@
 double
 hr_lease_duration_s (const HrCore *core)
 {
-  return core->settings->lease_s * CLOCK_DRIFT_FACTOR + core->policy.lease_margin_s;
+  return core->settings->lease_s * HR_LEASE_DRIFT_FACTOR + core->policy.lease_margin_s;
 }
 
 gboolean
--- a/src/coordination/core.h
+++ b/src/coordination/core.h
@@ -8,6 +8,9 @@
 
 typedef struct HrCore HrCore;
 
+/* A lease counts as over only after this factor of its life: a worker's clock may run slower than
+ * ours. */
+#define HR_LEASE_DRIFT_FACTOR 1.002
 /* The newest format of records that this version understands. */
 #define HR_FORMAT 1
 
--- a/src/coordination/core_policy.c
+++ b/src/coordination/core_policy.c
@@ -2,9 +2,6 @@
  * what has to hold between its own figures and those. */
 #include "coordination/core.h"
 
-/* A lease counts as over only after this factor of its life: clocks of controller and worker drift
- * apart. */
-#define LEASE_DRIFT_FACTOR 1.002
 /* Heartbeats come every report_s, give or take a quarter. */
 #define LONGEST_HEARTBEAT_GAP 1.25
 
@@ -29,7 +26,7 @@
   const double *report_s = g_hash_table_lookup (vars, "report_s");
   /* A leader that the store refuses cannot see a cancellation. It goes on answering workers for
    * hold_s, and their leases outlast that; by cancel_s the cancelled tasks must be gone. */
-  double tasks_gone_s = policy->hold_s + *lease_s * LEASE_DRIFT_FACTOR + policy->lease_margin_s;
+  double tasks_gone_s = policy->hold_s + *lease_s * HR_LEASE_DRIFT_FACTOR + policy->lease_margin_s;
   double longest_gap_s = LONGEST_HEARTBEAT_GAP * *report_s;
   const struct {
     gboolean good;
--- a/src/coordination/scaling/instance_list.c
+++ b/src/coordination/scaling/instance_list.c
@@ -7,8 +7,6 @@
 #include "protocol/json_util.h"
 #include "protocol/cloud.h"
 
-/* Instances in a page of the list. */
-#define PAGE_SIZE 500
 /* For an answer, s. */
 #define CALL_TIMEOUT_S 5
 /* From the beginning of one pass to that of the next, s: until one is complete, and then at least.
--- a/src/coordination/scaling/instance_requests.c
+++ b/src/coordination/scaling/instance_requests.c
@@ -48,7 +48,7 @@
 {
   if (status == 200)
     return ANSWER_GRANTED;
-  if (status == 503 && g_strcmp0 (hr_json_str (body, "error"), "no capacity") == 0)
+  if (status == 503 && g_strcmp0 (hr_json_str (body, "error"), HR_CLOUD_NO_CAPACITY) == 0)
     return ANSWER_NO_CAPACITY;
   return status == 400 ? ANSWER_MALFORMED : ANSWER_UNCLEAR;
 }
--- a/src/transport/peer.c
+++ b/src/transport/peer.c
@@ -13,7 +13,6 @@
 /* The connection that carries this controller's statuses to one other; made again when it breaks.
  */
 typedef struct {
-  HrPeers *peers;
   char *endpoint;
   GSocketConnection *conn;
   gboolean connecting, writing;
@@ -179,7 +178,6 @@
 add_outgoing (HrPeers *peers, const char *endpoint)
 {
   Outgoing *outgoing = g_new0 (Outgoing, 1);
-  outgoing->peers = peers;
   outgoing->endpoint = g_strdup (endpoint);
   g_ptr_array_add (peers->outgoing, outgoing);
 }
