--- a/src/coordination/agents/direct_orders.c
+++ b/src/coordination/agents/direct_orders.c
@@ -7,16 +7,16 @@
 #include "protocol/worker.h"
 #include <string.h>
 
-/* Seconds that a direct call waits for its answer. */
+/* Seconds until a direct call times out. */
 #define DIRECT_TIMEOUT_S 3.0
-/* Seconds that the next call to a machine waits after one without an answer. */
-#define PAUSE_S 2.0
+/* Seconds between an unanswered call to a machine and the next call to it. */
+#define RETRY_PAUSE_S 2.0
 
-/* HTTP statuses of the answer. A worker refuses a call for its token or incarnation. */
+/* HTTP statuses of the answer. A worker refuses a call because of its token or incarnation. */
 #define STATUS_OK 200
 #define STATUS_REFUSED 409
 
-/* A direct call that has no answer yet, and what was so when it was made. */
+/* A direct call that has no answer yet, with the state of leader and worker when it was made. */
 typedef struct {
   guint32 machine;
   guint64 fencing_token, incarnation;
@@ -24,11 +24,11 @@
   gboolean has_launch;
 } DirectCall;
 
-/* What becomes of a machine's urgent orders. */
+/* How the urgent orders of a machine are delivered. */
 typedef enum {
   DIRECT_SEND,
-  DIRECT_POSTPONE, /* an earlier call has no answer yet, or had none a moment ago */
-  DIRECT_LEAVE     /* to the answer to its next report: it cannot be called */
+  DIRECT_POSTPONE,    /* an earlier call is in flight, or went unanswered a moment ago */
+  DIRECT_NOT_POSSIBLE /* it cannot be called: the answer to its next heartbeat has them */
 } DirectVerdict;
 
 static DirectVerdict
@@ -38,27 +38,27 @@
     return DIRECT_POSTPONE;
   if (machine->state == HR_MACHINE_UP && machine->address && machine->agent.heard_at)
     return DIRECT_SEND;
-  return DIRECT_LEAVE;
+  return DIRECT_NOT_POSSIBLE;
 }
 
-/* The call was answered, or refused, with the worker's list of tasks. */
+/* Applies the list of tasks in a worker's answer or refusal. */
 static void
-take_answer (HrCore *core, HrMachine *machine, const json_t *body)
+apply_answer (HrCore *core, HrMachine *machine, const json_t *body)
 {
   g_autofree char *text = json_dumps (body, JSON_COMPACT);
   g_autoptr (HrHeartbeat) answer = hr_heartbeat_parse (text, text ? strlen (text) : 0, NULL);
   if (answer)
-    hr_heartbeat_direct_answer (core, machine, answer);
+    hr_heartbeat_direct_answer_received (core, machine, answer);
 }
 
-/* The call may have been carried out, or may yet be. */
+/* Records a call that the worker may have carried out, or may still carry out. */
 static void
-note_unanswered (HrCore *core, HrMachine *machine, const DirectCall *call)
+record_unanswered_call (HrCore *core, HrMachine *machine, const DirectCall *call)
 {
   HrMachineAgent *agent = &machine->agent;
   if (call->has_launch && agent->incarnation == call->incarnation)
     agent->unanswered_launch_token = MAX (agent->unanswered_launch_token, call->fencing_token);
-  agent->direct_paused_until = core->now + PAUSE_S;
+  agent->direct_paused_until = core->now + RETRY_PAUSE_S;
 }
 
 static void
@@ -68,7 +68,7 @@
   g_autofree DirectCall *call = data;
   HrMachine *machine = core->store.tables.machines->pdata[call->machine];
   if (!core->leadership.is_leader || call->term_began_at != core->leadership.term_began_at)
-    return; /* of an earlier term: its token is void */
+    return; /* the call is of an earlier term: its token is void */
   gboolean is_refused = status == STATUS_REFUSED;
   gboolean is_answered = status == STATUS_OK || is_refused;
   machine->agent.direct_calls_in_flight--;
@@ -77,12 +77,12 @@
   if (status != STATUS_OK)
     g_debug ("direct: machine=%s result=%s", machine->name, is_refused ? "refused" : "unanswered");
   if (is_answered)
-    take_answer (core, machine, body);
+    apply_answer (core, machine, body);
   else
-    note_unanswered (core, machine, call);
+    record_unanswered_call (core, machine, call);
 }
 
-/* The machine is looked at again with the next step. */
+/* Leaves the machine's urgent orders to a later step. */
 static void
 postpone (HrCore *core, HrMachine *machine)
 {
@@ -100,7 +100,7 @@
 send_orders (HrCore *core, HrMachine *machine)
 {
   g_autoptr (GArray) orders = hr_order_list_new ();
-  gboolean has_launch = hr_orders_recorded (core, machine, orders, TRUE);
+  gboolean has_launch = hr_orders_append_recorded (core, machine, orders, TRUE);
   if (!orders->len)
     return;
   DirectCall *call = g_new0 (DirectCall, 1);
--- a/src/coordination/agents/heartbeats.c
+++ b/src/coordination/agents/heartbeats.c
@@ -13,19 +13,20 @@
 #include "protocol/worker.h"
 #include <string.h>
 
-/* An incarnation that ends at most so many seconds ahead of its lease may have ended by it. */
+/* An incarnation that ends at most this many seconds before its lease may have ended with it. */
 #define LEASE_END_MARGIN_S 1
 
-/* Fills in what a machine is and where. Its type is known (hr_renewal_check_machine). */
+/* Sets the machine's type, zone and address. The type is known: hr_renewal_check_machine() checks
+ * it. */
 static void
-describe_machine (HrCore *core, HrMachine *machine, const HrHeartbeat *report)
+describe_machine (HrCore *core, HrMachine *machine, const HrHeartbeat *heartbeat)
 {
-  guint32 type = hr_intern_find (&core->names->types, report->type);
+  guint32 type = hr_intern_find (&core->names->types, heartbeat->type);
   hr_machine_describe (machine, hr_machine_type_find (core, type),
-                       hr_intern (&core->names->zones, report->zone), report->is_spot);
-  if (g_strcmp0 (machine->address, report->address) != 0) {
+                       hr_intern (&core->names->zones, heartbeat->zone), heartbeat->is_spot);
+  if (g_strcmp0 (machine->address, heartbeat->address) != 0) {
     g_free (machine->address);
-    machine->address = g_strdup (report->address);
+    machine->address = g_strdup (heartbeat->address);
   }
 }
 
@@ -33,7 +34,7 @@
 admit_machine (HrCore *core, HrMachine *machine)
 {
   if (machine->state == HR_MACHINE_GONE) {
-    g_info ("%s reports and was not expected; it is taken on", machine->name);
+    g_info ("%s sent a heartbeat but was not in the fleet; adding it", machine->name);
     hr_fleet_add (core, machine);
   } else if (machine->state == HR_MACHINE_BOOTING)
     g_info ("%s is up after %.0f s", machine->name, core->now - machine->instance.requested_at);
@@ -42,11 +43,12 @@
   core->scheduling.plan_is_stale = TRUE;
 }
 
-/* The machine's previous incarnation is over. One that ended within a lease of our answer shows
- * that the answer was not received: reports come from there, but no answer of ours arrives. Once
- * may also be a report that a cut delayed; such ones come in a bunch, not a lease apart. */
+/* Detects, when the machine's previous incarnation has ended, that answers do not reach its worker.
+ * An incarnation that ends before the lease renewed by the last answer shows that the worker did
+ * not receive that answer, though its heartbeats arrive. A single case may also be a heartbeat that
+ * a network partition delayed; delayed heartbeats arrive in a burst, not a lease apart. */
 static void
-note_unreceived_answer (HrCore *core, HrMachine *machine)
+detect_unreceived_answer (HrCore *core, HrMachine *machine)
 {
   HrMachineAgent *agent = &machine->agent;
   gboolean is_unreceived =
@@ -57,9 +59,9 @@
     return;
   }
   gboolean is_first = !agent->answer_unreceived_at;
-  gboolean is_in_bunch =
+  gboolean is_in_burst =
       !is_first && core->now - agent->answer_unreceived_at <= core->settings->lease_s / 2;
-  if (is_in_bunch)
+  if (is_in_burst)
     return;
   if (!is_first)
     agent->unreachable_at = core->now;
@@ -69,96 +71,101 @@
 static void
 begin_incarnation (HrCore *core, HrMachine *machine, guint32 incarnation)
 {
-  note_unreceived_answer (core, machine);
+  detect_unreceived_answer (core, machine);
   machine->agent.incarnation = incarnation;
-  /* Orders of the old incarnation are void. */
+  /* Orders to the previous incarnation are void. */
   machine->agent.launch_answered_sequence = 0;
   machine->agent.unanswered_launch_token = 0;
   g_array_set_size (machine->agent.direct_launches, 0);
 }
 
-/* The message is the newest one of its worker's incarnation. */
+/* Records the message as the newest one of its worker's incarnation. */
 static void
-note_sequence (HrCore *core, HrMachine *machine, const HrHeartbeat *message)
+record_sequence (HrCore *core, HrMachine *machine, const HrHeartbeat *message)
 {
   machine->agent.sequence = message->sequence;
   machine->agent.sequence_at = core->now;
   machine->agent.fencing_token = MAX (machine->agent.fencing_token, message->fencing_token);
 }
 
-/* The message is the newest one of its worker. Its incarnation and number count from here on. */
+/* Records the heartbeat as the newest message of its worker, and ends earlier incarnations. */
 static void
-note_incarnation (HrCore *core, HrMachine *machine, const HrHeartbeat *report)
+record_incarnation (HrCore *core, HrMachine *machine, const HrHeartbeat *heartbeat)
 {
-  if (report->incarnation > machine->agent.incarnation)
-    begin_incarnation (core, machine, report->incarnation);
-  /* Not only when the incarnation moves on: a new leader may know the incarnation from
-   * before, and read older ones in the records. */
-  hr_termination_incarnations_over (core, machine, machine->agent.incarnation - 1,
-                                    HR_PROOF_LATER_INCARNATION);
-  note_sequence (core, machine, report);
+  if (heartbeat->incarnation > machine->agent.incarnation)
+    begin_incarnation (core, machine, heartbeat->incarnation);
+  /* Done even if the incarnation is unchanged: a new leader may know it from before its term, and
+   * read tasks of older incarnations in the records. */
+  hr_termination_end_incarnations (core, machine, machine->agent.incarnation - 1,
+                                   HR_PROOF_LATER_INCARNATION);
+  record_sequence (core, machine, heartbeat);
 }
 
-/* What the report may be relied on for. To be found out before its order is noted. */
+/* Decides how far the heartbeat may be relied on. Called before its incarnation and sequence number
+ * are recorded. */
 static HrHeartbeatKind
-heartbeat_kind (const HrCore *core, const HrMachine *machine, const HrHeartbeat *report)
+classify_heartbeat (const HrCore *core, const HrMachine *machine, const HrHeartbeat *heartbeat)
 {
-  /* Overtaken by a newer list, of an answer to /do perhaps, or a late copy: nothing in
-   * it counts. */
-  if (report->incarnation == machine->agent.incarnation &&
-      report->sequence <= machine->agent.sequence)
-    return HR_HEARTBEAT_OVERTAKEN;
-  /* Sent before the worker heard from this leader, how long ago nobody knows: it may be a late copy
-   * of a machine that is gone. Only its order counts. A worker that is there gets our token now,
-   * and reports again because of it; but when, and whether we are there by then, is open: so the
-   * answer has to stop now what must not run. */
+  /* A newer message arrived first, perhaps an answer to /do, or this is a late copy: nothing in the
+   * heartbeat counts. */
+  if (heartbeat->incarnation == machine->agent.incarnation &&
+      heartbeat->sequence <= machine->agent.sequence)
+    return HR_HEARTBEAT_SUPERSEDED;
+  /* The heartbeat was sent before the worker heard from this leader, at an unknown time: it may be
+   * a late copy from a machine that is gone. Only its incarnation and sequence number count. A
+   * worker that is alive gets the new token with the answer and then sends another heartbeat, but
+   * at an unknown time, and this leader may be gone by then. So this answer already has to stop the
+   * tasks that must not run. */
   gboolean is_first_boot = machine->state == HR_MACHINE_BOOTING && machine->instance.requested_here;
-  if (report->fencing_token < core->leadership.term_token && !is_first_boot)
+  if (heartbeat->fencing_token < core->leadership.term_token && !is_first_boot)
     return HR_HEARTBEAT_BEFORE_TOKEN;
   return HR_HEARTBEAT_CURRENT;
 }
 
-/* The report is current: its list of tasks is what the machine has. */
+/* Applies a current heartbeat: its list of tasks is what the machine has. */
 static void
-take_current_report (HrCore *core, HrMachine *machine, const HrHeartbeat *report, GArray *orders)
+apply_current_heartbeat (HrCore *core, HrMachine *machine, const HrHeartbeat *heartbeat,
+                         GArray *orders)
 {
   if (machine->state != HR_MACHINE_UP || !machine->agent.heard_at)
     admit_machine (core, machine);
   machine->agent.heard_at = core->now;
-  if (report->sequence > machine->agent.launch_answered_sequence)
+  if (heartbeat->sequence > machine->agent.launch_answered_sequence)
     machine->agent.launch_answered_sequence = 0;
-  if (report->fencing_token > machine->agent.unanswered_launch_token)
+  if (heartbeat->fencing_token > machine->agent.unanswered_launch_token)
     machine->agent.unanswered_launch_token = 0;
-  hr_reported_tasks_take (core, machine, report, TRUE, orders);
-  hr_preemption_notice_take (core, machine, report);
+  hr_reported_tasks_apply (core, machine, heartbeat, TRUE, orders);
+  hr_preemption_notice_handle (core, machine, heartbeat);
 }
 
 static void
-take_report (HrCore *core, HrCommand *command, HrMachine *machine, const HrHeartbeat *report)
+handle_heartbeat (HrCore *core, HrCommand *command, HrMachine *machine,
+                  const HrHeartbeat *heartbeat)
 {
   g_autoptr (GArray) orders = hr_order_list_new ();
-  HrHeartbeatKind kind = heartbeat_kind (core, machine, report);
-  if (kind != HR_HEARTBEAT_OVERTAKEN)
-    note_incarnation (core, machine, report);
+  HrHeartbeatKind kind = classify_heartbeat (core, machine, heartbeat);
+  if (kind != HR_HEARTBEAT_SUPERSEDED)
+    record_incarnation (core, machine, heartbeat);
   if (kind == HR_HEARTBEAT_CURRENT)
-    take_current_report (core, machine, report, orders);
-  hr_lease_renewal_answer (core, command, machine, report, kind, orders);
+    apply_current_heartbeat (core, machine, heartbeat, orders);
+  hr_lease_renewal_answer (core, command, machine, heartbeat, kind, orders);
 }
 
-/* The report in the request's body; NULL: there is none, and the request was refused. */
+/* Parses the heartbeat in the request's body. Refuses the request and returns NULL if it is missing
+ * or malformed. */
 static HrHeartbeat *
-read_report (HrCore *core, HrCommand *command)
+parse_request (HrCore *core, HrCommand *command)
 {
   gsize len = 0;
   const char *data = command->body ? g_bytes_get_data (command->body, &len) : NULL;
   g_autoptr (GError) error = NULL;
-  HrHeartbeat *report = hr_heartbeat_parse (data, len, &error);
-  if (!report) {
-    g_info ("a report was dropped: %s", error->message);
+  HrHeartbeat *heartbeat = hr_heartbeat_parse (data, len, &error);
+  if (!heartbeat) {
+    g_info ("malformed heartbeat refused: %s", error->message);
     core->metrics.counters.reports_malformed++;
     hr_core_refuse (core, command->id, 400, 0, error->message);
   }
-  return report;
+  return heartbeat;
 }
 
 void
@@ -174,35 +181,35 @@
     hr_lease_renewal_refuse (core, command, NULL, verdict);
     return;
   }
-  g_autoptr (HrHeartbeat) report = read_report (core, command);
-  if (!report)
+  g_autoptr (HrHeartbeat) heartbeat = parse_request (core, command);
+  if (!heartbeat)
     return;
-  verdict = hr_renewal_check_token (core, report);
+  verdict = hr_renewal_check_token (core, heartbeat);
   if (verdict != HR_RENEWAL_ALLOWED) {
-    g_info ("%s has seen fencing token %" G_GUINT64_FORMAT ", ours is older", report->machine,
-            report->fencing_token);
-    hr_lease_renewal_refuse (core, command, report->machine, verdict);
+    g_info ("%s has seen fencing token %" G_GUINT64_FORMAT ", newer than this node's",
+            heartbeat->machine, heartbeat->fencing_token);
+    hr_lease_renewal_refuse (core, command, heartbeat->machine, verdict);
     return;
   }
-  HrMachine *machine = hr_machine_get (&core->store.tables, report->machine);
-  verdict = hr_renewal_check_machine (core, machine, report);
+  HrMachine *machine = hr_machine_get (&core->store.tables, heartbeat->machine);
+  verdict = hr_renewal_check_machine (core, machine, heartbeat);
   if (verdict != HR_RENEWAL_ALLOWED) {
-    hr_lease_renewal_refuse (core, command, report->machine, verdict);
+    hr_lease_renewal_refuse (core, command, heartbeat->machine, verdict);
     return;
   }
-  describe_machine (core, machine, report);
-  take_report (core, command, machine, report);
+  describe_machine (core, machine, heartbeat);
+  handle_heartbeat (core, command, machine, heartbeat);
 }
 
 void
-hr_heartbeat_direct_answer (HrCore *core, HrMachine *machine, const HrHeartbeat *answer)
+hr_heartbeat_direct_answer_received (HrCore *core, HrMachine *machine, const HrHeartbeat *answer)
 {
   if (strcmp (answer->machine, machine->name) != 0 || machine->state != HR_MACHINE_UP ||
       answer->incarnation != machine->agent.incarnation ||
       answer->sequence <= machine->agent.sequence)
     return;
-  note_sequence (core, machine, answer);
-  /* Not sent: the answer to the next report has them. */
+  record_sequence (core, machine, answer);
+  /* These orders are not sent: the answer to the next heartbeat contains them. */
   g_autoptr (GArray) orders = hr_order_list_new ();
-  hr_reported_tasks_take (core, machine, answer, FALSE, orders);
+  hr_reported_tasks_apply (core, machine, answer, FALSE, orders);
 }
--- a/src/coordination/agents/lease_renewal.c
+++ b/src/coordination/agents/lease_renewal.c
@@ -7,32 +7,32 @@
 
 static const char *const kind_names[] = {
     [HR_HEARTBEAT_CURRENT] = "current",
-    [HR_HEARTBEAT_OVERTAKEN] = "overtaken",
+    [HR_HEARTBEAT_SUPERSEDED] = "overtaken",
     [HR_HEARTBEAT_BEFORE_TOKEN] = "before_token",
 };
 
-#define NOT_ENTITLED "this node may not act for the controllers now"
-#define MACHINE_NOT_ANSWERED "this machine is being returned, or not known yet"
-#define ORDER_MAY_COME "an order to this worker may still come"
+#define NODE_NOT_ENTITLED "this node may not act for the controllers now"
+#define MACHINE_REFUSED "this machine is being returned, or not known yet"
+#define LAUNCH_OUTSTANDING "an order to this worker may still come"
 
 #define COUNTER(suffix) offsetof (HrCounters, reports_refused_##suffix)
 
-/* What the worker reads in a refusal, and which counter counts it, by HrRenewalVerdict. */
+/* The error text for the worker and the counter of each refusal, by HrRenewalVerdict. */
 static const struct {
   const char *text;
   gsize counter; /* offset in HrCounters */
 } refusals[] = {
-    [HR_RENEWAL_NOT_LEADER] = {NOT_ENTITLED, COUNTER (not_entitled)},
-    [HR_RENEWAL_READING_TOO_OLD] = {NOT_ENTITLED, COUNTER (not_entitled)},
+    [HR_RENEWAL_NOT_LEADER] = {NODE_NOT_ENTITLED, COUNTER (not_entitled)},
+    [HR_RENEWAL_READ_TOO_OLD] = {NODE_NOT_ENTITLED, COUNTER (not_entitled)},
     [HR_RENEWAL_NEWER_TOKEN] = {"a newer baton is about", COUNTER (token)},
-    [HR_RENEWAL_MACHINE_RETURNED] = {MACHINE_NOT_ANSWERED, COUNTER (machine)},
-    [HR_RENEWAL_EARLIER_INCARNATION] = {MACHINE_NOT_ANSWERED, COUNTER (machine)},
-    [HR_RENEWAL_TYPE_UNKNOWN] = {MACHINE_NOT_ANSWERED, COUNTER (machine)},
-    [HR_RENEWAL_LAUNCH_MAY_COME] = {ORDER_MAY_COME, COUNTER (order)},
-    [HR_RENEWAL_STOP_NOT_NAMED] = {ORDER_MAY_COME, COUNTER (order)},
+    [HR_RENEWAL_MACHINE_RETURNED] = {MACHINE_REFUSED, COUNTER (machine)},
+    [HR_RENEWAL_EARLIER_INCARNATION] = {MACHINE_REFUSED, COUNTER (machine)},
+    [HR_RENEWAL_TYPE_UNKNOWN] = {MACHINE_REFUSED, COUNTER (machine)},
+    [HR_RENEWAL_LAUNCH_OUTSTANDING] = {LAUNCH_OUTSTANDING, COUNTER (order)},
+    [HR_RENEWAL_STOP_MISSING] = {LAUNCH_OUTSTANDING, COUNTER (order)},
 };
 
-/* Is the label in the leader record that of one of the controllers? */
+/* Returns whether the label in the leader record is that of a configured controller. */
 static gboolean
 leader_is_known (const HrCore *core)
 {
@@ -61,34 +61,34 @@
 
 char *
 hr_lease_renewal_missing_stop (const HrCore *core, const HrMachine *machine,
-                               const HrHeartbeat *report, const GArray *orders)
+                               const HrHeartbeat *heartbeat, const GArray *orders)
 {
   char *missing;
-  hr_renewal_check_orders (core, machine, report, orders, &missing);
+  hr_renewal_check_orders (core, machine, heartbeat, orders, &missing);
   return missing;
 }
 
-/* Appends the required stops that the orders do not name yet. */
+/* Appends the required stops that the orders do not contain yet. */
 static void
-append_required_stops (HrCore *core, const HrMachine *machine, const HrHeartbeat *report,
+append_required_stops (HrCore *core, const HrMachine *machine, const HrHeartbeat *heartbeat,
                        GArray *orders)
 {
-  g_autoptr (GArray) stops = hr_renewal_required_stops (core, machine, report);
+  g_autoptr (GArray) stops = hr_renewal_required_stops (core, machine, heartbeat);
   for (guint i = 0; i < stops->len; i++) {
     const HrOrder *stop = &g_array_index (stops, HrOrder, i);
-    if (!hr_orders_name_stop (orders, stop->job, stop->task, stop->attempt))
-      hr_orders_stop (core, machine, orders, stop->job, stop->task, stop->attempt,
-                      HR_STOP_REASON_JOB_OVER);
+    if (!hr_orders_contain_stop (orders, stop->job, stop->task, stop->attempt))
+      hr_orders_append_stop (core, machine, orders, stop->job, stop->task, stop->attempt,
+                             HR_STOP_REASON_JOB_FINAL);
   }
 }
 
-/* The check that must never fail: see the invariant in the header. */
+/* Checks the invariant of lease_renewal.h. A failure is a bug in this program. */
 static HrRenewalVerdict
-check_finished_orders (HrCore *core, const HrMachine *machine, const HrHeartbeat *report,
+check_finished_orders (HrCore *core, const HrMachine *machine, const HrHeartbeat *heartbeat,
                        HrHeartbeatKind kind, const GArray *orders)
 {
   g_autofree char *missing = NULL;
-  HrRenewalVerdict verdict = hr_renewal_check_orders (core, machine, report, orders, &missing);
+  HrRenewalVerdict verdict = hr_renewal_check_orders (core, machine, heartbeat, orders, &missing);
   if (verdict != HR_RENEWAL_ALLOWED)
     hr_invariant_violated (core,
                            "a lease would be renewed without a stop: machine=%s task=%s kind=%s "
@@ -98,19 +98,19 @@
   return verdict;
 }
 
-/* From when on the worker's lease counts, by our clock, if it gets this answer. */
+/* Returns when, by this node's clock, the worker's lease starts if it receives this answer. */
 static double
-lease_counts_from (const HrCore *core, const HrMachine *machine, HrHeartbeatKind kind)
+lease_start (const HrCore *core, const HrMachine *machine, HrHeartbeatKind kind)
 {
-  /* Should the worker still wait for the answer to an overtaken report, it sent that before the
-   * newer message came to us. */
-  return kind == HR_HEARTBEAT_OVERTAKEN
+  /* A worker that still waits for the answer to a superseded heartbeat sent it before the newer
+   * message arrived here. */
+  return kind == HR_HEARTBEAT_SUPERSEDED
              ? MAX (machine->agent.lease_renewed_at, machine->agent.sequence_at)
              : core->now;
 }
 
 static void
-log_answer (const HrCore *core, const HrMachine *machine, const HrHeartbeat *report,
+log_answer (const HrCore *core, const HrMachine *machine, const HrHeartbeat *heartbeat,
             HrHeartbeatKind kind, const GArray *orders)
 {
   if (kind == HR_HEARTBEAT_CURRENT && !orders->len)
@@ -118,40 +118,40 @@
   g_debug ("answer: machine=%s kind=%s seq=%" G_GUINT64_FORMAT " incarnation=%" G_GUINT64_FORMAT
            " token=%" G_GUINT64_FORMAT " seen=%" G_GUINT64_FORMAT
            " tasks=%u stops=%u launches=%u clears=%u",
-           machine->name, kind_names[kind], report->sequence, report->incarnation,
-           core->leadership.fencing_token, report->fencing_token, report->tasks->len,
+           machine->name, kind_names[kind], heartbeat->sequence, heartbeat->incarnation,
+           core->leadership.fencing_token, heartbeat->fencing_token, heartbeat->tasks->len,
            hr_orders_count (orders, HR_ORDER_STOP), hr_orders_count (orders, HR_ORDER_LAUNCH),
            hr_orders_count (orders, HR_ORDER_CLEAR));
 }
 
-/* Renews the lease: the answer of 200. */
+/* Renews the lease by answering with status 200. */
 static void
-renew (HrCore *core, HrCommand *command, HrMachine *machine, const HrHeartbeat *report,
+renew (HrCore *core, HrCommand *command, HrMachine *machine, const HrHeartbeat *heartbeat,
        HrHeartbeatKind kind, const GArray *orders)
 {
-  machine->agent.lease_renewed_at = lease_counts_from (core, machine, kind);
+  machine->agent.lease_renewed_at = lease_start (core, machine, kind);
   hr_histogram_add (&core->metrics.renewal_age, core->now - core->store.replica.confirmed_at);
   core->metrics.counters.reports_answered += kind == HR_HEARTBEAT_CURRENT;
-  core->metrics.counters.reports_overtaken += kind == HR_HEARTBEAT_OVERTAKEN;
+  core->metrics.counters.reports_overtaken += kind == HR_HEARTBEAT_SUPERSEDED;
   core->metrics.counters.reports_before_token += kind == HR_HEARTBEAT_BEFORE_TOKEN;
-  log_answer (core, machine, report, kind, orders);
+  log_answer (core, machine, heartbeat, kind, orders);
   json_t *body = hr_heartbeat_answer (core->leadership.fencing_token, orders);
   hr_core_reply (core, command->id, 200, body, 0);
 }
 
 void
 hr_lease_renewal_answer (HrCore *core, HrCommand *command, HrMachine *machine,
-                         const HrHeartbeat *report, HrHeartbeatKind kind, GArray *orders)
+                         const HrHeartbeat *heartbeat, HrHeartbeatKind kind, GArray *orders)
 {
   HrRenewalVerdict verdict = hr_renewal_check_launches (core, machine);
   if (verdict == HR_RENEWAL_ALLOWED) {
-    if (kind == HR_HEARTBEAT_CURRENT && hr_orders_recorded (core, machine, orders, FALSE))
-      machine->agent.launch_answered_sequence = report->sequence;
-    append_required_stops (core, machine, report, orders);
-    verdict = check_finished_orders (core, machine, report, kind, orders);
+    if (kind == HR_HEARTBEAT_CURRENT && hr_orders_append_recorded (core, machine, orders, FALSE))
+      machine->agent.launch_answered_sequence = heartbeat->sequence;
+    append_required_stops (core, machine, heartbeat, orders);
+    verdict = check_finished_orders (core, machine, heartbeat, kind, orders);
   }
   if (verdict == HR_RENEWAL_ALLOWED)
-    renew (core, command, machine, report, kind, orders);
+    renew (core, command, machine, heartbeat, kind, orders);
   else
     hr_lease_renewal_refuse (core, command, machine->name, verdict);
 }
--- a/src/coordination/agents/lease_renewal.h
+++ b/src/coordination/agents/lease_renewal.h
@@ -1,37 +1,38 @@
-/* Answers to workers' reports. An answer of 200 renews the worker's lease, so this is the one place
- * that gives any, under one invariant: whoever renews a lease names in the same answer a stop for
- * every task in that report, and on the records of its incarnation, whose job is cancelled or done;
- * or does not renew it. renewal_checks.h has the checks, docs/design.md, "Renewing a lease", the
- * argument. */
+/* Answers workers' heartbeats. An answer with status 200 renews the worker's lease. Only this
+ * module sends such answers, under one invariant: an answer that renews a lease contains a stop for
+ * every task whose job is cancelled or done, among the tasks in the heartbeat and those recorded on
+ * the machine in its incarnation. If a stop is missing, the lease is not renewed. The checks are in
+ * renewal_checks.h, the reasoning in docs/design.md, "Renewing a lease". */
 #pragma once
 #include "coordination/agents/renewal_checks.h"
 #include "coordination/state.h"
 
-/* What a report may be relied on for. */
+/* How far a heartbeat may be relied on. */
 typedef enum {
-  HR_HEARTBEAT_CURRENT,     /* the newest message of a worker that knows our token */
-  HR_HEARTBEAT_OVERTAKEN,   /* a newer message came before it, or it is a late copy */
-  HR_HEARTBEAT_BEFORE_TOKEN /* sent before its worker heard from this leader, at an unknown time */
+  HR_HEARTBEAT_CURRENT,     /* the newest message of a worker that has seen this leader's token */
+  HR_HEARTBEAT_SUPERSEDED,  /* a newer message arrived before it, or it is a late copy */
+  HR_HEARTBEAT_BEFORE_TOKEN /* sent before the worker heard from this leader, at an unknown time */
 } HrHeartbeatKind;
 
 /**
  * hr_lease_renewal_answer:
- * @report: has passed the checks of node, token and machine
- * @orders: HrOrder; what the report itself led to. The rest is appended here.
+ * @heartbeat: has passed the checks of node, token and machine
+ * @orders: HrOrder: the orders that follow from the heartbeat's tasks; the others are appended
  *
- * Answers the report: 200 with orders, or 503 where its worker's lease has to run out. Of a report
- * that is not current only stops of what is over follow, which are right however old it is.
+ * Answers the heartbeat: 200 with orders, or 503 if the worker's lease has to run out. The answer
+ * to a heartbeat that is not current only contains stops of tasks whose jobs are cancelled or done,
+ * which are correct however old the heartbeat is.
  */
 void hr_lease_renewal_answer (HrCore *core, HrCommand *command, HrMachine *machine,
-                              const HrHeartbeat *report, HrHeartbeatKind kind, GArray *orders);
+                              const HrHeartbeat *heartbeat, HrHeartbeatKind kind, GArray *orders);
 
 /**
  * hr_lease_renewal_refuse:
- * @machine_name: (nullable): NULL where the report was not read
+ * @machine_name: (nullable): %NULL if the heartbeat was not parsed
  * @verdict: any but HR_RENEWAL_ALLOWED
  *
- * Refuses the report: its worker goes on to other nodes, and unless one of them renews the lease,
- * that runs out. Counts and logs it.
+ * Refuses the heartbeat, counts and logs it. The worker tries other controllers; its lease runs out
+ * unless one of them renews it.
  */
 void hr_lease_renewal_refuse (HrCore *core, HrCommand *command, const char *machine_name,
                               HrRenewalVerdict verdict);
@@ -39,8 +40,8 @@
 /**
  * hr_lease_renewal_missing_stop:
  *
- * Returns: (transfer full) (nullable): "job/task" of a stop that the orders have to name and do
- * not; NULL when they may go out with a renewal.
+ * Returns: (transfer full) (nullable): "job/task" of the first required stop that is missing from
+ * the orders; %NULL if the orders may be sent with a renewal.
  */
 char *hr_lease_renewal_missing_stop (const HrCore *core, const HrMachine *machine,
-                                     const HrHeartbeat *report, const GArray *orders);
+                                     const HrHeartbeat *heartbeat, const GArray *orders);
--- a/src/coordination/agents/order_verdicts.c
+++ b/src/coordination/agents/order_verdicts.c
@@ -5,20 +5,21 @@
 #include "coordination/membership/membership.h"
 #include "coordination/state.h"
 
-/* Seconds after which a direct stop is sent once more. */
-#define STOP_AGAIN_S 1.0
-/* A save that takes so many seconds longer than the stop allowed is ended. */
-#define SAVE_OVERDUE_S 10.0
+/* Seconds after the first stop order before a direct call repeats it. */
+#define STOP_RESEND_AFTER_S 1.0
+/* Seconds that a checkpoint may exceed the grace period by before the task is stopped at once. */
+#define CHECKPOINT_OVERDUE_S 10.0
 
 static const char *const stop_reason_names[] = {
-    [HR_STOP_REASON_CANCELLED] = "withdrawn", [HR_STOP_REASON_GANG_OVER] = "gang_over",
+    [HR_STOP_REASON_CANCELLED] = "withdrawn", [HR_STOP_REASON_GANG_ENDING] = "gang_over",
     [HR_STOP_REASON_WANTED] = "wanted",       [HR_STOP_REASON_NOT_RECORDED] = "not_recorded_here",
-    [HR_STOP_REASON_JOB_OVER] = "over",
+    [HR_STOP_REASON_JOB_FINAL] = "over",
 };
 
-/* While the store refuses this leader alone, others confirm cancellations that it cannot read: it
- * launches nothing. What is recorded may wait for long, a gang's task for others' fetches. In an
- * outage for all nobody confirms any. */
+/* While the store refuses only this leader, other controllers confirm cancellations that it cannot
+ * read, so it launches nothing: a recorded task may wait long for its launch, for example a gang's
+ * task while the other tasks fetch their images. During an outage for all controllers, none of them
+ * confirms a cancellation. */
 gboolean
 hr_launch_allowed_here (const HrCore *core)
 {
@@ -41,17 +42,18 @@
 hr_launch_verdict (const HrCore *core, gboolean allowed_here, const HrJob *job, const HrTask *task)
 {
   if (!allowed_here)
-    return HR_LAUNCH_NODE_MAY_NOT;
+    return HR_LAUNCH_STORE_NOT_READABLE;
   if (task->reported_state != HR_NOT_REPORTED)
     return HR_LAUNCH_REPORTED_ALREADY;
   if (job->state != HR_JOB_QUEUED)
-    return HR_LAUNCH_JOB_OVER;
+    return HR_LAUNCH_JOB_FINAL;
   if (hr_job_has_unfinished_dependencies (job))
-    return HR_LAUNCH_JOB_WAITS;
+    return HR_LAUNCH_DEPENDENCIES_PENDING;
   if (task->stop_wanted)
     return HR_LAUNCH_STOP_WANTED;
-  /* What an earlier leader recorded is not launched: it may have ended and made
-   * place for others since. It is seen on its machine, or proven gone. */
+  /* A task that an earlier leader placed is not launched: it may have exited since, and its
+   * capacity may have been given to other tasks. Either a heartbeat shows it, or it is proven not
+   * to run. */
   if (task->from_earlier_term)
     return HR_LAUNCH_FROM_EARLIER_TERM;
   return job->spec.shape == HR_GANG ? gang_launch_verdict (core, job, task) : HR_LAUNCH_NOW;
@@ -62,13 +64,13 @@
 {
   if (!task->stop_wanted)
     return HR_STOP_NOT_WANTED;
-  if (is_direct && core->now - task->stop_sent_at <= STOP_AGAIN_S)
+  if (is_direct && core->now - task->stop_sent_at <= STOP_RESEND_AFTER_S)
     return HR_STOP_SENT_ALREADY;
   double sent_at = task->stop_sent_at ? task->stop_sent_at : core->now;
-  if (core->now - sent_at > task->stop_grace_s + SAVE_OVERDUE_S)
+  if (core->now - sent_at > task->stop_grace_s + CHECKPOINT_OVERDUE_S)
     return HR_STOP_WITHOUT_GRACE;
   if (task->reported_state == HR_REPORTED_SAVING && task->stop_grace_s > 0)
-    return HR_STOP_IS_SAVING;
+    return HR_STOP_CHECKPOINT_IN_PROGRESS;
   return HR_STOP_NOW;
 }
 
@@ -77,7 +79,7 @@
 {
   if (job->state == HR_JOB_CANCELLED)
     return HR_STOP_REASON_CANCELLED;
-  return job->run.attempt_ending ? HR_STOP_REASON_GANG_OVER : HR_STOP_REASON_WANTED;
+  return job->run.attempt_ending ? HR_STOP_REASON_GANG_ENDING : HR_STOP_REASON_WANTED;
 }
 
 const char *
--- a/src/coordination/agents/order_verdicts.h
+++ b/src/coordination/agents/order_verdicts.h
@@ -1,76 +1,76 @@
-/* Which orders a worker gets for a task that is recorded on its machine. These functions change
- * nothing; orders.c acts on their verdicts. Leader only. Times: steady, in seconds. */
+/* Decides which orders a worker gets for a task that is recorded on its machine. These functions
+ * change nothing; orders.c acts on their verdicts. Leader only. Times are monotonic, in seconds. */
 #pragma once
 #include "coordination/state.h"
 
 /* Whether a recorded task is launched on its machine. */
 typedef enum {
   HR_LAUNCH_NOW,
-  HR_LAUNCH_NODE_MAY_NOT,     /* this controller cannot read what others confirm */
-  HR_LAUNCH_REPORTED_ALREADY, /* its worker has it */
-  HR_LAUNCH_JOB_OVER,
-  HR_LAUNCH_JOB_WAITS, /* for jobs that it awaits */
+  HR_LAUNCH_STORE_NOT_READABLE, /* this controller cannot read cancellations that others confirm */
+  HR_LAUNCH_REPORTED_ALREADY,   /* the worker already reports it */
+  HR_LAUNCH_JOB_FINAL,          /* its job is cancelled or done */
+  HR_LAUNCH_DEPENDENCIES_PENDING, /* jobs that its job awaits are not done */
   HR_LAUNCH_STOP_WANTED,
-  HR_LAUNCH_FROM_EARLIER_TERM, /* it may have ended and made place for others since */
+  HR_LAUNCH_FROM_EARLIER_TERM, /* it may have exited, and its capacity may be in use again */
   HR_LAUNCH_GANG_ENDING,
-  HR_LAUNCH_GANG_INCOMPLETE, /* not all of its tasks are recorded */
-  HR_LAUNCH_GANG_TOO_EARLY   /* others still fetch their image */
+  HR_LAUNCH_GANG_INCOMPLETE, /* not all tasks of the gang are recorded */
+  HR_LAUNCH_GANG_TOO_EARLY   /* other tasks of the gang still fetch their image */
 } HrLaunchVerdict;
 
 /* Whether a stop is sent for a recorded task. */
 typedef enum {
   HR_STOP_NOW,
-  HR_STOP_WITHOUT_GRACE, /* its checkpoint takes far longer than it was given */
+  HR_STOP_WITHOUT_GRACE, /* its checkpoint takes far longer than the grace period */
   HR_STOP_NOT_WANTED,
-  HR_STOP_SENT_ALREADY, /* a direct call brought it a moment ago */
-  HR_STOP_IS_SAVING     /* it is writing its checkpoint, for which it was given time */
+  HR_STOP_SENT_ALREADY,          /* a stop was sent a moment ago */
+  HR_STOP_CHECKPOINT_IN_PROGRESS /* it is writing its checkpoint within the grace period */
 } HrStopVerdict;
 
-/* Why a worker is told to stop a task. */
+/* Why a worker is ordered to stop a task. */
 typedef enum {
-  HR_STOP_REASON_CANCELLED, /* its job is */
-  HR_STOP_REASON_GANG_OVER, /* its gang's attempt ends */
-  HR_STOP_REASON_WANTED,    /* it is to leave the machine */
-  HR_STOP_REASON_NOT_RECORDED,
-  HR_STOP_REASON_JOB_OVER /* its job is cancelled or done: a lease is renewed with this stop */
+  HR_STOP_REASON_CANCELLED,    /* its job is cancelled */
+  HR_STOP_REASON_GANG_ENDING,  /* the attempt of its gang is ending */
+  HR_STOP_REASON_WANTED,       /* it has to leave the machine */
+  HR_STOP_REASON_NOT_RECORDED, /* no record has it on the machine */
+  HR_STOP_REASON_JOB_FINAL     /* its job is cancelled or done; sent with a lease renewal */
 } HrStopReason;
 
 /**
  * hr_launch_allowed_here:
  *
- * Returns: whether this controller may launch anything at present.
+ * Returns: whether this controller may launch tasks now.
  */
 gboolean hr_launch_allowed_here (const HrCore *core);
 
 /**
  * hr_launch_verdict:
- * @allowed_here: hr_launch_allowed_here()
- * @task: a task of @job that is recorded on a machine, in its present incarnation
+ * @allowed_here: the result of hr_launch_allowed_here()
+ * @task: a task of @job that is recorded on a machine in its current incarnation
  *
- * Returns: whether the task is launched.
+ * Returns: whether to launch the task, or why not.
  */
 HrLaunchVerdict hr_launch_verdict (const HrCore *core, gboolean allowed_here, const HrJob *job,
                                    const HrTask *task);
 
 /**
  * hr_stop_verdict:
- * @task: a task that is recorded on a machine, in its present incarnation
- * @is_direct: by a direct call; else in the answer to a report
+ * @task: a task that is recorded on a machine in its current incarnation
+ * @is_direct: %TRUE for a direct call, %FALSE for the answer to a heartbeat
  *
- * Returns: whether a stop is sent, and how.
+ * Returns: whether to send a stop and with which grace period, or why not.
  */
 HrStopVerdict hr_stop_verdict (const HrCore *core, const HrTask *task, gboolean is_direct);
 
 /**
  * hr_stop_reason:
  *
- * Returns: why a recorded task of the job is stopped.
+ * Returns: the reason for stopping a recorded task of the job.
  */
 HrStopReason hr_stop_reason (const HrJob *job);
 
 /**
  * hr_stop_reason_name:
  *
- * Returns: the reason as the log has it.
+ * Returns: the name of the reason in the log.
  */
 const char *hr_stop_reason_name (HrStopReason reason);
--- a/src/coordination/agents/orders.c
+++ b/src/coordination/agents/orders.c
@@ -4,12 +4,12 @@
 #include "protocol/worker.h"
 #include <string.h>
 
-/* The order is about to be sent. reason: of a stop, else NULL. */
+/* Logs an order that is about to be sent. @reason: why a task is stopped; NULL for other orders. */
 static void
 log_order (const char *order, const char *job_id, guint32 task_index, guint32 attempt,
            const HrMachine *machine, gboolean is_direct, const char *reason)
 {
-  g_debug ("%s: task=%s/%u attempt=%u machine=%s incarnation=%u way=%s%s%s", order, job_id,
+  g_debug ("%s: task=%s/%u attempt=%u machine=%s incarnation=%u via=%s%s%s", order, job_id,
            task_index, attempt, machine->name, machine->agent.incarnation,
            is_direct ? "direct" : "answer", reason ? " why=" : "", reason ? reason : "");
 }
@@ -21,13 +21,13 @@
   const HrTask *task = &job->tasks[ref.task];
   hr_order_launch (orders, job->id, ref.task, task->placement.attempt);
   if (is_direct)
-    hr_termination_note_direct_launch (machine, ref.job, ref.task, task->placement.attempt,
-                                       core->leadership.fencing_token);
+    hr_termination_track_direct_launch (machine, ref.job, ref.task, task->placement.attempt,
+                                        core->leadership.fencing_token);
   core->metrics.counters.starts++;
   log_order ("start", job->id, ref.task, task->placement.attempt, machine, is_direct, NULL);
 }
 
-/* Carries out the verdict on stopping a recorded task. */
+/* Applies the verdict on stopping a recorded task. */
 static void
 append_stop (HrCore *core, const HrMachine *machine, GArray *orders, HrTaskRef ref,
              gboolean is_direct, HrStopVerdict verdict)
@@ -38,7 +38,7 @@
     return;
   if (!task->stop_sent_at)
     task->stop_sent_at = core->now;
-  if (verdict == HR_STOP_IS_SAVING)
+  if (verdict == HR_STOP_CHECKPOINT_IN_PROGRESS)
     return;
   hr_order_stop (orders, job->id, ref.task, task->placement.attempt,
                  verdict == HR_STOP_WITHOUT_GRACE ? 0 : task->stop_grace_s);
@@ -48,7 +48,7 @@
 }
 
 gboolean
-hr_orders_recorded (HrCore *core, HrMachine *machine, GArray *orders, gboolean is_direct)
+hr_orders_append_recorded (HrCore *core, HrMachine *machine, GArray *orders, gboolean is_direct)
 {
   gboolean has_launch = FALSE;
   gboolean allowed_here = hr_launch_allowed_here (core);
@@ -68,8 +68,8 @@
 }
 
 void
-hr_orders_stop (HrCore *core, const HrMachine *machine, GArray *orders, const char *job_id,
-                guint32 task_index, guint32 attempt, HrStopReason reason)
+hr_orders_append_stop (HrCore *core, const HrMachine *machine, GArray *orders, const char *job_id,
+                       guint32 task_index, guint32 attempt, HrStopReason reason)
 {
   hr_order_stop (orders, job_id, task_index, attempt, 0);
   core->metrics.counters.stops++;
@@ -77,8 +77,8 @@
 }
 
 void
-hr_orders_clear (HrCore *core, const HrMachine *machine, GArray *orders, const char *job_id,
-                 guint32 task_index, guint32 attempt)
+hr_orders_append_clear (HrCore *core, const HrMachine *machine, GArray *orders, const char *job_id,
+                        guint32 task_index, guint32 attempt)
 {
   hr_order_clear (orders, job_id, task_index, attempt);
   core->metrics.counters.clears++;
@@ -86,7 +86,8 @@
 }
 
 gboolean
-hr_orders_name_stop (const GArray *orders, const char *job_id, guint32 task_index, guint32 attempt)
+hr_orders_contain_stop (const GArray *orders, const char *job_id, guint32 task_index,
+                        guint32 attempt)
 {
   for (guint i = 0; i < orders->len; i++) {
     const HrOrder *order = &g_array_index (orders, HrOrder, i);
--- a/src/coordination/agents/preemption_notice.c
+++ b/src/coordination/agents/preemption_notice.c
@@ -5,25 +5,26 @@
 #include "coordination/scheduling/projection.h"
 #include "coordination/state.h"
 
-/* A task that should end within this share of the notice is left alone: estimates err. */
+/* A task that is expected to end within this share of the notice keeps running. The rest allows for
+ * errors of the estimate. */
 #define SAFE_SHARE_OF_NOTICE 0.7
-/* Seconds that a notice has to exceed the time of a checkpoint for the stop to arrive in time. */
+/* Seconds that a notice must leave beyond the checkpoint for the stop to arrive in time. */
 #define STOP_DELIVERY_S 4
-/* Seconds that a stop leaves for a checkpoint beyond the time that it should take. */
-#define SAVE_MARGIN_S 1
+/* Seconds that the grace period of a stop exceeds the expected time of the checkpoint. */
+#define CHECKPOINT_MARGIN_S 1
 
 HrNoticeVerdict
 hr_preemption_notice_verdict (HrCore *core, const HrJob *job, const HrTask *task,
                               const HrMachine *machine, double notice_s)
 {
   if (task->state != HR_TASK_BOUND || task->stop_wanted)
-    return HR_NOTICE_LEAVE;
+    return HR_NOTICE_NO_ACTION;
   if (job->spec.shape == HR_GANG)
     return HR_NOTICE_END_GANG;
   double estimate = hr_estimate_run_time (core, job, machine);
   double left = task->running_since ? estimate - (core->now - task->running_since) : estimate;
   if (left < notice_s * SAFE_SHARE_OF_NOTICE)
-    return HR_NOTICE_LEAVE;
+    return HR_NOTICE_NO_ACTION;
   if (job->spec.checkpoint_s > 0 && notice_s > job->spec.save_s + STOP_DELIVERY_S &&
       task->reported_state == HR_REPORTED_RUNNING)
     return HR_NOTICE_CHECKPOINT;
@@ -34,13 +35,13 @@
 act_on_notice (HrCore *core, HrJob *job, guint32 task_index, HrNoticeVerdict verdict)
 {
   switch (verdict) {
-  case HR_NOTICE_LEAVE:
+  case HR_NOTICE_NO_ACTION:
     break;
   case HR_NOTICE_END_GANG:
-    hr_gang_end_attempt (core, job, job->spec.save_s + SAVE_MARGIN_S);
+    hr_gang_end_attempt (core, job, job->spec.save_s + CHECKPOINT_MARGIN_S);
     break;
   case HR_NOTICE_CHECKPOINT:
-    hr_task_stop (core, job, task_index, job->spec.save_s + SAVE_MARGIN_S);
+    hr_task_stop (core, job, task_index, job->spec.save_s + CHECKPOINT_MARGIN_S);
     break;
   case HR_NOTICE_STOP:
     hr_task_stop (core, job, task_index, 0);
@@ -49,13 +50,13 @@
 }
 
 void
-hr_preemption_notice_take (HrCore *core, HrMachine *machine, const HrHeartbeat *report)
+hr_preemption_notice_handle (HrCore *core, HrMachine *machine, const HrHeartbeat *heartbeat)
 {
-  double notice_s = report->preemption_notice_s;
+  double notice_s = heartbeat->preemption_notice_s;
   if (notice_s < 0)
     return;
   if (!machine->instance.preempted_at)
-    g_info ("%s will be taken in about %.0f s", machine->name, notice_s);
+    g_info ("%s will be preempted in about %.0f s", machine->name, notice_s);
   machine->instance.preempted_at = core->now + notice_s;
   machine->is_draining = TRUE;
   for (guint i = 0; i < machine->tasks->len; i++) {
--- a/src/coordination/agents/preemption_notice.h
+++ b/src/coordination/agents/preemption_notice.h
@@ -1,29 +1,31 @@
-/* A worker's report may say that the cloud takes its machine soon. The machine is drained then, and
- * its tasks end as suits each of them in the time that is left. Leader only. */
+/* Handles the notice in a worker's heartbeat that the cloud will soon preempt its machine: the
+ * machine is drained, and each of its tasks ends in the way that suits it in the remaining time.
+ * Leader only. */
 #pragma once
 #include "coordination/state.h"
 
-/* What becomes of a task whose machine is about to be taken. */
+/* What to do with a task whose machine is about to be preempted. */
 typedef enum {
-  HR_NOTICE_LEAVE,      /* it ends in time, or is being stopped already */
-  HR_NOTICE_END_GANG,   /* the attempt of its whole gang ends */
-  HR_NOTICE_CHECKPOINT, /* stopped with time for a checkpoint */
-  HR_NOTICE_STOP        /* stopped at once, to start elsewhere */
+  HR_NOTICE_NO_ACTION,  /* it ends in time, or is already being stopped */
+  HR_NOTICE_END_GANG,   /* end the attempt of its whole gang */
+  HR_NOTICE_CHECKPOINT, /* stop it with time for a checkpoint */
+  HR_NOTICE_STOP        /* stop it at once, to restart it elsewhere */
 } HrNoticeVerdict;
 
 /**
  * hr_preemption_notice_verdict:
- * @notice_s: seconds until the machine is taken
+ * @machine: the machine that @task is on
+ * @notice_s: seconds until the machine is preempted
  *
- * Returns: what becomes of the task, which is on @machine.
+ * Returns: what to do with the task.
  */
 HrNoticeVerdict hr_preemption_notice_verdict (HrCore *core, const HrJob *job, const HrTask *task,
                                               const HrMachine *machine, double notice_s);
 
 /**
- * hr_preemption_notice_take:
- * @report: a current report of the machine
+ * hr_preemption_notice_handle:
+ * @heartbeat: a current heartbeat of the machine
  *
- * Acts on the notice in the report; does nothing where it has none.
+ * Acts on the preemption notice in the heartbeat, if it contains one.
  */
-void hr_preemption_notice_take (HrCore *core, HrMachine *machine, const HrHeartbeat *report);
+void hr_preemption_notice_handle (HrCore *core, HrMachine *machine, const HrHeartbeat *heartbeat);
--- a/src/coordination/agents/renewal_checks.h
+++ b/src/coordination/agents/renewal_checks.h
@@ -1,34 +1,35 @@
-/* Who may renew a worker's lease, and with which stops. An answer of 200 to a report renews the
- * lease, so a report passes these checks in the order in which they stand here; the first one that
- * fails refuses it. They change nothing: lease_renewal.c acts on the verdicts. The argument why
- * they are enough is in docs/design.md, "Renewing a lease". */
+/* Checks whether a worker's lease may be renewed, and which stops the answer has to contain. An
+ * answer with status 200 renews the lease, so a heartbeat has to pass these checks, in the order of
+ * their declaration; the first one that fails refuses it. The checks change nothing:
+ * lease_renewal.c acts on their verdicts. docs/design.md, "Renewing a lease", explains why they are
+ * sufficient. */
 #pragma once
 #include "coordination/state.h"
 
-/* Whether a lease may be renewed; else why not. */
+/* Whether a lease may be renewed, or why not. */
 typedef enum {
   HR_RENEWAL_ALLOWED,
   HR_RENEWAL_NOT_LEADER,
-  HR_RENEWAL_READING_TOO_OLD, /* this leader may lack what others have confirmed since */
-  HR_RENEWAL_NEWER_TOKEN,     /* the worker has heard from a later leader */
+  HR_RENEWAL_READ_TOO_OLD, /* others may have confirmed changes since this leader's last read */
+  HR_RENEWAL_NEWER_TOKEN,  /* the worker has heard from a later leader */
   HR_RENEWAL_MACHINE_RETURNED,
   HR_RENEWAL_EARLIER_INCARNATION,
-  HR_RENEWAL_TYPE_UNKNOWN,    /* the cloud's list of machine types has not been read yet */
-  HR_RENEWAL_LAUNCH_MAY_COME, /* a launch of a cancelled job's task may still take effect */
-  HR_RENEWAL_STOP_NOT_NAMED   /* a fault of this program: the orders lack a stop */
+  HR_RENEWAL_TYPE_UNKNOWN,       /* the cloud's list of machine types has not been read yet */
+  HR_RENEWAL_LAUNCH_OUTSTANDING, /* a launch of a task of a cancelled job may still take effect */
+  HR_RENEWAL_STOP_MISSING        /* a bug in this program: the orders lack a required stop */
 } HrRenewalVerdict;
 
 /**
  * hr_renewal_verdict_name:
  *
- * Returns: the reason as the log has it.
+ * Returns: the name of the verdict in the log.
  */
 const char *hr_renewal_verdict_name (HrRenewalVerdict verdict);
 
 /**
  * hr_renewal_check_node:
  *
- * Before a report is read.
+ * The first check, made before the heartbeat is parsed.
  *
  * Returns: whether this controller may renew any lease now.
  */
@@ -37,48 +38,49 @@
 /**
  * hr_renewal_check_token:
  *
- * Returns: whether the worker has not heard from a later leader.
+ * Returns: whether the worker has not heard from a later leader, as its fencing token shows.
  */
-HrRenewalVerdict hr_renewal_check_token (const HrCore *core, const HrHeartbeat *report);
+HrRenewalVerdict hr_renewal_check_token (const HrCore *core, const HrHeartbeat *heartbeat);
 
 /**
  * hr_renewal_check_machine:
  *
- * Before anything in the report counts.
+ * Made before anything in the heartbeat is applied.
  *
- * Returns: whether the machine is one whose worker may be answered.
+ * Returns: whether the machine's worker may be answered.
  */
 HrRenewalVerdict hr_renewal_check_machine (const HrCore *core, const HrMachine *machine,
-                                           const HrHeartbeat *report);
+                                           const HrHeartbeat *heartbeat);
 
 /**
  * hr_renewal_check_launches:
  *
- * Once the report has been taken in, before its orders are put together.
+ * Made after the heartbeat has been applied and before its orders are completed.
  *
- * Returns: whether no launch of a cancelled job's task may still take effect.
+ * Returns: whether no launch of a task of a cancelled job may still take effect.
  */
 HrRenewalVerdict hr_renewal_check_launches (const HrCore *core, const HrMachine *machine);
 
 /**
  * hr_renewal_required_stops:
  *
- * The stops that an answer has to name, whatever kind of report it answers: of each task that the
- * report shows, or that the records have in this incarnation of the machine, and whose job is
- * cancelled or done.
+ * Lists the stops that an answer has to contain, whatever HrHeartbeatKind it answers: one for each
+ * task whose job is cancelled or done and that the heartbeat shows, or that is recorded on the
+ * machine in this incarnation.
  *
- * Returns: (transfer full) HrOrder; they borrow texts of @report and ids of jobs.
+ * Returns: (transfer full): HrOrder; they borrow texts of @heartbeat and ids of jobs.
  */
 GArray *hr_renewal_required_stops (const HrCore *core, const HrMachine *machine,
-                                   const HrHeartbeat *report);
+                                   const HrHeartbeat *heartbeat);
 
 /**
  * hr_renewal_check_orders:
- * @orders: HrOrder; all that the answer is to hold
- * @missing: (out) (transfer full): "job/task" of the first stop that is not named, else NULL
+ * @orders: HrOrder: all orders of the answer
+ * @missing: (out) (transfer full) (nullable): "job/task" of the first stop that is missing; %NULL
+ * if none is
  *
- * Returns: whether the orders name every stop that is required.
+ * Returns: whether the orders contain every required stop.
  */
 HrRenewalVerdict hr_renewal_check_orders (const HrCore *core, const HrMachine *machine,
-                                          const HrHeartbeat *report, const GArray *orders,
+                                          const HrHeartbeat *heartbeat, const GArray *orders,
                                           char **missing);
--- a/src/coordination/agents/silent_machines.c
+++ b/src/coordination/agents/silent_machines.c
@@ -5,22 +5,23 @@
 #include "coordination/scaling/fleet.h"
 #include "coordination/state.h"
 
-/* Up to so many machines that are overdue or unreachable tell nothing about this node itself. */
-#define FEW_MACHINES 2
-/* Seconds beyond `silent_s` that workers are given to find a new leader, or one that was cut off.
- */
-#define FIND_LEADER_S 6
+/* Up to this many overdue or unreachable machines do not indicate a fault of this node. */
+#define INSIGNIFICANT_COUNT 2
+/* Seconds beyond `silent_s` that workers get to find a new leader, or one that was cut off from the
+ * store. */
+#define LEADER_DISCOVERY_S 6
 
-/* Why a machine is returned; NULL: it is not. */
+/* Why a machine is returned, for the log; NULL if it is not returned. */
 static const char *const return_reasons[] = {
     [HR_SILENCE_NONE] = NULL,
     [HR_SILENCE_WAIT] = NULL,
-    [HR_SILENCE_UNREACHABLE] = "it reports, but what it is told does not reach it",
+    [HR_SILENCE_UNREACHABLE] = "it sends heartbeats, but does not receive the answers",
     [HR_SILENCE_NOT_LISTED] = "its worker is silent, and the cloud no longer lists it",
     [HR_SILENCE_LONG] = "its worker is silent",
 };
 
-/* How long nothing was heard of the machine's worker. A new leader counts from its start. */
+/* Returns the seconds since the last heartbeat of the machine's worker, counted from the start of
+ * the term at the earliest. */
 static double
 silence_s (const HrCore *core, const HrMachine *machine)
 {
@@ -34,8 +35,9 @@
          core->now - machine->agent.unreachable_at < core->settings->lease_s;
 }
 
-/* The cloud's list lacks it, though no list is so old that it could not be there yet: gone,
- * most likely. No proof, but reason enough to have it deleted, which is one. */
+/* Returns whether the cloud's latest list lacks the machine, although the machine has been known
+ * for more than twice the list's lag. The machine is most likely gone. That is no proof, but reason
+ * enough to request its deletion, whose confirmation is one. */
 static gboolean
 is_missing_from_list (const HrCore *core, const HrMachine *machine)
 {
@@ -56,21 +58,23 @@
     return HR_SILENCE_NOT_LISTED;
   if (silence_s (core, machine) <= core->policy.silent_s)
     return HR_SILENCE_NONE;
-  /* Past its lease a machine holds nothing that deleting it could cost. */
-  if (fleet->is_early || !is_served || (fleet->is_cut_off && !hr_lease_has_expired (core, machine)))
+  /* Once its lease has expired, a machine runs no task that its deletion could lose. */
+  if (fleet->is_grace_period || !is_served ||
+      (fleet->is_node_isolated && !hr_lease_has_expired (core, machine)))
     return HR_SILENCE_WAIT;
   return HR_SILENCE_LONG;
 }
 
-/* A machine that is being returned is answered no more, so its lease runs out like that of a silent
- * one. While the cloud answers no deletion, that is the only proof about what it held. */
+/* Ends the tasks of a machine that is being returned once its lease has expired. Its heartbeats get
+ * no answers that renew the lease, so the lease runs out like that of a silent machine. Until the
+ * cloud answers the deletion, this is the only proof that its tasks do not run. */
 static void
 expire_returned_lease (HrCore *core, HrMachine *machine)
 {
   if (machine->state == HR_MACHINE_DELETING && machine->tasks->len &&
       hr_lease_has_expired (core, machine))
-    hr_termination_incarnations_over (core, machine, G_MAXUINT32,
-                                      HR_PROOF_LEASE_EXPIRED_IN_DELETION);
+    hr_termination_end_incarnations (core, machine, G_MAXUINT32,
+                                     HR_PROOF_LEASE_EXPIRED_IN_DELETION);
 }
 
 static void
@@ -78,12 +82,12 @@
 {
   gboolean is_silent = verdict == HR_SILENCE_WAIT || verdict == HR_SILENCE_LONG;
   if (is_silent && hr_lease_has_expired (core, machine) && machine->tasks->len)
-    hr_termination_incarnations_over (core, machine, G_MAXUINT32, HR_PROOF_LEASE_EXPIRED);
+    hr_termination_end_incarnations (core, machine, G_MAXUINT32, HR_PROOF_LEASE_EXPIRED);
   if (return_reasons[verdict])
     hr_fleet_delete (core, machine, return_reasons[verdict]);
 }
 
-/* Machines of the fleet that are up, and what is wrong with them. */
+/* Numbers of machines that are up, and of the overdue and unreachable ones among them. */
 typedef struct {
   guint up, overdue, unreachable;
 } FleetCounts;
@@ -103,24 +107,24 @@
   return counts;
 }
 
-/* So many of the machines that are up that this node itself is the likely cause. */
+/* Returns whether @count of @up machines are so many that this node is the likely cause. */
 static gboolean
 is_large_share (const HrCore *core, guint count, guint up)
 {
-  return count > FEW_MACHINES && count > core->policy.silent_share * up;
+  return count > INSIGNIFICANT_COUNT && count > core->policy.silent_share * up;
 }
 
 static HrFleetSilence
 fleet_silence (const HrCore *core, const FleetCounts *counts)
 {
-  /* Reports come spread over a period, so the first machines reach silent_s well before the rest:
-   * what tells is how many are overdue by then, or they would be deleted a few at a time. */
-  gboolean is_cut_off = is_large_share (core, counts->overdue, counts->up);
-  /* A new leader lets workers find it first; so does one that was cut off itself, or
-   * it would return every machine that the same cut kept from it. */
+  /* Heartbeats are spread over a period, so the first machines reach silent_s well before the rest.
+   * The machines that are overdue by then are counted, or they would be deleted a few at a time. */
+  gboolean is_node_isolated = is_large_share (core, counts->overdue, counts->up);
+  /* A new leader first gives workers time to find it. So does a leader that was itself cut off from
+   * the store: it would otherwise return every machine that the same partition kept from it. */
   double served_since = MAX (core->leadership.term_began_at, core->store.replica.served_since);
-  gboolean is_early = core->now - served_since < core->policy.silent_s + FIND_LEADER_S;
-  return (HrFleetSilence){is_cut_off, is_early};
+  gboolean is_grace_period = core->now - served_since < core->policy.silent_s + LEADER_DISCOVERY_S;
+  return (HrFleetSilence){is_node_isolated, is_grace_period};
 }
 
 void
@@ -130,11 +134,11 @@
     return;
   FleetCounts counts = count_fleet (core);
   if (is_large_share (core, counts.unreachable, counts.up)) {
-    hr_leadership_resign (core, "what this node answers reaches few workers");
+    hr_leadership_resign (core, "too few workers receive this node's answers");
     return;
   }
   HrFleetSilence silence = fleet_silence (core, &counts);
-  /* Copied: a deletion may change the fleet. */
+  /* Iterates over a copy because a deletion may change the fleet. */
   g_autoptr (GPtrArray) fleet = g_ptr_array_copy (core->scaling.fleet, NULL, NULL);
   for (guint i = 0; i < fleet->len; i++) {
     HrMachine *machine = fleet->pdata[i];
--- a/src/coordination/agents/termination_proof.c
+++ b/src/coordination/agents/termination_proof.c
@@ -4,11 +4,12 @@
 #include "coordination/state.h"
 
 static const char *const proof_texts[] = {
-    [HR_PROOF_ABSENT_FROM_REPORT] = "its worker's report lacks it",
-    [HR_PROOF_LATER_INCARNATION] = "its worker is in a later session",
+    [HR_PROOF_ABSENT_FROM_HEARTBEAT] = "its worker's heartbeat does not list it",
+    [HR_PROOF_LATER_INCARNATION] = "its worker is in a later incarnation",
     [HR_PROOF_MACHINE_DELETED] = "the cloud deleted its machine",
-    [HR_PROOF_LEASE_EXPIRED] = "its lease is surely over",
-    [HR_PROOF_LEASE_EXPIRED_IN_DELETION] = "it is being returned, and its lease is surely over",
+    [HR_PROOF_LEASE_EXPIRED] = "its machine's lease has expired",
+    [HR_PROOF_LEASE_EXPIRED_IN_DELETION] =
+        "its machine is being returned, and the lease has expired",
 };
 
 const char *
@@ -26,24 +27,24 @@
 gboolean
 hr_lease_has_expired (const HrCore *core, const HrMachine *machine)
 {
-  /* Before a worker has seen our token an earlier leader may have answered it,
-   * for up to `hold` after our leader record was written. Afterwards only we can. */
+  /* Until the worker has shown this leader's token, an earlier leader may have renewed its lease,
+   * for up to hold_s after this leader's record was written. After that only this leader can. */
   double base = machine->agent.lease_renewed_at;
   if (machine->agent.fencing_token < core->leadership.term_token)
     base = MAX (base, core->leadership.term_began_at + core->policy.hold_s);
   return core->now > base + hr_lease_duration_s (core);
 }
 
-/* No launch that this leader sent to the machine may still take effect. */
+/* Returns whether no launch that this leader sent to the machine may still take effect. */
 static gboolean
-orders_are_settled (const HrMachine *machine)
+no_launch_outstanding (const HrMachine *machine)
 {
   return machine->agent.direct_calls_in_flight == 0 &&
          machine->agent.unanswered_launch_token == 0 &&
          machine->agent.launch_answered_sequence == 0;
 }
 
-/* Recorded on the machine in its present incarnation. */
+/* Returns whether the task is recorded on the machine in its current incarnation. */
 static gboolean
 is_recorded_here (const HrMachine *machine, const HrTask *task)
 {
@@ -51,13 +52,14 @@
          task->placement.incarnation == machine->agent.incarnation;
 }
 
-/* A launch whose answer was lost, of a job that was cancelled since, may come at any time while
- * the worker is in this incarnation and has seen no newer token. Without the store no newer token
- * is to be had; with it one is requested (HR_ABSENCE_TOKEN_NEEDED), but its write may fail again
- * and again. So there is a bound: the worker's lease has to end by `cancel_s` after a user was told
- * of the cancellation, which was after the last reading that did not show it. */
+/* A direct launch whose answer was lost may reach the worker at any time, even after its job was
+ * cancelled, while the worker is in this incarnation and has seen no newer token. While the store
+ * is unavailable, no newer token can be written; otherwise one is requested
+ * (HR_ABSENCE_TOKEN_NEEDED), but its write may fail repeatedly. The wait is therefore bounded: the
+ * worker's lease has to end within `cancel_s` after a user was told of the cancellation, which was
+ * after the last read of the store that did not show it. */
 gboolean
-hr_termination_cancelled_may_start (const HrCore *core, const HrMachine *machine)
+hr_termination_cancelled_task_may_start (const HrCore *core, const HrMachine *machine)
 {
   if (!machine->agent.unanswered_launch_token && !machine->agent.direct_calls_in_flight)
     return FALSE;
@@ -78,20 +80,20 @@
 }
 
 HrAbsenceVerdict
-hr_termination_absence (const HrCore *core, const HrMachine *machine, const HrJob *job,
-                        const HrTask *task, const HrHeartbeat *report)
+hr_termination_absence_verdict (const HrCore *core, const HrMachine *machine, const HrJob *job,
+                                const HrTask *task, const HrHeartbeat *heartbeat)
 {
   if (!is_recorded_here (machine, task))
     return HR_ABSENCE_NOT_EXPECTED;
   if (job->state == HR_JOB_QUEUED && !task->stop_wanted && !task->from_earlier_term &&
       !job->run.attempt_ending)
-    return HR_ABSENCE_TO_LAUNCH;
-  if (orders_are_settled (machine) && report->fencing_token >= core->leadership.fencing_token)
+    return HR_ABSENCE_LAUNCH_PENDING;
+  if (no_launch_outstanding (machine) && heartbeat->fencing_token >= core->leadership.fencing_token)
     return HR_ABSENCE_PROVEN;
   return machine->agent.unanswered_launch_token ? HR_ABSENCE_TOKEN_NEEDED : HR_ABSENCE_NOT_PROVEN;
 }
 
-/* The index of the attempt among the machine's direct launches; -1: it is not there. */
+/* Returns the index of the attempt in the machine's direct launches, or -1 if there is none. */
 static int
 find_direct_launch (const HrMachine *machine, guint32 job_index, guint32 task_index,
                     guint32 attempt)
@@ -105,28 +107,28 @@
   return -1;
 }
 
-/* A copy of a direct launch may come minutes later, and would start a cleared attempt again; it is
- * void once the worker has seen a newer token than the launch had. Orders in the answer to a report
- * are never late. */
+/* A copy of a direct launch may arrive minutes late and would restart a cleared attempt; it is void
+ * once the worker has seen a newer token than that of the launch. Orders in the answer to a
+ * heartbeat never arrive late. */
 HrClearVerdict
-hr_termination_may_clear (const HrCore *core, const HrMachine *machine, guint32 job_index,
-                          guint32 task_index, guint32 attempt)
+hr_termination_clear_verdict (const HrCore *core, const HrMachine *machine, guint32 job_index,
+                              guint32 task_index, guint32 attempt)
 {
-  if (!orders_are_settled (machine))
-    return HR_CLEAR_ORDERS_UNSETTLED;
+  if (!no_launch_outstanding (machine))
+    return HR_CLEAR_LAUNCH_OUTSTANDING;
   if (machine->agent.fencing_token < core->leadership.term_token)
     return HR_CLEAR_TOKEN_NOT_SEEN;
   int found = find_direct_launch (machine, job_index, task_index, attempt);
   if (found >= 0 &&
       g_array_index (machine->agent.direct_launches, HrDirectLaunch, found).fencing_token >=
           machine->agent.fencing_token)
-    return HR_CLEAR_COPY_MAY_COME;
+    return HR_CLEAR_LATE_COPY_POSSIBLE;
   return HR_CLEAR_ALLOWED;
 }
 
 void
-hr_termination_note_direct_launch (HrMachine *machine, guint32 job_index, guint32 task_index,
-                                   guint32 attempt, guint64 token)
+hr_termination_track_direct_launch (HrMachine *machine, guint32 job_index, guint32 task_index,
+                                    guint32 attempt, guint64 token)
 {
   int found = find_direct_launch (machine, job_index, task_index, attempt);
   if (found >= 0) {
@@ -138,8 +140,8 @@
 }
 
 void
-hr_termination_forget_direct_launch (HrMachine *machine, guint32 job_index, guint32 task_index,
-                                     guint32 attempt)
+hr_termination_untrack_direct_launch (HrMachine *machine, guint32 job_index, guint32 task_index,
+                                      guint32 attempt)
 {
   int found = find_direct_launch (machine, job_index, task_index, attempt);
   if (found >= 0)
@@ -147,8 +149,8 @@
 }
 
 void
-hr_termination_incarnations_over (HrCore *core, HrMachine *machine, guint32 upto,
-                                  HrTerminationProof proof)
+hr_termination_end_incarnations (HrCore *core, HrMachine *machine, guint32 last_incarnation,
+                                 HrTerminationProof proof)
 {
   g_autoptr (GArray) tasks = g_array_copy (machine->tasks);
   for (guint i = 0; i < tasks->len; i++) {
@@ -156,7 +158,7 @@
     HrJob *job = core->store.tables.jobs->pdata[ref.job];
     HrTask *task = job->tasks ? &job->tasks[ref.task] : NULL;
     if (task && task->state == HR_TASK_BOUND && task->placement.machine == machine->index &&
-        task->placement.incarnation <= upto)
+        task->placement.incarnation <= last_incarnation)
       hr_task_gone (core, job, ref.task, HR_EXIT_NONE, hr_termination_proof_text (proof));
   }
 }
