--- a/src/hoprockd.c
+++ b/src/hoprockd.c
@@ -1,7 +1,7 @@
-/* hoprockd: one controller of the cluster. This file joins the core, which decides and does no I/O,
- * with the transport: what comes in is given to the core in batches, and the effects that it
- * returns are carried out. One thread, on the default main context. docs/man/hoprockd.8 documents
- * it. */
+/* hoprockd: one controller of the cluster. This file connects the core, which makes all decisions
+ * and does no I/O, with the transport: it passes incoming commands to the core in batches and
+ * carries out the effects that the core returns. It runs in one thread, on the default main
+ * context. docs/man/hoprockd.8 documents the program. */
 #include "coordination/core.h"
 #include "policy/policy.h"
 #include "protocol/settings.h"
@@ -14,18 +14,19 @@
 #include <stdio.h>
 
 /* Exit codes. */
-#define EXIT_WRONG_SETTINGS 1 /* settings or policy, or an address that cannot be listened on */
+#define EXIT_WRONG_SETTINGS 1 /* invalid settings or policy, or an unusable listening address */
 #define EXIT_WRONG_USE 2
 
-/* Between two steps of the core when nothing comes in. */
+/* Interval between steps of the core while there is no input. */
 #define TICK_MS 100
-/* How long the main loop waits under load for further input before it sleeps. */
-#define GATHER_MS 5
-/* Sockets that are used neither by users, by workers nor by calls: listeners, the main loop's own,
- * and for each other controller one connection in each direction and one of each that is being
- * replaced. */
+/* How long the main loop waits for further input before it polls. */
+#define BATCH_WAIT_MS 5
+/* File descriptors that are used neither by users, by workers nor by calls: listeners and those of
+ * the main loop. */
 #define OTHER_SOCKETS 24
-#define MEMBER_SOCKETS 4
+/* For each other controller one connection in each direction, and the same number of connections
+ * that are being replaced. */
+#define SOCKETS_PER_MEMBER 4
 
 typedef struct {
   HrCore *core;
@@ -33,7 +34,7 @@
   HrHttpClient *client;
   HrPeers *peers;
   GPtrArray *queue;   /* HrCommand, for the next step */
-  guint batch_source; /* that will take the step; 0: none */
+  guint batch_source; /* id of the GLib source that will run the step; 0: none */
 } Daemon;
 
 static gboolean
@@ -44,9 +45,9 @@
   g_autoptr (GPtrArray) batch = g_steal_pointer (&daemon->queue);
   daemon->queue = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_command_free);
   g_autoptr (GPtrArray) effects = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_effect_free);
-  gint64 begun = g_get_monotonic_time ();
-  hr_core_step (daemon->core, begun / 1e6, g_get_real_time () / 1e6, batch, effects);
-  hr_core_set_step_duration (daemon->core, (g_get_monotonic_time () - begun) / 1e6);
+  gint64 started_us = g_get_monotonic_time ();
+  hr_core_step (daemon->core, started_us / 1e6, g_get_real_time () / 1e6, batch, effects);
+  hr_core_set_step_duration (daemon->core, (g_get_monotonic_time () - started_us) / 1e6);
   for (guint i = 0; i < effects->len; i++) {
     HrEffect *effect = effects->pdata[i];
     hr_process_metrics_add (effect);
@@ -62,12 +63,12 @@
 }
 
 static void
-sink (HrCommand *command, gpointer data)
+enqueue_command (HrCommand *command, gpointer data)
 {
   Daemon *daemon = data;
   g_ptr_array_add (daemon->queue, command);
-  /* At the same priority as sockets: when the main loop is busy, commands gather into larger
-   * batches, but the core is never starved. */
+  /* The source has the same priority as the sockets: under load the batches grow, but the core
+   * still gets its turn. */
   if (!daemon->batch_source)
     daemon->batch_source = g_idle_add_full (G_PRIORITY_DEFAULT, run_batch, daemon, NULL);
 }
@@ -75,30 +76,30 @@
 static gboolean
 on_tick (gpointer data)
 {
-  sink (hr_command_new (HR_COMMAND_TICK), data);
+  enqueue_command (hr_command_new (HR_COMMAND_TICK), data);
   return G_SOURCE_CONTINUE;
 }
 
-/* Under load the main loop waits a little for further input before it sleeps: one iteration, with
- * its fixed cost, then serves several requests. */
+/* Waits a little for further input before it polls, unless a source is due sooner: under load one
+ * iteration of the main loop, which has a fixed cost, then serves several requests. */
 static gint
 poll_in_batches (GPollFD *fds, guint n, gint timeout)
 {
-  if (timeout < 0 || timeout > GATHER_MS) {
-    g_usleep ((gulong)GATHER_MS * 1000);
+  if (timeout < 0 || timeout > BATCH_WAIT_MS) {
+    g_usleep ((gulong)BATCH_WAIT_MS * 1000);
     if (timeout > 0)
-      timeout -= GATHER_MS;
+      timeout -= BATCH_WAIT_MS;
   }
   return g_poll (fds, n, timeout);
 }
 
-/* Connections that the HTTP server may hold: what calls and others leave, but at least half of the
- * sockets. */
+/* Returns how many connections the HTTP server may keep open: the sockets that are not reserved for
+ * calls, peers and internal use, but at least half of all sockets. */
 static guint
-server_share (const HrSettings *settings)
+max_server_connections (const HrSettings *settings)
 {
   guint reserved = hr_http_client_sockets (settings->sockets) + OTHER_SOCKETS +
-                   MEMBER_SOCKETS * settings->members->len;
+                   SOCKETS_PER_MEMBER * settings->members->len;
   return MAX (settings->sockets / 2, settings->sockets - MIN (reserved, settings->sockets));
 }
 
@@ -115,11 +116,11 @@
     return EXIT_WRONG_SETTINGS;
   }
   g_autofree char *text = hr_policy_describe (&policy);
-  printf ("%s is valid. With the figures of a sample platform:\n%s", file, text);
+  printf ("%s is valid. Its values on a sample platform:\n%s", file, text);
   return 0;
 }
 
-/* The policy for these settings, or an error that names file, line and what was expected. */
+/* Loads the policy for these settings. The error names the file, the line and what was expected. */
 static gboolean
 load_policy (const char *file, const HrSettings *settings, HrPolicy *policy, GError **error)
 {
@@ -128,7 +129,7 @@
   return hr_policy_load (file, vars, policy, error) && hr_core_policy_check (policy, vars, error);
 }
 
-/* For --check-config. */
+/* Prints the summary for --check-config. */
 static void
 print_config (const HrSettings *settings, const HrPolicy *policy)
 {
@@ -139,8 +140,8 @@
     printf ("member %s (%s) at %s\n", member->label, member->zone, member->endpoint);
   }
   printf ("state service at %s, cloud at %s\n", settings->state, settings->cloud);
-  printf ("workers report every %g s, lease %g s, cancellations within %g s; a leader without a "
-          "reading goes on for %g s\n",
+  printf ("workers report every %g s, lease %g s, cancellations within %g s; a leader that "
+          "cannot read the state service answers workers for up to %g s\n",
           settings->report_s, settings->lease_s, settings->cancel_s, policy->hold_s);
   printf ("the settings and the policy are valid\n");
 }
@@ -169,18 +170,19 @@
        "FILE"},
       {"policy", 'p', 0, G_OPTION_ARG_FILENAME, &options->policy, "the operators' policy", "FILE"},
       {"check-policy", 0, 0, G_OPTION_ARG_FILENAME, &options->check_policy,
-       "check a policy file and leave", "FILE"},
+       "check a policy file and exit", "FILE"},
       {"check-config", 0, 0, G_OPTION_ARG_NONE, &options->check_config,
-       "check settings and policy, say what they mean, and leave", NULL},
+       "check the settings and the policy, print a summary, and exit", NULL},
       {"log-format", 0, 0, G_OPTION_ARG_STRING, &options->log_format,
-       "text (the default), or json: one object a line", "FORMAT"},
-      {"version", 0, 0, G_OPTION_ARG_NONE, &options->version, "show the version and leave", NULL},
+       "text (the default), or json: one object per line", "FORMAT"},
+      {"version", 0, 0, G_OPTION_ARG_NONE, &options->version, "show the version and exit", NULL},
       {NULL}};
   g_autoptr (GOptionContext) ctx =
       g_option_context_new ("- a controller of the hoprock cluster scheduler");
   g_option_context_add_main_entries (ctx, entries, NULL);
   g_option_context_set_description (
-      ctx, "LOG_LEVEL=error|info|debug says how much goes to standard error.");
+      ctx,
+      "The environment variable LOG_LEVEL=error|info|debug sets what is logged to standard error.");
   g_autoptr (GError) error = NULL;
   if (g_option_context_parse (ctx, argc, argv, &error) && *argc == 1)
     return TRUE;
@@ -189,7 +191,7 @@
 }
 
 static gboolean
-begin_log (const Options *options)
+init_logging (const Options *options)
 {
   gboolean json = g_strcmp0 (options->log_format, "json") == 0;
   if (options->log_format && !json && !g_str_equal (options->log_format, "text")) {
@@ -204,25 +206,25 @@
   return TRUE;
 }
 
-/* Runs until the process is killed; returns only where an address cannot be listened on. */
+/* Runs until the process is killed; returns only if an address cannot be listened on. */
 static int
 serve (const HrSettings *settings, const HrPolicy *policy, HrNames *names)
 {
   g_autoptr (GError) error = NULL;
   Daemon daemon = {0};
   daemon.queue = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_command_free);
-  /* The incarnation distinguishes this process from every earlier one of the same label. */
+  /* The incarnation distinguishes this process from every earlier process with the same label. */
   g_autofree char *uuid = g_uuid_string_random ();
   uuid[8] = 0;
   g_autofree char *incarnation =
       g_strdup_printf ("%" G_GINT64_FORMAT "-%s", g_get_real_time (), uuid);
   daemon.core = hr_core_new (settings, policy, names, incarnation, g_random_int ());
-  daemon.client =
-      hr_http_client_new (settings->state, settings->cloud, settings->sockets, sink, &daemon);
-  daemon.peers = hr_peers_new (settings, sink, &daemon, &error);
+  daemon.client = hr_http_client_new (settings->state, settings->cloud, settings->sockets,
+                                      enqueue_command, &daemon);
+  daemon.peers = hr_peers_new (settings, enqueue_command, &daemon, &error);
   if (daemon.peers)
-    daemon.server =
-        hr_http_server_new (settings->front, server_share (settings), sink, &daemon, &error);
+    daemon.server = hr_http_server_new (settings->front, max_server_connections (settings),
+                                        enqueue_command, &daemon, &error);
   if (!daemon.server) {
     fprintf (stderr, "hoprockd: cannot listen: %s\n", error->message);
     return EXIT_WRONG_SETTINGS;
@@ -250,7 +252,7 @@
     printf ("hoprockd %s\n", HR_VERSION);
     return 0;
   }
-  if (!begin_log (&options))
+  if (!init_logging (&options))
     return EXIT_WRONG_USE;
   if (options.check_policy)
     return check_policy (options.check_policy);
--- a/tests/command_line.sh
+++ b/tests/command_line.sh
@@ -34,7 +34,7 @@
   "state":{"rps":100.0,"write_rps":15.0,"value_kb":4.0,"txn_ops":12},
   "cloud":{"rps":8.0,"list_lag_s":3.0}}}
 EOF
-expect 0 'goes on for 17 s' "$1" --policy "$2" --config "$tmp/whole.json" --check-config
+expect 0 'answers workers for up to 17 s' "$1" --policy "$2" --config "$tmp/whole.json" --check-config
 expect 1 'setting area: expected' "$1" --policy "$2" --config "$tmp/short.json" --check-config
 expect 2 'expected text or json, not xml' "$1" --log-format xml
 expect 2 'LOG_LEVEL' env LOG_LEVEL=loud "$1" --policy "$2" --config "$tmp/short.json"
