--- a/src/coordination/core.c
+++ b/src/coordination/core.c
@@ -30,7 +30,7 @@
 /* Limit for the measured duration of a pass, since the process may have been suspended during it.
  */
 #define MAX_PASS_DURATION_S 2.0
-/* The minimum planning interval grows by the policy's plan_gap_s for every this many machines. */
+/* Number of machines for which the minimum planning interval grows by the policy's plan_gap_s. */
 #define MACHINES_PER_PLAN_GAP 200.0
 /* The token bucket for calls to the cloud refills at this share of the cloud's rate limit. */
 #define CLOUD_RATE_SHARE 0.8
--- a/src/coordination/leadership/election.h
+++ b/src/coordination/leadership/election.h
@@ -1,7 +1,7 @@
 /* Leader election: acquires the leader lock with its lease, and writes the leader record in the
  * same transaction with a higher fencing token. Only leadership.c calls these functions. Failed
- * requests are retried at a later tick. The response to a write is never trusted: its outcome is
- * taken from the next read of the store. */
+ * requests are retried at a later tick. The outcome of a write is taken only from the next read
+ * of the store. */
 #pragma once
 #include "coordination/core.h"
 
--- a/src/coordination/leadership/leadership_decisions.c
+++ b/src/coordination/leadership/leadership_decisions.c
@@ -16,7 +16,7 @@
  * limit for changes of the store. */
 #define TOKEN_RAISE_INTERVAL_S 3.0
 /* A single silent worker is more likely to have failed itself than to show that the leader is
- * unreachable, and a single heartbeat at another controller may be accidental. */
+ * unreachable, and a single heartbeat at another controller may be a stray one. */
 #define RESIGN_MIN_MACHINES 2
 #define RESIGN_MIN_PEER_CONTACTS 2
 /* After a store outage for all controllers, workers may try the other controllers first, so two
--- a/src/coordination/membership/peer_status.h
+++ b/src/coordination/membership/peer_status.h
@@ -64,7 +64,7 @@
  * hr_echo_is_for:
  * @echo: an echo of a status that was received
  * @label: a controller's label
- * @incarnation: of the controller's process
+ * @incarnation: the incarnation of the controller's process
  *
  * Returns: whether the echo refers to a status that this process sent
  */
