--- a/src/coordination/agents/reported_tasks.c
+++ b/src/coordination/agents/reported_tasks.c
@@ -54,7 +54,7 @@
   if (reported->cause == HR_EXIT_DONE && job->state == HR_JOB_QUEUED)
     hr_task_done (core, job, reported->task);
   else
-    hr_task_gone (core, job, reported->task, reported->cause, hr_exit_name (reported->cause));
+    hr_task_terminated (core, job, reported->task, reported->cause, hr_exit_name (reported->cause));
 }
 
 /* The task is where its record has it. */
@@ -148,8 +148,8 @@
   if (verdict != HR_ABSENCE_NOT_EXPECTED)
     task->reported_state = HR_NOT_REPORTED;
   if (verdict == HR_ABSENCE_PROVEN)
-    hr_task_gone (core, job, ref.task, HR_EXIT_NONE,
-                  hr_termination_proof_text (HR_PROOF_ABSENT_FROM_REPORT));
+    hr_task_terminated (core, job, ref.task, HR_EXIT_NONE,
+                        hr_termination_proof_text (HR_PROOF_ABSENT_FROM_REPORT));
   else if (verdict == HR_ABSENCE_TOKEN_NEEDED)
     hr_leadership_raise_token (core, "an order to a worker got no answer");
 }
--- a/src/coordination/agents/termination_proof.c
+++ b/src/coordination/agents/termination_proof.c
@@ -157,6 +157,6 @@
     HrTask *task = job->tasks ? &job->tasks[ref.task] : NULL;
     if (task && task->state == HR_TASK_BOUND && task->placement.machine == machine->index &&
         task->placement.incarnation <= upto)
-      hr_task_gone (core, job, ref.task, HR_EXIT_NONE, hr_termination_proof_text (proof));
+      hr_task_terminated (core, job, ref.task, HR_EXIT_NONE, hr_termination_proof_text (proof));
   }
 }
--- a/src/coordination/jobs/admission.c
+++ b/src/coordination/jobs/admission.c
@@ -1,16 +1,15 @@
-/* Admission: a check of a new job against the machine types and the settings, condition by
- * condition. */
+/* Admission control: checks a new job against the machine types and the settings. */
 #include "coordination/jobs/admission.h"
 #include "coordination/scheduling/quotas.h"
 
-/* Slack of a sum of CPUs or GPUs against a team's limit, for rounding. */
+/* Tolerance for rounding errors when CPUs or GPUs are compared with a team's limit. */
 #define LIMIT_TOLERANCE 1e-6
 
 G_DEFINE_QUARK (hr - admission - error - quark, hr_admission_error)
 
-/* Zones in which a task fits a machine type that the job allows. */
+/* Whether a task fits an allowed machine type in any zone, and in several zones. */
 typedef struct {
-  gboolean one, several;
+  gboolean any, several;
 } FittingZones;
 
 static gboolean
@@ -25,7 +24,7 @@
 fitting_zones (const HrCore *core, const HrJobSpec *spec)
 {
   FittingZones found = {FALSE, FALSE};
-  guint32 first = HR_NONE;
+  guint32 previous = HR_NONE;
   for (guint i = 0; i < core->scaling.machine_types->len; i++) {
     const HrMachineType *type = &g_array_index (core->scaling.machine_types, HrMachineType, i);
     if (!fits_type (spec, type))
@@ -34,16 +33,16 @@
       guint32 zone = g_array_index (type->zones, guint32, k);
       if (spec->zone != HR_NONE && zone != spec->zone)
         continue;
-      found.several |= found.one && zone != first;
-      found.one = TRUE;
-      first = zone;
+      found.several |= found.any && zone != previous;
+      found.any = TRUE;
+      previous = zone;
     }
   }
   return found;
 }
 
-/* A gang's tasks run at the same time, and at most half of a spread gang's in one zone. Without a
- * second zone it would wait for ever. */
+/* All tasks of a gang run at the same time, and a spread gang has at most half of them in one zone.
+ * Without a second zone the gang would wait forever. */
 static gboolean
 can_spread (const HrJobSpec *spec, FittingZones zones)
 {
@@ -51,7 +50,8 @@
   return !needs_two_zones || (zones.several && !spec->one_zone);
 }
 
-/* Does the team's limit leave what has to run at once: a task of a batch, all of other jobs? */
+/* Checks the team's limit against the tasks that must run at the same time: one task of a batch,
+ * all tasks of any other job. */
 static gboolean
 fits_team_limit (const HrJobSpec *spec, const HrTeam *team)
 {
@@ -70,7 +70,7 @@
     return FALSE;
   }
   FittingZones zones = fitting_zones (core, spec);
-  if (!zones.one) {
+  if (!zones.any) {
     g_set_error_literal (error, HR_ADMISSION_ERROR, HR_ADMISSION_ERROR_FITS_NO_MACHINE_TYPE,
                          "a task fits no machine type that the job allows");
     return FALSE;
--- a/src/coordination/jobs/admission.h
+++ b/src/coordination/jobs/admission.h
@@ -1,6 +1,6 @@
-/* Admission: which jobs can never run on this platform, whatever is free. The decision rests on the
- * settings and the machine types alone, so every controller decides alike. Called for a new
- * submission, once the machine types are known; nothing is changed. */
+/* Admission control: rejects jobs that could not run even on an empty cluster. The decision depends
+ * only on the settings and the machine types, so every controller decides the same. It is made for
+ * each new submission once the machine types are known, and changes no state. */
 #pragma once
 #include "coordination/state.h"
 
@@ -11,10 +11,11 @@
  * @HR_ADMISSION_ERROR_UNKNOWN_TEAM: the settings have no such team
  * @HR_ADMISSION_ERROR_FITS_NO_MACHINE_TYPE: a task fits no machine type and zone that the job
  * allows
- * @HR_ADMISSION_ERROR_CANNOT_SPREAD: a spread gang may use one zone only
- * @HR_ADMISSION_ERROR_BEYOND_TEAM_LIMIT: what has to run at once is more than the team's limit
+ * @HR_ADMISSION_ERROR_CANNOT_SPREAD: the gang must be spread over zones, but can use only one
+ * @HR_ADMISSION_ERROR_BEYOND_TEAM_LIMIT: the tasks that must run at the same time exceed the
+ * team's limit
  *
- * Why a job can never run here. The message is the text that its user gets.
+ * Reasons why a job can never run here. The error's message is returned to the user.
  */
 typedef enum {
   HR_ADMISSION_ERROR_UNKNOWN_TEAM,
@@ -28,11 +29,11 @@
 /**
  * hr_admission_check:
  * @core: the controller; its machine types must be known
- * @spec: the job as its user describes it
- * @error: (out): where to say why not
+ * @spec: the job's specification, as submitted
+ * @error: (out): return location for the reason of a rejection
  *
- * Decides whether the job could run on an empty platform.
+ * Checks whether the job could run on an empty cluster.
  *
- * Returns: %FALSE with @error of %HR_ADMISSION_ERROR when it can never run.
+ * Returns: %FALSE, with @error set to a %HR_ADMISSION_ERROR, if the job can never run.
  */
 gboolean hr_admission_check (const HrCore *core, const HrJobSpec *spec, GError **error);
--- a/src/coordination/jobs/cancellations.c
+++ b/src/coordination/jobs/cancellations.c
@@ -1,4 +1,4 @@
-/* Cancellations: the write, and what its answer means. */
+/* Cancellations: writes a cancellation and handles the response to the write. */
 #include "coordination/jobs/cancellations.h"
 #include "bookkeeping/record_format.h"
 #include "bookkeeping/record_layout.h"
@@ -12,20 +12,21 @@
 #include "protocol/store_api.h"
 #include <string.h>
 
-/* The record with its tasks is larger than the state service takes. Its user asks again, and
- * meanwhile the leader splits it. */
+/* Requests a split of the record, which with its tasks exceeds the state service's size limit. The
+ * user is asked to retry; the leader splits the record meanwhile. */
 static HrVerdict
-split_first (HrCore *core, HrJob *job)
+refuse_until_split (HrCore *core, HrJob *job)
 {
   hr_record_format_note_oversized (&core->store, job);
-  return hr_verdict_refuse (HR_VERDICT_REFUSE_FOR_NOW, 503,
+  return hr_verdict_refuse (HR_VERDICT_REFUSE_TEMPORARILY, 503,
                             "the job's record is being split; ask again");
 }
 
-/* Brings the tables up to date with the cancellation that the store has confirmed. It is logged
- * first: whoever is told of it is told by a node that has it in its log. */
+/* Applies a cancellation that the store has confirmed to the tables. It is appended to the
+ * cancellation log first, so that a user learns of a cancellation only from a node that has it in
+ * its log. */
 static void
-take_in_confirmed (HrCore *core, HrJob *job, guint64 revision)
+apply_confirmed_cancellation (HrCore *core, HrJob *job, guint64 revision)
 {
   hr_cancellation_log_append (core, job, revision);
   if (job->state != HR_JOB_QUEUED || revision <= job->record.revision)
@@ -39,7 +40,8 @@
   hr_dependencies_job_final (core, job);
 }
 
-/* Did the store refuse the write as too large? Otherwise 400 would be a fault of ours. */
+/* Checks whether the store refused the write because the record is too large. In any other case a
+ * 400 would mean that this controller sent an invalid request. */
 static gboolean
 is_too_large (const HrCore *core, const HrJob *job, int status)
 {
@@ -49,9 +51,9 @@
 static HrVerdict
 decide_after_failed_write (const HrCore *core, const HrUserRequest *request, int status)
 {
-  if (hr_user_request_may_try_again (core, request, status))
-    return hr_verdict (HR_VERDICT_READ); /* the record may have moved on: read, then try again */
-  return hr_verdict_refuse (HR_VERDICT_REFUSE_FOR_NOW, 503,
+  if (hr_user_request_may_retry (core, request, status))
+    return hr_verdict (HR_VERDICT_READ); /* the record may have changed: read, then retry */
+  return hr_verdict_refuse (HR_VERDICT_REFUSE_TEMPORARILY, 503,
                             "the cancellation is not confirmed; ask again");
 }
 
@@ -64,17 +66,17 @@
   g_auto (HrVerdict) verdict = {0};
   guint64 revision;
   if (status == 200 && job && hr_store_read_revision (body, &revision)) {
-    take_in_confirmed (core, job, revision);
+    apply_confirmed_cancellation (core, job, revision);
     verdict = hr_verdict_answer (200);
   } else if (is_too_large (core, job, status)) {
     core->store.format.planned_limits_in_force |=
         request->record_bytes > hr_record_layout_planned_bytes (&core->store);
-    verdict = split_first (core, job);
+    verdict = refuse_until_split (core, job);
   } else {
     request->failed_writes++;
     verdict = decide_after_failed_write (core, request, status);
   }
-  hr_user_request_act (core, request, &verdict);
+  hr_user_request_apply_verdict (core, request, &verdict);
 }
 
 void
@@ -87,8 +89,8 @@
                                           HR_JOB_CANCELLED, request->write_tag, FALSE);
   request->record_bytes = strlen (text);
   if (request->record_bytes > hr_record_layout_max_bytes (&core->store)) {
-    g_auto (HrVerdict) verdict = split_first (core, job);
-    hr_user_request_act (core, request, &verdict);
+    g_auto (HrVerdict) verdict = refuse_until_split (core, job);
+    hr_user_request_apply_verdict (core, request, &verdict);
     return;
   }
   g_autofree char *key = hr_job_record_key (job);
--- a/src/coordination/jobs/cancellations.h
+++ b/src/coordination/jobs/cancellations.h
@@ -1,13 +1,14 @@
-/* Cancellations: a job is cancelled when its record says so, whichever controller wrote that. The
- * write holds on the record's revision, so of a cancellation and the job's end one fails. */
+/* Cancellations. A job is cancelled once its record states so, whichever controller wrote it. The
+ * write is conditional on the record's revision, so if a cancellation and the job's completion are
+ * written concurrently, one of the two writes fails. */
 #pragma once
 #include "coordination/jobs/user_requests.h"
 
 /**
  * hr_cancellation_write:
- * @request: (transfer full): to cancel a known job that is queued
+ * @request: (transfer full): a request to cancel a known, queued job
  *
- * Writes the cancellation, and answers the request when that is confirmed. A record that is too
- * large to be written is split by the leader first; its user is asked to try again.
+ * Writes the cancellation, and replies to the request once the write is confirmed. If the record
+ * is too large to be written, the leader splits it first and the user is asked to retry.
  */
 void hr_cancellation_write (HrCore *core, HrUserRequest *request);
--- a/src/coordination/jobs/class_stats.c
+++ b/src/coordination/jobs/class_stats.c
@@ -1,21 +1,21 @@
-/* Statistics of job classes: smoothed means, updated with each arrival and each end of a task. */
+/* Statistics of job classes: smoothed means, updated on each arrival and each task completion. */
 #include "coordination/jobs/class_stats.h"
 #include <math.h>
 
-/* Arrivals are counted in intervals of this length, s. */
+/* Length of the intervals in which arrivals are counted, in seconds. */
 #define ARRIVAL_INTERVAL_S 10.0
-/* How fast the rate of arrivals forgets, s. */
+/* Time constant of the exponential moving average of the arrival rate, in seconds. */
 #define ARRIVAL_TIME_CONSTANT_S 120.0
-/* Intervals that are worked through at once; longer gaps are skipped. */
+/* Intervals that one update processes at most; the rest of a longer gap is skipped. */
 #define MAX_INTERVALS 200
-/* Arrivals of an interval count up to this base plus so many times what the rate predicts. */
+/* Arrivals in an interval count up to BURST_BASE plus BURST_FACTOR times the predicted number. */
 #define BURST_BASE 2
 #define BURST_FACTOR 3
-/* Weight of one job in what a class's tasks look like. */
+/* Weight of one job in the class's smoothed resource needs. */
 #define JOB_WEIGHT 0.2
-/* A class's run-time correction is the mean of about this many samples' effect at the most. */
+/* The weight of a sample in a class's run-time correction is at least 1 / CORRECTION_WINDOW. */
 #define CORRECTION_WINDOW 40
-/* Teams are kept as bits of one word. */
+/* Number of bits in HrClassStats.teams. */
 #define TEAM_BITS 64
 
 HrClassStats *
@@ -28,38 +28,39 @@
   return &g_array_index (core->scheduling.class_stats, HrClassStats, job_class);
 }
 
-/* Tasks a second, over the intervals counted so far: a young average counts what it has seen. */
+/* Returns the arrival rate in tasks per second. Dividing by the accumulated weight keeps the
+ * average unbiased while only a few intervals have been counted. */
 static double
-mean_arrivals (const HrClassStats *stats)
+mean_arrival_rate (const HrClassStats *stats)
 {
   return stats->arrivals_weight > 0 ? stats->arrivals / stats->arrivals_weight : 0;
 }
 
-/* Adds the interval that has ended to the smoothed rate, and begins the next. */
+/* Adds the completed interval to the smoothed rate and starts the next one. */
 static void
-end_interval (HrClassStats *stats, double keep)
+end_interval (HrClassStats *stats, double decay)
 {
-  double most = BURST_BASE + BURST_FACTOR * mean_arrivals (stats) * ARRIVAL_INTERVAL_S;
-  stats->arrivals =
-      keep * stats->arrivals + (1 - keep) * MIN (stats->recent_arrivals, most) / ARRIVAL_INTERVAL_S;
-  stats->arrivals_weight = keep * stats->arrivals_weight + (1 - keep);
+  double cap = BURST_BASE + BURST_FACTOR * mean_arrival_rate (stats) * ARRIVAL_INTERVAL_S;
+  stats->arrivals = decay * stats->arrivals +
+                    (1 - decay) * MIN (stats->recent_arrivals, cap) / ARRIVAL_INTERVAL_S;
+  stats->arrivals_weight = decay * stats->arrivals_weight + (1 - decay);
   stats->recent_arrivals = 0;
   stats->recent_since += ARRIVAL_INTERVAL_S;
 }
 
 double
-hr_class_arrivals (HrCore *core, HrClassStats *stats, guint n)
+hr_class_update_arrival_rate (HrCore *core, HrClassStats *stats, guint n)
 {
-  double keep = exp (-ARRIVAL_INTERVAL_S / ARRIVAL_TIME_CONSTANT_S);
+  double decay = exp (-ARRIVAL_INTERVAL_S / ARRIVAL_TIME_CONSTANT_S);
   if (!stats->recent_since)
     stats->recent_since = core->now;
   for (guint i = 0; core->now - stats->recent_since >= ARRIVAL_INTERVAL_S && i < MAX_INTERVALS; i++)
-    end_interval (stats, keep);
+    end_interval (stats, decay);
   if (core->now - stats->recent_since >= ARRIVAL_INTERVAL_S)
     stats->recent_since = core->now;
   stats->recent_arrivals += n;
   if (stats->arrivals_weight > 0)
-    return mean_arrivals (stats);
+    return mean_arrival_rate (stats);
   return MIN (stats->recent_arrivals, BURST_BASE) / ARRIVAL_INTERVAL_S;
 }
 
@@ -68,7 +69,7 @@
 {
   const HrJobSpec *spec = &job->spec;
   HrClassStats *stats = hr_class_stats (core, spec->job_class);
-  hr_class_arrivals (core, stats, job->n_tasks);
+  hr_class_update_arrival_rate (core, stats, job->n_tasks);
   double weight = stats->is_seen ? JOB_WEIGHT : 1;
   stats->is_seen = TRUE;
   stats->cpus += weight * (spec->cpus - stats->cpus);
@@ -76,7 +77,7 @@
   stats->memory_gb += weight * (spec->memory_gb - stats->memory_gb);
   hr_class_use_image (stats, spec->image, job->n_tasks);
   stats->shape = spec->shape;
-  stats->priority = spec->priority; /* not what it inherits: that differs from job to job */
+  stats->priority = spec->priority; /* not the inherited priority, which differs between jobs */
   stats->allows_spot = spec->allows_spot;
   stats->types = spec->types;
   stats->teams |= G_GUINT64_CONSTANT (1) << spec->team % TEAM_BITS;
@@ -91,7 +92,8 @@
     return;
   double ratio = CLAMP (run_time_s / job->spec.estimate_s, core->policy.correction_least,
                         core->policy.correction_most);
-  /* One task counts little: jobs differ far more than a class drifts. */
+  /* Each sample has a small weight: run times differ far more between the jobs of a class than the
+   * mean of the class changes over time. */
   stats->run_time_samples++;
   double weight = 1.0 / MIN (2 * stats->run_time_samples + 1, CORRECTION_WINDOW);
   stats->run_time_correction += weight * (ratio - stats->run_time_correction);
--- a/src/coordination/jobs/class_stats.h
+++ b/src/coordination/jobs/class_stats.h
@@ -1,7 +1,7 @@
-/* Statistics of job classes: how fast tasks of a class arrive, what they look like, and how their
- * run times compare with their estimates. Spare capacity and projections rest on them; no rule
- * does. Every controller keeps them in memory: arrivals by what it reads, run times by what it sees
- * as the leader. */
+/* Statistics of job classes: the arrival rate of a class's tasks, their resource needs, and the
+ * ratio of their run times to the estimates. They are used for headroom and for projected starts;
+ * no safety rule depends on them. Each controller keeps them in memory only: arrivals are counted
+ * from the records that it reads, run times are observed only while it is the leader. */
 #pragma once
 #include "coordination/state.h"
 
@@ -9,36 +9,37 @@
  * hr_class_stats:
  * @job_class: index of the class
  *
- * Returns: (transfer none): the class's row, which is made when there is none. Valid until a row is
- * made for another class.
+ * Returns: (transfer none): the statistics of the class, which are created if there are none. Valid
+ * until the statistics of another class are created.
  */
 HrClassStats *hr_class_stats (HrCore *core, guint32 job_class);
 
 /**
- * hr_class_arrivals:
- * @stats: of the class
- * @n: tasks that arrive now; 0: none
+ * hr_class_update_arrival_rate:
+ * @stats: statistics of the class
+ * @n: number of tasks that arrive now; may be 0
  *
- * Counts arriving tasks. What arrives in one bunch (at the very start, or after an outage) says
- * little about what comes next, so it counts capped.
+ * Adds arriving tasks to the class's arrival rate and returns the rate. Tasks that arrive in a
+ * burst (at startup, or after an outage) predict little about later arrivals, so the number that
+ * counts per interval is capped.
  *
- * Returns: arriving tasks a second, smoothed.
+ * Returns: the smoothed arrival rate, in tasks per second.
  */
-double hr_class_arrivals (HrCore *core, HrClassStats *stats, guint n);
+double hr_class_update_arrival_rate (HrCore *core, HrClassStats *stats, guint n);
 
 /**
  * hr_class_note_job:
- * @job: a job that has arrived, or has become ready, just now
+ * @job: a job that has just arrived or just become ready
  *
- * Counts the job's tasks as arrivals, and what they need.
+ * Counts the job's tasks as arrivals and updates the typical resource needs of the class.
  */
 void hr_class_note_job (HrCore *core, const HrJob *job);
 
 /**
  * hr_class_note_run_time:
  * @job: the job of the task
- * @task: a task that is done as of now
+ * @task: a task that has just completed
  *
- * Learns from the task's run time how estimates of its class are to be corrected.
+ * Updates the correction factor for run-time estimates of the class from the task's run time.
  */
 void hr_class_note_run_time (HrCore *core, const HrJob *job, const HrTask *task);
--- a/src/coordination/jobs/dependencies.c
+++ b/src/coordination/jobs/dependencies.c
@@ -1,4 +1,5 @@
-/* No recursion: chains may be hundreds of jobs long, and thousands may await one job. */
+/* Dependencies between jobs. The traversals are iterative, not recursive: a chain may be hundreds
+ * of jobs long, and thousands of jobs may await the same one. */
 #include "coordination/jobs/dependencies.h"
 #include "bookkeeping/record_writer.h"
 #include "bookkeeping/replica.h"
@@ -6,23 +7,24 @@
 #include "coordination/jobs/priority_inheritance.h"
 #include "coordination/jobs/task_lifecycle.h"
 
-/* Awaited jobs that a reason names; of the others it says how many. */
+/* Number of awaited jobs that a reason names; further ones are only counted. */
 #define MAX_NAMED_IN_REASON 3
-/* Tombstones of derived cancellations that are begun in one tick. */
+/* Tombstones for derived cancellations that one tick starts to write, at most. */
 #define TOMBSTONES_PER_TICK 2
-/* They are begun only while so much of the allowance for changes is unused. */
+/* Share of the write-rate allowance that must be unused for that. */
 #define UNUSED_ALLOWANCE_SHARE 0.8
 
 /* ---- edges ---- */
 
-/* By its record: what a peer told us of a job is not passed on to its dependents. */
+/* Checks whether the job is final by its record, or through a job that it awaits. A cancellation
+ * that only a peer has stated is not propagated to dependents. */
 static gboolean
 is_final (const HrJob *job)
 {
   return job->is_known && job->state != HR_JOB_QUEUED && !job->cancellation.told_by_peer;
 }
 
-/* Final jobs need no dependents: nothing about them changes any more. */
+/* Final jobs keep no dependents, since their state no longer changes. */
 static void
 add_dependent (HrJob *awaited, HrJob *dependent)
 {
@@ -38,7 +40,7 @@
 {
   guint n = ids ? g_strv_length ((GStrv)ids) : 0;
   if (job->dependencies.n_awaited || !n)
-    return; /* what a job awaits never changes */
+    return; /* the dependencies of a job never change */
   job->dependencies.awaited = g_new0 (HrJob *, n);
   for (guint i = 0; i < n; i++) {
     HrJob *awaited = hr_job_get (&core->store.tables, ids[i]);
@@ -48,16 +50,16 @@
   job->dependencies.n_awaited = n;
 }
 
-/* ---- cancelled with an awaited job ---- */
+/* ---- derived cancellations ---- */
 
-/* The job that its user cancelled, and with which this cancelled job's dependents are cancelled. */
+/* Returns the job whose cancellation by its user the dependents of this cancelled job inherit. */
 static HrJob *
 cancellation_root (HrJob *cancelled)
 {
   return cancelled->cancellation.root ? cancelled->cancellation.root : cancelled;
 }
 
-/* Of the first awaited job that is cancelled; NULL: none is. */
+/* Returns the cancellation root of the first awaited job that is cancelled, or NULL if none is. */
 static HrJob *
 root_of_awaited (const HrJob *job)
 {
@@ -69,7 +71,8 @@
   return NULL;
 }
 
-/* Its record is to become a tombstone, when the allowance for changes has nothing else to do. */
+/* Queues the job's record to be compacted to a tombstone; hr_dependencies_tick() does that when no
+ * other writes need the write-rate allowance. */
 static void
 queue_tombstone (HrCore *core, const HrJob *job)
 {
@@ -77,36 +80,36 @@
 }
 
 static void
-cancel_with (HrCore *core, HrJob *job, HrJob *root)
+cancel_through_dependency (HrCore *core, HrJob *job, HrJob *root)
 {
   job->state = HR_JOB_CANCELLED;
   job->cancellation.root = root;
-  g_debug ("%s is cancelled with %s", job->id, root->id);
+  g_debug ("job %s is cancelled through its dependency on job %s", job->id, root->id);
   if (core->leadership.is_leader && job->run.n_live)
-    hr_job_cancelled (core, job); /* it cannot have a task; should it, that is stopped */
+    hr_job_cancelled (core, job); /* a waiting job should have no live task; stops it if it does */
   else
     queue_tombstone (core, job);
 }
 
-/* ---- the end of an awaited job ---- */
+/* ---- final states of awaited jobs ---- */
 
 static void
 become_ready (HrCore *core, HrJob *job)
 {
-  g_debug ("%s waits for no other job any more", job->id);
+  g_debug ("job %s is ready: all jobs that it awaits are done", job->id);
   hr_job_open (core, job);
   core->scheduling.plan_is_stale = TRUE;
 }
 
-/* What the end of a job means for one that awaits it. Returns whether the dependent is cancelled,
- * so that its own dependents are to be looked at. */
+/* Updates a dependent of a job that has become final. Returns whether the dependent is now
+ * cancelled itself, in which case its own dependents must be updated as well. */
 static gboolean
-take_end (HrCore *core, HrJob *dependent, HrJob *final)
+update_dependent (HrCore *core, HrJob *dependent, HrJob *final)
 {
   if (dependent->state != HR_JOB_QUEUED)
     return FALSE;
   if (final->state == HR_JOB_CANCELLED) {
-    cancel_with (core, dependent, cancellation_root (final));
+    cancel_through_dependency (core, dependent, cancellation_root (final));
     return TRUE;
   }
   if (!hr_job_has_unfinished_dependencies (dependent))
@@ -126,7 +129,7 @@
     if (final->state == HR_JOB_CANCELLED)
       g_ptr_array_add (cancelled, final);
     for (guint i = 0; dependents && i < dependents->len; i++)
-      if (take_end (core, dependents->pdata[i], final))
+      if (update_dependent (core, dependents->pdata[i], final))
         g_ptr_array_add (to_visit, dependents->pdata[i]);
   }
   hr_priority_inheritance_jobs_cancelled (core, cancelled);
@@ -138,17 +141,18 @@
   set_awaited (core, job, ids);
   HrJob *root = job->state == HR_JOB_QUEUED ? root_of_awaited (job) : NULL;
   if (root)
-    cancel_with (core, job, root);
+    cancel_through_dependency (core, job, root);
   else if (job->state == HR_JOB_CANCELLED && hr_job_has_unfinished_dependencies (job))
-    queue_tombstone (core, job); /* it never was in the list of open jobs */
+    queue_tombstone (core, job); /* it was never in the list of open jobs */
   if (job->state == HR_JOB_CANCELLED && !job->cancellation.told_by_peer)
     hr_dependencies_job_final (core, job);
-  hr_priority_inheritance_job_read (core, job);
+  hr_priority_inheritance_update (core, job);
 }
 
 /* ---- tombstones ---- */
 
-/* Only what is left over of the allowance is used: thousands may have been cancelled at once. */
+/* Tombstones use only the unused part of the allowance: thousands of jobs may have been cancelled
+ * at once, and other writes have precedence. */
 static gboolean
 may_write_tombstones (const HrCore *core)
 {
@@ -175,7 +179,7 @@
   }
 }
 
-/* ---- questions ---- */
+/* ---- queries ---- */
 
 const char *
 hr_dependencies_find_unknown (HrCore *core, GStrv ids)
@@ -198,7 +202,7 @@
   return NULL;
 }
 
-/* "waits for 4 jobs to be done: job-a, job-b, job-c and 1 more" */
+/* Formats, for example, "waits for 4 jobs to be done: job-a, job-b, job-c and 1 more". */
 static char *
 waiting_reason (const HrJob *job)
 {
--- a/src/coordination/jobs/dependencies.h
+++ b/src/coordination/jobs/dependencies.h
@@ -1,30 +1,30 @@
-/* Jobs that await others. A job is cancelled when its record says so, or when one that it awaits
- * is, directly or through others. The latter is derived here from the store as read, at every node
- * alike, and rests on no further write. Tombstones are kept for ever, so what was derived once is
- * derived again.
+/* Dependencies between jobs. A job is cancelled when its record states so, or when a job that it
+ * awaits, directly or transitively, is cancelled. The second kind is derived here from the replica
+ * of the store; every node derives the same result, and no further write is needed. Tombstones are
+ * kept forever, so a cancellation that was derived once is always derived again.
  *
- * Edges are kept both ways: each job has the jobs that it awaits and its dependents. A record may
- * be read before those of the jobs that it names; their rows are unknown until then, and an unknown
- * job counts as not done. */
+ * Edges are kept in both directions: each job has the jobs that it awaits and its dependents. A
+ * record may be read before the records of the jobs that it names; their table entries are unknown
+ * until then, and an unknown job counts as not done. */
 #pragma once
 #include "coordination/state.h"
 
 /**
  * hr_dependencies_job_read:
  * @job: a known job, with its state as read or written
- * @ids: (nullable): the jobs that it awaits
+ * @ids: (nullable): ids of the jobs that it awaits
  *
- * The job's record was read or written. Notes what it awaits, cancels it with a cancelled job among
- * those, and passes on what its own state means for its dependents.
+ * Handles a job record that was read or written: stores the job's dependencies, cancels the job if
+ * a job that it awaits is cancelled, and propagates the job's own state to its dependents.
  */
 void hr_dependencies_job_read (HrCore *core, HrJob *job, const char *const *ids);
 
 /**
  * hr_dependencies_job_final:
- * @job: a job that is done or cancelled, by its record or because one that it awaits is
+ * @job: a job that is done, or is cancelled by its record or through a job that it awaits
  *
- * Dependents of a done job become ready; those of a cancelled one are cancelled with it, and
- * theirs, and so on.
+ * Propagates a final state: dependents of a done job become ready once they await no other
+ * unfinished job; dependents of a cancelled job are cancelled, transitively.
  */
 void hr_dependencies_job_final (HrCore *core, HrJob *job);
 
@@ -32,7 +32,7 @@
  * hr_dependencies_find_unknown:
  * @ids: (nullable): ids of jobs
  *
- * Returns: (nullable): the first of these jobs that this node knows nothing of.
+ * Returns: (nullable): the first of these jobs of which this node has no record.
  */
 const char *hr_dependencies_find_unknown (HrCore *core, GStrv ids);
 
@@ -40,22 +40,23 @@
  * hr_dependencies_find_service:
  * @ids: (nullable): ids of jobs
  *
- * Returns: (nullable): the first of these jobs that is a service which is not over.
+ * Returns: (nullable): the first of these jobs that is a service and not final.
  */
 const char *hr_dependencies_find_service (HrCore *core, GStrv ids);
 
 /**
  * hr_dependencies_reason:
  *
- * Returns: (transfer full) (nullable): for its user, which jobs the job waits for, or which
- * cancelled one took it along; %NULL: neither.
+ * Returns: (transfer full) (nullable): a text for the user that names the jobs that the job waits
+ * for, or the cancelled job with which it was cancelled; %NULL if neither applies.
  */
 char *hr_dependencies_reason (const HrJob *job);
 
 /**
  * hr_dependencies_tick:
  *
- * As the leader, has a few records of jobs that were cancelled while they waited shortened to
- * tombstones, when the allowance for changes has nothing else to do.
+ * On the leader, marks a few records of jobs that were cancelled while they awaited others to be
+ * compacted to tombstones, if no other page is to be written and most of the write-rate allowance
+ * is unused.
  */
 void hr_dependencies_tick (HrCore *core);
--- a/src/coordination/jobs/failover.c
+++ b/src/coordination/jobs/failover.c
@@ -1,4 +1,4 @@
-/* Failover: the order of what a new leader takes over is the order of the parts below. */
+/* Failover. A new leader takes over machines, tasks and jobs in the order of the sections below. */
 #include "coordination/jobs/failover.h"
 #include "bookkeeping/record_split.h"
 #include "bookkeeping/record_writer.h"
@@ -9,7 +9,7 @@
 #include "coordination/scaling/machine_types.h"
 #include "coordination/state.h"
 
-/* More than any task is tried in one leader's term. */
+/* Upper bound of the attempts of one task in one leader's term. */
 #define ATTEMPTS_PER_TERM 1000
 
 static HrJob *
@@ -21,9 +21,9 @@
 
 /* ---- 1. machines ---- */
 
-/* All of its capacity is free, until tasks are taken over. */
+/* Marks all of the machine's capacity as free; tasks that are taken over allocate theirs again. */
 static void
-free_capacity (const HrCore *core, HrMachine *machine)
+reset_capacity (const HrCore *core, HrMachine *machine)
 {
   const HrMachineType *type = hr_machine_type_of (core, machine);
   g_array_set_size (machine->tasks, 0);
@@ -33,9 +33,9 @@
   machine->free.memory_gb = type ? type->memory_gb : 0;
 }
 
-/* No heartbeat was answered, and no order sent, in this term. */
+/* Resets what depends on the term: no heartbeat was answered and no order sent in this term yet. */
 static void
-forget_agent (HrMachineAgent *agent)
+reset_agent (HrMachineAgent *agent)
 {
   agent->heard_at = agent->lease_renewed_at = 0;
   agent->answer_unreceived_at = agent->unreachable_at = 0;
@@ -47,12 +47,12 @@
   g_array_set_size (agent->direct_launches, 0);
 }
 
-/* What an earlier term knew of the machine is out of date. */
+/* Discards what an earlier term knew of the machine, since it is out of date. */
 static void
-forget_machine (HrCore *core, HrMachine *machine)
+reset_machine (HrCore *core, HrMachine *machine)
 {
-  free_capacity (core, machine);
-  forget_agent (&machine->agent);
+  reset_capacity (core, machine);
+  reset_agent (&machine->agent);
   g_array_set_size (machine->plan.list, 0);
   machine->instance.requested_here = FALSE;
   machine->instance.preempted_at = 0;
@@ -61,19 +61,21 @@
   machine->state = HR_MACHINE_GONE;
 }
 
-/* The fleet of an earlier term of ours is long out of date: others have returned machines since.
- * What records, heartbeats and the cloud's list name is there. */
+/* Empties the fleet. The fleet of an earlier term of this node is out of date, since other leaders
+ * have returned machines meanwhile. Machines are added again when a record, a heartbeat or the
+ * cloud's list names them. */
 static void
-forget_fleet (HrCore *core)
+reset_fleet (HrCore *core)
 {
   for (guint i = 0; i < core->store.tables.machines->len; i++)
-    forget_machine (core, core->store.tables.machines->pdata[i]);
+    reset_machine (core, core->store.tables.machines->pdata[i]);
   g_ptr_array_set_size (core->scaling.fleet, 0);
 }
 
-/* ---- 2. tasks, as recorded ---- */
+/* ---- 2. recorded tasks ---- */
 
-/* Known from a record alone: it reports, or its termination gets proven. */
+/* Treats a machine that is known only from a record as up, until it reports or the termination of
+ * its tasks is proven. */
 static void
 assume_up (HrCore *core, HrMachine *machine, guint32 incarnation)
 {
@@ -84,7 +86,8 @@
   hr_fleet_add (core, machine);
 }
 
-/* The task is on the machine that its record names, as far as any proof goes. */
+/* Treats the task as bound to the machine that its record names, since nothing proves that it has
+ * terminated there. */
 static void
 take_over_bound (HrCore *core, HrJob *job, guint32 task_index)
 {
@@ -100,8 +103,8 @@
   assume_up (core, machine, task->recorded.incarnation);
 }
 
-/* Where records of tasks cannot be read, their attempts are not known either, and none may be
- * numbered twice. */
+/* If the job's task records are unreadable, the attempt numbers already used are unknown. As no
+ * number may be used twice, numbering continues above those of all earlier terms. */
 static void
 skip_unreadable_attempts (const HrCore *core, const HrJob *job, HrTask *task)
 {
@@ -133,23 +136,24 @@
 /* ---- 3. jobs ---- */
 
 static void
-forget_run (const HrCore *core, HrJob *job)
+reset_run (const HrCore *core, HrJob *job)
 {
   job->run.n_live = job->n_done = 0;
   job->run.attempt_ending = FALSE;
   job->run.gang_incomplete_since = 0;
   job->run.failures = 0;
   job->plan.n_listed = 0;
-  /* Tasks that nobody knows the place of wait until no lease can be left that an earlier leader
-   * renewed; whatever reports to us is told to stop what we do not know. */
+  /* Where the machines of the tasks are unknown, new attempts wait until every lease that an
+   * earlier leader may have renewed has expired; workers that report to this leader are ordered to
+   * stop tasks that are not recorded. */
   job->run.retry_at =
       job->record.tasks_unreadable
           ? core->leadership.term_began_at + core->policy.hold_s + hr_lease_duration_s (core)
           : 0;
 }
 
-/* Are the gang's tasks recorded unlike its first one: some on machines and some on none, or of
- * different attempts? */
+/* Checks whether the gang's unfinished tasks are recorded inconsistently: only some of them on
+ * machines, or in different attempts. */
 static gboolean
 has_mixed_attempts (const HrJob *job)
 {
@@ -170,23 +174,24 @@
 take_over_job (HrCore *core, HrJob *job)
 {
   gboolean is_gang = job->spec.shape == HR_GANG;
-  forget_run (core, job);
+  reset_run (core, job);
   for (guint32 i = 0; i < job->n_tasks; i++)
     take_over_task (core, job, i);
   gboolean is_mixed = is_gang && has_mixed_attempts (job);
   if (is_gang && job->n_done && job->state == HR_JOB_QUEUED)
-    hr_gang_done (core, job, 0, TRUE); /* a large gang's end was being recorded page by page */
+    /* An earlier leader had recorded only some pages of a large gang's completion. */
+    hr_gang_done (core, job, 0, TRUE);
   if (job->state == HR_JOB_CANCELLED)
     hr_job_cancelled (core, job);
   else if (is_mixed && job->run.n_live)
-    hr_gang_end_attempt (core, job, 0); /* begin again with a new attempt */
+    hr_gang_end_attempt (core, job, 0); /* restart with a new attempt */
   if (job->n_done == job->n_tasks)
     hr_record_writer_mark (&core->store, job, 0);
 }
 
-/* ---- all of it ---- */
+/* ---- begin of a term ---- */
 
-/* What this term begins with. */
+/* Logs the state in which this term begins. */
 static void
 log_term (const HrCore *core)
 {
@@ -206,7 +211,7 @@
 void
 hr_failover_take_over (HrCore *core)
 {
-  forget_fleet (core);
+  reset_fleet (core);
   g_array_set_size (core->store.writer.dirty_pages, 0);
   hr_record_split_rescan (&core->store);
   for (guint i = 0; i < core->store.tables.open_jobs->len; i++) {
--- a/src/coordination/jobs/gang_scheduling.c
+++ b/src/coordination/jobs/gang_scheduling.c
@@ -1,4 +1,4 @@
-/* Gangs: readiness, the loss of a task, the end of an attempt, and completion. */
+/* Gang scheduling: readiness, loss of a task, end of an attempt, and completion. */
 #include "coordination/jobs/gang_scheduling.h"
 #include "bookkeeping/record_writer.h"
 #include "coordination/jobs/task_lifecycle.h"
@@ -13,9 +13,10 @@
   return TRUE;
 }
 
-/* The longest fetch among the gang's tasks that do not have their image yet, s. */
+/* Returns the longest expected fetch time among the tasks that do not have their image yet, in
+ * seconds. */
 static double
-longest_fetch (const HrJob *job)
+longest_expected_fetch (const HrJob *job)
 {
   double longest_s = 0;
   for (guint32 i = 0; i < job->n_tasks; i++)
@@ -28,11 +29,12 @@
 gboolean
 hr_gang_delays_launch (const HrCore *core, const HrJob *job, const HrTask *task)
 {
-  return core->now < job->run.gang_ready_at + longest_fetch (job) - task->expected_fetch_s -
-                         core->settings->gang_wait_s / 2;
+  return core->now < job->run.gang_ready_at + longest_expected_fetch (job) -
+                         task->expected_fetch_s - core->settings->gang_wait_s / 2;
 }
 
-/* Has the attempt begun, as far as its workers have said? */
+/* Checks whether the attempt may have begun: a task was reported running, is being stopped, or was
+ * placed by an earlier leader. */
 static gboolean
 has_begun (const HrJob *job)
 {
@@ -50,7 +52,8 @@
   gboolean has_others = job->spec.shape == HR_GANG && job->run.n_live > 1;
   if (!has_others || job->run.attempt_ending || job->state != HR_JOB_QUEUED)
     return HR_GANG_LOSS_NONE;
-  /* A task that failed would most likely fail again. */
+  /* A task that ran and failed would most likely fail again in the same attempt, so only one that
+   * never ran is replaced. */
   gboolean never_ran = cause == HR_EXIT_NONE || cause == HR_EXIT_FULL;
   return never_ran && !has_begun (job) ? HR_GANG_LOSS_REPLACE : HR_GANG_LOSS_END_ATTEMPT;
 }
@@ -65,7 +68,7 @@
       hr_task_cancel (core, job, i, grace_s);
 }
 
-/* Of a task that is on no machine: one of the gang's others is done. */
+/* Marks an idle task as done because another task of its gang is done. */
 static void
 complete_idle_task (HrCore *core, HrJob *job, guint32 task_index)
 {
@@ -75,11 +78,11 @@
 }
 
 void
-hr_gang_done (HrCore *core, HrJob *job, guint32 attempt, gboolean any)
+hr_gang_done (HrCore *core, HrJob *job, guint32 attempt, gboolean all_attempts)
 {
   for (guint32 i = 0; i < job->n_tasks; i++) {
     HrTask *task = &job->tasks[i];
-    if (task->placement.attempt != attempt && !any)
+    if (task->placement.attempt != attempt && !all_attempts)
       continue;
     if (task->state == HR_TASK_ASSIGNING && !task->write_in_flight)
       hr_task_unassign (core, job, i);
--- a/src/coordination/jobs/job_status.c
+++ b/src/coordination/jobs/job_status.c
@@ -1,18 +1,18 @@
-/* What users are told of a job: the reply's fields, and the reason for its state. */
+/* Status of a job as returned to users: the fields of the reply, and the reason for the state. */
 #include "coordination/jobs/job_status.h"
 #include "coordination/effects.h"
 #include "coordination/jobs/dependencies.h"
 #include "coordination/jobs/task_lifecycle.h"
 #include "protocol/messages.h"
 
-/* How users are told of a HrJobState. */
+/* The state that users see for each HrJobState. */
 static const HrJobStatusState user_states[] = {
     [HR_JOB_QUEUED] = HR_JOB_STATUS_QUEUED,
     [HR_JOB_DONE] = HR_JOB_STATUS_DONE,
     [HR_JOB_CANCELLED] = HR_JOB_STATUS_CANCELLED,
 };
 
-/* What the leader knows of a queued job whose tasks do not all run. */
+/* Returns why a queued job's tasks do not all run, as far as the leader knows. */
 static char *
 waiting_reason (const HrCore *core, const HrJob *job)
 {
@@ -36,15 +36,15 @@
                           core->scheduling.booting_machines);
 }
 
-/* Why the job is where it is, for the person who waits for it. */
+/* Returns the reason for the job's state, as a text for the user. */
 static char *
 status_reason (const HrCore *core, const HrJob *job)
 {
   if (job->state == HR_JOB_DONE)
     return g_strdup ("all tasks are done");
-  char *others = hr_dependencies_reason (job);
-  if (others)
-    return others;
+  char *dependency_reason = hr_dependencies_reason (job);
+  if (dependency_reason)
+    return dependency_reason;
   if (job->state == HR_JOB_CANCELLED)
     return g_strdup ("withdrawn by its user");
   if (!core->leadership.is_leader)
@@ -54,7 +54,8 @@
   return waiting_reason (core, job);
 }
 
-/* The leader knows from heartbeats what runs; others know from records what was placed. */
+/* Checks whether the task runs. The leader knows that from heartbeats; other controllers know only
+ * from the record whether the task was placed. */
 static gboolean
 is_running (const HrCore *core, const HrTask *task)
 {
--- a/src/coordination/jobs/open_jobs.c
+++ b/src/coordination/jobs/open_jobs.c
@@ -1,19 +1,20 @@
-/* The list of open jobs, and which jobs that come into it count as arrivals. */
+/* The list of open jobs, and which of the added jobs count as arrivals. */
 #include "coordination/jobs/open_jobs.h"
 #include "coordination/jobs/class_stats.h"
 #include "coordination/jobs/priority_inheritance.h"
 
-/* A job that became eligible longer ago is no arrival: it was read from an old record, s. */
+/* A job that became eligible longer ago, in seconds, was read from an old record and does not count
+ * as an arrival. */
 #define ARRIVAL_MAX_AGE_S 30
 
-/* Has the job arrived, or become ready, just now? When one became ready is known only to a node
- * that saw the last awaited job end. */
+/* Checks whether the job has just arrived or just become ready. For a job with dependencies, only a
+ * node that read the completion of the last awaited job as a change knows when it became ready. */
 static gboolean
 is_arrival (const HrCore *core, const HrJob *job)
 {
-  gboolean end_was_seen =
+  gboolean ready_time_is_known =
       core->store.replica.state == HR_REPLICA_FOLLOWING && job->state == HR_JOB_QUEUED;
-  if (job->run.arrival_counted || (job->dependencies.n_awaited && !end_was_seen))
+  if (job->run.arrival_counted || (job->dependencies.n_awaited && !ready_time_is_known))
     return FALSE;
   return core->wall_time - hr_job_eligible_since (job) <= ARRIVAL_MAX_AGE_S;
 }
@@ -22,7 +23,7 @@
 count_arrival (HrCore *core, HrJob *job)
 {
   job->run.arrival_counted = TRUE;
-  g_debug ("%s arrives: %s, %u tasks, estimate %.0f s, image %s of %.1f GB", job->id,
+  g_debug ("job %s has arrived: class %s, %u tasks, estimate %.0f s, image %s of %.1f GB", job->id,
            hr_intern_name (&core->names->classes, job->spec.job_class), job->n_tasks,
            job->spec.estimate_s, hr_intern_name (&core->names->images, job->spec.image),
            job->spec.image_gb);
@@ -38,7 +39,7 @@
   g_array_append_val (core->store.tables.open_jobs, job->index);
   if (job->dependencies.n_awaited && !job->dependencies.ready_since)
     job->dependencies.ready_since = core->wall_time;
-  hr_priority_inheritance_job_read (core, job);
+  hr_priority_inheritance_update (core, job);
   if (is_arrival (core, job))
     count_arrival (core, job);
 }
--- a/src/coordination/jobs/priority_inheritance.c
+++ b/src/coordination/jobs/priority_inheritance.c
@@ -1,30 +1,30 @@
-/* Priority inheritance: what holds for one job, the order of visits, and propagation. */
+/* Priority inheritance: the urgency of one job, the traversal order, and propagation. */
 #include "coordination/jobs/priority_inheritance.h"
 #include "coordination/scheduling/projection.h"
 #include "coordination/scheduling/task_lists.h"
 #include "coordination/state.h"
 #include <math.h>
 
-/* Shorter estimates are taken for so long when a job has no deadline of its own. */
-#define LEAST_ESTIMATE_S 10.0
+/* Lower bound of the estimate from which a job's default deadline is computed, in seconds. */
+#define MIN_ESTIMATE_S 10.0
 
 /* ---- one job ---- */
 
-/* What decides the job's place in the plan. */
+/* Priority and deadline, which determine the job's order in the plan. */
 typedef struct {
   HrPriority priority;
-  double deadline; /* time of day, s; INFINITY: not known yet */
-} RequiredPlan;
+  double deadline; /* real time, in seconds; INFINITY: not known yet */
+} Urgency;
 
-/* Does the job take part: is it queued, with its description known? */
+/* Checks whether the job takes part in inheritance: it is queued and its specification is known. */
 static gboolean
 is_active (const HrJob *job)
 {
   return job->is_known && job->tasks && job->state == HR_JOB_QUEUED;
 }
 
-/* The end of the job that the objectives of its class ask for; INFINITY: none does. since: from
- * when they count. */
+/* Returns the earliest deadline that the objectives of the job's class set, counted from `since`,
+ * or INFINITY if none does. */
 static double
 objective_deadline (const HrCore *core, const HrJob *job, double since)
 {
@@ -38,7 +38,8 @@
   return deadline;
 }
 
-/* What the job's own description asks for, as time of day; INFINITY while that is not known. */
+/* Returns the deadline from the job's own specification in real time, or INFINITY while it is not
+ * known. */
 static double
 own_deadline (const HrCore *core, const HrJob *job)
 {
@@ -46,70 +47,72 @@
     return job->submitted_at + job->spec.deadline_s;
   double since = hr_job_eligible_since (job);
   if (job->dependencies.n_awaited && since <= 0)
-    return INFINITY; /* counts from when it is ready */
+    return INFINITY; /* the deadline counts from when the job becomes ready */
   double deadline =
-      since + core->policy.default_deadline * MAX (job->spec.estimate_s, LEAST_ESTIMATE_S);
+      since + core->policy.default_deadline * MAX (job->spec.estimate_s, MIN_ESTIMATE_S);
   return MIN (deadline, objective_deadline (core, job, since));
 }
 
-/* The more urgent of what is asked of a job so far, and what a dependent asks of it. */
-static RequiredPlan
-inherit (RequiredPlan required, const HrJob *dependent)
+/* Returns the highest priority and the earliest deadline of `current` and those that the dependent
+ * requires of the job. */
+static Urgency
+inherit (Urgency current, const HrJob *dependent)
 {
   double latest_end = dependent->plan.deadline - dependent->spec.estimate_s;
-  return (RequiredPlan){.priority = MIN (required.priority, dependent->plan.priority),
-                        .deadline = MIN (required.deadline, latest_end)};
+  return (Urgency){.priority = MIN (current.priority, dependent->plan.priority),
+                   .deadline = MIN (current.deadline, latest_end)};
 }
 
-/* Returns whether that is a change. */
+/* Sets the job's priority and deadline. Returns whether either changed. */
 static gboolean
-set_required (HrCore *core, HrJob *job, RequiredPlan required)
+set_urgency (HrCore *core, HrJob *job, Urgency urgency)
 {
-  if (required.priority == job->plan.priority && required.deadline == job->plan.deadline)
+  if (urgency.priority == job->plan.priority && urgency.deadline == job->plan.deadline)
     return FALSE;
-  if (job->plan.deadline != required.deadline)
-    hr_job_unplan (core, job); /* lists are in the order of deadlines */
-  job->plan.priority = required.priority;
-  job->plan.deadline = required.deadline;
+  if (job->plan.deadline != urgency.deadline)
+    hr_job_unplan (core, job); /* the task lists are ordered by deadline */
+  job->plan.priority = urgency.priority;
+  job->plan.deadline = urgency.deadline;
   core->scheduling.plan_is_stale = TRUE;
   return TRUE;
 }
 
-/* Has the job inherit from one more dependent. Returns whether anything changed. */
+/* Lets the job inherit from one more dependent. Returns whether anything changed. */
 static gboolean
 inherit_from (HrCore *core, HrJob *job, const HrJob *dependent)
 {
-  RequiredPlan current = {job->plan.priority, job->plan.deadline};
-  return set_required (core, job, inherit (current, dependent));
+  Urgency current = {job->plan.priority, job->plan.deadline};
+  return set_urgency (core, job, inherit (current, dependent));
 }
 
-/* From the job's own description and all its dependents. Returns whether anything changed. */
+/* Recomputes priority and deadline from the job's own specification and all its dependents. Returns
+ * whether anything changed. */
 static gboolean
-recompute (HrCore *core, HrJob *job)
+recompute_urgency (HrCore *core, HrJob *job)
 {
   const GPtrArray *dependents = job->dependencies.dependents;
-  RequiredPlan required = {job->spec.priority, own_deadline (core, job)};
+  Urgency urgency = {job->spec.priority, own_deadline (core, job)};
   for (guint i = 0; dependents && i < dependents->len; i++)
     if (is_active (dependents->pdata[i]))
-      required = inherit (required, dependents->pdata[i]);
-  return set_required (core, job, required);
+      urgency = inherit (urgency, dependents->pdata[i]);
+  return set_urgency (core, job, urgency);
 }
 
-/* ---- the order of visits ---- */
+/* ---- traversal order ---- */
 
 typedef enum { VISIT_NONE, VISIT_OPEN, VISIT_DONE } VisitState;
 
-/* A job whose awaited jobs are being visited, and how many of them were. */
+/* A job whose awaited jobs are being visited, and how many of them were visited so far. */
 typedef struct {
   HrJob *job;
   guint n_visited;
 } VisitStep;
 
-/* A depth-first walk from jobs to those that they await. */
+/* A depth-first traversal from jobs to the jobs that they await. */
 typedef struct {
   GHashTable *states; /* HrJob -> VisitState */
   GArray *path;       /* VisitStep */
-  GPtrArray *done;    /* HrJob, each one behind all that it awaits */
+  GPtrArray *done;    /* HrJob, in postorder: each job after all jobs that it awaits */
 } Walk;
 
 static void
@@ -120,8 +123,9 @@
   g_array_append_val (walk->path, step);
 }
 
-/* Submissions name only jobs that were accepted before, so the records that this service wrote
- * hold no cycle. One that was read all the same is cut where it closes. */
+/* Begins the visit of an awaited job that was not visited yet. Submissions may name only jobs that
+ * were accepted before, so records written by this service contain no dependency cycle. If a cycle
+ * is read all the same, the edge that closes it is ignored. */
 static void
 visit_awaited (Walk *walk, HrJob *job)
 {
@@ -129,8 +133,9 @@
     return;
   VisitState state = GPOINTER_TO_INT (g_hash_table_lookup (walk->states, job));
   if (state == VISIT_OPEN)
-    g_warning ("%s awaits itself through other jobs, as its record says; it will never start",
-               job->id);
+    g_warning (
+        "dependency cycle: job %s awaits itself, directly or transitively; it will never start",
+        job->id);
   else if (state == VISIT_NONE)
     begin_visit (walk, job);
 }
@@ -143,7 +148,8 @@
   g_array_set_size (walk->path, walk->path->len - 1);
 }
 
-/* Visits the job, and all that it awaits and that was not visited yet. */
+/* Visits the job, and all jobs that it awaits, directly or transitively, and that were not visited
+ * yet. */
 static void
 walk_from (Walk *walk, HrJob *start)
 {
@@ -168,10 +174,10 @@
   }
 }
 
-/* The jobs to start from, and what they await, directly or through others: each job before those
- * that it awaits. Every job and every edge is looked at once. Returns: (transfer full). */
+/* Returns (transfer full) the start jobs and all jobs that they await, directly or transitively, in
+ * topological order: each job before those that it awaits. Visits each job and each edge once. */
 static GPtrArray *
-dependents_first (const GPtrArray *starts)
+topological_order (const GPtrArray *starts)
 {
   g_autoptr (GHashTable) states = g_hash_table_new (g_direct_hash, g_direct_equal);
   g_autoptr (GArray) path = g_array_new (FALSE, FALSE, sizeof (VisitStep));
@@ -185,8 +191,8 @@
 
 /* ---- propagation to awaited jobs ---- */
 
-/* Has the jobs that this one awaits inherit from it. Adds those that changed to `changed` (HrJob;
- * NULL: not asked for). Returns whether any did. */
+/* Lets the jobs that this job awaits inherit from it. Adds those that changed to `changed` (a set
+ * of HrJob, or NULL). Returns whether any changed. */
 static gboolean
 propagate (HrCore *core, const HrJob *job, GHashTable *changed)
 {
@@ -202,8 +208,8 @@
   return any;
 }
 
-/* Adds the active jobs that this one awaits to `jobs`, and those that were not there yet to
- * `in_order` as well (NULL: not asked for). */
+/* Adds the active jobs that this job awaits to the set `jobs`, and those that were not in the set
+ * yet also to the array `in_order`, unless that is NULL. */
 static void
 add_awaited (const HrJob *job, GHashTable *jobs, GPtrArray *in_order)
 {
@@ -215,17 +221,17 @@
 }
 
 void
-hr_priority_inheritance_job_read (HrCore *core, HrJob *job)
+hr_priority_inheritance_update (HrCore *core, HrJob *job)
 {
   if (!is_active (job))
     return;
-  recompute (core, job);
+  recompute_urgency (core, job);
   if (!propagate (core, job, NULL))
-    return; /* mostly: nobody else needs to be looked at */
+    return; /* the usual case: no other job is affected */
   g_autoptr (GPtrArray) starts = g_ptr_array_new ();
   g_autoptr (GHashTable) changed = g_hash_table_new (g_direct_hash, g_direct_equal);
   add_awaited (job, changed, starts);
-  g_autoptr (GPtrArray) order = dependents_first (starts);
+  g_autoptr (GPtrArray) order = topological_order (starts);
   for (guint i = 0; i < order->len; i++)
     if (g_hash_table_contains (changed, order->pdata[i]))
       propagate (core, order->pdata[i], changed);
@@ -238,10 +244,10 @@
   g_autoptr (GHashTable) affected = g_hash_table_new (g_direct_hash, g_direct_equal);
   for (guint i = 0; i < jobs->len; i++)
     add_awaited (jobs->pdata[i], affected, starts);
-  g_autoptr (GPtrArray) order = dependents_first (starts);
+  g_autoptr (GPtrArray) order = topological_order (starts);
   for (guint i = 0; i < order->len; i++) {
     HrJob *job = order->pdata[i];
-    if (g_hash_table_contains (affected, job) && recompute (core, job))
+    if (g_hash_table_contains (affected, job) && recompute_urgency (core, job))
       add_awaited (job, affected, NULL);
   }
 }
--- a/src/coordination/jobs/request_routing.c
+++ b/src/coordination/jobs/request_routing.c
@@ -1,4 +1,4 @@
-/* Routes of users' requests, and readiness. */
+/* Routing of users' requests, and the readiness check. */
 #include "coordination/jobs/request_routing.h"
 #include "bookkeeping/replica.h"
 #include "coordination/effects.h"
@@ -8,17 +8,17 @@
 #include "protocol/messages.h"
 #include <string.h>
 
-/* When to ask again whether this node is ready, s. */
+/* Retry-After of a reply that this node is not ready, in seconds. */
 #define READINESS_RETRY_AFTER_S 1
 
 typedef enum { ROUTE_READINESS, ROUTE_SUBMIT, ROUTE_POLL, ROUTE_CANCEL, ROUTE_REFUSE } RouteKind;
 
-/* Where a request goes, by its method and path alone. */
+/* The handler of a request, determined by its method, path and body size alone. */
 typedef struct {
   RouteKind kind;
-  char *job_id;       /* of a poll or a cancellation; owned */
-  int status;         /* of a refusal */
-  const char *reason; /* of a refusal */
+  char *job_id;       /* for ROUTE_POLL and ROUTE_CANCEL; owned */
+  int status;         /* HTTP status, for ROUTE_REFUSE */
+  const char *reason; /* for ROUTE_REFUSE */
 } Route;
 
 static void
@@ -44,7 +44,7 @@
   return (Route){.kind = ROUTE_SUBMIT};
 }
 
-/* rest: of the path, behind the jobs' collection. */
+/* Routes a request for one job. `rest` is the part of the path behind "/v1/jobs/". */
 static Route
 route_job (HrMethod method, const char *rest)
 {
@@ -71,8 +71,8 @@
   return refuse (404, "no such path");
 }
 
-/* Why this node cannot answer users; NULL: it can. While the state service answers no controller,
- * this one is as fit as any other. */
+/* Returns why this node cannot answer users, or NULL if it can. While the state service answers no
+ * controller at all, this node counts as ready: no other one could answer better. */
 static const char *
 unready_reason (HrCore *core)
 {
@@ -100,15 +100,15 @@
   HrVerdict verdict = hr_user_request_has_final_answer (core, request)
                           ? hr_verdict_answer (200)
                           : hr_verdict (HR_VERDICT_READ);
-  hr_user_request_act (core, request, &verdict);
+  hr_user_request_apply_verdict (core, request, &verdict);
 }
 
 void
 hr_user_request_received (HrCore *core, HrCommand *command)
 {
-  g_auto (Route) to =
+  g_auto (Route) target =
       route (command->request.method, command->request.path, command->request.is_too_large);
-  switch (to.kind) {
+  switch (target.kind) {
   case ROUTE_READINESS:
     reply_readiness (core, command->id);
     break;
@@ -116,13 +116,13 @@
     hr_submission_received (core, command);
     break;
   case ROUTE_POLL:
-    start_job_request (core, command->id, HR_REQUEST_POLL, to.job_id);
+    start_job_request (core, command->id, HR_REQUEST_POLL, target.job_id);
     break;
   case ROUTE_CANCEL:
-    start_job_request (core, command->id, HR_REQUEST_CANCEL, to.job_id);
+    start_job_request (core, command->id, HR_REQUEST_CANCEL, target.job_id);
     break;
   case ROUTE_REFUSE:
-    hr_core_refuse (core, command->id, to.status, 0, to.reason);
+    hr_core_refuse (core, command->id, target.status, 0, target.reason);
     break;
   }
 }
--- a/src/coordination/jobs/request_routing.h
+++ b/src/coordination/jobs/request_routing.h
@@ -1,17 +1,17 @@
-/* What users and load balancers may ask over HTTP:
- *   GET  /ready                 is this controller fit to answer users?
+/* Routing of HTTP requests from users and load balancers:
+ *   GET  /ready                 reports whether this controller can answer users
  *   POST /v1/jobs               submits a job
- *   GET  /v1/jobs/ID            polls it
- *   POST /v1/jobs/ID/abort      cancels it
- * Anything else is refused with 404 or 405. */
+ *   GET  /v1/jobs/ID            returns the job's status
+ *   POST /v1/jobs/ID/abort      cancels the job
+ * Any other path is refused with 404, any other method with 405. */
 #pragma once
 #include "coordination/state.h"
 
 /**
  * hr_user_request_received:
  * @core: the controller
- * @command: a HR_COMMAND_REQUEST that is no heartbeat; borrowed
+ * @command: a HR_COMMAND_REQUEST that is not a heartbeat; borrowed
  *
- * Starts what the request asks for. It is replied to now, or when the state service has answered.
+ * Handles a request. The reply is sent immediately, or once the state service has answered.
  */
 void hr_user_request_received (HrCore *core, HrCommand *command);
--- a/src/coordination/jobs/submissions.c
+++ b/src/coordination/jobs/submissions.c
@@ -1,4 +1,4 @@
-/* Submissions: parsing, the decisions, the write, and what its answer means. */
+/* Submissions: parsing, decisions, the write, and the handling of its response. */
 #include "coordination/jobs/submissions.h"
 #include "bookkeeping/record_layout.h"
 #include "bookkeeping/replica.h"
@@ -12,7 +12,7 @@
 #include "protocol/store_api.h"
 #include <string.h>
 
-/* Of the key of a job's main record in the state store. */
+/* Prefix of the key of a job's main record in the state store. */
 #define JOB_KEY_PREFIX "h/j/"
 
 /* ---- the job's first record ---- */
@@ -25,8 +25,8 @@
                           request->received_at, tasks_per_page, tag);
 }
 
-/* Do the ids that it awaits fit a value of the state service, now and at its planned limits? The
- * main record holds them, and it is written many times. */
+/* Checks whether the ids of the awaited jobs fit into a value of the state service, under its
+ * present and its planned limits. The main record holds them and is written many times. */
 static gboolean
 awaits_fit_record (const HrCore *core, const HrUserRequest *request)
 {
@@ -34,7 +34,7 @@
   return strlen (paged) <= hr_record_layout_planned_bytes (&core->store);
 }
 
-/* Bytes that the awaited ids take in the main record. */
+/* Returns the size of the awaited jobs' ids in the main record, in bytes. */
 static gsize
 awaits_bytes (const HrUserRequest *request)
 {
@@ -46,10 +46,11 @@
 
 /* ---- decisions ---- */
 
-/* Decides on a submission of which all awaited jobs are known. A service among them is never done,
- * so the job could never run; one that was cancelled takes the job along like any other. */
+/* Decides on a submission whose awaited jobs are all known. A job that awaits a service could never
+ * run, since a service is never done, so it is refused. A job that awaits a cancelled job is
+ * accepted, and then cancelled like any other dependent. */
 static HrVerdict
-decide_awaited_known (HrCore *core, const HrUserRequest *request)
+decide_with_known_dependencies (HrCore *core, const HrUserRequest *request)
 {
   const char *service = hr_dependencies_find_service (core, request->awaits);
   if (!service)
@@ -59,13 +60,14 @@
   return hr_verdict_refuse (HR_VERDICT_REFUSE_IF_NEW, 422, reason);
 }
 
-/* Decides on a job that this node does not know, by whether it can ever run and be recorded. */
+/* Decides on a job that this node does not know: whether it can ever run, and whether its record
+ * can be written. */
 static HrVerdict
 decide_new_job (HrCore *core, const HrUserRequest *request)
 {
   g_autoptr (GError) error = NULL;
   if (!core->scaling.machine_types || !core->store.replica.synced_once)
-    return hr_verdict_refuse (HR_VERDICT_REFUSE_FOR_NOW, 503,
+    return hr_verdict_refuse (HR_VERDICT_REFUSE_TEMPORARILY, 503,
                               "this node has only just started; submit again");
   if (!hr_admission_check (core, &request->spec, &error))
     return hr_verdict_refuse (HR_VERDICT_REFUSE_IF_NEW, 422, error->message);
@@ -73,12 +75,13 @@
     return hr_verdict_refuse (HR_VERDICT_REFUSE_IF_NEW, 400,
                               "field awaits: more jobs than the job's record can hold");
   if (core->store.replica.is_unavailable || core->store.replica.state != HR_REPLICA_FOLLOWING)
-    return hr_verdict_refuse (HR_VERDICT_REFUSE_FOR_NOW, 503,
+    return hr_verdict_refuse (HR_VERDICT_REFUSE_TEMPORARILY, 503,
                               "the state service does not answer; submit again");
-  /* Known jobs never vanish; what is not known may have been accepted elsewhere just now. */
+  /* Known jobs are never forgotten, but an unknown job may just have been accepted by another
+   * controller. */
   if (hr_dependencies_find_unknown (core, request->awaits))
     return hr_verdict (HR_VERDICT_READ_AWAITED);
-  return decide_awaited_known (core, request);
+  return decide_with_known_dependencies (core, request);
 }
 
 static HrVerdict
@@ -91,24 +94,26 @@
   return decide_new_job (core, request);
 }
 
-/* After a read that was sent after the submission came: what is unknown now was never accepted. */
+/* Decides on a submission after a read that was sent after the submission arrived: a job that is
+ * still unknown was not accepted before the submission. */
 static HrVerdict
 decide_after_awaited_read (HrCore *core, const HrUserRequest *request, gboolean read_ok)
 {
   if (!read_ok || hr_job_unreadable (&core->store.tables, request->job_id))
-    return hr_verdict_refuse (HR_VERDICT_REFUSE_FOR_NOW, 503,
+    return hr_verdict_refuse (HR_VERDICT_REFUSE_TEMPORARILY, 503,
                               "the jobs that it awaits cannot be looked up; submit again");
   if (hr_job_find (&core->store.tables, request->job_id))
-    return hr_verdict_answer (200); /* an earlier try of this submission */
+    return hr_verdict_answer (200); /* accepted by an earlier try of this submission */
   const char *unknown = hr_dependencies_find_unknown (core, request->awaits);
   if (!unknown)
-    return decide_awaited_known (core, request);
+    return decide_with_known_dependencies (core, request);
   g_autofree char *reason = g_strdup_printf ("it awaits %s, which was never accepted", unknown);
   return hr_verdict_refuse (HR_VERDICT_REFUSE, 422, reason);
 }
 
-/* A read costs nothing of what may be written, and tells whether an earlier write was carried out.
- * If not yet, it may still be: the next one is the same. */
+/* Decides whether to repeat a write that was not confirmed. The read before it uses none of the
+ * write-rate allowance and shows whether the earlier write was carried out. If it was not, it may
+ * still be carried out later; that is safe, since the repeated write is identical. */
 static HrVerdict
 decide_after_retry_read (HrCore *core, const HrUserRequest *request, gboolean read_ok)
 {
@@ -122,22 +127,22 @@
 decide_after_failed_write (const HrCore *core, const HrUserRequest *request, int status)
 {
   if (status == 409)
-    return hr_verdict (HR_VERDICT_READ); /* there already: by an earlier try, perhaps */
-  if (hr_user_request_may_try_again (core, request, status))
-    return hr_verdict (HR_VERDICT_READ_BEFORE_RETRY); /* lost, or the service paces our writes */
+    return hr_verdict (HR_VERDICT_READ); /* a record exists, perhaps from an earlier try */
+  if (hr_user_request_may_retry (core, request, status))
+    return hr_verdict (HR_VERDICT_READ_BEFORE_RETRY); /* lost response or rate limit */
   if (status == 429)
-    return hr_verdict_refuse (HR_VERDICT_REFUSE_FOR_NOW, 429,
+    return hr_verdict_refuse (HR_VERDICT_REFUSE_TEMPORARILY, 429,
                               "too many jobs at once; submit again");
-  return hr_verdict_refuse (HR_VERDICT_REFUSE_FOR_NOW, 503,
+  return hr_verdict_refuse (HR_VERDICT_REFUSE_TEMPORARILY, 503,
                             "the state service did not confirm the job; submit again");
 }
 
 /* ---- actions ---- */
 
-/* Brings the tables up to date with the record that the store has confirmed, unless it was read
+/* Applies the record that the store has confirmed to the tables, unless the record was read
  * already. */
 static void
-take_in_confirmed (HrCore *core, const HrUserRequest *request, guint64 revision)
+apply_confirmed_submission (HrCore *core, const HrUserRequest *request, guint64 revision)
 {
   HrJob *job = hr_job_get (&core->store.tables, request->job_id);
   if (job->is_known)
@@ -164,13 +169,13 @@
   g_auto (HrVerdict) verdict = {0};
   guint64 revision;
   if (status == 200 && hr_store_read_revision (body, &revision)) {
-    take_in_confirmed (core, request, revision);
+    apply_confirmed_submission (core, request, revision);
     verdict = hr_verdict_answer (201);
   } else {
     request->failed_writes++;
     verdict = decide_after_failed_write (core, request, status);
   }
-  hr_user_request_act (core, request, &verdict);
+  hr_user_request_apply_verdict (core, request, &verdict);
 }
 
 void
@@ -192,7 +197,7 @@
 {
   HrUserRequest *request = data;
   g_auto (HrVerdict) verdict = decide_after_awaited_read (store->core, request, ok);
-  hr_user_request_act (store->core, request, &verdict);
+  hr_user_request_apply_verdict (store->core, request, &verdict);
 }
 
 void
@@ -200,13 +205,14 @@
 {
   HrUserRequest *request = data;
   g_auto (HrVerdict) verdict = decide_after_retry_read (store->core, request, ok);
-  hr_user_request_act (store->core, request, &verdict);
+  hr_user_request_apply_verdict (store->core, request, &verdict);
 }
 
 /* ---- receiving ---- */
 
-/* The submission that the body describes. *invalid: (transfer full): why it is not a valid one;
- * NULL: it is. Returns NULL, with *invalid, where it does not even name a job. */
+/* Parses the body of a submission. Sets *invalid if the body is invalid. An invalid submission that
+ * has a valid job id is still returned, since the job may have been accepted before; without a
+ * valid id the result is NULL. */
 static HrUserRequest *
 parse_submission (HrCore *core, const HrCommand *command, GError **invalid)
 {
@@ -243,5 +249,5 @@
   if (verdict.kind == HR_VERDICT_WRITE || verdict.kind == HR_VERDICT_READ_AWAITED)
     request->tasks_per_page =
         hr_record_layout_choose (&core->store, &request->spec, awaits_bytes (request));
-  hr_user_request_act (core, request, &verdict);
+  hr_user_request_apply_verdict (core, request, &verdict);
 }
--- a/src/coordination/jobs/submissions.h
+++ b/src/coordination/jobs/submissions.h
@@ -1,31 +1,34 @@
-/* Submissions: a job is accepted when its first record is written, or found. The write holds on
- * there being no record, so that a repetition, through whichever controller, writes nothing. */
+/* Submissions. A job is accepted once its first record is written or an existing record is found.
+ * The write is conditional on there being no record, so a repeated submission writes nothing,
+ * whichever controller receives it. */
 #pragma once
 #include "coordination/jobs/user_requests.h"
 
 /**
  * hr_submission_received:
  * @core: the controller
- * @command: the request, with the job's description as its body; borrowed
+ * @command: the request, with the job's specification as its body; borrowed
  *
- * Begins a submission. It is replied to now, or when the state service has answered.
+ * Handles a submission. The reply is sent immediately, or once the state service has answered.
  */
 void hr_submission_received (HrCore *core, HrCommand *command);
 
 /**
  * hr_submission_write:
- * @request: (transfer full): a submission that was found acceptable
+ * @request: (transfer full): a submission that passed all checks
  *
- * Writes the job's first record, and answers the request when that is confirmed. A repeated write
- * is the same, with the same writer's tag.
+ * Writes the job's first record, and replies to the request once the write is confirmed. A retry
+ * writes the same record with the same writer's tag.
  */
 void hr_submission_write (HrCore *core, HrUserRequest *request);
 
 /**
  * hr_submission_on_awaited_read:
- * @request: (transfer full) (type HrUserRequest): a submission that awaits jobs unknown here
+ * @request: (transfer full) (type HrUserRequest): a submission that awaits jobs unknown to this
+ * node
  *
- * For hr_replica_read(): decides by whether the store shows the jobs that it awaits.
+ * Callback for hr_replica_read(). Decides on the submission by whether the awaited jobs are in the
+ * store.
  */
 void hr_submission_on_awaited_read (HrStore *store, gboolean ok, gpointer request);
 
@@ -33,6 +36,6 @@
  * hr_submission_on_retry_read:
  * @request: (transfer full) (type HrUserRequest): a submission whose write was not confirmed
  *
- * For hr_replica_read(): answers if the write was carried out, else writes again.
+ * Callback for hr_replica_read(). Replies if the write was carried out, otherwise writes again.
  */
 void hr_submission_on_retry_read (HrStore *store, gboolean ok, gpointer request);
--- a/src/coordination/jobs/task_failures.c
+++ b/src/coordination/jobs/task_failures.c
@@ -1,19 +1,20 @@
-/* Failures of tasks: classes of exits, pauses, avoided and faulty machines. */
+/* Failures of tasks: classification of exits, retry pauses, avoided and faulty machines. */
 #include "coordination/jobs/task_failures.h"
 #include <math.h>
 
-/* Doublings of the pause, at most. */
+/* Maximum number of doublings of the retry pause. */
 #define MAX_DOUBLINGS 20
-/* A machine where a job failed is avoided for so many of the job's pauses, and at least so long. */
+/* A job avoids a machine on which it failed for AVOID_PAUSES times its retry pause, but at least
+ * for MIN_AVOID_S seconds. */
 #define AVOID_PAUSES 2
-#define AVOID_LEAST_S 60
-/* A machine that refused a task is offered none for so long, s. */
-#define FULL_PAUSE_S 3
+#define MIN_AVOID_S 60
+/* Time for which a machine that refused a task is offered no other, in seconds. */
+#define REFUSAL_PAUSE_S 3
 
 typedef enum {
-  EXIT_CLASS_NEUTRAL, /* stopped, or ended by what befell others: nothing is held against anyone */
+  EXIT_CLASS_NEUTRAL, /* stopped, or ended because of other tasks: no failure is counted */
   EXIT_CLASS_FAILURE, /* the task or its machine is at fault */
-  EXIT_CLASS_REFUSAL  /* the machine has no capacity, or not yet */
+  EXIT_CLASS_REFUSAL  /* the machine has no free capacity at present */
 } ExitClass;
 
 static ExitClass
@@ -31,8 +32,9 @@
   }
 }
 
-/* The pause after so many failures in a row, s. Mostly the machine is at fault, so the first try
- * elsewhere is at once; a job that keeps failing waits longer and longer. */
+/* Returns the pause before the next attempt after `failures` failures in a row, in seconds. Usually
+ * the machine is at fault, so the first retry, on another machine, follows immediately; further
+ * failures double the pause. */
 static double
 retry_pause (const HrPolicy *policy, guint failures)
 {
@@ -50,10 +52,11 @@
   job->run.retry_pause_s = retry_pause (&core->policy, job->run.failures);
   job->run.retry_at = core->now + job->run.retry_pause_s;
   job->run.failed_machine_avoided_until =
-      core->now + MAX (AVOID_LEAST_S, AVOID_PAUSES * job->run.retry_pause_s);
+      core->now + MAX (MIN_AVOID_S, AVOID_PAUSES * job->run.retry_pause_s);
 }
 
-/* One job that keeps failing says nothing about a machine; failures of different jobs do. */
+/* Counts a failure of the machine. Repeated failures of the same job count once, since they do not
+ * indicate a faulty machine; failures of different jobs do. */
 static void
 note_machine_failure (HrCore *core, const HrJob *job, HrMachine *machine)
 {
@@ -61,10 +64,13 @@
     machine->last_failed_job = job->index;
     machine->failures++;
   }
-  g_info ("%s failed on %s (%s), %u in a row; next try in %.0f s", job->id, machine->name,
-          hr_exit_name (job->run.last_failure), job->run.failures, job->run.retry_pause_s);
+  g_info ("job %s failed on machine %s (%s), %u failures in a row; next attempt in %.0f s", job->id,
+          machine->name, hr_exit_name (job->run.last_failure), job->run.failures,
+          job->run.retry_pause_s);
   if (machine->failures >= core->policy.error_limit && !machine->is_draining) {
-    g_message ("%s fails task after task; it is drained and returned", machine->name);
+    g_message (
+        "machine %s is drained and returned: too many consecutive failures of different jobs",
+        machine->name);
     machine->is_draining = TRUE;
   }
 }
@@ -80,7 +86,7 @@
     note_machine_failure (core, job, machine);
     break;
   case EXIT_CLASS_REFUSAL:
-    machine->full_until = core->now + FULL_PAUSE_S;
+    machine->full_until = core->now + REFUSAL_PAUSE_S;
     job->run.last_failure = cause;
     break;
   }
--- a/src/coordination/jobs/task_lifecycle.c
+++ b/src/coordination/jobs/task_lifecycle.c
@@ -1,4 +1,4 @@
-/* The transitions of a task; the table of them is in the header. */
+/* The state transitions of a task; see the table in the header. */
 #include "coordination/jobs/task_lifecycle.h"
 #include "bookkeeping/record_writer.h"
 #include "coordination/jobs/class_stats.h"
@@ -13,7 +13,7 @@
   return core->store.tables.machines->pdata[task->placement.machine];
 }
 
-/* The machine's orders go out with the next step. */
+/* Lets the machine's orders be sent in the next step, without waiting for its heartbeat. */
 static void
 mark_urgent (HrCore *core, HrMachine *machine)
 {
@@ -21,16 +21,16 @@
 }
 
 static void
-note_freed (HrCore *core, HrMachine *machine)
+on_capacity_freed (HrCore *core, HrMachine *machine)
 {
   if (machine->tasks->len == 0)
     machine->idle_since = core->now;
   core->scheduling.plan_is_stale = TRUE;
 }
 
-/* Gives the task's capacity back to its machine. */
+/* Releases the capacity that the task holds on its machine. */
 static void
-release_machine (HrCore *core, HrJob *job, guint32 task_index)
+release_capacity (HrCore *core, HrJob *job, guint32 task_index)
 {
   HrTask *task = &job->tasks[task_index];
   HrMachine *machine = machine_of (core, task);
@@ -38,13 +38,13 @@
   hr_machine_release (machine, &job->spec, ref);
   job->run.n_live--;
   task->stop_wanted = 0;
-  note_freed (core, machine);
+  on_capacity_freed (core, machine);
   if (job->run.n_live)
     return;
   job->run.attempt_ending = FALSE;
   job->run.gang_incomplete_since = 0;
   if (job->state != HR_JOB_QUEUED)
-    hr_record_writer_mark (&core->store, job, 0); /* all are gone: the record can shrink */
+    hr_record_writer_mark (&core->store, job, 0); /* no task is live: the record can be compacted */
 }
 
 /* ---- assignment ---- */
@@ -66,25 +66,26 @@
   job->run.n_live++;
   hr_machine_allocate (machine, &job->spec, ref);
   hr_record_writer_mark (&core->store, job, task_index);
-  g_debug ("%s/%u attempt %u goes to %s", job->id, task_index, attempt, machine->name);
+  g_debug ("task %s/%u: attempt %u is assigned to machine %s", job->id, task_index, attempt,
+           machine->name);
 }
 
 void
 hr_task_unassign (HrCore *core, HrJob *job, guint32 task_index)
 {
   job->tasks[task_index].state = HR_TASK_IDLE;
-  release_machine (core, job, task_index);
+  release_capacity (core, job, task_index);
 }
 
 typedef enum {
-  RECORDED_LAUNCH,         /* to be launched */
-  RECORDED_MACHINE_LOST,   /* the machine went, or began a new incarnation, while we wrote */
-  RECORDED_GANG_DONE_SINCE /* a replacement for a gang that turned out to be done while we wrote */
+  RECORDED_LAUNCH,         /* launch the task */
+  RECORDED_MACHINE_LOST,   /* during the write the machine was lost or began a new incarnation */
+  RECORDED_GANG_DONE_SINCE /* during the write the gang completed without this replacement */
 } RecordedVerdict;
 
-/* What is to become of a task whose assignment was recorded just now; nothing was sent yet. */
+/* Decides on a task whose assignment was just recorded; no order for it was sent yet. */
 static RecordedVerdict
-decide_recorded (const HrJob *job, const HrTask *task, const HrMachine *machine)
+decide_after_recording (const HrJob *job, const HrTask *task, const HrMachine *machine)
 {
   if (machine->state != HR_MACHINE_UP || machine->agent.incarnation != task->placement.incarnation)
     return RECORDED_MACHINE_LOST;
@@ -93,7 +94,8 @@
   return RECORDED_LAUNCH;
 }
 
-/* The last assignment of a gang lets all its tasks be launched. */
+/* Requests the launch of a bound task. For a gang, the last assignment that is recorded releases
+ * the launch of all its tasks. */
 static void
 order_launch (HrCore *core, HrJob *job, HrMachine *machine)
 {
@@ -111,12 +113,13 @@
   HrTask *task = &job->tasks[task_index];
   HrMachine *machine = machine_of (core, task);
   task->state = HR_TASK_BOUND;
-  switch (decide_recorded (job, task, machine)) {
+  switch (decide_after_recording (job, task, machine)) {
   case RECORDED_LAUNCH:
     order_launch (core, job, machine);
     break;
   case RECORDED_MACHINE_LOST:
-    hr_task_gone (core, job, task_index, HR_EXIT_NONE, "its machine changed before the launch");
+    hr_task_terminated (core, job, task_index, HR_EXIT_NONE,
+                        "its machine was lost or its worker restarted before the launch");
     break;
   case RECORDED_GANG_DONE_SINCE:
     hr_task_done (core, job, task_index);
@@ -124,23 +127,24 @@
   }
 }
 
-/* ---- ends ---- */
+/* ---- termination and completion ---- */
 
 void
-hr_task_gone (HrCore *core, HrJob *job, guint32 task_index, HrExitCause cause, const char *proof)
+hr_task_terminated (HrCore *core, HrJob *job, guint32 task_index, HrExitCause cause,
+                    const char *proof)
 {
   HrTask *task = &job->tasks[task_index];
   if (task->state != HR_TASK_BOUND)
     return;
   HrMachine *machine = machine_of (core, task);
   HrGangLoss loss = hr_gang_decide_loss (job, cause);
-  g_debug ("%s/%u attempt %u is off %s: %s", job->id, task_index, task->placement.attempt,
-           machine->name, proof);
+  g_debug ("task %s/%u: attempt %u is released from machine %s: %s", job->id, task_index,
+           task->placement.attempt, machine->name, proof);
   task->state = HR_TASK_IDLE;
   hr_task_failures_note_exit (core, job, machine, cause);
   if (job->spec.shape == HR_SERVICE)
-    core->scheduling.planned_at = 0; /* a replica is down: plan at once */
-  release_machine (core, job, task_index);
+    core->scheduling.planned_at = 0; /* a replica is down: plan immediately */
+  release_capacity (core, job, task_index);
   if (loss == HR_GANG_LOSS_END_ATTEMPT)
     hr_gang_end_attempt (core, job, 0);
   else if (loss == HR_GANG_LOSS_REPLACE && !job->run.gang_incomplete_since)
@@ -156,10 +160,10 @@
   HrMachine *machine = machine_of (core, task);
   hr_class_note_run_time (core, job, task);
   hr_task_failures_note_success (job, machine);
-  g_debug ("%s/%u ends on %s", job->id, task_index, machine->name);
+  g_debug ("task %s/%u is done on machine %s", job->id, task_index, machine->name);
   task->state = HR_TASK_DONE;
   job->n_done++;
-  release_machine (core, job, task_index);
+  release_capacity (core, job, task_index);
   hr_record_writer_mark (&core->store, job, task_index);
   if (job->spec.shape == HR_GANG)
     hr_gang_done (core, job, task->placement.attempt, FALSE);
@@ -167,9 +171,10 @@
 
 /* ---- stops ---- */
 
-/* A stop that is under way is repeated only to leave less time. */
+/* Checks whether a stop takes effect: the task must be bound, and a stop that was requested before
+ * is replaced only by one with a shorter grace time. */
 static gboolean
-may_stop (const HrTask *task, double grace_s)
+stop_takes_effect (const HrTask *task, double grace_s)
 {
   return task->state == HR_TASK_BOUND && !(task->stop_wanted && task->stop_grace_s <= grace_s);
 }
@@ -178,7 +183,7 @@
 hr_task_stop (HrCore *core, HrJob *job, guint32 task_index, double grace_s)
 {
   HrTask *task = &job->tasks[task_index];
-  if (!may_stop (task, grace_s))
+  if (!stop_takes_effect (task, grace_s))
     return;
   task->stop_wanted = 1;
   task->stop_grace_s = grace_s;
@@ -199,11 +204,11 @@
 void
 hr_job_cancelled (HrCore *core, HrJob *job)
 {
-  g_info ("%s is cancelled", job->id);
+  g_info ("job %s is cancelled", job->id);
   core->metrics.counters.cancellations++;
   if (!job->cancellation.unknown_until)
     job->cancellation.unknown_until =
-        core->store.replica.confirmed_at; /* of the last read that did not show it */
+        core->store.replica.confirmed_at; /* the last read that did not show the cancellation */
   g_info ("cancelled: job=%s revision=%" G_GUINT64_FORMAT " reading_age=%.2f bound=%u", job->id,
           core->store.replica.applied_revision, core->now - core->store.replica.confirmed_at,
           hr_job_bound_tasks (job));
@@ -213,7 +218,7 @@
     hr_record_writer_mark (&core->store, job, 0);
 }
 
-/* ---- questions ---- */
+/* ---- queries ---- */
 
 guint32
 hr_job_next_attempt (const HrJob *job)
--- a/src/coordination/jobs/user_requests.c
+++ b/src/coordination/jobs/user_requests.c
@@ -1,4 +1,4 @@
-/* Users' requests: what all kinds of them share of decisions and actions. */
+/* Users' requests: decisions and actions that all kinds of requests share. */
 #include "coordination/jobs/user_requests.h"
 #include "bookkeeping/replica.h"
 #include "coordination/effects.h"
@@ -6,20 +6,22 @@
 #include "coordination/jobs/job_status.h"
 #include "coordination/jobs/submissions.h"
 
-/* Writes of one request, at most. */
+/* Maximum number of writes for one request. */
 #define MAX_WRITES 6
-/* How long a user's write waits for its answer: most come within milliseconds, and one that is lost
- * does not come at all. But where the state service is slow, another try would only add to what it
- * has to do. So the first writes wait for a short time, later ones longer, and all of them for
- * several times as long as the latest reads took. */
+/* Timeouts of a user's write, in seconds. Most responses arrive within milliseconds, and a lost one
+ * never arrives, so the first FIRST_WRITES writes time out early. If the state service is slow,
+ * retries would only add to its load, so later writes wait longer, and every write waits for at
+ * least TIMEOUT_IN_LATENCIES times the recent read latency, up to MAX_TIMEOUT_S. */
 #define FIRST_TIMEOUT_S 0.15
 #define FIRST_WRITES 3
 #define LATER_TIMEOUT_S 1.0
 #define MAX_TIMEOUT_S 2.0
 #define TIMEOUT_IN_LATENCIES 4
-/* A user waits 5 s for the reply. After so long no further write is sent for it. */
-#define GIVE_UP_S 2.5
-/* When to ask again: as a rule, and while the state service does not answer this node. */
+/* Age of a request, in seconds, from which no further write is sent for it. Users wait 5 s for the
+ * reply. */
+#define LAST_WRITE_AGE_S 2.5
+/* Retry-After of a refusal, in seconds; the second one while the state service does not answer this
+ * node. */
 #define RETRY_AFTER_S 1
 #define RETRY_AFTER_OUTAGE_S 2
 
@@ -77,14 +79,14 @@
   return job && job->state != HR_JOB_QUEUED && !job->cancellation.told_by_peer;
 }
 
-/* The read shows no such job. */
+/* Decides on a request for a job that the read did not show. */
 static HrVerdict
 decide_unknown_job (const HrUserRequest *request)
 {
   if (request->refusal_status)
     return hr_verdict_refuse (HR_VERDICT_REFUSE, request->refusal_status, request->refusal_reason);
-  if (request->kind == HR_REQUEST_SUBMIT) /* it was read after a 409, so its record exists */
-    return hr_verdict_refuse (HR_VERDICT_REFUSE_FOR_NOW, 503,
+  if (request->kind == HR_REQUEST_SUBMIT) /* the read followed a 409, so the record exists */
+    return hr_verdict_refuse (HR_VERDICT_REFUSE_TEMPORARILY, 503,
                               "its record is being written; ask again");
   return hr_verdict_refuse (HR_VERDICT_REFUSE, 404, HR_REASON_UNKNOWN_JOB);
 }
@@ -93,11 +95,11 @@
 hr_user_request_decide_after_read (HrCore *core, const HrUserRequest *request, gboolean read_ok)
 {
   if (!read_ok)
-    return hr_verdict_refuse (HR_VERDICT_REFUSE_FOR_NOW, 503,
+    return hr_verdict_refuse (HR_VERDICT_REFUSE_TEMPORARILY, 503,
                               "the state service cannot be read just now; ask again");
-  /* It was accepted, and neither 404 nor an older state may be said of it. */
+  /* The job was accepted, so neither 404 nor an older state may be returned. */
   if (hr_job_unreadable (&core->store.tables, request->job_id))
-    return hr_verdict_refuse (HR_VERDICT_REFUSE_FOR_NOW, 503,
+    return hr_verdict_refuse (HR_VERDICT_REFUSE_TEMPORARILY, 503,
                               "its record cannot be read; ask again");
   const HrJob *job = hr_job_find (&core->store.tables, request->job_id);
   if (!job)
@@ -115,11 +117,11 @@
 }
 
 gboolean
-hr_user_request_may_try_again (const HrCore *core, const HrUserRequest *request, int status)
+hr_user_request_may_retry (const HrCore *core, const HrUserRequest *request, int status)
 {
-  gboolean is_undecided = status == 0 || status == 409 || status == 429;
-  return is_undecided && request->failed_writes < MAX_WRITES &&
-         core->wall_time - request->received_at < GIVE_UP_S;
+  gboolean is_retryable = status == 0 || status == 409 || status == 429;
+  return is_retryable && request->failed_writes < MAX_WRITES &&
+         core->wall_time - request->received_at < LAST_WRITE_AGE_S;
 }
 
 /* ---- actions ---- */
@@ -129,12 +131,13 @@
 {
   HrUserRequest *request = data;
   g_auto (HrVerdict) verdict = hr_user_request_decide_after_read (store->core, request, ok);
-  hr_user_request_act (store->core, request, &verdict);
+  hr_user_request_apply_verdict (store->core, request, &verdict);
 }
 
-/* A job that was accepted stays so whatever a repeated submission says, and a repetition is known
- * by its id alone. Only a read sent after it came tells that the job is new, and not one that
- * another controller has accepted and this one has not read yet. */
+/* Refuses a submission unless its job was accepted before. A repeated submission is recognized by
+ * the job's id alone, and an accepted job stays accepted whatever the repetition contains. Only a
+ * read that was sent after the submission arrived shows that the job is new, rather than accepted
+ * by another controller and not read by this one yet. */
 static void
 refuse_if_new (HrCore *core, HrUserRequest *request, const HrVerdict *refusal)
 {
@@ -142,7 +145,7 @@
   request->refusal_reason = g_strdup (refusal->reason);
   HrVerdict next = hr_user_request_has_final_answer (core, request) ? hr_verdict_answer (200)
                                                                     : hr_verdict (HR_VERDICT_READ);
-  hr_user_request_act (core, request, &next);
+  hr_user_request_apply_verdict (core, request, &next);
 }
 
 static void
@@ -153,9 +156,9 @@
 }
 
 void
-hr_user_request_act (HrCore *core, HrUserRequest *taken, const HrVerdict *verdict)
+hr_user_request_apply_verdict (HrCore *core, HrUserRequest *owned, const HrVerdict *verdict)
 {
-  g_autoptr (HrUserRequest) request = taken;
+  g_autoptr (HrUserRequest) request = owned;
   switch (verdict->kind) {
   case HR_VERDICT_ANSWER:
     reply_status (core, request, verdict->status);
@@ -178,7 +181,7 @@
   case HR_VERDICT_REFUSE:
     hr_core_refuse (core, request->reply_id, verdict->status, 0, verdict->reason);
     break;
-  case HR_VERDICT_REFUSE_FOR_NOW:
+  case HR_VERDICT_REFUSE_TEMPORARILY:
     hr_core_refuse (core, request->reply_id, verdict->status,
                     core->store.replica.is_unavailable ? RETRY_AFTER_OUTAGE_S : RETRY_AFTER_S,
                     verdict->reason);
--- a/src/coordination/jobs/user_requests.h
+++ b/src/coordination/jobs/user_requests.h
@@ -1,15 +1,15 @@
-/* A user's request about a job, on its way to an answer: a poll, a submission or a cancellation.
+/* A user's request about a job while it is processed: a poll, a submission or a cancellation.
  *
- * Each step is decided in one place, by a function that looks at the state and gives a HrVerdict;
- * hr_user_request_act() carries the verdict out. A request ends with exactly one reply. The rules
- * that every verdict keeps:
- * - A user is told that a job is accepted, withdrawn or done only after its record says so.
- * - What may have changed elsewhere is answered after a read of the store that was sent after the
- *   request came; final states never change, so they need none.
- * - That a job is not known is said only after such a read.
+ * Each step is decided by one function, which inspects the state and returns a HrVerdict;
+ * hr_user_request_apply_verdict() carries the verdict out. Each request gets exactly one reply.
+ * Every verdict keeps these rules:
+ * - A user is told that a job is accepted, cancelled or done only after its record states so.
+ * - State that another controller may have changed is reported only after a read of the store that
+ *   was sent after the request arrived. Final states never change, so they need no read.
+ * - A user is told that a job is unknown only after such a read.
  *
  * Used by request_routing.c, submissions.c and cancellations.c. A function that takes a request as
- * (transfer full) owns it from then on; it is freed with its reply. */
+ * (transfer full) owns it from then on; the request is freed when the reply is sent. */
 #pragma once
 #include "coordination/state.h"
 
@@ -17,18 +17,21 @@
 
 /**
  * HrUserRequest:
- * @reply_id: of the command that it came with, for the reply
- * @kind: what the user wants
+ * @reply_id: id of the command that carried the request, for the reply
+ * @kind: the requested operation
  * @job_id: id of the job
- * @received_at: time of day, s; of a submission, the job's time of submission
- * @spec: of a submission: the job
- * @awaits: of a submission: ids of the jobs that it awaits; %NULL: none
- * @tasks_per_page: of a submission: how its record is laid out; 0: tasks stand in the main record
- * @refusal_status: of a submission that cannot be accepted: the status, if the job is new; else 0
- * @refusal_reason: and the reason
- * @write_tag: writer's tag of its write; %NULL: none sent yet
- * @record_bytes: size of the record that a cancellation writes
- * @failed_writes: writes that were not confirmed
+ * @received_at: when the request arrived, in real time, in seconds; for a submission, also the
+ * job's submission time
+ * @spec: for a submission: the job's specification
+ * @awaits: for a submission: ids of the jobs that it awaits; %NULL: none
+ * @tasks_per_page: for a submission: layout of the job's record; 0: the tasks are in the main
+ * record
+ * @refusal_status: for a submission that cannot be accepted: HTTP status of the refusal, which is
+ * sent if the job is new; otherwise 0
+ * @refusal_reason: reason of that refusal
+ * @write_tag: writer's tag of the request's write; %NULL: none sent yet
+ * @record_bytes: for a cancellation: size of the record that it writes
+ * @failed_writes: number of writes that were not confirmed
  */
 typedef struct {
   guint64 reply_id;
@@ -48,15 +51,17 @@
 /**
  * HrVerdictKind:
  * @HR_VERDICT_ANSWER: reply with the job's status
- * @HR_VERDICT_READ: read the store, then decide again from what it shows
- * @HR_VERDICT_READ_AWAITED: the same, to look up the jobs that a submission awaits
- * @HR_VERDICT_READ_BEFORE_RETRY: the same, to learn whether a submission's write was carried out
+ * @HR_VERDICT_READ: read the store, then decide again based on the result
+ * @HR_VERDICT_READ_AWAITED: read the store to look up the jobs that a submission awaits, then
+ * decide again
+ * @HR_VERDICT_READ_BEFORE_RETRY: read the store to check whether a submission's write was carried
+ * out, then decide again
  * @HR_VERDICT_WRITE: write the submission or the cancellation
- * @HR_VERDICT_REFUSE: refuse; asking again would not help
- * @HR_VERDICT_REFUSE_FOR_NOW: refuse with a time after which to ask again
- * @HR_VERDICT_REFUSE_IF_NEW: refuse, unless the job turns out to have been accepted before
+ * @HR_VERDICT_REFUSE: refuse permanently
+ * @HR_VERDICT_REFUSE_TEMPORARILY: refuse, with a time after which the user may retry
+ * @HR_VERDICT_REFUSE_IF_NEW: refuse, unless a read shows that the job was accepted before
  *
- * What is to be done next with a request.
+ * The next step of a request.
  */
 typedef enum {
   HR_VERDICT_ANSWER,
@@ -65,15 +70,15 @@
   HR_VERDICT_READ_BEFORE_RETRY,
   HR_VERDICT_WRITE,
   HR_VERDICT_REFUSE,
-  HR_VERDICT_REFUSE_FOR_NOW,
+  HR_VERDICT_REFUSE_TEMPORARILY,
   HR_VERDICT_REFUSE_IF_NEW
 } HrVerdictKind;
 
 /**
  * HrVerdict:
- * @kind: what to do
- * @status: HTTP status of an answer or refusal; else 0
- * @reason: text of a refusal, owned; else %NULL
+ * @kind: the next step
+ * @status: HTTP status of an answer or refusal; otherwise 0
+ * @reason: text of a refusal, owned; otherwise %NULL
  */
 typedef struct {
   HrVerdictKind kind;
@@ -81,14 +86,15 @@
   char *reason;
 } HrVerdict;
 
-/* What users are told of a job that was never accepted. */
+/* Reason returned to users for a job that was never accepted. */
 #define HR_REASON_UNKNOWN_JOB "no such job was accepted"
 
 /**
  * hr_user_request_new:
- * @reply_id: of the command that it came with
+ * @reply_id: id of the command that carried the request
+ * @kind: the requested operation
  * @job_id: id of the job; copied
- * @received_at: time of day, s
+ * @received_at: when the request arrived, in real time, in seconds
  *
  * Returns: (transfer full): the request.
  */
@@ -99,14 +105,15 @@
 
 /**
  * hr_verdict:
+ * @kind: one of the kinds that read or write
  *
- * Returns: a verdict to read or write.
+ * Returns: a verdict without status and reason.
  */
 HrVerdict hr_verdict (HrVerdictKind kind);
 
 /**
  * hr_verdict_answer:
- * @status: HTTP status: 201 for a job that is accepted just now, else 200
+ * @status: HTTP status: 201 for a job that was just accepted, otherwise 200
  *
  * Returns: a verdict to reply with the job's status.
  */
@@ -125,29 +132,32 @@
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (HrVerdict, hr_verdict_clear)
 
 /**
- * hr_user_request_act:
- * @request: (transfer full): the request; freed with the reply
- * @verdict: what to do with it
+ * hr_user_request_apply_verdict:
+ * @request: (transfer full): the request; freed when the reply is sent
+ * @verdict: the next step of the request
  *
  * Carries the verdict out.
  */
-void hr_user_request_act (HrCore *core, HrUserRequest *request, const HrVerdict *verdict);
+void hr_user_request_apply_verdict (HrCore *core, HrUserRequest *request, const HrVerdict *verdict);
 
 /**
  * hr_user_request_has_final_answer:
  *
- * Is the job known to be done or cancelled by its record? That never changes, so it can be answered
- * without reading. What a peer says of a job is not told to users before its record is read.
+ * Checks whether the job is known to be done or cancelled by its record. Such a state never
+ * changes, so the request can be answered without a read. A cancellation that only a peer has
+ * stated does not count: users are told of it only after the record was read.
+ *
+ * Returns: whether the request can be answered without a read.
  */
 gboolean hr_user_request_has_final_answer (HrCore *core, const HrUserRequest *request);
 
 /**
  * hr_user_request_decide_after_read:
- * @read_ok: whether the read, sent after the request came, succeeded
+ * @read_ok: whether the read, which was sent after the request arrived, succeeded
  *
- * Decides how to go on with a request from what the store shows.
+ * Decides on the next step of a request after a read of the store.
  *
- * Returns: to answer, to write a cancellation, or to refuse.
+ * Returns: a verdict to answer, to write a cancellation, or to refuse.
  */
 HrVerdict hr_user_request_decide_after_read (HrCore *core, const HrUserRequest *request,
                                              gboolean read_ok);
@@ -155,17 +165,18 @@
 /**
  * hr_user_request_timeout:
  *
- * Returns: how long the request's next write waits for its answer, in seconds.
+ * Returns: how long the request's next write waits for its response, in seconds.
  */
 double hr_user_request_timeout (const HrCore *core, const HrUserRequest *request);
 
 /**
- * hr_user_request_may_try_again:
- * @status: of its last write, which is counted in `failed_writes`
+ * hr_user_request_may_retry:
+ * @status: status of its last write, which is already counted in `failed_writes`
+ *
+ * Checks whether the last write was not carried out, or its outcome is unknown, and whether there
+ * is time for another write. The same write may be sent again at any time: it is conditional on the
+ * record's revision, so whichever copy is carried out second fails.
  *
- * Was the write not carried out, or is that unknown, and is there time for another? The same write
- * may be sent again at any time, for it holds on the record's revision: whichever copy is carried
- * out second fails.
+ * Returns: whether the write may be retried.
  */
-gboolean hr_user_request_may_try_again (const HrCore *core, const HrUserRequest *request,
-                                        int status);
+gboolean hr_user_request_may_retry (const HrCore *core, const HrUserRequest *request, int status);
--- a/src/coordination/scaling/headroom.c
+++ b/src/coordination/scaling/headroom.c
@@ -33,7 +33,8 @@
     return 0;
   double base = stats->shape == HR_SERVICE ? core->policy.headroom_base : 0;
   double boots = headroom_boots (core, stats, job_class);
-  return lround (base + hr_class_arrivals (core, stats, 0) * hr_longest_boot_s (core) * boots);
+  return lround (base +
+                 hr_class_update_arrival_rate (core, stats, 0) * hr_longest_boot_s (core) * boots);
 }
 
 guint
