--- a/src/coordination/jobs/priority_inheritance.c
+++ b/src/coordination/jobs/priority_inheritance.c
@@ -68,7 +68,7 @@
   if (required.priority == job->plan.priority && required.deadline == job->plan.deadline)
     return FALSE;
   if (job->plan.deadline != required.deadline)
-    hr_job_unplan (core, job); /* lists are in the order of deadlines */
+    hr_job_unlist_tasks (core, job); /* lists are in the order of deadlines */
   job->plan.priority = required.priority;
   job->plan.deadline = required.deadline;
   core->scheduling.plan_is_stale = TRUE;
--- a/src/coordination/scaling/fleet.c
+++ b/src/coordination/scaling/fleet.c
@@ -21,7 +21,7 @@
   machine->instance.is_deleted = TRUE;
   for (guint i = 0; i < list->len; i++) {
     HrTaskRef ref = g_array_index (list, HrTaskRef, i);
-    hr_task_unplan (hr_job_of_task (core, ref), ref.task);
+    hr_task_mark_unlisted (hr_job_of_task (core, ref), ref.task);
   }
   g_array_set_size (list, 0);
   g_ptr_array_remove_fast (core->scaling.fleet, machine);
--- a/src/coordination/scaling/scale_out.c
+++ b/src/coordination/scaling/scale_out.c
@@ -127,7 +127,7 @@
   g_autoptr (GArray) listed = g_array_new (FALSE, FALSE, sizeof (HrListedTask));
   for (guint i = 0; i < fleet->n; i++) {
     g_array_set_size (listed, 0);
-    hr_list_append (core, fleet->machines[i].machine, listed);
+    hr_append_listed_tasks (core, fleet->machines[i].machine, listed);
     for (guint k = 0; k < listed->len; k++) {
       HrCapacityCursor cursor = {0};
       if (is_late (core, &g_array_index (listed, HrListedTask, k), k < fitting[i]))
--- a/src/coordination/scheduling/dispatch.c
+++ b/src/coordination/scheduling/dispatch.c
@@ -1,4 +1,4 @@
-/* The dispatch pass: from the plan to orders. */
+/* The dispatch pass: turns the plan into starts. */
 #include "coordination/scheduling/dispatch.h"
 #include "bookkeeping/replica.h"
 #include "coordination/jobs/gang_scheduling.h"
@@ -24,16 +24,16 @@
 #include "coordination/scheduling/task_lists.h"
 #include <math.h>
 
-/* Would the task be done on the machine before the first blocked task of its list is due to start?
- */
+/* Returns whether a task of the job would end on the machine before the machine's first blocked
+ * task is due to start. */
 static gboolean
 ends_before (HrCore *core, const HrJob *job, const HrMachine *machine, double blocked_until)
 {
   return core->now + hr_estimate_run_time (core, job, machine) <= blocked_until;
 }
 
-/* Starts the task from the machine's list, and the whole gang with it, if it can start now without
- * holding up the blocked task ahead of it. job_verdict: of hr_start_check_job(). */
+/* Starts the listed task, or the whole gang that it belongs to, if it can start now without
+ * delaying the blocked task ahead of it. job_verdict: the result of hr_start_check_job(). */
 static gboolean
 start_listed (HrCore *core, HrMachine *machine, HrTaskRef ref, HrStartVerdict job_verdict,
               double blocked_until)
@@ -49,7 +49,7 @@
   return TRUE;
 }
 
-/* When the i-th task of the machine's list is due to start; not in the past. */
+/* Returns the projected start of the i-th task of the machine's list, not earlier than now. */
 static double
 projected_start (HrCore *core, HrMachine *machine, guint i)
 {
@@ -58,8 +58,9 @@
   return MAX (core->now, starts[i]);
 }
 
-/* Starts what can start of the machine's own list. Returns when the first task that cannot start is
- * due to; INFINITY: there is none. Others may only fill the time until then. */
+/* Starts the tasks of the machine's list that can start now. Returns the projected start of the
+ * first blocked task, or INFINITY if there is none; other tasks may only use the machine until
+ * then (backfill). */
 static double
 start_list (HrCore *core, HrMachine *machine)
 {
@@ -68,11 +69,12 @@
     HrTaskRef ref = g_array_index (machine->plan.list, HrTaskRef, i);
     HrStartVerdict job_verdict = hr_start_check_job (core, hr_job_of_task (core, ref), 1);
     if (start_listed (core, machine, ref, job_verdict, blocked_until)) {
-      i = 0; /* lists changed */
+      i = 0; /* the list has changed */
       blocked_until = INFINITY;
       continue;
     }
-    /* A task that waits for its own job or team holds up nothing behind it. */
+    /* A task that waits because of its job's retry pause or its team's quota blocks no other
+     * task. */
     if (!isfinite (blocked_until) && job_verdict == HR_START_OK)
       blocked_until = projected_start (core, machine, i);
     i++;
@@ -80,8 +82,8 @@
   return blocked_until;
 }
 
-/* Starts what can start of all lists. Returns for the machines with a blocked task when it is due:
- * (element-type HrMachine double). */
+/* Starts the tasks of all lists that can start now. Returns the projected start of the first
+ * blocked task by machine: (element-type HrMachine double). */
 static GHashTable *
 start_lists (HrCore *core)
 {
@@ -97,21 +99,22 @@
   return blocked;
 }
 
-/* The batch tasks of all lists, by deadline. */
+/* Returns the batch tasks of all lists, by deadline: (element-type HrListedTask). */
 static GArray *
 listed_batch_tasks (HrCore *core)
 {
   GArray *listed = g_array_new (FALSE, FALSE, sizeof (HrListedTask));
   for (guint i = 0; i < core->scaling.fleet->len; i++)
-    hr_list_append (core, core->scaling.fleet->pdata[i], listed);
+    hr_append_listed_tasks (core, core->scaling.fleet->pdata[i], listed);
   for (guint i = listed->len; i > 0; i--)
     if (hr_listed_job (core, listed, i - 1)->spec.shape != HR_BATCH)
       g_array_remove_index_fast (listed, i - 1);
-  g_array_sort_with_data (listed, hr_listed_by_deadline, core);
+  g_array_sort_with_data (listed, hr_compare_listed_by_deadline, core);
   return listed;
 }
 
-/* The machine where a task of the job can start now and is done soonest; NULL: there is none. */
+/* Returns the best machine on which a task of the job can start now (hr_batch_machine_better());
+ * NULL: there is none. */
 static HrMachine *
 best_start (HrCore *core, const HrJob *job, const GPtrArray *machines, GHashTable *blocked)
 {
@@ -129,7 +132,8 @@
   return best;
 }
 
-/* Is the task done sooner when it starts on the machine now than where it is listed? */
+/* Returns whether the task would end sooner if it started on the machine now than where it is
+ * listed. */
 static gboolean
 is_sooner_than_listed (HrCore *core, const HrJob *job, const HrMachine *machine,
                        const HrListedTask *listed)
@@ -138,9 +142,9 @@
          listed->start + hr_estimate_run_time (core, job, listed->machine);
 }
 
-/* A machine with free capacity takes the earliest-deadline task that fits from any list, unless
- * its own list has it done sooner: where its image is cached, mostly. On a large fleet most tasks
- * else fetch their image anew. */
+/* Starts listed tasks of any machine on machines with free capacity, earliest deadline first. A
+ * task that would end sooner where it is listed, usually because its image is cached there, stays
+ * listed; on a large fleet most tasks would otherwise fetch their image again. */
 static void
 start_from_any_list (HrCore *core, GHashTable *blocked)
 {
@@ -148,15 +152,16 @@
   if (!machines->len)
     return;
   g_autoptr (GArray) all = listed_batch_tasks (core);
-  guint32 without = HR_NONE; /* the job whose last task found no machine: nor will the next */
+  /* The job whose latest task found no machine; its next tasks are skipped. */
+  guint32 unplaceable_job = HR_NONE;
   for (guint i = 0; i < all->len; i++) {
     const HrListedTask *listed = &g_array_index (all, HrListedTask, i);
     HrJob *job = hr_listed_job (core, all, i);
-    if (job->index == without || hr_start_check_job (core, job, 1) != HR_START_OK)
+    if (job->index == unplaceable_job || hr_start_check_job (core, job, 1) != HR_START_OK)
       continue;
     HrMachine *best = best_start (core, job, machines, blocked);
     if (!best)
-      without = job->index;
+      unplaceable_job = job->index;
     else if (is_sooner_than_listed (core, job, best, listed))
       hr_start_task (core, job, listed->task.task, best);
   }
@@ -168,7 +173,7 @@
   return job->state == HR_JOB_QUEUED && job->tasks;
 }
 
-/* Services with replicas that wait, in the order in which they are served. */
+/* Returns the services with waiting replicas, by priority. */
 static GPtrArray *
 waiting_services (HrCore *core)
 {
@@ -178,10 +183,11 @@
     if (is_active (job) && job->spec.shape == HR_SERVICE && job->run.n_live < job->n_tasks)
       g_ptr_array_add (services, job);
   }
-  g_ptr_array_sort (services, hr_by_priority);
+  g_ptr_array_sort (services, hr_compare_by_priority);
   return services;
 }
 
+/* Replaces the tasks that gangs lost before their start. */
 static void
 complete_gangs (HrCore *core)
 {
@@ -192,25 +198,25 @@
   }
 }
 
-/* For the replicas of the service that still wait, others are preempted, or instances are
- * requested. */
+/* Preempts other work, or requests instances, for the service's replicas that still wait. */
 static void
 find_capacity_for_service (HrCore *core, HrFleetCapacity *fleet, HrDemandPlan *demand, HrJob *job)
 {
   HrCapacityCursor cursor = {0};
   gboolean may_preempt = TRUE;
-  guint left = hr_team_allows_start (core, job, 1) ? hr_quotas_granted (core, job) : 0;
-  for (guint32 k = 0; k < job->n_tasks && left; k++) {
+  guint remaining = hr_team_allows_start (core, job, 1) ? hr_quotas_granted (core, job) : 0;
+  for (guint32 k = 0; k < job->n_tasks && remaining; k++) {
     if (job->tasks[k].state != HR_TASK_IDLE || job->run.retry_at > core->now)
       continue;
-    left--;
+    remaining--;
     may_preempt = may_preempt && hr_preempt (core, job, fleet, HR_PREEMPT_ANY_TEAM);
     if (!may_preempt)
       hr_scale_out_for_task (core, fleet, &cursor, demand, job);
   }
 }
 
-/* What could not start: preempts for it, or requests instances; returns what is not needed. */
+/* Preempts other work, or requests instances, for the tasks that could not start, and returns idle
+ * machines to the cloud. */
 static void
 find_capacity (HrCore *core, const GPtrArray *services)
 {
@@ -229,8 +235,8 @@
   hr_scale_in_idle (core, &fleet);
 }
 
-/* While nothing can be recorded nothing can start, so nothing is preempted and no machine is idle
- * because there is no work. */
+/* Returns whether the leader can record assignments. While it cannot, no task can start: then
+ * nothing is preempted, and an idle machine does not mean a lack of work. */
 static gboolean
 may_dispatch (HrCore *core)
 {
--- a/src/coordination/scheduling/dispatch.h
+++ b/src/coordination/scheduling/dispatch.h
@@ -1,7 +1,7 @@
-/* The dispatch pass: from the plan to orders.
+/* The dispatch pass: turns the plan into starts.
  *
- * What can start now starts. For what cannot, other work is preempted or instances are requested,
- * or it waits; idle machines are returned.
+ * Starts every task that can start now. For tasks that cannot, it preempts other work or requests
+ * instances, or leaves them waiting. Idle machines are returned to the cloud.
  */
 #pragma once
 #include "coordination/state.h"
@@ -9,7 +9,7 @@
 /**
  * hr_dispatch:
  *
- * Called by the leader's core, right after hr_planner_pass(). Does nothing while nothing can be
- * recorded.
+ * Runs the dispatch pass. Called by the leader's core, right after hr_planner_pass(). Does nothing
+ * while assignments cannot be recorded in the state store.
  */
 void hr_dispatch (HrCore *core);
--- a/src/coordination/scheduling/estimates.c
+++ b/src/coordination/scheduling/estimates.c
@@ -1,19 +1,20 @@
-/* How long tasks take. */
+/* Estimates of run times. */
 #include "coordination/scheduling/estimates.h"
 #include "coordination/jobs/class_stats.h"
 #include "coordination/scaling/machine_types.h"
 #include "coordination/scheduling/lookups.h"
 #include <math.h>
 
-/* Of a job without an estimate, s. */
+/* Estimate for a job without one, s. */
 #define DEFAULT_ESTIMATE_S 60
-/* A fetch under way takes at least so much longer, s. */
+/* Minimum remaining time of an image fetch in progress, s. */
 #define MIN_FETCH_LEFT_S 0.5
-/* A task beyond its estimate takes at least so much longer, s, and this share of its run. */
+/* Minimum remaining time of a running task: in seconds, and as a share of the time that it has been
+ * on the machine. */
 #define MIN_RUN_LEFT_S 2
 #define OVERRUN_SHARE 0.2
 
-/* Run time without the image fetch. */
+/* Returns the expected run time without the image fetch, s. */
 static double
 corrected_estimate (HrCore *core, const HrJob *job)
 {
@@ -21,18 +22,18 @@
   return run * hr_class_stats (core, job->spec.job_class)->run_time_correction;
 }
 
-/* How much longer the machine fetches the image of a task that it has. */
+/* Returns the remaining time of the image fetch of a task that is on the machine, s. */
 static double
 fetch_left (const HrCore *core, const HrMachine *machine, const HrMachineType *type,
             const HrJob *job, const HrTask *task)
 {
-  /* A machine that boots has fetched nothing yet. */
+  /* A booting machine has not begun to fetch. */
   double since = machine->state == HR_MACHINE_UP ? core->now - task->bound_since : 0;
   return MAX (MIN_FETCH_LEFT_S, job->spec.image_gb / type->fetch_rate - since);
 }
 
-/* Images that a machine fetches at the same time share its rate; tasks of one image share the
- * fetch. */
+/* Images that a machine fetches at the same time share its fetch rate; tasks with the same image
+ * share one fetch. */
 double
 hr_estimate_fetch_time (const HrCore *core, const HrJob *job, const HrMachine *machine)
 {
@@ -86,7 +87,8 @@
   if (!task->running_since && type && !hr_machine_has_image (machine, job->spec.image))
     run += job->spec.image_gb / type->fetch_rate;
   double end = (task->running_since ? task->running_since : task->bound_since) + run;
-  /* Past its estimate: never in the past, and the longer over the longer to go. */
+  /* The end is never in the past, and the longer the task has exceeded its estimate, the more
+   * remaining time is assumed. */
   double left = MAX (MIN_RUN_LEFT_S, OVERRUN_SHARE * (core->now - task->bound_since));
   return MAX (end, core->now + left);
 }
--- a/src/coordination/scheduling/estimates.h
+++ b/src/coordination/scheduling/estimates.h
@@ -1,23 +1,24 @@
-/* How long tasks take: what the user estimated, corrected by what the class's tasks took, and the
- * fetch of the image. All in seconds. Read by the plan, by dispatch and by the code that judges
- * heartbeats; nothing is changed, but for statistics rows that are made when missing.
+/* Estimates of run times, in seconds: the user's estimate, corrected by the run times of earlier
+ * tasks of the class, plus the image fetch. Used by the plan, by dispatch and by the code that
+ * handles heartbeats. These functions change no state, except that they add missing rows of class
+ * statistics.
  */
 #pragma once
 #include "coordination/state.h"
 
 /**
  * hr_estimate_run_time:
- * @machine: of a known type, or of none, which fetches nothing
+ * @machine: a machine; if its type is unknown, no image fetch is included
  *
- * Returns: the expected run time of a task of the job on the machine, with the image fetch.
+ * Returns: the expected run time of a task of the job on the machine, including the image fetch.
  */
 double hr_estimate_run_time (HrCore *core, const HrJob *job, const HrMachine *machine);
 
 /**
  * hr_estimate_longest_run_time:
  *
- * Returns: the expected run time where the image is fetched at the lowest rate of any machine type;
- * INFINITY for a service. The machine types have to be known.
+ * Returns: the expected run time with an image fetch at the lowest rate of any machine type;
+ * INFINITY for a service. The machine types must be known.
  */
 double hr_estimate_longest_run_time (HrCore *core, const HrJob *job);
 
@@ -25,7 +26,8 @@
  * hr_estimate_running_end:
  * @task: a task of the job that is on the machine
  *
- * Returns: the steady time at which the task should end, never in the past; INFINITY for a service.
+ * Returns: the expected end of the task, in monotonic time, never in the past; INFINITY for a
+ * service.
  */
 double hr_estimate_running_end (HrCore *core, const HrJob *job, const HrTask *task,
                                 const HrMachine *machine);
@@ -33,6 +35,7 @@
 /**
  * hr_estimate_fetch_time:
  *
- * Returns: how long a task of the job waits on the machine for its image.
+ * Returns: the expected time that a task of the job waits on the machine for its image; 0 if it is
+ * cached there.
  */
 double hr_estimate_fetch_time (const HrCore *core, const HrJob *job, const HrMachine *machine);
--- a/src/coordination/scheduling/free_capacity.c
+++ b/src/coordination/scheduling/free_capacity.c
@@ -1,9 +1,9 @@
-/* The free capacity of the fleet as the end of a dispatch pass sees it. */
+/* A snapshot of the free capacity of the fleet, for the end of a dispatch pass. */
 #include "coordination/scheduling/free_capacity.h"
 #include "coordination/scheduling/lookups.h"
 #include "coordination/scheduling/resources.h"
 
-/* What is free on the machine once the tasks that are being stopped there are gone. */
+/* Returns what is free on the machine after the tasks that are being stopped there have ended. */
 static HrResources
 free_after_stops (HrCore *core, const HrMachine *machine)
 {
--- a/src/coordination/scheduling/free_capacity.h
+++ b/src/coordination/scheduling/free_capacity.h
@@ -1,9 +1,9 @@
-/* The free capacity of the fleet as the end of a dispatch pass sees it.
+/* A snapshot of the free capacity of the fleet, for the end of a dispatch pass.
  *
- * dispatch.c takes the list once a pass, after everything that can start has started. Preemption
- * (preemption.c, guarantees.c) and scaling (coordination/scaling/) then assign capacity to what
- * still waits by subtracting it here, so nothing is counted twice. Nothing is written to the
- * machines themselves.
+ * dispatch.c takes the snapshot once per pass, after every task that can start has started.
+ * Preemption (preemption.c, guarantees.c) and scaling (coordination/scaling/) then allocate
+ * capacity to the tasks that still wait by subtracting it from the snapshot, so that no capacity is
+ * counted twice. The machines themselves are not changed.
  */
 #pragma once
 #include "coordination/state.h"
@@ -11,13 +11,13 @@
 /* The free capacity of one machine. */
 typedef struct {
   HrMachine *machine;
-  HrResources free;     /* once the tasks that are being stopped are gone */
-  gboolean is_reserved; /* something was assigned to it in this pass: it isn't idle */
+  HrResources free;     /* after the tasks that are being stopped have ended */
+  gboolean is_reserved; /* capacity was allocated in this pass: the machine is not idle */
 } HrFreeCapacity;
 
 /* The free capacity of the whole fleet. */
 typedef struct {
-  HrFreeCapacity *machines; /* those that boot come first */
+  HrFreeCapacity *machines; /* booting machines first */
   guint n;
   guint n_booting;
 } HrFleetCapacity;
@@ -26,15 +26,15 @@
  * hr_fleet_capacity_init:
  * @fleet: (out caller-allocates): to be freed with hr_fleet_capacity_clear()
  *
- * Takes the free capacity of all machines of the fleet, that of tasks that are being stopped
- * included.
+ * Takes a snapshot of the free capacity of all machines of the fleet, including the capacity of
+ * tasks that are being stopped.
  */
 void hr_fleet_capacity_init (HrFleetCapacity *fleet, HrCore *core);
 
 /**
  * hr_fleet_capacity_clear:
  *
- * Frees the list, but not @fleet itself.
+ * Frees the members of @fleet, but not @fleet itself.
  */
 void hr_fleet_capacity_clear (HrFleetCapacity *fleet);
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (HrFleetCapacity, hr_fleet_capacity_clear)
@@ -42,7 +42,7 @@
 /**
  * hr_free_capacity_take:
  *
- * Subtracts @need from what is free on the machine, if it fits.
+ * Subtracts @need from the free capacity of the machine if it fits.
  *
  * Returns: whether it fitted.
  */
--- a/src/coordination/scheduling/guarantees.c
+++ b/src/coordination/scheduling/guarantees.c
@@ -1,4 +1,4 @@
-/* Guarantees of teams: what other teams may borrow, and how it is reclaimed. */
+/* Guarantees of teams: other teams may borrow an unused guarantee, until a job reclaims it. */
 #include "coordination/scheduling/guarantees.h"
 #include "coordination/scheduling/job_order.h"
 #include "coordination/scheduling/lookups.h"
@@ -6,14 +6,16 @@
 #include "coordination/scheduling/quotas.h"
 #include "coordination/scheduling/start_check.h"
 
-/* What a job within its team's guarantee may keep others waiting for, s: by then what was
- * preempted for it is gone, or no machine is to be had. The pause that follows doubles; it is long
- * enough for a boot. */
-#define RECLAIM_S 45.0
+/* How long a waiting job within its team's guarantee may keep other teams from borrowing, s: by
+ * then the tasks that were preempted for it have ended, or no machine is available for it. */
+#define RECLAIM_TIMEOUT_S 45.0
+/* How long the job's reclaim then pauses, s; doubled each time, up to the maximum. Long enough for
+ * a boot. */
 #define RECLAIM_PAUSE_S 90.0
 #define MAX_RECLAIM_PAUSE_S 360.0
 
-/* The job has found no machine for too long: other teams borrow again for a while. */
+/* Pauses the reclaim of a job that has found no machine for too long: other teams may borrow again
+ * for a while. */
 static void
 pause_reclaim (HrCore *core, HrJob *job)
 {
@@ -21,11 +23,13 @@
   quota->reclaiming_since = 0;
   quota->reclaim_pause_s = CLAMP (2 * quota->reclaim_pause_s, RECLAIM_PAUSE_S, MAX_RECLAIM_PAUSE_S);
   quota->next_reclaim_at = core->now + quota->reclaim_pause_s;
-  g_message ("%s is within its team's guarantee and finds no machine; others go on for %.0f s",
+  g_message ("job %s is within its team's guarantee but found no machine; "
+             "other teams may borrow again for %.0f s",
              job->id, quota->reclaim_pause_s);
 }
 
-/* Does this job reclaim its team's guarantee, so that the others borrow nothing while it waits? */
+/* Returns whether the job reclaims its team's guarantee, so that other teams may not borrow while
+ * it waits. */
 static gboolean
 is_reclaiming (HrCore *core, HrJob *job)
 {
@@ -39,15 +43,15 @@
     return FALSE;
   if (!quota->reclaiming_since)
     quota->reclaiming_since = core->now;
-  if (core->now - quota->reclaiming_since <= RECLAIM_S)
+  if (core->now - quota->reclaiming_since <= RECLAIM_TIMEOUT_S)
     return TRUE;
   pause_reclaim (core, job);
   return FALSE;
 }
 
-/* The jobs that wait or run, in the order of submission; their marks are cleared. */
+/* Clears the marks of all open jobs. Returns those that wait or run, in the order of submission. */
 static GPtrArray *
-unmarked_jobs (HrCore *core)
+clear_marks (HrCore *core)
 {
   GPtrArray *jobs = g_ptr_array_new ();
   for (guint i = 0; i < core->store.tables.open_jobs->len; i++) {
@@ -56,7 +60,7 @@
     if (job->state == HR_JOB_QUEUED && job->tasks)
       g_ptr_array_add (jobs, job);
   }
-  g_ptr_array_sort (jobs, hr_by_submission);
+  g_ptr_array_sort (jobs, hr_compare_by_submission);
   return jobs;
 }
 
@@ -66,17 +70,17 @@
   return (HrQuota){team->cpus, team->gpus};
 }
 
-/* jobs: of all teams, in the order of submission. */
+/* Marks the jobs of one team. jobs: the jobs of all teams, in the order of submission. */
 static void
-mark_team (HrCore *core, const HrTeam *team, GPtrArray *jobs)
+mark_jobs_of_team (HrCore *core, const HrTeam *team, GPtrArray *jobs)
 {
-  HrQuota earlier = {0, 0};
+  HrQuota cumulative = {0, 0};
   for (guint i = 0; i < jobs->len; i++) {
     HrJob *job = jobs->pdata[i];
     if (job->spec.team != team->team)
       continue;
-    hr_quota_add (&earlier, hr_quota_of (&job->spec, job->n_tasks - job->n_done));
-    job->quota.within_guarantee = hr_quota_covers (guarantee_of (team), earlier);
+    hr_quota_add (&cumulative, hr_quota_of (&job->spec, job->n_tasks - job->n_done));
+    job->quota.within_guarantee = hr_quota_covers (guarantee_of (team), cumulative);
     job->quota.reclaims_guarantee = is_reclaiming (core, job);
     core->scheduling.guaranteed_job_waits |= job->quota.reclaims_guarantee;
   }
@@ -87,10 +91,10 @@
 {
   core->scheduling.guaranteed_job_waits = FALSE;
   if (core->settings->teams->len < 2)
-    return; /* there is no other team to wait for */
-  g_autoptr (GPtrArray) jobs = unmarked_jobs (core);
+    return; /* there is no other team that could borrow */
+  g_autoptr (GPtrArray) jobs = clear_marks (core);
   for (guint k = 0; k < core->settings->teams->len; k++)
-    mark_team (core, &g_array_index (core->settings->teams, HrTeam, k), jobs);
+    mark_jobs_of_team (core, &g_array_index (core->settings->teams, HrTeam, k), jobs);
 }
 
 static gboolean
@@ -100,7 +104,7 @@
          hr_job_is_waiting (core, job);
 }
 
-/* One machine after the other is freed, also for a gang, which starts once it has all of them. */
+/* Frees machines one by one, also for a gang, which starts once there are enough of them. */
 void
 hr_guarantees_preempt (HrCore *core, HrFleetCapacity *fleet)
 {
@@ -119,8 +123,8 @@
 gboolean
 hr_team_allows_start (HrCore *core, const HrJob *job, guint n)
 {
-  /* While a job within its team's guarantee waits, the others borrow nothing more: what is
-   * preempted or ends is for that job. */
+  /* While a job within its team's guarantee waits, other teams may not borrow more: capacity that
+   * becomes free is meant for that job. */
   if (core->scheduling.guaranteed_job_waits && !job->quota.within_guarantee &&
       hr_team_exceeds_guarantee (core, job, n))
     return FALSE;
--- a/src/coordination/scheduling/job_order.h
+++ b/src/coordination/scheduling/job_order.h
@@ -1,36 +1,37 @@
-/* The orders in which jobs, and tasks in the plan, are served. All of them are total, so that every
- * run of the same step goes through the jobs alike.
+/* Comparison functions: the orders in which jobs and listed tasks are processed. All of them are
+ * total orders, so that the same input always gives the same sequence.
  */
 #pragma once
 #include "coordination/state.h"
 
 /**
- * hr_by_submission:
+ * hr_compare_by_submission:
  * @left: (type gpointer): points to a pointer to HrJob, as in a GPtrArray
  *
- * Compares for g_ptr_array_sort(): earlier submissions first.
+ * Compares jobs for g_ptr_array_sort(): earlier submissions first.
  */
-int hr_by_submission (gconstpointer left, gconstpointer right);
+int hr_compare_by_submission (gconstpointer left, gconstpointer right);
 
 /**
- * hr_by_deadline:
+ * hr_compare_by_deadline:
  *
- * Like hr_by_submission(), but earlier deadlines first.
+ * Compares jobs like hr_compare_by_submission(), but earlier deadlines first.
  */
-int hr_by_deadline (gconstpointer left, gconstpointer right);
+int hr_compare_by_deadline (gconstpointer left, gconstpointer right);
 
 /**
- * hr_by_priority:
+ * hr_compare_by_priority:
  *
- * Like hr_by_submission(), but higher priorities first, and earlier submissions within one.
+ * Compares jobs like hr_compare_by_submission(), but higher priorities first, and earlier
+ * submissions first within a priority.
  */
-int hr_by_priority (gconstpointer left, gconstpointer right);
+int hr_compare_by_priority (gconstpointer left, gconstpointer right);
 
 /**
- * hr_listed_by_deadline:
+ * hr_compare_listed_by_deadline:
  * @left: (type gpointer): points to HrListedTask
  * @core: the HrCore
  *
- * Compares for g_array_sort_with_data(): tasks of jobs with earlier deadlines first.
+ * Compares listed tasks for g_array_sort_with_data(): tasks of jobs with earlier deadlines first.
  */
-int hr_listed_by_deadline (gconstpointer left, gconstpointer right, gpointer core);
+int hr_compare_listed_by_deadline (gconstpointer left, gconstpointer right, gpointer core);
--- a/src/coordination/scheduling/lookups.h
+++ b/src/coordination/scheduling/lookups.h
@@ -1,5 +1,5 @@
-/* Look-ups in the job and machine tables, as scheduling and scaling need them all the time.
- * Inline, as planning passes call them for every task. The rows belong to the tables.
+/* Look-ups in the job and machine tables, for scheduling and scaling. They are inline because
+ * planning passes call them for every task. The tables own the rows.
  */
 #pragma once
 #include "coordination/state.h"
@@ -30,7 +30,7 @@
 /**
  * hr_task_is_placed:
  *
- * Returns: whether the task is assigned to a machine, recorded there already or not.
+ * Returns: whether the task is assigned to a machine, even if the assignment is not recorded yet.
  */
 static inline gboolean
 hr_task_is_placed (const HrTask *task)
@@ -41,7 +41,7 @@
 /**
  * hr_machine_by_index:
  *
- * Returns: (transfer none): the machine with this index, gone or not.
+ * Returns: (transfer none): the machine with this index, even if it is in state %HR_MACHINE_GONE.
  */
 static inline HrMachine *
 hr_machine_by_index (const HrCore *core, guint32 index)
--- a/src/coordination/scheduling/mtedf_gang.c
+++ b/src/coordination/scheduling/mtedf_gang.c
@@ -1,4 +1,4 @@
-/* MT-EDF for gangs: one slot in each chosen list, with a common start. */
+/* MT-EDF for gangs: one task per list, with a common start. */
 #include "coordination/scaling/machine_types.h"
 #include "coordination/scheduling/estimates.h"
 #include "coordination/scheduling/mtedf.h"
@@ -12,40 +12,43 @@
 /* A list that could take one task of the gang. */
 typedef struct {
   HrMachine *machine;
-  double start; /* projected; steady time, s */
-  double delay; /* the image fetch, and the wait for others once more */
+  double start; /* projected; monotonic time, s */
+  double delay; /* image fetch, plus the wait until `start` counted a second time; s */
   gboolean is_used;
 } GangSlot;
 
-/* Slots for the whole gang. */
+/* Slots for the whole gang. Times are monotonic time, in seconds. */
 typedef struct {
-  GPtrArray *slots; /* GangSlot; NULL: none found */
-  double start;     /* when the last of them is free */
-  double runs_at;   /* when the last of them should run, as far as that decides the choice */
+  GPtrArray *slots;       /* GangSlot; NULL: too few were found */
+  double start;           /* latest start of the slots */
+  double effective_start; /* latest start plus delay, less HR_HOME_S at home; compared */
 } GangPlacement;
 
-/* A gang's sample is the same in each pass: its claim on the machines has to last until the last of
- * them is free. */
+/* Returns whether the machine is in the sample of lists for this gang. The sample is hashed rather
+ * than random so that it is the same in each pass: the gang's slots must stay on the same machines
+ * until the last of them is free. */
 static gboolean
-is_sampled (const HrJob *job, const HrMachine *machine, guint tries, guint n_lists)
+is_sampled (const HrJob *job, const HrMachine *machine, guint max_trials, guint n_lists)
 {
   guint32 hash = (job->index + 1) * 0x9e3779b9u ^ (machine->index + 1) * 0x85ebca6bu;
   hash = (hash ^ hash >> 15) * 0xc2b2ae35u;
-  return tries >= n_lists || (hash ^ hash >> 16) / 4294967296.0 * n_lists < tries;
+  return max_trials >= n_lists || (hash ^ hash >> 16) / 4294967296.0 * n_lists < max_trials;
 }
 
-/* Could a task fit there once all but services is gone? */
+/* Returns whether a task would fit on the machine once all tasks but those of services have ended.
+ */
 static gboolean
-fits_beside_services (const HrCore *core, const HrMachine *machine, const HrJobSpec *spec)
+fits_alongside_services (const HrCore *core, const HrMachine *machine, const HrJobSpec *spec)
 {
   HrResources available = hr_resources_of_type (hr_machine_type_of (core, machine));
   hr_resources_subtract (&available, machine->services);
   return hr_resources_cover (available, hr_resources_of_task (spec));
 }
 
-/* Sets the slot's start and delay. Returns FALSE where the list cannot take a task. */
+/* Sets the slot's start and delay. Returns FALSE if the list cannot take a task or is not in the
+ * sample. */
 static gboolean
-find_slot (HrCore *core, HrJob *job, guint tries, guint n_lists, GangSlot *slot)
+find_slot (HrCore *core, HrJob *job, guint max_trials, guint n_lists, GangSlot *slot)
 {
   HrMachine *machine = slot->machine;
   if (!hr_job_allows_machine (core, job, machine))
@@ -54,29 +57,31 @@
   if (!machine->tasks->len && !machine->plan.list->len &&
       hr_machine_fits_unreserved (machine, &job->spec))
     slot->start = machine->plan.ready_at; /* nothing to project */
-  else if (is_sampled (job, machine, tries, n_lists) &&
-           fits_beside_services (core, machine, &job->spec))
+  else if (is_sampled (job, machine, max_trials, n_lists) &&
+           fits_alongside_services (core, machine, &job->spec))
     slot->start = hr_trial_insert (core, machine, (HrTaskRef){job->index, 0}).start;
   else
     return FALSE;
-  /* Waiting for others to end is less sure than fetching: it counts double. */
+  /* The wait for running tasks to end counts twice, because it is less predictable than an image
+   * fetch. */
   slot->delay += MAX (0, slot->start - core->now);
-  return !hr_start_is_never (core, slot->start);
+  return !hr_start_is_infeasible (core, slot->start);
 }
 
 static GArray *
-find_slots (HrCore *core, GPtrArray *lists, HrJob *job, guint tries)
+find_slots (HrCore *core, GPtrArray *lists, HrJob *job, guint max_trials)
 {
   GArray *slots = g_array_sized_new (FALSE, FALSE, sizeof (GangSlot), lists->len);
   for (guint k = 0; k < lists->len; k++) {
     GangSlot slot = {lists->pdata[k], INFINITY, 0, FALSE};
-    if (find_slot (core, job, tries, lists->len, &slot))
+    if (find_slot (core, job, max_trials, lists->len, &slot))
       g_array_append_val (slots, slot);
   }
   return slots;
 }
 
-/* The unused slot that runs soonest; NULL: there is none. zone: HR_NONE for any. */
+/* Returns the unused slot with the earliest start plus delay; NULL: there is none. zone: HR_NONE
+ * for any. */
 static GangSlot *
 soonest_slot (GArray *slots, guint32 zone)
 {
@@ -102,21 +107,21 @@
     if (!slot)
       return placement;
     placement.start = MAX (placement.start, slot->start);
-    slot->is_used = TRUE; /* each zone has machines of its own */
+    slot->is_used = TRUE; /* never reset: no machine is in two zones */
     g_ptr_array_add (chosen, slot);
   }
-  placement.runs_at = placement.start;
+  placement.effective_start = placement.start;
   for (guint i = 0; i < chosen->len; i++) {
     const GangSlot *slot = chosen->pdata[i];
-    placement.runs_at = MAX (placement.runs_at, slot->start + slot->delay);
+    placement.effective_start = MAX (placement.effective_start, slot->start + slot->delay);
   }
   if (zone != HR_NONE && zone == core->settings->home)
-    placement.runs_at -= HR_HOME_S;
+    placement.effective_start -= HR_HOME_S;
   placement.slots = g_steal_pointer (&chosen);
   return placement;
 }
 
-/* The slots with which the gang runs soonest, within one zone where the job asks for that. */
+/* Returns the slots with the earliest effective start, all in one zone if the job asks for that. */
 static GangPlacement
 best_placement (const HrCore *core, const HrJob *job, GArray *slots)
 {
@@ -124,7 +129,7 @@
   guint32 n_zones = job->spec.one_zone ? core->names->zones.names->len : 1;
   for (guint32 zone = 0; zone < n_zones; zone++) {
     GangPlacement placement = choose_slots (core, job, slots, job->spec.one_zone ? zone : HR_NONE);
-    if (placement.slots && placement.runs_at < best.runs_at) {
+    if (placement.slots && placement.effective_start < best.effective_start) {
       g_clear_pointer (&best.slots, g_ptr_array_unref);
       best = placement;
     } else
@@ -134,12 +139,12 @@
 }
 
 void
-hr_mtedf_gang (HrCore *core, GPtrArray *lists, HrJob *job, guint tries)
+hr_mtedf_place_gang (HrCore *core, GPtrArray *lists, HrJob *job, guint max_trials)
 {
   job->plan.gang_start = 0;
   if (lists->len < job->n_tasks)
-    return; /* one slot in each list: there are too few */
-  g_autoptr (GArray) slots = find_slots (core, lists, job, tries);
+    return; /* each task needs a list of its own */
+  g_autoptr (GArray) slots = find_slots (core, lists, job, max_trials);
   GangPlacement placement = best_placement (core, job, slots);
   if (!placement.slots)
     return;
--- a/src/coordination/scheduling/placement.c
+++ b/src/coordination/scheduling/placement.c
@@ -1,4 +1,4 @@
-/* On which machines a job's tasks may be placed at all. */
+/* Placement constraints: which machines are suitable for a job's tasks. */
 #include "coordination/scheduling/placement.h"
 #include "coordination/scaling/machine_types.h"
 #include "coordination/scheduling/lookups.h"
@@ -28,7 +28,8 @@
   const HrJobSpec *spec = &job->spec;
   const HrMachineType *type =
       hr_machine_is_plannable (core, machine) ? hr_machine_type_of (core, machine) : NULL;
-  /* Where it failed last it is not tried again at once, if there is any other machine. */
+  /* A retry avoids the machine of the last failure for a while, so that it runs elsewhere if it
+   * can. */
   if (machine->index == job->run.failed_machine &&
       core->now < job->run.failed_machine_avoided_until)
     return FALSE;
@@ -46,18 +47,18 @@
 {
   if (!job->spec.one_zone && !job->spec.spread)
     return TRUE;
-  guint here = 0;
+  guint n_in_zone = 0;
   for (guint32 i = 0; i < job->n_tasks; i++) {
     const HrTask *task = &job->tasks[i];
     if (!hr_task_is_placed (task))
       continue;
     guint32 zone = hr_machine_by_index (core, task->placement.machine)->zone;
     if (zone == HR_NONE)
-      return FALSE; /* known from a record alone: nothing is placed beside it blindly */
-    gboolean same = zone == machine->zone;
-    if (job->spec.one_zone && !same)
+      return FALSE; /* the machine is known from a record only, so the zone constraint is unknown */
+    gboolean same_zone = zone == machine->zone;
+    if (job->spec.one_zone && !same_zone)
       return FALSE;
-    here += same;
+    n_in_zone += same_zone;
   }
-  return !job->spec.spread || here < (job->n_tasks + 1) / 2;
+  return !job->spec.spread || n_in_zone < (job->n_tasks + 1) / 2;
 }
--- a/src/coordination/scheduling/placement.h
+++ b/src/coordination/scheduling/placement.h
@@ -1,4 +1,5 @@
-/* On which machines a job's tasks may be placed at all, whatever is free there.
+/* Placement constraints: which machines are suitable for a job's tasks, regardless of the capacity
+ * that is free there.
  */
 #pragma once
 #include "coordination/state.h"
@@ -6,30 +7,32 @@
 /**
  * hr_machine_is_plannable:
  *
- * Returns: whether the plan may count on the machine: it boots or was heard of lately, its type is
- * known, and it is not being drained.
+ * Returns: whether the plan may include the machine: it is booting, or it is up and its agent sent
+ * a heartbeat recently or the leader's term began recently; its type is known, and it is not being
+ * drained.
  */
 gboolean hr_machine_is_plannable (const HrCore *core, const HrMachine *machine);
 
 /**
  * hr_machine_is_reachable:
  *
- * Returns: whether the machine is up and its agent was heard of lately.
+ * Returns: whether the machine is up and its agent sent this leader a heartbeat recently.
  */
 gboolean hr_machine_is_reachable (const HrCore *core, const HrMachine *machine);
 
 /**
  * hr_job_allows_machine:
  *
- * Returns: whether type, size, zone and kind (spot) of the machine and its shard suit the job, and
- * the job did not just fail there. Where the job's other tasks are is hr_job_allows_zone().
+ * Returns: whether the machine is plannable, its type, capacity, zone, spot status and shard suit
+ * the job, and the job did not just fail there. hr_job_allows_zone() checks the constraints that
+ * depend on the job's other tasks.
  */
 gboolean hr_job_allows_machine (const HrCore *core, const HrJob *job, const HrMachine *machine);
 
 /**
  * hr_job_allows_zone:
  *
- * Returns: whether the machine's zone suits the job, given where its other tasks are: all in one
- * zone, or spread over zones, where the job asks for that.
+ * Returns: whether the machine's zone satisfies the job's constraint relative to its placed tasks:
+ * all tasks in one zone, or at most half of them (rounded up) in any zone.
  */
 gboolean hr_job_allows_zone (const HrCore *core, const HrJob *job, const HrMachine *machine);
--- a/src/coordination/scheduling/plan.h
+++ b/src/coordination/scheduling/plan.h
@@ -2,19 +2,20 @@
  *
  * The plan is one list of tasks per machine, ordered by deadline (HrMachinePlan in tables.h). It is
  * projected by projection.c, filled by mtedf.c (MT-EDF) and improved by tabu.c (bounded tabu
- * search); planner.c runs one pass of all three. Starts are in steady time, s. A plan lives in
- * memory only.
+ * search); planner.c runs one pass of all three. Start times are monotonic time, in seconds. The
+ * plan is kept in memory only.
  */
 #pragma once
 #include "coordination/state.h"
 
-/* How a list, or a change to it, is judged: late count, then tardiness. */
+/* The score of a list, or the change of its score: the number of late tasks counts first, then the
+ * total tardiness. */
 typedef struct {
-  guint late;
+  guint late_count;
   double tardiness; /* s */
 } HrListScore;
 
-/* A task in a machine's list, and when it should start there. */
+/* A task in a machine's list, with its projected start. */
 typedef struct {
   HrTaskRef task;
   HrMachine *machine;
@@ -24,12 +25,12 @@
 /**
  * hr_list_score_better:
  *
- * Returns: whether @left has fewer late tasks than @right, or as many and less tardiness.
+ * Returns: whether @left has fewer late tasks than @right, or the same number and less tardiness.
  */
 static inline gboolean
 hr_list_score_better (HrListScore left, HrListScore right)
 {
   const double tolerance_s = 1e-9;
-  return left.late < right.late ||
-         (left.late == right.late && left.tardiness < right.tardiness - tolerance_s);
+  return left.late_count < right.late_count ||
+         (left.late_count == right.late_count && left.tardiness < right.tardiness - tolerance_s);
 }
--- a/src/coordination/scheduling/planner.c
+++ b/src/coordination/scheduling/planner.c
@@ -13,13 +13,13 @@
 #include "coordination/scheduling/tabu.h"
 #include "coordination/scheduling/task_lists.h"
 
-/* Tasks of one job that stand in lists at a time. */
+/* Maximum number of tasks of one job in the lists of the plan. */
 #define MAX_LISTED_TASKS 64
 
-/* May the task stay in the machine's list? Gangs are placed anew in each pass: their common start
- * moves with every list. */
+/* Returns whether the task may stay in the machine's list. Gangs are placed again in each pass,
+ * because their common start depends on every list that they are in. */
 static gboolean
-stays_listed (HrCore *core, const HrMachine *machine, HrTaskRef ref)
+may_stay_listed (HrCore *core, const HrMachine *machine, HrTaskRef ref)
 {
   const HrJob *job = hr_job_of_task (core, ref);
   return job->tasks && job->state == HR_JOB_QUEUED && job->tasks[ref.task].state == HR_TASK_IDLE &&
@@ -28,23 +28,23 @@
          job->plan.n_listed <= hr_quotas_granted (core, job);
 }
 
-/* Takes out of the machine's list what may not stay there. */
+/* Removes the tasks that may not stay in the machine's list. */
 static void
 prune_list (HrCore *core, HrMachine *machine, gboolean is_plannable)
 {
   GArray *list = machine->plan.list;
   for (guint k = 0; k < list->len;) {
     HrTaskRef ref = g_array_index (list, HrTaskRef, k);
-    if (is_plannable && stays_listed (core, machine, ref)) {
+    if (is_plannable && may_stay_listed (core, machine, ref)) {
       k++;
       continue;
     }
-    hr_task_unplan (hr_job_of_task (core, ref), ref.task);
+    hr_task_mark_unlisted (hr_job_of_task (core, ref), ref.task);
     g_array_remove_index (list, k);
   }
 }
 
-/* Prunes all lists. Returns the machines whose lists are planned, projected. */
+/* Prunes all lists. Returns the plannable machines, with their lists projected. */
 static GPtrArray *
 refresh_lists (HrCore *core)
 {
@@ -61,14 +61,15 @@
   return lists;
 }
 
-/* Lists hold what the team's limit lets start; what it holds up would seem late there. */
+/* Returns how many tasks of the job may be listed. Tasks that the team's limit does not let start
+ * are not listed, because they would be projected as late. */
 static guint
 max_listed (HrCore *core, const HrJob *job)
 {
   return MIN (MAX_LISTED_TASKS, hr_quotas_granted (core, job));
 }
 
-/* Services stand in no list. */
+/* Returns whether the job has tasks to place in lists. Services are never listed. */
 static gboolean
 needs_lists (HrCore *core, const HrJob *job)
 {
@@ -76,7 +77,7 @@
          hr_team_allows_start (core, job, 1);
 }
 
-/* A job without a shard, or whose shard is gone, gets one. */
+/* Chooses a shard for the job if none was chosen yet or if the chosen one no longer exists. */
 static void
 ensure_shard (HrCore *core, HrJob *job)
 {
@@ -85,7 +86,7 @@
     hr_shard_choose (core, job);
 }
 
-/* How many placements the job needs: one for a whole gang, one for each other task. */
+/* Returns how many placements the job needs: one for a whole gang, one per task otherwise. */
 static guint
 tasks_to_place (HrCore *core, const HrJob *job)
 {
@@ -93,14 +94,14 @@
   return job->spec.shape == HR_GANG ? 1 : MIN (unlisted, max_listed (core, job));
 }
 
-/* The jobs with tasks to place, by deadline. Jobs that are compacted leave the list of open jobs.
- * queued: set to how many tasks there are to place. */
+/* Returns the jobs with tasks to place, by deadline, and removes compacted jobs from the list of
+ * open jobs. n_placements: set to the number of placements that these jobs need. */
 static GPtrArray *
-collect_jobs (HrCore *core, guint *queued)
+collect_jobs (HrCore *core, guint *n_placements)
 {
   GArray *open_jobs = core->store.tables.open_jobs;
   GPtrArray *jobs = g_ptr_array_new ();
-  *queued = 0;
+  *n_placements = 0;
   for (guint i = 0; i < open_jobs->len;) {
     HrJob *job = hr_open_job (core, i);
     if (job->record.is_compacted || !job->tasks) {
@@ -112,26 +113,26 @@
     ensure_shard (core, job);
     if (needs_lists (core, job)) {
       g_ptr_array_add (jobs, job);
-      *queued += tasks_to_place (core, job);
+      *n_placements += tasks_to_place (core, job);
     }
   }
-  g_ptr_array_sort (jobs, hr_by_deadline);
+  g_ptr_array_sort (jobs, hr_compare_by_deadline);
   return jobs;
 }
 
-/* Places the job's tasks that stand in no list, while lists may have more of them. */
+/* Places the job's unlisted tasks, up to the number that may be listed. */
 static void
-place_tasks (HrCore *core, GPtrArray *lists, HrJob *job, guint tries)
+place_tasks (HrCore *core, GPtrArray *lists, HrJob *job, guint max_trials)
 {
-  g_autoptr (GPtrArray) order = NULL;
-  guint most = max_listed (core, job);
-  for (guint32 k = 0; k < job->n_tasks && job->plan.n_listed < most; k++) {
+  g_autoptr (GPtrArray) candidates = NULL;
+  guint max_tasks = max_listed (core, job);
+  for (guint32 k = 0; k < job->n_tasks && job->plan.n_listed < max_tasks; k++) {
     if (job->tasks[k].state != HR_TASK_IDLE || job->tasks[k].is_listed)
       continue;
-    if (!order)
-      order = hr_mtedf_order (core, lists, job);
-    if (!hr_mtedf_task (core, order, job, k, tries)) {
-      job->plan.shard = HR_NONE; /* its shard cannot hold it after all: any list may */
+    if (!candidates)
+      candidates = hr_mtedf_candidates (core, lists, job);
+    if (!hr_mtedf_place_task (core, candidates, job, k, max_trials)) {
+      job->plan.shard = HR_NONE; /* its shard has no suitable list: allow all shards */
       return;
     }
   }
@@ -140,19 +141,21 @@
 void
 hr_planner_pass (HrCore *core)
 {
-  guint queued;
+  guint n_placements;
   hr_shards_assign (core);
   hr_reserve_for_services (core);
   g_autoptr (GPtrArray) lists = refresh_lists (core);
-  g_autoptr (GPtrArray) jobs = collect_jobs (core, &queued);
-  /* Trials are what a pass costs: with more to place, each task gets fewer. */
-  guint tries = MAX (core->policy.sample_lists, core->policy.pass_trials / MAX (1, queued));
+  g_autoptr (GPtrArray) jobs = collect_jobs (core, &n_placements);
+  /* Trial placements dominate the cost of a pass: the more tasks there are to place, the fewer
+   * trials each of them gets. */
+  guint max_trials =
+      MAX (core->policy.sample_lists, core->policy.pass_trials / MAX (1, n_placements));
   for (guint i = 0; i < jobs->len; i++) {
     HrJob *job = jobs->pdata[i];
     if (job->spec.shape != HR_GANG)
-      place_tasks (core, lists, job, tries);
+      place_tasks (core, lists, job, max_trials);
     else if (job->run.n_live == 0)
-      hr_mtedf_gang (core, lists, job, MAX (tries, 2 * job->n_tasks));
+      hr_mtedf_place_gang (core, lists, job, MAX (max_trials, 2 * job->n_tasks));
   }
   hr_tabu_search (core, lists);
 }
--- a/src/coordination/scheduling/planner.h
+++ b/src/coordination/scheduling/planner.h
@@ -2,8 +2,8 @@
  *
  * The plan is one deadline-ordered list of tasks per machine. New tasks are placed by MT-EDF
  * (mtedf.h); a bounded tabu search (tabu.h) then moves tardy ones (Klusacek, Matyska, Rudova: Local
- * Search for Deadline Driven Grid Scheduling, figures 1 to 3). The plan of the pass before is the
- * starting point.
+ * Search for Deadline Driven Grid Scheduling, figures 1 to 3). Each pass starts from the plan of
+ * the previous pass.
  */
 #pragma once
 #include "coordination/state.h"
@@ -11,7 +11,7 @@
 /**
  * hr_planner_pass:
  *
- * Called by the leader's core, after quotas and guarantees of the pass are set and before
- * hr_dispatch(). Starts nothing.
+ * Updates the plan. Called by the leader's core, after the quotas and guarantees of the pass are
+ * set and before hr_dispatch(). Starts no tasks.
  */
 void hr_planner_pass (HrCore *core);
--- a/src/coordination/scheduling/preemption.c
+++ b/src/coordination/scheduling/preemption.c
@@ -1,4 +1,4 @@
-/* Preemption: which running tasks may be stopped for a waiting one, and stopping them. */
+/* Preemption: decides which running tasks may be stopped for a waiting task, and stops them. */
 #include "coordination/scheduling/preemption.h"
 #include "coordination/jobs/gang_scheduling.h"
 #include "coordination/jobs/task_lifecycle.h"
@@ -8,12 +8,13 @@
 #include "coordination/scheduling/resources.h"
 #include <math.h>
 
-/* What is lost with any task, and with one that saves: time of a stop and of a new start, s. */
+/* Loss of any preempted task, for its stop and its next start, s. */
 #define RESTART_LOSS_S 1.0
+/* Loss of a task with checkpoints, in addition to its time to save, s. */
 #define SAVE_LOSS_S 5.0
-/* Added for a gang, all of whose tasks stop: it is the last choice, s. */
+/* Added for a gang, so that it is preempted last: all of its tasks stop, s. */
 #define GANG_LOSS_S 1000.0
-/* Beyond the time that a task takes to save, s. */
+/* Grace period of a stop in addition to the task's time to save, s. */
 #define SAVE_GRACE_S 1.0
 
 gboolean
@@ -56,9 +57,9 @@
     hr_task_stop (core, victim, task_index, saves ? save : 0);
 }
 
-/* Finds the batch tasks of the machine that would have to stop for a replica of the job, and sums
- * up what is lost with them. Returns INFINITY where stopping all of them is not enough.
- * victims: (element-type HrTaskRef): set to the tasks found. */
+/* Chooses the batch tasks on the machine that have to stop for a replica of the job. Returns the
+ * sum of their losses, or INFINITY if stopping all batch tasks does not free enough.
+ * victims: (element-type HrTaskRef): set to the chosen tasks. */
 static double
 choose_batch_victims (HrCore *core, const HrJob *job, const HrMachine *machine, GArray *victims)
 {
@@ -78,6 +79,7 @@
   return hr_resources_cover (free, need) ? loss : INFINITY;
 }
 
+/* Returns whether a replica of the job may be placed on the machine and has its image there. */
 static gboolean
 has_cached_image (HrCore *core, HrJob *job, HrMachine *machine)
 {
@@ -91,14 +93,14 @@
 {
   g_autoptr (GArray) victims = g_array_new (FALSE, FALSE, sizeof (HrTaskRef));
   HrMachine *best = NULL;
-  double least = INFINITY;
+  double least_loss = INFINITY;
   for (guint i = 0; i < core->scaling.fleet->len; i++) {
     HrMachine *machine = core->scaling.fleet->pdata[i];
     if (!has_cached_image (core, job, machine))
       continue;
     double loss = choose_batch_victims (core, job, machine, victims);
-    if (loss < least) {
-      least = loss;
+    if (loss < least_loss) {
+      least_loss = loss;
       best = machine;
     }
   }
@@ -108,14 +110,15 @@
   for (guint i = 0; i < victims->len; i++) {
     HrTaskRef ref = g_array_index (victims, HrTaskRef, i);
     HrJob *victim = hr_job_of_task (core, ref);
-    g_info ("%s/%u on %s is preempted for %s, whose image is there", victim->id, ref.task,
+    g_info ("preempting task %s/%u on %s for %s, whose image is cached there", victim->id, ref.task,
             best->name, job->id);
     hr_task_stop (core, victim, ref.task, 0);
   }
   return best;
 }
 
-/* What is lost when the job preempts tasks on this machine; INFINITY where that is not enough. */
+/* Returns the loss if the job preempts tasks on this machine; INFINITY if that does not free
+ * enough. */
 static double
 preemption_cost (HrCore *core, HrJob *job, const HrFreeCapacity *capacity, HrPreemptionScope scope)
 {
@@ -135,12 +138,12 @@
   return hr_resources_cover (free, need) ? loss : INFINITY;
 }
 
-/* The machine on which least is lost; NULL: there is none. */
+/* Returns the machine with the least loss; NULL: there is none. */
 static HrFreeCapacity *
 cheapest_preemption (HrCore *core, HrJob *job, HrFleetCapacity *fleet, HrPreemptionScope scope)
 {
   HrFreeCapacity *best = NULL;
-  double least = INFINITY;
+  double least_loss = INFINITY;
   for (guint i = 0; i < fleet->n; i++) {
     HrFreeCapacity *capacity = &fleet->machines[i];
     if (capacity->machine->state != HR_MACHINE_UP ||
@@ -148,16 +151,17 @@
         !hr_job_allows_zone (core, job, capacity->machine))
       continue;
     double loss = preemption_cost (core, job, capacity, scope);
-    if (loss < least) {
-      least = loss;
+    if (loss < least_loss) {
+      least_loss = loss;
       best = capacity;
     }
   }
   return best;
 }
 
-/* Stops tasks of the machine until one of the job fits. The list of tasks is read anew at each
- * step: a gang that ends may take others of its tasks off the machine at once. */
+/* Stops tasks on the machine until a task of the job fits. The machine's list of tasks is read
+ * again in each iteration, because ending a gang's attempt may remove other tasks of the gang from
+ * it. */
 static void
 preempt_on_machine (HrCore *core, HrJob *job, HrFreeCapacity *capacity, HrPreemptionScope scope)
 {
@@ -168,7 +172,7 @@
     HrJob *victim = hr_job_of_task (core, ref);
     if (!hr_may_preempt (core, job, scope, victim, ref.task))
       continue;
-    g_info ("%s/%u on %s is preempted for %s", victim->id, ref.task, machine->name, job->id);
+    g_info ("preempting task %s/%u on %s for %s", victim->id, ref.task, machine->name, job->id);
     hr_resources_add (&capacity->free, hr_resources_of_task (&victim->spec));
     hr_preempt_task (core, victim, ref.task);
   }
--- a/src/coordination/scheduling/preemption.h
+++ b/src/coordination/scheduling/preemption.h
@@ -1,23 +1,25 @@
-/* Preemption: which running tasks may be stopped for a waiting one, and stopping them.
+/* Preemption: decides which running tasks may be stopped for a waiting task, and stops them.
  *
- * Nothing is stopped unless what is stopped makes enough capacity free. A stop is an order to the
- * agent, so the capacity is free some seconds later (%HR_PREEMPTION_S); the order goes out before a
- * launch to the same machine does.
+ * Tasks are stopped only if that frees enough capacity. A stop is an order to the agent, so the
+ * capacity becomes free some seconds later (%HR_PREEMPTION_S). The stop order is sent before any
+ * launch order to the same machine.
  */
 #pragma once
 #include "coordination/scheduling/free_capacity.h"
 #include "coordination/state.h"
 
-/* From the decision to preempt to a running task, s: a write, an order and a heartbeat. */
+/* Time from the decision to preempt until the waiting task runs, s: a write to the state store, an
+ * order to the agent and a heartbeat. */
 #define HR_PREEMPTION_S 2.0
 
-/* Whose tasks are considered. */
+/* Which tasks may be preempted for a job. */
 typedef enum {
-  /* Work of lower priority, and of other teams beyond their guarantee for a job within its own. */
+  /* Tasks of lower priority; also, for a team within its guarantee, tasks of teams that exceed
+   * theirs. */
   HR_PREEMPT_ANY_TEAM,
   /* The same, but of other teams only. */
   HR_PREEMPT_OTHER_TEAMS,
-  /* Work of lower priority of the job's own team, to stay within the team's limit. */
+  /* Tasks of lower priority of the job's own team, so that the team stays within its limit. */
   HR_PREEMPT_OWN_TEAM,
 } HrPreemptionScope;
 
@@ -25,10 +27,10 @@
  * hr_may_preempt:
  * @victim: a job with a task on a machine
  *
- * Decides whom a job may preempt; no other module does.
+ * Decides which tasks a job may preempt; no other module decides this.
  *
- * Returns: whether this task of @victim may be stopped for @job. One that is being stopped already
- * may not: its capacity is counted as free.
+ * Returns: whether this task of @victim may be stopped for @job. A task that is already being
+ * stopped may not, because its capacity already counts as free.
  */
 gboolean hr_may_preempt (HrCore *core, const HrJob *job, HrPreemptionScope scope,
                          const HrJob *victim, guint32 task_index);
@@ -36,14 +38,15 @@
 /**
  * hr_preemption_loss:
  *
- * Returns: the run time that is lost when the task stops now, in seconds.
+ * Returns: the loss of run time if the task is stopped now, in seconds, with a penalty for a gang.
  */
 double hr_preemption_loss (HrCore *core, const HrJob *victim, const HrTask *task);
 
 /**
  * hr_preempt_task:
  *
- * Stops a task, or the whole gang that it belongs to. One with checkpoints may save before.
+ * Stops a task, or the whole gang that it belongs to. A task with checkpoints gets time to save
+ * before it is stopped.
  */
 void hr_preempt_task (HrCore *core, HrJob *victim, guint32 task_index);
 
@@ -51,20 +54,20 @@
  * hr_preempt_for_cached_image:
  * @job: a service
  *
- * Stops the batch tasks that lose least on a machine that has the image of the job cached, so that
- * a replica starts there without a fetch.
+ * Stops batch tasks on a machine that has the job's image cached, so that a replica can start there
+ * without an image fetch. Chooses the machine with the least loss.
  *
- * Returns: (transfer none) (nullable): that machine; %NULL if there is none, and nothing is
- * stopped.
+ * Returns: (transfer none) (nullable): that machine; %NULL if there is none, in which case no task
+ * is stopped.
  */
 HrMachine *hr_preempt_for_cached_image (HrCore *core, HrJob *job);
 
 /**
  * hr_preempt:
- * @fleet: what is free; the task's share is subtracted
+ * @fleet: the free capacity; the resources of the job's task are subtracted from it
  *
- * Stops the tasks of one machine whose loss is least, so that a task of the job fits there.
+ * Stops tasks on the machine with the least loss, so that a task of the job fits there.
  *
- * Returns: whether there is such a machine; else nothing is stopped.
+ * Returns: whether there is such a machine; otherwise no task is stopped.
  */
 gboolean hr_preempt (HrCore *core, HrJob *job, HrFleetCapacity *fleet, HrPreemptionScope scope);
--- a/src/coordination/scheduling/projection.c
+++ b/src/coordination/scheduling/projection.c
@@ -11,24 +11,25 @@
 #include "coordination/state.h"
 #include <math.h>
 
-/* A machine that boots is up in so long at the earliest, s. */
+/* Minimum time that a booting machine is expected to need until it is up, s. */
 #define MIN_BOOT_LEFT_S 2
-/* A machine without a list and with fewer processors than this free counts as busy. */
-#define FULL_BELOW_CPUS 1
+/* A machine with an empty list and fewer free processors than this is ready only once its first
+ * task ends. */
+#define FULL_BELOW_FREE_CPUS 1
 
-/* A task that holds resources until its end. */
+/* A running or projected task, which holds resources until its end. */
 typedef struct {
   double end; /* INFINITY: a service */
   HrResources held;
 } BusyTask;
 
-/* What is free on the machine as the projection goes on in time. */
+/* The state of the machine at the point in time that the projection has reached. */
 typedef struct {
   HrResources free;
-  GArray *busy; /* BusyTask: those that end first in front */
+  GArray *busy; /* BusyTask, by end */
 } Projection;
 
-/* The same array each time, so that a projection allocates nothing. */
+/* Returns an empty array, the same at each call, so that a projection does not allocate memory. */
 static GArray *
 empty_busy_array (void)
 {
@@ -61,7 +62,7 @@
   }
 }
 
-/* When the machine can start anything. */
+/* Returns when the machine can start tasks: now, or once it has booted. */
 static double
 machine_ready_at (const HrCore *core, const HrMachine *machine)
 {
@@ -71,8 +72,9 @@
   return MAX (core->now + MIN_BOOT_LEFT_S, up_at);
 }
 
-/* Lets tasks end until the need is free, from *start on, which moves with them. Returns whether it
- * gets free at all: services have no end. */
+/* Removes the busy tasks that end by *start, and then as many more as it takes to free the need;
+ * advances *start to the end of the last one. Returns FALSE if the need never becomes free, because
+ * services do not end. */
 static gboolean
 advance_until_free (Projection *projection, HrResources need, double *start)
 {
@@ -89,8 +91,8 @@
   return hr_resources_cover (projection->free, need);
 }
 
-/* Starts the task as soon as it fits, but not before *from, which moves to its start: deadline
- * order, nothing starts before the task ahead of it. Returns the start. */
+/* Starts the task as soon as it fits, but not before *from, and sets *from to its start: tasks
+ * start in deadline order, none before the task ahead of it. Returns the start. */
 static double
 project_task (HrCore *core, Projection *projection, const HrJob *job, double run_time, double *from)
 {
@@ -101,7 +103,7 @@
     start = MAX (start, job->plan.gang_start);
   start = MAX (start, job->run.retry_at);
   if (!advance_until_free (projection, need, &start))
-    return core->now + HR_NEVER_S; /* behind services for good */
+    return core->now + HR_INFEASIBLE_START_S; /* services hold the capacity */
   hr_resources_subtract (&projection->free, need);
   add_busy (projection->busy, start + run_time, spec);
   *from = start;
@@ -132,9 +134,9 @@
       plan->tardiness += lateness;
     }
   }
-  if (!plan->list->len && projection.busy->len && machine->free.cpus < FULL_BELOW_CPUS) {
+  if (!plan->list->len && projection.busy->len && machine->free.cpus < FULL_BELOW_FREE_CPUS) {
     double first_end = g_array_index (projection.busy, BusyTask, 0).end;
-    plan->ready_at = MAX (plan->ready_at, MIN (first_end, core->now + HR_NEVER_S));
+    plan->ready_at = MAX (plan->ready_at, MIN (first_end, core->now + HR_INFEASIBLE_START_S));
   }
 }
 
--- a/src/coordination/scheduling/quota.h
+++ b/src/coordination/scheduling/quota.h
@@ -1,12 +1,12 @@
-/* Arithmetic on the amounts that the quotas of teams are about: processors and accelerators.
- * Pure functions; a member may be INFINITY where there is no limit.
+/* Arithmetic on quotas of teams, which are amounts of processors and accelerators.
+ * Pure functions; a member is INFINITY if it is not limited.
  */
 #pragma once
 #include "coordination/scheduling/resources.h"
 #include "protocol/jobspec.h"
 #include <math.h>
 
-/* An amount of what a quota is about. */
+/* An amount of processors and accelerators. */
 typedef struct {
   double cpus, gpus;
 } HrQuota;
@@ -14,7 +14,7 @@
 /**
  * hr_quota_unlimited:
  *
- * Returns: the amount that covers any other.
+ * Returns: an amount that covers any other.
  */
 static inline HrQuota
 hr_quota_unlimited (void)
@@ -25,7 +25,7 @@
 /**
  * hr_quota_of:
  *
- * Returns: what @n tasks of a job take of a quota.
+ * Returns: the quota that @n tasks of a job use.
  */
 static inline HrQuota
 hr_quota_of (const HrJobSpec *spec, guint n)
@@ -83,7 +83,7 @@
 /**
  * hr_quota_min:
  *
- * Returns: the smaller one of each member.
+ * Returns: the minimum of @left and @right, member by member.
  */
 static inline HrQuota
 hr_quota_min (HrQuota left, HrQuota right)
--- a/src/coordination/scheduling/quota_preemption.c
+++ b/src/coordination/scheduling/quota_preemption.c
@@ -5,60 +5,63 @@
 #include "coordination/scheduling/quota.h"
 #include "coordination/scheduling/quotas.h"
 
-/* For a job other than a service nothing is stopped where the limit lets it start within so long:
- * a stop loses work, s. */
+/* No task is stopped for a job, other than a service, that the limit is expected to let start
+ * within this time, s: a preempted task loses work. */
 #define TOLERATED_WAIT_S 10.0
 
-/* What the team runs on a machine at a lower priority than the job's. */
+/* The tasks on a machine that the job may preempt within its team. */
 typedef struct {
   HrMachine *machine;
-  double loss; /* s, mean of the tasks */
+  double loss; /* mean of the tasks, s */
   guint n;
 } Preemptible;
 
 static int
-by_loss (gconstpointer left, gconstpointer right)
+compare_by_loss (gconstpointer left, gconstpointer right)
 {
   double first = ((const Preemptible *)left)->loss, second = ((const Preemptible *)right)->loss;
   return first < second ? -1 : first > second;
 }
 
-/* Counts the tasks on the machine that the job may preempt, and adds what they use to the total. */
+/* Counts the tasks on the machine that the job may preempt, and adds their quota to the total. */
 static Preemptible
 preemptible_on_machine (HrCore *core, const HrJob *job, HrMachine *machine, HrQuota *total)
 {
-  Preemptible here = {machine, 0, 0};
+  Preemptible preemptible = {machine, 0, 0};
   for (guint k = 0; k < machine->tasks->len; k++) {
     HrTaskRef ref = g_array_index (machine->tasks, HrTaskRef, k);
     const HrJob *victim = hr_job_of_task (core, ref);
     if (!hr_may_preempt (core, job, HR_PREEMPT_OWN_TEAM, victim, ref.task))
       continue;
     hr_quota_add (total, hr_quota_of (&victim->spec, 1));
-    here.loss += hr_preemption_loss (core, victim, &victim->tasks[ref.task]);
-    here.n++;
+    preemptible.loss += hr_preemption_loss (core, victim, &victim->tasks[ref.task]);
+    preemptible.n++;
   }
-  if (here.n)
-    here.loss /= here.n;
-  return here;
+  if (preemptible.n)
+    preemptible.loss /= preemptible.n;
+  return preemptible;
 }
 
-/* The machines with such work, those first where least is lost: preempted machine by machine, it
- * leaves enough free on one machine for a large task. total: what all of it uses. */
+/* Returns the machines with tasks that the job may preempt, by mean loss: (element-type
+ * Preemptible). Tasks are preempted machine by machine, so that enough capacity for a large task
+ * becomes free on one machine. total: set to the quota that all these tasks use. */
 static GArray *
 find_preemptible (HrCore *core, const HrJob *job, HrQuota *total)
 {
   GArray *found = g_array_new (FALSE, FALSE, sizeof (Preemptible));
   *total = (HrQuota){0, 0};
   for (guint i = 0; i < core->scaling.fleet->len; i++) {
-    Preemptible here = preemptible_on_machine (core, job, core->scaling.fleet->pdata[i], total);
-    if (here.n)
-      g_array_append_val (found, here);
+    Preemptible preemptible =
+        preemptible_on_machine (core, job, core->scaling.fleet->pdata[i], total);
+    if (preemptible.n)
+      g_array_append_val (found, preemptible);
   }
-  g_array_sort (found, by_loss);
+  g_array_sort (found, compare_by_loss);
   return found;
 }
 
-/* Preempts on the machine until the pool covers the need. What is stopped joins the pool. */
+/* Preempts tasks on the machine until the pool covers the need. Adds the quota of the stopped tasks
+ * to the pool. */
 static void
 preempt_on_machine (HrCore *core, const HrJob *job, HrMachine *machine, HrQuota *pool, HrQuota need)
 {
@@ -70,15 +73,16 @@
       continue;
     }
     guint n = victim->spec.shape == HR_GANG ? victim->run.n_live : 1;
-    g_info ("%s/%u on %s is preempted for %s within their team's limit", victim->id, ref.task,
+    g_info ("preempting task %s/%u on %s for %s, within their team's limit", victim->id, ref.task,
             machine->name, job->id);
     hr_quota_add (pool, hr_quota_of (&victim->spec, n));
     hr_preempt_task (core, victim, ref.task);
-    k = 0; /* a gang's other tasks may have left the machine */
+    k = 0; /* other tasks of a gang may have been removed from the list */
   }
 }
 
-/* Preempts until the pool covers the need; nothing is stopped where that cannot be reached. */
+/* Preempts tasks until the pool covers the need. Returns FALSE, without stopping any task, if that
+ * is not possible. */
 static gboolean
 preempt_until_covered (HrCore *core, const HrJob *job, HrQuota *pool, HrQuota need)
 {
@@ -92,19 +96,20 @@
   return hr_quota_covers (*pool, need);
 }
 
-/* Preempts for the job's tasks without a grant, as far as that is enough for them. */
+/* Preempts other tasks for those of the job's tasks that have no grant, one start unit at a time.
+ * Marks the team as exhausted once a unit cannot be covered. */
 static void
 preempt_for_job (HrCore *core, HrTeamUsage *usage, const HrJob *job)
 {
   guint unit = hr_job_start_unit (job), idle = hr_job_idle_tasks (job);
-  guint without_grant = idle - MIN (job->quota.granted, idle);
+  guint n_ungranted = idle - MIN (job->quota.granted, idle);
   HrQuota need = hr_quota_of (&job->spec, unit);
   gboolean starts_soon =
       job->spec.shape != HR_SERVICE && usage->shadow_time - core->now <= TOLERATED_WAIT_S;
   hr_quota_subtract (&usage->reclaimed, hr_quota_of (&job->spec, job->quota.granted));
-  for (guint n = without_grant; n >= unit && !usage->is_exhausted; n -= unit) {
-    /* What is stopped for a later job would go to this one, or be filled by shorter work and
-     * stopped again. */
+  for (guint n = n_ungranted; n >= unit && !usage->is_exhausted; n -= unit) {
+    /* After this no task is stopped for later jobs either: what that frees would go to this job, or
+     * to shorter work that would be preempted again. */
     if (!hr_quota_covers (usage->reclaimed, need) &&
         (starts_soon || !preempt_until_covered (core, job, &usage->reclaimed, need)))
       usage->is_exhausted = TRUE;
@@ -113,7 +118,7 @@
   }
 }
 
-/* What the limits leave once the tasks that are being stopped are gone. */
+/* Sets what each team's limit leaves once the tasks that are being stopped have ended. */
 static void
 reset_reclaimed (HrCore *core)
 {
@@ -121,7 +126,7 @@
     HrTeamUsage *usage = &g_array_index (core->scheduling.team_usage, HrTeamUsage, i);
     usage->reclaimed = usage->is_limited ? usage->limit : hr_quota_unlimited ();
     hr_quota_subtract (&usage->reclaimed, usage->used);
-    hr_quota_add (&usage->reclaimed, usage->ending);
+    hr_quota_add (&usage->reclaimed, usage->stopping);
   }
 }
 
@@ -132,7 +137,7 @@
   for (guint i = 0; i < core->scheduling.waiting_jobs->len; i++) {
     const HrJob *job = core->scheduling.waiting_jobs->pdata[i];
     HrTeamUsage *usage = hr_team_usage (core, job->spec.team);
-    /* A job whose grant is lent lacks a machine; others use its share meanwhile. */
+    /* A job whose grant is lent lacks a machine, not quota; other jobs use its share meanwhile. */
     if (!usage->is_exhausted && !job->quota.grant_lent)
       preempt_for_job (core, usage, job);
   }
--- a/src/coordination/scheduling/quota_reservation.c
+++ b/src/coordination/scheduling/quota_reservation.c
@@ -1,4 +1,4 @@
-/* The reservation of what a team's limit leaves for the first job that does not fit into it. */
+/* Quota reservation: reserves what a team's limit leaves for the first job that does not fit. */
 #include "coordination/scheduling/quota_reservation.h"
 #include "coordination/agents/termination_proof.h"
 #include "coordination/scheduling/estimates.h"
@@ -7,20 +7,20 @@
 #include "coordination/scheduling/placement.h"
 #include "coordination/scheduling/quotas.h"
 
-/* A task of the team, and when its share of the limit is free again. */
+/* The expected release of the quota that a task of the team uses. */
 typedef struct {
-  double end; /* steady time, s; INFINITY: a service */
+  double end; /* monotonic time, s; INFINITY: a service */
   HrQuota quota;
 } Release;
 
 static int
-by_end (gconstpointer left, gconstpointer right)
+compare_by_end (gconstpointer left, gconstpointer right)
 {
   double first = ((const Release *)left)->end, second = ((const Release *)right)->end;
   return first < second ? -1 : first > second;
 }
 
-/* When the task should be proven gone. */
+/* Returns when the task is expected to be proven to have ended; monotonic time, s. */
 static double
 release_at (HrCore *core, const HrJob *job, const HrTask *task)
 {
@@ -46,7 +46,7 @@
   }
 }
 
-/* All tasks of the team, those that end first in front. */
+/* Returns the releases of all placed tasks of the team, by end: (element-type Release). */
 static GArray *
 team_releases (HrCore *core, guint32 team)
 {
@@ -56,7 +56,7 @@
     if (job->spec.team == team && job->tasks)
       append_releases (core, job, releases);
   }
-  g_array_sort (releases, by_end);
+  g_array_sort (releases, compare_by_end);
   return releases;
 }
 
--- a/src/coordination/scheduling/quotas.c
+++ b/src/coordination/scheduling/quotas.c
@@ -1,4 +1,4 @@
-/* Limits of teams: what they let start in a pass, and in which order. */
+/* Limits of teams: grants the starts that each team's limit allows in a pass. */
 #include "coordination/scheduling/quotas.h"
 #include "coordination/agents/termination_proof.h"
 #include "coordination/jobs/class_stats.h"
@@ -14,14 +14,15 @@
 #include "coordination/scheduling/quota_reservation.h"
 #include "coordination/scheduling/start_check.h"
 
-/* A grant lasts for so long without a start, s: where tasks of the job stand in lists (they wait
- * for a boot, mostly), and where none does. Then its share is lent, for a pause that doubles and is
- * long enough for a boot: meanwhile nothing is reserved or stopped for the job. */
+/* How long a job keeps its grant without a start, s: with tasks in lists (these mostly wait for a
+ * machine to boot), and without. */
 #define GRANT_HOLD_S 75.0
 #define GRANT_HOLD_UNPLANNED_S 30.0
+/* How long the share of a lapsed grant is lent, s; doubled each time, up to the maximum. Long
+ * enough for a boot. Meanwhile no quota is reserved and no task is stopped for the job. */
 #define LENDING_PAUSE_S 90.0
 #define MAX_LENDING_PAUSE_S 360.0
-/* A job that a reservation alone has held up for so long gets one start, s. */
+/* A job that only a reservation has delayed for this long gets one start, s. */
 #define MAX_RESERVATION_WAIT_S 60.0
 /* Bits of the set of teams of a class (HrClassStats.teams). */
 #define TEAM_BITS 64
@@ -35,13 +36,14 @@
 guint
 hr_job_start_unit (const HrJob *job)
 {
-  guint whole = job->spec.shape == HR_GANG && !job->run.n_live ? hr_job_idle_tasks (job) : 1;
-  return MAX (whole, 1); /* what waits has a task to start; callers divide by this */
+  guint n = job->spec.shape == HR_GANG && !job->run.n_live ? hr_job_idle_tasks (job) : 1;
+  return MAX (n, 1); /* callers divide by it, so it must not be 0 */
 }
 
-/* A gang that lost a task occupies the machines of the others meanwhile, so it goes first. */
+/* Compares by the order of grants: incomplete gangs first, because their remaining tasks occupy
+ * machines while they wait for a replacement; then by priority, then by deadline. */
 static int
-by_grant (gconstpointer left, gconstpointer right)
+compare_by_grant_order (gconstpointer left, gconstpointer right)
 {
   const HrJob *first = *(HrJob *const *)left, *second = *(HrJob *const *)right;
   gboolean first_incomplete = first->run.gang_incomplete_since > 0;
@@ -50,15 +52,15 @@
     return first_incomplete ? -1 : 1;
   if (hr_job_priority (first) != hr_job_priority (second))
     return hr_job_priority (first) < hr_job_priority (second) ? -1 : 1;
-  return hr_by_deadline (left, right);
+  return hr_compare_by_deadline (left, right);
 }
 
-/* Has the job had its share for long enough without using it? */
+/* Returns whether the job's grant has lapsed, because the job did not use it for too long. */
 static gboolean
 grant_has_lapsed (HrCore *core, HrJob *job)
 {
   HrJobQuota *quota = &job->quota;
-  /* Services stand in no list. */
+  /* Services are never listed. */
   gboolean is_placed = job->plan.n_listed || job->spec.shape == HR_SERVICE;
   double hold = is_placed ? GRANT_HOLD_S : GRANT_HOLD_UNPLANNED_S;
   if (core->now < MAX (quota->lent_until, job->plan.next_scale_out_at))
@@ -70,24 +72,26 @@
   return TRUE;
 }
 
-/* Does the reservation for an earlier job count for this one? Not where it should end before that
- * job can start. */
+/* Returns whether the reservation for an earlier job restricts this job, which is so unless this
+ * job is expected to end before the earlier one can start. */
 static gboolean
-is_behind_reservation (HrCore *core, const HrTeamUsage *usage, const HrJob *job)
+is_restricted_by_reservation (HrCore *core, const HrTeamUsage *usage, const HrJob *job)
 {
   return usage->has_reservation &&
          core->now + hr_estimate_longest_run_time (core, job) > usage->shadow_time;
 }
 
-/* How many units (hr_job_start_unit()) of the job the limit lets start, at most so many. */
+/* Returns how many start units (hr_job_start_unit()) of the job may start under the limit, at most
+ * `max_units`. is_restricted: the result of is_restricted_by_reservation(). */
 static guint
-startable_units (HrCore *core, const HrTeamUsage *usage, HrJob *job, gboolean is_behind, guint most)
+startable_units (HrCore *core, const HrTeamUsage *usage, HrJob *job, gboolean is_restricted,
+                 guint max_units)
 {
   HrQuota unit = hr_quota_of (&job->spec, hr_job_start_unit (job)), available = usage->available;
-  if (is_behind)
+  if (is_restricted)
     available = hr_quota_min (available, usage->backfill);
-  guint n = hr_quota_multiples (available, unit, most);
-  if (!is_behind || n || !hr_quota_multiples (usage->available, unit, 1)) {
+  guint n = hr_quota_multiples (available, unit, max_units);
+  if (!is_restricted || n || !hr_quota_multiples (usage->available, unit, 1)) {
     job->quota.kept_out_since = 0;
     return n;
   }
@@ -96,7 +100,7 @@
   return core->now - job->quota.kept_out_since > MAX_RESERVATION_WAIT_S;
 }
 
-/* Notes the grant, and since when the job could have used it. */
+/* Records the grant, and since when the job could have used it. */
 static void
 set_grant (HrCore *core, HrJob *job, guint granted)
 {
@@ -108,29 +112,30 @@
     job->quota.granted_since = core->now;
 }
 
-/* Hands the job as many starts as the team's limit leaves for it. */
+/* Grants the job as many starts as the team's limit leaves for it. */
 static void
-grant (HrCore *core, HrTeamUsage *usage, HrJob *job)
+grant_starts (HrCore *core, HrTeamUsage *usage, HrJob *job)
 {
-  guint unit = hr_job_start_unit (job), most = hr_job_idle_tasks (job) / unit;
-  gboolean is_behind = is_behind_reservation (core, usage, job);
-  guint n = startable_units (core, usage, job, is_behind, most);
+  guint unit = hr_job_start_unit (job), max_units = hr_job_idle_tasks (job) / unit;
+  gboolean is_restricted = is_restricted_by_reservation (core, usage, job);
+  guint n = startable_units (core, usage, job, is_restricted, max_units);
   set_grant (core, job, n * unit);
   if (job->quota.grant_lent)
-    return; /* others may use what it does not start with */
+    return; /* its share stays available to other jobs */
   if (n) {
     HrQuota granted = hr_quota_of (&job->spec, job->quota.granted);
     hr_quota_subtract (&usage->available, granted);
-    if (is_behind || !usage->has_reservation)
+    if (is_restricted || !usage->has_reservation)
       hr_quota_subtract (&usage->backfill, granted);
   }
-  if (n < most && !usage->has_reservation)
+  if (n < max_units && !usage->has_reservation)
     hr_quota_reserve (core, usage, job);
 }
 
-/* Takes the headroom of one class, as far as its teams' limits leave it. Returns how many tasks. */
+/* Subtracts the headroom of a class from what its teams' limits leave. Returns how many of the
+ * wanted tasks fit. */
 static guint
-take_headroom (HrCore *core, const HrClassStats *stats, guint wanted)
+allocate_headroom (HrCore *core, const HrClassStats *stats, guint wanted)
 {
   guint n = 0;
   for (guint team = 0; team < core->scheduling.team_usage->len && n < wanted; team++) {
@@ -149,8 +154,7 @@
   return n;
 }
 
-/* Headroom for the next arrivals counts only as far as their teams' limits leave it, higher
- * priorities first. */
+/* Limits the headroom of each class to what its teams' limits leave, higher priorities first. */
 static void
 limit_headroom (HrCore *core)
 {
@@ -158,11 +162,11 @@
     for (guint k = 0; k < core->scheduling.class_stats->len; k++) {
       HrClassStats *stats = &g_array_index (core->scheduling.class_stats, HrClassStats, k);
       if (stats->priority == priority)
-        stats->headroom = take_headroom (core, stats, hr_headroom_wanted (core, k));
+        stats->headroom = allocate_headroom (core, stats, hr_headroom_wanted (core, k));
     }
 }
 
-/* The jobs of limited teams that wait, in the order of their grants. */
+/* Collects the waiting jobs of limited teams, in the order of grants. */
 static void
 collect_waiting_jobs (HrCore *core)
 {
@@ -178,7 +182,7 @@
     else
       job->quota.granted_since = job->quota.kept_out_since = 0;
   }
-  g_ptr_array_sort (waiting, by_grant);
+  g_ptr_array_sort (waiting, compare_by_grant_order);
 }
 
 void
@@ -190,7 +194,7 @@
   collect_waiting_jobs (core);
   for (guint i = 0; i < core->scheduling.waiting_jobs->len; i++) {
     HrJob *job = core->scheduling.waiting_jobs->pdata[i];
-    grant (core, hr_team_usage (core, job->spec.team), job);
+    grant_starts (core, hr_team_usage (core, job->spec.team), job);
   }
   limit_headroom (core);
 }
--- a/src/coordination/scheduling/quotas.h
+++ b/src/coordination/scheduling/quotas.h
@@ -1,12 +1,12 @@
-/* Limits of teams: what they let start in a pass, and in which order.
+/* Limits of teams: grants the starts that each team's limit allows in a pass.
  *
- * Each pass hands out what a team's limit leaves to the jobs that wait, by priority, then by
- * deadline; gangs get all or nothing. The plan, scaling and headroom count these grants alone, so
- * no capacity is reserved or requested for what the limit holds up. What the first job that does
- * not fit leaves over is reserved for it (quota_reservation.h).
+ * Each pass grants the remaining quota of a team to its waiting jobs, by priority, then by
+ * deadline; gangs get all or nothing. The plan, scaling and headroom only consider granted tasks,
+ * so no capacity is reserved or requested for tasks that the limit does not let start. The quota
+ * that is left at the first job that does not fit is reserved for it (quota_reservation.h).
  *
- * A grant that is not used for some time is lent: others may use that share for a pause, while the
- * job itself may still start.
+ * A grant that is not used for some time is lent: other jobs may use its share for a limited time,
+ * while the job itself may still start.
  */
 #pragma once
 #include "coordination/scheduling/team_usage.h"
@@ -15,22 +15,23 @@
 /**
  * hr_quotas_pass:
  *
- * Counts what each team uses and hands out what the limits leave. Begins each pass; does nothing
- * before the machine types are known.
+ * Counts what each team uses and grants what the limits leave. Called at the beginning of each
+ * pass; does nothing before the machine types are known.
  */
 void hr_quotas_pass (HrCore *core);
 
 /**
  * hr_quotas_task_started:
  *
- * Notes that a task of the job was assigned: it uses one start of the job's grant.
+ * Records that a task of the job was assigned, which uses one start of the job's grant.
  */
 void hr_quotas_task_started (HrCore *core, HrJob *job);
 
 /**
  * hr_quotas_granted:
  *
- * Returns: how many more tasks of the job its team's limit lets start now; %G_MAXUINT: no limit.
+ * Returns: how many more tasks of the job may start now under its team's limit; %G_MAXUINT if the
+ * team has none.
  */
 guint hr_quotas_granted (HrCore *core, const HrJob *job);
 
@@ -44,7 +45,8 @@
 /**
  * hr_job_start_unit:
  *
- * Returns: how many tasks start at once or not at all; at least one. For a gang these are all of
- * its tasks; for other jobs, and for a gang that lost tasks before its start, one.
+ * Returns: the size of the job's start unit, the number of tasks that start together or not at all;
+ * at least one. For a gang without live tasks these are all of its tasks; for other jobs, and for a
+ * gang that lost tasks before its start, one.
  */
 guint hr_job_start_unit (const HrJob *job);
--- a/src/coordination/scheduling/resources.h
+++ b/src/coordination/scheduling/resources.h
@@ -1,20 +1,20 @@
 /* Arithmetic on amounts of a machine's capacity (HrResources): processors, accelerators and memory
  * in GB.
  *
- * Pure functions for scheduling and scaling. They are inline: a planning pass calls them for every
- * task and machine. Amounts are sums of many terms, so what is compared with a need is given a
- * tolerance; hr_resources_at_least() is the one exact comparison.
+ * Pure functions for scheduling and scaling. They are inline because a planning pass calls them for
+ * every task and machine. Amounts are sums of many terms, so comparisons have a tolerance;
+ * hr_resources_at_least() is the only exact one.
  */
 #pragma once
 #include "bookkeeping/tables.h"
 
-/* What rounding may take off an amount that was added to and subtracted from many times. */
+/* Tolerance for rounding errors in an amount after many additions and subtractions. */
 #define HR_RESOURCE_TOLERANCE 1e-6
 
 /**
  * hr_resources_of_task:
  *
- * Returns: what one task of a job takes.
+ * Returns: the resources of one task of a job.
  */
 static inline HrResources
 hr_resources_of_task (const HrJobSpec *spec)
@@ -36,7 +36,7 @@
 /**
  * hr_resources_of_class:
  *
- * Returns: what a task of the class took lately.
+ * Returns: the resources of recent tasks of the class.
  */
 static inline HrResources
 hr_resources_of_class (const HrClassStats *stats)
@@ -97,7 +97,7 @@
 /**
  * hr_resources_at_least:
  *
- * Returns: whether no member of @left is smaller than that of @right, without a tolerance.
+ * Returns: whether every member of @left is at least that of @right, without a tolerance.
  */
 static inline gboolean
 hr_resources_at_least (HrResources left, HrResources right)
@@ -108,8 +108,8 @@
 /**
  * hr_machine_unused:
  *
- * Returns: what no task uses, neither one that is assigned to the machine nor one that the agent
- * reports and that should not be there.
+ * Returns: the capacity that is used neither by tasks that are assigned to the machine nor by
+ * unrecognized tasks, which the agent reports although they should not be there.
  */
 static inline HrResources
 hr_machine_unused (const HrMachine *machine)
@@ -122,7 +122,7 @@
 /**
  * hr_machine_unreserved:
  *
- * Returns: what no task uses and what is not reserved for services either.
+ * Returns: the unused capacity that is not reserved for services.
  */
 static inline HrResources
 hr_machine_unreserved (const HrMachine *machine)
--- a/src/coordination/scheduling/scheduling_state.h
+++ b/src/coordination/scheduling/scheduling_state.h
@@ -1,32 +1,34 @@
-/* The scheduler's state, which outlives a planning pass (scheduling/). Steady time, s.
+/* The scheduler's state, which is kept between planning passes. Times are monotonic time, s.
  */
 #pragma once
 #include "coordination/scheduling/quota.h"
 
-/* A team in one pass (team_usage.c, quotas.c, quota_reservation.c, quota_preemption.c). */
+/* The quota usage of a team in one pass (team_usage.c, quotas.c, quota_reservation.c,
+ * quota_preemption.c). */
 typedef struct {
   gboolean is_limited;
-  HrQuota limit;         /* INFINITY where there is none */
-  HrQuota used;          /* by every task that is not proven gone */
-  HrQuota ending;        /* of that, by tasks that are being stopped */
-  HrQuota available;     /* of the limit, not granted yet */
-  HrQuota backfill;      /* of that, what the reservation leaves to work without an end in time */
-  HrQuota reclaimed;     /* left over, or soon free, while work is preempted */
-  gboolean is_exhausted; /* a job found too little in `reclaimed` */
-  gboolean has_reservation; /* what is available is reserved for a job that the limit holds up */
-  double shadow_time; /* running work should leave enough for that job by then; INFINITY: unknown */
+  HrQuota limit;            /* INFINITY: not limited */
+  HrQuota used;             /* by all tasks that are not proven to have ended */
+  HrQuota stopping;         /* the part of `used` that belongs to tasks that are being stopped */
+  HrQuota available;        /* the part of the limit that is neither used nor granted */
+  HrQuota backfill;         /* the part of `available` for jobs that don't end by the shadow time */
+  HrQuota reclaimed;        /* during preemption: quota that is free or is being freed */
+  gboolean is_exhausted;    /* `reclaimed` did not suffice for a job */
+  gboolean has_reservation; /* `available` is reserved for the first job that does not fit */
+  double shadow_time;       /* when enough quota is expected to be free for it; INFINITY: unknown */
 } HrTeamUsage;
 
+/* The scheduler's state. */
 typedef struct {
   GArray *class_stats;           /* HrClassStats by class index */
   GArray *team_usage;            /* HrTeamUsage by team, as of this pass */
-  GPtrArray *waiting_jobs;       /* HrJob of limited teams, in the order of their grants */
-  gboolean guaranteed_job_waits; /* a job within its team's guarantee waits for capacity */
+  GPtrArray *waiting_jobs;       /* HrJob of limited teams, in the order of grants */
+  gboolean guaranteed_job_waits; /* a job that reclaims its team's guarantee waits for capacity */
   gboolean plan_is_stale;        /* a pass is due */
   guint n_shards;
-  double planned_at; /* when the latest pass began */
+  double planned_at; /* start of the latest pass */
   gboolean planned_in_this_step;
-  double pass_duration_s; /* of the latest step with a pass; 0: not known */
+  double pass_duration_s; /* duration of the latest step with a pass; 0: unknown */
   double next_starvation_check_at;
-  guint booting_machines; /* at the latest pass; for metrics */
+  guint booting_machines; /* number at the latest pass, for metrics */
 } HrScheduling;
--- a/src/coordination/scheduling/service_replicas.c
+++ b/src/coordination/scheduling/service_replicas.c
@@ -1,4 +1,4 @@
-/* Where the replicas of services start. */
+/* Starts of service replicas. */
 #include "coordination/scheduling/service_replicas.h"
 #include "coordination/jobs/class_stats.h"
 #include "coordination/scaling/fleet.h"
@@ -16,13 +16,14 @@
 #include <math.h>
 
 /* Weights in a machine's score for a replica; the highest score is best. */
-#define SCORE_PER_FETCH_S 10   /* taken off for each second of the image fetch */
-#define SCORE_PER_HOME_S 10    /* for each second that the controllers' own zone is worth */
-#define SCORE_PER_TASK 10      /* fuller machines first */
-#define SCORE_LAST_SLOT 1000   /* taken off where slots are short and a fetch would take the last */
-#define SCORE_PER_FREE_CPU 0.1 /* taken off; a free accelerator counts as ten processors */
+#define SCORE_PER_FETCH_S 10   /* subtracted per second of the image fetch */
+#define SCORE_PER_HOME_S 10    /* added per second of HR_HOME_S in the controllers' zone */
+#define SCORE_PER_TASK 10      /* added per task on the machine: fuller machines first */
+#define SCORE_LAST_SLOT 1000   /* subtracted if slots are short and a fetch would use the last */
+#define SCORE_PER_FREE_CPU 0.1 /* subtracted; a free accelerator counts as ten processors */
 
-/* Time left until the next objective for the start of the class's tasks is missed. */
+/* Returns the time left until the job misses the next start objective of its class that it can
+ * still meet, s; INFINITY: there is none. */
 static double
 time_to_objective (const HrCore *core, const HrJob *job)
 {
@@ -37,7 +38,8 @@
   return left;
 }
 
-/* Would so many more replicas fit there, once batch work was preempted? */
+/* Returns whether this many more replicas would fit on the machine if all tasks other than services
+ * were preempted. */
 static gboolean
 has_slots (const HrCore *core, const HrJobSpec *spec, const HrMachine *machine, guint replicas)
 {
@@ -46,7 +48,7 @@
   return hr_resources_cover (hr_resources_of_type (hr_machine_type_of (core, machine)), services);
 }
 
-/* The shortest time in which any machine type fetches the job's image. */
+/* Returns the shortest time in which any machine type fetches the job's image, s. */
 static double
 shortest_fetch (const HrCore *core, const HrJob *job)
 {
@@ -58,7 +60,7 @@
   return fetch;
 }
 
-/* Does a replica start in time for its class's objective where the image has to be fetched? */
+/* Returns whether a replica meets its class's wait objectives even if the image must be fetched. */
 static gboolean
 fetch_is_in_time (const HrCore *core, const HrJob *job)
 {
@@ -71,7 +73,7 @@
   return shortest_fetch (core, job) + HR_PREEMPTION_S <= within;
 }
 
-/* The machines with the job's image on which one more replica would fit. */
+/* Returns the number of machines with the job's image on which one more replica would fit. */
 static guint
 count_slots_with_image (const HrCore *core, const HrJob *job)
 {
@@ -86,15 +88,16 @@
   return n;
 }
 
-/* The next arrivals need slots where their image is. Are there too few for this image? Machines
- * full of replicas have none, however well the image is cached there. */
+/* Returns whether there are too few slots on machines with the job's image for the expected
+ * arrivals with that image. Machines that are full of replicas have no slot, even if the image is
+ * cached there. */
 static gboolean
 is_short_of_slots (HrCore *core, const HrJob *job)
 {
   const HrClassStats *stats = hr_class_stats (core, job->spec.job_class);
   double weight = 0, own = 0;
   if (fetch_is_in_time (core, job))
-    return FALSE; /* cheaper than keeping slots free */
+    return FALSE; /* fetching is cheaper than keeping slots free */
   for (guint i = 0; i < stats->n_images; i++) {
     weight += stats->images[i].weight;
     if (stats->images[i].image == job->spec.image)
@@ -104,26 +107,27 @@
                            hr_headroom (core, job->spec.job_class) * own / weight;
 }
 
-/* The sooner its image is there the better; then fuller machines first, so that others fall empty
- * and can be returned. */
+/* Returns the machine's score for a replica. A shorter image fetch is better; then a fuller
+ * machine, so that other machines become idle and can be returned. */
 static double
 score_machine (const HrCore *core, const HrJob *job, const HrMachine *machine, gboolean is_short)
 {
   double fetch = hr_estimate_fetch_time (core, job, machine);
   gboolean takes_last_slot = is_short && fetch > 0 && !has_slots (core, &job->spec, machine, 2);
-  /* Behind a cut of the controllers' own zone its workers still hear the leader. */
+  /* If the controllers' zone is cut off from the other zones, its workers still reach the leader.
+   */
   double home = machine->zone == core->settings->home ? HR_HOME_S * SCORE_PER_HOME_S : 0;
   return home - SCORE_PER_FETCH_S * fetch - (takes_last_slot ? SCORE_LAST_SLOT : 0) +
          machine->tasks->len * SCORE_PER_TASK -
          (machine->free.gpus + machine->free.cpus * SCORE_PER_FREE_CPU);
 }
 
-/* The machine with the best score on which a replica can start now; NULL: there is none. */
+/* Returns the machine with the best score on which a replica can start now; NULL: there is none. */
 static HrMachine *
 best_free_machine (HrCore *core, const HrJob *job, const GPtrArray *machines, gboolean is_short)
 {
   HrMachine *best = NULL;
-  double most = 0;
+  double best_score = 0;
   if (hr_start_check_job (core, job, 1) != HR_START_OK)
     return NULL;
   for (guint n = 0; n < machines->len; n++) {
@@ -131,15 +135,16 @@
     if (hr_start_check_machine (core, job, machine) != HR_START_OK)
       continue;
     double score = score_machine (core, job, machine, is_short);
-    if (!best || score > most) {
-      most = score;
+    if (!best || score > best_score) {
+      best_score = score;
       best = machine;
     }
   }
   return best;
 }
 
-/* Would a replica on the machine (NULL: there is none) miss the next objective for its start? */
+/* Returns whether a replica on the machine (NULL: there is none) would miss the next start
+ * objective. */
 static gboolean
 misses_objective (HrCore *core, const HrJob *job, const HrMachine *machine)
 {
@@ -148,8 +153,8 @@
          (!machine || hr_estimate_fetch_time (core, job, machine) + HR_PREEMPTION_S > left);
 }
 
-/* The machine for the job's next replica; NULL: there is none. Batch tasks may be preempted there.
- */
+/* Returns the machine for the job's next replica; NULL: there is none. May preempt batch tasks on
+ * that machine. */
 static HrMachine *
 machine_for_replica (HrCore *core, HrJob *job, const GPtrArray *machines, gboolean is_short)
 {
@@ -169,7 +174,7 @@
       continue;
     HrMachine *machine = machine_for_replica (core, job, machines, is_short);
     if (!machine) {
-      job->plan.shard = HR_NONE; /* not in its shard: any machine may */
+      job->plan.shard = HR_NONE; /* no machine of its shard: allow all shards */
       break;
     }
     hr_resources_add (&machine->services, hr_resources_of_task (&job->spec));
--- a/src/coordination/scheduling/service_replicas.h
+++ b/src/coordination/scheduling/service_replicas.h
@@ -1,13 +1,14 @@
-/* Where the replicas of services start. They stand in no list of the plan: a replica has no end.
+/* Starts of service replicas. Replicas are not in the lists of the plan, because they have no end.
  */
 #pragma once
 #include "coordination/state.h"
 
 /**
  * hr_replicas_start:
- * @services: (element-type HrJob): in the order in which they are served
+ * @services: (element-type HrJob): the services with waiting replicas, by priority
  *
- * Starts the replicas that wait, where capacity is free, or where batch tasks can be preempted on a
- * machine with the image and a fetch would take too long. Called first in a dispatch pass.
+ * Starts waiting replicas on machines with free capacity. If the image fetch there would miss an
+ * objective of the class, batch tasks are preempted on a machine that has the image cached. Called
+ * at the beginning of a dispatch pass.
  */
 void hr_replicas_start (HrCore *core, GPtrArray *services);
--- a/src/coordination/scheduling/service_reservations.c
+++ b/src/coordination/scheduling/service_reservations.c
@@ -1,4 +1,4 @@
-/* Reservations for services, which stand in no list of the plan. */
+/* Capacity reservations for services, whose replicas are not in the lists of the plan. */
 #include "coordination/scheduling/service_reservations.h"
 #include "coordination/scaling/headroom.h"
 #include "coordination/scheduling/lookups.h"
@@ -15,11 +15,11 @@
   return n;
 }
 
-/* Which machines a reservation for a class may be on. */
+/* Selects the machines on which capacity for a class may be reserved. */
 typedef struct {
   const HrClassStats *stats;
-  guint32 image;      /* cached there; HR_NONE: any */
-  gboolean busy_only; /* with tasks on them */
+  guint32 image;      /* machines that have it cached; HR_NONE: all */
+  gboolean busy_only; /* only machines with tasks */
 } ReservationFilter;
 
 static gboolean
@@ -33,7 +33,7 @@
          (filter->image == HR_NONE || hr_machine_has_image (machine, filter->image));
 }
 
-/* Reserves capacity for n tasks of a class. Returns how many found none. */
+/* Reserves capacity for up to n tasks of a class. Returns how many did not fit. */
 static guint
 reserve_for_class (HrCore *core, ReservationFilter filter, guint n)
 {
@@ -46,6 +46,7 @@
   return n;
 }
 
+/* Clears the machine's reservation and sums up the resources of its service tasks. */
 static void
 count_services (HrCore *core, HrMachine *machine)
 {
@@ -58,7 +59,7 @@
   }
 }
 
-/* Replicas that wait have their capacity on the machines that come up next. */
+/* Reserves capacity for the service's waiting replicas on machines that are booting. */
 static void
 reserve_on_booting_machines (HrCore *core, const HrJob *job)
 {
@@ -71,9 +72,9 @@
   }
 }
 
-/* Reserves the headroom of a class: first where images are that the next arrivals may need, as a
- * replica starts there at once; then where others run already, as whole machines are for those who
- * need them. */
+/* Reserves the headroom of a service class: first on machines with the images that the next
+ * arrivals may need, because a replica starts there without a fetch; then on machines with running
+ * tasks, so that empty machines stay free for tasks that need a whole machine. */
 static void
 reserve_headroom (HrCore *core, guint32 job_class)
 {
--- a/src/coordination/scheduling/service_reservations.h
+++ b/src/coordination/scheduling/service_reservations.h
@@ -1,4 +1,4 @@
-/* Reservations for services, which stand in no list of the plan.
+/* Capacity reservations for services, whose replicas are not in the lists of the plan.
  */
 #pragma once
 #include "coordination/state.h"
@@ -6,9 +6,9 @@
 /**
  * hr_reserve_for_services:
  *
- * Sets on each machine what services use there and what is reserved for them: for replicas that
- * wait for a boot, on the machines that come up next, and for the next arrivals (headroom), where
- * their images are. Lists are projected, and started, without that capacity. Called at the
- * beginning of a planning pass.
+ * Sets for each machine the capacity that services use and the capacity that is reserved for them.
+ * Capacity for waiting replicas is reserved on booting machines, and capacity for the next arrivals
+ * (headroom) preferably on machines with their images. Tasks in lists are neither projected nor
+ * started on reserved capacity. Called at the beginning of a planning pass.
  */
 void hr_reserve_for_services (HrCore *core);
--- a/src/coordination/scheduling/shards.c
+++ b/src/coordination/scheduling/shards.c
@@ -1,10 +1,10 @@
-/* Shards of the plan. */
+/* Shards of the plan, which limit the cost of a pass over a large fleet. */
 #include "coordination/scheduling/shards.h"
 #include "coordination/scheduling/placement.h"
 #include "coordination/scheduling/resources.h"
 #include "coordination/scheduling/team_usage.h"
 
-/* The final mix of MurmurHash3 (Appleby), so that each shard ranks the machines independently. */
+/* The finalizer of MurmurHash3 (Appleby); it makes the shards' rankings of machines independent. */
 static guint32
 mix (guint32 hash)
 {
@@ -17,11 +17,11 @@
 hr_shard_of (const char *machine, guint n_shards)
 {
   const guint32 golden_ratio = 0x9e3779b9u;
-  guint32 best = 0, most = 0, base = g_str_hash (machine);
+  guint32 best = 0, max_hash = 0, base = g_str_hash (machine);
   for (guint i = 0; i < n_shards; i++) {
     guint32 hash = mix (base ^ (i + 1) * golden_ratio);
-    if (i == 0 || hash > most) {
-      most = hash;
+    if (i == 0 || hash > max_hash) {
+      max_hash = hash;
       best = i;
     }
   }
@@ -41,7 +41,7 @@
   }
 }
 
-/* How many tasks of the job fit on the machine now. */
+/* Returns how many tasks of the job fit on the machine now. */
 static guint
 task_slots (const HrMachine *machine, const HrJobSpec *spec)
 {
@@ -53,8 +53,9 @@
   return n;
 }
 
-/* Jobs of teams with a limit, and those that are tied to zones, are not held to a shard. Nor are
- * services: they stand in no list, and would keep a machine open in each shard. */
+/* Returns whether the job may use all shards. Jobs of limited teams, gangs and jobs with zone
+ * constraints are not restricted to a shard. Neither are services: they are not in lists, and would
+ * keep a machine in use in each shard. */
 static gboolean
 needs_no_shard (const HrCore *core, const HrJob *job)
 {
@@ -77,8 +78,8 @@
     if (hr_job_allows_machine (core, job, machine))
       slots[machine->plan.shard] += task_slots (machine, &job->spec);
   }
-  /* Only a shard that holds all of it: the tasks of an array held to a full shard would wait beside
-   * free capacity in others. */
+  /* The shard must have capacity for the whole job: otherwise some of its tasks would wait for
+   * capacity in this shard while other shards have free capacity. */
   for (guint i = 0; i < core->scheduling.n_shards; i++)
     if (slots[i] >= job->n_tasks &&
         (job->plan.shard == HR_NONE || slots[i] > slots[job->plan.shard]))
--- a/src/coordination/scheduling/start_check.c
+++ b/src/coordination/scheduling/start_check.c
@@ -1,4 +1,4 @@
-/* Whether a task may start now, and on this machine. */
+/* Decides whether a task may start now on a given machine. */
 #include "coordination/scheduling/start_check.h"
 #include "coordination/scheduling/guarantees.h"
 #include "coordination/scheduling/placement.h"
--- a/src/coordination/scheduling/starts.c
+++ b/src/coordination/scheduling/starts.c
@@ -1,4 +1,4 @@
-/* Starting tasks: the step from the plan to an assignment. */
+/* Starting tasks: turns planned tasks into assignments to machines. */
 #include "coordination/scheduling/starts.h"
 #include "coordination/jobs/gang_scheduling.h"
 #include "coordination/jobs/task_lifecycle.h"
@@ -18,7 +18,7 @@
 {
   const HrTask *task = &job->tasks[task_index];
   if (task->is_listed) {
-    hr_task_unplan (job, task_index);
+    hr_task_mark_unlisted (job, task_index);
     hr_list_remove (hr_machine_by_index (core, task->listed_on),
                     (HrTaskRef){job->index, task_index});
   }
@@ -34,7 +34,8 @@
   start_attempt (core, job, task_index, machine, last_attempt + 1);
 }
 
-/* The machine in whose list the gang's task stands, if it can start there now; else NULL. */
+/* Returns the machine in whose list the gang's task is, if the task can start there now; otherwise
+ * NULL. */
 static HrMachine *
 startable_listed_machine (HrCore *core, const HrJob *job, const HrTask *task)
 {
@@ -61,7 +62,7 @@
   return TRUE;
 }
 
-/* The attempt of the gang's tasks that are not lost. */
+/* Returns the attempt number of the gang's tasks that are not lost. */
 static guint32
 attempt_of_gang (const HrJob *job)
 {
@@ -72,7 +73,8 @@
   return attempt;
 }
 
-/* The machine for a lost task of a gang: where its image is there soonest. NULL: there is none. */
+/* Returns the machine with the shortest image fetch for a lost task of a gang; NULL: there is none.
+ */
 static HrMachine *
 replacement_machine (HrCore *core, const HrJob *job, const HrTask *task)
 {
@@ -81,7 +83,8 @@
     return NULL;
   for (guint i = 0; i < core->scaling.fleet->len; i++) {
     HrMachine *machine = core->scaling.fleet->pdata[i];
-    /* Where it was refused, the same attempt would be taken for the refused one. */
+    /* The machine where the task was lost is excluded: the new start has the same attempt number
+     * and would be mistaken for the attempt that was refused there. */
     if (machine->index == task->placement.machine ||
         hr_start_check_machine (core, job, machine) != HR_START_OK)
       continue;
@@ -105,7 +108,7 @@
       is_complete = FALSE;
       continue;
     }
-    g_info ("%s/%u was lost before the gang's start; it starts on %s instead", job->id, k,
+    g_info ("task %s/%u was lost before its gang started; starting it on %s instead", job->id, k,
             machine->name);
     start_attempt (core, job, k, machine, attempt);
   }
--- a/src/coordination/scheduling/starvation_guard.c
+++ b/src/coordination/scheduling/starvation_guard.c
@@ -1,4 +1,4 @@
-/* Array tasks that wait beside free capacity. */
+/* Limits how long batch tasks wait despite free capacity. */
 #include "coordination/scheduling/starvation_guard.h"
 #include "coordination/scheduling/guarantees.h"
 #include "coordination/scheduling/lookups.h"
@@ -6,9 +6,9 @@
 #include "coordination/scheduling/start_check.h"
 #include "coordination/scheduling/starts.h"
 
-/* How long a task waits beside free capacity before it gets that, s. */
+/* How long a task waits despite free capacity before it gets that capacity, s. */
 #define STARVATION_LIMIT_S 60.0
-/* How often jobs are looked at, s. */
+/* Time between two checks of all jobs, s. */
 #define CHECK_INTERVAL_S 1.0
 
 static gboolean
@@ -18,7 +18,7 @@
          hr_team_allows_start (core, job, 1);
 }
 
-/* Is there free capacity for a task, reserved or not? */
+/* Returns whether there is free capacity for a task of the job on the machine, reserved or not. */
 static gboolean
 fits_now (HrCore *core, const HrJob *job, const HrMachine *machine)
 {
@@ -26,15 +26,15 @@
   return verdict == HR_START_OK || verdict == HR_START_RESERVED;
 }
 
-/* The machine with free capacity where the job's next task would be done first; NULL: there is
- * none. any: the first one found will do. */
+/* Returns the best machine with free capacity for a task of the job (hr_batch_machine_better());
+ * NULL: there is none. first_fit: return the first one that is found instead of the best one. */
 static HrMachine *
-find_free_machine (HrCore *core, HrJob *job, const GPtrArray *machines, gboolean any)
+find_free_machine (HrCore *core, HrJob *job, const GPtrArray *machines, gboolean first_fit)
 {
   HrMachine *best = NULL;
   guint32 shard = job->plan.shard;
   job->plan.shard = HR_NONE; /* free capacity in any shard counts */
-  for (guint i = 0; i < machines->len && !(best && any); i++) {
+  for (guint i = 0; i < machines->len && !(best && first_fit); i++) {
     HrMachine *machine = machines->pdata[i];
     if (fits_now (core, job, machine) &&
         (!best || hr_batch_machine_better (core, job, machine, best)))
@@ -44,7 +44,7 @@
   return best;
 }
 
-/* Starts as many of the job's tasks as there is free capacity for. */
+/* Starts as many of the job's tasks as fit into free capacity. */
 static void
 start_on_free_capacity (HrCore *core, HrJob *job, const GPtrArray *machines)
 {
@@ -58,11 +58,12 @@
     hr_start_task (core, job, k, machine);
     started++;
   }
-  g_info ("%s waited %.0f s beside free capacity; %u of its tasks start there", job->id,
+  g_info ("job %s waited %.0f s despite free capacity; started %u of its tasks there", job->id,
           STARVATION_LIMIT_S, started);
 }
 
-/* Does the job need at least as much as one that found no machine, with no wider choice? */
+/* Returns whether a job is at least as hard to place as one that found no machine: it needs at
+ * least as much and is at least as restricted in its choice of machines. */
 static gboolean
 is_harder_to_place (const HrJobSpec *spec, const HrJobSpec *failed)
 {
@@ -78,7 +79,8 @@
     return;
   core->scheduling.next_starvation_check_at = core->now + CHECK_INTERVAL_S;
   g_autoptr (GPtrArray) machines = hr_machines_with_capacity (core);
-  /* Of the latest job without a machine: where many wait, others like it follow. */
+  /* The specification of the latest job that found no machine: when many jobs wait, similar jobs
+   * follow, and are then skipped without a search. */
   const HrJobSpec *failed = NULL;
   for (guint i = 0; i < core->store.tables.open_jobs->len; i++) {
     HrJob *job = hr_open_job (core, i);
--- a/src/coordination/scheduling/starvation_guard.h
+++ b/src/coordination/scheduling/starvation_guard.h
@@ -1,12 +1,12 @@
-/* A bound on how long array tasks wait beside free capacity.
+/* Limits how long batch tasks wait despite free capacity.
  *
  * Capacity is reserved for the next replicas of services (service_reservations.c), for tasks that
  * are due earlier on the same machine (dispatch.c), and for the jobs of a machine's own shard
- * (shards.c). No instance is requested either for what is projected to start soon. Where such a
- * projection slips from pass to pass, a task could wait for ever. After a minute beside free
- * capacity that it fits into, a task gets that, whatever it is reserved for. Headroom for replicas
- * is then found or requested anew (scaling/headroom.c), and a replica that comes meanwhile preempts
- * batch work as before (preemption.c).
+ * (shards.c). In addition, no instance is requested for a task that is projected to start soon. If
+ * its projected start is postponed from pass to pass, the task could wait indefinitely. After a
+ * minute with free capacity that it fits into, a task gets that capacity, whatever it is reserved
+ * for. Headroom for replicas is then reserved elsewhere or requested again (scaling/headroom.c),
+ * and a replica that arrives in the meantime preempts batch tasks as usual (preemption.c).
  */
 #pragma once
 #include "coordination/state.h"
@@ -14,7 +14,7 @@
 /**
  * hr_starvation_guard_tick:
  *
- * Called in each dispatch pass once the plan's own starts are made, by a leader that may record
- * starts.
+ * Starts the tasks that have waited too long despite free capacity. Called in each dispatch pass
+ * after the starts from the plan, by a leader that may record starts.
  */
 void hr_starvation_guard_tick (HrCore *core);
--- a/src/coordination/scheduling/tabu.c
+++ b/src/coordination/scheduling/tabu.c
@@ -10,12 +10,12 @@
 /* Total tardiness below which there is nothing to improve, s. */
 #define MIN_TARDINESS_S 1e-6
 
-/* A search under way. */
+/* The state of a search. */
 typedef struct {
   GPtrArray *lists;    /* HrMachine */
-  gboolean *is_source; /* by list: a task of it may move */
-  gboolean *is_target; /* by list: a task may move there */
-  GArray *tabu;        /* HrTaskRef that found no target, oldest first */
+  gboolean *is_source; /* by list: tasks may be moved from it */
+  gboolean *is_target; /* by list: tasks may be moved to it */
+  GArray *tabu;        /* HrTaskRef of tasks without a target, oldest first */
   double tardiness;    /* of the whole plan */
 } TabuSearch;
 
@@ -47,11 +47,12 @@
 add_tabu (const HrCore *core, GArray *tabu, HrTaskRef ref)
 {
   if (tabu->len >= core->policy.tabu_jobs && tabu->len)
-    g_array_remove_index (tabu, 0); /* oldest out first */
+    g_array_remove_index (tabu, 0); /* the oldest */
   g_array_append_val (tabu, ref);
 }
 
-/* The tardiest list that a task may move from; HR_NONE: there is none. */
+/* Returns the index of the tardiest non-empty list that tasks may be moved from; HR_NONE: there is
+ * none. */
 static guint
 choose_source (const TabuSearch *search)
 {
@@ -65,23 +66,23 @@
   return best;
 }
 
-/* The most tardy task of the list; its job is HR_NONE where there is none. Gangs stay: their slots
- * hang together. */
+/* Returns the most tardy task of the list that is not tabu; its job is HR_NONE if there is none.
+ * Tasks of gangs are not moved, because the slots of a gang have a common start. */
 static HrTaskRef
 most_tardy_task (HrCore *core, const TabuSearch *search, HrMachine *machine)
 {
   const GArray *list = machine->plan.list;
   double *starts = hr_projection_scratch (list->len);
   HrTaskRef worst = {HR_NONE, 0};
-  double most = 0;
+  double max_lateness = 0;
   hr_project_list (core, machine, starts);
   for (guint i = 0; i < list->len; i++) {
     HrTaskRef ref = g_array_index (list, HrTaskRef, i);
     const HrJob *job = hr_job_of_task (core, ref);
     double run_time = hr_estimate_run_time (core, job, machine);
     double lateness = hr_task_lateness (core, job, starts[i], run_time);
-    if (lateness > most && job->spec.shape != HR_GANG && !is_tabu (search->tabu, ref)) {
-      most = lateness;
+    if (lateness > max_lateness && job->spec.shape != HR_GANG && !is_tabu (search->tabu, ref)) {
+      max_lateness = lateness;
       worst = ref;
     }
   }
@@ -96,7 +97,8 @@
           left->plan.ready_at < right->plan.ready_at);
 }
 
-/* The least tardy list that may take the job's task; HR_NONE: there is none. */
+/* Returns the index of the least tardy list that may take a task of the job; HR_NONE: there is
+ * none. */
 static guint
 choose_target (const HrCore *core, const TabuSearch *search, const HrJob *job, guint source)
 {
@@ -125,8 +127,8 @@
   hr_list_insert (core, to, ref);
 }
 
-/* Moves the task, and back where that does not make the two lists better. Returns whether it
- * stayed; then the plan's tardiness is adjusted. */
+/* Moves the task, and undoes the move unless it improves the score of the two lists. Returns
+ * whether the move was kept; then the tardiness of the search is updated. */
 static gboolean
 evaluate_move (HrCore *core, TabuSearch *search, HrTaskRef ref, HrMachine *from, HrMachine *to)
 {
@@ -145,7 +147,7 @@
   return FALSE;
 }
 
-/* Tries one move. Returns FALSE where there is no list left to move from. */
+/* Tries one move. Returns FALSE if there is no list left to move tasks from. */
 static gboolean
 search_round (HrCore *core, TabuSearch *search)
 {
@@ -168,7 +170,7 @@
     allow_all (search->is_source, n);
     allow_all (search->is_target, n);
   } else
-    search->is_target[target] = FALSE; /* until a move stays */
+    search->is_target[target] = FALSE; /* until allow_all() resets the targets */
   return TRUE;
 }
 
--- a/src/coordination/scheduling/task_lists.c
+++ b/src/coordination/scheduling/task_lists.c
@@ -1,4 +1,4 @@
-/* The lists of the plan: one per machine. */
+/* The lists of the plan: one per machine, in deadline order. */
 #include "coordination/scheduling/task_lists.h"
 #include "coordination/scheduling/lookups.h"
 #include "coordination/scheduling/projection.h"
@@ -40,7 +40,7 @@
 }
 
 void
-hr_task_unplan (HrJob *job, guint32 task_index)
+hr_task_mark_unlisted (HrJob *job, guint32 task_index)
 {
   if (!job->tasks || !job->tasks[task_index].is_listed)
     return;
@@ -49,19 +49,19 @@
 }
 
 void
-hr_job_unplan (HrCore *core, HrJob *job)
+hr_job_unlist_tasks (HrCore *core, HrJob *job)
 {
   for (guint32 i = 0; job->tasks && job->plan.n_listed && i < job->n_tasks; i++) {
     if (!job->tasks[i].is_listed)
       continue;
     HrMachine *machine = hr_machine_by_index (core, job->tasks[i].listed_on);
     hr_list_remove (machine, (HrTaskRef){job->index, i});
-    hr_task_unplan (job, i);
+    hr_task_mark_unlisted (job, i);
   }
 }
 
 void
-hr_list_append (HrCore *core, HrMachine *machine, GArray *listed)
+hr_append_listed_tasks (HrCore *core, HrMachine *machine, GArray *listed)
 {
   const GArray *list = machine->plan.list;
   if (!list->len)
--- a/src/coordination/scheduling/task_lists.h
+++ b/src/coordination/scheduling/task_lists.h
@@ -1,7 +1,7 @@
-/* The lists of the plan: one per machine, with unstarted tasks in the order of their deadlines.
+/* The lists of the plan: one per machine, with the tasks to start there in deadline order.
  *
- * A task stands in one list at most; HrTask.is_listed and HrJobPlan.n_listed agree with the lists
- * whenever a function of this module returns, except where it says so.
+ * A task is in at most one list. HrTask.is_listed and HrJobPlan.n_listed are consistent with the
+ * lists whenever a function of this module returns, unless its documentation says otherwise.
  */
 #pragma once
 #include "coordination/scheduling/plan.h"
@@ -10,7 +10,7 @@
 /**
  * hr_list_position:
  *
- * Returns: where a task of the job belongs in the machine's list: behind those with the same
+ * Returns: the position of a task of the job in the machine's list, after the tasks with the same
  * deadline.
  */
 guint hr_list_position (const HrCore *core, const HrMachine *machine, const HrJob *job);
@@ -18,39 +18,40 @@
 /**
  * hr_list_insert:
  *
- * Puts the task into the machine's list.
+ * Inserts the task into the machine's list and marks it as listed there.
  */
 void hr_list_insert (HrCore *core, HrMachine *machine, HrTaskRef ref);
 
 /**
  * hr_list_remove:
  *
- * Takes the task out of the machine's list, if it is there. It still counts as listed:
- * hr_task_unplan(), or hr_list_insert() elsewhere, has to follow or to have been called.
+ * Removes the task from the machine's list, if it is there, but does not change its mark: the
+ * caller must also call hr_task_mark_unlisted(), before or after, or hr_list_insert() for another
+ * machine after.
  */
 void hr_list_remove (HrMachine *machine, HrTaskRef ref);
 
 /**
- * hr_task_unplan:
+ * hr_task_mark_unlisted:
  *
- * Notes that the task stands in no list any more; the caller takes it out of the list.
+ * Marks the task as not listed; the caller removes it from the list.
  */
-void hr_task_unplan (HrJob *job, guint32 task_index);
+void hr_task_mark_unlisted (HrJob *job, guint32 task_index);
 
 /**
- * hr_job_unplan:
+ * hr_job_unlist_tasks:
  *
- * Takes all tasks of the job out of the lists: the next pass places them anew.
+ * Removes all tasks of the job from the lists, so that the next pass places them again.
  */
-void hr_job_unplan (HrCore *core, HrJob *job);
+void hr_job_unlist_tasks (HrCore *core, HrJob *job);
 
 /**
- * hr_list_append:
+ * hr_append_listed_tasks:
  * @listed: (element-type HrListedTask)
  *
  * Appends the tasks of the machine's list with their projected starts to @listed.
  */
-void hr_list_append (HrCore *core, HrMachine *machine, GArray *listed);
+void hr_append_listed_tasks (HrCore *core, HrMachine *machine, GArray *listed);
 
 /**
  * hr_listed_job:
--- a/src/coordination/scheduling/team_usage.c
+++ b/src/coordination/scheduling/team_usage.c
@@ -1,4 +1,4 @@
-/* Teams, and what each of them uses in this pass. */
+/* Teams and their quota usage in this pass. */
 #include "coordination/scheduling/team_usage.h"
 #include "coordination/scheduling/lookups.h"
 #include "coordination/scheduling/quota.h"
@@ -26,9 +26,9 @@
   return &g_array_index (core->scheduling.team_usage, HrTeamUsage, team);
 }
 
-/* Empties the rows and takes the limits from the settings. */
+/* Clears the usage of all teams and sets the limits from the settings. */
 static void
-reset_rows (HrCore *core)
+reset_usage (HrCore *core)
 {
   g_array_set_size (core->scheduling.team_usage, 0);
   for (guint i = 0; i < core->settings->teams->len; i++) {
@@ -46,7 +46,7 @@
 {
   HrTeamUsage *usage = hr_team_usage (core, job->spec.team);
   guint n = job->run.n_live;
-  /* Its tasks may be anywhere; none is known. */
+  /* The recorded tasks are unreadable: until the retry, all unfinished tasks may be running. */
   if (job->record.tasks_unreadable && core->now < job->run.retry_at)
     n = job->n_tasks - job->n_done;
   hr_quota_add (&usage->used, hr_quota_of (&job->spec, n));
@@ -54,13 +54,13 @@
     return;
   for (guint32 k = 0; k < job->n_tasks && job->run.n_live; k++)
     if (job->tasks[k].state == HR_TASK_BOUND && job->tasks[k].stop_wanted)
-      hr_quota_add (&usage->ending, hr_quota_of (&job->spec, 1));
+      hr_quota_add (&usage->stopping, hr_quota_of (&job->spec, 1));
 }
 
 void
 hr_team_usage_count (HrCore *core)
 {
-  reset_rows (core);
+  reset_usage (core);
   for (guint i = 0; i < core->store.tables.open_jobs->len; i++)
     count_job (core, hr_open_job (core, i));
   for (guint i = 0; i < core->scheduling.team_usage->len; i++) {
--- a/src/coordination/scheduling/trial.h
+++ b/src/coordination/scheduling/trial.h
@@ -1,20 +1,21 @@
-/* Trial placements: what a list would come to with one task more. */
+/* Trial placements: compute the score of a list with one more task. */
 #pragma once
 #include "coordination/scheduling/plan.h"
 #include "coordination/state.h"
 
-/* What would come of a task in a list. */
+/* The result of a trial placement. */
 typedef struct {
-  HrListScore change; /* of the list, and so of the whole plan: the other lists stay as they are */
-  double start;       /* of the task; steady time, s */
+  HrListScore change; /* of the list's score, and so of the plan's: other lists do not change */
+  double start;       /* projected start of the task; monotonic time, s */
 } HrTrial;
 
 /**
  * hr_trial_insert:
- * @machine: its list has to be projected
+ * @machine: a machine whose list is projected
  *
- * Projects the machine's list with the task at its deadline slot, and leaves everything as it was.
+ * Projects the machine's list with the task at its deadline position, then restores the list and
+ * its projection.
  *
- * Returns: what would come of it.
+ * Returns: the change of the list's score and the projected start of the task.
  */
 HrTrial hr_trial_insert (HrCore *core, HrMachine *machine, HrTaskRef ref);
