--- a/src/coordination/scheduling/dispatch.c
+++ b/src/coordination/scheduling/dispatch.c
@@ -62,7 +62,7 @@
  * first blocked task, or INFINITY if there is none; other tasks may only use the machine until
  * then (backfill). */
 static double
-start_list (HrCore *core, HrMachine *machine)
+start_tasks_of_list (HrCore *core, HrMachine *machine)
 {
   double blocked_until = INFINITY;
   for (guint i = 0; i < machine->plan.list->len;) {
@@ -85,14 +85,14 @@
 /* Starts the tasks of all lists that can start now. Returns the projected start of the first
  * blocked task by machine: (element-type HrMachine double). */
 static GHashTable *
-start_lists (HrCore *core)
+start_tasks_of_all_lists (HrCore *core)
 {
   GHashTable *blocked = g_hash_table_new_full (g_direct_hash, g_direct_equal, NULL, g_free);
   for (guint i = 0; i < core->scaling.fleet->len; i++) {
     HrMachine *machine = core->scaling.fleet->pdata[i];
     if (machine->state != HR_MACHINE_UP || !machine->plan.list->len)
       continue;
-    double until = start_list (core, machine);
+    double until = start_tasks_of_list (core, machine);
     if (isfinite (until))
       g_hash_table_insert (blocked, machine, g_memdup2 (&until, sizeof until));
   }
@@ -116,7 +116,8 @@
 /* Returns the best machine on which a task of the job can start now (hr_batch_machine_better());
  * NULL: there is none. */
 static HrMachine *
-best_start (HrCore *core, const HrJob *job, const GPtrArray *machines, GHashTable *blocked)
+best_startable_machine (HrCore *core, const HrJob *job, const GPtrArray *machines,
+                        GHashTable *blocked)
 {
   HrMachine *best = NULL;
   for (guint k = 0; k < machines->len; k++) {
@@ -159,7 +160,7 @@
     HrJob *job = hr_listed_job (core, all, i);
     if (job->index == unplaceable_job || hr_start_check_job (core, job, 1) != HR_START_OK)
       continue;
-    HrMachine *best = best_start (core, job, machines, blocked);
+    HrMachine *best = best_startable_machine (core, job, machines, blocked);
     if (!best)
       unplaceable_job = job->index;
     else if (is_sooner_than_listed (core, job, best, listed))
@@ -189,7 +190,7 @@
 
 /* Replaces the tasks that gangs lost before their start. */
 static void
-complete_gangs (HrCore *core)
+replace_lost_gang_tasks (HrCore *core)
 {
   for (guint i = 0; i < core->store.tables.open_jobs->len; i++) {
     HrJob *job = hr_open_job (core, i);
@@ -250,9 +251,9 @@
   if (!may_dispatch (core))
     return;
   g_autoptr (GPtrArray) services = waiting_services (core);
-  complete_gangs (core);
+  replace_lost_gang_tasks (core);
   hr_replicas_start (core, services);
-  g_autoptr (GHashTable) blocked = start_lists (core);
+  g_autoptr (GHashTable) blocked = start_tasks_of_all_lists (core);
   start_from_any_list (core, blocked);
   hr_starvation_guard_tick (core);
   hr_quotas_preempt (core);
--- a/src/coordination/scheduling/guarantees.c
+++ b/src/coordination/scheduling/guarantees.c
@@ -51,7 +51,7 @@
 
 /* Clears the marks of all open jobs. Returns those that wait or run, in the order of submission. */
 static GPtrArray *
-clear_marks (HrCore *core)
+clear_marks_and_collect (HrCore *core)
 {
   GPtrArray *jobs = g_ptr_array_new ();
   for (guint i = 0; i < core->store.tables.open_jobs->len; i++) {
@@ -92,7 +92,7 @@
   core->scheduling.guaranteed_job_waits = FALSE;
   if (core->settings->teams->len < 2)
     return; /* there is no other team that could borrow */
-  g_autoptr (GPtrArray) jobs = clear_marks (core);
+  g_autoptr (GPtrArray) jobs = clear_marks_and_collect (core);
   for (guint k = 0; k < core->settings->teams->len; k++)
     mark_jobs_of_team (core, &g_array_index (core->settings->teams, HrTeam, k), jobs);
 }
--- a/src/coordination/scheduling/plan.h
+++ b/src/coordination/scheduling/plan.h
@@ -1,7 +1,7 @@
 /* Types that the modules of the plan share.
  *
- * The plan is one list of tasks per machine, ordered by deadline (HrMachinePlan in tables.h). It is
- * projected by projection.c, filled by mtedf.c (MT-EDF) and improved by tabu.c (bounded tabu
+ * The plan is one list of tasks per machine, ordered by deadline (HrMachinePlan in machine.h). It
+ * is projected by projection.c, filled by mtedf.c (MT-EDF) and improved by tabu.c (bounded tabu
  * search); planner.c runs one pass of all three. Start times are monotonic time, in seconds. The
  * plan is kept in memory only.
  */
--- a/src/coordination/scheduling/shards.c
+++ b/src/coordination/scheduling/shards.c
@@ -6,7 +6,7 @@
 
 /* The finalizer of MurmurHash3 (Appleby); it makes the shards' rankings of machines independent. */
 static guint32
-mix (guint32 hash)
+finalize_hash (guint32 hash)
 {
   hash = (hash ^ hash >> 16) * 0x85ebca6bu;
   hash = (hash ^ hash >> 13) * 0xc2b2ae35u;
@@ -19,7 +19,7 @@
   const guint32 golden_ratio = 0x9e3779b9u;
   guint32 best = 0, max_hash = 0, base = g_str_hash (machine);
   for (guint i = 0; i < n_shards; i++) {
-    guint32 hash = mix (base ^ (i + 1) * golden_ratio);
+    guint32 hash = finalize_hash (base ^ (i + 1) * golden_ratio);
     if (i == 0 || hash > max_hash) {
       max_hash = hash;
       best = i;
