--- a/src/coordination/jobs/priority_inheritance.c
+++ b/src/coordination/jobs/priority_inheritance.c
@@ -70,7 +70,7 @@
   if (urgency.priority == job->plan.priority && urgency.deadline == job->plan.deadline)
     return FALSE;
   if (job->plan.deadline != urgency.deadline)
-    hr_job_unplan (core, job); /* the task lists are ordered by deadline */
+    hr_job_unlist_tasks (core, job); /* the task lists are ordered by deadline */
   job->plan.priority = urgency.priority;
   job->plan.deadline = urgency.deadline;
   core->scheduling.plan_is_stale = TRUE;
