--- a/src/bookkeeping/class_stats.c
+++ b/src/bookkeeping/class_stats.c
@@ -1,9 +1,9 @@
 #include "bookkeeping/class_stats.h"
 
-/* Share of an image's weight that stays when the next job of the class is counted. */
-#define IMAGE_WEIGHT_KEPT 0.97
+/* Factor by which the weights of all images shrink with each counted job of the class. */
+#define IMAGE_WEIGHT_DECAY 0.97
 
-/* Moves the image at the index up to its place by weight. */
+/* Moves the image at the index forward to restore the descending order by weight. */
 static void
 sort_image_up (HrClassStats *stats, guint at)
 {
@@ -14,7 +14,7 @@
   }
 }
 
-/* Index of a new image, in place of the least used one where there is no other. */
+/* Adds an image, which replaces the least used one if the array is full. Returns its index. */
 static guint
 add_image (HrClassStats *stats, guint32 image)
 {
@@ -26,11 +26,11 @@
 }
 
 void
-hr_class_use_image (HrClassStats *stats, guint32 image, guint tasks)
+hr_class_add_image_use (HrClassStats *stats, guint32 image, guint tasks)
 {
   guint at = stats->n_images;
   for (guint i = 0; i < stats->n_images; i++) {
-    stats->images[i].weight *= IMAGE_WEIGHT_KEPT;
+    stats->images[i].weight *= IMAGE_WEIGHT_DECAY;
     if (stats->images[i].image == image)
       at = i;
   }
--- a/src/bookkeeping/class_stats.h
+++ b/src/bookkeeping/class_stats.h
@@ -1,11 +1,11 @@
-/* Statistics of a class of jobs: run times, arrivals, and the images that its work uses.
+/* Statistics of a class of jobs: run times, arrivals, and the images that its tasks use.
  *
- * They are updated by coordination/jobs/ and scheduling/, in memory alone. */
+ * coordination/jobs/ and coordination/scheduling/ update them. They are kept in memory only. */
 #pragma once
 #include "protocol/jobspec.h"
 #include <glib.h>
 
-/* How much of the recent work of a class uses an image. */
+/* An image that recent tasks of a class use, with its decayed number of tasks. */
 typedef struct {
   guint32 image;
   double weight;
@@ -15,25 +15,25 @@
 typedef struct {
   double run_time_correction; /* actual / estimated run time, smoothed */
   guint run_time_samples;
-  double arrivals, arrivals_weight;     /* tasks a second, smoothed: arrivals / arrivals_weight */
-  double recent_arrivals, recent_since; /* of the last seconds, not in `arrivals` yet */
-  double cpus, gpus, memory_gb;         /* of its recent jobs' tasks */
-  HrImageUse images[12];                /* the most used ones, most used first */
+  double arrivals, arrivals_weight;     /* tasks per second, smoothed: arrivals / arrivals_weight */
+  double recent_arrivals, recent_since; /* arrivals of the last seconds, not yet in `arrivals` */
+  double cpus, gpus, memory_gb;         /* resources of a task of its recent jobs, smoothed */
+  HrImageUse images[12];                /* most used images, in descending order of weight */
   guint n_images;
   HrShape shape;
   HrPriority priority;
   gboolean allows_spot, is_seen;
   guint64 types;
-  guint64 teams;  /* that have jobs of it: bits, by index modulo 64 */
-  guint headroom; /* tasks that capacity is reserved for in this pass */
+  guint64 teams;  /* bit set of the teams with jobs of the class, by index modulo 64 */
+  guint headroom; /* number of tasks for which this pass reserves capacity */
 } HrClassStats;
 
 /**
- * hr_class_use_image:
+ * hr_class_add_image_use:
  * @stats: statistics of a class
  * @image: an image
- * @tasks: how many tasks of the class will use it
+ * @tasks: number of tasks of the class that will use the image
  *
- * Counts the tasks; earlier ones count less and less.
+ * Adds the tasks to the image's weight. The weights of earlier tasks decay.
  */
-void hr_class_use_image (HrClassStats *stats, guint32 image, guint tasks);
+void hr_class_add_image_use (HrClassStats *stats, guint32 image, guint tasks);
--- a/src/bookkeeping/garbage_collection.c
+++ b/src/bookkeeping/garbage_collection.c
@@ -6,11 +6,11 @@
 
 #define MAX_PAGES_PER_TRANSACTION 4
 #define DELETE_TIMEOUT_S 2.0
-#define DELETE_GAP_S 1.0
-/* Pages are deleted only while so much of the burst of changes is saved up. */
+#define DELETE_INTERVAL_S 1.0
+/* Pages are deleted only while the write allowance holds at least this share of its burst. */
 #define MIN_ALLOWANCE_SHARE 0.8
 
-/* ---- noting ---- */
+/* ---- list of obsolete pages ---- */
 
 void
 hr_garbage_add_page (HrStore *store, const HrJob *job, guint tasks_per_page, guint page)
@@ -35,7 +35,7 @@
 }
 
 void
-hr_garbage_page_deleted (HrStore *store, const HrJob *job, guint tasks_per_page, guint page)
+hr_garbage_remove_page (HrStore *store, const HrJob *job, guint tasks_per_page, guint page)
 {
   GArray *pages = store->garbage.pages;
   for (guint i = 0; i < pages->len; i++) {
@@ -46,22 +46,22 @@
   }
 }
 
-/* ---- deleting ---- */
+/* ---- deletion ---- */
 
-/* After a failure the pages are still noted, and are deleted later. */
+/* After a failure the pages stay in the list, and are deleted later. */
 static void
-on_pages_deleted (HrStore *store, int status, json_t *body G_GNUC_UNUSED, double sent G_GNUC_UNUSED,
-                  gpointer data)
+on_pages_deleted (HrStore *store, int status, json_t *body G_GNUC_UNUSED,
+                  double sent_at G_GNUC_UNUSED, gpointer data)
 {
   g_autoptr (GArray) batch = data;
   store->garbage.deletion_in_flight = FALSE;
-  store->garbage.next_deletion_at = store->now + DELETE_GAP_S;
+  store->garbage.next_deletion_at = store->now + DELETE_INTERVAL_S;
   if (status != 200)
     return;
   for (guint i = 0; i < batch->len; i++) {
     const HrObsoletePage *obsolete = &g_array_index (batch, HrObsoletePage, i);
     const HrJob *job = store->tables.jobs->pdata[obsolete->job];
-    hr_garbage_page_deleted (store, job, obsolete->tasks_per_page, obsolete->page);
+    hr_garbage_remove_page (store, job, obsolete->tasks_per_page, obsolete->page);
   }
 }
 
@@ -71,11 +71,11 @@
   const HrTokenBucket *allowance = &store->transactions.allowance;
   return hr_store_is_leader (store) && !store->garbage.deletion_in_flight &&
          store->now >= store->garbage.next_deletion_at && !store->writer.dirty_pages->len &&
-         hr_replica_is_served (store) &&
+         hr_replica_is_current (store) &&
          allowance->tokens >= allowance->burst * MIN_ALLOWANCE_SHARE;
 }
 
-/* A leader's writes hold on the leader record. */
+/* The leader's writes are conditional on the leader record. */
 static HrTransaction *
 build_deletion (const HrStore *store, const GArray *batch)
 {
@@ -85,7 +85,8 @@
   for (guint i = 0; i < batch->len; i++) {
     const HrObsoletePage *obsolete = &g_array_index (batch, HrObsoletePage, i);
     const HrJob *job = store->tables.jobs->pdata[obsolete->job];
-    g_autofree char *key = hr_record_page_key_of (job, obsolete->tasks_per_page, obsolete->page);
+    g_autofree char *key =
+        hr_record_page_key_in_layout (job, obsolete->tasks_per_page, obsolete->page);
     hr_transaction_delete (transaction, key);
   }
   return transaction;
--- a/src/bookkeeping/job.c
+++ b/src/bookkeeping/job.c
@@ -1,7 +1,7 @@
 #include "bookkeeping/job.h"
 
 #define BYTES_PER_KIB 1024
-/* Of a main record, for the job's specification. */
+/* Bytes of a main record that are set aside for the job's specification. */
 #define SPEC_BYTES 1024
 
 void
--- a/src/bookkeeping/job.h
+++ b/src/bookkeeping/job.h
@@ -1,8 +1,8 @@
-/* Jobs and their tasks: what is recorded of them, and what the leader knows on top.
+/* Jobs and their tasks: their recorded state, and the state that the leader keeps in memory.
  *
- * Rows are owned by HrTables (tables.h). Each group of members says which module updates it;
- * others only read it. Times are in seconds of the steady clock unless said otherwise; revisions
- * are the store's. */
+ * HrTables owns the jobs (tables.h). Only the module that is named in the comment above a structure
+ * updates it; other modules read it. Times are monotonic, in seconds, unless stated otherwise.
+ * Revisions are those of the state store. */
 #pragma once
 #include "protocol/intern.h"
 #include "protocol/jobspec.h"
@@ -10,150 +10,155 @@
 #include <glib.h>
 #include <jansson.h>
 
-/* The numbers are in the records (record.h). */
+/* State of a job. The values are stored in records (record.h). */
 typedef enum {
-  HR_JOB_QUEUED, /* open: accepted, and not final */
+  HR_JOB_QUEUED, /* open: accepted, not final yet */
   HR_JOB_DONE,
   HR_JOB_CANCELLED
 } HrJobState;
 
 typedef enum {
-  HR_TASK_IDLE,      /* on no machine: that is proved */
-  HR_TASK_ASSIGNING, /* its assignment is being recorded; nothing was sent */
+  HR_TASK_IDLE,      /* proved to be on no machine */
+  HR_TASK_ASSIGNING, /* its assignment is being recorded; no order was sent */
   HR_TASK_BOUND,     /* its assignment is recorded; it may be on the machine */
-  HR_TASK_DONE,      /* its agent reported its end; `done_recorded` once that is recorded */
+  HR_TASK_DONE, /* its agent reported its end; `done_recorded` tells whether that is recorded */
 } HrTaskState;
 
-/* In place of an HrReportedState: no heartbeat has shown the task. */
+/* Value of HrTask.reported_state while no heartbeat has reported the task. */
 #define HR_NOT_REPORTED 0xff
 
-/* An attempt to run a task: on a machine, in an incarnation of its agent. */
+/* An attempt to run a task on a machine, under one incarnation of the machine's agent. */
 typedef struct {
   guint32 machine, incarnation, attempt;
 } HrPlacement;
 
 typedef struct {
   HrPlacement recorded;   /* as in the record */
-  HrPlacement placement;  /* as decided: differs from `recorded` until the write is confirmed */
-  guint32 listed_on;      /* the machine in whose list it is, if is_listed */
+  HrPlacement placement;  /* decided; differs from `recorded` until its write is confirmed */
+  guint32 listed_on;      /* machine whose list (HrMachinePlan) holds the task, if is_listed */
   guint8 state;           /* HrTaskState */
-  guint8 done_recorded;   /* its end is in the record */
-  guint8 write_in_flight; /* part of the write in flight */
-  guint8 reported_state;  /* HrReportedState on its machine, or HR_NOT_REPORTED */
+  guint8 done_recorded;   /* the record holds its end */
+  guint8 write_in_flight; /* the write in flight holds its change */
+  guint8 reported_state;  /* HrReportedState from its machine, or HR_NOT_REPORTED */
   guint8 stop_wanted;
-  guint8 is_listed;         /* is in the list of a machine (HrMachinePlan) */
-  guint8 from_earlier_term; /* placed by an earlier leader, in no heartbeat since */
+  guint8 is_listed;         /* a machine's list (HrMachinePlan) holds the task */
+  guint8 from_earlier_term; /* placed by an earlier leader and in no heartbeat since */
   float stop_grace_s;
-  float expected_fetch_s; /* of its image, as of when it was placed */
-  double stop_sent_at;    /* the last stop order; steady time, s; 0: none */
-  double bound_since;     /* steady time, s */
-  double running_since;   /* first seen running; steady time, s; 0: not yet */
+  float expected_fetch_s; /* expected fetch time of its image, estimated at placement */
+  double stop_sent_at;    /* when the last stop order was sent; monotonic, s; 0: none */
+  double bound_since;     /* monotonic, s */
+  double running_since;   /* first reported running; monotonic, s; 0: not yet */
 } HrTask;
 
-/* A page of the record; the main record is the only one where the tasks are in it. */
+/* A page of a record. If the main record holds the tasks, it is the job's only page. */
 typedef struct {
   guint64 revision;
-  char *write_tag;         /* of the write in flight; NULL: none */
-  gboolean is_dirty;       /* is in the list of pages to write */
-  gboolean write_is_final; /* the write in flight is the tombstone */
+  char *write_tag;             /* tag of the write in flight; NULL: none */
+  gboolean is_dirty;           /* the page is in HrRecordWriter.dirty_pages */
+  gboolean write_is_tombstone; /* the write in flight writes the tombstone */
 } HrRecordPage;
 
-/* A page in the store that no main record names yet, or no longer (staged_pages.h). */
+/* A page in the state store to which no main record refers yet, or any more (staged_pages.h). */
 typedef struct {
   guint tasks_per_page, page;
   guint64 revision;
-  json_t *value; /* NULL where only its writer needs it */
+  json_t *value; /* NULL for pages that this node wrote itself, or that were deleted */
 } HrStagedPage;
 
 typedef struct HrJob HrJob;
 
-/* What is known of the job's record in the store. */
+/* The job's record in the state store, as this node knows it. */
 typedef struct {
-  guint64 revision;     /* of the main record */
-  char *tag;            /* writer's tag of the main record */
-  guint tasks_per_page; /* 0: the tasks are in the main record */
+  guint64 revision;     /* revision of the main record */
+  char *tag;            /* tag of the last write of the main record */
+  guint tasks_per_page; /* 0: the main record holds the tasks */
   HrRecordPage *pages;
   guint n_pages;
-  gboolean sized_page_keys;  /* keys of pages are under h/u, with their size; else h/t */
+  gboolean sized_page_keys;  /* page keys are under h/u and contain the page size; else h/t */
   GArray *staged_pages;      /* HrStagedPage; NULL: none */
-  json_t *unknown_members;   /* of the main record, preserved as read; NULL: none */
-  gboolean is_compacted;     /* final: its record is a tombstone */
-  gboolean tasks_unreadable; /* its recorded tasks are invalid: they may be on any machine */
-  gboolean main_unreadable;  /* its latest main record is invalid: it may be in any state */
-  gboolean split_wanted;     /* is in the queue of splits (record_split.h) */
+  json_t *unknown_members;   /* of the main record; written back unchanged; NULL: none */
+  gboolean is_compacted;     /* its record is a tombstone */
+  gboolean tasks_unreadable; /* recorded tasks are invalid; they may be on any machine */
+  gboolean main_unreadable;  /* latest main record is invalid; the job may be in any state */
+  gboolean split_wanted;     /* the job is in the queue of splits (record_split.h) */
   gboolean split_in_flight;
-  double next_write_at; /* steady time, s, after a write that failed */
-  double back_off_s;    /* how long that one made it wait; 0: none failed */
+  double next_write_at; /* earliest next write after a failed one; monotonic, s */
+  double back_off_s;    /* current back-off; 0: the last write did not fail */
 } HrJobRecord;
 
-/* What is known of the job's cancellation, if its state is HR_JOB_CANCELLED. */
+/* Cancellation of the job, if its state is HR_JOB_CANCELLED. */
 typedef struct {
-  double unknown_until;  /* steady time up to which no user knew of it; 0: not cancelled */
-  gboolean told_by_peer; /* a peer stated it; the record is still to be read */
-  HrJob *root;           /* the cancelled job that this one awaited; NULL: none */
+  /* When the last read that did not show the cancellation was sent; no user was told of it before
+   * then. 0: not cancelled. */
+  double last_uncancelled_read_at;
+  gboolean reported_by_peer; /* a peer reported the cancellation; the record was not read yet */
+  HrJob *root;               /* cancelled dependency that caused the cancellation; NULL: none */
 } HrJobCancellation;
 
-/* Jobs that the job awaits, and that await it (coordination/jobs/dependencies.c). */
+/* Dependencies and dependents of the job (coordination/jobs/dependencies.c). */
 typedef struct {
-  HrJob **awaited;
+  HrJob **awaited; /* the job's dependencies: it may start once all of them are done */
   guint n_awaited;
-  GPtrArray *dependents; /* HrJob whose records name this one; NULL: none, or this one is final */
-  double ready_since;    /* time of day when the last awaited job was seen done; 0: not yet */
+  GPtrArray *dependents; /* HrJob whose records name this job; NULL: none, or this job is final */
+  double ready_since;    /* real time when the last awaited job was seen done, s; 0: not yet */
 } HrJobDependencies;
 
-/* What the leader knows of the job's attempts (coordination/jobs/task_lifecycle.c). Steady
- * time, s. */
+/* Attempts to run the job, as the leader knows them (coordination/jobs/task_lifecycle.c). Times are
+ * monotonic, in seconds. */
 typedef struct {
-  gboolean is_open;             /* in the list of open jobs */
-  guint32 n_live;               /* tasks assigning or bound */
-  gboolean attempt_ending;      /* the gang's attempt is to end; all tasks must go first */
-  double gang_ready_at;         /* when all tasks of the gang's attempt were recorded */
-  double gang_incomplete_since; /* a task was lost before the start, to be replaced; 0: none */
+  gboolean is_open;        /* the job is in HrTables.open_jobs */
+  guint32 n_live;          /* number of tasks assigning or bound */
+  gboolean attempt_ending; /* the gang's attempt is ending; all of its tasks must exit first */
+  double gang_ready_at;    /* when the assignments of all tasks of the gang were recorded */
+  /* Since when the gang has lacked a task that was lost before the start; 0: it is complete. */
+  double gang_incomplete_since;
   double retry_at, retry_pause_s;
-  guint failures; /* in a row */
+  guint failures; /* consecutive */
   HrExitCause last_failure;
-  guint32 failed_machine; /* where it failed last; avoided for a while */
+  guint32 failed_machine; /* machine of the last failure; avoided for a while */
   double failed_machine_avoided_until;
-  gboolean arrival_counted;
+  gboolean arrival_counted; /* in the arrivals of its class (HrClassStats) */
 } HrJobRun;
 
-/* What the scheduler concludes about the job (coordination/scheduling/). Steady time, s, but for
- * `deadline`. */
+/* The scheduler's plan for the job (coordination/scheduling/). Times are monotonic, in seconds,
+ * except `deadline`. */
 typedef struct {
-  HrPriority priority; /* the highest of its own and its dependents' */
-  double deadline;     /* time of day; the earliest of its own and what its dependents need */
-  guint n_listed;      /* tasks in lists of machines */
-  guint32 shard;       /* whose lists it may be in; HR_NONE: any */
+  HrPriority priority; /* highest priority among the job and its dependents */
+  double deadline;     /* real time, s; the earlier of its own and that implied by its dependents */
+  guint n_listed;      /* number of tasks in machines' lists (HrMachinePlan) */
+  guint32 shard;       /* shard of the machines that may list its tasks; HR_NONE: any */
   gboolean shard_chosen;
-  double gang_start;                           /* planned common start of a gang */
-  double expected_end;                         /* of its last task, as of the latest pass */
-  double next_scale_out_at, scale_out_pause_s; /* of a gang larger than any fleet so far */
+  double gang_start;   /* planned common start of the gang's tasks */
+  double expected_end; /* expected end of its last task, as of the latest scheduling pass */
+  double next_scale_out_at, scale_out_pause_s; /* for a gang larger than any fleet so far */
 } HrJobPlan;
 
-/* The job's share of its team's guarantee and limit (coordination/scheduling/). Steady time, s. */
+/* The job's share of its team's guarantee and limit (coordination/scheduling/). Times are
+ * monotonic, in seconds. */
 typedef struct {
-  gboolean within_guarantee;   /* together with the earlier jobs of its team */
-  gboolean reclaims_guarantee; /* other teams use none of the guarantee while it waits */
+  gboolean within_guarantee;   /* the job and the earlier jobs of its team fit the guarantee */
+  gboolean reclaims_guarantee; /* other teams may not use the guarantee while the job waits */
   double reclaiming_since, next_reclaim_at, reclaim_pause_s;
-  guint granted;        /* tasks that may start in this pass */
-  double granted_since; /* it could have started something since; 0: it could not */
-  gboolean grant_lent;  /* other jobs may use the part of its grant that it cannot use now */
+  guint granted;        /* number of tasks that may start in this scheduling pass */
+  double granted_since; /* since when the grant has let it start a task; 0: it does not */
+  gboolean grant_lent;  /* other jobs may use the part of the grant that the job cannot use now */
   double lent_until, lending_pause_s;
-  double starving_since; /* a task waits since, despite free capacity; 0: none does */
-  double kept_out_since; /* only another job's reservation delays it since; 0: none does */
+  double starving_since; /* since when a task has waited despite free capacity; 0: none does */
+  /* Since when only another job's reservation has delayed it; 0: not delayed. */
+  double blocked_by_reservation_since;
 } HrJobQuota;
 
-/* A job: its record, and what this node concludes from it. */
+/* A job: its record and the state that this node derives from it. */
 struct HrJob {
   guint32 index;
   const char *id;
-  gboolean is_known; /* the record has been read or written */
+  gboolean is_known; /* its record has been read or written */
   HrJobState state;
   HrJobSpec spec;
-  double submitted_at; /* time of day, s */
+  double submitted_at; /* real time, s */
   guint32 n_tasks;
-  guint32 n_recorded_done; /* tasks whose end is recorded */
-  guint32 n_done;          /* tasks that are done, recorded or not */
+  guint32 n_recorded_done; /* number of tasks whose end is recorded */
+  guint32 n_done;          /* number of tasks that are done, recorded or not */
   HrTask *tasks;           /* NULL once compacted */
   HrJobRecord record;
   HrJobCancellation cancellation;
@@ -163,14 +168,15 @@
   HrJobQuota quota;
 };
 
-/* Room for a placed task in a record: a long machine name, an incarnation and an attempt. */
+/* Estimated size of a placed task in a record, in bytes: a long machine name, an incarnation and an
+ * attempt. */
 #define HR_PLACED_TASK_BYTES 48
 
 /**
  * hr_job_free:
  * @job: (transfer full): a job
  *
- * Frees a row; HrTables does so for its own.
+ * Frees a job. HrTables frees the jobs that it owns.
  */
 void hr_job_free (HrJob *job);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (HrJob, hr_job_free)
@@ -179,9 +185,10 @@
  * hr_job_set_spec:
  * @job: a job
  * @spec: its specification
- * @tasks_per_page: layout of its record; 0: the tasks are in the main record
+ * @tasks_per_page: layout of its record; 0: the main record holds the tasks
  *
- * Makes the rows of its tasks anew, idle, and those of its pages, which are not in the store.
+ * Sets the specification and replaces the job's tasks, which are idle, and its pages, which are not
+ * in the state store yet.
  */
 void hr_job_set_spec (HrJob *job, const HrJobSpec *spec, guint tasks_per_page);
 
@@ -189,7 +196,7 @@
  * hr_job_compact:
  * @job: a job
  *
- * Frees what a final job no longer needs: the rows of its tasks and pages.
+ * Frees the job's tasks and pages, which a final job no longer needs.
  */
 void hr_job_compact (HrJob *job);
 
@@ -197,7 +204,8 @@
  * hr_job_has_unfinished_dependencies:
  * @job: a job
  *
- * Returns: is any job that it awaits not recorded as done? One that was not read yet is not.
+ * Returns: whether any job that it awaits is not recorded as done. A job that was not read yet
+ * counts as not done.
  */
 gboolean hr_job_has_unfinished_dependencies (const HrJob *job);
 
@@ -205,25 +213,25 @@
  * hr_job_eligible_since:
  * @job: a job
  *
- * Returns: time of day, s, since when it waits for machines, rather than for other jobs
+ * Returns: real time since when the job waits for machines, not for other jobs, in seconds
  */
 double hr_job_eligible_since (const HrJob *job);
 
 /**
  * hr_job_page:
  * @job: a job whose tasks are in memory
- * @task_index: a task
+ * @task_index: index of one of its tasks
  *
- * Returns: (transfer none): the page that holds the task; void once the layout changes
+ * Returns: (transfer none): the page that holds the task; invalid once the layout changes
  */
 HrRecordPage *hr_job_page (HrJob *job, guint32 task_index);
 
 /**
  * hr_page_count:
- * @n_tasks: tasks of a job
- * @tasks_per_page: not 0
+ * @n_tasks: number of tasks of a job
+ * @tasks_per_page: tasks of a page; not 0
  *
- * Returns: how many pages hold them
+ * Returns: the number of pages that hold the tasks
  */
 static inline guint
 hr_page_count (guint32 n_tasks, guint tasks_per_page)
@@ -233,8 +241,8 @@
 
 /**
  * hr_tasks_per_page:
- * @value_kb: size of the store's largest values, KiB
+ * @value_kb: maximum size of a value in the state store, in KiB
  *
- * Returns: how many tasks a record holds for controllers without formats of records
+ * Returns: maximum number of tasks of a page for controllers that predate record formats
  */
 guint hr_tasks_per_page (double value_kb);
--- a/src/bookkeeping/machine.c
+++ b/src/bookkeeping/machine.c
@@ -2,7 +2,7 @@
 #include "protocol/intern.h"
 #include <string.h>
 
-/* Sums of capacities are not exact: so much too little still fits. */
+/* Tolerance for rounding errors in sums of capacities. */
 #define CAPACITY_TOLERANCE 1e-6
 
 gboolean
@@ -32,7 +32,7 @@
 }
 
 void
-hr_machine_forget_image (HrMachine *machine, guint32 image)
+hr_machine_remove_image (HrMachine *machine, guint32 image)
 {
   guint n = 0;
   for (guint i = 0; i < machine->n_images; i++)
@@ -42,7 +42,7 @@
 }
 
 void
-hr_machine_describe (HrMachine *machine, const HrMachineType *type, guint32 zone, gboolean spot)
+hr_machine_set_type (HrMachine *machine, const HrMachineType *type, guint32 zone, gboolean spot)
 {
   if (machine->type != HR_NONE)
     return;
--- a/src/bookkeeping/machine.h
+++ b/src/bookkeeping/machine.h
@@ -1,7 +1,7 @@
-/* Machines: what they are, what is placed on them, and what the leader knows of their agents.
+/* Machines: their types, the tasks placed on them, and the state of their agents and instances.
  *
- * Rows are owned by HrTables (tables.h). Each group of members says which module updates it;
- * others only read it. Times are in seconds of the steady clock. */
+ * HrTables owns the machines (tables.h). Only the module that is named in the comment above a
+ * structure updates it; other modules read it. Times are monotonic, in seconds. */
 #pragma once
 #include "protocol/cloud.h"
 #include "protocol/jobspec.h"
@@ -15,12 +15,12 @@
   HR_MACHINE_GONE
 } HrMachineState;
 
-/* A task: its job's index, and its index in the job. */
+/* A task: the index of its job, and its index in the job. */
 typedef struct {
   guint32 job, task;
 } HrTaskRef;
 
-/* An attempt that was launched by a direct call, and the call's token. */
+/* An attempt that was launched by a direct call, with the fencing token of the call. */
 typedef struct {
   guint32 job, task, attempt;
   guint64 fencing_token;
@@ -31,52 +31,53 @@
   double cpus, gpus, memory_gb;
 } HrResources;
 
-/* What the leader knows of the machine's agent (coordination/agents/). Steady time, s. */
+/* The machine's agent, as the leader knows it (coordination/agents/). */
 typedef struct {
   guint32 incarnation;
-  guint64 sequence;        /* of the newest message */
-  guint64 fencing_token;   /* the newest that the agent has shown */
-  double sequence_at;      /* when that message came */
-  double heard_at;         /* last heartbeat; 0: none to this leader */
-  double lease_renewed_at; /* last 200 to a heartbeat; 0: none */
-  /* When an incarnation first showed that it lacked an answer; 0: it did not. */
-  double answer_unreceived_at;
-  double unreachable_at; /* when it showed that our answers do not reach it; 0: it did not */
-  /* Orders that may still take effect. */
-  /* Of the heartbeat whose answer held a launch; 0: none pending. */
+  guint64 sequence;         /* sequence number of the newest message */
+  guint64 fencing_token;    /* newest token that the agent has reported */
+  double sequence_at;       /* when the newest message arrived */
+  double last_heartbeat_at; /* 0: no heartbeat has reached this leader yet */
+  double lease_renewed_at;  /* when a heartbeat was last answered with 200; 0: never */
+  /* When a heartbeat first showed that the agent had missed a response; 0: none did. */
+  double response_missed_at;
+  /* When a heartbeat showed that responses do not reach the agent; 0: none did. */
+  double unreachable_at;
+  /* Orders that may still take effect: */
+  /* Sequence number of the heartbeat whose response held a launch; 0: none pending. */
   guint64 launch_answered_sequence;
   guint direct_calls_in_flight;
-  guint64 unanswered_launch_token; /* of the last direct launch whose answer was lost; 0: none */
-  GArray *direct_launches;         /* HrDirectLaunch of this incarnation */
-  gboolean has_urgent_orders;      /* to be sent at once */
-  gboolean orders_postponed;       /* until an earlier direct call, or a pause after one, is over */
+  guint64 unanswered_launch_token; /* of the last direct launch whose response was lost; 0: none */
+  GArray *direct_launches;         /* HrDirectLaunch: launches under this incarnation */
+  gboolean has_urgent_orders;      /* orders have to be sent at once */
+  gboolean orders_postponed; /* until the direct call in flight, or the pause after one, ends */
   double direct_paused_until;
 } HrMachineAgent;
 
-/* What is known of the machine as an instance of the cloud (coordination/scaling/). Steady time, s.
- */
+/* The machine as an instance of the cloud (coordination/scaling/). */
 typedef struct {
-  gboolean requested_here; /* by this very process */
+  gboolean requested_here; /* requested by this process */
   double requested_at;
-  double known_since;  /* is in this leader's fleet since */
-  double listed_at;    /* when the latest listing of instances that showed it began */
-  double preempted_at; /* when the cloud takes it away; 0: no notice */
+  double in_fleet_since; /* when this leader added it to its fleet */
+  double listed_at;      /* when the latest instance listing that contains it began */
+  double preempted_at;   /* when the cloud will preempt it; 0: no notice */
   gboolean deletion_in_flight;
-  gboolean is_deleted; /* the cloud confirmed it */
+  gboolean is_deleted; /* the cloud confirmed the deletion */
 } HrMachineInstance;
 
-/* What the scheduler plans for the machine (coordination/scheduling/). Steady time, s. */
+/* The scheduler's plan for the machine (coordination/scheduling/). */
 typedef struct {
-  guint32 shard;    /* by hash of its name */
-  guint n_shards;   /* of how many */
-  GArray *list;     /* HrTaskRef by deadline */
-  double tardiness; /* expected, of the listed tasks */
-  guint late_count;
-  double ready_at;        /* when the first listed task can start */
-  double candidate_start; /* while a job is placed: when it could start here, image fetched */
+  guint32 shard;    /* chosen by the hash of its name */
+  guint n_shards;   /* number of shards when `shard` was chosen */
+  GArray *list;     /* HrTaskRef: tasks planned for the machine, by deadline */
+  double tardiness; /* expected total tardiness of the listed tasks */
+  guint late_count; /* listed tasks that are expected to be late */
+  double ready_at;  /* when the first listed task can start */
+  /* While a job is placed: when it could start here, with its image fetched. */
+  double candidate_start;
 } HrMachinePlan;
 
-/* A machine that this node has read or heard of. */
+/* A machine that this node knows from records, heartbeats or the cloud. */
 typedef struct {
   guint32 index;
   const char *name;
@@ -85,17 +86,17 @@
   guint32 type, zone; /* type: index into the machine types; HR_NONE: not known yet */
   gboolean is_spot;
   gboolean is_draining;
-  double idle_since;        /* without tasks since; steady time, s; 0: busy */
-  GArray *tasks;            /* HrTaskRef of tasks assigning or bound */
-  HrResources free;         /* beside the tasks assigning or bound */
-  HrResources reserved;     /* of that, for services alone */
-  HrResources services;     /* taken by services */
-  HrResources unrecognized; /* taken by tasks that should not be there */
-  guint32 images[16];       /* cached, most recently used first */
+  double idle_since;        /* since when it has had no tasks; 0: busy */
+  GArray *tasks;            /* HrTaskRef: tasks assigning or bound */
+  HrResources free;         /* capacity less that of the tasks assigning or bound */
+  HrResources reserved;     /* part of `free` that only services may use */
+  HrResources services;     /* used by services */
+  HrResources unrecognized; /* used by reported tasks that are not assigned to the machine */
+  guint32 images[16];       /* cached images, most recently used first */
   guint n_images;
-  guint failures; /* of different jobs in a row */
+  guint failures; /* consecutive failures, of different jobs */
   guint32 last_failed_job;
-  double full_until; /* it refused a task for want of capacity; steady time, s */
+  double full_until; /* receives no tasks until then: it refused one for lack of capacity */
   HrMachineAgent agent;
   HrMachineInstance instance;
   HrMachinePlan plan;
@@ -105,7 +106,7 @@
  * hr_machine_free:
  * @machine: (transfer full): a machine
  *
- * Frees a row; HrTables does so for its own.
+ * Frees a machine. HrTables frees the machines that it owns.
  */
 void hr_machine_free (HrMachine *machine);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (HrMachine, hr_machine_free)
@@ -115,38 +116,39 @@
  * @machine: a machine
  * @image: an image
  *
- * Returns: is the image cached there, as far as is known?
+ * Returns: whether the image is known to be cached on the machine
  */
 gboolean hr_machine_has_image (const HrMachine *machine, guint32 image);
 
 /**
  * hr_machine_touch_image:
  * @machine: a machine
- * @image: an image that is used there
+ * @image: an image that is used on the machine
  *
- * Makes it the most recently used one.
+ * Makes the image the most recently used one in the list of cached images.
  */
 void hr_machine_touch_image (HrMachine *machine, guint32 image);
 
 /**
- * hr_machine_forget_image:
+ * hr_machine_remove_image:
  * @machine: a machine
- * @image: an image that is not cached there
+ * @image: an image that is not cached on the machine
  *
- * Removes it from the cached ones.
+ * Removes the image from the list of cached images.
  */
-void hr_machine_forget_image (HrMachine *machine, guint32 image);
+void hr_machine_remove_image (HrMachine *machine, guint32 image);
 
 /**
- * hr_machine_describe:
+ * hr_machine_set_type:
  * @machine: a machine
- * @type: what it is
- * @zone: where it is
- * @spot: may the cloud take it away?
+ * @type: its machine type
+ * @zone: index of its zone
+ * @spot: TRUE if the cloud may preempt it
  *
- * Sets what a machine is; its capacity counts from here on. Does nothing when that is known.
+ * Sets the machine's type and zone, and adds the type's capacity to its free capacity. Does nothing
+ * if the type is already set.
  */
-void hr_machine_describe (HrMachine *machine, const HrMachineType *type, guint32 zone,
+void hr_machine_set_type (HrMachine *machine, const HrMachineType *type, guint32 zone,
                           gboolean spot);
 
 /**
@@ -156,7 +158,7 @@
  * @gpus: graphics processors
  * @memory_gb: memory, GB
  *
- * Returns: is so much capacity free beside that reserved for services?
+ * Returns: whether this capacity is free besides that reserved for services
  */
 gboolean hr_machine_has_unreserved (const HrMachine *machine, double cpus, double gpus,
                                     double memory_gb);
@@ -166,7 +168,7 @@
  * @machine: a machine
  * @spec: a job's specification
  *
- * Returns: is there free capacity for a task of the job beside that reserved for services?
+ * Returns: whether a task of the job fits the free capacity that is not reserved for services
  */
 gboolean hr_machine_fits_unreserved (const HrMachine *machine, const HrJobSpec *spec);
 
@@ -186,6 +188,6 @@
  * @spec: the task's specification
  * @ref: a task
  *
- * Removes the task from the machine, if it is there.
+ * Removes the task from the machine. Does nothing if the task is not on it.
  */
 void hr_machine_release (HrMachine *machine, const HrJobSpec *spec, HrTaskRef ref);
--- a/src/bookkeeping/record.c
+++ b/src/bookkeeping/record.c
@@ -1,4 +1,4 @@
-/* Writing records; record_read.c reads them. */
+/* Writes records; record_read.c reads them. */
 #include "bookkeeping/record.h"
 #include "bookkeeping/record_fields.h"
 #include "bookkeeping/tables.h"
@@ -6,7 +6,7 @@
 #include "protocol/jobspec.h"
 #include "protocol/json_util.h"
 
-/* What a record states about a task. */
+/* Returns the entry of a task in a record. */
 static json_t *
 pack_task (const HrTask *task, const HrIntern *machines, gboolean pending)
 {
@@ -33,7 +33,7 @@
   return tasks;
 }
 
-/* Members that only a newer version understands are written back as they were read. */
+/* Adds the members that only a newer version knows, as they were read. */
 static void
 pack_unknown_members (json_t *object, const HrJob *job)
 {
@@ -70,18 +70,18 @@
 }
 
 char *
-hr_record_first (const HrJobSpec *spec, const char *const *awaits, const HrNames *names,
-                 double submitted, guint tasks_per_page, const char *tag)
+hr_record_initial (const HrJobSpec *spec, const char *const *awaits, const HrNames *names,
+                   double submitted_at, guint tasks_per_page, const char *tag)
 {
   guint n = awaits ? g_strv_length ((GStrv)awaits) : 0;
-  g_autofree HrJob *rows = g_new0 (HrJob, n + 1);
-  g_autofree HrJob **named = g_new0 (HrJob *, n + 1);
+  g_autofree HrJob *jobs = g_new0 (HrJob, n + 1);
+  g_autofree HrJob **awaited = g_new0 (HrJob *, n + 1);
   for (guint i = 0; i < n; i++) {
-    rows[i].id = awaits[i];
-    named[i] = &rows[i];
+    jobs[i].id = awaits[i];
+    awaited[i] = &jobs[i];
   }
   HrJob job = {
-      .submitted_at = submitted, .dependencies.awaited = named, .dependencies.n_awaited = n};
+      .submitted_at = submitted_at, .dependencies.awaited = awaited, .dependencies.n_awaited = n};
   hr_job_set_spec (&job, spec, tasks_per_page);
   char *text = hr_record_main (&job, names, NULL, HR_JOB_QUEUED, tag, FALSE);
   hr_job_compact (&job);
@@ -105,13 +105,13 @@
 hr_record_page (const HrJob *job, guint page, const HrIntern *machines, const char *tag,
                 gboolean pending)
 {
-  return hr_record_page_of (job, page * job->record.tasks_per_page, job->record.tasks_per_page,
-                            machines, tag, pending);
+  return hr_record_page_range (job, page * job->record.tasks_per_page, job->record.tasks_per_page,
+                               machines, tag, pending);
 }
 
 char *
-hr_record_page_of (const HrJob *job, guint32 first, guint32 n, const HrIntern *machines,
-                   const char *tag, gboolean pending)
+hr_record_page_range (const HrJob *job, guint32 first, guint32 n, const HrIntern *machines,
+                      const char *tag, gboolean pending)
 {
   json_t *tasks = pack_tasks (job, first, MIN (n, job->n_tasks - first), machines, pending);
   return hr_json_take_text (json_pack ("{ssso}", HR_RECORD_TAG, tag, HR_RECORD_TASKS, tasks));
--- a/src/bookkeeping/record.h
+++ b/src/bookkeeping/record.h
@@ -1,20 +1,28 @@
-/* The format of records: what the state store holds of each job, and how it is read and written.
- *
- *   h/j/ID        main record of an open job:
- *                   {"w":TAG,"s":STATE,"t":SUBMITTED_AT,"q":TASKS_PER_PAGE,"j":SPEC,"x":[TASK...]}
- *                 "x" only where the tasks are in the main record ("q" is 0); with "a":[ID...]
- * where the job awaits others; with "u":1 where the record was split (record_split.h) h/j/ID
- * tombstone, the main record of a final job:
- *                   {"w":TAG,"s":STATE,"n":N_TASKS,"d":N_DONE}
- *                 with "c":ID where the job was cancelled because a job that it awaits was
- *   h/t/ID/PAGE   page of a large job: {"w":TAG,"x":[TASK...]}
- *   h/u/ID/TASKS_PER_PAGE/PAGE   the same, of a record that was split
- *
- * TASK is 0 (never placed), 1 (done) or [MACHINE,INCARNATION,ATTEMPT]. TAG is the tag of the write
- * that left the record: by it a writer knows its own write. Members that this version does not know
- * are preserved (docs/upgrades.md). The names of the members are in record_fields.h.
- *
- * Nothing here keeps state or sends anything. */
+/* The format of records: the state store's data on each job, and functions to read and write it.
+ *
+ * Main record of an open job, under h/j/ID:
+ *
+ *   {"w":TAG,"s":STATE,"t":SUBMITTED_AT,"q":TASKS_PER_PAGE,"j":SPEC,"x":[TASK...]}
+ *
+ * It contains "x" only if it holds the tasks ("q" is 0), "a":[ID...] if the job awaits other jobs,
+ * and "u":1 if the record was split (record_split.h).
+ *
+ * Tombstone, the main record of a final job, under h/j/ID:
+ *
+ *   {"w":TAG,"s":STATE,"n":N_TASKS,"d":N_DONE}
+ *
+ * It contains "c":ID if the job was cancelled because a job that it awaits was cancelled.
+ *
+ * Page of a large job, under h/t/ID/PAGE, or under h/u/ID/TASKS_PER_PAGE/PAGE if the record was
+ * split:
+ *
+ *   {"w":TAG,"x":[TASK...]}
+ *
+ * TASK is 0 (never placed), 1 (done) or [MACHINE,INCARNATION,ATTEMPT]. TAG is the tag of the last
+ * write, by which a writer recognizes its own write. Members that this version does not know are
+ * preserved (docs/upgrades.md). record_fields.h defines the names of the members.
+ *
+ * These functions keep no state and send no requests. */
 #pragma once
 #include "bookkeeping/tables.h"
 #include "protocol/intern.h"
@@ -22,26 +30,26 @@
 #include <glib.h>
 #include <jansson.h>
 
-/* A main record, as read. Cleared with hr_record_clear(), also after a failed read. */
+/* A main record that was read. Free it with hr_record_clear(), also after a failed read. */
 typedef struct {
   char *tag;
   HrJobState state;
-  double submitted_at; /* time of day, s */
+  double submitted_at; /* real time, s */
   guint tasks_per_page;
-  gboolean sized_page_keys; /* pages are under h/u */
+  gboolean sized_page_keys; /* the keys of pages are under h/u */
   gboolean is_tombstone;
   guint32 n_tasks, n_done;
   HrJobSpec spec;
   json_t *extra;              /* members that this version does not know; NULL: none */
   json_t *tasks;              /* borrowed from the value */
-  GStrv awaits;               /* ids of the jobs that it awaits, or NULL */
-  const char *cancelled_with; /* of a tombstone; borrowed from the value; NULL: none */
+  GStrv awaits;               /* ids of the jobs that the job awaits, or NULL */
+  const char *cancelled_with; /* member "c" of a tombstone; borrowed from the value; NULL: none */
 } HrRecord;
 
-/* Longer than any writer's tag: with it a main record is at its largest. */
+/* A tag at least as long as any write's, to measure the maximum size of a record. */
 #define HR_LONGEST_TAG "................................................................"
 
-/* What is wrong with a record. */
+/* Errors of hr_record_read() and hr_record_read_tasks(). */
 typedef enum {
   HR_RECORD_ERROR_MEMBER, /* a member is missing, or has no valid value */
   HR_RECORD_ERROR_SPEC,   /* the job's specification cannot be read */
@@ -52,27 +60,27 @@
 GQuark hr_record_error_quark (void);
 
 /**
- * hr_record_first:
- * @spec: what the user submitted
- * @awaits: (nullable): ids of the jobs that it awaits
- * @names: names that the specification refers to
- * @submitted: time of day, s
- * @tasks_per_page: 0: the tasks are in the main record
+ * hr_record_initial:
+ * @spec: the job's specification
+ * @awaits: (nullable): ids of the jobs that the job awaits
+ * @names: names to which the specification refers
+ * @submitted_at: real time of the submission, in seconds
+ * @tasks_per_page: tasks of a page; 0: the main record holds the tasks
  * @tag: tag of the write
  *
  * Returns: (transfer full): the first main record of a job, as JSON text
  */
-char *hr_record_first (const HrJobSpec *spec, const char *const *awaits, const HrNames *names,
-                       double submitted, guint tasks_per_page, const char *tag);
+char *hr_record_initial (const HrJobSpec *spec, const char *const *awaits, const HrNames *names,
+                         double submitted_at, guint tasks_per_page, const char *tag);
 
 /**
  * hr_record_main:
  * @job: a job whose tasks are in memory
- * @names: names that its specification refers to
+ * @names: names to which its specification refers
  * @machines: names of machines
- * @state: the state to be recorded
+ * @state: the state to record
  * @tag: tag of the write
- * @pending: with the assignments and endings that are part of a write in flight
+ * @pending: TRUE to include the assignments and ends of tasks that the write in flight records
  *
  * Returns: (transfer full): the main record of an open job, as JSON text
  */
@@ -95,7 +103,7 @@
  * @page: number of the page, from 0
  * @machines: names of machines
  * @tag: tag of the write
- * @pending: with the assignments and endings that are part of a write in flight
+ * @pending: TRUE to include the assignments and ends of tasks that the write in flight records
  *
  * Returns: (transfer full): the page, as JSON text
  */
@@ -103,27 +111,27 @@
                       gboolean pending);
 
 /**
- * hr_record_page_of:
+ * hr_record_page_range:
  * @job: a job whose tasks are in memory
- * @first: its first task in the page
- * @n: tasks in a page; the job's last page may hold fewer
+ * @first: index of the first task in the page
+ * @n: tasks of a page; the job's last page may hold fewer
  * @machines: names of machines
  * @tag: tag of the write
- * @pending: with the assignments and endings that are part of a write in flight
+ * @pending: TRUE to include the assignments and ends of tasks that the write in flight records
  *
  * Returns: (transfer full): a page of any size, as JSON text
  */
-char *hr_record_page_of (const HrJob *job, guint32 first, guint32 n, const HrIntern *machines,
-                         const char *tag, gboolean pending);
+char *hr_record_page_range (const HrJob *job, guint32 first, guint32 n, const HrIntern *machines,
+                            const char *tag, gboolean pending);
 
 /**
  * hr_record_read:
  * @value: (nullable): a main record or tombstone
- * @names: names that its specification refers to; new ones are added
+ * @names: names to which its specification refers; new ones are added
  * @out: (out): the record; borrows from @value
  * @error: (out) (optional): in %HR_RECORD_ERROR, which member is invalid
  *
- * Returns: FALSE when the record is invalid; then nothing may be concluded about the job
+ * Returns: FALSE if the record is invalid; the job's state is unknown then
  */
 gboolean hr_record_read (const json_t *value, HrNames *names, HrRecord *out, GError **error);
 
@@ -131,22 +139,22 @@
  * hr_record_clear:
  * @record: a record that was read
  *
- * Frees what it owns.
+ * Frees the members that the record owns.
  */
 void hr_record_clear (HrRecord *record);
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (HrRecord, hr_record_clear)
 
 /**
- * hr_record_tasks:
+ * hr_record_read_tasks:
  * @job: a job whose tasks are in memory
- * @first: its first task in @tasks
- * @tasks: (nullable): the tasks of a main record, or of a page in the job's present layout
+ * @first: index of the job's task that is the first one in @tasks
+ * @tasks: (nullable): the array of tasks of a main record, or of a page in the job's current layout
  * @machines: names of machines; new ones are added
  * @error: (out) (optional): in %HR_RECORD_ERROR, which task is invalid
  *
- * Sets what is recorded of these tasks.
+ * Sets the recorded state of these tasks.
  *
- * Returns: FALSE when they are invalid; tasks before the invalid one are set all the same
+ * Returns: FALSE if the array is invalid; the tasks before the invalid one are set nevertheless
  */
-gboolean hr_record_tasks (HrJob *job, guint32 first, const json_t *tasks, HrIntern *machines,
-                          GError **error);
+gboolean hr_record_read_tasks (HrJob *job, guint32 first, const json_t *tasks, HrIntern *machines,
+                               GError **error);
--- a/src/bookkeeping/record_format.c
+++ b/src/bookkeeping/record_format.c
@@ -11,7 +11,7 @@
 
 #define WRITE_RETRY_S 0.5
 #define WRITE_TIMEOUT_S 2.0
-/* The record's only member: the agreed format. */
+/* The only member of the record: the agreed format. */
 #define FORMAT_MEMBER "f"
 
 static HrStateLimits
@@ -38,23 +38,24 @@
   if (!state->supported || !value)
     return;
   if (!hr_json_count (value, FORMAT_MEMBER, G_MAXUINT32, &format)) {
-    g_warning ("the format in the state service makes no sense; left as it was");
+    g_warning ("ignored the invalid value of key " HR_STORE_KEY_RECORD_FORMAT
+               " in the state service");
     return;
   }
   if (format > state->supported)
-    g_warning ("records are of format %u, this version understands %u", (guint)format,
+    g_warning ("records have format %u, this version supports formats up to %u", (guint)format,
                state->supported);
   else if (format > state->agreed)
-    g_message ("records are of format %u from now on", (guint)format);
+    g_message ("records have format %u from now on", (guint)format);
   state->agreed = MAX (state->agreed, format);
   state->revision = revision;
   hr_record_split_rescan (store);
 }
 
-/* Carried out, refused or unknown: the next read of the record shows it. */
+/* Ignores the outcome of the write: the next read of the record shows it. */
 static void
 on_format_written (HrStore *store, int status G_GNUC_UNUSED, json_t *body G_GNUC_UNUSED,
-                   double sent G_GNUC_UNUSED, gpointer data G_GNUC_UNUSED)
+                   double sent_at G_GNUC_UNUSED, gpointer data G_GNUC_UNUSED)
 {
   store->format.write_in_flight = FALSE;
   store->format.next_write_at = store->now + WRITE_RETRY_S;
@@ -87,7 +88,7 @@
 }
 
 void
-hr_record_format_peer_oversized (HrStore *store, const char *id)
+hr_record_format_handle_oversized_report (HrStore *store, const char *id)
 {
   if (!hr_store_is_leader (store) || !store->format.supported)
     return;
@@ -97,7 +98,7 @@
 }
 
 static gboolean
-is_noted_as_oversized (const HrRecordSplitter *splitter, const char *id)
+is_reported_oversized (const HrRecordSplitter *splitter, const char *id)
 {
   for (guint i = 0; i < splitter->n_oversized; i++)
     if (g_str_equal (splitter->oversized[i], id))
@@ -105,9 +106,9 @@
   return FALSE;
 }
 
-/* The newest comes first; the oldest gives way. */
+/* Inserts the job at the front of the list. A full list drops its oldest entry. */
 static void
-note_as_oversized (HrRecordSplitter *splitter, const char *id)
+add_oversized (HrRecordSplitter *splitter, const char *id)
 {
   memmove (splitter->oversized[1], splitter->oversized[0],
            sizeof splitter->oversized[0] * (HR_MAX_OVERSIZED - 1));
@@ -115,15 +116,15 @@
   splitter->n_oversized = MIN (splitter->n_oversized + 1, HR_MAX_OVERSIZED);
 }
 
-/* The statuses go on to name the job until others take its place, also after the split: that does
- * no harm. */
+/* The statuses keep naming the job until newer entries replace it, even after the split. That is
+ * harmless. */
 void
-hr_record_format_note_oversized (HrStore *store, HrJob *job)
+hr_record_format_report_oversized (HrStore *store, HrJob *job)
 {
   if (hr_record_split_is_possible (store, job))
     hr_record_split_request (store, job, TRUE);
-  if (is_noted_as_oversized (&store->splitter, job->id))
+  if (is_reported_oversized (&store->splitter, job->id))
     return;
-  note_as_oversized (&store->splitter, job->id);
+  add_oversized (&store->splitter, job->id);
   store->events->status_changed (store->core);
 }
--- a/src/bookkeeping/record_format.h
+++ b/src/bookkeeping/record_format.h
@@ -1,9 +1,9 @@
-/* The format of records: which one every controller understands, and so may be written.
+/* The format of records: the newest one that every controller supports, and which may be written.
  *
- * Each controller states in its statuses which format it understands. Once all others have stated
- * the newest one, the leader records that in the store; from then on nobody is left who would
- * misread a record of that format (docs/upgrades.md). Until then records are of the earlier format.
- */
+ * Each controller states in its statuses which format it supports. Once all other controllers have
+ * stated the newest format, the leader records that in the state store: from then on no controller
+ * can misread a record of that format (docs/upgrades.md). Until then records have the earlier
+ * format. */
 #pragma once
 #include "bookkeeping/store.h"
 #include <glib.h>
@@ -12,9 +12,11 @@
 /**
  * hr_record_format_set_supported:
  * @store: the store
- * @format: the newest format that this node understands; 0: it knows of none
+ * @format: the newest format that this node supports; 0: it behaves like a node that predates
+ * record formats
  *
- * Sets also the limits that this node plans for, and its allowance. Called before the first step.
+ * Sets the format, the limits of the state store that this node plans for, and its write allowance.
+ * Called before the first step.
  */
 void hr_record_format_set_supported (HrStore *store, guint format);
 
@@ -22,9 +24,9 @@
  * hr_record_format_read:
  * @store: the store
  * @value: (nullable): the record of the agreed format; %NULL: it was deleted
- * @revision: its revision
+ * @revision: revision of the record
  *
- * The record was read. An agreed format stays agreed, whatever is read later.
+ * Applies the record of the agreed format that was read. The agreed format never decreases.
  */
 void hr_record_format_read (HrStore *store, const json_t *value, guint64 revision);
 
@@ -32,25 +34,27 @@
  * hr_record_format_tick:
  * @store: the store
  *
- * Records the newest format once every controller understands it, if this node leads. Called at
- * every step.
+ * Records the newest format once every controller supports it, if this node leads. Called at every
+ * step.
  */
 void hr_record_format_tick (HrStore *store);
 
 /**
- * hr_record_format_note_oversized:
+ * hr_record_format_report_oversized:
  * @store: the store
  * @job: a job whose record is too large to be cancelled
  *
- * Requests the split of the record: here, if this node leads, and of the leader, by the statuses.
+ * Requests the split of the record: at this node if it leads, else at the leader, through this
+ * node's statuses.
  */
-void hr_record_format_note_oversized (HrStore *store, HrJob *job);
+void hr_record_format_report_oversized (HrStore *store, HrJob *job);
 
 /**
- * hr_record_format_peer_oversized:
+ * hr_record_format_handle_oversized_report:
  * @store: the store
  * @id: a job's id
  *
- * Another controller could not cancel the job because its record is too large: a leader splits it.
+ * Handles the report of another controller that it could not cancel the job because its record is
+ * too large. If this node leads, it requests the split of the record.
  */
-void hr_record_format_peer_oversized (HrStore *store, const char *id);
+void hr_record_format_handle_oversized_report (HrStore *store, const char *id);
--- a/src/bookkeeping/record_read.c
+++ b/src/bookkeeping/record_read.c
@@ -1,4 +1,4 @@
-/* Reading records; record.c writes them. */
+/* Reads records; record.c writes them. */
 #include "bookkeeping/record.h"
 #include "bookkeeping/record_fields.h"
 #include "bookkeeping/tables.h"
@@ -20,7 +20,7 @@
   return FALSE;
 }
 
-/* Members that this version does not know. NULL: none. */
+/* Returns the members that this version does not know, or NULL if there are none. */
 static json_t *
 unknown_members (const json_t *value)
 {
@@ -40,7 +40,7 @@
 G_DEFINE_QUARK (hr - record - error - quark, hr_record_error)
 
 static gboolean
-fail_member (const char *member, GError **error)
+set_member_error (const char *member, GError **error)
 {
   g_set_error (error, HR_RECORD_ERROR, HR_RECORD_ERROR_MEMBER,
                "the record's member \"%s\" is missing or invalid", member);
@@ -50,7 +50,7 @@
 static gboolean
 read_count (const json_t *value, const char *member, guint64 max, guint64 *out, GError **error)
 {
-  return hr_json_count (value, member, max, out) || fail_member (member, error);
+  return hr_json_count (value, member, max, out) || set_member_error (member, error);
 }
 
 static gboolean
@@ -78,7 +78,7 @@
   return FALSE;
 }
 
-/* A job must not start while it is not known what it awaits: its whole record is invalid then. */
+/* A job must not start while its dependencies are unknown: invalid ones make the record invalid. */
 static gboolean
 read_awaits (const json_t *value, GStrv *out, GError **error)
 {
@@ -86,7 +86,7 @@
   if (!awaits)
     return TRUE;
   *out = hr_job_ids_read (awaits);
-  return *out || fail_member (HR_RECORD_AWAITS, error);
+  return *out || set_member_error (HR_RECORD_AWAITS, error);
 }
 
 static gboolean
@@ -97,7 +97,7 @@
   if (!read_spec (spec, names, &record->spec, error))
     return FALSE;
   if (!hr_json_num (value, HR_RECORD_SUBMITTED_AT, &record->submitted_at))
-    return fail_member (HR_RECORD_SUBMITTED_AT, error);
+    return set_member_error (HR_RECORD_SUBMITTED_AT, error);
   if (!read_count (value, HR_RECORD_TASKS_PER_PAGE, HR_MAX_TASKS, &tasks_per_page, error))
     return FALSE;
   const json_t *sized_page_keys = json_object_get (value, HR_RECORD_SIZED_PAGE_KEYS);
@@ -116,7 +116,7 @@
   memset (record, 0, sizeof *record);
   const char *tag = hr_json_str (value, HR_RECORD_TAG);
   if (!tag)
-    return fail_member (HR_RECORD_TAG, error);
+    return set_member_error (HR_RECORD_TAG, error);
   if (!read_count (value, HR_RECORD_STATE, HR_JOB_CANCELLED, &state, error))
     return FALSE;
   record->state = state;
@@ -171,12 +171,13 @@
 }
 
 gboolean
-hr_record_tasks (HrJob *job, guint32 first, const json_t *tasks, HrIntern *machines, GError **error)
+hr_record_read_tasks (HrJob *job, guint32 first, const json_t *tasks, HrIntern *machines,
+                      GError **error)
 {
   size_t i;
   json_t *entry;
-  guint32 most = job->record.tasks_per_page ? job->record.tasks_per_page : job->n_tasks;
-  guint32 n = MIN (most, job->n_tasks - first);
+  guint32 page_size = job->record.tasks_per_page ? job->record.tasks_per_page : job->n_tasks;
+  guint32 n = MIN (page_size, job->n_tasks - first);
   if (!json_is_array (tasks) || json_array_size (tasks) != n) {
     g_set_error (error, HR_RECORD_ERROR, HR_RECORD_ERROR_TASKS, "not an array of %u tasks", n);
     return FALSE;
--- a/src/bookkeeping/record_split.c
+++ b/src/bookkeeping/record_split.c
@@ -5,9 +5,10 @@
 #include "bookkeeping/tables.h"
 
 #define MAX_SPLITS_IN_FLIGHT 4
-/* Records checked for their size at each step. */
+/* Number of records whose size is checked at each step. */
 #define SCANNED_PER_STEP 8
-/* Share of the burst of changes that the scan leaves to others: nobody waits for its splits. */
+/* Share of the write burst that the scan leaves for other writes, since no request waits for its
+ * splits. */
 #define SCAN_RESERVED_SHARE 0.4
 
 gboolean
@@ -87,7 +88,7 @@
   return FALSE;
 }
 
-/* No write beside a split; after a failure, only later. */
+/* Checks whether a split has to wait for a write in flight, or for the back-off after a failure. */
 static gboolean
 must_wait (const HrStore *store, const HrJob *job)
 {
@@ -109,6 +110,6 @@
     if (hr_record_split_is_possible (store, job))
       hr_record_split_start (store, job);
     else
-      hr_record_writer_mark_all (store, job); /* what waited for the split */
+      hr_record_writer_mark_all (store, job); /* writes that waited for the split */
   }
 }
--- a/src/bookkeeping/record_split.h
+++ b/src/bookkeeping/record_split.h
@@ -1,7 +1,8 @@
-/* Splits of records that have become too large for the store's limits: which records, and when.
+/* Selects and queues records that have become too large for the state store's limits, to split
+ * them.
  *
- * Only the leader splits, and only once every controller understands split records
- * (record_format.h). The steps of a split are in record_split_steps.h. */
+ * Only the leader splits records, and only once every controller supports split records
+ * (record_format.h). record_split_steps.h executes a split. */
 #pragma once
 #include "bookkeeping/store.h"
 #include <glib.h>
@@ -11,7 +12,7 @@
  * @store: the store
  * @job: a job
  *
- * Returns: may this node split the job's record, and into smaller pages than it has?
+ * Returns: whether this node may split the job's record, and smaller pages are possible
  */
 gboolean hr_record_split_is_possible (const HrStore *store, const HrJob *job);
 
@@ -19,9 +20,9 @@
  * hr_record_split_request:
  * @store: the store
  * @job: a job whose record is too large
- * @urgent: somebody waits for it: it is split before the others
+ * @urgent: TRUE if a request waits for the split: it goes to the front of the queue
  *
- * Queues the split of the job's record. Does nothing while it is being split.
+ * Queues the split of the job's record. Does nothing while a split of the record is in flight.
  */
 void hr_record_split_request (HrStore *store, HrJob *job, gboolean urgent);
 
@@ -29,8 +30,7 @@
  * hr_record_split_rescan:
  * @store: the store
  *
- * All open jobs' records are to be checked for their size again: the limits, or the leader,
- * changed.
+ * Restarts the scan of the records of all open jobs: the limits or the leader changed.
  */
 void hr_record_split_rescan (HrStore *store);
 
@@ -38,7 +38,7 @@
  * hr_record_split_reset:
  * @store: the store
  *
- * Forgets the queue and the splits in flight: the whole store is read anew.
+ * Clears the queue and the number of splits in flight, before a listing of the whole state store.
  */
 void hr_record_split_reset (HrStore *store);
 
@@ -46,8 +46,8 @@
  * hr_record_split_scan:
  * @store: the store
  *
- * Checks a few more records, ahead of their next write, and requests splits of those that are too
- * large. Called at every step.
+ * Checks the size of the next few records, ahead of their next write, and requests splits of those
+ * that are too large. Called at every step.
  */
 void hr_record_split_scan (HrStore *store);
 
--- a/src/bookkeeping/record_split_steps.c
+++ b/src/bookkeeping/record_split_steps.c
@@ -13,21 +13,22 @@
 #include <string.h>
 
 #define SPLIT_TIMEOUT_S 2.0
-/* Transactions may hold 64 KiB; the conditions and keys take some of it. */
+/* Maximum size of the pages in a transaction. A transaction is limited to 64 KiB, which includes
+ * its conditions and keys. */
 #define MAX_TRANSACTION_BYTES ((gsize)40 * 1024)
-/* Times that a split begins anew because the record changed. */
+/* Maximum number of attempts of a split. Each change of the record requires a new attempt. */
 #define MAX_ATTEMPTS 4
 
 typedef struct {
   guint32 job;
   guint replica_generation;
-  guint64 base_revision; /* revision of the main record whose facts are being written */
+  guint64 base_revision; /* revision of the main record from which the pages are made */
   guint tasks_per_page, n_pages;
-  guint first_page, end_page;  /* pages of the step under way */
-  gboolean writes_main_record; /* and the main record */
+  guint first_page, end_page;  /* pages of the current step */
+  gboolean writes_main_record; /* the current step writes the main record, too */
   guint attempts;
   char *tag;
-  HrTransaction *transaction; /* the step under way; NULL: none */
+  HrTransaction *transaction; /* of the current step; NULL: none */
 } RecordSplit;
 
 static void
@@ -45,16 +46,16 @@
   return store->tables.jobs->pdata[split->job];
 }
 
-/* Has the split been carried out? */
+/* Checks whether the split has taken effect. */
 static gboolean
 is_layout_in_force (const HrJob *job, const RecordSplit *split)
 {
   return job->record.sized_page_keys && job->record.tasks_per_page == split->tasks_per_page;
 }
 
-/* ---- ends ---- */
+/* ---- completion ---- */
 
-/* Frees the split. What waited for it is looked at again. */
+/* Frees the split and marks all pages of the record, to resume the writes that waited for it. */
 static void
 end_split (HrStore *store, RecordSplit *split)
 {
@@ -68,17 +69,18 @@
 }
 
 static void
-give_up (HrStore *store, RecordSplit *split, const char *why)
+abort_split (HrStore *store, RecordSplit *split, const char *why)
 {
   HrJob *job = job_of (store, split);
-  g_warning ("%s: its record is not split yet: %s", job->id, why);
+  g_warning ("%s: could not split its record yet: %s", job->id, why);
   hr_record_writer_back_off (store, job);
   end_split (store, split);
 }
 
 /* ---- steps ---- */
 
-static void on_step_written (HrStore *store, int status, json_t *body, double sent, gpointer data);
+static void on_step_written (HrStore *store, int status, json_t *body, double sent_at,
+                             gpointer data);
 
 static void
 submit_step (HrStore *store, RecordSplit *split)
@@ -87,7 +89,7 @@
                          on_step_written, split);
 }
 
-/* An empty step, with the conditions that all steps have. */
+/* Begins a step: a transaction without writes, with the conditions that all steps share. */
 static void
 begin_step (HrStore *store, RecordSplit *split)
 {
@@ -96,25 +98,25 @@
   split->tag = store->events->new_tag (store->core);
   split->transaction = hr_transaction_new ();
   split->first_page = split->end_page;
-  split->writes_main_record = FALSE; /* an earlier attempt may have come to its last step */
+  split->writes_main_record = FALSE; /* an earlier attempt may have set it */
   g_autofree char *key = hr_job_record_key (job_of (store, split));
   hr_transaction_require (split->transaction, HR_STORE_KEY_LEADER_RECORD,
                           store->events->leader_record_revision (store->core));
   hr_transaction_require (split->transaction, key, split->base_revision);
 }
 
-/* Takes the page's text over. */
+/* Adds a write of the next page to the step. Takes ownership of the text. */
 static void
 add_page (RecordSplit *split, HrJob *job, char *text)
 {
-  g_autofree char *key = hr_record_page_key_of (job, split->tasks_per_page, split->end_page);
+  g_autofree char *key = hr_record_page_key_in_layout (job, split->tasks_per_page, split->end_page);
   const HrStagedPage *known = hr_staged_page_find (job, split->tasks_per_page, split->end_page);
   hr_transaction_require (split->transaction, key, known ? known->revision : 0);
   hr_transaction_put (split->transaction, key, text);
   split->end_page++;
 }
 
-/* Adds pages, at least one, while changes and bytes of the transaction allow it. */
+/* Adds pages to the step, at least one, up to the limits on writes and bytes. */
 static void
 add_pages (HrStore *store, RecordSplit *split, guint max_changes)
 {
@@ -122,8 +124,8 @@
   gsize bytes = 0;
   while (split->end_page < split->n_pages && split->end_page - split->first_page < max_changes) {
     g_autofree char *text =
-        hr_record_page_of (job, split->end_page * split->tasks_per_page, split->tasks_per_page,
-                           &store->tables.machine_ids, split->tag, FALSE);
+        hr_record_page_range (job, split->end_page * split->tasks_per_page, split->tasks_per_page,
+                              &store->tables.machine_ids, split->tag, FALSE);
     bytes += strlen (text);
     if (bytes > MAX_TRANSACTION_BYTES && split->end_page > split->first_page)
       return;
@@ -148,9 +150,9 @@
 static void
 next_step (HrStore *store, RecordSplit *split)
 {
-  /* A step must fit into what the allowance can save up. */
-  guint saved_up = store->transactions.allowance.burst / 2;
-  guint max_changes = MAX (1, MIN (store->limits.txn_ops, saved_up));
+  /* A step must fit the number of writes that the allowance can accumulate. */
+  guint max_burst = store->transactions.allowance.burst / 2;
+  guint max_changes = MAX (1, MIN (store->limits.txn_ops, max_burst));
   begin_step (store, split);
   add_pages (store, split, max_changes);
   if (split->end_page == split->n_pages && split->end_page - split->first_page < max_changes)
@@ -167,11 +169,11 @@
     return;
   }
   if (++split->attempts > MAX_ATTEMPTS) {
-    give_up (store, split, "it changes again and again");
+    abort_split (store, split, "the record changed during every attempt");
     return;
   }
   split->base_revision = job->record.revision;
-  split->tasks_per_page = hr_record_layout_smaller (store, job);
+  split->tasks_per_page = hr_record_layout_choose_smaller (store, job);
   split->n_pages = hr_page_count (job->n_tasks, split->tasks_per_page);
   split->first_page = split->end_page = 0;
   next_step (store, split);
@@ -188,32 +190,32 @@
   begin_attempt (store, split);
 }
 
-/* ---- answers ---- */
+/* ---- responses ---- */
 
 static void
-on_replica_fresh (HrStore *store, gboolean ok G_GNUC_UNUSED, gpointer data)
+on_replica_read (HrStore *store, gboolean ok G_GNUC_UNUSED, gpointer data)
 {
   g_autoptr (RecordSplit) split = data;
   if (split->replica_generation != store->replica.generation)
     return;
   if (is_layout_in_force (job_of (store, split), split))
-    end_split (store, g_steal_pointer (&split)); /* it was carried out; the answer was lost */
+    end_split (store, g_steal_pointer (&split)); /* it took effect, but the response was lost */
   else
     begin_attempt (store, g_steal_pointer (&split));
 }
 
-/* The main record names the new layout, at this revision. */
+/* Completes the split: the main record refers to the new layout from this revision on. */
 static void
 complete (HrStore *store, RecordSplit *split, guint64 revision)
 {
   HrJob *job = job_of (store, split);
-  if (!is_layout_in_force (job, split)) { /* else the change was read before the answer came */
+  if (!is_layout_in_force (job, split)) { /* otherwise the replica has applied the change already */
     job->record.revision = revision;
     g_free (job->record.tag);
     job->record.tag = g_strdup (split->tag);
     hr_staged_pages_adopt (store, job, split->tasks_per_page, revision);
   }
-  g_info ("%s: its record is split into %u pages", job->id, job->record.n_pages);
+  g_info ("%s: split its record into %u pages", job->id, job->record.n_pages);
   job->record.next_write_at = job->record.back_off_s = 0;
   end_split (store, split);
 }
@@ -232,7 +234,8 @@
 }
 
 static void
-on_step_written (HrStore *store, int status, json_t *body, double sent G_GNUC_UNUSED, gpointer data)
+on_step_written (HrStore *store, int status, json_t *body, double sent_at G_GNUC_UNUSED,
+                 gpointer data)
 {
   g_autoptr (RecordSplit) split = data;
   guint64 store_revision;
@@ -241,10 +244,10 @@
   if (status == 200 && hr_store_read_revision (body, &store_revision))
     handle_step_done (store, g_steal_pointer (&split), store_revision);
   else if (status == 409)
-    hr_replica_read (store, on_replica_fresh, g_steal_pointer (&split));
+    hr_replica_read (store, on_replica_read, g_steal_pointer (&split));
   else if (status == 400)
-    give_up (store, g_steal_pointer (&split), hr_json_str (body, "error"));
+    abort_split (store, g_steal_pointer (&split), hr_json_str (body, "error"));
   else
     submit_step (store,
-                 g_steal_pointer (&split)); /* unknown: the same again, on the same revisions */
+                 g_steal_pointer (&split)); /* unknown outcome: retry with the same conditions */
 }
--- a/src/bookkeeping/record_split_steps.h
+++ b/src/bookkeeping/record_split_steps.h
@@ -1,11 +1,12 @@
-/* The steps of one split of a record.
+/* Executes the split of a record in steps, each of which is a transaction.
  *
- * The pages of the new size are written first, under keys that carry their size; nobody reads them
- * as facts while the main record names the earlier layout (staged_pages.h). Last the main record is
- * written, which names the new layout. Every step holds on the leader record, on the main record's
- * revision and on what is known of the pages. So each step leaves a record with the same facts, and
- * a change by another node, or another leader, makes the remaining steps fail (docs/upgrades.md).
- * Where it fits, all of this is one transaction. */
+ * The first steps write the pages of the new size, under keys that contain the size. Controllers do
+ * not use these pages while the main record refers to the earlier layout (staged_pages.h). The last
+ * step writes the main record, which refers to the new layout. Every step is conditional on the
+ * leader record, on the revision of the main record and on the known revisions of the pages. So
+ * each step leaves the recorded state of the job unchanged, and a write by another node, or a new
+ * leader, makes the remaining steps fail (docs/upgrades.md). A small split is a single transaction.
+ */
 #pragma once
 #include "bookkeeping/store.h"
 
@@ -14,7 +15,7 @@
  * @store: the store; this node leads
  * @job: a job whose record can be split, and has no write in flight
  *
- * Splits the job's record into smaller pages. Until the split has ended, which its
- * `split_in_flight` states, the record is not written otherwise; then all of its pages are marked.
+ * Splits the job's record into smaller pages. While `split_in_flight` of the record is set, the
+ * record is not written otherwise. When the split ends, all pages of the record are marked.
  */
 void hr_record_split_start (HrStore *store, HrJob *job);
--- a/src/bookkeeping/record_write.c
+++ b/src/bookkeeping/record_write.c
@@ -15,11 +15,11 @@
 
 typedef struct {
   guint32 job, page;
-  guint replica_generation; /* of the replica when it began: a later one makes it void */
+  guint replica_generation; /* when the write began; a newer one supersedes the write */
   char *tag;
   HrTransaction *transaction;
   HrTransactionKind kind;
-  gsize bytes; /* of the value */
+  gsize bytes; /* size of the value */
 } RecordWrite;
 
 static void
@@ -44,10 +44,11 @@
   return store->tables.jobs->pdata[write->job];
 }
 
-/* The page whose write this still is, or NULL when it was overtaken: by a new listing of the store,
- * by the job's end, or by a change that showed its outcome before the answer came. */
+/* Returns the page with this write in flight, or NULL if the write was superseded: by a new listing
+ * of the state store, by the end of the job, or by a change that showed its outcome before the
+ * response arrived. */
 static HrRecordPage *
-page_under_write (const HrStore *store, const RecordWrite *write)
+page_in_flight (const HrStore *store, const RecordWrite *write)
 {
   HrJob *job = job_of (store, write);
   if (write->replica_generation != store->replica.generation ||
@@ -57,16 +58,16 @@
   return &job->record.pages[write->page];
 }
 
-/* Does the write go under the main record's key? */
+/* Checks whether the write of the page writes the key of the main record. */
 static gboolean
 writes_main_record (const HrJob *job, const HrRecordPage *page)
 {
-  return !job->record.tasks_per_page || page->write_is_final;
+  return !job->record.tasks_per_page || page->write_is_tombstone;
 }
 
 /* ---- sending ---- */
 
-static void on_written (HrStore *store, int status, json_t *body, double sent, gpointer data);
+static void on_written (HrStore *store, int status, json_t *body, double sent_at, gpointer data);
 
 static void
 submit (HrStore *store, RecordWrite *write)
@@ -75,7 +76,7 @@
                          write);
 }
 
-/* Takes the value's text over. */
+/* Builds the transaction of a write. Takes ownership of the text. */
 static HrTransaction *
 build_transaction (const HrStore *store, const HrJob *job, const HrRecordPage *page, char *text)
 {
@@ -100,7 +101,7 @@
 {
   RecordWrite *write = g_new0 (RecordWrite, 1);
   page->write_tag = g_strdup (content->tag);
-  page->write_is_final = content->is_tombstone;
+  page->write_is_tombstone = content->is_tombstone;
   write->job = job->index;
   write->page = page - job->record.pages;
   write->replica_generation = store->replica.generation;
@@ -111,34 +112,34 @@
   submit (store, write);
 }
 
-/* ---- after a conflict: whose write is in the store? ---- */
+/* ---- conflicts: find out whose write is in the state store ---- */
 
-/* The record is not what the write left: another controller's write came first. */
+/* Applies a record that another controller wrote first. The write in flight has failed. */
 static void
-apply_foreign_record (HrStore *store, const RecordWrite *write, HrRecordPage *page,
-                      const json_t *value, guint64 revision)
+apply_conflicting_record (HrStore *store, const RecordWrite *write, HrRecordPage *page,
+                          const json_t *value, guint64 revision)
 {
   HrJob *job = job_of (store, write);
   if (!writes_main_record (job, page))
     page->revision = MAX (page->revision, revision);
   else if (value)
     hr_replica_apply_job (store, job, value, revision);
-  /* Applying the record may have ended the job, and this write with it. */
-  if (page_under_write (store, write))
+  /* Applying the record may have ended the job, which cancels this write. */
+  if (page_in_flight (store, write))
     hr_record_writer_failed (store, job, page);
 }
 
 static void
-on_record_reread (HrStore *store, int status, json_t *body, double sent G_GNUC_UNUSED,
+on_record_reread (HrStore *store, int status, json_t *body, double sent_at G_GNUC_UNUSED,
                   gpointer data)
 {
   g_autoptr (RecordWrite) write = data;
-  HrRecordPage *page = page_under_write (store, write);
+  HrRecordPage *page = page_in_flight (store, write);
   guint64 revision = 0;
   if (!page)
     return;
   if (status != 200 && status != 404) {
-    /* Still unknown: the same write again, it holds on the same revisions. */
+    /* Unknown outcome: retry the write, which is conditional on the same revisions. */
     submit (store, g_steal_pointer (&write));
     return;
   }
@@ -148,14 +149,14 @@
   if (tag && g_str_equal (tag, write->tag))
     hr_record_writer_confirmed (store, job_of (store, write), page, revision);
   else
-    apply_foreign_record (store, write, page, value, revision);
+    apply_conflicting_record (store, write, page, value, revision);
 }
 
 static void
-on_replica_fresh (HrStore *store, gboolean ok G_GNUC_UNUSED, gpointer data)
+on_replica_read (HrStore *store, gboolean ok G_GNUC_UNUSED, gpointer data)
 {
   g_autoptr (RecordWrite) write = data;
-  const HrRecordPage *page = page_under_write (store, write);
+  const HrRecordPage *page = page_in_flight (store, write);
   if (!page)
     return;
   const HrJob *job = job_of (store, write);
@@ -165,13 +166,13 @@
                        on_record_reread, g_steal_pointer (&write));
 }
 
-/* ---- answers ---- */
+/* ---- responses ---- */
 
 static void
 handle_refusal (HrStore *store, const RecordWrite *write, HrRecordPage *page, const char *error)
 {
   HrJob *job = job_of (store, write);
-  g_warning ("%s: the state service refuses the record: %s", job->id, error);
+  g_warning ("%s: the state service refused to write its record: %s", job->id, error);
   if (store->format.supported) {
     if (write->bytes > hr_record_layout_planned_bytes (store))
       store->format.planned_limits_in_force = TRUE;
@@ -181,21 +182,21 @@
 }
 
 static void
-on_written (HrStore *store, int status, json_t *body, double sent G_GNUC_UNUSED, gpointer data)
+on_written (HrStore *store, int status, json_t *body, double sent_at G_GNUC_UNUSED, gpointer data)
 {
   g_autoptr (RecordWrite) write = data;
-  HrRecordPage *page = page_under_write (store, write);
+  HrRecordPage *page = page_in_flight (store, write);
   guint64 store_revision;
   if (!page)
     return;
   if (status == 200 && hr_store_read_revision (body, &store_revision))
     hr_record_writer_confirmed (store, job_of (store, write), page, store_revision);
   else if (status == 409)
-    /* Perhaps because of an earlier try of ours whose answer was lost: the record shows it. The
-     * leader record may have changed too, so the changes are read before anything is concluded. */
-    hr_replica_read (store, on_replica_fresh, g_steal_pointer (&write));
+    /* An earlier try of this write whose response was lost may have taken effect; the record shows
+     * whether it has. The leader record may have changed, too, so read the changes first. */
+    hr_replica_read (store, on_replica_read, g_steal_pointer (&write));
   else if (status == 400)
     handle_refusal (store, write, page, hr_json_str (body, "error"));
   else
-    submit (store, g_steal_pointer (&write)); /* unknown, or not carried out: the same again */
+    submit (store, g_steal_pointer (&write)); /* unknown outcome or not executed: retry */
 }
--- a/src/bookkeeping/record_write.h
+++ b/src/bookkeeping/record_write.h
@@ -1,24 +1,25 @@
-/* One write of a record or of a page of it, from its first try until its outcome is known.
+/* A write of a main record or a page, from the first try until its outcome is known.
  *
- * Each write holds on the leader record, which fences earlier leaders, and on the revisions of what
- * it replaces. A page has at most one write in flight; HrRecordPage.write_tag is its tag. The
- * outcome goes to record_writer.h: confirmed, or failed. A write whose answer is lost is sent
- * again: it can only take effect once. Called by record_writer.c alone. */
+ * Each write is conditional on the leader record, which fences earlier leaders, and on the
+ * revisions of the values that it replaces. A page has at most one write in flight, whose tag is
+ * HrRecordPage.write_tag. The outcome is passed to hr_record_writer_confirmed() or
+ * hr_record_writer_failed(). A write whose response is lost is retried; it can take effect only
+ * once. Only record_writer.c calls these functions. */
 #pragma once
 #include "bookkeeping/store.h"
 #include <glib.h>
 
-/* What is to be written. */
+/* The content of a write. */
 typedef struct {
-  char *tag;              /* of this write alone; owned */
+  char *tag;              /* unique tag of the write; owned */
   char *text;             /* the value, as JSON; owned */
-  gboolean is_tombstone;  /* the job's tombstone: goes under the main record's key */
-  HrTransactionKind kind; /* how early it is sent */
+  gboolean is_tombstone;  /* the text is the job's tombstone, written to the main record's key */
+  HrTransactionKind kind; /* priority of the transaction */
 } HrRecordWriteContent;
 
 /**
  * hr_record_write_content_clear:
- * @content: what is to be written
+ * @content: the content of a write
  *
  * Frees the members that are still owned.
  */
@@ -30,9 +31,9 @@
  * @store: the store
  * @job: a job whose tasks are in memory
  * @page: one of its pages, without a write in flight
- * @content: what to write; its tag and text are taken over
+ * @content: the content; its tag and text are stolen
  *
- * Submits the write and sees it through.
+ * Submits the write, and retries it until its outcome is known.
  */
 void hr_record_write_start (HrStore *store, HrJob *job, HrRecordPage *page,
                             HrRecordWriteContent *content);
--- a/src/bookkeeping/record_writer.c
+++ b/src/bookkeeping/record_writer.c
@@ -8,20 +8,20 @@
 #include "bookkeeping/transactions.h"
 #include <string.h>
 
-/* A record that the store refuses is written again after so long, then twice as long each time. */
+/* Back-off after the state store refused a record; it doubles with each further refusal. */
 #define MIN_BACK_OFF_S 0.5
 #define MAX_BACK_OFF_S 8.0
-/* While the store does not answer, transactions are tried this far apart. */
+/* Interval between retries of transactions while the state store does not answer. */
 #define OUTAGE_RETRY_S 0.5
 
-/* What the next write of a page is to hold. */
+/* Content of the next write of a page. */
 typedef enum {
-  CONTENT_NONE,     /* nothing: what is recorded is up to date */
-  CONTENT_TASKS,    /* assignments and endings of tasks */
-  CONTENT_TOMBSTONE /* the job is final, and on no machine */
+  CONTENT_NONE,     /* no write is needed: the record is up to date */
+  CONTENT_TASKS,    /* assignments and ends of tasks */
+  CONTENT_TOMBSTONE /* the job is final, and none of its tasks is on a machine */
 } PageContent;
 
-/* Tasks of a page: from the first up to, not including, the end. */
+/* Range of a page's tasks; `end` is exclusive. */
 typedef struct {
   guint32 first, end;
 } TaskRange;
@@ -39,7 +39,7 @@
   return (TaskRange){first, MIN (first + job->record.tasks_per_page, job->n_tasks)};
 }
 
-/* ---- pages due to be written ---- */
+/* ---- dirty pages ---- */
 
 static void
 mark_page (HrStore *store, HrJob *job, HrRecordPage *page)
@@ -72,7 +72,7 @@
   job->record.next_write_at = store->now + job->record.back_off_s;
 }
 
-/* Tombstones are small: they never wait. */
+/* Checks whether the record must wait after a failed write. Tombstones are small and never wait. */
 static gboolean
 is_backing_off (const HrStore *store, const HrJob *job)
 {
@@ -99,7 +99,7 @@
   }
 }
 
-/* The job's tombstone is in the store. */
+/* Handles the confirmed write of the job's tombstone. */
 static void
 finish_job (HrStore *store, HrJob *job)
 {
@@ -117,11 +117,11 @@
 hr_record_writer_confirmed (HrStore *store, HrJob *job, HrRecordPage *page, guint64 revision)
 {
   TaskRange range = tasks_of_page (job, page);
-  gboolean is_tombstone = page->write_is_final;
+  gboolean is_tombstone = page->write_is_tombstone;
   g_autofree char *tag = g_steal_pointer (&page->write_tag);
   job->record.next_write_at = job->record.back_off_s = 0;
   page->revision = revision;
-  page->write_is_final = FALSE;
+  page->write_is_tombstone = FALSE;
   if (!job->record.tasks_per_page || is_tombstone) {
     job->record.revision = revision;
     g_free (job->record.tag);
@@ -132,7 +132,7 @@
   if (is_tombstone)
     finish_job (store, job);
   else if (job->state == HR_JOB_QUEUED && job->n_recorded_done == job->n_tasks)
-    mark_page (store, job, job->record.pages); /* the tombstone is due */
+    mark_page (store, job, job->record.pages); /* its next write is the tombstone */
   store->events->plan_changed (store->core);
 }
 
@@ -141,7 +141,7 @@
 {
   TaskRange range = tasks_of_page (job, page);
   g_clear_pointer (&page->write_tag, g_free);
-  page->write_is_final = FALSE;
+  page->write_is_tombstone = FALSE;
   for (guint32 i = range.first; i < range.end; i++) {
     HrTask *task = &job->tasks[i];
     if (!task->write_in_flight)
@@ -153,8 +153,8 @@
   mark_page (store, job, page);
 }
 
-/* The value is larger than the store takes: it is not sent. Endings wait for the record's split;
- * assignments wait too, or are dropped where no split is possible yet. */
+/* Handles a value that exceeds the maximum size: it is not sent. Ends of tasks wait for the split
+ * of the record. Assignments wait, too, or are dropped if no split is possible yet. */
 static void
 handle_oversized (HrStore *store, HrJob *job, HrRecordPage *page)
 {
@@ -167,19 +167,20 @@
   }
   if (can_split) {
     hr_record_split_request (store, job, FALSE);
-    return; /* at its end the split marks the pages */
+    return; /* the split marks the pages when it ends */
   }
   if (!job->record.back_off_s)
-    g_warning ("%s: its record is too large, and not every member is known to read a split one",
-               job->id);
+    g_warning (
+        "%s: its record is too large, and cannot be split until every controller supports it",
+        job->id);
   hr_record_writer_back_off (store, job);
   job->run.retry_at = MAX (job->run.retry_at, job->record.next_write_at);
   mark_page (store, job, page);
 }
 
-/* ---- what to write ---- */
+/* ---- content of writes ---- */
 
-/* Makes every unrecorded assignment and ending of the page part of its next write. */
+/* Includes every unrecorded assignment and end of a task of the page in its next write. */
 static TaskChanges
 take_task_changes (HrJob *job, const HrRecordPage *page)
 {
@@ -187,8 +188,8 @@
   TaskChanges changes = {FALSE, FALSE};
   for (guint32 i = range.first; i < range.end; i++) {
     HrTask *task = &job->tasks[i];
-    /* A job that awaits others is never assigned; this is the last check of that, and the same is
-     * checked before launches. */
+    /* Last check that no task is assigned while the job awaits other jobs. The same is checked
+     * before launches. */
     gboolean assigned = task->state == HR_TASK_ASSIGNING && job->state == HR_JOB_QUEUED &&
                         !hr_job_has_unfinished_dependencies (job);
     gboolean ended = task->state == HR_TASK_DONE && !task->done_recorded;
@@ -199,7 +200,8 @@
   return changes;
 }
 
-/* Tombstones replace the main record: they go with the first page. */
+/* Chooses the content of a page's next write. The first page writes the tombstone, which replaces
+ * the main record. */
 static PageContent
 choose_content (const HrJob *job, const HrRecordPage *page, const TaskChanges *changes)
 {
@@ -208,7 +210,7 @@
     if (is_first && job->run.n_live == 0 && !job->record.is_compacted)
       return CONTENT_TOMBSTONE;
   } else {
-    /* The last ending and the tombstone are one write where the tasks are in the main record. */
+    /* If the main record holds the tasks, the tombstone also records the last ends of tasks. */
     guint32 n_done = job->record.tasks_per_page ? job->n_recorded_done : job->n_done;
     if (is_first && n_done == job->n_tasks)
       return CONTENT_TOMBSTONE;
@@ -233,7 +235,7 @@
 static HrTransactionKind
 choose_kind (const HrJob *job, const TaskChanges *changes)
 {
-  /* Jobs that await this one can start once its end is recorded. */
+  /* Jobs that await this one may start once its end is recorded. */
   gboolean is_awaited =
       job->dependencies.dependents && job->state == HR_JOB_QUEUED && job->n_done == job->n_tasks;
   return changes->assignments || is_awaited ? HR_TRANSACTION_LAUNCH : HR_TRANSACTION_BOOKKEEPING;
@@ -242,8 +244,8 @@
 static void
 write_page (HrStore *store, HrJob *job, HrRecordPage *page)
 {
-  if (job->cancellation.told_by_peer)
-    return; /* its record has changed, and is read before it is written again */
+  if (job->cancellation.reported_by_peer)
+    return; /* the cancelled record must be read before it is written again */
   TaskChanges changes = take_task_changes (job, page);
   PageContent content = choose_content (job, page, &changes);
   if (content == CONTENT_NONE)
@@ -258,9 +260,9 @@
     hr_record_write_start (store, job, page, &write);
 }
 
-/* ---- each step ---- */
+/* ---- step ---- */
 
-/* One write at a time for each page, and none beside a split of its record. */
+/* Checks whether a page must wait: it has at most one write in flight, and none during a split. */
 static gboolean
 must_wait (const HrStore *store, const HrJob *job, const HrRecordPage *page)
 {
@@ -299,7 +301,8 @@
   hr_transactions_send (store);
 }
 
-/* A write under a fencing token that is being raised would be refused. */
+/* Checks whether this node may write. While its fencing token is being raised, writes would be
+ * refused. */
 static gboolean
 may_write (const HrStore *store)
 {
--- a/src/bookkeeping/record_writer.h
+++ b/src/bookkeeping/record_writer.h
@@ -1,7 +1,8 @@
-/* Writes to the state store what the leader decided about tasks: assignments, endings, tombstones.
+/* Writes the leader's decisions to the state store: assignments and ends of tasks, and tombstones.
  *
- * Whoever changes a task marks it; hr_record_writer_tick() writes the marked pages, one write at a
- * time for each. What cannot be written now stays marked. Only the leader writes. */
+ * Code that changes a task marks it. hr_record_writer_tick() writes the marked pages, with at most
+ * one write in flight for each page. Pages that cannot be written now stay marked. Only the leader
+ * writes. */
 #pragma once
 #include "bookkeeping/store.h"
 #include <glib.h>
@@ -10,8 +11,8 @@
  * hr_record_writer_tick:
  * @store: the store
  *
- * Writes marked pages, goes on with splits of records and sends queued transactions. Called at
- * every step, after everything that may mark pages.
+ * Writes marked pages, starts queued splits of records and sends queued transactions. Called at
+ * every step, after all code that may mark pages.
  */
 void hr_record_writer_tick (HrStore *store);
 
@@ -19,9 +20,9 @@
  * hr_record_writer_mark:
  * @store: the store
  * @job: a job
- * @task_index: a task of it
+ * @task_index: index of one of its tasks
  *
- * Marks the page that holds the task as due to be written. Does nothing for a final job.
+ * Marks the page that holds the task as dirty. Does nothing for a final job.
  */
 void hr_record_writer_mark (HrStore *store, HrJob *job, guint32 task_index);
 
@@ -30,7 +31,7 @@
  * @store: the store
  * @job: a job
  *
- * Marks all pages of the job's record. Does nothing for a final job.
+ * Marks all pages of the job's record as dirty. Does nothing for a final job.
  */
 void hr_record_writer_mark_all (HrStore *store, HrJob *job);
 
@@ -39,10 +40,10 @@
  * @store: the store
  * @job: a job
  * @page: a page of it with a write in flight
- * @revision: revision at which that write is in the store
+ * @revision: revision of the write in the state store
  *
- * What the write held is recorded: launches may follow, and a job whose tombstone it was is final.
- * @page is void after a tombstone.
+ * Handles a write that took effect: assigned tasks may be launched, and a job whose tombstone was
+ * written is final. @page is invalid after a tombstone.
  */
 void hr_record_writer_confirmed (HrStore *store, HrJob *job, HrRecordPage *page, guint64 revision);
 
@@ -52,7 +53,7 @@
  * @job: a job
  * @page: a page of it with a write in flight
  *
- * The write did not happen, and never will. What is still to be recorded is marked anew.
+ * Handles a write that did not take effect and never will. Marks the page again.
  */
 void hr_record_writer_failed (HrStore *store, HrJob *job, HrRecordPage *page);
 
@@ -61,6 +62,7 @@
  * @store: the store
  * @job: a job whose record could not be written
  *
- * Its record is not written again before a while, longer each time. Tombstones do not wait.
+ * Delays the next write of the record; the delay doubles with each call until a write succeeds.
+ * Tombstones are not delayed.
  */
 void hr_record_writer_back_off (HrStore *store, HrJob *job);
--- a/src/bookkeeping/replica.c
+++ b/src/bookkeeping/replica.c
@@ -7,52 +7,52 @@
 #include "protocol/store_api.h"
 
 #define READ_TIMEOUT_S 2.0
-/* The service holds a watch's answer back until there is a change, at most this long, ms. */
+/* The state service delays the response to a watch until there is a change, at most this long. */
 #define WATCH_HOLD_MS 10000
 #define WATCH_TIMEOUT_S 14.0
-/* After a watch that failed. */
+/* Delay of the next watch after a failed one. */
 #define MIN_WATCH_RETRY_S 0.3
 #define MAX_WATCH_RETRY_S 0.7
-/* All controllers together take half of the service's rate of requests for reads, and a quarter for
- * watches. */
+/* All controllers together use half of the state service's request rate for reads, and a quarter
+ * for watches. */
 #define READ_RATE_DIVISOR 2.0
 #define WATCH_RATE_DIVISOR 4.0
-/* Reads that nobody waits for: while the service answers, and while it does not. */
-#define IDLE_READ_GAP_S 1.0
-#define OUTAGE_READ_GAP_S 0.5
-/* Whoever waits for a read waits on so long while the service answers 429. */
-#define BUSY_S 1.2
-/* Share of a read's latency that stays in the estimate after the next read. */
-#define LATENCY_KEPT 0.7
+/* Intervals of reads without waiters: while the state service answers, and while it does not. */
+#define IDLE_READ_INTERVAL_S 1.0
+#define OUTAGE_READ_INTERVAL_S 0.5
+/* Waiters keep waiting for this long while the state service answers reads with 429. */
+#define MAX_BUSY_WAIT_S 1.2
+/* Factor by which the latency estimate decays with each read. */
+#define LATENCY_DECAY 0.7
 
 void
 hr_replica_reset (HrStore *store)
 {
-  store->replica.state = HR_REPLICA_UNREAD;
+  store->replica.state = HR_REPLICA_NOT_SYNCED;
   store->replica.generation++;
   store->replica.list_retry_at = 0;
 }
 
 /* ---- changes ---- */
 
-/* Applies an entry of the log, unless it was applied before. Returns: its revision; 0: it is
+/* Applies an entry of the log, unless it was applied before. Returns its revision, or 0 if it is
  * invalid. */
 static guint64
 apply_entry (HrStore *store, const json_t *entry, guint64 applied_before)
 {
   HrStoreChange change;
   if (!hr_store_read_change (entry, &change)) {
-    g_info ("a change that makes no sense was dropped");
+    g_info ("dropped an invalid entry of the state service's log");
     return 0;
   }
-  /* Watches and reads overlap: each change counts once. */
+  /* Watches and reads overlap: apply each change once. */
   if (change.revision > applied_before)
     hr_replica_apply_change (store, change.key, change.value, change.revision);
   return change.revision;
 }
 
-/* Applies an answer with the changes after a revision that is not beyond the applied one. Returns:
- * FALSE when it is invalid. */
+/* Applies a response with all changes after a revision that is not newer than the applied one.
+ * Returns FALSE if the response is invalid. */
 static gboolean
 apply_changes (HrStore *store, const json_t *body)
 {
@@ -81,10 +81,10 @@
                        GUINT_TO_POINTER (store->replica.generation));
 }
 
-/* Between the requests of one controller, so that all of them together make up the share of the
- * service's rate that the divisor says. */
+/* Returns the interval of one controller's requests, in seconds, at which all controllers together
+ * use 1 / rate_divisor of the state service's request rate. */
 static double
-gap_for_share (const HrStore *store, double rate_divisor)
+request_interval (const HrStore *store, double rate_divisor)
 {
   return rate_divisor * (store->settings->members->len + 1) / store->limits.rps;
 }
@@ -94,7 +94,7 @@
 static void
 release_waiters (HrStore *store, GArray *waiters, gboolean ok)
 {
-  /* Their callbacks may add new ones. */
+  /* The callbacks may add new waiters. */
   g_autoptr (GArray) released = g_array_copy (waiters);
   g_array_set_size (waiters, 0);
   for (guint i = 0; i < released->len; i++) {
@@ -103,14 +103,14 @@
   }
 }
 
-/* Requests are too many just now: waiters that came of late are left to the next read. */
+/* After a response 429: moves recent waiters to the next read. */
 static void
 keep_recent_waiters (HrStore *store)
 {
   GArray *in_flight = store->replica.waiters_in_flight;
   for (guint i = 0; i < in_flight->len; i++) {
     const HrReadWaiter *waiter = &g_array_index (in_flight, HrReadWaiter, i);
-    if (store->now - waiter->since < BUSY_S) {
+    if (store->now - waiter->since < MAX_BUSY_WAIT_S) {
       g_array_append_val (store->replica.waiters, *waiter);
       g_array_remove_index (in_flight, i--);
     }
@@ -118,30 +118,30 @@
 }
 
 static void
-note_read (HrStore *store, double sent_at)
+record_read_success (HrStore *store, double sent_at)
 {
   HrReplica *replica = &store->replica;
   double latency_s = store->now - sent_at;
   store->events->read_answered (store->core, latency_s);
-  if (sent_at - replica->confirmed_at > HR_UNSERVED_S)
-    replica->served_since = store->now;
+  if (sent_at - replica->confirmed_at > HR_MAX_READ_GAP_S)
+    replica->current_since = store->now;
   replica->confirmed_at = MAX (replica->confirmed_at, sent_at);
-  replica->read_latency_s = MAX (latency_s, LATENCY_KEPT * replica->read_latency_s);
+  replica->read_latency_s = MAX (latency_s, LATENCY_DECAY * replica->read_latency_s);
   replica->synced_once = TRUE;
 }
 
 static void
-on_read_answer (HrStore *store, int status, json_t *body, double sent, gpointer data)
+on_read_answer (HrStore *store, int status, json_t *body, double sent_at, gpointer data)
 {
   if (GPOINTER_TO_UINT (data) != store->replica.generation)
     return;
   store->replica.read_in_flight = FALSE;
   gboolean ok = status == 200 && apply_changes (store, body);
-  gboolean is_busy = status == 429, lacks_history = status == 410;
-  hr_replica_note_answer (store, ok || is_busy || lacks_history);
+  gboolean is_busy = status == 429, is_history_lost = status == 410;
+  hr_replica_update_availability (store, ok || is_busy || is_history_lost);
   if (ok)
-    note_read (store, sent);
-  if (lacks_history)
+    record_read_success (store, sent_at);
+  if (is_history_lost)
     store->events->history_lost (store->core);
   if (is_busy)
     keep_recent_waiters (store);
@@ -152,9 +152,9 @@
 is_read_due (const HrStore *store)
 {
   const HrReplica *replica = &store->replica;
-  double gap = replica->is_unavailable ? OUTAGE_READ_GAP_S : IDLE_READ_GAP_S;
+  double gap = replica->is_unavailable ? OUTAGE_READ_INTERVAL_S : IDLE_READ_INTERVAL_S;
   if (replica->waiters->len)
-    gap = gap_for_share (store, READ_RATE_DIVISOR);
+    gap = request_interval (store, READ_RATE_DIVISOR);
   return !replica->read_in_flight && store->now - replica->read_sent_at >= gap;
 }
 
@@ -162,7 +162,7 @@
 send_read (HrStore *store)
 {
   HrReplica *replica = &store->replica;
-  GArray *released = replica->waiters_in_flight; /* empty since the last answer */
+  GArray *released = replica->waiters_in_flight; /* empty since the last response */
   replica->waiters_in_flight = replica->waiters;
   replica->waiters = released;
   replica->read_in_flight = TRUE;
@@ -173,14 +173,15 @@
 /* ---- watches ---- */
 
 static void
-on_watch_answer (HrStore *store, int status, json_t *body, double sent G_GNUC_UNUSED, gpointer data)
+on_watch_answer (HrStore *store, int status, json_t *body, double sent_at G_GNUC_UNUSED,
+                 gpointer data)
 {
   if (GPOINTER_TO_UINT (data) != store->replica.generation)
     return;
   store->replica.watch_in_flight = FALSE;
-  /* Each change ends the watches of all controllers: opened again at once, they alone would use up
-   * the service's rate of requests. */
-  store->replica.next_watch_at = store->now + gap_for_share (store, WATCH_RATE_DIVISOR);
+  /* Each change ends the watches of all controllers. If all of them reopened theirs at once,
+   * watches alone would use up the state service's request rate. */
+  store->replica.next_watch_at = store->now + request_interval (store, WATCH_RATE_DIVISOR);
   if (status == 200)
     apply_changes (store, body);
   else
@@ -198,7 +199,7 @@
 void
 hr_replica_tick (HrStore *store)
 {
-  if (store->replica.state == HR_REPLICA_UNREAD) {
+  if (store->replica.state == HR_REPLICA_NOT_SYNCED) {
     release_waiters (store, store->replica.waiters_in_flight, FALSE);
     release_waiters (store, store->replica.waiters, FALSE);
     if (store->now >= store->replica.list_retry_at)
--- a/src/bookkeeping/replica.h
+++ b/src/bookkeeping/replica.h
@@ -1,11 +1,11 @@
 /* The replica: this node's copy of the state store, in the tables.
  *
- * It begins with a listing of the whole store (replica_listing.h); then changes are read in the
- * order of their revisions, by a watch that waits for them and by reads that do not. A read brings
- * every change up to its revision, so whoever asked for it before it was sent gets an answer as new
- * as any that was given before. When changes are lost, or the tables hold more than the store, the
- * replica is reset and listed anew. All controllers together stay within the store's rate of
- * requests. */
+ * The replica begins with a listing of the whole state store (replica_listing.h). After that it
+ * reads changes in the order of their revisions, with a watch, which waits for changes, and with
+ * reads, which do not. A read returns every change up to its revision, so a caller that waited for
+ * it before it was sent sees a state at least as new as any that was returned before. When changes
+ * are lost, or the tables hold unrecorded decisions, the replica is reset and listed again. All
+ * controllers together stay within the state store's request rate. */
 #pragma once
 #include "bookkeeping/store_reads.h"
 #include <glib.h>
@@ -22,7 +22,7 @@
  * hr_replica_reset:
  * @store: the store
  *
- * The next step lists the whole store anew, and answers to earlier calls are void. What is known of
- * final jobs stays.
+ * Resets the replica: the next step lists the whole state store again, and responses to earlier
+ * requests are discarded. Final jobs stay in the tables.
  */
 void hr_replica_reset (HrStore *store);
--- a/src/bookkeeping/replica_changes.c
+++ b/src/bookkeeping/replica_changes.c
@@ -14,10 +14,10 @@
 
 /* ---- main records ---- */
 
-/* Machines that run the job's tasks have, or fetch, its image. The leader that comes next knows
- * that only from here: heartbeats do not state it. */
+/* Marks the job's image as cached on the machines that run its tasks. Heartbeats do not contain
+ * cached images, so a new leader knows them only from records. */
 static void
-note_cached_images (HrStore *store, HrJob *job, guint32 first, guint32 n)
+mark_images_cached (HrStore *store, HrJob *job, guint32 first, guint32 n)
 {
   guint32 end = MIN (first + n, job->n_tasks);
   for (guint32 i = first; i < end; i++) {
@@ -29,7 +29,7 @@
   }
 }
 
-/* Is it what our own write under way left? */
+/* Checks whether the tag is that of this node's write in flight. */
 static gboolean
 is_own_write (const HrRecordPage *page, const char *tag)
 {
@@ -40,39 +40,39 @@
 apply_tombstone (HrStore *store, HrJob *job, const HrRecord *record)
 {
   job->state = record->state;
-  job->cancellation.told_by_peer = FALSE;
+  job->cancellation.reported_by_peer = FALSE;
   job->n_tasks = record->n_tasks;
   job->n_recorded_done = record->n_done;
   job->record.is_compacted = TRUE;
   if (record->cancelled_with)
     job->cancellation.root = hr_job_get (&store->tables, record->cancelled_with);
   hr_garbage_add_job (store, job);
-  /* A leader whose tasks may still run needs their rows to stop them. */
+  /* While tasks may still run, the leader needs them in memory to stop them. */
   if (!hr_store_is_leader (store) || !job->run.n_live)
     hr_job_compact (job);
   store->events->job_final (store->core, job);
 }
 
-/* The job's specification, if it is not in memory, and the layout of its record. */
+/* Applies the job's specification, if it is not in memory, and the layout of its record. */
 static void
 apply_layout (HrStore *store, HrJob *job, HrRecord *record, guint64 revision, gboolean is_new)
 {
-  gboolean knows_formats = store->format.supported != 0;
+  gboolean supports_formats = store->format.supported != 0;
   if (is_new || !job->tasks) {
     hr_job_set_spec (job, &record->spec, record->tasks_per_page);
     job->submitted_at = record->submitted_at;
-    job->record.sized_page_keys = record->sized_page_keys && knows_formats;
-  } else if (knows_formats && record->sized_page_keys &&
+    job->record.sized_page_keys = record->sized_page_keys && supports_formats;
+  } else if (supports_formats && record->sized_page_keys &&
              record->tasks_per_page != job->record.tasks_per_page)
     hr_staged_pages_adopt (store, job, record->tasks_per_page, revision);
-  if (knows_formats) {
+  if (supports_formats) {
     json_decref (job->record.unknown_members);
     job->record.unknown_members = g_steal_pointer (&record->extra);
   }
 }
 
-/* What a record without pages states about its tasks. The leader alone changes tasks, so it knows
- * them already; records that others write, such as a cancelled job's, leave them as they were. */
+/* Applies the tasks of a record without pages. Only the leader changes tasks, so a leader skips
+ * them: records that other nodes write, such as those of cancellations, do not change the tasks. */
 static void
 apply_tasks (HrStore *store, HrJob *job, const HrRecord *record, gboolean is_new)
 {
@@ -80,25 +80,25 @@
     return;
   g_autoptr (GError) error = NULL;
   job->record.tasks_unreadable =
-      !hr_record_tasks (job, 0, record->tasks, &store->tables.machine_ids, &error);
+      !hr_record_read_tasks (job, 0, record->tasks, &store->tables.machine_ids, &error);
   if (job->record.tasks_unreadable) {
-    g_warning ("%s: the tasks in its record make no sense", job->id);
+    g_warning ("%s: the array of tasks in its record is invalid", job->id);
     g_debug ("%s: %s", job->id, error->message);
   }
-  note_cached_images (store, job, 0, job->n_tasks);
+  mark_images_cached (store, job, 0, job->n_tasks);
 }
 
-/* Sets the job's state. Returns: is it cancelled, and was not so in a record before? */
+/* Sets the job's state. Returns TRUE if the job is cancelled and no earlier record showed it. */
 static gboolean
 apply_state (HrJob *job, HrJobState recorded)
 {
-  gboolean was_told = job->cancellation.told_by_peer;
+  gboolean was_reported = job->cancellation.reported_by_peer;
   HrJobState before = job->state;
-  /* The record may be older than what a peer stated; the cancellation is final all the same. One
-   * that only followed from another job's is concluded again. */
-  job->cancellation.told_by_peer = was_told && recorded == HR_JOB_QUEUED;
-  job->state = job->cancellation.told_by_peer ? HR_JOB_CANCELLED : recorded;
-  return job->state == HR_JOB_CANCELLED && (before != HR_JOB_CANCELLED || was_told);
+  /* The record may be older than the cancellation that a peer reported, which is final
+   * nevertheless. A cancellation caused by that of another job is derived again. */
+  job->cancellation.reported_by_peer = was_reported && recorded == HR_JOB_QUEUED;
+  job->state = job->cancellation.reported_by_peer ? HR_JOB_CANCELLED : recorded;
+  return job->state == HR_JOB_CANCELLED && (before != HR_JOB_CANCELLED || was_reported);
 }
 
 static void
@@ -118,12 +118,12 @@
 hr_replica_apply_job (HrStore *store, HrJob *job, const json_t *value, guint64 revision)
 {
   if (job->is_known && revision <= job->record.revision)
-    return TRUE; /* known already: our own write, or a change read twice */
+    return TRUE; /* applied already: this node's own write, or a change that was read twice */
   g_auto (HrRecord) record = {0};
   g_autoptr (GError) error = NULL;
   job->record.main_unreadable = !hr_record_read (value, store->names, &record, &error);
   if (job->record.main_unreadable) {
-    g_warning ("%s: its record makes no sense", job->id);
+    g_warning ("%s: its record is invalid", job->id);
     g_debug ("%s: %s", job->id, error->message);
     return FALSE;
   }
@@ -147,19 +147,19 @@
 
 /* ---- pages ---- */
 
-/* A page of a final job, or of a layout that is not in force. */
+/* Applies a page of a final job, or of a layout that is not in force. */
 static void
 apply_page_not_in_force (HrStore *store, HrJob *job, guint tasks_per_page, guint page,
                          const json_t *value, guint64 revision)
 {
-  hr_garbage_page_deleted (store, job, tasks_per_page, page);
+  hr_garbage_remove_page (store, job, tasks_per_page, page);
   if (value && (job->record.is_compacted || !tasks_per_page))
     hr_garbage_add_page (store, job, tasks_per_page, page);
   else if (!job->record.is_compacted && tasks_per_page && job->tasks)
     hr_staged_page_update (job, tasks_per_page, page, value ? revision : 0, value);
 }
 
-/* The leader alone changes tasks, so it reads none. */
+/* Applies the tasks of a page. Only the leader changes tasks, so a leader skips them. */
 static void
 apply_page_tasks (HrStore *store, HrJob *job, guint page, const json_t *value)
 {
@@ -167,14 +167,14 @@
   g_autoptr (GError) error = NULL;
   if (hr_store_is_leader (store))
     return;
-  if (!hr_record_tasks (job, first, json_object_get (value, HR_RECORD_TASKS),
-                        &store->tables.machine_ids, &error)) {
-    /* Not reset by a page that can be read: others may be unreadable all the same. */
+  if (!hr_record_read_tasks (job, first, json_object_get (value, HR_RECORD_TASKS),
+                             &store->tables.machine_ids, &error)) {
+    /* A valid page does not clear it, since other pages may still be invalid. */
     job->record.tasks_unreadable = TRUE;
-    g_warning ("%s: page %u of its record makes no sense", job->id, page);
+    g_warning ("%s: page %u of its record is invalid", job->id, page);
     g_debug ("%s: %s", job->id, error->message);
   }
-  note_cached_images (store, job, first, n);
+  mark_images_cached (store, job, first, n);
 }
 
 static void
@@ -193,7 +193,7 @@
   apply_page_tasks (store, job, n, value);
 }
 
-/* tasks_per_page: the size that the page's key carries; 0: none. */
+/* tasks_per_page: the page size in the page's key; 0: the key has none. */
 static void
 apply_page (HrStore *store, HrJob *job, guint tasks_per_page, guint page, const json_t *value,
             guint64 revision)
@@ -206,14 +206,14 @@
     apply_page_not_in_force (store, job, tasks_per_page, page, value, revision);
 }
 
-/* What follows the prefix in the key; NULL when the key does not start with it. */
+/* Returns the part of the key after the prefix, or NULL if the key does not start with it. */
 static const char *
 after_prefix (const char *key, const char *prefix)
 {
   return g_str_has_prefix (key, prefix) ? key + strlen (prefix) : NULL;
 }
 
-/* rest: ID/PAGE, or ID/TASKS_PER_PAGE/PAGE where the key carries the page's size. */
+/* rest: ID/PAGE, or ID/TASKS_PER_PAGE/PAGE if the key contains the page size. */
 static void
 apply_page_key (HrStore *store, const char *rest, gboolean is_sized, const json_t *value,
                 guint64 revision)
--- a/src/bookkeeping/replica_changes.h
+++ b/src/bookkeeping/replica_changes.h
@@ -1,8 +1,8 @@
-/* Applies changes of the store, as they are read, to the tables.
+/* Applies changes that were read from the state store to the tables.
  *
- * Each change of a key is applied once, in the order of revisions within a key; a change that was
- * applied already has no effect. A record that is invalid leaves what was known of its job, and
- * marks the job as unreadable, so that nothing is concluded from it. */
+ * Each change of a key is applied once, in the order of the key's revisions; a change that was
+ * applied already has no effect. An invalid record leaves its job as it was and marks it as
+ * unreadable, so that no decision is based on it. */
 #pragma once
 #include "bookkeeping/store.h"
 #include <glib.h>
@@ -15,7 +15,7 @@
  * @value: (nullable): its value; %NULL: it was deleted
  * @revision: revision of the change
  *
- * Applies a change, or hands it on by the store's events. Keys of no known kind are ignored.
+ * Applies a change to the tables, or passes it to HrStoreEvents. Unknown keys are ignored.
  */
 void hr_replica_apply_change (HrStore *store, const char *key, const json_t *value,
                               guint64 revision);
@@ -27,8 +27,8 @@
  * @value: its main record
  * @revision: revision of the record
  *
- * Applies a main record. One that our own write left confirms that write.
+ * Applies a main record. The record of this node's own write confirms that write.
  *
- * Returns: FALSE when the record is invalid
+ * Returns: FALSE if the record is invalid
  */
 gboolean hr_replica_apply_job (HrStore *store, HrJob *job, const json_t *value, guint64 revision);
--- a/src/bookkeeping/replica_listing.c
+++ b/src/bookkeeping/replica_listing.c
@@ -12,7 +12,8 @@
 #define MIN_RETRY_S 0.2
 #define MAX_RETRY_S 0.6
 
-static void on_listing_page (HrStore *store, int status, json_t *body, double sent, gpointer data);
+static void on_listing_page (HrStore *store, int status, json_t *body, double sent_at,
+                             gpointer data);
 
 static void
 request_page (HrStore *store)
@@ -42,8 +43,8 @@
 static void
 retry_later (HrStore *store)
 {
-  hr_replica_note_answer (store, FALSE);
-  store->replica.state = HR_REPLICA_UNREAD;
+  hr_replica_update_availability (store, FALSE);
+  store->replica.state = HR_REPLICA_NOT_SYNCED;
   store->replica.list_retry_at =
       store->now + g_rand_double_range (store->random, MIN_RETRY_S, MAX_RETRY_S);
 }
@@ -55,12 +56,13 @@
   store->replica.applied_revision = store->replica.listed_revision;
   store->replica.next_watch_at = 0;
   store->replica.read_sent_at = 0;
-  g_message ("read the state store: %u jobs, revision %" G_GUINT64_FORMAT, store->tables.jobs->len,
-             store->replica.applied_revision);
+  g_message ("listed the state store: %u jobs, revision %" G_GUINT64_FORMAT,
+             store->tables.jobs->len, store->replica.applied_revision);
 }
 
 static void
-on_listing_page (HrStore *store, int status, json_t *body, double sent G_GNUC_UNUSED, gpointer data)
+on_listing_page (HrStore *store, int status, json_t *body, double sent_at G_GNUC_UNUSED,
+                 gpointer data)
 {
   guint64 store_revision;
   if (GPOINTER_TO_UINT (data) != store->replica.generation)
@@ -69,8 +71,8 @@
     retry_later (store);
     return;
   }
-  hr_replica_note_answer (store, TRUE);
-  /* Changes after the first page's revision are read again, in order. */
+  hr_replica_update_availability (store, TRUE);
+  /* Changes after the revision of the first page are read again, in order. */
   if (!store->replica.list_cursor)
     store->replica.listed_revision = store_revision;
   const json_t *rows = hr_store_list_rows (body);
@@ -81,10 +83,10 @@
     complete (store);
 }
 
-/* Rows of jobs that are not final are read anew: a leader's view goes beyond the store. A final
- * state, once reported to a user, stays. */
+/* Resets a job that is not final, to be read again: a leader's tables may hold decisions that were
+ * not recorded. A final state stays, since it may have been reported to a user. */
 static void
-forget_job (HrJob *job)
+reset_open_job (HrJob *job)
 {
   if (!job->is_known || !job->tasks || job->record.is_compacted)
     return;
@@ -99,7 +101,7 @@
 hr_replica_listing_begin (HrStore *store)
 {
   for (guint i = 0; i < store->tables.jobs->len; i++)
-    forget_job (store->tables.jobs->pdata[i]);
+    reset_open_job (store->tables.jobs->pdata[i]);
   g_array_set_size (store->tables.open_jobs, 0);
   hr_record_split_reset (store);
   store->format.revision = 0;
--- a/src/bookkeeping/replica_listing.h
+++ b/src/bookkeeping/replica_listing.h
@@ -1,13 +1,13 @@
-/* The listing of the whole state store, page by page, with which a replica begins. */
+/* Lists the whole state store, page by page, to initialize the replica. */
 #pragma once
 #include "bookkeeping/store.h"
 
 /**
  * hr_replica_listing_begin:
- * @store: the store, whose replica is unread
+ * @store: the store, whose replica is not synced
  *
- * Clears what the listing will read anew and requests the first page. At the end the replica
- * follows the store from the first page's revision on; after a failure it is unread again, and is
- * to be listed after a while.
+ * Clears the data that the listing reads again, and requests the first page. When the listing is
+ * complete, the replica follows the state store from the revision of the first page on. After a
+ * failure the replica is not synced, and the listing is retried after a delay.
  */
 void hr_replica_listing_begin (HrStore *store);
--- a/src/bookkeeping/staged_pages.c
+++ b/src/bookkeeping/staged_pages.c
@@ -46,7 +46,7 @@
   staged->value = !is_deleted && value ? json_incref ((json_t *)value) : NULL;
 }
 
-/* Pages of the new size, of which nothing is known yet. */
+/* Sets the layout of the record, with pages whose revisions are not known yet. */
 static void
 set_layout (HrJob *job, guint tasks_per_page)
 {
@@ -57,12 +57,13 @@
   job->record.sized_page_keys = TRUE;
   job->record.n_pages = hr_page_count (job->n_tasks, tasks_per_page);
   job->record.pages = g_new0 (HrRecordPage, job->record.n_pages);
-  /* Writes in flight hold on the earlier main record: none of them can take effect any more. */
+  /* Writes in flight are conditional on the earlier main record, so they cannot take effect any
+   * more. */
   for (guint32 i = 0; i < job->n_tasks; i++)
     job->tasks[i].write_in_flight = 0;
 }
 
-/* The leader alone changes tasks, so it knows what the page holds. */
+/* Applies a staged page. Only the leader changes tasks, so a leader applies just the revision. */
 static void
 adopt_page (HrStore *store, HrJob *job, const HrStagedPage *staged)
 {
@@ -70,14 +71,14 @@
   if (hr_store_is_leader (store) || !staged->value)
     return;
   const json_t *tasks = json_object_get (staged->value, HR_RECORD_TASKS);
-  if (!hr_record_tasks (job, staged->page * job->record.tasks_per_page, tasks,
-                        &store->tables.machine_ids, NULL))
+  if (!hr_record_read_tasks (job, staged->page * job->record.tasks_per_page, tasks,
+                             &store->tables.machine_ids, NULL))
     job->record.tasks_unreadable = TRUE;
 }
 
-/* The pages hold the facts of the main record before this one, whatever is in memory of that: a
- * listing of the whole store may have come between. A page that has changed since comes again in
- * the changes that are read next. */
+/* The pages hold the recorded state as of the previous main record. The state in memory may differ,
+ * since the whole state store may have been listed in between. Pages that have changed since are
+ * among the changes that are read next. */
 void
 hr_staged_pages_adopt (HrStore *store, HrJob *job, guint tasks_per_page, guint64 revision)
 {
--- a/src/bookkeeping/store.h
+++ b/src/bookkeeping/store.h
@@ -1,13 +1,14 @@
-/* The store: what this node knows of the replicated state store, and has in flight there.
+/* The store: this node's replica of the replicated state store, and its requests to it.
  *
- * HrStore holds the replica of the state store, the tables that it fills, and the transactions that
- * write to it. It is owned by the core. Each of its parts is changed by the module that the comment
- * above it names alone; others may read it. Bookkeeping does no I/O and reads no clock: requests go
- * out through HrStoreEvents, and `now` is set before each step.
+ * HrStore holds the replica of the state store, the tables that the replica fills, and the
+ * transactions that write to the state store. The core owns it. Only the module that is named in
+ * the comment above a part changes that part; other modules may read it. Bookkeeping does no I/O
+ * and reads no clock: it sends requests through HrStoreEvents, and the core sets `now` before each
+ * step.
  *
- * Times are in seconds of the steady clock unless said otherwise; revisions are the store's, which
- * grow with every change of it. Answers to requests come as callbacks, never within the call that
- * made the request, but for hr_replica_read(). */
+ * Times are monotonic, in seconds, unless stated otherwise. Revisions are those of the state store;
+ * every change of the state store increases its revision. Responses arrive through callbacks, never
+ * within the call that made the request; hr_replica_read() is the exception. */
 #pragma once
 #include "bookkeeping/tables.h"
 #include "bookkeeping/token_bucket.h"
@@ -17,19 +18,19 @@
 #include <glib.h>
 #include <jansson.h>
 
-/* Whoever composes the store with the rest of a controller; bookkeeping only hands it on. */
+/* The controller that contains the store. Bookkeeping only passes the pointer to HrStoreEvents. */
 typedef struct HrCore HrCore;
 typedef struct HrStore HrStore;
 
 /**
  * HrStoreCallback:
  * @store: the store
- * @status: HTTP status; 0: no answer, so the request may have been carried out, or may yet be
- * @body: (nullable): the answer's body
- * @sent_at: steady time, s, when the request was made
+ * @status: HTTP status; 0: no response, so the request may have been executed, or may still be
+ * @body: (nullable): the body of the response
+ * @sent_at: monotonic time when the request was sent, in seconds
  * @data: as passed with the request
  *
- * The answer to a request.
+ * Handles the response to a request.
  */
 typedef void (*HrStoreCallback) (HrStore *store, int status, json_t *body, double sent_at,
                                  gpointer data);
@@ -37,20 +38,20 @@
 /**
  * HrReadCallback:
  * @store: the store
- * @ok: FALSE: the read failed, and nothing may be concluded
+ * @ok: FALSE if the read failed; the tables may then be out of date
  * @data: as passed with the request
  *
- * A read of the store that began after it was requested has ended.
+ * Handles the completion of a read of the state store that was sent after it was requested.
  */
 typedef void (*HrReadCallback) (HrStore *store, gboolean ok, gpointer data);
 
 typedef enum {
-  HR_REPLICA_UNREAD,   /* nothing is known, or what was known is out of date */
-  HR_REPLICA_LISTING,  /* the whole store is being read, page by page */
-  HR_REPLICA_FOLLOWING /* changes are read as they come */
+  HR_REPLICA_NOT_SYNCED, /* the replica is empty or out of date */
+  HR_REPLICA_LISTING,    /* the whole state store is being read, page by page */
+  HR_REPLICA_FOLLOWING   /* changes are applied as they occur */
 } HrReplicaState;
 
-/* Waits for a read that begins after `since`. */
+/* A pending hr_replica_read(): waits for a read that is sent after `since`. */
 typedef struct {
   HrReadCallback callback;
   gpointer data;
@@ -60,30 +61,30 @@
 /* The replica of the state store (replica.c, replica_listing.c). */
 typedef struct {
   HrReplicaState state;
-  guint generation;         /* counts resets and listings: answers to earlier requests are void */
-  guint64 applied_revision; /* all changes up to there are in the tables */
-  guint64 listed_revision;  /* of the listing's first page */
-  char *list_cursor;        /* the listing's last key so far; NULL: none */
-  gboolean synced_once;     /* this process has read the whole store */
+  guint generation;         /* counts resets and listings; older responses are discarded */
+  guint64 applied_revision; /* the tables hold all changes up to it */
+  guint64 listed_revision;  /* revision of the first page of the listing */
+  char *list_cursor;        /* last key listed so far; NULL: none */
+  gboolean synced_once;     /* this process has read the whole state store */
   gboolean watch_in_flight, read_in_flight;
   double next_watch_at;
-  GArray *waiters;           /* HrReadWaiter, for the next read */
-  GArray *waiters_in_flight; /* HrReadWaiter, for the read in flight */
+  GArray *waiters;           /* HrReadWaiter: wait for the next read */
+  GArray *waiters_in_flight; /* HrReadWaiter: wait for the read in flight */
   double read_sent_at;
   double confirmed_at;   /* when the last successful read was sent */
-  double read_latency_s; /* recent; a long one counts for several reads */
-  double served_since;   /* the store has answered this node without a gap since */
+  double read_latency_s; /* decaying maximum of the latencies of recent reads */
+  double current_since;  /* hr_replica_is_current() has held since */
   double list_retry_at;
-  gboolean is_unavailable; /* the store does not answer this node */
-  guint failures;          /* in a row */
+  gboolean is_unavailable; /* the state store does not answer this node */
+  guint failures;          /* consecutive */
 } HrReplica;
 
-/* Writes that are carried out together, while the conditions hold (transactions.h). */
+/* Writes that are applied atomically if all conditions hold (transactions.h). */
 typedef struct {
-  json_t *conditions, *writes; /* arrays, as they are sent */
+  json_t *conditions, *writes; /* JSON arrays of the request */
 } HrTransaction;
 
-/* A transaction on its way to the store. */
+/* A transaction that is queued or in flight. */
 typedef struct {
   HrTransaction *transaction; /* owned reference */
   double timeout_s;
@@ -91,7 +92,7 @@
   gpointer data;
 } HrPendingTransaction;
 
-/* In the order in which they are served. */
+/* Kinds of transactions, in descending priority. */
 typedef enum {
   HR_TRANSACTION_USER,
   HR_TRANSACTION_LAUNCH,
@@ -99,10 +100,10 @@
   HR_TRANSACTION_KINDS
 } HrTransactionKind;
 
-/* Transactions by kind, within this node's share of the allowance for changes (transactions.c). */
+/* Queued transactions by kind, limited to this node's share of the write rate (transactions.c). */
 typedef struct {
   GQueue queues[HR_TRANSACTION_KINDS]; /* HrPendingTransaction */
-  HrTokenBucket allowance;             /* changes */
+  HrTokenBucket allowance;             /* one token per write */
   guint in_flight;
   double paused_until, background_paused_until;
 } HrTransactions;
@@ -111,83 +112,84 @@
   guint32 job, page;
 } HrDirtyPage;
 
-/* Pages that are due to be written (record_writer.c). */
+/* Pages that have to be written (record_writer.c). */
 typedef struct {
   GArray *dirty_pages; /* HrDirtyPage */
 } HrRecordWriter;
 
-/* A page in the store that no main record names any more. */
+/* A page in the state store that no main record refers to any more. */
 typedef struct {
   guint32 job, page;
-  guint tasks_per_page; /* the size in its key, under h/u; 0: none, under h/t */
+  guint tasks_per_page; /* page size in a key under h/u; 0: a key under h/t, without size */
 } HrObsoletePage;
 
-/* Pages to be deleted: of final jobs, and of earlier layouts (garbage_collection.c). */
+/* Pages to delete: those of final jobs and of earlier layouts (garbage_collection.c). */
 typedef struct {
   GArray *pages; /* HrObsoletePage */
   gboolean deletion_in_flight;
   double next_deletion_at;
 } HrGarbage;
 
-/* Which format of records every controller understands (record_format.c). */
+/* The format of records, as agreed between the controllers (record_format.c). */
 typedef struct {
-  guint supported; /* the newest that this node understands; 0: there were no formats yet */
-  guint agreed;    /* that every controller understands, as the store states */
+  guint supported; /* newest format that this node supports; 0: it predates record formats */
+  guint agreed;    /* format that every controller supports, as recorded in the state store */
   guint64 revision;
   gboolean write_in_flight;
   double next_write_at;
-  gboolean planned_limits_in_force; /* the store refused what only the planned limits forbid */
+  gboolean planned_limits_in_force; /* the store refused a value larger than the planned limit */
 } HrRecordFormat;
 
-/* Lengths of machine names (record_layout.c). */
+/* Lengths of machine names, for size estimates (record_layout.c). */
 typedef struct {
   guint names_measured;
   gsize longest_name; /* bytes */
 } HrRecordLayout;
 
-/* Records that are too large (record_split.c, record_split_steps.c; the list: record_format.c). */
+/* Records that are too large. record_split.c and record_split_steps.c update it, except `oversized`
+ * and `n_oversized`, which record_format.c updates. */
 typedef struct {
-  GArray *queue;      /* guint32: jobs, the most urgent first */
-  guint in_flight;    /* splits */
-  guint next_scanned; /* position in the list of open jobs */
-  /* Jobs that cannot be cancelled until their record is split; stated to peers. */
+  GArray *queue;      /* guint32: indices of jobs, the most urgent first */
+  guint in_flight;    /* splits in flight */
+  guint next_scanned; /* position of the scan in the list of open jobs */
+  /* Jobs that cannot be cancelled until their record is split; sent to peers. */
   char oversized[HR_MAX_OVERSIZED][HR_JOB_ID_MOST + 1];
   guint n_oversized;
 } HrRecordSplitter;
 
 /**
  * HrStoreEvents:
- * @call: sends a request to the store. Takes over path and body (NULL: none); the callback is
- * called once, with the answer or the timeout
- * @new_tag: returns a tag that no other write of any process carries; (transfer full)
- * @is_leader: may this node write as the leader, by what it has read?
- * @token_raise_in_flight: is a new fencing token being written, so that a write under the present
- * one would be refused?
+ * @call: sends a request to the state store. Takes ownership of path and body (NULL: no body). The
+ *   callback is called once, with the response or after the timeout
+ * @new_tag: returns a tag that is unique among the writes of all processes; (transfer full)
+ * @is_leader: returns whether this node may write as the leader, according to its replica
+ * @token_raise_in_flight: returns whether a new fencing token is being written, so that a write
+ *   conditional on the current one would be refused
  * @leader_record_revision: returns the revision of the leader record, on which the leader's writes
- *   hold; 0: not read yet
- * @peers_support_format: has every other controller stated that it understands the format of
- * records?
- * @listing_begins: the whole store is about to be read anew; what was read of keys other than jobs'
- *   is void
+ *   are conditional; 0: not read yet
+ * @peers_support_format: returns whether every other controller has stated that it supports the
+ *   format of records
+ * @listing_begins: a listing of the whole state store begins; discards what was read of keys other
+ *   than those of jobs
  * @leader_record_read: a change of the leader record was read; value NULL: it was deleted
  * @leader_lock_read: a change of the leader lock was read; value NULL: it was deleted
  * @machine_types_read: a change of the machine types was read; value NULL: they were deleted
- * @changes_applied: all changes of an answer were applied
- * @read_answered: a read was answered, so many seconds after it was sent
- * @history_lost: the changes since the last read are no longer in the store's log; the replica must
- *   be reset
- * @cancellation_read: a record says that the job is cancelled; called before the job's state
- * changes
- * @job_read: an open job's record was read. awaited: ids of the jobs that it awaits, or NULL.
- *   newly_cancelled: no record said so before; a leader has its tasks to stop
+ * @changes_applied: all changes of a response were applied
+ * @read_answered: a read succeeded; latency_s: time from the request to the response
+ * @history_lost: the log of the state store no longer holds the changes since the last read; the
+ *   replica must be reset
+ * @cancellation_read: a record with the state cancelled was read; called before the job's state
+ *   changes
+ * @job_read: the record of an open job was read. awaited: ids of the jobs that it awaits, or NULL.
+ *   newly_cancelled: no earlier record showed the cancellation; a leader has to stop its tasks
  * @job_final: the job's record is a tombstone
- * @assignment_recorded: the task's assignment is in the store: the task may be launched
- * @assignment_dropped: the task's assignment will not be recorded: it must not be launched
+ * @assignment_recorded: the task's assignment is in the state store; the task may be launched
+ * @assignment_dropped: the task's assignment will not be recorded; the task must not be launched
  * @plan_changed: the scheduler's plan is out of date
- * @status_changed: there is something to state to the other controllers at once
+ * @status_changed: this node's status has to be sent to the other controllers at once
  *
- * The requests and events of bookkeeping. It calls nothing else of the rest of the controller. All
- * members are set (coordination/store_events.c), and are called from within a step, on its thread.
+ * The requests and events of bookkeeping, which uses nothing else of the rest of the controller.
+ * All members are set (coordination/store_events.c). They are called within a step, on its thread.
  */
 typedef struct {
   /* Requests. */
@@ -224,8 +226,8 @@
   const HrSettings *settings;
   HrNames *names;
   GRand *random;
-  double now;       /* steady time of the step under way, s */
-  double wall_time; /* time of day, s */
+  double now;       /* monotonic time of the current step, s */
+  double wall_time; /* real time of the current step, s */
   HrTables tables;
   HrReplica replica;
   HrTransactions transactions;
@@ -234,14 +236,14 @@
   HrRecordFormat format;
   HrRecordLayout layout;
   HrRecordSplitter splitter;
-  HrStateLimits limits; /* that this node plans for */
+  HrStateLimits limits; /* limits of the state store that this node plans for */
 };
 
 /**
  * hr_store_is_leader:
  * @store: the store
  *
- * Returns: may this node write as the leader, by what it has read?
+ * Returns: whether this node may write as the leader, according to its replica
  */
 static inline gboolean
 hr_store_is_leader (const HrStore *store)
@@ -253,8 +255,8 @@
  * hr_store_init:
  * @store: a zeroed store
  *
- * Makes the empty tables and queues. The pointers to what the store uses are the caller's to set,
- * before anything else is called.
+ * Creates empty tables and queues. The caller must set the members `core`, `events`, `settings`,
+ * `names` and `random` before it calls any other function.
  */
 void hr_store_init (HrStore *store);
 
@@ -262,6 +264,6 @@
  * hr_store_clear:
  * @store: a store
  *
- * Frees what hr_store_init() made. Data of requests without an answer is not freed.
+ * Frees what hr_store_init() created. The data of requests without a response is not freed.
  */
 void hr_store_clear (HrStore *store);
--- a/src/bookkeeping/store_reads.c
+++ b/src/bookkeeping/store_reads.c
@@ -1,16 +1,16 @@
 #include "bookkeeping/store_reads.h"
 
-/* Failures in a row after which the store counts as unavailable to this node. */
-#define FAILURES_OF_OUTAGE 2
+/* Consecutive failures after which the state store counts as unavailable to this node. */
+#define OUTAGE_FAILURE_THRESHOLD 2
 
 gboolean
-hr_replica_is_served (const HrStore *store)
+hr_replica_is_current (const HrStore *store)
 {
-  return store->now - store->replica.confirmed_at <= HR_UNSERVED_S;
+  return store->now - store->replica.confirmed_at <= HR_MAX_READ_GAP_S;
 }
 
 void
-hr_replica_note_answer (HrStore *store, gboolean is_answered)
+hr_replica_update_availability (HrStore *store, gboolean is_answered)
 {
   HrReplica *replica = &store->replica;
   if (is_answered) {
@@ -18,7 +18,7 @@
       g_message ("the state service answers again");
     replica->is_unavailable = FALSE;
     replica->failures = 0;
-  } else if (++replica->failures == FAILURES_OF_OUTAGE) {
+  } else if (++replica->failures == OUTAGE_FAILURE_THRESHOLD) {
     replica->is_unavailable = TRUE;
     g_warning ("the state service does not answer this node");
   }
--- a/src/bookkeeping/store_reads.h
+++ b/src/bookkeeping/store_reads.h
@@ -1,11 +1,12 @@
-/* Waiting for reads of the store, and whether it answers this node. The reads themselves are the
- * replica's (replica.h). */
+/* Waiting for reads of the state store, and its availability to this node. The replica sends the
+ * reads (replica.h). */
 #pragma once
 #include "bookkeeping/store.h"
 #include <glib.h>
 
-/* Reads come every second; after a longer gap this node was not served, s. */
-#define HR_UNSERVED_S 4.0
+/* Maximum time since the last successful read for which the replica counts as current, in seconds.
+ * Reads are sent about once a second. */
+#define HR_MAX_READ_GAP_S 4.0
 
 /**
  * hr_replica_read:
@@ -13,25 +14,26 @@
  * @callback: called once
  * @data: for @callback
  *
- * Waits for a read that begins after this call: then the tables hold every change that anyone was
- * informed of before. Where no read is possible now, @callback is called at once, with FALSE.
+ * Waits for a read that is sent after this call. When it succeeds, the tables hold every change
+ * that was acknowledged to anyone before the call. If no read is possible now, calls @callback at
+ * once, with FALSE.
  */
 void hr_replica_read (HrStore *store, HrReadCallback callback, gpointer data);
 
 /**
- * hr_replica_is_served:
+ * hr_replica_is_current:
  * @store: the store
  *
- * Returns: has the state service answered this node of late?
+ * Returns: whether the last successful read was sent at most %HR_MAX_READ_GAP_S ago
  */
-gboolean hr_replica_is_served (const HrStore *store);
+gboolean hr_replica_is_current (const HrStore *store);
 
 /**
- * hr_replica_note_answer:
+ * hr_replica_update_availability:
  * @store: the store
- * @is_answered: FALSE: a request had no answer, or one that is of no use
+ * @is_answered: FALSE if a request had no response, or an unusable one
  *
- * Concludes from a few failures in a row that the state service is unavailable to this node, and
- * from one answer that it is available. For bookkeeping alone.
+ * Marks the state service as unavailable to this node after consecutive failures, and as available
+ * after one response. Only bookkeeping may call it.
  */
-void hr_replica_note_answer (HrStore *store, gboolean is_answered);
+void hr_replica_update_availability (HrStore *store, gboolean is_answered);
--- a/src/bookkeeping/tables.c
+++ b/src/bookkeeping/tables.c
@@ -2,7 +2,7 @@
 #include "protocol/intern.h"
 
 static HrJob *
-find_job_row (HrTables *tables, const char *id)
+lookup_job (HrTables *tables, const char *id)
 {
   guint32 i = hr_intern_find (&tables->job_ids, id);
   return i == HR_NONE ? NULL : tables->jobs->pdata[i];
@@ -11,14 +11,14 @@
 HrJob *
 hr_job_find (HrTables *tables, const char *id)
 {
-  HrJob *job = find_job_row (tables, id);
+  HrJob *job = lookup_job (tables, id);
   return job && job->is_known ? job : NULL;
 }
 
 gboolean
 hr_job_unreadable (HrTables *tables, const char *id)
 {
-  const HrJob *job = find_job_row (tables, id);
+  const HrJob *job = lookup_job (tables, id);
   return job && job->record.main_unreadable && !(job->is_known && job->state != HR_JOB_QUEUED);
 }
 
@@ -43,7 +43,7 @@
 }
 
 static void
-add_machine_row (HrTables *tables)
+add_machine (HrTables *tables)
 {
   HrMachine *machine = g_new0 (HrMachine, 1);
   machine->index = tables->machines->len;
@@ -61,8 +61,8 @@
 hr_machine_get (HrTables *tables, const char *name)
 {
   guint32 i = hr_intern (&tables->machine_ids, name);
-  /* Reading records adds names without rows: rows are added up to this one. */
+  /* Reading records interns names without adding machines: add all machines up to this one. */
   while (tables->machines->len <= i)
-    add_machine_row (tables);
+    add_machine (tables);
   return tables->machines->pdata[i];
 }
--- a/src/bookkeeping/tables.h
+++ b/src/bookkeeping/tables.h
@@ -1,7 +1,7 @@
-/* The tables of jobs and machines that this node knows of.
+/* The tables of the jobs and machines that this node knows.
  *
- * A row is found by its id or name, or by its index, which stays the same for the life of the
- * process. Rows live as long as the tables, which own them: pointers to rows stay valid. */
+ * Jobs are found by id, machines by name, and both by index, which is constant for the life of the
+ * process. The tables own them and never remove any, so pointers to them stay valid. */
 #pragma once
 #include "bookkeeping/class_stats.h"
 #include "bookkeeping/job.h"
@@ -9,11 +9,11 @@
 #include "protocol/intern.h"
 #include <glib.h>
 
-/* All jobs and machines that this node knows of. */
+/* All jobs and machines that this node knows. */
 typedef struct {
-  HrIntern job_ids, machine_ids; /* ids and names to indices */
+  HrIntern job_ids, machine_ids; /* map ids and names to indices */
   GPtrArray *jobs, *machines;    /* HrJob, HrMachine by index */
-  GArray *open_jobs;             /* guint32: jobs that are not final, or not compacted */
+  GArray *open_jobs;             /* guint32: indices of jobs that are not final, or not compacted */
 } HrTables;
 
 /**
@@ -30,7 +30,7 @@
  * @tables: the tables
  * @id: a job's id
  *
- * Returns: (transfer none): the job's row, which is made when there is none
+ * Returns: (transfer none): the job, which is added if the table does not hold it
  */
 HrJob *hr_job_get (HrTables *tables, const char *id);
 
@@ -39,7 +39,7 @@
  * @tables: the tables
  * @id: a job's id
  *
- * Returns: is the job's latest record invalid, so that nothing is known of its present state?
+ * Returns: whether the job's latest record is invalid, so that its current state is unknown
  */
 gboolean hr_job_unreadable (HrTables *tables, const char *id);
 
@@ -57,6 +57,6 @@
  * @tables: the tables
  * @name: a machine's name
  *
- * Returns: (transfer none): the machine's row, which is made when there is none
+ * Returns: (transfer none): the machine, which is added if the table does not hold it
  */
 HrMachine *hr_machine_get (HrTables *tables, const char *name);
--- a/src/bookkeeping/transactions.c
+++ b/src/bookkeeping/transactions.c
@@ -5,14 +5,14 @@
 #include "protocol/store_api.h"
 
 #define MAX_TRANSACTIONS_IN_FLIGHT 8
-/* The store answered 429: its allowance, which all controllers share, is used up. Pauses are drawn
- * at random, so that controllers do not come back all at once. */
+/* Pauses after a response 429: the state store's write allowance, which all controllers share, is
+ * used up. They are random, so that the controllers do not retry all at once. */
 #define MIN_BUSY_PAUSE_S 0.05
 #define MAX_BUSY_PAUSE_S 0.15
 #define MIN_BACKGROUND_PAUSE_S 0.3
 #define MAX_BACKGROUND_PAUSE_S 0.6
 
-/* Shares of the burst that transactions of each kind leave to the kinds before them. */
+/* Shares of the burst that transactions of each kind reserve for the kinds of higher priority. */
 static const double reserved_shares[HR_TRANSACTION_KINDS] = {
     [HR_TRANSACTION_USER] = 0, [HR_TRANSACTION_LAUNCH] = 0.05, [HR_TRANSACTION_BOOKKEEPING] = 0.3};
 
@@ -101,23 +101,23 @@
   HrTransactions *transactions = &store->transactions;
   transactions->paused_until =
       store->now + g_rand_double_range (store->random, MIN_BUSY_PAUSE_S, MAX_BUSY_PAUSE_S);
-  /* Requests of users at other controllers come first, whose writes we do not see. */
+  /* Users' requests at other controllers have priority; this node does not see their writes. */
   transactions->background_paused_until =
       store->now +
       g_rand_double_range (store->random, MIN_BACKGROUND_PAUSE_S, MAX_BACKGROUND_PAUSE_S);
-  /* The allowance is used up: what was saved here for a burst would only be refused. */
+  /* The shared allowance is used up: writes from the tokens saved here would be refused. */
   transactions->allowance.tokens = 0;
   transactions->allowance.refilled_at = store->now;
 }
 
 static void
-on_commit (HrStore *store, int status, json_t *body, double sent, gpointer data)
+on_commit (HrStore *store, int status, json_t *body, double sent_at, gpointer data)
 {
   HrPendingTransaction *pending = data;
   store->transactions.in_flight--;
   if (status == 429)
     pause_after_refusal (store);
-  pending->callback (store, status, body, sent, pending->data);
+  pending->callback (store, status, body, sent_at, pending->data);
   hr_pending_transaction_free (pending);
 }
 
--- a/src/coordination/agents/direct_orders.c
+++ b/src/coordination/agents/direct_orders.c
@@ -36,7 +36,7 @@
 {
   if (machine->agent.direct_calls_in_flight || core->now < machine->agent.direct_paused_until)
     return DIRECT_POSTPONE;
-  if (machine->state == HR_MACHINE_UP && machine->address && machine->agent.heard_at)
+  if (machine->state == HR_MACHINE_UP && machine->address && machine->agent.last_heartbeat_at)
     return DIRECT_SEND;
   return DIRECT_LEAVE;
 }
--- a/src/coordination/agents/heartbeats.c
+++ b/src/coordination/agents/heartbeats.c
@@ -21,7 +21,7 @@
 describe_machine (HrCore *core, HrMachine *machine, const HrHeartbeat *report)
 {
   guint32 type = hr_intern_find (&core->names->types, report->type);
-  hr_machine_describe (machine, hr_machine_type_find (core, type),
+  hr_machine_set_type (machine, hr_machine_type_find (core, type),
                        hr_intern (&core->names->zones, report->zone), report->is_spot);
   if (g_strcmp0 (machine->address, report->address) != 0) {
     g_free (machine->address);
@@ -53,17 +53,17 @@
       agent->lease_renewed_at &&
       core->now - agent->lease_renewed_at < core->settings->lease_s - LEASE_END_MARGIN_S;
   if (!is_unreceived) {
-    agent->answer_unreceived_at = 0;
+    agent->response_missed_at = 0;
     return;
   }
-  gboolean is_first = !agent->answer_unreceived_at;
+  gboolean is_first = !agent->response_missed_at;
   gboolean is_in_bunch =
-      !is_first && core->now - agent->answer_unreceived_at <= core->settings->lease_s / 2;
+      !is_first && core->now - agent->response_missed_at <= core->settings->lease_s / 2;
   if (is_in_bunch)
     return;
   if (!is_first)
     agent->unreachable_at = core->now;
-  agent->answer_unreceived_at = core->now;
+  agent->response_missed_at = core->now;
 }
 
 static void
@@ -122,9 +122,9 @@
 static void
 take_current_report (HrCore *core, HrMachine *machine, const HrHeartbeat *report, GArray *orders)
 {
-  if (machine->state != HR_MACHINE_UP || !machine->agent.heard_at)
+  if (machine->state != HR_MACHINE_UP || !machine->agent.last_heartbeat_at)
     admit_machine (core, machine);
-  machine->agent.heard_at = core->now;
+  machine->agent.last_heartbeat_at = core->now;
   if (report->sequence > machine->agent.launch_answered_sequence)
     machine->agent.launch_answered_sequence = 0;
   if (report->fencing_token > machine->agent.unanswered_launch_token)
--- a/src/coordination/agents/order_verdicts.c
+++ b/src/coordination/agents/order_verdicts.c
@@ -22,7 +22,7 @@
 gboolean
 hr_launch_allowed_here (const HrCore *core)
 {
-  return hr_replica_is_served (&core->store) || hr_membership_store_outage_for_all (core);
+  return hr_replica_is_current (&core->store) || hr_membership_store_outage_for_all (core);
 }
 
 static HrLaunchVerdict
--- a/src/coordination/agents/renewal_checks.c
+++ b/src/coordination/agents/renewal_checks.c
@@ -65,7 +65,7 @@
 static gboolean
 is_final (const HrJob *job)
 {
-  return job->cancellation.told_by_peer || (job->is_known && job->state != HR_JOB_QUEUED);
+  return job->cancellation.reported_by_peer || (job->is_known && job->state != HR_JOB_QUEUED);
 }
 
 /* The report shows the task on the machine, and its job is over. A job whose record has not been
--- a/src/coordination/agents/reported_tasks.c
+++ b/src/coordination/agents/reported_tasks.c
@@ -66,7 +66,7 @@
   /* Records tell a new leader where an image should be; one that is still being fetched
    * at the second look is not there. */
   if (reported->state == HR_REPORTED_FETCHING && task->reported_state == HR_REPORTED_FETCHING)
-    hr_machine_forget_image (machine, job->spec.image);
+    hr_machine_remove_image (machine, job->spec.image);
   if (task->reported_state != reported->state)
     core->scheduling.plan_is_stale = TRUE;
   task->reported_state = reported->state;
--- a/src/coordination/agents/silent_machines.c
+++ b/src/coordination/agents/silent_machines.c
@@ -24,7 +24,7 @@
 static double
 silence_s (const HrCore *core, const HrMachine *machine)
 {
-  return core->now - MAX (machine->agent.heard_at, core->leadership.term_began_at);
+  return core->now - MAX (machine->agent.last_heartbeat_at, core->leadership.term_began_at);
 }
 
 static gboolean
@@ -40,7 +40,8 @@
 is_missing_from_list (const HrCore *core, const HrMachine *machine)
 {
   return machine->instance.listed_at < core->scaling.listed_at &&
-         core->scaling.listed_at > machine->instance.known_since + 2 * core->settings->list_lag_s;
+         core->scaling.listed_at >
+             machine->instance.in_fleet_since + 2 * core->settings->list_lag_s;
 }
 
 HrSilenceVerdict
@@ -50,7 +51,7 @@
     return HR_SILENCE_NONE;
   if (is_unreachable_now (core, machine))
     return HR_SILENCE_UNREACHABLE;
-  gboolean is_served = hr_replica_is_served (&core->store);
+  gboolean is_served = hr_replica_is_current (&core->store);
   if (silence_s (core, machine) > core->policy.overdue_s && is_missing_from_list (core, machine) &&
       is_served)
     return HR_SILENCE_NOT_LISTED;
@@ -118,7 +119,7 @@
   gboolean is_cut_off = is_large_share (core, counts->overdue, counts->up);
   /* A new leader lets workers find it first; so does one that was cut off itself, or
    * it would return every machine that the same cut kept from it. */
-  double served_since = MAX (core->leadership.term_began_at, core->store.replica.served_since);
+  double served_since = MAX (core->leadership.term_began_at, core->store.replica.current_since);
   gboolean is_early = core->now - served_since < core->policy.silent_s + FIND_LEADER_S;
   return (HrFleetSilence){is_cut_off, is_early};
 }
--- a/src/coordination/agents/termination_proof.c
+++ b/src/coordination/agents/termination_proof.c
@@ -62,7 +62,7 @@
   if (!machine->agent.unanswered_launch_token && !machine->agent.direct_calls_in_flight)
     return FALSE;
   gboolean no_newer_token =
-      machine->agent.unanswered_launch_token && !hr_replica_is_served (&core->store);
+      machine->agent.unanswered_launch_token && !hr_replica_is_current (&core->store);
   for (guint i = 0; i < machine->tasks->len; i++) {
     HrTaskRef ref = g_array_index (machine->tasks, HrTaskRef, i);
     const HrJob *job = core->store.tables.jobs->pdata[ref.job];
@@ -71,7 +71,8 @@
         task->placement.incarnation != machine->agent.incarnation ||
         task->reported_state != HR_NOT_REPORTED)
       continue;
-    if (no_newer_token || core->now - job->cancellation.unknown_until > core->policy.hold_s)
+    if (no_newer_token ||
+        core->now - job->cancellation.last_uncancelled_read_at > core->policy.hold_s)
       return TRUE;
   }
   return FALSE;
--- a/src/coordination/jobs/cancellations.c
+++ b/src/coordination/jobs/cancellations.c
@@ -17,7 +17,7 @@
 static HrVerdict
 split_first (HrCore *core, HrJob *job)
 {
-  hr_record_format_note_oversized (&core->store, job);
+  hr_record_format_report_oversized (&core->store, job);
   return hr_verdict_refuse (HR_VERDICT_REFUSE_FOR_NOW, 503,
                             "the job's record is being split; ask again");
 }
--- a/src/coordination/jobs/class_stats.c
+++ b/src/coordination/jobs/class_stats.c
@@ -74,7 +74,7 @@
   stats->cpus += weight * (spec->cpus - stats->cpus);
   stats->gpus += weight * (spec->gpus - stats->gpus);
   stats->memory_gb += weight * (spec->memory_gb - stats->memory_gb);
-  hr_class_use_image (stats, spec->image, job->n_tasks);
+  hr_class_add_image_use (stats, spec->image, job->n_tasks);
   stats->shape = spec->shape;
   stats->priority = spec->priority; /* not what it inherits: that differs from job to job */
   stats->allows_spot = spec->allows_spot;
--- a/src/coordination/jobs/dependencies.c
+++ b/src/coordination/jobs/dependencies.c
@@ -19,7 +19,7 @@
 static gboolean
 is_final (const HrJob *job)
 {
-  return job->is_known && job->state != HR_JOB_QUEUED && !job->cancellation.told_by_peer;
+  return job->is_known && job->state != HR_JOB_QUEUED && !job->cancellation.reported_by_peer;
 }
 
 /* Final jobs need no dependents: nothing about them changes any more. */
@@ -141,7 +141,7 @@
     cancel_with (core, job, root);
   else if (job->state == HR_JOB_CANCELLED && hr_job_has_unfinished_dependencies (job))
     queue_tombstone (core, job); /* it never was in the list of open jobs */
-  if (job->state == HR_JOB_CANCELLED && !job->cancellation.told_by_peer)
+  if (job->state == HR_JOB_CANCELLED && !job->cancellation.reported_by_peer)
     hr_dependencies_job_final (core, job);
   hr_priority_inheritance_job_read (core, job);
 }
@@ -154,7 +154,7 @@
 {
   const HrTokenBucket *allowance = &core->store.transactions.allowance;
   return core->leadership.is_leader && !core->store.writer.dirty_pages->len &&
-         hr_replica_is_served (&core->store) &&
+         hr_replica_is_current (&core->store) &&
          allowance->tokens >= allowance->burst * UNUSED_ALLOWANCE_SHARE;
 }
 
--- a/src/coordination/jobs/failover.c
+++ b/src/coordination/jobs/failover.c
@@ -37,8 +37,8 @@
 static void
 forget_agent (HrMachineAgent *agent)
 {
-  agent->heard_at = agent->lease_renewed_at = 0;
-  agent->answer_unreceived_at = agent->unreachable_at = 0;
+  agent->last_heartbeat_at = agent->lease_renewed_at = 0;
+  agent->response_missed_at = agent->unreachable_at = 0;
   agent->fencing_token = 0;
   agent->launch_answered_sequence = 0;
   agent->direct_calls_in_flight = 0;
--- a/src/coordination/jobs/request_routing.c
+++ b/src/coordination/jobs/request_routing.c
@@ -78,7 +78,7 @@
 {
   if (!core->scaling.machine_types || !core->store.replica.synced_once)
     return "still reading the ledger and the machine types";
-  if (!hr_replica_is_served (&core->store) && !hr_membership_store_outage_for_all (core))
+  if (!hr_replica_is_current (&core->store) && !hr_membership_store_outage_for_all (core))
     return "the state service does not answer this node";
   return NULL;
 }
--- a/src/coordination/jobs/submissions.c
+++ b/src/coordination/jobs/submissions.c
@@ -21,8 +21,8 @@
 first_record (const HrCore *core, const HrUserRequest *request, guint tasks_per_page,
               const char *tag)
 {
-  return hr_record_first (&request->spec, (const char *const *)request->awaits, core->names,
-                          request->received_at, tasks_per_page, tag);
+  return hr_record_initial (&request->spec, (const char *const *)request->awaits, core->names,
+                            request->received_at, tasks_per_page, tag);
 }
 
 /* Do the ids that it awaits fit a value of the state service, now and at its planned limits? The
@@ -143,7 +143,7 @@
   if (job->is_known)
     return;
   job->is_known = TRUE;
-  job->state = job->cancellation.told_by_peer ? HR_JOB_CANCELLED : HR_JOB_QUEUED;
+  job->state = job->cancellation.reported_by_peer ? HR_JOB_CANCELLED : HR_JOB_QUEUED;
   job->record.revision = revision;
   job->submitted_at = request->received_at;
   g_free (job->record.tag);
--- a/src/coordination/jobs/task_lifecycle.c
+++ b/src/coordination/jobs/task_lifecycle.c
@@ -201,8 +201,8 @@
 {
   g_info ("%s is cancelled", job->id);
   core->metrics.counters.cancellations++;
-  if (!job->cancellation.unknown_until)
-    job->cancellation.unknown_until =
+  if (!job->cancellation.last_uncancelled_read_at)
+    job->cancellation.last_uncancelled_read_at =
         core->store.replica.confirmed_at; /* of the last read that did not show it */
   g_info ("cancelled: job=%s revision=%" G_GUINT64_FORMAT " reading_age=%.2f bound=%u", job->id,
           core->store.replica.applied_revision, core->now - core->store.replica.confirmed_at,
--- a/src/coordination/leadership/leadership_decisions.c
+++ b/src/coordination/leadership/leadership_decisions.c
@@ -67,7 +67,7 @@
     if (hr_membership_peer_is_fresh (core, peer) && peer->status.is_leader &&
         g_strcmp0 (peer->status.incarnation, leadership->leader_incarnation) == 0)
       return peer->status.store_served ||
-             core->now - core->store.replica.served_since < INCUMBENT_PREFERENCE_S;
+             core->now - core->store.replica.current_since < INCUMBENT_PREFERENCE_S;
   }
   return FALSE;
 }
@@ -158,7 +158,7 @@
     if (machine->state != HR_MACHINE_UP)
       continue;
     n_up++;
-    n_heard += core->now - machine->agent.heard_at < core->policy.overdue_s;
+    n_heard += core->now - machine->agent.last_heartbeat_at < core->policy.overdue_s;
   }
   if (n_up < RESIGN_MIN_MACHINES)
     return HR_KEEP_TERM_TOO_FEW_MACHINES;
@@ -166,7 +166,7 @@
     return HR_KEEP_TERM_HEARD;
   if (contacts_elsewhere (core) < RESIGN_MIN_CONTACTS_ELSEWHERE)
     return HR_KEEP_TERM_NO_BETTER_LEADER;
-  double since = MAX (core->leadership.term_began_at, core->store.replica.served_since);
+  double since = MAX (core->leadership.term_began_at, core->store.replica.current_since);
   if (core->now - since < RESIGN_MIN_SERVED_S)
     return HR_KEEP_TERM_TOO_EARLY;
   return HR_RESIGN_UNREACHED;
--- a/src/coordination/membership/cancellation_log.c
+++ b/src/coordination/membership/cancellation_log.c
@@ -126,9 +126,9 @@
   if (!hr_job_id_valid (id))
     return;
   HrJob *job = hr_job_get (&core->store.tables, id);
-  if (job->state != HR_JOB_QUEUED || job->cancellation.told_by_peer)
+  if (job->state != HR_JOB_QUEUED || job->cancellation.reported_by_peer)
     return;
-  job->cancellation.told_by_peer = TRUE;
+  job->cancellation.reported_by_peer = TRUE;
   if (!job->is_known)
     return; /* should its submission still be read, it is cancelled already */
   g_info ("%s is cancelled, as a peer says", id);
--- a/src/coordination/membership/membership.c
+++ b/src/coordination/membership/membership.c
@@ -176,7 +176,7 @@
   hr_cancellation_log_acknowledged (core, peer);
   hr_attestation_note (core, peer);
   for (guint i = 0; i < status->n_oversized; i++)
-    hr_record_format_peer_oversized (&core->store, status->oversized[i]);
+    hr_record_format_handle_oversized_report (&core->store, status->oversized[i]);
   return TRUE;
 }
 
--- a/src/coordination/metrics/metrics.c
+++ b/src/coordination/metrics/metrics.c
@@ -34,7 +34,7 @@
   append_gauge (text, "epoch", "revision up to which it has read the ledger",
                 (double)core->store.replica.applied_revision);
   append_gauge (text, "state_served", "1 while the state service answers it",
-                hr_replica_is_served (&core->store));
+                hr_replica_is_current (&core->store));
   append_gauge (text, "reading_age_seconds", "age of its last confirmed reading",
                 core->store.replica.synced_once ? core->now - core->store.replica.confirmed_at
                                                 : -1);
--- a/src/coordination/scaling/fleet.c
+++ b/src/coordination/scaling/fleet.c
@@ -7,7 +7,7 @@
 void
 hr_fleet_add (HrCore *core, HrMachine *machine)
 {
-  machine->instance.known_since = core->now;
+  machine->instance.in_fleet_since = core->now;
   machine->instance.listed_at = 0;
   g_ptr_array_add (core->scaling.fleet, machine);
 }
--- a/src/coordination/scaling/instance_list.c
+++ b/src/coordination/scaling/instance_list.c
@@ -69,7 +69,7 @@
   if (!type)
     return;
   /* Also of a machine that only records name so far: its zone counts for others. */
-  hr_machine_describe (machine, type, hr_intern (&core->names->zones, entry->zone), entry->is_spot);
+  hr_machine_set_type (machine, type, hr_intern (&core->names->zones, entry->zone), entry->is_spot);
   if (machine->state == HR_MACHINE_GONE)
     adopt (core, machine, type, entry);
   else
--- a/src/coordination/scaling/instance_requests.c
+++ b/src/coordination/scaling/instance_requests.c
@@ -61,7 +61,7 @@
   HrMachine *machine = name ? hr_machine_get (&core->store.tables, name) : NULL;
   if (!machine || machine->state != HR_MACHINE_GONE || machine->instance.is_deleted)
     return;
-  hr_machine_describe (machine, hr_machine_type_find (core, request->type), request->zone,
+  hr_machine_set_type (machine, hr_machine_type_find (core, request->type), request->zone,
                        request->is_spot);
   machine->state = HR_MACHINE_BOOTING;
   machine->instance.requested_here = TRUE;
@@ -252,7 +252,7 @@
 hr_instance_requests_send (HrCore *core)
 {
   if (!knows_earlier_requests (core) || core->scaling.instances_requested ||
-      core->now < core->scaling.paused_until || !hr_replica_is_served (&core->store))
+      core->now < core->scaling.paused_until || !hr_replica_is_current (&core->store))
     return;
   g_autofree guint *requested = g_new0 (guint, core->names->zones.names->len + 1);
   for (guint i = 0; i < core->scaling.demand->len; i++)
--- a/src/coordination/scaling/scale_in.c
+++ b/src/coordination/scaling/scale_in.c
@@ -16,7 +16,7 @@
   if (capacity->is_reserved || !machine->idle_since)
     return KEEP;
   /* After a cut of our own nothing was idle: nobody could give it work. */
-  double since = MAX (machine->idle_since, core->store.replica.served_since);
+  double since = MAX (machine->idle_since, core->store.replica.current_since);
   return core->now - since > core->policy.idle_s ? RETURN_IDLE : KEEP;
 }
 
--- a/src/coordination/scaling/scaling.c
+++ b/src/coordination/scaling/scaling.c
@@ -17,9 +17,9 @@
 boot_has_failed (const HrCore *core, const HrMachine *machine)
 {
   const HrMachineType *type = hr_machine_type_of (core, machine);
-  return machine->state == HR_MACHINE_BOOTING && type && hr_replica_is_served (&core->store) &&
+  return machine->state == HR_MACHINE_BOOTING && type && hr_replica_is_current (&core->store) &&
          core->now - machine->instance.requested_at > type->boot_s * core->policy.boot_limit &&
-         core->now - core->store.replica.served_since > core->policy.silent_s;
+         core->now - core->store.replica.current_since > core->policy.silent_s;
 }
 
 static void
--- a/src/coordination/scheduling/dispatch.c
+++ b/src/coordination/scheduling/dispatch.c
@@ -235,7 +235,7 @@
 may_dispatch (HrCore *core)
 {
   return core->scaling.machine_types && hr_leadership_may_answer (core) &&
-         hr_replica_is_served (&core->store);
+         hr_replica_is_current (&core->store);
 }
 
 void
--- a/src/coordination/scheduling/placement.c
+++ b/src/coordination/scheduling/placement.c
@@ -11,15 +11,15 @@
     return FALSE;
   return machine->state == HR_MACHINE_BOOTING ||
          (machine->state == HR_MACHINE_UP &&
-          core->now - MAX (machine->agent.heard_at, core->leadership.term_began_at) <
+          core->now - MAX (machine->agent.last_heartbeat_at, core->leadership.term_began_at) <
               2 * core->policy.silent_s);
 }
 
 gboolean
 hr_machine_is_reachable (const HrCore *core, const HrMachine *machine)
 {
-  return machine->state == HR_MACHINE_UP && machine->agent.heard_at > 0 &&
-         core->now - machine->agent.heard_at < core->policy.silent_s;
+  return machine->state == HR_MACHINE_UP && machine->agent.last_heartbeat_at > 0 &&
+         core->now - machine->agent.last_heartbeat_at < core->policy.silent_s;
 }
 
 gboolean
--- a/src/coordination/scheduling/quotas.c
+++ b/src/coordination/scheduling/quotas.c
@@ -88,12 +88,12 @@
     available = hr_quota_min (available, usage->backfill);
   guint n = hr_quota_multiples (available, unit, most);
   if (!is_behind || n || !hr_quota_multiples (usage->available, unit, 1)) {
-    job->quota.kept_out_since = 0;
+    job->quota.blocked_by_reservation_since = 0;
     return n;
   }
-  if (!job->quota.kept_out_since)
-    job->quota.kept_out_since = core->now;
-  return core->now - job->quota.kept_out_since > MAX_RESERVATION_WAIT_S;
+  if (!job->quota.blocked_by_reservation_since)
+    job->quota.blocked_by_reservation_since = core->now;
+  return core->now - job->quota.blocked_by_reservation_since > MAX_RESERVATION_WAIT_S;
 }
 
 /* Notes the grant, and since when the job could have used it. */
@@ -176,7 +176,7 @@
     if (hr_job_is_waiting (core, job))
       g_ptr_array_add (waiting, job);
     else
-      job->quota.granted_since = job->quota.kept_out_since = 0;
+      job->quota.granted_since = job->quota.blocked_by_reservation_since = 0;
   }
   g_ptr_array_sort (waiting, by_grant);
 }
@@ -202,7 +202,7 @@
   HrJobQuota *quota = &job->quota;
   hr_quota_add (&usage->used, hr_quota_of (&job->spec, 1));
   quota->granted -= quota->granted > 0;
-  quota->granted_since = quota->kept_out_since = 0;
+  quota->granted_since = quota->blocked_by_reservation_since = 0;
   quota->lent_until = quota->lending_pause_s = 0;
   quota->reclaiming_since = quota->reclaim_pause_s = 0;
 }
--- a/tests/sim/single_node.c
+++ b/tests/sim/single_node.c
@@ -318,8 +318,8 @@
   HrMachine *machine = hr_machine_get (&n->core->store.tables, "m-1");
   machine->state = HR_MACHINE_UP;
   machine->agent.incarnation = 1;
-  machine->agent.heard_at = n->now;
-  hr_machine_describe (machine, &g_array_index (n->core->scaling.machine_types, HrMachineType, 0),
+  machine->agent.last_heartbeat_at = n->now;
+  hr_machine_set_type (machine, &g_array_index (n->core->scaling.machine_types, HrMachineType, 0),
                        HR_NONE, FALSE);
   hr_fleet_add (n->core, machine);
   return machine;
--- a/tests/test_fixtures.c
+++ b/tests/test_fixtures.c
@@ -65,7 +65,7 @@
     hr_job_set_spec (read->job, &read->record.spec, read->record.tasks_per_page);
     read->job->submitted_at = read->record.submitted_at;
     if (!read->record.tasks_per_page)
-      assert_true (hr_record_tasks (read->job, 0, read->record.tasks, &read->machines, NULL));
+      assert_true (hr_record_read_tasks (read->job, 0, read->record.tasks, &read->machines, NULL));
   }
   for (guint i = 0; read->record.awaits && read->record.awaits[i]; i++) {
     HrJob **awaits =
@@ -121,8 +121,8 @@
     if (split)
       assert_int_equal (read.job->record.tasks_per_page, atoi (fields[3]));
     json_t *value = json_loads (text, 0, NULL);
-    assert_true (hr_record_tasks (read.job, page * read.job->record.tasks_per_page,
-                                  json_object_get (value, "x"), &read.machines, NULL));
+    assert_true (hr_record_read_tasks (read.job, page * read.job->record.tasks_per_page,
+                                       json_object_get (value, "x"), &read.machines, NULL));
     g_autofree char *back =
         hr_record_page (read.job, page, &read.machines, hr_json_str (value, "w"), FALSE);
     assert_string_equal (back, text);
--- a/tests/test_record.c
+++ b/tests/test_record.c
@@ -90,15 +90,15 @@
     assert_same_spec (&rec.spec, &spec);
     hr_job_set_spec (k, &rec.spec, rec.tasks_per_page);
     if (!per)
-      assert_true (hr_record_tasks (k, 0, rec.tasks, &machines, NULL));
+      assert_true (hr_record_read_tasks (k, 0, rec.tasks, &machines, NULL));
     hr_record_clear (&rec);
     json_decref (value);
     for (guint page_index = 0; per && page_index < job->record.n_pages; page_index++) {
       g_autofree char *page = hr_record_page (job, page_index, &machines, "w.2", FALSE);
       assert_true (strlen (page) <= 4096);
       value = json_loads (page, 0, NULL);
-      assert_true (
-          hr_record_tasks (k, page_index * per, json_object_get (value, "x"), &machines, NULL));
+      assert_true (hr_record_read_tasks (k, page_index * per, json_object_get (value, "x"),
+                                         &machines, NULL));
       json_decref (value);
     }
     for (guint i = 0; i < spec.tasks; i++) {
