--- a/src/coordination/agents/renewal_checks.c
+++ b/src/coordination/agents/renewal_checks.c
@@ -66,7 +66,7 @@
 static gboolean
 is_final (const HrJob *job)
 {
-  return job->cancellation.told_by_peer || (job->is_known && job->state != HR_JOB_QUEUED);
+  return job->cancellation.reported_by_peer || (job->is_known && job->state != HR_JOB_QUEUED);
 }
 
 /* Returns whether the heartbeat shows that the task has not exited, and its job is final. A job
--- a/src/coordination/agents/reported_tasks.c
+++ b/src/coordination/agents/reported_tasks.c
@@ -67,7 +67,7 @@
   /* A new leader assumes from the records that a machine has an image. If a second message still
    * reports it as being fetched, the machine does not have it. */
   if (reported->state == HR_REPORTED_FETCHING && task->reported_state == HR_REPORTED_FETCHING)
-    hr_machine_forget_image (machine, job->spec.image);
+    hr_machine_remove_image (machine, job->spec.image);
   if (task->reported_state != reported->state)
     core->scheduling.plan_is_stale = TRUE;
   task->reported_state = reported->state;
--- a/src/coordination/agents/silent_machines.c
+++ b/src/coordination/agents/silent_machines.c
@@ -25,7 +25,7 @@
 static double
 silence_s (const HrCore *core, const HrMachine *machine)
 {
-  return core->now - MAX (machine->agent.heard_at, core->leadership.term_began_at);
+  return core->now - MAX (machine->agent.last_heartbeat_at, core->leadership.term_began_at);
 }
 
 static gboolean
@@ -42,7 +42,8 @@
 is_missing_from_list (const HrCore *core, const HrMachine *machine)
 {
   return machine->instance.listed_at < core->scaling.listed_at &&
-         core->scaling.listed_at > machine->instance.known_since + 2 * core->settings->list_lag_s;
+         core->scaling.listed_at >
+             machine->instance.in_fleet_since + 2 * core->settings->list_lag_s;
 }
 
 HrSilenceVerdict
@@ -52,7 +53,7 @@
     return HR_SILENCE_NONE;
   if (is_unreachable_now (core, machine))
     return HR_SILENCE_UNREACHABLE;
-  gboolean is_served = hr_replica_is_served (&core->store);
+  gboolean is_served = hr_replica_is_current (&core->store);
   if (silence_s (core, machine) > core->policy.overdue_s && is_missing_from_list (core, machine) &&
       is_served)
     return HR_SILENCE_NOT_LISTED;
@@ -122,7 +123,7 @@
   gboolean is_node_isolated = is_large_share (core, counts->overdue, counts->up);
   /* A new leader first gives workers time to find it. So does a leader that was itself cut off from
    * the store: it would otherwise return every machine that the same partition kept from it. */
-  double served_since = MAX (core->leadership.term_began_at, core->store.replica.served_since);
+  double served_since = MAX (core->leadership.term_began_at, core->store.replica.current_since);
   gboolean is_grace_period = core->now - served_since < core->policy.silent_s + LEADER_DISCOVERY_S;
   return (HrFleetSilence){is_node_isolated, is_grace_period};
 }
--- a/src/coordination/jobs/cancellations.c
+++ b/src/coordination/jobs/cancellations.c
@@ -17,7 +17,7 @@
 static HrVerdict
 refuse_until_split (HrCore *core, HrJob *job)
 {
-  hr_record_format_note_oversized (&core->store, job);
+  hr_record_format_report_oversized (&core->store, job);
   return hr_verdict_refuse (HR_VERDICT_REFUSE_TEMPORARILY, 503,
                             "the job's record is being split; ask again");
 }
--- a/src/coordination/jobs/dependencies.c
+++ b/src/coordination/jobs/dependencies.c
@@ -21,7 +21,7 @@
 static gboolean
 is_final (const HrJob *job)
 {
-  return job->is_known && job->state != HR_JOB_QUEUED && !job->cancellation.told_by_peer;
+  return job->is_known && job->state != HR_JOB_QUEUED && !job->cancellation.reported_by_peer;
 }
 
 /* Final jobs keep no dependents, since their state no longer changes. */
@@ -144,7 +144,7 @@
     cancel_through_dependency (core, job, root);
   else if (job->state == HR_JOB_CANCELLED && hr_job_has_unfinished_dependencies (job))
     queue_tombstone (core, job); /* it was never in the list of open jobs */
-  if (job->state == HR_JOB_CANCELLED && !job->cancellation.told_by_peer)
+  if (job->state == HR_JOB_CANCELLED && !job->cancellation.reported_by_peer)
     hr_dependencies_job_final (core, job);
   hr_priority_inheritance_update (core, job);
 }
@@ -158,7 +158,7 @@
 {
   const HrTokenBucket *allowance = &core->store.transactions.allowance;
   return core->leadership.is_leader && !core->store.writer.dirty_pages->len &&
-         hr_replica_is_served (&core->store) &&
+         hr_replica_is_current (&core->store) &&
          allowance->tokens >= allowance->burst * UNUSED_ALLOWANCE_SHARE;
 }
 
--- a/src/coordination/jobs/submissions.c
+++ b/src/coordination/jobs/submissions.c
@@ -21,8 +21,8 @@
 first_record (const HrCore *core, const HrUserRequest *request, guint tasks_per_page,
               const char *tag)
 {
-  return hr_record_first (&request->spec, (const char *const *)request->awaits, core->names,
-                          request->received_at, tasks_per_page, tag);
+  return hr_record_initial (&request->spec, (const char *const *)request->awaits, core->names,
+                            request->received_at, tasks_per_page, tag);
 }
 
 /* Checks whether the ids of the awaited jobs fit into a value of the state service, under its
@@ -148,7 +148,7 @@
   if (job->is_known)
     return;
   job->is_known = TRUE;
-  job->state = job->cancellation.told_by_peer ? HR_JOB_CANCELLED : HR_JOB_QUEUED;
+  job->state = job->cancellation.reported_by_peer ? HR_JOB_CANCELLED : HR_JOB_QUEUED;
   job->record.revision = revision;
   job->submitted_at = request->received_at;
   g_free (job->record.tag);
--- a/src/coordination/jobs/task_lifecycle.c
+++ b/src/coordination/jobs/task_lifecycle.c
@@ -206,8 +206,8 @@
 {
   g_info ("job %s is cancelled", job->id);
   core->metrics.counters.cancellations++;
-  if (!job->cancellation.unknown_until)
-    job->cancellation.unknown_until =
+  if (!job->cancellation.last_uncancelled_read_at)
+    job->cancellation.last_uncancelled_read_at =
         core->store.replica.confirmed_at; /* the last read that did not show the cancellation */
   g_info ("cancelled: job=%s revision=%" G_GUINT64_FORMAT " reading_age=%.2f bound=%u", job->id,
           core->store.replica.applied_revision, core->now - core->store.replica.confirmed_at,
--- a/src/coordination/membership/cancellation_log.c
+++ b/src/coordination/membership/cancellation_log.c
@@ -130,9 +130,9 @@
   if (!hr_job_id_valid (id))
     return;
   HrJob *job = hr_job_get (&core->store.tables, id);
-  if (job->state != HR_JOB_QUEUED || job->cancellation.told_by_peer)
+  if (job->state != HR_JOB_QUEUED || job->cancellation.reported_by_peer)
     return;
-  job->cancellation.told_by_peer = TRUE;
+  job->cancellation.reported_by_peer = TRUE;
   if (!job->is_known)
     return; /* if its submission is read later, the job is already marked as cancelled */
   g_info ("%s is cancelled according to a peer's status", id);
--- a/src/coordination/scheduling/service_replicas.c
+++ b/src/coordination/scheduling/service_replicas.c
@@ -17,7 +17,8 @@
 
 /* Weights in a machine's score for a replica; the highest score is best. */
 #define SCORE_PER_FETCH_S 10 /* subtracted per second of the image fetch */
-#define SCORE_PER_HOME_S 10  /* added per second of HR_HOME_ZONE_BONUS_S in the controllers' zone  \
+#define SCORE_PER_HOME_S                                                                           \
+  10                         /* added per second of HR_HOME_ZONE_BONUS_S in the controllers' zone  \
                               */
 #define SCORE_PER_TASK 10    /* added per task on the machine: fuller machines first */
 #define SCORE_LAST_SLOT 1000 /* subtracted if slots are short and a fetch would use the last */
