--- a/src/coordination/scaling/capacity_refusals.c
+++ b/src/coordination/scaling/capacity_refusals.c
@@ -1,11 +1,11 @@
-/* Where the cloud had no capacity lately. */
+/* Recent refusals of instance requests for lack of capacity. */
 #include "coordination/scaling/capacity_refusals.h"
 #include "coordination/scaling/machine_types.h"
 
-/* A refusal counts for so long, s. */
+/* How long a refusal blocks further requests of the same kind. */
 #define CAPACITY_REFUSAL_S 8.0
 
-/* The refusal of such instances, old or not; NULL: there was none. */
+/* Returns the latest refusal of such instances, expired or not; NULL if there was none. */
 static HrCapacityRefusal *
 find_refusal (const HrCore *core, guint32 type, guint32 zone, gboolean spot)
 {
@@ -40,10 +40,10 @@
 void
 hr_capacity_note_refusal (HrCore *core, guint32 type, guint32 zone, gboolean spot)
 {
-  HrCapacityRefusal noted = {type, zone, spot, core->now + CAPACITY_REFUSAL_S};
+  HrCapacityRefusal latest = {type, zone, spot, core->now + CAPACITY_REFUSAL_S};
   HrCapacityRefusal *refusal = find_refusal (core, type, zone, spot);
   if (refusal)
-    *refusal = noted;
+    *refusal = latest;
   else
-    g_array_append_val (core->scaling.capacity_refusals, noted);
+    g_array_append_val (core->scaling.capacity_refusals, latest);
 }
--- a/src/coordination/scaling/capacity_refusals.h
+++ b/src/coordination/scaling/capacity_refusals.h
@@ -1,20 +1,22 @@
-/* Where the cloud had no capacity lately, so that it gets no such request again at once.
+/* Recent refusals of instance requests for lack of capacity. While a refusal is recent, no request
+ * of the same kind (machine type, zone, spot or not) is sent.
  */
 #pragma once
 #include "coordination/state.h"
 
 /**
  * hr_capacity_is_refused:
- * @type: machine type
- * @zone: HR_NONE: refused in all zones of the type
+ * @type: machine type, as an interned name
+ * @zone: zone, as an interned name; %HR_NONE to ask whether all zones of the type are refused
+ * @spot: whether a spot instance is meant
  *
- * Returns: whether the cloud refused such an instance some seconds ago.
+ * Returns: whether the cloud has refused such an instance within the last few seconds.
  */
 gboolean hr_capacity_is_refused (const HrCore *core, guint32 type, guint32 zone, gboolean spot);
 
 /**
  * hr_capacity_note_refusal:
  *
- * Notes that the cloud has no such instance now.
+ * Records that the cloud has no capacity for such an instance now.
  */
 void hr_capacity_note_refusal (HrCore *core, guint32 type, guint32 zone, gboolean spot);
--- a/src/coordination/scaling/capacity_search.c
+++ b/src/coordination/scaling/capacity_search.c
@@ -1,12 +1,13 @@
-/* The search for free capacity for what still waits. */
+/* Searches the fleet for free capacity for waiting tasks. */
 #include "coordination/scaling/capacity_search.h"
 #include "coordination/scheduling/placement.h"
 
-/* The rounds of a search: spot and other busy machines, spot and other idle ones. */
+/* A search visits, in this order: busy spot machines, other busy machines, idle spot machines,
+ * other idle machines. */
 #define N_ROUNDS 4
 
 static gboolean
-round_has (int round, const HrFreeCapacity *capacity)
+is_in_round (int round, const HrFreeCapacity *capacity)
 {
   gboolean wants_idle = round / 2, wants_spot = !(round % 2);
   gboolean is_idle = capacity->machine->tasks->len == 0 && !capacity->is_reserved;
@@ -36,7 +37,7 @@
   for (; cursor->round < N_ROUNDS; cursor->round++, cursor->index = 0)
     for (; cursor->index < n; cursor->index++) {
       HrFreeCapacity *capacity = &fleet->machines[cursor->index];
-      if (!round_has (cursor->round, capacity) ||
+      if (!is_in_round (cursor->round, capacity) ||
           !is_suitable (core, capacity->machine, job, need) ||
           !hr_free_capacity_take (capacity, need->resources))
         continue;
--- a/src/coordination/scaling/capacity_search.h
+++ b/src/coordination/scaling/capacity_search.h
@@ -1,28 +1,32 @@
-/* The search for free capacity for what still waits, before instances are requested for it.
+/* Searches the fleet for free capacity for waiting tasks, before instances are requested for them.
  */
 #pragma once
 #include "coordination/scaling/demand.h"
 #include "coordination/scheduling/free_capacity.h"
 #include "coordination/state.h"
 
-/* How far a search for tasks of one kind has come. Free capacity only shrinks, so the search for
- * the next task of that kind goes on from there. All zero at the beginning. */
+/* Position of a search for capacity for tasks with the same needs. Free capacity only shrinks
+ * within a pass, so the search for the next such task resumes here. Zero-initialised before the
+ * first task. */
 typedef struct {
-  HrFreeCapacity *last; /* where the previous task found capacity; NULL: none did */
-  int round;            /* of machine kinds, in the order of preference */
-  guint index;
+  HrFreeCapacity *last; /* where the previous task found capacity; NULL: nowhere */
+  int round;            /* see N_ROUNDS */
+  guint index;          /* of the next machine to visit in this round */
 } HrCapacityCursor;
 
 /**
  * hr_capacity_find:
- * @n: only the first so many machines of @fleet are looked at
- * @job: (nullable): the job, where there is one already
+ * @fleet: free capacity left in this pass
+ * @n: search only the first @n machines of @fleet
+ * @cursor: position of the search for tasks with the same needs
+ * @job: (nullable): the task's job; %NULL for expected tasks that have no job yet
+ * @need: what the task needs
  *
- * Takes the capacity for one task off a machine where it is free, or will be once a boot or a stop
- * has ended. Busy machines come first, so that idle ones can be returned, and spot ones before
- * others, as they are cheaper.
+ * Reserves capacity for one task on a machine where it is free, or will be once a boot or a stop
+ * has ended. Prefers busy machines, so that idle ones can be returned, and spot machines to others,
+ * as they are cheaper.
  *
- * Returns: whether there was any.
+ * Returns: whether capacity was found.
  */
 gboolean hr_capacity_find (HrCore *core, HrFleetCapacity *fleet, guint n, HrCapacityCursor *cursor,
                            const HrJob *job, const HrTaskNeed *need);
--- a/src/coordination/scaling/demand.c
+++ b/src/coordination/scaling/demand.c
@@ -1,18 +1,18 @@
-/* The demand for instances that a dispatch pass sums up. */
+/* Sums up the demand for instances in a dispatch pass. */
 #include "coordination/scaling/demand.h"
 #include "coordination/scaling/capacity_refusals.h"
 #include "coordination/scheduling/resources.h"
 #include <math.h>
 
-/* Instances of one kind. */
+/* Demand for instances of one kind. */
 typedef struct {
   guint32 type, zone;
   gboolean is_spot;
-  HrResources left; /* on the last instance counted */
+  HrResources left; /* unused capacity of the last instance counted */
   guint instances;
 } DemandEntry;
 
-/* Which kind of instance to request for a task; type is NULL where none will do. */
+/* The kind of instance to request for a task; type is NULL if none is suitable. */
 typedef struct {
   const HrMachineType *type;
   gboolean is_spot;
@@ -43,13 +43,13 @@
 }
 
 static gboolean
-type_suits (const HrMachineType *type, const HrTaskNeed *need)
+type_fits (const HrMachineType *type, const HrTaskNeed *need)
 {
   return (!need->types || (need->types >> type->type & 1)) &&
          hr_resources_at_least (hr_resources_of_type (type), need->resources);
 }
 
-/* The share of a machine of the type that the task takes: the largest of its resources. */
+/* Returns the share of such a machine that the task uses: the largest of its resource shares. */
 static double
 share_of_machine (const HrMachineType *type, HrResources need)
 {
@@ -57,23 +57,23 @@
   return MAX (MAX (need.cpus / type->cpus, gpus), need.memory_gb / type->memory_gb);
 }
 
-/* The kind of instance on which the task is cheapest, among those that the cloud has not just
- * refused. The zone is chosen when the request is sent, unless the task asks for one. */
+/* Returns the kind of instance on which the task is cheapest, among those that the cloud has not
+ * refused recently. The zone is chosen when the request is sent, unless the task requires one. */
 static InstanceChoice
 choose_instance (const HrCore *core, const HrTaskNeed *need)
 {
   InstanceChoice best = {NULL, FALSE};
-  double least = INFINITY;
+  double lowest_price = INFINITY;
   gboolean tries_spot = need->allows_spot && core->policy.spot_use > 0;
   for (guint i = 0; i < core->scaling.machine_types->len; i++) {
     const HrMachineType *type = &g_array_index (core->scaling.machine_types, HrMachineType, i);
-    if (!type_suits (type, need))
+    if (!type_fits (type, need))
       continue;
     double share = share_of_machine (type, need->resources);
     for (int spot = 0; spot <= tries_spot; spot++) {
       double price = (spot ? type->spot_price : type->price) * share;
-      if (price < least && !hr_capacity_is_refused (core, type->type, need->zone, spot)) {
-        least = price;
+      if (price < lowest_price && !hr_capacity_is_refused (core, type->type, need->zone, spot)) {
+        lowest_price = price;
         best = (InstanceChoice){type, spot};
       }
     }
@@ -81,9 +81,9 @@
   return best;
 }
 
-/* The entry for this kind of instance, which is made when there is none. */
+/* Returns the entry for this kind of instance; adds one if there is none. */
 static DemandEntry *
-entry_for (HrDemandPlan *demand, InstanceChoice choice, guint32 zone)
+find_or_add_entry (HrDemandPlan *demand, InstanceChoice choice, guint32 zone)
 {
   for (guint i = 0; i < demand->entries->len; i++) {
     DemandEntry *entry = &g_array_index (demand->entries, DemandEntry, i);
@@ -101,7 +101,7 @@
   InstanceChoice choice = choose_instance (core, need);
   if (!choice.type)
     return;
-  DemandEntry *entry = entry_for (demand, choice, need->zone);
+  DemandEntry *entry = find_or_add_entry (demand, choice, need->zone);
   if (!hr_resources_cover (entry->left, need->resources)) {
     entry->instances++;
     entry->left = hr_resources_of_type (choice.type);
--- a/src/coordination/scaling/fleet.c
+++ b/src/coordination/scaling/fleet.c
@@ -1,4 +1,4 @@
-/* The fleet: the machines that are not gone, and what becomes of them. */
+/* The fleet: all machines whose deletion is not confirmed. */
 #include "coordination/scaling/fleet.h"
 #include "coordination/agents/termination_proof.h"
 #include "coordination/scheduling/lookups.h"
@@ -13,7 +13,7 @@
 }
 
 void
-hr_machine_gone (HrCore *core, HrMachine *machine, const char *why)
+hr_fleet_remove (HrCore *core, HrMachine *machine, const char *why)
 {
   GArray *list = machine->plan.list;
   hr_termination_incarnations_over (core, machine, G_MAXUINT32, HR_PROOF_MACHINE_DELETED);
@@ -26,7 +26,7 @@
   g_array_set_size (list, 0);
   g_ptr_array_remove_fast (core->scaling.fleet, machine);
   core->scheduling.plan_is_stale = TRUE;
-  g_debug ("%s is gone: %s", machine->name, why);
+  g_debug ("%s left the fleet: %s", machine->name, why);
 }
 
 void
@@ -34,7 +34,7 @@
 {
   if (machine->state == HR_MACHINE_DELETING || machine->state == HR_MACHINE_GONE)
     return;
-  g_info ("%s is returned: %s", machine->name, why);
+  g_info ("returning %s to the cloud: %s", machine->name, why);
   machine->state = HR_MACHINE_DELETING;
   machine->instance.deletion_in_flight = FALSE;
   core->scheduling.plan_is_stale = TRUE;
--- a/src/coordination/scaling/fleet.h
+++ b/src/coordination/scaling/fleet.h
@@ -1,8 +1,8 @@
-/* The fleet: the machines that are not gone, and what becomes of them.
+/* The fleet: all machines whose deletion is not confirmed.
  *
- * A machine joins the fleet when the cloud grants it, when the cloud's list shows it, or when its
- * agent reports. It leaves when that is proven: by the cloud's answer to a deletion. Only the
- * leader changes the fleet.
+ * A machine joins the fleet when the cloud grants it, when the cloud's list of instances shows it,
+ * or when its agent reports. It leaves only when the cloud confirms its deletion. Only the leader
+ * changes the fleet.
  */
 #pragma once
 #include "coordination/state.h"
@@ -11,23 +11,24 @@
  * hr_fleet_add:
  * @machine: not in the fleet
  *
- * Adds the machine to the fleet. Its state is the caller's matter.
+ * Adds the machine to the fleet. The caller sets its state.
  */
 void hr_fleet_add (HrCore *core, HrMachine *machine);
 
 /**
  * hr_fleet_delete:
- * @why: for the log
+ * @why: the reason, for the log
  *
- * Lets the machine be returned to the cloud: it takes no more work from here on, and the call goes
- * out with the next tick. Does nothing where it is being deleted or is gone already.
+ * Marks the machine for deletion at the cloud: it is assigned no more tasks, and the call is sent
+ * on the next tick. Does nothing if the machine is being deleted or has been.
  */
 void hr_fleet_delete (HrCore *core, HrMachine *machine, const char *why);
 
 /**
- * hr_machine_gone:
- * @why: the proof, for the log
+ * hr_fleet_remove:
+ * @why: the proof of deletion, for the log
  *
- * The machine is proven gone, and so are all its tasks: it leaves the fleet.
+ * Removes a machine whose deletion is proven from the fleet. This also proves that none of its
+ * tasks runs any more.
  */
-void hr_machine_gone (HrCore *core, HrMachine *machine, const char *why);
+void hr_fleet_remove (HrCore *core, HrMachine *machine, const char *why);
--- a/src/coordination/scaling/headroom.c
+++ b/src/coordination/scaling/headroom.c
@@ -1,11 +1,12 @@
-/* Headroom: capacity for tasks that are expected and could not wait for a boot. */
+/* Headroom: spare capacity for expected tasks that cannot wait for a machine to boot. */
 #include "coordination/scaling/headroom.h"
 #include "coordination/jobs/class_stats.h"
 #include "coordination/scaling/capacity_search.h"
 #include "coordination/scaling/machine_types.h"
 #include <math.h>
 
-/* For how many boots' arrivals a class gets headroom; 0: for none. */
+/* Returns the period of arrivals that the headroom of a class covers, in boot times; 0: no
+ * headroom. */
 static double
 headroom_boots (const HrCore *core, const HrClassStats *stats, guint32 job_class)
 {
@@ -27,7 +28,7 @@
 guint
 hr_headroom_wanted (HrCore *core, guint32 job_class)
 {
-  /* A class known from old records alone has no row yet. */
+  /* A class that appears only in old records has no statistics yet. */
   HrClassStats *stats = hr_class_stats (core, job_class);
   if (!stats->is_seen)
     return 0;
--- a/src/coordination/scaling/headroom.h
+++ b/src/coordination/scaling/headroom.h
@@ -1,7 +1,7 @@
-/* Headroom: capacity for tasks that are expected and could not wait for a boot.
+/* Headroom: spare capacity for expected tasks that cannot wait for a machine to boot.
  *
- * It is set per class of jobs: as many tasks as should arrive during a boot, by the kind of the
- * class's objectives, within what the limits of its teams leave (scheduling/quotas.c).
+ * It is set per class of jobs: the number of tasks expected to arrive during a boot, scaled by the
+ * kind of the class's objectives and bounded by the limits of its teams (scheduling/quotas.c).
  */
 #pragma once
 #include "coordination/scaling/demand.h"
@@ -11,21 +11,22 @@
 /**
  * hr_headroom:
  *
- * Returns: for how many tasks of the class there is headroom in this pass.
+ * Returns: the headroom of the class in this pass, in tasks.
  */
 guint hr_headroom (HrCore *core, guint32 job_class);
 
 /**
  * hr_headroom_wanted:
  *
- * Returns: the tasks of the class that cannot wait for a boot, whatever the limits of teams leave:
- * replicas of services, and those of classes for whose start or end there is an objective.
+ * Returns: the headroom that the class should have before the limits of teams are applied, in
+ * tasks. Only services, and classes with a wait or a deadline objective, have headroom.
  */
 guint hr_headroom_wanted (HrCore *core, guint32 job_class);
 
 /**
  * hr_scale_out_headroom:
  *
- * Takes the headroom of all classes off what is free, and demands instances for what is missing.
+ * Reserves free capacity for the headroom of all classes, and demands instances for the part that
+ * finds none.
  */
 void hr_scale_out_headroom (HrCore *core, HrFleetCapacity *fleet, HrDemandPlan *demand);
--- a/src/coordination/scaling/instance_deletions.c
+++ b/src/coordination/scaling/instance_deletions.c
@@ -1,4 +1,4 @@
-/* Deleting instances at the cloud. */
+/* Deletes instances at the cloud. */
 #include "coordination/scaling/instance_deletions.h"
 #include "coordination/effects.h"
 #include "coordination/scaling/fleet.h"
@@ -9,14 +9,13 @@
 
 #define MAX_MACHINES_PER_CALL 100
 #define MAX_CALLS_IN_FLIGHT 2
-/* For an answer, s. */
 #define CALL_TIMEOUT_S 5
-/* After a call that failed no other is made for so long, s. */
+/* Pause of deletions and requests after a failed call. */
 #define FAILURE_PAUSE_S 0.5
 
-/* One call. */
+/* A call that deletes instances. */
 typedef struct {
-  double term_began_at; /* of the term in which it was made */
+  double term_began_at; /* start of the term in which the call is sent, monotonic time, s */
   guint n;
   guint32 machines[MAX_MACHINES_PER_CALL];
 } Deletion;
@@ -34,7 +33,7 @@
     if (machine->state != HR_MACHINE_DELETING)
       continue;
     if (status == 200)
-      hr_machine_gone (core, machine, "the cloud deleted its machine");
+      hr_fleet_remove (core, machine, "the cloud confirmed its deletion");
     else
       machine->instance.deletion_in_flight = FALSE; /* to be sent again */
   }
@@ -42,8 +41,8 @@
     core->scaling.paused_until = MAX (core->scaling.paused_until, core->now + FAILURE_PAUSE_S);
 }
 
-/* The machines that are to be deleted and that no call names yet; they count as named from here on.
- */
+/* Collects machines that are to be deleted and that no call in flight names, and marks them as
+ * being in flight. */
 static Deletion *
 collect_deletion (HrCore *core)
 {
@@ -67,7 +66,7 @@
   g_free (deletion);
 }
 
-/* The body of the call. */
+/* Returns the body of the call. */
 static char *
 deletion_text (HrCore *core, const Deletion *deletion)
 {
--- a/src/coordination/scaling/instance_deletions.h
+++ b/src/coordination/scaling/instance_deletions.h
@@ -1,7 +1,7 @@
-/* Deleting instances at the cloud.
+/* Deletes instances at the cloud.
  *
- * Machines in the state HR_MACHINE_DELETING are named in calls, many in each, until a call is
- * answered with 200: that is proof that nothing runs there any more.
+ * Machines in the state HR_MACHINE_DELETING are deleted in batches. A batch is retried until the
+ * cloud answers with 200, which proves that nothing runs on its machines any more.
  */
 #pragma once
 #include "coordination/state.h"
@@ -9,7 +9,7 @@
 /**
  * hr_instance_deletions_send:
  *
- * Sends what can be sent of the deletions that are due, within the allowance for calls to the
- * cloud. Called with each tick of a leader.
+ * Sends the deletions that are due, as far as the rate limit of calls to the cloud allows. The
+ * leader calls it on each tick.
  */
 void hr_instance_deletions_send (HrCore *core);
--- a/src/coordination/scaling/instance_list.c
+++ b/src/coordination/scaling/instance_list.c
@@ -1,4 +1,4 @@
-/* The cloud's list of instances. */
+/* Reads the cloud's list of instances. */
 #include "coordination/scaling/instance_list.h"
 #include "coordination/effects.h"
 #include "coordination/scaling/fleet.h"
@@ -7,14 +7,13 @@
 #include "protocol/json_util.h"
 #include "protocol/cloud.h"
 
-/* For an answer, s. */
 #define CALL_TIMEOUT_S 5
-/* From the beginning of one pass to that of the next, s: until one is complete, and then at least.
- */
+/* Time between the starts of two passes: until the first pass of the term is complete, and the
+ * least time afterwards. */
 #define FIRST_PASS_GAP_S 1
 #define MIN_PASS_GAP_S 4
-/* A machine that is up already has spent at most this share of a boot, as far as the limit for
- * boots counts: its agent has to find this controller. */
+/* An instance that the cloud lists as running counts as having spent at most this share of its boot
+ * time, so that its agent has time to find this controller before the boot counts as failed. */
 #define MAX_BOOTED_SHARE 0.6
 
 static void on_page (HrCore *core, int status, json_t *body, double sent, gpointer data);
@@ -28,20 +27,20 @@
   hr_core_call (core, HR_TO_CLOUD, NULL, HR_GET, path, NULL, CALL_TIMEOUT_S, on_page, NULL);
 }
 
-/* The instance has failed, by the cloud's list: it is deleted. */
+/* Deletes an instance that the cloud lists as failed. */
 static void
 delete_failed (HrCore *core, HrMachine *machine)
 {
   if (machine->state == HR_MACHINE_GONE)
     hr_fleet_add (core, machine);
   machine->state = HR_MACHINE_UP;
-  hr_fleet_delete (core, machine, "it failed");
+  hr_fleet_delete (core, machine, "the cloud lists it as failed");
 }
 
-/* Adds a machine that was not expected to the fleet. It counts as booting until its agent reports.
- */
+/* Adds a listed machine that was not in the fleet. It counts as booting until its agent reports. */
 static void
-adopt (HrCore *core, HrMachine *machine, const HrMachineType *type, const HrListedInstance *entry)
+add_unexpected (HrCore *core, HrMachine *machine, const HrMachineType *type,
+                const HrListedInstance *entry)
 {
   double age = entry->state == HR_INSTANCE_STARTING
                    ? entry->age
@@ -51,15 +50,15 @@
   hr_fleet_add (core, machine);
   machine->instance.listed_at = core->scaling.list_requested_at;
   core->scheduling.plan_is_stale = TRUE;
-  g_info ("%s is in the cloud's list and was not expected; it is taken on", machine->name);
+  g_info ("%s is in the cloud's list of instances but was not in the fleet; added", machine->name);
 }
 
 static void
-take_entry (HrCore *core, const HrListedInstance *entry)
+apply_entry (HrCore *core, const HrListedInstance *entry)
 {
   HrMachine *machine = hr_machine_get (&core->store.tables, entry->name);
   if (machine->instance.is_deleted || machine->state == HR_MACHINE_DELETING)
-    return; /* lists lag: it is being returned, or was */
+    return; /* the list lags: the machine is being deleted, or has been */
   if (entry->state == HR_INSTANCE_FAILED) {
     delete_failed (core, machine);
     return;
@@ -68,17 +67,19 @@
   const HrMachineType *type = type_name == HR_NONE ? NULL : hr_machine_type_find (core, type_name);
   if (!type)
     return;
-  /* Also of a machine that only records name so far: its zone counts for others. */
+  /* Machines that are so far only named in records are described too: zone rules for the other
+   * tasks of a job depend on their zones. */
   hr_machine_describe (machine, type, hr_intern (&core->names->zones, entry->zone), entry->is_spot);
   if (machine->state == HR_MACHINE_GONE)
-    adopt (core, machine, type, entry);
+    add_unexpected (core, machine, type, entry);
   else
     machine->instance.listed_at = core->scaling.list_requested_at;
 }
 
-/* Takes the entries of a page; the last one is where the next page begins. */
+/* Applies the entries of a page. The name of the last valid entry is the cursor of the next page.
+ */
 static void
-take_page (HrCore *core, const json_t *list)
+apply_page (HrCore *core, const json_t *list)
 {
   json_t *object;
   size_t i;
@@ -86,17 +87,17 @@
   {
     HrListedInstance entry;
     if (!hr_listed_instance_parse (object, &entry)) {
-      g_info ("an entry of the cloud's list makes no sense; dropped");
+      g_info ("ignoring a malformed entry in the cloud's list of instances");
       continue;
     }
-    take_entry (core, &entry);
+    apply_entry (core, &entry);
     g_free (core->scaling.list_cursor);
     core->scaling.list_cursor = g_strdup (entry.name);
   }
 }
 
-/* The pass is complete. What it lacks counts as lacking only where it began long enough after the
- * term did, as lists lag. */
+/* Ends a complete pass. Because the list lags, a pass counts as complete evidence of what earlier
+ * leaders requested only if it began at least list_lag_s after the term did. */
 static void
 finish_pass (HrCore *core)
 {
@@ -113,12 +114,12 @@
 {
   const json_t *list = hr_instance_list_entries (body);
   core->scaling.list_in_flight = FALSE;
-  /* A pass that breaks off begins anew, and so does the next term. */
+  /* An interrupted pass restarts at the first page, and so does the first pass of the next term. */
   if (!core->leadership.is_leader || status != 200 || !list) {
     g_clear_pointer (&core->scaling.list_cursor, g_free);
     return;
   }
-  take_page (core, list);
+  apply_page (core, list);
   if (hr_instance_list_has_more (body) && json_array_size (list))
     request_page (core);
   else
--- a/src/coordination/scaling/instance_list.h
+++ b/src/coordination/scaling/instance_list.h
@@ -1,8 +1,8 @@
-/* The cloud's list of instances, read page by page, again and again.
+/* Periodically reads the cloud's list of instances, page by page.
  *
- * The list lags behind, so it is weak evidence: a machine that it shows may be deleted already, and
- * one that it lacks may be there. It shows machines that nobody expected, such as those that an
- * earlier leader requested.
+ * The list lags, so it is weak evidence: a machine that it contains may already be deleted, and one
+ * that it lacks may exist. It reveals machines that this leader does not know, such as those that
+ * an earlier leader requested.
  */
 #pragma once
 #include "coordination/state.h"
@@ -10,7 +10,7 @@
 /**
  * hr_instance_list_tick:
  *
- * Begins a pass through the list when one is due. Until one is complete since the term began, they
- * follow one another at once. Called with each tick of a leader.
+ * Starts a pass through the list when one is due. Passes start at short intervals until the first
+ * one of the term is complete. The leader calls it on each tick.
  */
 void hr_instance_list_tick (HrCore *core);
--- a/src/coordination/scaling/instance_requests.c
+++ b/src/coordination/scaling/instance_requests.c
@@ -1,4 +1,4 @@
-/* Requests for instances at the cloud. */
+/* Requests instances at the cloud. */
 #include "coordination/scaling/instance_requests.h"
 #include "bookkeeping/replica.h"
 #include "coordination/effects.h"
@@ -10,29 +10,28 @@
 #include "protocol/cloud.h"
 
 #define MAX_INSTANCES_PER_REQUEST 50
-/* For an answer, s. */
 #define CALL_TIMEOUT_S 6
-/* Requests without a clear answer are repeated after a time drawn from between these, s. Not at
- * once: a cloud in trouble answers in no time, and the calls would use up those of the next
- * minutes.
- */
+/* Range of the random pause before requests without a conclusive answer are retried. A failing
+ * cloud answers immediately, so retries without a pause would use up the call budget of the next
+ * minutes. */
 #define MIN_RETRY_PAUSE_S 0.5
 #define MAX_RETRY_PAUSE_S 1.5
 
+/* A request for instances of one kind. */
 typedef struct {
-  double term_began_at; /* of the term in which it was made */
-  char *name;
+  double term_began_at; /* start of the term in which it was made, monotonic time, s */
+  char *name;           /* idempotency key */
   guint32 type, zone;
   gboolean is_spot;
   guint count;
 } InstanceRequest;
 
-/* What the cloud's answer means. */
+/* Meaning of the cloud's answer to a request. */
 typedef enum {
-  ANSWER_GRANTED,     /* all of it, or as many as there are */
-  ANSWER_NO_CAPACITY, /* none */
-  ANSWER_MALFORMED,   /* the request will never be granted */
-  ANSWER_UNCLEAR,     /* no answer, trouble or too many calls: it may have been carried out */
+  ANSWER_GRANTED,      /* all instances, or as many as the cloud has */
+  ANSWER_NO_CAPACITY,  /* no instance was granted */
+  ANSWER_MALFORMED,    /* the cloud rejects the request for good */
+  ANSWER_INCONCLUSIVE, /* no answer, an error or too many calls: may have taken effect */
 } RequestAnswer;
 
 static void
@@ -50,11 +49,10 @@
     return ANSWER_GRANTED;
   if (status == 503 && g_strcmp0 (hr_json_str (body, "error"), HR_CLOUD_NO_CAPACITY) == 0)
     return ANSWER_NO_CAPACITY;
-  return status == 400 ? ANSWER_MALFORMED : ANSWER_UNCLEAR;
+  return status == 400 ? ANSWER_MALFORMED : ANSWER_INCONCLUSIVE;
 }
 
-/* An instance that the cloud granted joins the fleet, unless it has reported before the answer
- * came. */
+/* Adds a granted instance to the fleet, unless its agent reported before the answer arrived. */
 static void
 add_instance (HrCore *core, const InstanceRequest *request, const char *name, double sent)
 {
@@ -70,14 +68,15 @@
 }
 
 static void
-take_granted (HrCore *core, const InstanceRequest *request, json_t *body, double sent)
+handle_grant (HrCore *core, const InstanceRequest *request, json_t *body, double sent)
 {
   const json_t *list = hr_instances_granted (body);
   json_t *entry;
   size_t i;
   json_array_foreach (list, i, entry) add_instance (core, request, json_string_value (entry), sent);
-  g_info ("the cloud gave %zu of %u instances: %s%s in %s", json_array_size (list), request->count,
-          request->is_spot ? "spot " : "", hr_intern_name (&core->names->types, request->type),
+  g_info ("the cloud granted %zu of %u instances: %s%s in %s", json_array_size (list),
+          request->count, request->is_spot ? "spot " : "",
+          hr_intern_name (&core->names->types, request->type),
           hr_intern_name (&core->names->zones, request->zone));
   if (json_array_size (list) < request->count)
     hr_capacity_note_refusal (core, request->type, request->zone, request->is_spot);
@@ -85,9 +84,9 @@
 }
 
 static void
-take_refusal (HrCore *core, const InstanceRequest *request)
+handle_refusal (HrCore *core, const InstanceRequest *request)
 {
-  g_info ("no capacity for %s%s in %s", request->is_spot ? "spot " : "",
+  g_info ("the cloud has no capacity for %s%s in %s", request->is_spot ? "spot " : "",
           hr_intern_name (&core->names->types, request->type),
           hr_intern_name (&core->names->zones, request->zone));
   hr_capacity_note_refusal (core, request->type, request->zone, request->is_spot);
@@ -99,20 +98,20 @@
 {
   InstanceRequest *request = data;
   if (!core->leadership.is_leader || request->term_began_at != core->leadership.term_began_at) {
-    instance_request_free (core, request); /* what it brought shows up in the list */
+    instance_request_free (core, request); /* granted instances appear in the list */
     return;
   }
   switch (classify_answer (status, body)) {
   case ANSWER_GRANTED:
-    take_granted (core, request, body, sent);
+    handle_grant (core, request, body, sent);
     break;
   case ANSWER_NO_CAPACITY:
-    take_refusal (core, request);
+    handle_refusal (core, request);
     break;
   case ANSWER_MALFORMED:
-    g_warning ("the cloud calls an instance request malformed");
+    g_warning ("the cloud rejected a request for instances as malformed");
     break;
-  case ANSWER_UNCLEAR:
+  case ANSWER_INCONCLUSIVE:
     core->scaling.paused_until =
         core->now + g_rand_double_range (core->random, MIN_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S);
     g_queue_push_tail (&core->scaling.requests_to_retry, request);
@@ -121,7 +120,7 @@
   instance_request_free (core, request);
 }
 
-/* One call of the cloud's allowance was taken for it. */
+/* Sends the request. The caller has taken its token from the bucket of calls to the cloud. */
 static void
 send_request (HrCore *core, InstanceRequest *request)
 {
@@ -132,7 +131,7 @@
                 hr_instance_request_text (&message), CALL_TIMEOUT_S, on_answer, request);
 }
 
-/* The machines of the type that the zone holds. */
+/* Returns the number of machines of the type in the zone. */
 static guint
 count_machines (const HrCore *core, guint32 type, guint32 zone)
 {
@@ -144,9 +143,10 @@
   return n;
 }
 
-/* The zone with capacity that holds the fewest of our machines; HR_NONE: all refused. requested: by
- * zone, in this round; they count too. The controllers' own zone takes twice its share: behind a
- * cut of it, its workers still hear the leader (hr_leadership_may_answer). */
+/* Returns the zone with capacity that has the fewest machines of the type in the fleet; HR_NONE if
+ * the cloud refused all zones. @requested, instances requested on this tick by zone, count as well.
+ * The controllers' own zone gets twice the share of another: if the network cuts it off, its
+ * workers still reach the leader (hr_leadership_may_answer). */
 static guint32
 choose_zone (const HrCore *core, const HrMachineType *type, gboolean spot, const guint *requested)
 {
@@ -192,20 +192,21 @@
     instance_request_free (core, request);
 }
 
-/* What an earlier leader requested shows in the list: it is read before anything is requested. The
- * very first leader has nothing to look for. */
+/* Returns whether the instances that earlier leaders requested are known. They appear in the
+ * cloud's list, so the list must be read before anything is requested. The first leader ever has no
+ * predecessor. */
 static gboolean
-knows_earlier_requests (const HrCore *core)
+earlier_requests_are_known (const HrCore *core)
 {
   return core->leadership.term_token == 1 ||
          (core->scaling.list_is_complete &&
           core->now - core->leadership.term_began_at > core->settings->list_lag_s);
 }
 
-/* How many instances of the demand are requested at most in one zone: where any zone will do they
- * are spread, as a zone may be short, or fall away. */
+/* Returns the largest number of instances of the demand in one request. If any zone is allowed, the
+ * demand is split evenly across zones, since one zone may lack capacity or fail. */
 static guint
-most_per_request (const HrDemand *demand, const HrMachineType *type)
+max_instances_per_request (const HrDemand *demand, const HrMachineType *type)
 {
   guint n_zones = type->zones->len;
   if (demand->zone != HR_NONE || n_zones <= 1)
@@ -220,7 +221,7 @@
   InstanceRequest *request = g_new0 (InstanceRequest, 1);
   request->term_began_at = core->leadership.term_began_at;
   request->name = g_strdup_printf ("%s.%s.%" G_GUINT64_FORMAT, core->settings->label,
-                                   core->incarnation, ++core->scaling.last_request);
+                                   core->incarnation, ++core->scaling.last_request_number);
   request->type = demand->type;
   request->zone = zone;
   request->is_spot = demand->is_spot;
@@ -229,19 +230,19 @@
   send_request (core, request);
 }
 
-/* Requests the instances of one demand, while the allowance lasts and a zone has capacity.
- * requested: by zone, in this round. */
+/* Requests the instances of one demand, as far as the rate limit of calls to the cloud allows and
+ * zones have capacity. @requested: instances requested on this tick, by zone. */
 static void
 request_demand (HrCore *core, const HrDemand *demand, guint *requested)
 {
   const HrMachineType *type = hr_machine_type_find (core, demand->type);
-  guint left = demand->count, most = type ? most_per_request (demand, type) : 0;
+  guint left = demand->count, max_count = type ? max_instances_per_request (demand, type) : 0;
   while (type && left && hr_token_bucket_take (&core->scaling.allowance, core->now, 1, 0)) {
     guint32 zone = demand->zone == HR_NONE ? choose_zone (core, type, demand->is_spot, requested)
                                            : demand->zone;
     if (zone == HR_NONE || hr_capacity_is_refused (core, demand->type, zone, demand->is_spot))
       return;
-    guint count = MIN (left, most);
+    guint count = MIN (left, max_count);
     requested[zone] += count;
     left -= count;
     request_instances (core, demand, zone, count);
@@ -251,7 +252,7 @@
 void
 hr_instance_requests_send (HrCore *core)
 {
-  if (!knows_earlier_requests (core) || core->scaling.instances_requested ||
+  if (!earlier_requests_are_known (core) || core->scaling.instances_requested ||
       core->now < core->scaling.paused_until || !hr_replica_is_served (&core->store))
     return;
   g_autofree guint *requested = g_new0 (guint, core->names->zones.names->len + 1);
--- a/src/coordination/scaling/instance_requests.h
+++ b/src/coordination/scaling/instance_requests.h
@@ -1,7 +1,8 @@
-/* Requests for instances at the cloud.
+/* Requests instances at the cloud.
  *
- * Each request has a name of its own and is repeated under it until it has a clear answer: the
- * cloud grants a name once, so a repeat of a request that was carried out grants nothing more.
+ * Each request has a unique name, its idempotency key, and is retried under that name until the
+ * answer is conclusive: the cloud grants each name once, so retrying a request that took effect
+ * grants no further instances.
  */
 #pragma once
 #include "coordination/state.h"
@@ -9,23 +10,23 @@
 /**
  * hr_instance_requests_send:
  *
- * Requests the instances that the latest pass demanded, spread over zones. Nothing is requested
- * before what an earlier leader requested must have shown up in the cloud's list, nor while earlier
- * requests have no clear answer. Called with each tick of a leader.
+ * Requests the instances that the latest dispatch pass demanded, spread over zones. Requests
+ * nothing until the cloud's list must show what earlier leaders requested, nor while earlier
+ * requests have no conclusive answer. The leader calls it on each tick.
  */
 void hr_instance_requests_send (HrCore *core);
 
 /**
  * hr_instance_requests_retry:
  *
- * Sends the requests without a clear answer once more, when their pause is over. Those of an
- * earlier term are dropped: what they brought shows up in the cloud's list.
+ * Retries the requests without a conclusive answer once their pause is over. Drops those of an
+ * earlier term: the instances that they were granted appear in the cloud's list.
  */
 void hr_instance_requests_retry (HrCore *core);
 
 /**
  * hr_instance_requests_clear:
  *
- * Frees the requests that wait to be repeated.
+ * Frees the requests that wait for a retry.
  */
 void hr_instance_requests_clear (HrCore *core);
--- a/src/coordination/scaling/machine_types.c
+++ b/src/coordination/scaling/machine_types.c
@@ -1,4 +1,4 @@
-/* The cloud's machine types. */
+/* Reads the cloud's machine types. */
 #include "coordination/scaling/machine_types.h"
 #include "bookkeeping/store_keys.h"
 #include "bookkeeping/transactions.h"
@@ -6,17 +6,15 @@
 #include "protocol/http_method.h"
 #include "protocol/cloud.h"
 
-/* The types are read so often, s; after a failed call so long after it, while some types are known
- * and while none is. */
+/* Time between two reads of the types, and from a failed read to the next one: while types are
+ * known, and while none is. */
 #define REFRESH_S 30
 #define RETRY_S 5
 #define RETRY_UNKNOWN_S 1
-/* For an answer of the cloud, and of the store, s. */
+/* Timeouts of a call to the cloud, and of the write to the store. */
 #define CALL_TIMEOUT_S 5
 #define SAVE_TIMEOUT_S 2
 
-/* Where the copy of the types is in the store. */
-
 static gboolean
 load_types (HrCore *core, const json_t *object)
 {
@@ -44,8 +42,8 @@
   core->scaling.types_save_sent = status == 200;
 }
 
-/* Saves the types in the store, if there is no copy. The write holds on the leader record, which
- * fences former leaders. */
+/* Saves the types in the store, unless it has a copy. The transaction requires the leader record to
+ * be unchanged, which fences off former leaders. */
 static void
 save_types (HrCore *core, const json_t *body)
 {
@@ -74,7 +72,7 @@
   double retry_s = is_known ? RETRY_S : RETRY_UNKNOWN_S;
   core->scaling.types_requested_at = core->now - (REFRESH_S - retry_s);
   if (!is_known)
-    g_info ("the cloud's machine types are not known: status=%d", status);
+    g_info ("cannot read the machine types from the cloud: status=%d", status);
 }
 
 void
--- a/src/coordination/scaling/next_steps.c
+++ b/src/coordination/scaling/next_steps.c
@@ -1,4 +1,4 @@
-/* Scale out ahead of the next steps of pipelines. */
+/* Scales out ahead of the next steps of pipelines. */
 #include "coordination/scaling/next_steps.h"
 #include "coordination/scaling/capacity_search.h"
 #include "coordination/scaling/machine_types.h"
@@ -9,10 +9,11 @@
 #include "coordination/scheduling/resources.h"
 #include <math.h>
 
-/* Tasks of one step that instances are demanded for ahead. */
+/* Limit on the tasks of one step for which capacity is sought ahead of time. */
 #define MAX_NEXT_STEP_TASKS 200
 
-/* When the job should be done, if all its tasks are on machines; else INFINITY. */
+/* Returns when the job is expected to be done, monotonic time in seconds; INFINITY unless all its
+ * remaining tasks are on machines. */
 static double
 projected_end (HrCore *core, const HrJob *job)
 {
@@ -29,7 +30,7 @@
   return end;
 }
 
-/* How many times the need fits into what is freed, at most n. */
+/* Returns how many tasks with this need fit into the freed resources, at most @n. */
 static guint
 tasks_that_fit (HrResources freed, HrResources need, guint n)
 {
@@ -43,14 +44,15 @@
   return (guint)fit;
 }
 
-/* Is the awaited job about to end, so that what comes next has to be thought of? */
+/* Returns whether the awaited job is expected to end by @horizon, so that its dependents need
+ * capacity by then. */
 static gboolean
 is_ending (const HrJob *awaited, double horizon)
 {
   return awaited->run.is_open && awaited->plan.expected_end <= horizon;
 }
 
-/* May the job wait for a boot after it is ready? */
+/* Returns whether the job still meets its deadline if a machine boots for it only after @ready. */
 static gboolean
 can_wait_for_boot (const HrCore *core, const HrJob *job, double ready)
 {
@@ -58,12 +60,12 @@
          job->plan.deadline - core->wall_time + core->now;
 }
 
-/* Those of its tasks that do not fit where the tasks of the awaited jobs end; 0 while one of these
- * jobs is not about to end, or where there is time for a boot afterwards. ending: the awaited job
- * from which this is looked at; the others find the same job again, and only the first one
- * counts. */
+/* Returns the number of tasks of the job that do not fit into the resources that its awaited jobs
+ * free; 0 while one of these is not about to end, or if there is time for a boot afterwards. The
+ * caller visits a job once for each awaited job that ends (@ending); to count it once, the result
+ * is 0 unless @ending is the first awaited job that is not done. */
 static guint
-tasks_ahead (const HrCore *core, const HrJob *job, const HrJob *ending, double horizon)
+tasks_without_capacity (const HrCore *core, const HrJob *job, const HrJob *ending, double horizon)
 {
   HrResources freed = {0, 0, 0};
   double ready = core->now;
@@ -84,7 +86,7 @@
   return job->n_tasks - tasks_that_fit (freed, hr_resources_of_task (&job->spec), job->n_tasks);
 }
 
-/* Sets when each open job that others await should end. */
+/* Sets the expected end of each open job that other jobs await. */
 static void
 set_expected_ends (HrCore *core)
 {
@@ -94,8 +96,8 @@
   }
 }
 
-/* Finds capacity, or demands instances, for the tasks of a step; those that the headroom of its
- * class is for have theirs. */
+/* Reserves free capacity or demands instances for tasks of a step. Tasks within the headroom of
+ * their class (@headroom, reduced by their number) already have capacity. */
 static void
 scale_out_for_step (HrCore *core, HrFleetCapacity *fleet, HrDemandPlan *demand,
                     const HrJob *dependent, guint n_tasks, guint *headroom)
@@ -126,7 +128,7 @@
       const HrJob *dependent = job->dependencies.dependents->pdata[k];
       if (dependent->state != HR_JOB_QUEUED || !dependent->tasks)
         continue;
-      guint n_tasks = tasks_ahead (core, dependent, job, horizon);
+      guint n_tasks = tasks_without_capacity (core, dependent, job, horizon);
       scale_out_for_step (core, fleet, demand, dependent, n_tasks,
                           &headroom[dependent->spec.job_class]);
     }
--- a/src/coordination/scaling/next_steps.h
+++ b/src/coordination/scaling/next_steps.h
@@ -1,7 +1,7 @@
-/* Scale out ahead of the next steps of pipelines.
+/* Scales out ahead of the next steps of pipelines.
  *
- * A job starts when the last one that it awaits is done, and a machine takes a boot to come up.
- * Where there is no time for that afterwards, instances are demanded that much ahead.
+ * A job can start when all jobs that it awaits are done, and a new machine first has to boot. If
+ * its deadline leaves no time for a boot then, instances are demanded one boot time ahead.
  */
 #pragma once
 #include "coordination/scaling/demand.h"
@@ -11,7 +11,7 @@
 /**
  * hr_scale_out_for_next_steps:
  *
- * Demands instances for jobs all of whose awaited ones are about to end. Headroom for arrivals of
- * their class counts first. Called in a dispatch pass after hr_scale_out_headroom().
+ * Demands instances for jobs whose awaited jobs are all about to end. The headroom of their class
+ * is used first. A dispatch pass calls it after hr_scale_out_headroom().
  */
 void hr_scale_out_for_next_steps (HrCore *core, HrFleetCapacity *fleet, HrDemandPlan *demand);
--- a/src/coordination/scaling/scale_in.c
+++ b/src/coordination/scaling/scale_in.c
@@ -1,12 +1,12 @@
-/* Scale in: returning machines that nothing needs. */
+/* Scales in: returns machines that are no longer needed. */
 #include "coordination/scaling/scale_in.h"
 #include "coordination/scaling/fleet.h"
 
-/* Why a machine is returned. */
+/* Whether a machine is returned, and why. */
 typedef enum { KEEP, RETURN_DRAINED, RETURN_IDLE } ScaleInVerdict;
 
 static ScaleInVerdict
-check_machine (const HrCore *core, const HrFreeCapacity *capacity)
+scale_in_verdict (const HrCore *core, const HrFreeCapacity *capacity)
 {
   const HrMachine *machine = capacity->machine;
   if (machine->state != HR_MACHINE_UP || machine->tasks->len || machine->plan.list->len)
@@ -15,7 +15,7 @@
     return RETURN_DRAINED;
   if (capacity->is_reserved || !machine->idle_since)
     return KEEP;
-  /* After a cut of our own nothing was idle: nobody could give it work. */
+  /* Time without access to the store does not count as idle: no task could be assigned then. */
   double since = MAX (machine->idle_since, core->store.replica.served_since);
   return core->now - since > core->policy.idle_s ? RETURN_IDLE : KEEP;
 }
@@ -25,9 +25,9 @@
 {
   for (guint i = 0; i < fleet->n; i++) {
     const HrFreeCapacity *capacity = &fleet->machines[i];
-    ScaleInVerdict verdict = check_machine (core, capacity);
+    ScaleInVerdict verdict = scale_in_verdict (core, capacity);
     if (verdict != KEEP)
       hr_fleet_delete (core, capacity->machine,
-                       verdict == RETURN_DRAINED ? "it is drained" : "nothing needs it");
+                       verdict == RETURN_DRAINED ? "it is drained" : "it is idle");
   }
 }
--- a/src/coordination/scaling/scale_in.h
+++ b/src/coordination/scaling/scale_in.h
@@ -1,13 +1,14 @@
-/* Scale in: returning machines that nothing needs. */
+/* Scales in: returns machines that are no longer needed. */
 #pragma once
 #include "coordination/scheduling/free_capacity.h"
 #include "coordination/state.h"
 
 /**
  * hr_scale_in_idle:
- * @fleet: with what this pass has assigned to machines
+ * @fleet: the capacity left after this pass; shows to which machines it assigned something
  *
- * Returns idle machines: those that are drained, and those that were idle for long enough and that
- * nothing was assigned to in this pass. Called last in a dispatch pass.
+ * Returns machines without tasks to the cloud: those that are drained, and those that have been
+ * idle for longer than idle_s and were assigned nothing in this pass. Called at the end of a
+ * dispatch pass.
  */
 void hr_scale_in_idle (HrCore *core, const HrFleetCapacity *fleet);
--- a/src/coordination/scaling/scale_out.c
+++ b/src/coordination/scaling/scale_out.c
@@ -1,4 +1,4 @@
-/* Scale out: demanding instances for what waits and has no capacity. */
+/* Scales out: demands instances for waiting tasks without capacity. */
 #include "coordination/scaling/scale_out.h"
 #include "coordination/jobs/class_stats.h"
 #include "coordination/scaling/capacity_refusals.h"
@@ -15,11 +15,12 @@
 #include "coordination/scheduling/start_check.h"
 #include "coordination/scheduling/task_lists.h"
 
-/* Tasks of one job that instances are demanded for in a pass. */
+/* Limit per job and pass on the tasks for which capacity is sought. */
 #define MAX_SCALE_OUT_TASKS 200
-/* For teams with a limit, this share of the wait that others tolerate. */
+/* Jobs of teams with a limit tolerate this share of the wait that other jobs tolerate. */
 #define LIMITED_SLACK 0.25
-/* No instance is demanded for a gang larger than any fleet for so long, doubling, s. */
+/* First and longest pause of the demand for a gang that exceeds all available capacity; the pause
+ * doubles each time. */
 #define SCALE_OUT_PAUSE_S 15
 #define MAX_SCALE_OUT_PAUSE_S 240
 
@@ -32,9 +33,10 @@
     hr_demand_plan_add (core, demand, &need);
 }
 
-/* Might the cloud give any instance for the job? */
+/* Returns whether the cloud may grant an instance for the job: it has not refused all suitable
+ * kinds recently. */
 static gboolean
-cloud_may_have_instances (const HrCore *core, const HrJobSpec *spec)
+cloud_may_grant_instances (const HrCore *core, const HrJobSpec *spec)
 {
   gboolean tries_spot = spec->allows_spot && core->policy.spot_use > 0;
   for (guint i = 0; i < core->scaling.machine_types->len; i++) {
@@ -48,16 +50,17 @@
   return FALSE;
 }
 
-/* Is the whole fleet too small for the gang, while the cloud gives no more? Instances granted for
- * it would stand idle, be returned, and be requested again, for ever: it pauses. */
+/* Returns whether the gang needs more machines than the fleet has while the cloud grants no more.
+ * Instances granted for it would stay idle, be returned and be requested again endlessly, so the
+ * demand for it pauses. */
 static gboolean
-exceeds_any_fleet (HrCore *core, HrJob *job)
+exceeds_available_machines (HrCore *core, HrJob *job)
 {
   guint fleet = 0;
   if (core->now < job->plan.next_scale_out_at)
     return TRUE;
   if (job->spec.shape != HR_GANG || job->plan.n_listed ||
-      cloud_may_have_instances (core, &job->spec))
+      cloud_may_grant_instances (core, &job->spec))
     return FALSE;
   for (guint i = 0; i < core->scaling.fleet->len; i++)
     fleet += hr_job_allows_machine (core, job, core->scaling.fleet->pdata[i]);
@@ -66,17 +69,17 @@
   job->plan.scale_out_pause_s =
       CLAMP (2 * job->plan.scale_out_pause_s, SCALE_OUT_PAUSE_S, MAX_SCALE_OUT_PAUSE_S);
   job->plan.next_scale_out_at = core->now + job->plan.scale_out_pause_s;
-  g_message ("%s needs %u machines at once, the cloud gave %u; none is requested for it for %.0f s",
+  g_message ("%s needs %u machines at once, but only %u are available; no requests for %.0f s",
              job->id, job->n_tasks, fleet, job->plan.scale_out_pause_s);
   return TRUE;
 }
 
-/* Takes what fits on its machine, beside the tasks ahead of it in the list, off what is free: it is
- * not free for others. Counted twice, it would keep the fleet short, and not counted at all,
- * instances would be demanded again in each pass for a gang that waits for those on their way.
- * Returns how many of the list fit. */
+/* Reserves free capacity of the machine for the tasks at the head of its list, as many as fit at
+ * the same time, and returns their number. That capacity is not free for other tasks: if it were
+ * counted for two, too few instances would be demanded; if these tasks were not counted, each pass
+ * would again demand instances for a gang that waits for instances already requested. */
 static guint
-take_listed (HrCore *core, HrFreeCapacity *capacity)
+reserve_list (HrCore *core, HrFreeCapacity *capacity)
 {
   const GArray *list = capacity->machine->plan.list;
   guint n = 0;
@@ -88,9 +91,12 @@
   return n;
 }
 
-/* Would a machine that is requested now start the task sooner, and is the plan late? fits: it has
- * capacity where it stands. Of what a limit lets start, nothing waits for the team's own work to
- * end: that end is for the next job, and this share of the limit would stay unused. */
+/* Returns whether an instance requested now would start the listed task sooner than its list does,
+ * and the plan is late: the task ends after its job's deadline, or belongs to a gang. @fits: the
+ * machine has free capacity for the task, beside those ahead of it in the list. A task that its
+ * team's limit lets start tolerates less wait: it must not wait for other tasks of the team to end,
+ * because what these free of the limit goes to the next job, and the task's own share would stay
+ * unused. */
 static gboolean
 is_late (HrCore *core, const HrListedTask *listed, gboolean fits)
 {
@@ -105,25 +111,26 @@
              job->plan.deadline;
 }
 
-/* Takes the tasks of all lists off what is free where they stand. On machines that are up this
- * counts for this module alone. Returns by machine how many of its list fit. */
+/* Reserves free capacity for the tasks at the head of every list, on the list's machine. For
+ * machines that are up the reservation is made on a copy and does not reduce @fleet. Returns the
+ * number of listed tasks that fit, by index in @fleet. */
 static guint *
-take_all_listed (HrCore *core, HrFleetCapacity *fleet)
+reserve_all_lists (HrCore *core, HrFleetCapacity *fleet)
 {
   guint *fitting = g_new0 (guint, fleet->n + 1);
   for (guint i = 0; i < fleet->n; i++) {
     HrMachine *machine = fleet->machines[i].machine;
     HrFreeCapacity copy = {machine, hr_machine_unreserved (machine), FALSE};
-    fitting[i] = take_listed (core, i < fleet->n_booting ? &fleet->machines[i] : &copy);
+    fitting[i] = reserve_list (core, i < fleet->n_booting ? &fleet->machines[i] : &copy);
   }
   return fitting;
 }
 
-/* Instances for what stands in lists and would start late there. */
+/* Demands instances for listed tasks that would start late. */
 static void
-scale_out_for_late (HrCore *core, HrFleetCapacity *fleet, HrDemandPlan *demand)
+scale_out_for_late_tasks (HrCore *core, HrFleetCapacity *fleet, HrDemandPlan *demand)
 {
-  g_autofree guint *fitting = take_all_listed (core, fleet);
+  g_autofree guint *fitting = reserve_all_lists (core, fleet);
   g_autoptr (GArray) listed = g_array_new (FALSE, FALSE, sizeof (HrListedTask));
   for (guint i = 0; i < fleet->n; i++) {
     g_array_set_size (listed, 0);
@@ -136,14 +143,14 @@
   }
 }
 
-/* How many tasks of the job stand in no list and are to get instances. Nothing is demanded for what
- * the limit holds up; what stands in lists has its share of the grant. */
+/* Returns how many tasks of the job are in no list and need instances. Tasks that the team's limit
+ * holds back need none; tasks in lists use up part of the limit's grant. */
 static gint
-tasks_without_list (HrCore *core, HrJob *job)
+count_unlisted_tasks (HrCore *core, HrJob *job)
 {
   gint left = (gint)job->n_tasks - (gint)(job->run.n_live + job->n_done + job->plan.n_listed);
   if (left <= 0 || job->spec.shape == HR_SERVICE || !hr_job_is_waiting (core, job) ||
-      !hr_team_allows_start (core, job, 1) || exceeds_any_fleet (core, job))
+      !hr_team_allows_start (core, job, 1) || exceeds_available_machines (core, job))
     return 0;
   guint granted = hr_quotas_granted (core, job);
   if (granted < G_MAXINT)
@@ -154,11 +161,11 @@
 void
 hr_scale_out_for_lists (HrCore *core, HrFleetCapacity *fleet, HrDemandPlan *demand)
 {
-  scale_out_for_late (core, fleet, demand);
+  scale_out_for_late_tasks (core, fleet, demand);
   for (guint i = 0; i < core->store.tables.open_jobs->len; i++) {
     HrJob *job = hr_open_job (core, i);
     HrCapacityCursor cursor = {0};
-    gint left = tasks_without_list (core, job);
+    gint left = count_unlisted_tasks (core, job);
     for (gint k = 0; k < left; k++)
       hr_scale_out_for_task (core, fleet, &cursor, demand, job);
   }
--- a/src/coordination/scaling/scale_out.h
+++ b/src/coordination/scaling/scale_out.h
@@ -1,7 +1,8 @@
-/* Scale out: demanding instances for what waits and has no capacity.
+/* Scales out: demands instances for waiting tasks without capacity.
  *
- * Called in a dispatch pass, after everything that can start has started. What boots already counts
- * first (HrFleetCapacity); all functions add to the demand of the pass.
+ * A dispatch pass calls these functions after it has started every task that can start. They use
+ * the capacity of machines that boot already (HrFleetCapacity) before they add to the demand of the
+ * pass.
  */
 #pragma once
 #include "coordination/scaling/capacity_search.h"
@@ -11,9 +12,9 @@
 
 /**
  * hr_scale_out_for_task:
- * @cursor: of this job
+ * @cursor: position of the search for capacity for tasks of this job
  *
- * Takes capacity for a task of the job off a machine that boots, or demands an instance for it.
+ * Reserves capacity for one task of the job on a machine that boots, or demands an instance for it.
  */
 void hr_scale_out_for_task (HrCore *core, HrFleetCapacity *fleet, HrCapacityCursor *cursor,
                             HrDemandPlan *demand, HrJob *job);
@@ -21,7 +22,7 @@
 /**
  * hr_scale_out_for_lists:
  *
- * Demands instances for the tasks that stand in lists and would start late there, and for those
- * that no list takes.
+ * Demands instances for tasks that would start late in the machine lists that they are in, and for
+ * tasks in no list.
  */
 void hr_scale_out_for_lists (HrCore *core, HrFleetCapacity *fleet, HrDemandPlan *demand);
--- a/src/coordination/scaling/scaling.c
+++ b/src/coordination/scaling/scaling.c
@@ -7,12 +7,13 @@
 #include "coordination/scaling/instance_requests.h"
 #include "coordination/scaling/machine_types.h"
 
-/* The plan is stale after so long without a pass, s: time alone moves it too, as pauses end and
- * idle machines age. */
+/* Age after which the plan is stale even without other events: pauses end and idle machines reach
+ * idle_s as time passes. */
 #define MAX_PLAN_AGE_S 1
 
-/* Has the machine taken far longer to boot than its type should? After a cut of our own it may be
- * up: its agent has to find this controller first. */
+/* Returns whether the machine has been booting for much longer than its type takes. Just after this
+ * node regains access to the store it cannot tell: the machine may be up, and its agent first has
+ * to find this controller. */
 static gboolean
 boot_has_failed (const HrCore *core, const HrMachine *machine)
 {
@@ -28,7 +29,7 @@
   for (guint i = 0; i < core->scaling.fleet->len; i++) {
     HrMachine *machine = core->scaling.fleet->pdata[i];
     if (boot_has_failed (core, machine))
-      hr_fleet_delete (core, machine, "it does not come up");
+      hr_fleet_delete (core, machine, "it did not boot in time");
   }
 }
 
