--- a/src/coordination/agents/direct_orders.c
+++ b/src/coordination/agents/direct_orders.c
@@ -90,7 +90,7 @@
   if (machine->agent.orders_postponed)
     return;
   machine->agent.orders_postponed = TRUE;
-  core->metrics.counters.direct_put_off++;
+  core->metrics.counters.direct_postponed++;
   g_debug ("direct: machine=%s result=put_off out=%u pause=%.2f", machine->name,
            machine->agent.direct_calls_in_flight,
            MAX (0, machine->agent.direct_paused_until - core->now));
--- a/src/coordination/agents/lease_renewal.c
+++ b/src/coordination/agents/lease_renewal.c
@@ -132,7 +132,7 @@
   machine->agent.lease_renewed_at = lease_counts_from (core, machine, kind);
   hr_histogram_add (&core->metrics.renewal_age, core->now - core->store.replica.confirmed_at);
   core->metrics.counters.reports_answered += kind == HR_HEARTBEAT_CURRENT;
-  core->metrics.counters.reports_overtaken += kind == HR_HEARTBEAT_OVERTAKEN;
+  core->metrics.counters.reports_superseded += kind == HR_HEARTBEAT_OVERTAKEN;
   core->metrics.counters.reports_before_token += kind == HR_HEARTBEAT_BEFORE_TOKEN;
   log_answer (core, machine, report, kind, orders);
   json_t *body = hr_heartbeat_answer (core->leadership.fencing_token, orders);
--- a/src/coordination/metrics/counters.c
+++ b/src/coordination/metrics/counters.c
@@ -2,7 +2,7 @@
 #include "coordination/state.h"
 #include <string.h>
 
-/* Between two lines of the log. */
+/* Least time between two log lines. */
 #define LOG_INTERVAL_S 10.0
 
 void
--- a/src/coordination/metrics/counters.h
+++ b/src/coordination/metrics/counters.h
@@ -1,15 +1,16 @@
-/* Counters of what a controller has answered its workers and why, since its process began. They
- * appear in /metrics (metrics.h) and, when one has changed, in a line of the log at `info`. Each
- * module of the core adds to its own; nothing resets them. */
+/* Counters of a controller since its process started: answers to workers by reason, orders, direct
+ * calls, cancellations, violated invariants and terms. They appear in /metrics (metrics.h) and,
+ * after a change, in a log line at level `info`. Each module of the core increments its own
+ * counters; they are never reset. */
 #pragma once
 #include "coordination/core.h"
 
 /* X (field, name, help): the field of HrCounters, its name in the log and, with `hoprock_` before
- * it and `_total` after it, in /metrics, and its help text there. Names and texts are an interface
- * for operators: they do not change when a field does. */
+ * it and `_total` after it, in /metrics, and its help text there. Names and help texts are an
+ * operator interface: they stay the same when a field is renamed. */
 #define HR_COUNTERS(X)                                                                             \
   X (reports_answered, reports_answered, "reports of the current order, answered with all orders") \
-  X (reports_overtaken, reports_overtaken,                                                         \
+  X (reports_superseded, reports_overtaken,                                                        \
      "reports that a newer message had overtaken, answered with 200")                              \
   X (reports_before_token, reports_before_token,                                                   \
      "reports from before the leader's token, answered with 200")                                  \
@@ -25,7 +26,7 @@
   X (stops, stops, "stop orders sent")                                                             \
   X (clears, clears, "clear orders sent")                                                          \
   X (direct_calls, direct_calls, "direct calls to workers")                                        \
-  X (direct_put_off, direct_put_off,                                                               \
+  X (direct_postponed, direct_put_off,                                                             \
      "direct calls put off, since another one to the machine is out or was lost")                  \
   X (direct_unanswered, direct_unanswered, "direct calls without an answer")                       \
   X (direct_refused, direct_refused, "direct calls refused by the worker, for token or session")   \
@@ -44,6 +45,7 @@
  * hr_counters_tick:
  * @core: the controller
  *
- * Logs the counters that are not 0, at most once every ten seconds and only when one has changed.
+ * Logs the counters that are not 0, at most once every ten seconds and only if one has changed
+ * since the last time.
  */
 void hr_counters_tick (HrCore *core);
--- a/src/coordination/metrics/histogram.c
+++ b/src/coordination/metrics/histogram.c
@@ -17,15 +17,16 @@
 void
 hr_histogram_print (const HrHistogram *histogram, GString *text, const char *name, const char *help)
 {
-  guint64 all = 0;
+  guint64 cumulative_count = 0;
   g_string_append_printf (text, "# HELP %s %s\n# TYPE %s histogram\n", name, help, name);
   for (guint i = 0; i < HR_HISTOGRAM_BUCKETS; i++) {
-    all += histogram->counts[i];
+    cumulative_count += histogram->counts[i];
     g_string_append_printf (text, "%s_bucket{le=\"%g\"} %" G_GUINT64_FORMAT "\n", name, bounds[i],
-                            all);
+                            cumulative_count);
   }
-  all += histogram->counts[HR_HISTOGRAM_BUCKETS];
-  g_string_append_printf (text, "%s_bucket{le=\"+Inf\"} %" G_GUINT64_FORMAT "\n", name, all);
+  cumulative_count += histogram->counts[HR_HISTOGRAM_BUCKETS];
+  g_string_append_printf (text, "%s_bucket{le=\"+Inf\"} %" G_GUINT64_FORMAT "\n", name,
+                          cumulative_count);
   g_string_append_printf (text, "%s_sum %g\n%s_count %" G_GUINT64_FORMAT "\n", name, histogram->sum,
-                          name, all);
+                          name, cumulative_count);
 }
--- a/src/coordination/metrics/metrics.h
+++ b/src/coordination/metrics/metrics.h
@@ -1,5 +1,5 @@
-/* What a controller counts and measures, in the Prometheus text format (GET /metrics). Names begin
- * with `hoprock_`; durations are in seconds, ages are as of the request. */
+/* The metrics of a controller in the Prometheus text format (GET /metrics). Names begin with
+ * `hoprock_`. Durations are in seconds; ages are computed at the time of the request. */
 #pragma once
 #include "coordination/core.h"
 
--- a/src/coordination/metrics/metrics_state.h
+++ b/src/coordination/metrics/metrics_state.h
@@ -1,13 +1,13 @@
-/* Counters and histograms of this process. Each module of the core adds to its own; counters.c
- * alone writes the fields `counters_logged`. Times are in seconds of the steady clock. */
+/* Counters and histograms of this process. Each module of the core updates its own; only counters.c
+ * writes `counters_logged` and `counters_logged_at`. Times are monotonic, in seconds. */
 #pragma once
 #include "coordination/metrics/counters.h"
 #include "coordination/metrics/histogram.h"
 
 typedef struct {
   HrCounters counters;
-  HrCounters counters_logged; /* as of the latest line in the log */
+  HrCounters counters_logged; /* as of the latest log line */
   double counters_logged_at;
-  HrHistogram read_latency; /* of reads of the store, s (store_events.c) */
-  HrHistogram renewal_age;  /* of the latest read, when a lease was renewed, s (agents/) */
+  HrHistogram read_latency; /* duration of reads of the store, s (store_events.c) */
+  HrHistogram renewal_age;  /* age of the latest read when a lease is renewed, s (agents/) */
 } HrMetrics;
--- a/src/policy/policy.h
+++ b/src/policy/policy.h
@@ -1,47 +1,59 @@
-/* The operators' policy: a file of lines `name = expression;` that give each tunable its value,
- * computed from figures of the platform. policy_parser.c has the grammar. Values are in the units
- * that their names say; `_s` means seconds. */
+/* The operators' policy: a file of assignments `name = expression;` that set each tunable, computed
+ * from variables that describe the platform. policy_parser.c has the grammar. Names that end in
+ * `_s` are in seconds. */
 #pragma once
 #include <glib.h>
 
-/* Every tunable, with the range that its value must be in, and a description that is shown to
- * operators: X (name, min, max, description) */
+/* All tunables, with the range of valid values and the description that `hoprockd --check-policy`
+ * prints for operators: X (name, min, max, description) */
 #define HR_POLICY_TUNABLES(X)                                                                      \
-  X (leader_lease_s, 1, 60, "life of the leader's key in the state service")                       \
-  X (hold_s, 0.5, 3600, "how long an owner without a confirmed map reading keeps answering")       \
-  X (alone_s, 0.5, 3600, "the same for an owner that hears of no outage from any other member")    \
-  X (lease_margin_s, 0.1, 60, "added to every worker lease before it counts as over")              \
-  X (silent_s, 1, 3600, "silence after which a machine's tasks are moved")                         \
-  X (overdue_s, 1, 3600, "silence that no report's period explains: a sign, if many show it")      \
-  X (silent_share, 0, 1, "more overdue machines than this share: blame the network, delete none")  \
-  X (boot_limit, 1, 100, "boots longer than this many times startup_s are given up")               \
-  X (machines_per_part, 1, 1e6, "machines in one hash part of the plan")                           \
-  X (tabu_rounds, 0, 100000, "rounds of tabu search in one pass")                                  \
-  X (tabu_jobs, 0, 100000, "length of the list of tabu jobs")                                      \
-  X (default_deadline, 0.1, 1000, "deadline of a job without one, in estimates after arrival")     \
-  X (sample_lists, 1, 100000, "least number of lists tried for one task")                          \
-  X (pass_trials, 1, 1e9, "trial placements in one planning pass; above, lists are sampled")       \
-  X (plan_gap_s, 0.01, 60, "least time between planning passes; grows with the fleet")             \
-  X (headroom_base, 0, 1000, "spare service tasks always kept room for")                           \
-  X (headroom_boots, 0, 100, "boot times of service arrivals kept room for")                       \
-  X (headroom_waits, 0, 100, "the same for other classes whose start is an aim")                   \
-  X (headroom_deadlines, 0, 100, "the same for classes with a deadline aim")                       \
-  X (rent_slack, 0, 100, "boot times of wait tolerated before a machine is rented for it")         \
-  X (idle_s, 0, 86400, "idle time after which a spare machine is returned")                        \
-  X (spot_use, 0, 1, "1: rent spot machines for jobs that allow them")                             \
-  X (error_limit, 1, 1000, "failures in a row, of several jobs, that make a machine faulty")       \
-  X (retry_s, 0.1, 3600, "first pause of a task that failed; doubles each time")                   \
-  X (retry_most_s, 1, 86400, "longest pause of a task that keeps failing")                         \
-  X (correction_least, 0.01, 1, "least factor by which a class's estimates are corrected")         \
-  X (correction_most, 1, 100, "greatest factor by which a class's estimates are corrected")        \
-  X (direct_launch, 0, 1, "1: send orders to workers at once; 0: with their next report")
+  X (leader_lease_s, 1, 60, "life of the leader lock's lease in the state service, in seconds")    \
+  X (hold_s, 0.5, 3600,                                                                            \
+     "seconds that the leader answers workers after its last snapshot read or attestation")        \
+  X (alone_s, 0.5, 3600,                                                                           \
+     "the same unless a member confirms that the state service answers none, in seconds")          \
+  X (lease_margin_s, 0.1, 60, "seconds added to each worker's lease before it counts as expired")  \
+  X (silent_s, 1, 3600,                                                                            \
+     "seconds without a report after which a machine is returned, its tasks moved")                \
+  X (overdue_s, 1, 3600, "seconds without a report after which a machine counts as overdue")       \
+  X (silent_share, 0, 1,                                                                           \
+     "share of overdue machines above which the network is blamed, none deleted")                  \
+  X (boot_limit, 1, 100, "multiple of the machine type's startup_s after which a boot has failed") \
+  X (machines_per_part, 1, 1e6, "machines in one shard of the plan")                               \
+  X (tabu_rounds, 0, 100000, "rounds of tabu search in one planning pass")                         \
+  X (tabu_jobs, 0, 100000, "length of the tabu list, in tasks")                                    \
+  X (default_deadline, 0.1, 1000,                                                                  \
+     "deadline of a job without one, in estimated run times from when it may start")               \
+  X (sample_lists, 1, 100000, "least number of machine lists tried for one task")                  \
+  X (pass_trials, 1, 1e9, "trial placements in one planning pass; above it, lists are sampled")    \
+  X (plan_gap_s, 0.01, 60, "least time between planning passes, in seconds; grows with the fleet") \
+  X (headroom_base, 0, 1000,                                                                       \
+     "tasks of each service class for which spare capacity is always kept")                        \
+  X (headroom_boots, 0, 100, "boot times of service arrivals for which spare capacity is kept")    \
+  X (headroom_waits, 0, 100, "the same for other classes with a wait objective")                   \
+  X (headroom_deadlines, 0, 100, "the same for other classes with a deadline objective")           \
+  X (rent_slack, 0, 100, "wait tolerated before an instance is requested, in boot times")          \
+  X (idle_s, 0, 86400, "seconds after which an idle machine is returned to the cloud")             \
+  X (spot_use, 0, 1, "1: request spot instances for jobs that allow them; 0: never")               \
+  X (error_limit, 1, 1000,                                                                         \
+     "consecutive failures, of several jobs, after which a machine is drained")                    \
+  X (retry_s, 0.1, 3600, "pause before a job's second retry, in seconds; doubles each time")       \
+  X (retry_most_s, 1, 86400,                                                                       \
+     "longest pause between retries of a job that keeps failing, in seconds")                      \
+  X (correction_least, 0.01, 1,                                                                    \
+     "least factor by which a class's run time estimates are corrected")                           \
+  X (correction_most, 1, 100,                                                                      \
+     "greatest factor by which a class's run time estimates are corrected")                        \
+  X (direct_launch, 0, 1,                                                                          \
+     "1: send orders to workers at once; 0: in the answer to their next report")
 
 /**
  * HrPolicyError:
- * @HR_POLICY_ERROR_SYNTAX: the file does not follow the grammar, or names what does not exist
+ * @HR_POLICY_ERROR_SYNTAX: the file violates the grammar, uses an unknown name, sets a tunable
+ * twice or divides by 0
  * @HR_POLICY_ERROR_RANGE: a tunable's value is out of its range
  * @HR_POLICY_ERROR_MISSING: the file sets no value for a tunable
- * @HR_POLICY_ERROR_CONFLICT: values that are each in range do not go together
+ * @HR_POLICY_ERROR_CONFLICT: values that are each in range contradict one another
  */
 typedef enum {
   HR_POLICY_ERROR_SYNTAX,
@@ -53,6 +65,7 @@
 #define HR_POLICY_ERROR (hr_policy_error_quark ())
 GQuark hr_policy_error_quark (void);
 
+/* The value of each tunable. */
 typedef struct {
 #define X(name, min, max, description) double name;
   HR_POLICY_TUNABLES (X)
@@ -61,13 +74,13 @@
 
 /**
  * hr_policy_eval:
- * @file: the file's name, for errors
- * @text: its text
- * @vars: from hr_policy_vars_new(): the figures that expressions may use
- * @out: (out): the policy; without a meaning after an error
- * @error: an #HrPolicyError; names file, line, position and what was expected
+ * @file: the file's name, for error messages
+ * @text: the file's content
+ * @vars: the platform variables that expressions may use, from hr_policy_vars_new()
+ * @out: (out): the policy; undefined after an error
+ * @error: an #HrPolicyError; its message gives the file, line, column and what was expected
  *
- * Computes a policy. Every tunable has to be set, once.
+ * Evaluates a policy file. It must set every tunable exactly once.
  *
  * Returns: %FALSE with @error set when the text is not valid
  */
@@ -81,6 +94,8 @@
  * @out: (out): as for hr_policy_eval()
  * @error: a #GFileError, or as for hr_policy_eval()
  *
+ * Reads and evaluates a policy file.
+ *
  * Returns: %FALSE with @error set when the file cannot be read or is not valid
  */
 gboolean hr_policy_load (const char *file, GHashTable *vars, HrPolicy *out, GError **error);
@@ -95,13 +110,13 @@
 /**
  * hr_policy_vars_new:
  *
- * Returns: (transfer full): an empty table of figures of the platform, name -> double *
+ * Returns: (transfer full): an empty table of platform variables, name -> double *
  */
 GHashTable *hr_policy_vars_new (void);
 
 /**
  * hr_policy_vars_set:
  *
- * Sets a figure that expressions may use by its name.
+ * Sets a platform variable, which expressions may use by its name.
  */
 void hr_policy_vars_set (GHashTable *vars, const char *name, double value);
--- a/src/policy/policy_parser.c
+++ b/src/policy/policy_parser.c
@@ -1,4 +1,4 @@
-/* The parser of policy files, which computes each value as it reads it.
+/* Parses policy files. Expressions are evaluated while they are parsed.
  *
  * Grammar:
  *   file   = { name "=" expr ";" }
@@ -8,21 +8,21 @@
  *   sum    = prod { ("+" | "-") prod } prod = unary { ("*" | "/") unary }
  *   unary  = "-" unary | "!" unary | number | name | ("min" | "max") "(" expr { "," expr } ")"
  *          | "(" expr ")"
- * A name is a figure of the platform or a tunable set further up. Both arms of
- * a choice are always checked, so that a mistake shows before it matters. */
+ * A name is a platform variable or a tunable assigned above. Both branches of `?:` are parsed and
+ * checked whatever the condition is, so that an error in the unused branch is reported too. */
 #include "policy/policy.h"
 #include "policy/tunables.h"
 #include <math.h>
 #include <string.h>
 
-/* Of nested expressions: a file made to nest deeper would use up the stack. */
+/* Limit on nested expressions: without it, a deeply nested file could overflow the stack. */
 #define MAX_DEPTH 200
 
 typedef struct {
   GScanner *scanner;
   const char *file;
-  GHashTable *variables; /* name -> double *: figures of the platform */
-  GHashTable *assigned;  /* set of names: tunables already given */
+  GHashTable *variables; /* name -> double *: platform variables */
+  GHashTable *assigned;  /* set of names: tunables already assigned */
   HrPolicy *out;
   GError **error;
   gboolean failed;
@@ -45,7 +45,8 @@
     .char_2_token = TRUE,
 };
 
-/* Records the first error; the parser then stops. Always 0, for the caller to return. */
+/* Records the first error, after which parsing stops. Always returns 0, as the value that the
+ * caller returns. */
 static double
 fail (Parser *parser, HrPolicyError code, const char *expected)
 {
@@ -94,7 +95,7 @@
   }
   if (!is_min && !g_str_equal (name, "max"))
     return fail (parser, HR_POLICY_ERROR_SYNTAX,
-                 "a figure of the platform, or a tunable set further up");
+                 "a platform variable, or a tunable assigned above");
   g_scanner_get_next_token (parser->scanner);
   require_token (parser, '(', "'('");
   double value = parse_expression (parser);
@@ -112,7 +113,7 @@
   if (parser->failed)
     return 0;
   if (++parser->depth > MAX_DEPTH)
-    return fail (parser, HR_POLICY_ERROR_SYNTAX, "fewer nested parts");
+    return fail (parser, HR_POLICY_ERROR_SYNTAX, "fewer nested expressions");
   double value = 0;
   if (accept_token (parser, '-'))
     value = -parse_unary (parser);
@@ -229,7 +230,8 @@
   const HrTunable *tunable = hr_tunable_find (parser->scanner->next_value.v_identifier);
   if (!tunable || g_hash_table_contains (parser->assigned, tunable->name)) {
     fail (parser, HR_POLICY_ERROR_SYNTAX,
-          tunable ? "each tunable once" : "a tunable that exists (see docs/operations.md)");
+          tunable ? "each tunable to be set once"
+                  : "the name of a tunable (see docs/operations.md)");
     return;
   }
   g_scanner_get_next_token (parser->scanner);
@@ -258,7 +260,7 @@
 new_scanner (const char *text)
 {
   GScanner *scanner = g_scanner_new (&scanner_config);
-  scanner->msg_handler = ignore_message; /* the parser words its errors itself */
+  scanner->msg_handler = ignore_message; /* the parser reports errors itself */
   g_scanner_input_text (scanner, text, strlen (text));
   return scanner;
 }
--- a/src/policy/tunables.h
+++ b/src/policy/tunables.h
@@ -1,15 +1,16 @@
-/* The table of tunables, for the modules of this folder. */
+/* The table of tunables, used only by src/policy. */
 #pragma once
 #include "policy/policy.h"
 
+/* Describes a tunable, and where HrPolicy holds its value. */
 typedef struct {
   const char *name;
-  double min, max; /* both allowed */
+  double min, max; /* inclusive */
   gsize offset;    /* of its value in HrPolicy */
   const char *description;
 } HrTunable;
 
-/* Every tunable once, in the order of HR_POLICY_TUNABLES. */
+/* All tunables, in the order of HR_POLICY_TUNABLES. */
 extern const HrTunable hr_tunables[];
 extern const gsize hr_n_tunables;
 
@@ -17,11 +18,11 @@
  * hr_tunable_find:
  * @name: a name
  *
- * Returns: (transfer none) (nullable): the tunable of that name
+ * Returns: (transfer none) (nullable): the tunable of that name; %NULL if there is none
  */
 const HrTunable *hr_tunable_find (const char *name);
 
-/* Where the tunable's value is in the policy. */
+/* Returns the address of the tunable's value in the policy. */
 static inline double *
 hr_tunable_value (const HrTunable *tunable, HrPolicy *policy)
 {
