--- a/tests/scripted_controller.c
+++ b/tests/scripted_controller.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 static void
-answer (ScriptedController *controller, guint64 id, int status, char *text)
+queue_result (ScriptedController *controller, guint64 id, int status, char *text)
 {
   HrCommand *command = hr_command_new (HR_COMMAND_RESULT);
   command->id = id;
@@ -20,12 +20,12 @@
 {
   g_ptr_array_add (controller->log,
                    g_strdup_printf ("{\"set\":\"%s\",\"value\":%s,\"stamp\":%" G_GUINT64_FORMAT "}",
-                                    key, value, ++controller->epoch));
+                                    key, value, ++controller->revision));
 }
 
-/* The latest change of a key; NULL: there is none. */
+/* Returns the latest change of a key, or NULL if there is none. */
 static json_t *
-latest (const ScriptedController *controller, const char *key)
+latest_change (const ScriptedController *controller, const char *key)
 {
   for (guint i = controller->log->len; i-- > 0;) {
     json_t *object = json_loads (controller->log->pdata[i], 0, NULL);
@@ -37,26 +37,26 @@
 }
 
 guint64
-scripted_cancel_elsewhere (ScriptedController *controller, const char *id)
+scripted_cancel_by_other (ScriptedController *controller, const char *id)
 {
   g_autofree char *key = g_strconcat ("h/j/", id, NULL);
-  json_t *object = latest (controller, key), *value = json_object_get (object, "value");
+  json_t *object = latest_change (controller, key), *value = json_object_get (object, "value");
   json_object_set_new (value, "s", json_integer (2));
   json_object_set_new (value, "w", json_string ("another"));
   g_autofree char *text = json_dumps (value, JSON_COMPACT);
   json_decref (object);
   scripted_write (controller, key, text);
-  return controller->epoch;
+  return controller->revision;
 }
 
 static gboolean
-holds (const ScriptedController *controller, json_t *when)
+conditions_hold (const ScriptedController *controller, json_t *when)
 {
   json_t *entry;
   size_t i;
   json_array_foreach (when, i, entry)
   {
-    json_t *object = latest (controller, hr_json_str (entry, "path"));
+    json_t *object = latest_change (controller, hr_json_str (entry, "path"));
     gboolean same = json_integer_value (json_object_get (object, "stamp")) ==
                     json_integer_value (json_object_get (entry, "stamp"));
     json_decref (object);
@@ -67,39 +67,40 @@
 }
 
 static void
-commit (ScriptedController *controller, const HrEffect *call)
+answer_commit (ScriptedController *controller, const HrEffect *call)
 {
   json_t *object = json_loads (call->body, 0, NULL), *entry;
   size_t i;
-  if (!holds (controller, json_object_get (object, "when"))) {
-    answer (controller, call->id, 409, g_strdup ("{\"failed\":[],\"epoch\":1}"));
+  if (!conditions_hold (controller, json_object_get (object, "when"))) {
+    queue_result (controller, call->id, 409, g_strdup ("{\"failed\":[],\"epoch\":1}"));
   } else {
-    guint64 store_revision = controller->epoch + 1;
+    guint64 store_revision = controller->revision + 1;
     json_array_foreach (json_object_get (object, "writes"), i, entry)
     {
       g_autofree char *value =
           json_dumps (json_object_get (entry, "value"), JSON_COMPACT | JSON_ENCODE_ANY);
-      controller->epoch = store_revision - 1; /* all changes of a transaction have one revision */
+      controller->revision =
+          store_revision - 1; /* all changes of a transaction have one revision */
       scripted_write (controller, hr_json_str (entry, "set"), value);
     }
-    if (controller->loses_writes) {
-      controller->served &= !controller->out_after_loss;
-      answer (controller, call->id, 0, NULL);
+    if (controller->loses_answers) {
+      controller->store_available &= !controller->outage_after_loss;
+      queue_result (controller, call->id, 0, NULL);
     } else
-      answer (controller, call->id, 200,
-              g_strdup_printf ("{\"epoch\":%" G_GUINT64_FORMAT "}", controller->epoch));
+      queue_result (controller, call->id, 200,
+                    g_strdup_printf ("{\"epoch\":%" G_GUINT64_FORMAT "}", controller->revision));
   }
   json_decref (object);
 }
 
 static void
-changes (ScriptedController *controller, const HrEffect *call)
+answer_changes (ScriptedController *controller, const HrEffect *call)
 {
   if (!strstr (call->call.path, "hold_ms=0"))
-    return; /* watches stay open */
+    return; /* a long poll: stays open */
   guint64 after = g_ascii_strtoull (strstr (call->call.path, "after=") + 6, NULL, 10);
   GString *text = g_string_new (NULL);
-  g_string_printf (text, "{\"epoch\":%" G_GUINT64_FORMAT ",\"log\":[", controller->epoch);
+  g_string_printf (text, "{\"epoch\":%" G_GUINT64_FORMAT ",\"log\":[", controller->revision);
   const char *sep = "";
   for (guint i = 0; i < controller->log->len; i++) {
     json_t *object = json_loads (controller->log->pdata[i], 0, NULL);
@@ -110,63 +111,64 @@
     json_decref (object);
   }
   g_string_append (text, "]}");
-  answer (controller, call->id, 200, g_string_free (text, FALSE));
+  queue_result (controller, call->id, 200, g_string_free (text, FALSE));
 }
 
 static void
-store (ScriptedController *controller, const HrEffect *call)
+answer_store_call (ScriptedController *controller, const HrEffect *call)
 {
-  g_autofree char *settings =
-      g_strdup_printf ("\"set\":\"%s\"", controller->watched ? controller->watched : "");
-  controller->watched_writes +=
-      strcmp (call->call.path, "/commit") == 0 && strstr (call->body, settings) != NULL;
-  if (!controller->served)
-    answer (controller, call->id, 503, g_strdup ("{\"error\":\"trouble\"}"));
+  g_autofree char *member =
+      g_strdup_printf ("\"set\":\"%s\"", controller->counted_key ? controller->counted_key : "");
+  controller->counted_writes +=
+      strcmp (call->call.path, "/commit") == 0 && strstr (call->body, member) != NULL;
+  if (!controller->store_available)
+    queue_result (controller, call->id, 503, g_strdup ("{\"error\":\"trouble\"}"));
   else if (strcmp (call->call.path, "/commit") == 0)
-    commit (controller, call);
+    answer_commit (controller, call);
   else if (g_str_has_prefix (call->call.path, "/changes?"))
-    changes (controller, call);
+    answer_changes (controller, call);
   else if (strcmp (call->call.path, "/leases") == 0)
-    answer (controller, call->id, 200, g_strdup ("{\"claim\":1}"));
+    queue_result (controller, call->id, 200, g_strdup ("{\"claim\":1}"));
   else if (g_str_has_prefix (call->call.path, "/kv?"))
-    answer (controller, call->id, 200, g_strdup ("{\"rows\":[],\"more\":false,\"epoch\":1}"));
+    queue_result (controller, call->id, 200, g_strdup ("{\"rows\":[],\"more\":false,\"epoch\":1}"));
   else if (g_str_has_prefix (call->call.path, "/kv/")) {
-    json_t *object = latest (controller, call->call.path + strlen ("/kv/"));
-    answer (controller, call->id, object ? 200 : 404,
-            object ? json_dumps (object, JSON_COMPACT) : g_strdup ("{}"));
+    json_t *object = latest_change (controller, call->call.path + strlen ("/kv/"));
+    queue_result (controller, call->id, object ? 200 : 404,
+                  object ? json_dumps (object, JSON_COMPACT) : g_strdup ("{}"));
     json_decref (object);
   } else
-    answer (controller, call->id, 200, g_strdup ("{}"));
+    queue_result (controller, call->id, 200, g_strdup ("{}"));
 }
 
 static void
-cloud (ScriptedController *controller, const HrEffect *call)
+answer_cloud_call (ScriptedController *controller, const HrEffect *call)
 {
   if (strcmp (call->call.path, "/machine_types") == 0)
-    answer (controller, call->id, 200,
-            g_strdup ("{\"hulls\":[{\"sku\":\"g2\",\"vcpus\":12,\"accelerators\":2,\"memory_gb\":"
-                      "96,\"cache_gb\":100,\"fetch_gb_per_s\":1,\"hourly\":5.0,\"startup_s\":40,"
-                      "\"quarries\":[\"z0\"]}]}"));
+    queue_result (
+        controller, call->id, 200,
+        g_strdup ("{\"hulls\":[{\"sku\":\"g2\",\"vcpus\":12,\"accelerators\":2,\"memory_gb\":"
+                  "96,\"cache_gb\":100,\"fetch_gb_per_s\":1,\"hourly\":5.0,\"startup_s\":40,"
+                  "\"quarries\":[\"z0\"]}]}"));
   else
-    answer (controller, call->id, 503, g_strdup ("{\"error\":\"no capacity\"}"));
+    queue_result (controller, call->id, 503, g_strdup ("{\"error\":\"no capacity\"}"));
 }
 
 static void
-obey (ScriptedController *controller, const char *body)
+apply_orders (ScriptedController *controller, const char *body)
 {
   json_t *object = json_loads (body, 0, NULL), *entry;
   size_t i;
-  controller->token =
-      MAX (controller->token, (guint64)json_integer_value (json_object_get (object, "baton")));
+  controller->fencing_token = MAX (controller->fencing_token,
+                                   (guint64)json_integer_value (json_object_get (object, "baton")));
   json_array_foreach (json_object_get (object, "orders"), i, entry)
   {
     const char *piece = hr_json_str (entry, "piece");
     if (strcmp (hr_json_str (entry, "verb"), "launch") == 0)
       g_hash_table_insert (
-          controller->on, g_strdup (piece),
+          controller->tasks, g_strdup (piece),
           GINT_TO_POINTER ((int)json_integer_value (json_object_get (entry, "try"))));
     else
-      g_hash_table_remove (controller->on, piece);
+      g_hash_table_remove (controller->tasks, piece);
   }
   json_decref (object);
 }
@@ -177,49 +179,49 @@
   json_t *pieces = json_array ();
   GHashTableIter iter;
   gpointer piece, attempt;
-  g_hash_table_iter_init (&iter, controller->on);
+  g_hash_table_iter_init (&iter, controller->tasks);
   while (g_hash_table_iter_next (&iter, &piece, &attempt))
     json_array_append_new (pieces, json_pack ("{sssiss}", "piece", piece, "try",
                                               GPOINTER_TO_INT (attempt), "stance", "running"));
-  return hr_json_take_text (json_pack ("{sssssssssbsisisIso}", "rockhand", "m-000001", "addr",
-                                       "10.0.0.1:9000", "hull", "g2", "quarry", "z0", "loaners", 0,
-                                       "tenure", controller->session, "tally", ++controller->tally,
-                                       "baton", (json_int_t)controller->token, "pieces", pieces));
+  return hr_json_take_text (json_pack (
+      "{sssssssssbsisisIso}", "rockhand", "m-000001", "addr", "10.0.0.1:9000", "hull", "g2",
+      "quarry", "z0", "loaners", 0, "tenure", controller->incarnation, "tally",
+      ++controller->sequence, "baton", (json_int_t)controller->fencing_token, "pieces", pieces));
 }
 
 static void
-worker (ScriptedController *controller, const HrEffect *call)
+answer_direct_call (ScriptedController *controller, const HrEffect *call)
 {
   if (controller->loses_orders) {
     controller->lost_launches += strstr (call->body, "launch") != NULL;
-    answer (controller, call->id, 0, NULL);
+    queue_result (controller, call->id, 0, NULL);
     return;
   }
-  obey (controller, call->body);
-  answer (controller, call->id, 200, report_text (controller));
+  apply_orders (controller, call->body);
+  queue_result (controller, call->id, 200, report_text (controller));
 }
 
 static void
-perform (ScriptedController *controller, const HrEffect *effect)
+handle_effect (ScriptedController *controller, const HrEffect *effect)
 {
   if (effect->kind == HR_EFFECT_PEER_STATUS) {
-    controller->said = *effect->peer_status;
-    controller->status_at = controller->now;
+    controller->latest_status = *effect->peer_status;
+    controller->latest_status_at = controller->now;
   } else if (effect->kind == HR_EFFECT_REPLY) {
     controller->status = effect->reply.status;
     g_free (controller->answer);
     controller->answer = g_strdup (effect->body);
   } else if (effect->call.target == HR_TO_STORE)
-    store (controller, effect);
+    answer_store_call (controller, effect);
   else if (effect->call.target == HR_TO_CLOUD)
-    cloud (controller, effect);
+    answer_cloud_call (controller, effect);
   else
-    worker (controller, effect);
+    answer_direct_call (controller, effect);
 }
 
-/* One step with this command, then steps with the answers to what it asked for. */
+/* Runs a step with the command, then steps with the answers to the calls that it made. */
 static void
-step (ScriptedController *controller, HrCommand *command)
+run_step (ScriptedController *controller, HrCommand *command)
 {
   g_ptr_array_add (controller->inbox, command);
   while (controller->inbox->len) {
@@ -228,7 +230,7 @@
     controller->inbox = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_command_free);
     hr_core_step (controller->core, controller->now, 1e9 + controller->now, commands, out);
     for (guint i = 0; i < out->len; i++)
-      perform (controller, out->pdata[i]);
+      handle_effect (controller, out->pdata[i]);
   }
 }
 
@@ -237,24 +239,24 @@
 {
   HrCommand *command = hr_command_new (HR_COMMAND_PEER_STATUS);
   *command->peer_status = *status;
-  step (controller, command);
+  run_step (controller, command);
 }
 
 static void
-speak (ScriptedController *controller)
+send_member_statuses (ScriptedController *controller)
 {
-  controller->said_at = controller->now;
+  controller->statuses_sent_at = controller->now;
   for (guint i = 0; i < SCRIPTED_MEMBERS; i++) {
     ScriptedMember *member = &controller->members[i];
-    if (!member->speaks)
+    if (!member->sends_statuses)
       continue;
     member->status.clock = controller->now;
-    if (!member->echo_stays) {
+    if (!member->repeats_echo) {
       member->status.n_echoes = 1;
       g_strlcpy (member->status.echoes[0].label, "c0", sizeof member->status.echoes[0].label);
       g_strlcpy (member->status.echoes[0].incarnation, "c0-1",
                  sizeof member->status.echoes[0].incarnation);
-      member->status.echoes[0].clock = controller->said.clock;
+      member->status.echoes[0].clock = controller->latest_status.clock;
     }
     scripted_send_status (controller, &member->status);
   }
@@ -265,9 +267,9 @@
 {
   for (double until = controller->now + seconds; controller->now < until - 0.05;) {
     controller->now += 0.1;
-    if (controller->now - controller->said_at >= 1)
-      speak (controller);
-    step (controller, hr_command_new (HR_COMMAND_TICK));
+    if (controller->now - controller->statuses_sent_at >= 1)
+      send_member_statuses (controller);
+    run_step (controller, hr_command_new (HR_COMMAND_TICK));
   }
 }
 
@@ -281,14 +283,15 @@
   command->request.path = g_strdup (path);
   command->body = body ? g_bytes_new_take (body, strlen (body)) : NULL;
   controller->status = 0;
-  step (controller, command);
+  run_step (controller, command);
   for (int i = 0; !controller->status && i < 30; i++)
     scripted_run (controller, 0.1);
   return controller->status;
 }
 
 int
-scripted_ask (ScriptedController *controller, HrMethod method, const char *path, const char *body)
+scripted_request (ScriptedController *controller, HrMethod method, const char *path,
+                  const char *body)
 {
   return request (controller, method, path, g_strdup (body));
 }
@@ -302,8 +305,8 @@
       "\"img\",\"size_gb\":5,\"hulls\":null,\"quarry\":null,\"together\":false,\"apart\":false,"
       "\"loaners\":false,\"guess_s\":60,\"cairn_s\":0,\"stash_s\":0,\"due_s\":null}",
       id);
-  if (scripted_ask (controller, HR_POST, "/v1/jobs", body) != 201)
-    g_error ("%s is not accepted: %d %s", id, controller->status, controller->answer);
+  if (scripted_request (controller, HR_POST, "/v1/jobs", body) != 201)
+    g_error ("the submission of %s was refused: %d %s", id, controller->status, controller->answer);
 }
 
 int
@@ -311,7 +314,7 @@
 {
   int status = request (controller, HR_POST, "/hello", report_text (controller));
   if (status == 200)
-    obey (controller, controller->answer);
+    apply_orders (controller, controller->answer);
   return status;
 }
 
@@ -327,14 +330,14 @@
 }
 
 gboolean
-scripted_runs (const ScriptedController *controller, const char *id)
+scripted_has_task (const ScriptedController *controller, const char *id)
 {
   g_autofree char *piece = g_strconcat (id, "/0", NULL);
-  return g_hash_table_contains (controller->on, piece);
+  return g_hash_table_contains (controller->tasks, piece);
 }
 
 static void
-settings (ScriptedController *controller)
+load_settings_and_policy (ScriptedController *controller)
 {
   g_autoptr (GError) error = NULL;
   g_autoptr (GHashTable) vars = hr_policy_vars_new ();
@@ -348,13 +351,13 @@
       "\"gang_peer_s\":4,\"cancel_s\":36},\"state\":{\"rps\":1e6,\"write_rps\":1e5,\"value_kb\":4,"
       "\"txn_ops\":12},\"cloud\":{\"rps\":8,\"list_lag_s\":3}}}",
       0, NULL);
-  controller->set = hr_settings_parse (root, &controller->names, &error);
+  controller->settings = hr_settings_parse (root, &controller->names, &error);
   json_decref (root);
-  if (!controller->set)
-    g_error ("the settings: %s", error->message);
-  hr_core_policy_vars (controller->set, vars);
-  if (!hr_policy_load (SOURCE_ROOT "/deploy/policy.hop", vars, &controller->pol, &error))
-    g_error ("the policy: %s", error->message);
+  if (!controller->settings)
+    g_error ("cannot parse the settings: %s", error->message);
+  hr_core_policy_vars (controller->settings, vars);
+  if (!hr_policy_load (SOURCE_ROOT "/deploy/policy.hop", vars, &controller->policy, &error))
+    g_error ("cannot load the policy: %s", error->message);
 }
 
 ScriptedController *
@@ -362,30 +365,31 @@
 {
   ScriptedController *controller = g_new0 (ScriptedController, 1);
   controller->now = 100;
-  controller->served = TRUE;
-  controller->epoch = 1;
-  controller->session = 1;
+  controller->store_available = TRUE;
+  controller->revision = 1;
+  controller->incarnation = 1;
   controller->log = g_ptr_array_new_with_free_func (g_free);
   controller->inbox = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_command_free);
-  controller->on = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  controller->tasks = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   hr_names_init (&controller->names);
-  settings (controller);
+  load_settings_and_policy (controller);
   if (strcmp (leader, "c0") != 0) {
-    g_autofree char *key =
+    g_autofree char *leader_lock =
         g_strdup_printf ("{\"b\":0,\"o\":\"%s\",\"i\":\"%s-1\"}", leader, leader);
-    g_autofree char *map =
+    g_autofree char *leader_record =
         g_strdup_printf ("{\"b\":1,\"o\":\"%s\",\"i\":\"%s-1\"}", leader, leader);
-    scripted_write (controller, "h/leader", key);
-    scripted_write (controller, "h/map", map);
+    scripted_write (controller, "h/leader", leader_lock);
+    scripted_write (controller, "h/map", leader_record);
   }
   for (guint i = 0; i < SCRIPTED_MEMBERS; i++) {
     ScriptedMember *member = &controller->members[i];
-    member->speaks = member->status.synced = member->status.cancellations.is_stated = TRUE;
+    member->sends_statuses = member->status.synced = member->status.cancellations.is_stated = TRUE;
     g_snprintf (member->status.label, sizeof member->status.label, "c%u", i + 1);
     g_snprintf (member->status.incarnation, sizeof member->status.incarnation, "c%u-1", i + 1);
     member->status.fencing_token = 1;
   }
-  controller->core = hr_core_new (controller->set, &controller->pol, &controller->names, "c0-1", 1);
+  controller->core =
+      hr_core_new (controller->settings, &controller->policy, &controller->names, "c0-1", 1);
   scripted_run (controller, 5);
   return controller;
 }
@@ -394,11 +398,11 @@
 scripted_free (ScriptedController *controller)
 {
   hr_core_free (controller->core);
-  hr_settings_free (controller->set);
+  hr_settings_free (controller->settings);
   hr_names_clear (&controller->names);
   g_ptr_array_unref (controller->log);
   g_ptr_array_unref (controller->inbox);
-  g_hash_table_unref (controller->on);
+  g_hash_table_unref (controller->tasks);
   g_free (controller->answer);
   g_free (controller);
 }
--- a/tests/scripted_controller.h
+++ b/tests/scripted_controller.h
@@ -1,5 +1,5 @@
-/* One controller, c0, driven step by step: the test says what the other members (c1 and c2) tell
- * it, whether the state service serves it, and what one worker shows. The state service and the
+/* Drives one controller, c0, step by step. The test sets the statuses of the other members (c1 and
+ * c2), the availability of the state service and the tasks of one worker. The state service and the
  * cloud answer within the step. */
 #pragma once
 #include "coordination/core.h"
@@ -7,60 +7,62 @@
 
 #define SCRIPTED_MEMBERS 2
 
-/* What a member says about once a second while `speaks`. */
+/* Another member, which sends its status about once a second. */
 typedef struct {
-  gboolean speaks;
-  gboolean echo_stays; /* echoes the clock that it echoed last, as a late copy does */
+  gboolean sends_statuses;
+  gboolean repeats_echo; /* leaves the echoed clock as it is, as a late copy of a status does */
   HrPeerStatus status;
 } ScriptedMember;
 
 typedef struct {
   HrCore *core;
-  HrSettings *set;
+  HrSettings *settings;
   HrNames names;
-  HrPolicy pol;
-  double now;
-  gboolean served;       /* by the state service */
-  gboolean loses_writes; /* writes are carried out, but their answers get lost */
-  gboolean
-      out_after_loss;    /* and the state service serves c0 no more from the first such write on */
-  gboolean loses_orders; /* direct orders get no answer, and are not carried out */
-  guint64 epoch;
-  GPtrArray *log; /* JSON texts of changes */
-  GPtrArray *inbox;
+  HrPolicy policy;
+  double now;                 /* monotonic time, in seconds */
+  gboolean store_available;   /* FALSE: the state service answers 503 */
+  gboolean loses_answers;     /* writes are carried out, but their answers are lost */
+  gboolean outage_after_loss; /* the state service becomes unavailable with the first lost answer */
+  gboolean loses_orders;      /* direct orders are not carried out and get no answer */
+  guint64 revision;           /* of the state store */
+  GPtrArray *log;             /* JSON texts of the store's changes, the oldest first */
+  GPtrArray *inbox;           /* HrCommand of the next step */
   ScriptedMember members[SCRIPTED_MEMBERS];
-  double said_at;    /* the members last spoke */
-  HrPeerStatus said; /* the latest status of c0 */
-  double status_at;  /* its time */
-  GHashTable *on;    /* "job/task" -> attempt: what the worker has */
-  guint tally, session;
-  guint64 token; /* the highest that the worker has seen */
-  guint lost_launches;
-  const char *watched;  /* key */
-  guint watched_writes; /* of that key that c0 has tried */
-  int status;           /* of the latest answer to a report or user */
-  char *answer;
+  double statuses_sent_at;    /* when the members last sent their statuses */
+  HrPeerStatus latest_status; /* of c0 */
+  double latest_status_at;
+  GHashTable *tasks;           /* of the worker: "job/task" -> attempt */
+  guint sequence, incarnation; /* of the worker's reports */
+  guint64 fencing_token;       /* the highest that the worker has seen */
+  guint lost_launches;         /* direct calls with a launch that were lost */
+  const char *counted_key;     /* key of the state store whose writes are counted, or NULL */
+  guint counted_writes;        /* writes of that key that c0 has tried */
+  int status;                  /* of the latest answer to a user or to the worker; 0: none yet */
+  char *answer;                /* body of that answer */
 } ScriptedController;
 
-/* The log is shown with HR_SIM_VERBOSE=1, fatal messages always. */
+/* Shows log messages if HR_SIM_VERBOSE is set; fatal ones always. */
 void scripted_log_init (void);
-/* leader: whom the leader record names; "c0" becomes the leader by itself. */
+/* Starts c0. leader: the controller that the leader record names; with "c0" there is no record, and
+ * c0 is elected. */
 ScriptedController *scripted_new (const char *leader);
 void scripted_free (ScriptedController *controller);
-/* Time passes; c0 ticks, and members speak. */
+/* Advances the clock: c0 ticks every 0.1 s, and the members send their statuses. */
 void scripted_run (ScriptedController *controller, double seconds);
-/* A user asks; the status is returned. Waits at most 3 s for the answer. */
-int scripted_ask (ScriptedController *controller, HrMethod method, const char *path,
-                  const char *body);
+/* Sends a user's request and waits at most 3 s for the answer. Returns its status. */
+int scripted_request (ScriptedController *controller, HrMethod method, const char *path,
+                      const char *body);
+/* Submits a job of one task; aborts the test unless it is accepted. */
 void scripted_submit (ScriptedController *controller, const char *id);
-/* The worker reports, and obeys the answer; its status is returned. */
+/* Sends the worker's report and applies the orders of the answer. Returns the answer's status. */
 int scripted_report (ScriptedController *controller);
-/* The same again and again for so long; returns the status of the last one. */
+/* Sends a report every 2 s for so many seconds. Returns the status of the last answer. */
 int scripted_report_for (ScriptedController *controller, double seconds);
-/* c0 gets this status, with its own clock echoed. */
+/* Delivers the status to c0 as it is. */
 void scripted_send_status (ScriptedController *controller, HrPeerStatus *status);
-/* Somebody else changes the state store. */
+/* Writes the key in the state store, as another client of it does. */
 void scripted_write (ScriptedController *controller, const char *key, const char *value);
-/* Somebody else cancels the job; its revision is returned. */
-guint64 scripted_cancel_elsewhere (ScriptedController *controller, const char *id);
-gboolean scripted_runs (const ScriptedController *controller, const char *id);
+/* Cancels the job as another controller does. Returns the revision of that write. */
+guint64 scripted_cancel_by_other (ScriptedController *controller, const char *id);
+/* Returns whether the worker has the job's first task. */
+gboolean scripted_has_task (const ScriptedController *controller, const char *id);
--- a/tests/test_pacing.c
+++ b/tests/test_pacing.c
@@ -1,4 +1,4 @@
-/* Planning passes leave most of the processor to reports and readings. */
+/* Planning passes leave most of the processor time to workers' reports and users' requests. */
 #include "scripted_cluster.h"
 #include "coordination/state.h"
 #include <setjmp.h>
@@ -9,9 +9,10 @@
 #define RUN_S 30.0
 #define STEP_S 0.1
 
-/* Passes of the leader in RUN_S seconds, each of which is said to take so long. */
+/* Returns how many planning passes the leader makes in RUN_S seconds if each of its steps takes
+ * step_took seconds. */
 static guint
-passes (double took)
+count_passes (double step_took)
 {
   Cluster *cluster = cluster_led (2);
   HrCore *leader = cluster->nodes[cluster_leader (cluster)].core;
@@ -23,22 +24,22 @@
     leader->scheduling.plan_is_stale = TRUE;
     cluster_tick (cluster, 0.001);
     n += leader->scheduling.planned_at > before;
-    hr_core_step_took (leader, took);
+    hr_core_step_took (leader, step_took);
     run_for += STEP_S;
   }
   cluster_free (cluster);
   return n;
 }
 
-/* Of a pass that takes a second, at most every fifth second is planned; one that takes a
- * millisecond changes nothing; and a process that stood still for a minute plans on. */
+/* Passes of one second start at most every fifth second or so, passes of a millisecond are not spaced,
+ * and a process goes on planning after a pause of a minute. */
 static void
 long_passes_are_spaced (void **state G_GNUC_UNUSED)
 {
-  guint usual = passes (0);
-  assert_in_range (passes (1), 2, (guint)(RUN_S / 4) + 1);
-  assert_int_equal (passes (0.001), usual);
-  assert_true (passes (60) >= 2);
+  guint usual = count_passes (0);
+  assert_in_range (count_passes (1), 2, (guint)(RUN_S / 4) + 1);
+  assert_int_equal (count_passes (0.001), usual);
+  assert_true (count_passes (60) >= 2);
 }
 
 int
--- a/tests/test_requests.c
+++ b/tests/test_requests.c
@@ -1,5 +1,5 @@
-/* Malformed requests of users: the status, the body, and that nothing is recorded. The table "Bad
- * input" of docs/meetings.md has a line for each group. */
+/* Malformed and invalid requests of users: checks the status and the body of the answer, and that
+ * nothing is recorded. The table "Bad input" of docs/meetings.md has a line for each group. */
 #include "coordination/command.h"
 #include "protocol/json_util.h"
 #include "scripted_cluster.h"
@@ -9,9 +9,9 @@
 #include <string.h>
 #include <cmocka.h>
 
-/* What a request gets at this node, which has to say why it refuses. */
+/* Returns the status with which the node answers the request. Checks that a refusal gives a reason. */
 static int
-status_of (Cluster *cluster, int node, HrMethod method, const char *path, const char *body)
+request_status (Cluster *cluster, int node, HrMethod method, const char *path, const char *body)
 {
   guint64 id = cluster_request (cluster, node, method, path, body);
   for (int i = 0; i < 10 && !cluster_reply (cluster, node, id); i++)
@@ -25,16 +25,17 @@
   return reply->status;
 }
 
+/* Submits the body to c1. Checks that the state store changes only if the job is accepted. */
 static int
 submit_text (Cluster *cluster, const char *body)
 {
   guint before = cluster->carried_out;
-  int status = status_of (cluster, 1, HR_POST, HR_JOBS_PATH, body);
+  int status = request_status (cluster, 1, HR_POST, HR_JOBS_PATH, body);
   assert_int_equal (cluster->carried_out - before, status == 201);
   return status;
 }
 
-/* Submits job-odd with the field set so; NULL: left out. */
+/* Submits job-odd with this JSON value of the field; NULL: without the field. */
 static int
 submit_with (Cluster *cluster, const char *field, const char *value)
 {
@@ -64,7 +65,7 @@
     assert_int_equal (submit_with (cluster, required[i], "[]"), 400);
     assert_int_equal (submit_with (cluster, required[i], "{\"a\":1}"), 400);
   }
-  assert_int_equal (status_of (cluster, 0, HR_GET, "/v1/jobs/job-odd", NULL), 404);
+  assert_int_equal (request_status (cluster, 0, HR_GET, "/v1/jobs/job-odd", NULL), 404);
   for (guint i = 0; i < G_N_ELEMENTS (optional); i++) {
     for (int null = 0; null < 2; null++) {
       g_autofree char *id = g_strdup_printf ("job-%u-%d", i, null);
@@ -83,9 +84,9 @@
 typedef struct {
   const char *field, *value;
   int status;
-} WrongValue;
+} InvalidValue;
 
-static const WrongValue wrong_values[] = {
+static const InvalidValue invalid_values[] = {
     /* ids: the key of a record, and part of a path */
     {"name_id", "\"job-\"", 400},
     {"name_id", "\"odd\"", 400},
@@ -127,14 +128,14 @@
     {"together", "0", 400},
     {"apart", "\"false\"", 400},
     {"loaners", "1", 400},
-    /* where it may run */
+    /* machine types and zone */
     {"hulls", "[]", 400},
     {"hulls", "\"g2\"", 400},
     {"hulls", "[7]", 400},
     {"hulls", "[\"g2\",null]", 400},
     {"quarry", "\"\"", 400},
     {"quarry", "[\"z0\"]", 400},
-    /* what can never run */
+    /* requirements that no machine or team meets */
     {"crew", "\"strangers\"", 422},
     {"hulls", "[\"g9\"]", 422},
     {"quarry", "\"z9\"", 422},
@@ -145,20 +146,20 @@
 };
 
 static void
-wrong_values_are_refused (void **state G_GNUC_UNUSED)
+invalid_values_are_refused (void **state G_GNUC_UNUSED)
 {
   Cluster *cluster = cluster_led (2);
-  for (guint i = 0; i < G_N_ELEMENTS (wrong_values); i++) {
-    int status = submit_with (cluster, wrong_values[i].field, wrong_values[i].value);
-    if (status != wrong_values[i].status)
-      fail_msg ("%s %s: %d", wrong_values[i].field, wrong_values[i].value, status);
+  for (guint i = 0; i < G_N_ELEMENTS (invalid_values); i++) {
+    int status = submit_with (cluster, invalid_values[i].field, invalid_values[i].value);
+    if (status != invalid_values[i].status)
+      fail_msg ("%s %s: %d", invalid_values[i].field, invalid_values[i].value, status);
   }
-  assert_int_equal (status_of (cluster, 0, HR_GET, "/v1/jobs/job-odd", NULL), 404);
+  assert_int_equal (request_status (cluster, 0, HR_GET, "/v1/jobs/job-odd", NULL), 404);
   cluster_free (cluster);
 }
 
 static void
-wrong_bodies_are_refused (void **state G_GNUC_UNUSED)
+malformed_bodies_are_refused (void **state G_GNUC_UNUSED)
 {
   g_autofree char *deep = g_strnfill (40000, '[');
   g_autofree char *many = g_strnfill (65536, ' ');
@@ -183,7 +184,7 @@
     assert_int_equal (submit_text (cluster, bodies[i]), 400);
   assert_int_equal (submit_text (cluster, deep), 400);
   assert_int_equal (submit_text (cluster, many), 400);
-  /* One that passes the limit reaches the core without its body. */
+  /* A request beyond the size limit reaches the core without its body. */
   HrCommand *command = hr_command_new (HR_COMMAND_REQUEST);
   command->id = ++cluster->next_request;
   command->request.method = HR_POST;
@@ -191,7 +192,7 @@
   command->request.is_too_large = TRUE;
   cluster_step (cluster, 1, command);
   assert_int_equal (cluster_status (cluster, 1, cluster->next_request), 400);
-  /* Within the limit, and with fields that nobody knows. */
+  /* A body within the limit, with an unknown field. */
   json_t *job = cluster_job ("job-large", 1);
   g_autofree char *padding = g_strnfill (64000, 'x');
   json_object_set_new (job, "remark", json_string (padding));
@@ -201,9 +202,9 @@
   cluster_free (cluster);
 }
 
-/* More than the team's limit: one task of an array, all tasks of the others. */
+/* The team's limit applies to a single task of an array (batch) and to all tasks of other jobs. */
 static void
-more_than_the_limit_is_refused (void **state G_GNUC_UNUSED)
+jobs_beyond_the_team_limit_are_refused (void **state G_GNUC_UNUSED)
 {
   static const struct {
     const char *shape, *id;
@@ -224,7 +225,8 @@
   cluster_free (cluster);
 }
 
-/* Half of its tasks may be in one zone, and it allows no second one. */
+/* At most half of the tasks of a gang with `apart` may run in one zone, and the job allows no second
+ * zone. */
 static void
 a_gang_without_a_second_zone_is_refused (void **state G_GNUC_UNUSED)
 {
@@ -250,10 +252,10 @@
   cluster_free (cluster);
 }
 
-/* A job is known by its id alone: accepted, it stays so whatever a repetition says, also at a node
- * that has not followed its record yet, and while it is read anew. */
+/* The id alone identifies a job: a submission with the id of an accepted job returns that job, whatever
+ * else it says, also at a node that has not read the record yet and while the node reads it again. */
 static void
-a_repetition_with_other_content_gets_the_job (void **state G_GNUC_UNUSED)
+a_resubmission_with_other_content_returns_the_job (void **state G_GNUC_UNUSED)
 {
   static const char *const other[][2] = {{"pieces", "7"},       {"crew", "\"strangers\""},
                                          {"vcpus", "1e9"},      {"rank", NULL},
@@ -264,7 +266,7 @@
   cluster_submit (cluster, leader, "job-odd", 1);
   cluster_serve (cluster);
   guint64 revision = cluster_stamp (cluster, "h/j/job-odd");
-  guint64 asked[G_N_ELEMENTS (other)];
+  guint64 requests[G_N_ELEMENTS (other)];
   for (int round = 0; round < 2; round++) {
     for (guint i = 0; i < G_N_ELEMENTS (other); i++) {
       json_t *job = cluster_job ("job-odd", 1);
@@ -272,32 +274,33 @@
       if (other[i][1])
         json_object_set_new (job, other[i][0], json_loads (other[i][1], JSON_DECODE_ANY, NULL));
       g_autofree char *body = hr_json_take_text (job);
-      asked[i] = cluster_request (cluster, node, HR_POST, HR_JOBS_PATH, body);
-      /* Nothing was read since, so nothing can be said. */
+      requests[i] = cluster_request (cluster, node, HR_POST, HR_JOBS_PATH, body);
+      /* The node has read nothing since the request, so it cannot answer. */
       if (round == 0)
-        assert_int_equal (cluster_status (cluster, node, asked[i]), 0);
+        assert_int_equal (cluster_status (cluster, node, requests[i]), 0);
     }
     cluster_release (cluster);
     cluster_run (cluster, 0.5);
     for (guint i = 0; i < G_N_ELEMENTS (other); i++) {
-      assert_int_equal (cluster_status (cluster, node, asked[i]), 200);
-      assert_string_equal (cluster_job_state (cluster, node, asked[i]), "queued");
+      assert_int_equal (cluster_status (cluster, node, requests[i]), 200);
+      assert_string_equal (cluster_job_state (cluster, node, requests[i]), "queued");
     }
   }
   assert_int_equal (cluster_stamp (cluster, "h/j/job-odd"), revision);
   cluster_free (cluster);
 }
 
-/* Neither refused for good nor accepted while nothing can be read. */
+/* An invalid submission is neither refused for good nor accepted while the node cannot read whether
+ * a job with its id exists. */
 static void
-an_odd_submission_waits_for_the_state_service (void **state G_GNUC_UNUSED)
+an_invalid_submission_waits_for_the_state_service (void **state G_GNUC_UNUSED)
 {
   Cluster *cluster = cluster_led (2);
   cluster->outage = TRUE;
   cluster_run (cluster, 5);
   assert_int_equal (submit_with (cluster, "rank", NULL), 503);
   assert_int_equal (submit_with (cluster, "crew", "\"strangers\""), 503);
-  assert_int_equal (submit_with (cluster, "name_id", NULL), 400); /* no job could be meant */
+  assert_int_equal (submit_with (cluster, "name_id", NULL), 400); /* without an id, no existing job can be meant */
   cluster->outage = FALSE;
   cluster_run (cluster, 3);
   assert_int_equal (submit_with (cluster, "rank", NULL), 400);
@@ -327,8 +330,8 @@
     cluster_run (cluster, 0.2);
     assert_int_equal (cluster_status (cluster, i, id), 200);
     assert_string_equal (cluster_job_state (cluster, i, id), "done");
-    assert_int_equal (status_of (cluster, i, HR_POST, "/v1/jobs/job-never/abort", NULL), 404);
-    assert_int_equal (status_of (cluster, i, HR_POST, "/v1/jobs/job-never/abort", "{\"x\":1}"),
+    assert_int_equal (request_status (cluster, i, HR_POST, "/v1/jobs/job-never/abort", NULL), 404);
+    assert_int_equal (request_status (cluster, i, HR_POST, "/v1/jobs/job-never/abort", "{\"x\":1}"),
                       404);
   }
   assert_int_equal (cluster_stamp (cluster, "h/j/job-done"), revision);
@@ -337,13 +340,13 @@
 }
 
 static void
-odd_paths_and_methods (void **state G_GNUC_UNUSED)
+unknown_paths_and_methods_are_refused (void **state G_GNUC_UNUSED)
 {
   static const struct {
     HrMethod method;
     const char *path;
     int status;
-  } asked[] = {
+  } requests[] = {
       {HR_GET, "/v1/jobs", 405},
       {HR_DELETE, "/v1/jobs/job-a", 405},
       {HR_OTHER_METHOD, "/v1/jobs/job-a", 405},
@@ -366,22 +369,21 @@
   cluster_submit (cluster, 0, "job-a", 1);
   cluster_run (cluster, 0.5);
   guint before = cluster->carried_out;
-  for (guint i = 0; i < G_N_ELEMENTS (asked); i++) {
-    int status = status_of (cluster, 1, asked[i].method, asked[i].path, NULL);
-    if (status != asked[i].status)
-      fail_msg ("%s: %d", asked[i].path, status);
+  for (guint i = 0; i < G_N_ELEMENTS (requests); i++) {
+    int status = request_status (cluster, 1, requests[i].method, requests[i].path, NULL);
+    if (status != requests[i].status)
+      fail_msg ("%s: %d", requests[i].path, status);
   }
   g_autofree char *long_id = g_strnfill (5000, '7');
   g_autofree char *path = g_strconcat ("/v1/jobs/job-", long_id, NULL);
-  assert_int_equal (status_of (cluster, 1, HR_GET, path, NULL), 404);
+  assert_int_equal (request_status (cluster, 1, HR_GET, path, NULL), 404);
   assert_int_equal (cluster->carried_out, before);
   cluster_free (cluster);
 }
 
-/* A record that makes no sense: its job was accepted, so it is neither unknown nor in the state
- * that was read before. */
+/* A malformed record: its job was accepted, so the answer is neither 404 nor the state read before. */
 static void
-a_record_that_cannot_be_read_is_not_forgotten (void **state G_GNUC_UNUSED)
+a_job_with_a_malformed_record_is_answered_503 (void **state G_GNUC_UNUSED)
 {
   Cluster *cluster = cluster_led (2);
   cluster_submit (cluster, 0, "job-a", 1);
@@ -390,9 +392,9 @@
   cluster_write (cluster, "h/j/job-b", "[]");
   cluster_run (cluster, 2);
   for (int i = 0; i < 2; i++) {
-    assert_int_equal (status_of (cluster, i, HR_GET, "/v1/jobs/job-a", NULL), 503);
-    assert_int_equal (status_of (cluster, i, HR_GET, "/v1/jobs/job-b", NULL), 503);
-    assert_int_equal (status_of (cluster, i, HR_POST, "/v1/jobs/job-b/abort", NULL), 503);
+    assert_int_equal (request_status (cluster, i, HR_GET, "/v1/jobs/job-a", NULL), 503);
+    assert_int_equal (request_status (cluster, i, HR_GET, "/v1/jobs/job-b", NULL), 503);
+    assert_int_equal (request_status (cluster, i, HR_POST, "/v1/jobs/job-b/abort", NULL), 503);
     guint64 id = cluster_submit (cluster, i, "job-b", 1);
     cluster_run (cluster, 0.5);
     assert_int_equal (cluster_status (cluster, i, id), 503);
@@ -408,15 +410,15 @@
 {
   const struct CMUnitTest tests[] = {
       cmocka_unit_test (every_field_is_required_that_may_not_be_null),
-      cmocka_unit_test (wrong_values_are_refused),
-      cmocka_unit_test (wrong_bodies_are_refused),
-      cmocka_unit_test (more_than_the_limit_is_refused),
+      cmocka_unit_test (invalid_values_are_refused),
+      cmocka_unit_test (malformed_bodies_are_refused),
+      cmocka_unit_test (jobs_beyond_the_team_limit_are_refused),
       cmocka_unit_test (a_gang_without_a_second_zone_is_refused),
-      cmocka_unit_test (a_repetition_with_other_content_gets_the_job),
-      cmocka_unit_test (an_odd_submission_waits_for_the_state_service),
+      cmocka_unit_test (a_resubmission_with_other_content_returns_the_job),
+      cmocka_unit_test (an_invalid_submission_waits_for_the_state_service),
       cmocka_unit_test (cancellations_of_done_and_unknown_jobs),
-      cmocka_unit_test (odd_paths_and_methods),
-      cmocka_unit_test (a_record_that_cannot_be_read_is_not_forgotten),
+      cmocka_unit_test (unknown_paths_and_methods_are_refused),
+      cmocka_unit_test (a_job_with_a_malformed_record_is_answered_503),
   };
   g_log_set_writer_func (cluster_log, NULL, NULL);
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/test_workers.c
+++ b/tests/test_workers.c
@@ -1,6 +1,5 @@
-/* Meetings of workers, leases and leaders, message by message (scripted_fleet.h).
- * docs/meetings.md says which meeting each test brings about, and without which guard it
- * fails. */
+/* Interleavings of workers, leases and changes of leader, message by message (scripted_fleet.h).
+ * docs/meetings.md describes the interleaving of each test and the guard without which it fails. */
 #include "coordination/command.h"
 #include "coordination/core.h"
 #include "protocol/json_util.h"
@@ -11,29 +10,29 @@
 #include <string.h>
 #include <cmocka.h>
 
-/* ---- what the tests wait for ---- */
+/* ---- conditions for fleet_until ---- */
 
 static gboolean
-on_machine (Fleet *fleet, gpointer piece)
+task_runs (Fleet *fleet, gpointer piece)
 {
   return fleet_count (fleet, piece) > 0;
 }
 
 static gboolean
-on_none (Fleet *fleet, gpointer piece)
+task_runs_nowhere (Fleet *fleet, gpointer piece)
 {
   return fleet_count (fleet, piece) == 0;
 }
 
 static gboolean
-led_by_1 (Fleet *fleet, gpointer data G_GNUC_UNUSED)
+c1_leads (Fleet *fleet, gpointer data G_GNUC_UNUSED)
 {
   return cluster_leader (fleet->cluster) == 1;
 }
 
-/* Of the two or more controllers, c0 leads. */
+/* Starts two or more controllers and restarts leaders until c0 leads. */
 static Fleet *
-fleet_led (int nodes)
+fleet_led_by_c0 (int nodes)
 {
   Fleet *fleet = fleet_new (nodes);
   Cluster *cluster = fleet->cluster;
@@ -48,20 +47,21 @@
   return fleet;
 }
 
-/* A job of one task that runs on the machine. */
+/* Submits a job of one task and waits until the task runs on the machine. */
 static void
-running (Fleet *fleet, FleetMachine *machine, const char *id)
+submit_and_run (Fleet *fleet, FleetMachine *machine, const char *id)
 {
   g_autofree char *piece = g_strconcat (id, "/0", NULL);
   fleet_submit (fleet, 0, id, NULL);
-  fleet_until (fleet, on_machine, piece, 8);
+  fleet_until (fleet, task_runs, piece, 8);
   assert_true (fleet_has (machine, piece));
   fleet_run (fleet, 3);
 }
 
-/* c0 hears neither the state service nor the others; workers and users reach it still. */
+/* Cuts the controller off from the state service, and all controllers from one another. Workers and
+ * users still reach them. */
 static void
-cut_off (Fleet *fleet, int node)
+cut_off_controller (Fleet *fleet, int node)
 {
   fleet->cluster->nodes[node].served = FALSE;
   fleet->cluster->exchange_statuses = FALSE;
@@ -76,7 +76,7 @@
 }
 
 static guint64
-token_of (Fleet *fleet)
+current_token (Fleet *fleet)
 {
   json_t *object = json_loads (cluster_value (fleet->cluster, "h/map"), 0, NULL);
   guint64 fencing_token = json_integer_value (json_object_get (object, "b"));
@@ -84,14 +84,14 @@
   return fencing_token;
 }
 
-/* ---- the token ---- */
+/* ---- the fencing token ---- */
 
-/* The leader has to read the whole state store anew, and leads on: it has forgotten which orders
- * are on their way, so its token has to be a new one. */
+/* The leader has to read the whole state store again and goes on leading. It no longer knows which
+ * orders are in flight, so it has to raise its fencing token. */
 static void
 a_leader_that_rereads_raises_its_token (void **state G_GNUC_UNUSED)
 {
-  Fleet *fleet = fleet_led (2);
+  Fleet *fleet = fleet_led_by_c0 (2);
   Cluster *cluster = fleet->cluster;
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0"),
                *second = fleet_machine (fleet, "m-2", "z0");
@@ -99,14 +99,15 @@
   fleet_run (fleet, 4);
   cluster_hold (cluster, 0, "/changes", NULL);
   first->reports = FALSE;
-  guint64 before = token_of (fleet);
+  guint64 before = current_token (fleet);
   ClusterCall *late = cluster_delay (cluster, fleet_launch_call (fleet, first, 0, "job-a"));
-  /* Its next reading finds that the changes since the last one are gone. */
+  /* The leader's next read of changes finds that those since its last read are discarded. */
   fleet_submit (fleet, 1, "job-b", NULL);
   cluster_forget_changes (cluster);
   fleet_release (fleet);
   fleet_run (fleet, 1);
-  /* Its machine lacks the task, and is soon taken: the task goes elsewhere. */
+  /* The machine's reports lack the task, and the machine is about to be preempted: the task is
+   * placed on another machine. */
   fleet->cloud_deletes = FALSE;
   second->reports = first->reports = TRUE;
   first->notice = 60;
@@ -116,24 +117,24 @@
   fleet_run (fleet, 8);
   assert_true (fleet_has (second, "job-a/0"));
   assert_int_equal (cluster_leader (cluster), 0);
-  gboolean raised = token_of (fleet) > before;
+  gboolean raised = current_token (fleet) > before;
   fleet_end (fleet);
   assert_true (raised);
 }
 
-/* A process with the same label is back within a fraction of a second and takes its predecessor's
- * key over: a launch of the predecessor that is still on its way no longer counts. */
+/* The leader's process restarts within a fraction of a second and takes over the leader lock of its
+ * predecessor: a launch of the predecessor that is still in flight is rejected. */
 static void
-a_process_that_is_back_at_once_raises_the_token (void **state G_GNUC_UNUSED)
+a_leader_that_restarts_at_once_raises_its_token (void **state G_GNUC_UNUSED)
 {
-  Fleet *fleet = fleet_led (2);
+  Fleet *fleet = fleet_led_by_c0 (2);
   Cluster *cluster = fleet->cluster;
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0"),
                *second = fleet_machine (fleet, "m-2", "z0");
   second->reports = FALSE;
   fleet_run (fleet, 4);
   first->reports = FALSE;
-  guint64 before = token_of (fleet);
+  guint64 before = current_token (fleet);
   ClusterCall *late = cluster_delay (cluster, fleet_launch_call (fleet, first, 0, "job-a"));
   cluster_end (cluster, 0);
   fleet_run (fleet, 0.3);
@@ -144,7 +145,7 @@
   fleet_run (fleet, 12);
   assert_int_equal (cluster_leader (cluster), 0);
   assert_true (fleet_has (second, "job-a/0"));
-  gboolean raised = token_of (fleet) > before;
+  gboolean raised = current_token (fleet) > before;
   int status = fleet_obey_direct (first, late->body);
   cluster_late (cluster, late);
   fleet_end (fleet);
@@ -152,24 +153,24 @@
   assert_int_equal (status, 409);
 }
 
-/* A launch was given up and is still on its way when its job is cancelled. That the worker's
- * reports lack the task proves nothing until it has seen a newer token. */
+/* A launch timed out and is still in flight when its job is cancelled. Reports that lack the task
+ * prove nothing until the worker has seen a newer fencing token. */
 static void
-a_late_launch_after_its_kill_is_void (void **state G_GNUC_UNUSED)
+a_late_launch_of_a_cancelled_job_is_rejected (void **state G_GNUC_UNUSED)
 {
-  Fleet *fleet = fleet_led (2);
+  Fleet *fleet = fleet_led_by_c0 (2);
   Cluster *cluster = fleet->cluster;
   FleetMachine *machine = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
   machine->reports = FALSE;
-  guint64 before = token_of (fleet);
+  guint64 before = current_token (fleet);
   ClusterCall *late = cluster_delay (cluster, fleet_launch_call (fleet, machine, 0, "job-a"));
   fleet_cancel (fleet, 1, "job-a");
   fleet_run (fleet, 1);
   machine->reports = TRUE;
   machine->node = 0;
   fleet_run (fleet, 10);
-  assert_true (token_of (fleet) > before);
+  assert_true (current_token (fleet) > before);
   guint starts = fleet->starts;
   assert_int_equal (fleet_obey_direct (machine, late->body), 409);
   cluster_late (cluster, late);
@@ -177,12 +178,12 @@
   fleet_end (fleet);
 }
 
-/* A launch was carried out, and a copy of it comes long after the task's end. While the worker
- * has seen no newer token, the task stays in its reports, where a copy changes nothing. */
+/* A launch was carried out, and a copy of it arrives long after the task's end. Until the worker
+ * has seen a newer fencing token, its reports keep the task, so that the copy changes nothing. */
 static void
-a_copy_of_a_launch_after_the_end_is_void (void **state G_GNUC_UNUSED)
+a_duplicate_launch_after_the_task_ended_is_ignored (void **state G_GNUC_UNUSED)
 {
-  Fleet *fleet = fleet_led (2);
+  Fleet *fleet = fleet_led_by_c0 (2);
   Cluster *cluster = fleet->cluster;
   FleetMachine *machine = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
@@ -203,41 +204,42 @@
 
 /* ---- leases ---- */
 
-/* The leader is cut off from the state service and from the others; its worker and users still
- * reach it. It stops answering in time, so that a job that was cancelled through the next one
- * ends, and what was there is placed anew only when it is surely gone. */
+/* The leader is cut off from the state service and from the other controller; its worker and users
+ * still reach it. It stops answering in time: the task of a job that is cancelled through the next
+ * leader ends, and other tasks are placed again only when they are certainly gone. */
 static void
 a_partitioned_leader_steps_down (void **state G_GNUC_UNUSED)
 {
-  Fleet *fleet = fleet_led (2);
+  Fleet *fleet = fleet_led_by_c0 (2);
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
-  running (fleet, first, "job-a");
-  running (fleet, first, "job-b");
+  submit_and_run (fleet, first, "job-a");
+  submit_and_run (fleet, first, "job-b");
   first->only = 0;
   FleetMachine *second = fleet_machine (fleet, "m-2", "z0");
   second->only = 1;
   fleet->cloud_deletes = FALSE;
-  cut_off (fleet, 0);
-  fleet_until (fleet, led_by_1, NULL, 12);
+  cut_off_controller (fleet, 0);
+  fleet_until (fleet, c1_leads, NULL, 12);
   fleet_run (fleet, 0.5);
   assert_true (fleet_has (first, "job-a/0"));
   fleet_cancel (fleet, 1, "job-a");
   fleet_run (fleet, fleet->cluster->pol.alone_s + fleet->lease_s);
-  assert_true (first->tenure > 1); /* it hears of no outage, so it is cut off, and lets go early */
+  /* No member reports an outage, so c0 stops answering early, after alone_s. */
+  assert_true (first->tenure > 1);
   fleet_run (fleet, fleet->cancel_s);
   assert_false (fleet_has (first, "job-a/0"));
-  fleet_until (fleet, on_machine, "job-b/0", 40);
+  fleet_until (fleet, task_runs, "job-b/0", 40);
   assert_true (fleet_has (second, "job-b/0"));
   fleet_end (fleet);
 }
 
-/* The leader ends while several machines with long tasks reach only a former leader, which goes on
- * answering them for a while: their tasks stay bound until that and a lease are surely over. */
+/* Several machines with long tasks reach only a former leader, which goes on answering them for a
+ * while. The new leader keeps their tasks bound until that time and a lease are certainly over. */
 static void
 a_new_leader_waits_for_leases_that_a_former_one_renewed (void **state G_GNUC_UNUSED)
 {
-  Fleet *fleet = fleet_led (2);
+  Fleet *fleet = fleet_led_by_c0 (2);
   FleetMachine *machines[4];
   for (guint i = 0; i < G_N_ELEMENTS (machines); i++) {
     g_autofree char *name = g_strdup_printf ("m-%u", i), *id = g_strdup_printf ("job-%u", i);
@@ -247,58 +249,59 @@
     fleet_run (fleet, 4);
     assert_int_equal (machines[i]->tasks->len, 1);
   }
-  cut_off (fleet, 0);
+  cut_off_controller (fleet, 0);
   for (guint i = 0; i < G_N_ELEMENTS (machines); i++)
     machines[i]->only = 0;
   FleetMachine *spare = fleet_machine (fleet, "m-9", "z0");
   spare->only = 1;
-  fleet_until (fleet, led_by_1, NULL, 12);
+  fleet_until (fleet, c1_leads, NULL, 12);
   guint starts = fleet->starts;
   fleet_run (fleet, 10);
-  assert_int_equal (fleet->starts, starts); /* nothing is proven yet */
+  assert_int_equal (fleet->starts, starts); /* the tasks may still run */
   fleet_run (fleet, 40);
   assert_true (fleet->starts > starts);
   fleet_end (fleet);
 }
 
-/* What a new leader answers does not reach a machine, whose reports arrive. Its task is placed anew
- * only when its incarnation is over, and as soon as that shows: long before a returned machine
- * would be given up. */
+/* A machine's reports reach the new leader, but the answers are lost. Its task is placed again only
+ * when a report shows that the worker's incarnation is over, and then at once: long before a
+ * machine that is being returned would be given up. */
 static void
-a_machine_with_inbound_loss_keeps_its_task_until_its_session_ends (void **state G_GNUC_UNUSED)
+a_machine_with_inbound_loss_keeps_its_task_until_its_incarnation_ends (void **state G_GNUC_UNUSED)
 {
-  Fleet *fleet = fleet_led (2);
+  Fleet *fleet = fleet_led_by_c0 (2);
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
-  running (fleet, first, "job-a");
+  submit_and_run (fleet, first, "job-a");
   FleetMachine *second = fleet_machine (fleet, "m-2", "z0");
   fleet_run (fleet, 4);
   fleet->cloud_deletes = FALSE;
   first->hears = first->reached = FALSE;
   cluster_end (fleet->cluster, 0);
-  fleet_until (fleet, led_by_1, NULL, 12);
+  fleet_until (fleet, c1_leads, NULL, 12);
   fleet_run (fleet, fleet->cluster->pol.silent_s + 8);
   assert_true (first->tenure > 1);
   assert_true (fleet_has (second, "job-a/0"));
   fleet_end (fleet);
 }
 
-/* A machine reaches no controller, while direct orders reach it. A cancelled job's task is stopped
- * that way; another is placed anew only after the lease, which direct orders do not renew. */
+/* A machine reaches no controller, but direct orders reach the machine. They stop the task of a
+ * cancelled job. Another task is placed again only after the lease, which direct orders do not
+ * renew. */
 static void
 a_machine_with_outbound_loss_gets_direct_orders (void **state G_GNUC_UNUSED)
 {
-  Fleet *fleet = fleet_led (2);
+  Fleet *fleet = fleet_led_by_c0 (2);
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
-  running (fleet, first, "job-a");
-  running (fleet, first, "job-b");
+  submit_and_run (fleet, first, "job-a");
+  submit_and_run (fleet, first, "job-b");
   FleetMachine *second = fleet_machine (fleet, "m-2", "z0");
   fleet_run (fleet, 4);
   fleet->cloud_deletes = FALSE;
   first->reports = FALSE;
   fleet_cancel (fleet, 1, "job-a");
-  fleet_until (fleet, on_none, "job-a/0", 2);
+  fleet_until (fleet, task_runs_nowhere, "job-a/0", 2);
   assert_int_equal (first->tenure, 1);
   fleet_run (fleet, 20);
   assert_true (first->tenure > 1);
@@ -306,34 +309,34 @@
   fleet_end (fleet);
 }
 
-/* The cloud answers no deletion. What a machine held that is being returned waits no longer than
- * its lease: nobody has answered it since. */
+/* The cloud answers no deletion. The tasks of a machine that is being returned wait no longer than
+ * its lease, since no controller has answered the machine after its last report. */
 static void
 a_deletion_without_answer_holds_tasks_no_longer_than_a_lease (void **state G_GNUC_UNUSED)
 {
-  Fleet *fleet = fleet_led (2);
+  Fleet *fleet = fleet_led_by_c0 (2);
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 20);
-  running (fleet, first, "job-a");
+  submit_and_run (fleet, first, "job-a");
   FleetMachine *second = fleet_machine (fleet, "m-2", "z0");
   fleet_run (fleet, 4);
   fleet->cloud_deletes = FALSE;
-  first->reports = FALSE; /* silent, and so returned */
+  first->reports = FALSE; /* the leader returns a silent machine */
   fleet_run (fleet, fleet->lease_s + 6);
   assert_true (first->tenure > 1);
   assert_true (fleet_has (second, "job-a/0"));
   fleet_end (fleet);
 }
 
-/* A hanging machine resumes within its lease, after its job was cancelled: it is stopped then, and
- * the record goes on naming its place until that is shown. */
+/* A hung machine resumes within its lease, after its job was cancelled. The task is stopped then,
+ * and the record names the task's machine until a report shows that. */
 static void
-a_machine_that_hung_is_stopped_when_it_resumes (void **state G_GNUC_UNUSED)
+a_task_on_a_hung_machine_is_stopped_when_it_resumes (void **state G_GNUC_UNUSED)
 {
-  Fleet *fleet = fleet_led (2);
+  Fleet *fleet = fleet_led_by_c0 (2);
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
-  running (fleet, first, "job-a");
+  submit_and_run (fleet, first, "job-a");
   fleet->cloud_deletes = FALSE;
   fleet_report (first, 0);
   first->hangs = TRUE;
@@ -345,17 +348,17 @@
   first->hangs = FALSE;
   fleet_run (fleet, 3);
   assert_false (fleet_has (first, "job-a/0"));
-  assert_int_equal (first->tenure, 1); /* not by its lease */
+  assert_int_equal (first->tenure, 1); /* stopped by an order, not by the end of the lease */
   assert_false (fleet_recorded (fleet, "job-a", "\"x\""));
   fleet_end (fleet);
 }
 
-/* The leader launches what another controller has confirmed as cancelled a moment before: the task
- * is stopped as soon as the leader reads that, and does not start again. */
+/* The leader launches a task whose job another controller has just confirmed as cancelled. The task
+ * is stopped as soon as the leader reads the cancellation, and does not start again. */
 static void
-a_launch_that_meets_a_cancellation_is_stopped (void **state G_GNUC_UNUSED)
+a_launch_after_an_unread_cancellation_is_stopped (void **state G_GNUC_UNUSED)
 {
-  Fleet *fleet = fleet_led (2);
+  Fleet *fleet = fleet_led_by_c0 (2);
   Cluster *cluster = fleet->cluster;
   fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
@@ -368,27 +371,26 @@
   cluster_carry_out (cluster, write);
   cluster_hold (cluster, 0, "/changes", NULL);
   fleet_cancel (fleet, 1, "job-a");
-  cluster_answer (cluster,
-                  write); /* the assignment is in the state store, as far as the leader knows */
+  cluster_answer (cluster, write); /* the leader launches the recorded assignment */
   fleet_run (fleet, 0.5);
   assert_int_equal (fleet->starts, 1);
   fleet_release (fleet);
-  fleet_until (fleet, on_none, "job-a/0", 2);
+  fleet_until (fleet, task_runs_nowhere, "job-a/0", 2);
   fleet_run (fleet, 10);
   assert_int_equal (fleet->starts, 1);
   fleet_end (fleet);
 }
 
-/* The state service refuses the leader alone, another controller confirms a cancellation, and a
- * moment later the service is out for all, for longer than cancel_s. named: the leader is told of
- * the cancellation by the other controller. */
+/* The state service refuses the leader alone, another controller confirms a cancellation, and right
+ * after that the service is out for all controllers, for longer than cancel_s. named: the other
+ * controller names the cancellation to the leader in its statuses. */
 static void
-unread_cancellation (gboolean named)
+check_unread_cancellation (gboolean named)
 {
-  Fleet *fleet = fleet_led (3);
+  Fleet *fleet = fleet_led_by_c0 (3);
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
-  running (fleet, first, "job-a");
+  submit_and_run (fleet, first, "job-a");
   first->only = 0;
   fleet->cluster->nodes[0].served = FALSE;
   fleet_run (fleet, 0.5);
@@ -401,24 +403,24 @@
 }
 
 static void
-a_cancellation_that_the_leader_cannot_read_ends_in_time (void **state G_GNUC_UNUSED)
+a_cancellation_that_the_leader_cannot_read_stops_its_task_in_time (void **state G_GNUC_UNUSED)
 {
-  unread_cancellation (FALSE);
-  unread_cancellation (TRUE);
+  check_unread_cancellation (FALSE);
+  check_unread_cancellation (TRUE);
 }
 
-/* A task is recorded and its launch was lost; the state service refuses the leader alone while
- * another controller confirms that the job is cancelled. The leader, which answers its workers
- * still, launches nothing. */
+/* An assignment is recorded and its launch was lost. The state service refuses the leader alone,
+ * and another controller confirms that the job is cancelled. The leader still answers its workers,
+ * but launches nothing. */
 static void
-a_refused_leader_launches_nothing (void **state G_GNUC_UNUSED)
+a_leader_refused_by_the_state_service_launches_nothing (void **state G_GNUC_UNUSED)
 {
-  Fleet *fleet = fleet_led (2);
+  Fleet *fleet = fleet_led_by_c0 (2);
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
   first->reports = FALSE;
   fleet_launch_call (fleet, first, 0, "job-a");
-  cut_off (fleet, 0);
+  cut_off_controller (fleet, 0);
   fleet_cancel (fleet, 1, "job-a");
   fleet_run (fleet, 6);
   assert_int_equal (fleet_report (first, 0), 200);
@@ -426,15 +428,15 @@
   fleet_end (fleet);
 }
 
-/* A zone with a worker and a controller that does not lead is cut off for longer than a lease:
- * that controller does not renew the worker's lease. */
+/* A zone with a worker and a controller that does not lead is partitioned for longer than a lease.
+ * That controller does not renew the worker's lease. */
 static void
-a_controller_in_a_cut_zone_renews_no_lease (void **state G_GNUC_UNUSED)
+a_controller_in_a_partitioned_zone_renews_no_lease (void **state G_GNUC_UNUSED)
 {
-  Fleet *fleet = fleet_led (3);
+  Fleet *fleet = fleet_led_by_c0 (3);
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
-  running (fleet, first, "job-a");
+  submit_and_run (fleet, first, "job-a");
   FleetMachine *second = fleet_machine (fleet, "m-2", "z0");
   fleet_run (fleet, 4);
   fleet->cloud_deletes = FALSE;
@@ -447,20 +449,20 @@
   fleet_end (fleet);
 }
 
-/* The leader stands still, wakes, and finds a report before anything else, of a worker that has
- * heard of no other: it has not read the leader record for so long that it must not answer. */
+/* The leader is paused, resumes, and first receives a report of a worker that knows no newer
+ * leader. The leader's latest read of the leader record is too old for an answer. */
 static void
-a_leader_that_stood_still_does_not_answer (void **state G_GNUC_UNUSED)
+a_leader_that_was_paused_does_not_answer (void **state G_GNUC_UNUSED)
 {
-  Fleet *fleet = fleet_led (2);
+  Fleet *fleet = fleet_led_by_c0 (2);
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
-  running (fleet, first, "job-a");
+  submit_and_run (fleet, first, "job-a");
   first->only = 0;
   fleet_freeze (fleet, 0);
   fleet_run (fleet, fleet->cluster->pol.alone_s + 2);
   assert_int_equal (cluster_leader (fleet->cluster), 1);
-  assert_true (first->token < token_of (fleet));
+  assert_true (first->token < current_token (fleet));
   g_autofree char *report = fleet_write (first);
   fleet_thaw (fleet, 0);
   assert_int_not_equal (fleet_deliver (fleet, 0, report), 200);
@@ -470,16 +472,16 @@
   fleet_end (fleet);
 }
 
-/* Late copies of what a member told before it ended, while the state service is out: they are as
- * old as the clock that they echo, and the leader stops answering in time. */
+/* During an outage of the state service, copies of a status from before its sender ended keep
+ * arriving. They are as old as the clock that they echo, and the leader stops answering in time. */
 static void
 late_copies_of_statuses_attest_nothing_new (void **state G_GNUC_UNUSED)
 {
-  Fleet *fleet = fleet_led (2);
+  Fleet *fleet = fleet_led_by_c0 (2);
   Cluster *cluster = fleet->cluster;
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
-  running (fleet, first, "job-a");
+  submit_and_run (fleet, first, "job-a");
   cluster->outage = TRUE;
   fleet_run (fleet, 5);
   HrPeerStatus copy = cluster->nodes[1].status;
@@ -496,19 +498,19 @@
 
 /* ---- reports ---- */
 
-/* A report of a machine that is gone is kept back until the next leader has begun, and arrives
- * there: nothing is placed on that machine. */
+/* A report of a machine that is gone is delayed until the next leader has begun, and arrives there.
+ * The leader places nothing on that machine. */
 static void
-a_report_kept_for_the_next_leader_counts_for_its_order_only (void **state G_GNUC_UNUSED)
+a_delayed_report_of_a_deleted_machine_gets_no_task (void **state G_GNUC_UNUSED)
 {
-  Fleet *fleet = fleet_led (2);
+  Fleet *fleet = fleet_led_by_c0 (2);
   FleetMachine *first = fleet_machine (fleet, "m-1", "z1");
   fleet_run (fleet, 6);
   assert_true (first->token > 0);
   g_autofree char *report = fleet_write (first);
   first->gone = TRUE;
   cluster_end (fleet->cluster, 0);
-  fleet_until (fleet, led_by_1, NULL, 12);
+  fleet_until (fleet, c1_leads, NULL, 12);
   fleet_run (fleet, 3);
   fleet_submit (fleet, 1, "job-a", NULL);
   fleet_deliver (fleet, 1, report);
@@ -517,17 +519,17 @@
   fleet_end (fleet);
 }
 
-/* An old report that lacks a task arrives after newer ones that showed it: the cancelled job's
- * record keeps naming the place until the task is shown to be gone. incarnation: the old one is of
- * an earlier incarnation. */
+/* An old report that lacks a task arrives after newer reports that showed it. The cancelled job's
+ * record names the task's machine until a report shows that the task is gone. earlier_incarnation:
+ * the old report is from an earlier incarnation of the worker. */
 static void
-old_report (gboolean session)
+check_old_report (gboolean earlier_incarnation)
 {
-  Fleet *fleet = fleet_led (2);
+  Fleet *fleet = fleet_led_by_c0 (2);
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
   g_autofree char *report = fleet_write (first);
-  if (session) { /* numbers alone would not tell them apart */
+  if (earlier_incarnation) { /* the sequence number alone does not show that the report is old */
     first->tally += 100;
     g_free (report);
     report = fleet_write (first);
@@ -539,11 +541,11 @@
     fleet_run (fleet, 3);
     assert_int_equal (first->tenure, 2);
   }
-  running (fleet, first, "job-a");
+  submit_and_run (fleet, first, "job-a");
   fleet_report (first, 0);
   first->hangs = TRUE;
   fleet_cancel (fleet, 1, "job-a");
-  fleet_run (fleet, 3.5); /* its direct stop is unanswered by now */
+  fleet_run (fleet, 3.5); /* the direct stop has timed out by now */
   fleet_deliver (fleet, 0, report);
   fleet_run (fleet, 1);
   assert_true (fleet_has (first, "job-a/0"));
@@ -558,23 +560,23 @@
 static void
 an_old_report_proves_nothing (void **state G_GNUC_UNUSED)
 {
-  old_report (FALSE);
+  check_old_report (FALSE);
 }
 
 static void
-a_report_of_an_earlier_session_proves_nothing (void **state G_GNUC_UNUSED)
+a_report_of_an_earlier_incarnation_proves_nothing (void **state G_GNUC_UNUSED)
 {
-  old_report (TRUE);
+  check_old_report (TRUE);
 }
 
 /* ---- records ---- */
 
-/* New machines are up at once while writes lag, and the leader ends: nothing was launched that is
- * not recorded, so the next leader may place what it does not see. */
+/* New machines are up at once while writes lag, and the leader ends. Nothing was launched without a
+ * record, so the next leader may place every task without a recorded assignment. */
 static void
 nothing_is_launched_before_its_record (void **state G_GNUC_UNUSED)
 {
-  Fleet *fleet = fleet_led (2);
+  Fleet *fleet = fleet_led_by_c0 (2);
   Cluster *cluster = fleet->cluster;
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
@@ -591,17 +593,17 @@
   first->only = 1;
   FleetMachine *second = fleet_machine (fleet, "m-2", "z0");
   (void)second;
-  fleet_until (fleet, led_by_1, NULL, 12);
+  fleet_until (fleet, c1_leads, NULL, 12);
   fleet_run (fleet, 1);
-  assert_int_equal (cluster_late (cluster, late), 409); /* of a former owner */
-  fleet_until (fleet, on_machine, "job-a/0", 20);
+  assert_int_equal (cluster_late (cluster, late), 409); /* a write of a former leader */
+  fleet_until (fleet, task_runs, "job-a/0", 20);
   assert_int_equal (fleet->starts, 1);
   fleet_end (fleet);
 }
 
-/* Orders go out with the answers to reports alone. */
+/* Restarts the controllers with direct_launch = 0: orders go out only in the answers to reports. */
 static void
-launch_with_reports (Fleet *fleet)
+disable_direct_launch (Fleet *fleet)
 {
   Cluster *cluster = fleet->cluster;
   cluster->pol.direct_launch = 0;
@@ -613,19 +615,19 @@
   assert_int_equal (cluster_leader (cluster), 0);
 }
 
-/* A task of two has ended and its leader ends before that is recorded: the worker goes on showing
- * the end, so the task is not run again, and the job is done only with the other one. */
+/* One task of two has ended, and the leader ends before that is recorded. The worker goes on
+ * reporting the end, so the task does not run again; the job is done once the other task ends. */
 static void
-an_end_is_shown_until_it_is_recorded (void **state G_GNUC_UNUSED)
+the_end_of_a_task_is_reported_until_it_is_recorded (void **state G_GNUC_UNUSED)
 {
-  Fleet *fleet = fleet_led (2);
+  Fleet *fleet = fleet_led_by_c0 (2);
   Cluster *cluster = fleet->cluster;
-  launch_with_reports (fleet);
+  disable_direct_launch (fleet);
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
   fleet_submit (fleet, 0, "job-a", cluster_job ("job-a", 2));
-  fleet_until (fleet, on_machine, "job-a/0", 8);
-  fleet_until (fleet, on_machine, "job-a/1", 8);
+  fleet_until (fleet, task_runs, "job-a/0", 8);
+  fleet_until (fleet, task_runs, "job-a/1", 8);
   fleet_run (fleet, 3);
   cluster_hold (cluster, 0, "/commit", "job-a");
   fleet_exit (first, "job-a/0", "done");
@@ -635,7 +637,7 @@
   assert_non_null (write);
   ClusterCall *late = cluster_delay (cluster, write);
   cluster_end (cluster, 0);
-  fleet_until (fleet, led_by_1, NULL, 12);
+  fleet_until (fleet, c1_leads, NULL, 12);
   fleet_run (fleet, 1);
   cluster_late (cluster, late);
   fleet_run (fleet, 10);
@@ -651,24 +653,24 @@
 /* ---- limits and zones ---- */
 
 static void
-limit_cpus (Fleet *fleet, double cpus)
+set_team_limit (Fleet *fleet, double cpus)
 {
   for (int i = 0; i < fleet->cluster->n; i++)
     if (fleet->cluster->nodes[i].core)
       g_array_index (fleet->cluster->nodes[i].set->teams, HrTeam, 0).cpus_max = cpus;
 }
 
-/* A team is at its limit, its job is cancelled, the leader changes, and the machine cannot be
- * asked: the limit has room again only when the task is proven gone. */
+/* A team is at its limit, its job is cancelled, the leader changes, and the machine is unreachable.
+ * The limit has room again only when the task is proven to be gone. */
 static void
-a_cancelled_task_counts_until_it_is_gone (void **state G_GNUC_UNUSED)
+a_cancelled_task_counts_against_the_limit_until_it_is_gone (void **state G_GNUC_UNUSED)
 {
-  Fleet *fleet = fleet_led (2);
-  limit_cpus (fleet, 12);
+  Fleet *fleet = fleet_led_by_c0 (2);
+  set_team_limit (fleet, 12);
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
   fleet_submit (fleet, 0, "job-a", whole_machine ("job-a"));
-  fleet_until (fleet, on_machine, "job-a/0", 8);
+  fleet_until (fleet, task_runs, "job-a/0", 8);
   fleet_run (fleet, 3);
   FleetMachine *second = fleet_machine (fleet, "m-2", "z0");
   fleet_run (fleet, 4);
@@ -677,7 +679,7 @@
   first->reports = first->reached = FALSE;
   fleet_cancel (fleet, 1, "job-a");
   cluster_end (fleet->cluster, 0);
-  fleet_until (fleet, led_by_1, NULL, 12);
+  fleet_until (fleet, c1_leads, NULL, 12);
   fleet_submit (fleet, 1, "job-b", whole_machine ("job-b"));
   for (int i = 0; i < 60 && !fleet_has (second, "job-b/0"); i++) {
     fleet_run (fleet, 1);
@@ -687,29 +689,30 @@
   fleet_end (fleet);
 }
 
-/* An array of two bound to one zone, or spread over two, has a task on a machine that cannot be
- * asked: the other does not start where that rules it out before it is proven gone. after: the next
- * leader knows the machine from the record alone, and not its zone. */
+/* An array of two tasks, bound to one zone or spread over two, has a task on an unreachable
+ * machine. The other task does not start in a zone that the first one rules out until the first is
+ * proven to be gone. new_leader: the next leader knows the machine from the record alone, without
+ * its zone. */
 static void
-bound_zone (gboolean after, const char *rule, const char *other)
+check_bound_zone (gboolean new_leader, const char *rule, const char *other_zone)
 {
-  Fleet *fleet = fleet_led (2);
+  Fleet *fleet = fleet_led_by_c0 (2);
   FleetMachine *first = fleet_machine (fleet, "m-1", "z1");
   fleet_run (fleet, 4);
   json_t *body = cluster_job ("job-a", 2);
   json_object_set_new (body, rule, json_true ());
   json_object_set_new (body, "vcpus", json_real (12));
   fleet_submit (fleet, 0, "job-a", body);
-  fleet_until (fleet, on_machine, "job-a/0", 8);
+  fleet_until (fleet, task_runs, "job-a/0", 8);
   fleet_run (fleet, 3);
   fleet->cloud_deletes = FALSE;
   first->reports = first->reached = FALSE;
   fleet_report (first, 0);
-  if (after) {
+  if (new_leader) {
     cluster_end (fleet->cluster, 0);
-    fleet_until (fleet, led_by_1, NULL, 12);
+    fleet_until (fleet, c1_leads, NULL, 12);
   }
-  FleetMachine *second = fleet_machine (fleet, "m-2", other);
+  FleetMachine *second = fleet_machine (fleet, "m-2", other_zone);
   for (int i = 0; i < 60 && !second->tasks->len; i++) {
     fleet_run (fleet, 1);
     assert_true (!fleet_has (first, "job-a/0") || !second->tasks->len);
@@ -719,61 +722,61 @@
 }
 
 static void
-a_task_that_may_still_be_there_binds_its_zone (void **state G_GNUC_UNUSED)
+a_task_that_may_still_run_binds_its_zone (void **state G_GNUC_UNUSED)
 {
-  bound_zone (FALSE, "together", "z0");
+  check_bound_zone (FALSE, "together", "z0");
 }
 
 static void
-a_task_that_may_still_be_there_counts_for_the_spread (void **state G_GNUC_UNUSED)
+a_task_that_may_still_run_counts_for_the_zone_spread (void **state G_GNUC_UNUSED)
 {
-  bound_zone (FALSE, "apart", "z1");
+  check_bound_zone (FALSE, "apart", "z1");
 }
 
 static void
-an_unknown_zone_rules_out_all (void **state G_GNUC_UNUSED)
+an_unknown_zone_rules_out_all_zones (void **state G_GNUC_UNUSED)
 {
-  bound_zone (TRUE, "together", "z0");
-  bound_zone (TRUE, "apart", "z1");
+  check_bound_zone (TRUE, "together", "z0");
+  check_bound_zone (TRUE, "apart", "z1");
 }
 
-/* ---- figures ---- */
+/* ---- the deployed policy ---- */
 
-/* The policy as deployed, on platforms of many figures: what a leader that cannot read a
- * cancellation still answers ends before cancel_s, clocks that drift apart by 0.05% included, and
- * whoever leads next counts at least as long. */
+/* Checks the deployed policy for many values of lease_s and cancel_s. The leases that a leader
+ * which cannot read a cancellation still renews end before cancel_s, with clocks that drift apart
+ * by 0.05%, and the next leader waits at least as long. */
 static void
-the_policy_ends_tasks_in_time (void **state G_GNUC_UNUSED)
+the_deployed_policy_ends_leases_in_time (void **state G_GNUC_UNUSED)
 {
   static const double drift = 0.0005;
   for (int i = 0; i < 22; i++)
     for (int k = 0; k < 13; k++) {
-      const double lease = 5 + 2.5 * i, more = 8 + 4 * k; /* below 60 s both */
+      const double lease = 5 + 2.5 * i, cancel_margin = 8 + 4 * k; /* below 60 s both */
       g_autoptr (GHashTable) vars = hr_policy_vars_new ();
       g_autoptr (GError) error = NULL;
       HrPolicy policy;
       hr_core_policy_vars (NULL, vars);
       hr_policy_vars_set (vars, "lease_s", lease);
       hr_policy_vars_set (vars, "report_s", lease / 5);
-      hr_policy_vars_set (vars, "cancel_s", lease + more);
+      hr_policy_vars_set (vars, "cancel_s", lease + cancel_margin);
       assert_true (hr_policy_load (SOURCE_ROOT "/deploy/policy.hop", vars, &policy, &error));
       assert_true (hr_core_policy_check (&policy, vars, &error));
       double ends = (policy.hold_s + lease) * (1 + drift);
-      assert_true (ends < lease + more);
+      assert_true (ends < lease + cancel_margin);
       assert_true (policy.hold_s + lease * 1.002 + policy.lease_margin_s > ends);
-      policy.hold_s = more;
+      policy.hold_s = cancel_margin;
       assert_false (hr_core_policy_check (&policy, vars, &error));
     }
 }
 
-/* ---- many leaders ---- */
+/* ---- changes of leader ---- */
 
-/* Leaders change ten times in two minutes, also inside an outage; machines fall silent and jobs
- * are cancelled meanwhile. */
+/* The leader changes ten times in two minutes, once during an outage, while machines hang or lose
+ * answers and a job is cancelled. */
 static void
 ten_leaders_in_two_minutes (void **state G_GNUC_UNUSED)
 {
-  Fleet *fleet = fleet_led (3);
+  Fleet *fleet = fleet_led_by_c0 (3);
   Cluster *cluster = fleet->cluster;
   FleetMachine *machines[5];
   for (guint i = 0; i < G_N_ELEMENTS (machines); i++) {
@@ -786,7 +789,7 @@
   fleet_run (fleet, 8);
   for (int i = 0; i < 10; i++) {
     int leader = cluster_leader (cluster);
-    guint64 before = token_of (fleet);
+    guint64 before = current_token (fleet);
     g_autofree char *report = fleet_write (machines[i % 5]);
     machines[(i + 1) % 5]->hangs = i % 3 == 0;
     machines[(i + 2) % 5]->hears = i % 4 != 1;
@@ -802,7 +805,7 @@
       if (cluster->nodes[k].core)
         fleet_deliver (fleet, k, report);
     fleet_run (fleet, 1);
-    assert_true (i == 5 || token_of (fleet) > before);
+    assert_true (i == 5 || current_token (fleet) > before);
   }
   for (guint i = 0; i < G_N_ELEMENTS (machines); i++) {
     machines[i]->hears = TRUE;
@@ -818,12 +821,12 @@
   fleet_end (fleet);
 }
 
-/* All controllers are away for longer than a lease; one returns, ends, and is back within a second,
- * and a report from before arrives. */
+/* All controllers are down for longer than a lease. One starts, ends and starts again within a
+ * second, and a report from before the downtime arrives. */
 static void
-all_are_away_longer_than_a_lease (void **state G_GNUC_UNUSED)
+all_controllers_are_down_longer_than_a_lease (void **state G_GNUC_UNUSED)
 {
-  Fleet *fleet = fleet_led (3);
+  Fleet *fleet = fleet_led_by_c0 (3);
   Cluster *cluster = fleet->cluster;
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0"),
                *second = fleet_machine (fleet, "m-2", "z0");
@@ -858,33 +861,33 @@
 {
   const struct CMUnitTest tests[] = {
       cmocka_unit_test (a_leader_that_rereads_raises_its_token),
-      cmocka_unit_test (a_process_that_is_back_at_once_raises_the_token),
-      cmocka_unit_test (a_late_launch_after_its_kill_is_void),
-      cmocka_unit_test (a_copy_of_a_launch_after_the_end_is_void),
+      cmocka_unit_test (a_leader_that_restarts_at_once_raises_its_token),
+      cmocka_unit_test (a_late_launch_of_a_cancelled_job_is_rejected),
+      cmocka_unit_test (a_duplicate_launch_after_the_task_ended_is_ignored),
       cmocka_unit_test (a_partitioned_leader_steps_down),
       cmocka_unit_test (a_new_leader_waits_for_leases_that_a_former_one_renewed),
-      cmocka_unit_test (a_machine_with_inbound_loss_keeps_its_task_until_its_session_ends),
+      cmocka_unit_test (a_machine_with_inbound_loss_keeps_its_task_until_its_incarnation_ends),
       cmocka_unit_test (a_machine_with_outbound_loss_gets_direct_orders),
       cmocka_unit_test (a_deletion_without_answer_holds_tasks_no_longer_than_a_lease),
-      cmocka_unit_test (a_machine_that_hung_is_stopped_when_it_resumes),
-      cmocka_unit_test (a_launch_that_meets_a_cancellation_is_stopped),
-      cmocka_unit_test (a_cancellation_that_the_leader_cannot_read_ends_in_time),
-      cmocka_unit_test (a_refused_leader_launches_nothing),
-      cmocka_unit_test (a_controller_in_a_cut_zone_renews_no_lease),
-      cmocka_unit_test (a_leader_that_stood_still_does_not_answer),
+      cmocka_unit_test (a_task_on_a_hung_machine_is_stopped_when_it_resumes),
+      cmocka_unit_test (a_launch_after_an_unread_cancellation_is_stopped),
+      cmocka_unit_test (a_cancellation_that_the_leader_cannot_read_stops_its_task_in_time),
+      cmocka_unit_test (a_leader_refused_by_the_state_service_launches_nothing),
+      cmocka_unit_test (a_controller_in_a_partitioned_zone_renews_no_lease),
+      cmocka_unit_test (a_leader_that_was_paused_does_not_answer),
       cmocka_unit_test (late_copies_of_statuses_attest_nothing_new),
-      cmocka_unit_test (a_report_kept_for_the_next_leader_counts_for_its_order_only),
+      cmocka_unit_test (a_delayed_report_of_a_deleted_machine_gets_no_task),
       cmocka_unit_test (an_old_report_proves_nothing),
-      cmocka_unit_test (a_report_of_an_earlier_session_proves_nothing),
+      cmocka_unit_test (a_report_of_an_earlier_incarnation_proves_nothing),
       cmocka_unit_test (nothing_is_launched_before_its_record),
-      cmocka_unit_test (an_end_is_shown_until_it_is_recorded),
-      cmocka_unit_test (a_cancelled_task_counts_until_it_is_gone),
-      cmocka_unit_test (a_task_that_may_still_be_there_binds_its_zone),
-      cmocka_unit_test (a_task_that_may_still_be_there_counts_for_the_spread),
-      cmocka_unit_test (an_unknown_zone_rules_out_all),
-      cmocka_unit_test (the_policy_ends_tasks_in_time),
+      cmocka_unit_test (the_end_of_a_task_is_reported_until_it_is_recorded),
+      cmocka_unit_test (a_cancelled_task_counts_against_the_limit_until_it_is_gone),
+      cmocka_unit_test (a_task_that_may_still_run_binds_its_zone),
+      cmocka_unit_test (a_task_that_may_still_run_counts_for_the_zone_spread),
+      cmocka_unit_test (an_unknown_zone_rules_out_all_zones),
+      cmocka_unit_test (the_deployed_policy_ends_leases_in_time),
       cmocka_unit_test (ten_leaders_in_two_minutes),
-      cmocka_unit_test (all_are_away_longer_than_a_lease),
+      cmocka_unit_test (all_controllers_are_down_longer_than_a_lease),
   };
   g_log_set_writer_func (cluster_log, NULL, NULL);
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/test_writes.c
+++ b/tests/test_writes.c
@@ -1,6 +1,6 @@
-/* Meetings of transactions whose answer is lost, late or refused with users' requests, with the
- * end of a job and with a change of leader, message by message (scripted_cluster.h).
- * docs/meetings.md says which meeting each test brings about and which guard it fails without. */
+/* Interleavings of transactions whose answer is lost, late or a refusal with users' requests, the
+ * end of a job and changes of leader, message by message (scripted_cluster.h).
+ * docs/meetings.md describes the interleaving of each test and the guard without which it fails. */
 #include "scripted_cluster.h"
 #include "protocol/json_util.h"
 #include <setjmp.h>
@@ -9,7 +9,8 @@
 #include <string.h>
 #include <cmocka.h>
 
-#define READING "hold_ms=0"
+/* Queries of a read of the store's changes and of a watch (long poll). */
+#define READ "hold_ms=0"
 #define WATCH "hold_ms=10000"
 
 typedef struct {
@@ -18,7 +19,7 @@
   ClusterWorker *worker;
 } ControllerPair;
 
-/* A leader with a worker that it knows, and another controller. */
+/* Starts two controllers, and a worker that has reported to the leader. */
 static ControllerPair
 controller_pair (void)
 {
@@ -31,19 +32,20 @@
   return pair;
 }
 
+/* Checks that every controller answers with this state of the job. */
 static void
-assert_answered (ControllerPair *pair, const char *id, const char *state)
+assert_state_at_every_node (ControllerPair *pair, const char *id, const char *state)
 {
   for (int i = 0; i < pair->cluster->n; i++)
     assert_string_equal (cluster_asked (pair->cluster, i, id), state);
 }
 
-/* The leader's key lapses and the other takes over. Its own calls are held, so that it does not
- * know; the release is the test's. */
+/* The leader lock expires and the other controller becomes the leader. The calls of the former
+ * leader are held, so that it does not learn of this; the test releases them. */
 static void
-depose_unaware (ControllerPair *pair)
+depose_unnoticed (ControllerPair *pair)
 {
-  cluster_hold (pair->cluster, pair->leader, READING, NULL);
+  cluster_hold (pair->cluster, pair->leader, READ, NULL);
   cluster_hold (pair->cluster, pair->leader, WATCH, NULL);
   cluster_hold (pair->cluster, pair->leader, "/touch", NULL);
   pair->cluster->exchange_statuses = FALSE;
@@ -53,31 +55,31 @@
   cluster_run (pair->cluster, 0.5);
 }
 
-/* Every try of the user's write gets lost until the user is told something; held readings are
- * refused, so that the node can't learn of the write otherwise. */
+/* Loses every attempt of the user's write until the user is answered. Held reads are refused, so
+ * that the node cannot learn of the write from them. */
 static void
-lose_all (Cluster *cluster, int node, const char *text, guint64 request)
+lose_every_write (Cluster *cluster, int node, const char *text, guint64 request)
 {
   cluster_hold (cluster, node, "/commit", text);
   for (int i = 0; i < 100 && !cluster_status (cluster, node, request); i++) {
     ClusterCall *call = cluster_call (cluster, node, "/commit", text);
-    ClusterCall *reading = cluster_call (cluster, node, READING, NULL);
+    ClusterCall *read_call = cluster_call (cluster, node, READ, NULL);
     if (call)
       cluster_lose (cluster, call);
-    if (reading && reading->held)
-      cluster_answer_with (cluster, reading, 503, "{}");
+    if (read_call && read_call->held)
+      cluster_answer_with (cluster, read_call, 503, "{}");
     cluster_run (cluster, 0.05);
   }
 }
 
-/* ---- carried out at once, only the answer is lost ---- */
+/* ---- writes that are carried out at once and whose answer is lost ---- */
 
 static void
 a_submission_without_answer_is_known_everywhere (void **state G_GNUC_UNUSED)
 {
   Cluster *cluster = cluster_led (2);
   ControllerPair pair = {cluster, cluster_leader (cluster), 1 - cluster_leader (cluster),
-                         NULL}; /* no machine: it waits */
+                         NULL}; /* no machine: the job waits */
   cluster_hold (cluster, pair.other, "/commit", NULL);
   guint64 id = cluster_submit (cluster, pair.other, "job-a", 1);
   cluster_tick (cluster, 0.05);
@@ -85,10 +87,10 @@
   cluster_carry_out (cluster, write);
   cluster_release (cluster);
   write->held = TRUE;
-  assert_answered (&pair, "job-a", "queued");
-  cluster_hold (cluster, pair.other, READING, NULL); /* or it would learn of it at once */
+  assert_state_at_every_node (&pair, "job-a", "queued");
+  cluster_hold (cluster, pair.other, READ, NULL); /* else the node reads the record at once */
   cluster_lose (cluster, write);
-  lose_all (cluster, pair.other, "job-a", id);
+  lose_every_write (cluster, pair.other, "job-a", id);
   assert_int_equal (cluster_status (cluster, pair.other, id), 503);
   cluster_release (cluster);
   cluster_run (cluster, 1.5);
@@ -99,22 +101,22 @@
   cluster_free (pair.cluster);
 }
 
-/* Repeated at the same node before that has followed the record: the condition that there is none
- * fails, and the record's job is what is answered. */
+/* The submission is repeated at the same node before that node has read the record. The write's
+ * condition that no record exists fails, and the node answers with the recorded job. */
 static void
 a_submission_without_answer_is_repeated (void **state G_GNUC_UNUSED)
 {
   ControllerPair pair = controller_pair ();
   Cluster *cluster = pair.cluster;
   cluster_hold (cluster, pair.other, "/commit", NULL);
-  cluster_hold (cluster, pair.other, READING, NULL);
+  cluster_hold (cluster, pair.other, READ, NULL);
   cluster_hold (cluster, pair.other, WATCH, NULL);
   guint64 id = cluster_submit (cluster, pair.other, "job-a", 1);
   cluster_tick (cluster, 0.05);
   ClusterCall *write = cluster_call (cluster, pair.other, "/commit", "job-a");
   cluster_carry_out (cluster, write);
   guint64 revision = cluster_stamp (cluster, "h/j/job-a");
-  lose_all (cluster, pair.other, "job-a", id);
+  lose_every_write (cluster, pair.other, "job-a", id);
   assert_int_equal (cluster_status (cluster, pair.other, id), 503);
   guint64 abort = cluster_abort (cluster, pair.leader, "job-a");
   cluster_run (cluster, 0.3);
@@ -122,7 +124,7 @@
   id = cluster_submit (cluster, pair.other, "job-a", 2);
   cluster_tick (cluster, 0.05);
   write = cluster_call (cluster, pair.other, "/commit", "job-a");
-  assert_non_null (write); /* it knows of none, and tries */
+  assert_non_null (write); /* the node knows no record and writes */
   cluster_answer (cluster, write);
   assert_int_equal (cluster_status (cluster, pair.other, id), 0);
   cluster_release (cluster);
@@ -149,10 +151,10 @@
     cluster_carry_out (cluster, write);
     cluster_release (cluster);
     write->held = TRUE;
-    assert_answered (&pair, "job-a", "withdrawn");
-    cluster_hold (cluster, node, READING, NULL);
+    assert_state_at_every_node (&pair, "job-a", "withdrawn");
+    cluster_hold (cluster, node, READ, NULL);
     cluster_lose (cluster, write);
-    lose_all (cluster, node, "\"s\":2", id);
+    lose_every_write (cluster, node, "\"s\":2", id);
     assert_int_equal (cluster_status (cluster, node, id), 503);
     cluster_release (cluster);
     cluster_run (cluster, 1.5);
@@ -165,9 +167,9 @@
   }
 }
 
-/* Lost once: sent again after a moment, and the user is answered within half a second. */
+/* A write whose answer is lost is sent again, and the user is answered within half a second. */
 static void
-a_lost_answer_costs_a_moment (void **state G_GNUC_UNUSED)
+a_lost_answer_delays_the_user_by_less_than_half_a_second (void **state G_GNUC_UNUSED)
 {
   static const char *const wanted[] = {"queued", "withdrawn"};
   for (int carried_out = 0; carried_out < 2; carried_out++) {
@@ -185,7 +187,7 @@
         cluster_carry_out (cluster, write);
       guint64 revision = cluster_stamp (cluster, "h/j/job-a");
       if (!carried_out)
-        cluster_release (cluster); /* else a look at the record has to be enough */
+        cluster_release (cluster); /* else a read of the record has to be enough */
       ClusterCall *late = cluster_delay (cluster, write);
       cluster_run (cluster, 0.15);
       assert_string_equal (cluster_job_state (cluster, node, id), wanted[cancels]);
@@ -199,16 +201,17 @@
   }
 }
 
-/* The record of an assignment: read before its answer is lost, it counts, and is written once. */
+/* The answer to the write of an assignment is lost. The leader launches the task once it has read
+ * the record, and writes the assignment only once. */
 static void
 an_assignment_without_answer_is_launched_once (void **state G_GNUC_UNUSED)
 {
-  for (int by_reading = 0; by_reading < 2; by_reading++) {
+  for (int by_read = 0; by_read < 2; by_read++) {
     ControllerPair pair = controller_pair ();
     Cluster *cluster = pair.cluster;
     cluster_hold (cluster, pair.leader, "/commit", "m-000001");
-    if (!by_reading) {
-      cluster_hold (cluster, pair.leader, READING, NULL);
+    if (!by_read) {
+      cluster_hold (cluster, pair.leader, READ, NULL);
       cluster_hold (cluster, pair.leader, WATCH, NULL);
     }
     cluster_submit (cluster, pair.leader, "job-a", 1);
@@ -218,12 +221,12 @@
     cluster_carry_out (cluster, write);
     guint64 revision = cluster_stamp (cluster, "h/j/job-a");
     cluster_run (cluster, 0.5);
-    if (by_reading) /* it has read its own tag */
+    if (by_read) /* the leader has read its own write tag */
       assert_true (cluster_worker_has (pair.worker, "job-a"));
     else
       assert_false (cluster_worker_has (pair.worker, "job-a"));
     cluster_lose (cluster, write);
-    if (!by_reading) { /* sent again, and refused: it looks before it writes anything else */
+    if (!by_read) { /* sent again and refused: the leader reads before it writes again */
       cluster_run (cluster, 0.2);
       write = cluster_call (cluster, pair.leader, "/commit", "m-000001");
       assert_non_null (write);
@@ -241,7 +244,8 @@
   }
 }
 
-/* The tombstone of a job that is done: told as soon as it is read, and written once. */
+/* The answer to the write of a finished job's tombstone is lost. Users get the state "done" as soon
+ * as the tombstone is read, and it is written only once. */
 static void
 a_tombstone_without_answer_is_reported (void **state G_GNUC_UNUSED)
 {
@@ -263,14 +267,14 @@
   cluster_lose (cluster, write);
   cluster_release (cluster);
   cluster_run (cluster, 1);
-  assert_answered (&pair, "job-a", "done");
+  assert_state_at_every_node (&pair, "job-a", "done");
   assert_int_equal (cluster_stamp (cluster, "h/j/job-a"), revision);
   cluster_free (cluster);
 }
 
-/* The leader record is written, and nobody tells the writer: what it reads decides. */
+/* The answer to the write of the leader record is lost: the candidate learns the result by a read. */
 static void
-an_election_without_answer_is_read (void **state G_GNUC_UNUSED)
+an_election_without_answer_is_decided_by_a_read (void **state G_GNUC_UNUSED)
 {
   Cluster *cluster = cluster_new (2);
   cluster_hold (cluster, 0, "/commit", "h/leader");
@@ -291,11 +295,11 @@
   cluster_free (cluster);
 }
 
-/* ---- carried out late, after newer ones of the same controller ---- */
+/* ---- writes that are carried out late, after newer ones of the same controller ---- */
 
-/* The submission whose answer was lost comes when the job is over. */
+/* The write of a submission whose answer was lost arrives after the job is over. */
 static void
-a_late_submission_does_not_bring_a_job_back (void **state G_GNUC_UNUSED)
+a_late_submission_does_not_recreate_a_finished_job (void **state G_GNUC_UNUSED)
 {
   ControllerPair pair = controller_pair ();
   Cluster *cluster = pair.cluster;
@@ -305,21 +309,21 @@
   ClusterCall *late =
       cluster_delay (cluster, cluster_call (cluster, pair.other, "/commit", "job-a"));
   cluster_release (cluster);
-  cluster_place (cluster, pair.worker, pair.other,
-                 "job-a"); /* by the next try, and by a repetition */
+  /* Recorded by the next attempt and by the repeated submission. */
+  cluster_place (cluster, pair.worker, pair.other, "job-a");
   cluster_worker_ends (pair.worker, "done");
   cluster_report (cluster, pair.worker, pair.leader);
   cluster_run (cluster, 1);
-  assert_answered (&pair, "job-a", "done");
+  assert_state_at_every_node (&pair, "job-a", "done");
   assert_int_equal (cluster_late (cluster, late), 409);
   cluster_run (cluster, 1);
-  assert_answered (&pair, "job-a", "done");
+  assert_state_at_every_node (&pair, "job-a", "done");
   cluster_free (cluster);
 }
 
-/* The cancellation that nobody confirmed comes after the job is done. */
+/* The write of an unconfirmed cancellation arrives after the job is done. */
 static void
-a_late_cancellation_does_not_undo_an_end (void **state G_GNUC_UNUSED)
+a_late_cancellation_does_not_change_a_finished_job (void **state G_GNUC_UNUSED)
 {
   ControllerPair pair = controller_pair ();
   Cluster *cluster = pair.cluster;
@@ -329,20 +333,21 @@
   cluster_run (cluster, 0.3);
   ClusterCall *late =
       cluster_delay (cluster, cluster_call (cluster, pair.other, "/commit", "job-a"));
-  lose_all (cluster, pair.other, "job-a", id);
+  lose_every_write (cluster, pair.other, "job-a", id);
   assert_int_equal (cluster_status (cluster, pair.other, id), 503);
   cluster_release (cluster);
   cluster_worker_ends (pair.worker, "done");
   cluster_report (cluster, pair.worker, pair.leader);
   cluster_run (cluster, 1);
-  assert_answered (&pair, "job-a", "done");
+  assert_state_at_every_node (&pair, "job-a", "done");
   assert_int_equal (cluster_late (cluster, late), 409);
   cluster_run (cluster, 1);
-  assert_answered (&pair, "job-a", "done");
+  assert_state_at_every_node (&pair, "job-a", "done");
   cluster_free (cluster);
 }
 
-/* An assignment of a leader that another has followed: neither recorded nor launched. */
+/* The write of an assignment arrives after another controller became the leader: the assignment is
+ * neither recorded nor launched. */
 static void
 a_late_assignment_of_a_former_leader_fails (void **state G_GNUC_UNUSED)
 {
@@ -353,7 +358,7 @@
   cluster_run (cluster, 0.5);
   ClusterCall *write = cluster_call (cluster, pair.leader, "/commit", "m-000001");
   assert_non_null (write);
-  depose_unaware (&pair);
+  depose_unnoticed (&pair);
   guint64 revision = cluster_stamp (cluster, "h/j/job-a");
   cluster_carry_out (cluster, write);
   assert_int_equal (write->status, 409);
@@ -361,7 +366,7 @@
   cluster_free (cluster);
 }
 
-/* The tombstone of a former leader comes late, after another has seen the task end too. */
+/* A former leader's tombstone arrives after the job was cancelled under the next leader. */
 static void
 a_late_tombstone_of_a_former_leader_fails (void **state G_GNUC_UNUSED)
 {
@@ -374,7 +379,7 @@
   cluster_run (cluster, 0.5);
   ClusterCall *write = cluster_call (cluster, pair.leader, "/commit", "\"s\":1");
   assert_non_null (write);
-  depose_unaware (&pair);
+  depose_unnoticed (&pair);
   guint64 abort = cluster_abort (cluster, pair.other, "job-a");
   cluster_run (cluster, 0.3);
   assert_string_equal (cluster_job_state (cluster, pair.other, abort), "withdrawn");
@@ -383,18 +388,19 @@
   cluster_release (cluster);
   cluster->exchange_statuses = TRUE;
   cluster_run (cluster, 2);
-  assert_answered (&pair, "job-a", "withdrawn");
+  assert_state_at_every_node (&pair, "job-a", "withdrawn");
   cluster_free (cluster);
 }
 
-/* A leader's writes of the leader record and of its key: late, after another leads; and with a
- * claim that has ended meanwhile, when nobody leads. */
+/* A candidate's write of the leader lock and the leader record arrives late: after a newer write
+ * made it the leader, and after its lease (claim) has expired, when no controller leads. */
 static void
 a_late_election_changes_nothing (void **state G_GNUC_UNUSED)
 {
   ControllerPair pair = controller_pair ();
   Cluster *cluster = pair.cluster;
-  /* The other stands once, unheard; then the leader's key lapses, and it stands again. */
+  /* The other controller stands for election, and its write is delayed. The leader lock expires, the
+   * controller stands again, and that write is delayed as well. */
   cluster_hold (cluster, pair.leader, "/touch", NULL);
   cluster_hold (cluster, pair.leader, "/commit", "h/leader");
   cluster_hold (cluster, pair.other, "/commit", "h/leader");
@@ -412,7 +418,7 @@
   guint64 map = cluster_stamp (cluster, "h/map");
   assert_int_equal (cluster_late (cluster, late), 409);
   assert_int_equal (cluster_stamp (cluster, "h/map"), map);
-  /* The process ends; its claim lapses; its write comes then. */
+  /* The process ends, its lease expires, and then its write arrives. */
   cluster_end (cluster, pair.other);
   cluster_hold (cluster, pair.leader, "/commit", "h/leader");
   cluster_run (cluster, 10);
@@ -422,11 +428,11 @@
   cluster_free (cluster);
 }
 
-/* ---- a cancellation at the end of the last task ---- */
+/* ---- a cancellation concurrent with the end of the last task ---- */
 
-/* Both are on their way at once; whichever is carried out first decides, at every node. */
+/* Both writes are in flight. The one that is carried out first decides the answer of every node. */
 static void
-a_cancellation_meets_the_end (void **state G_GNUC_UNUSED)
+a_cancellation_is_concurrent_with_the_end (void **state G_GNUC_UNUSED)
 {
   for (int variant = 0; variant < 4; variant++) {
     gboolean at_leader = variant & 1, end_first = variant & 2;
@@ -458,16 +464,16 @@
     cluster_release (cluster);
     cluster_run (cluster, 1);
     assert_string_equal (cluster_job_state (cluster, node, abort), job_state);
-    assert_answered (&pair, "job-a", job_state);
+    assert_state_at_every_node (&pair, "job-a", job_state);
     cluster_report (cluster, pair.worker, pair.leader);
     cluster_report (cluster, pair.worker, pair.leader);
     cluster_run (cluster, 1);
-    assert_answered (&pair, "job-a", job_state);
+    assert_state_at_every_node (&pair, "job-a", job_state);
     cluster_free (cluster);
   }
 }
 
-/* With no trouble at all: the tasks go, whoever confirmed it. */
+/* Without faults, the tasks are stopped whichever controller confirmed the cancellation. */
 static void
 a_cancellation_stops_the_tasks (void **state G_GNUC_UNUSED)
 {
@@ -488,29 +494,30 @@
   }
 }
 
-/* ---- hand-over ---- */
+/* ---- change of leader ---- */
 
-/* A controller that no longer leads, and does not know, confirms a cancellation: the next one
- * stops the tasks. */
+/* A former leader that has not learned of the new one confirms a cancellation: the new leader stops
+ * the tasks. */
 static void
 a_former_leader_confirms_a_cancellation (void **state G_GNUC_UNUSED)
 {
   ControllerPair pair = controller_pair ();
   Cluster *cluster = pair.cluster;
   cluster_place (cluster, pair.worker, pair.leader, "job-a");
-  depose_unaware (&pair);
+  depose_unnoticed (&pair);
   assert_int_equal (cluster_report (cluster, pair.worker, pair.other), 200);
   assert_int_equal (cluster_report (cluster, pair.worker, pair.other), 200);
   assert_true (cluster_worker_has (pair.worker, "job-a"));
   guint64 abort = cluster_abort (cluster, pair.leader, "job-a");
-  cluster_tick (cluster, 0.05); /* one reading of its own, which does not bring the leader record */
-  ClusterCall *reading = cluster_call (cluster, pair.leader, READING, NULL);
+  /* The former leader's read does not return the new leader record. */
+  cluster_tick (cluster, 0.05);
+  ClusterCall *read_call = cluster_call (cluster, pair.leader, READ, NULL);
   g_autofree char *nothing = g_strdup_printf ("{\"epoch\":0,\"log\":[]}");
-  cluster_answer_with (cluster, reading, 200, nothing);
+  cluster_answer_with (cluster, read_call, 200, nothing);
   cluster_run (cluster, 0.3);
   if (!cluster_status (cluster, pair.leader, abort)) {
     cluster_tick (cluster, 0.05);
-    cluster_answer_with (cluster, cluster_call (cluster, pair.leader, READING, NULL), 200, nothing);
+    cluster_answer_with (cluster, cluster_call (cluster, pair.leader, READ, NULL), 200, nothing);
     cluster_run (cluster, 0.3);
   }
   assert_string_equal (cluster_job_state (cluster, pair.leader, abort), "withdrawn");
@@ -520,13 +527,14 @@
   cluster->exchange_statuses = TRUE;
   cluster_release (cluster);
   cluster_run (cluster, 2);
-  assert_answered (&pair, "job-a", "withdrawn");
+  assert_state_at_every_node (&pair, "job-a", "withdrawn");
   cluster_free (cluster);
 }
 
-/* Confirmed after the leader record was written and before the new leader has read it. */
+/* The cancellation is confirmed after the write of the leader record and before the new leader has
+ * read that. */
 static void
-a_cancellation_falls_into_the_hand_over (void **state G_GNUC_UNUSED)
+a_cancellation_during_a_change_of_leader_is_carried_out (void **state G_GNUC_UNUSED)
 {
   Cluster *cluster = cluster_led (3);
   int old = cluster_leader (cluster);
@@ -545,7 +553,7 @@
         next = k;
   }
   int third = 3 - old - next;
-  cluster_hold (cluster, next, READING, NULL);
+  cluster_hold (cluster, next, READ, NULL);
   cluster_hold (cluster, next, WATCH, NULL);
   ClusterCall *write = cluster_call (cluster, next, "/commit", "h/leader");
   cluster_carry_out (cluster, write);
@@ -564,11 +572,11 @@
   cluster_free (cluster);
 }
 
-/* The changes since the leader's last reading are gone: it reads anew and has forgotten which of
- * its orders are on their way. The worker's report lacks the task, which is placed anew; so the
- * old order, when it comes, must be void. */
+/* The changes since the leader's last read are discarded. The leader reads the whole store again
+ * and no longer knows which of its orders are in flight. The worker's report lacks the task, which
+ * is placed again, so the old order has to be rejected when it arrives. */
 static void
-a_leader_that_reads_anew_voids_its_orders (void **state G_GNUC_UNUSED)
+a_leader_that_rereads_the_store_invalidates_its_orders (void **state G_GNUC_UNUSED)
 {
   ControllerPair pair = controller_pair ();
   Cluster *cluster = pair.cluster;
@@ -577,14 +585,14 @@
   cluster_submit (cluster, pair.other, "job-a", 1);
   cluster_run (cluster, 0.5);
   ClusterCall *order = cluster_call (cluster, pair.leader, "/do", "job-a");
-  assert_non_null (order); /* still on its way */
-  cluster_hold (cluster, pair.leader, READING, NULL);
+  assert_non_null (order); /* still in flight */
+  cluster_hold (cluster, pair.leader, READ, NULL);
   cluster_hold (cluster, pair.leader, WATCH, NULL);
   cluster_tick (cluster, 1.1);
-  cluster_submit (cluster, pair.other, "job-b", 1); /* so that there is a change to miss */
+  cluster_submit (cluster, pair.other, "job-b", 1); /* a change that the leader misses */
   cluster_serve (cluster);
   cluster_forget_changes (cluster);
-  cluster_answer (cluster, cluster_call (cluster, pair.leader, READING, NULL));
+  cluster_answer (cluster, cluster_call (cluster, pair.leader, READ, NULL));
   cluster_release (cluster);
   order->held = TRUE;
   for (int i = 0; i < 40; i++) {
@@ -605,20 +613,20 @@
       cmocka_unit_test (a_submission_without_answer_is_known_everywhere),
       cmocka_unit_test (a_submission_without_answer_is_repeated),
       cmocka_unit_test (a_cancellation_without_answer_is_known_everywhere),
-      cmocka_unit_test (a_lost_answer_costs_a_moment),
+      cmocka_unit_test (a_lost_answer_delays_the_user_by_less_than_half_a_second),
       cmocka_unit_test (an_assignment_without_answer_is_launched_once),
       cmocka_unit_test (a_tombstone_without_answer_is_reported),
-      cmocka_unit_test (an_election_without_answer_is_read),
-      cmocka_unit_test (a_late_submission_does_not_bring_a_job_back),
-      cmocka_unit_test (a_late_cancellation_does_not_undo_an_end),
+      cmocka_unit_test (an_election_without_answer_is_decided_by_a_read),
+      cmocka_unit_test (a_late_submission_does_not_recreate_a_finished_job),
+      cmocka_unit_test (a_late_cancellation_does_not_change_a_finished_job),
       cmocka_unit_test (a_late_assignment_of_a_former_leader_fails),
       cmocka_unit_test (a_late_tombstone_of_a_former_leader_fails),
       cmocka_unit_test (a_late_election_changes_nothing),
-      cmocka_unit_test (a_cancellation_meets_the_end),
+      cmocka_unit_test (a_cancellation_is_concurrent_with_the_end),
       cmocka_unit_test (a_cancellation_stops_the_tasks),
       cmocka_unit_test (a_former_leader_confirms_a_cancellation),
-      cmocka_unit_test (a_cancellation_falls_into_the_hand_over),
-      cmocka_unit_test (a_leader_that_reads_anew_voids_its_orders),
+      cmocka_unit_test (a_cancellation_during_a_change_of_leader_is_carried_out),
+      cmocka_unit_test (a_leader_that_rereads_the_store_invalidates_its_orders),
   };
   g_log_set_writer_func (cluster_log, NULL, NULL);
   return cmocka_run_group_tests (tests, NULL, NULL);
