--- a/tests/test_allowance.c
+++ b/tests/test_allowance.c
@@ -1,5 +1,5 @@
-/* Users where the state service allows few writes, is slow, or is away (scripted_cluster.h): what
- * they are told, and how soon. docs/meetings.md says which guard each test fails without. */
+/* Answers to users, and how soon they come, while the state service allows few writes, is slow or
+ * is out (scripted_cluster.h). docs/meetings.md names the guard without which each test fails. */
 #include "scripted_cluster.h"
 #include "protocol/json_util.h"
 #include <setjmp.h>
@@ -8,15 +8,15 @@
 #include <string.h>
 #include <cmocka.h>
 
-#define SCARCE_WRITES 15.0
+#define SCARCE_WRITE_RPS 15.0
 
-/* Work for every controller: launches and ends by the hundred wait for the leader's allowance. A
- * user's write does not wait behind them. */
+/* Writes of launches and task ends by the hundred wait for the leader's allowance. A user's write
+ * does not wait behind them. */
 static void
-users_write_before_launches (void **state G_GNUC_UNUSED)
+user_writes_precede_launches (void **state G_GNUC_UNUSED)
 {
   Cluster *cluster = cluster_new (1);
-  cluster_limit_writes (cluster, SCARCE_WRITES);
+  cluster_limit_writes (cluster, SCARCE_WRITE_RPS);
   cluster_run (cluster, 6);
   for (int i = 0; i < 90; i++) {
     g_autofree char *id = g_strdup_printf ("job-%d", i);
@@ -42,44 +42,45 @@
   cluster_free (cluster);
 }
 
-/* Twice as many as the service takes in a second, at once and at all nodes: those that it refuses
- * are tried again, out of step, and nobody is sent away. */
+/* Twice as many submissions as the state service takes in a second arrive at once, spread over all
+ * nodes. Refused writes are retried at staggered times, and no user's request is refused. */
 static void
-a_burst_beyond_the_allowance_is_paced (void **state G_GNUC_UNUSED)
+a_burst_beyond_the_allowance_is_retried (void **state G_GNUC_UNUSED)
 {
   Cluster *cluster = cluster_new (3);
-  guint64 asked[30];
-  cluster_limit_writes (cluster, SCARCE_WRITES);
+  guint64 requests[30];
+  cluster_limit_writes (cluster, SCARCE_WRITE_RPS);
   cluster_run (cluster, 6);
-  for (guint i = 0; i < G_N_ELEMENTS (asked); i++) {
+  for (guint i = 0; i < G_N_ELEMENTS (requests); i++) {
     g_autofree char *id = g_strdup_printf ("job-%u", i);
-    asked[i] = cluster_submit (cluster, i % 3, id, 1);
+    requests[i] = cluster_submit (cluster, i % 3, id, 1);
   }
   guint before = cluster->refused_writes;
   cluster_run (cluster, 2.5);
-  for (guint i = 0; i < G_N_ELEMENTS (asked); i++)
-    assert_in_range (cluster_status (cluster, i % 3, asked[i]), 200, 201);
+  for (guint i = 0; i < G_N_ELEMENTS (requests); i++)
+    assert_in_range (cluster_status (cluster, i % 3, requests[i]), 200, 201);
   print_message ("30 submissions at once: %u transactions refused\n",
                  cluster->refused_writes - before);
   assert_in_range (cluster->refused_writes - before, 1, 45);
   cluster_free (cluster);
 }
 
-/* ---- a stream ---- */
+/* ---- a stream of jobs ---- */
 
 typedef struct {
   char *id;
   int node;
-  double sent, accepted, ends, told, abort_sent, cancelled;
+  /* Times in seconds; 0: not yet. done_at: a user got the state "done". */
+  double sent_at, accepted_at, ends_at, done_at, abort_sent_at, cancelled_at;
   gboolean to_cancel, fell_in_place;
   guint64 submission, abort, poll;
 } StreamJob;
 
 typedef struct {
-  Cluster *s;
+  Cluster *cluster;
   GArray *jobs;
-  double run_s;
-  double worst_accept, worst_cancel, worst_told;
+  double run_s; /* how long each task runs */
+  double worst_accept, worst_cancel, worst_done;
 } Stream;
 
 static void
@@ -88,43 +89,44 @@
   g_free (((StreamJob *)data)->id);
 }
 
+/* Plays the users: submits refused jobs again, cancels some jobs and polls the others. */
 static void
-stream_users (Stream *stream)
+stream_step_users (Stream *stream)
 {
-  Cluster *cluster = stream->s;
+  Cluster *cluster = stream->cluster;
   for (guint i = 0; i < stream->jobs->len; i++) {
     StreamJob *job = &g_array_index (stream->jobs, StreamJob, i);
     int status = cluster_status (cluster, job->node, job->submission);
-    if (!job->accepted && status) {
-      if (status != 201 && status != 200) { /* asked again, as users do */
-        if (cluster->now - job->sent > 1) {
+    if (!job->accepted_at && status) {
+      if (status != 201 && status != 200) { /* refused: users try again */
+        if (cluster->now - job->sent_at > 1) {
           job->submission = cluster_submit (cluster, job->node, job->id, 1);
-          job->sent = cluster->now;
+          job->sent_at = cluster->now;
         }
         continue;
       }
-      job->accepted = cluster->now;
-      stream->worst_accept = MAX (stream->worst_accept, cluster->now - job->sent);
+      job->accepted_at = cluster->now;
+      stream->worst_accept = MAX (stream->worst_accept, cluster->now - job->sent_at);
     }
-    if (!job->accepted || job->cancelled || job->told)
+    if (!job->accepted_at || job->cancelled_at || job->done_at)
       continue;
-    if (job->to_cancel && !job->abort && cluster->now - job->accepted > i % 8) {
+    if (job->to_cancel && !job->abort && cluster->now - job->accepted_at > i % 8) {
       job->abort = cluster_abort (cluster, (job->node + 1) % cluster->n, job->id);
-      job->abort_sent = cluster->now;
+      job->abort_sent_at = cluster->now;
     }
     const char *job_state =
         job->abort ? cluster_job_state (cluster, (job->node + 1) % cluster->n, job->abort) : NULL;
     if (job_state) {
-      job->cancelled = cluster->now;
-      stream->worst_cancel = MAX (stream->worst_cancel, cluster->now - job->abort_sent);
+      job->cancelled_at = cluster->now;
+      stream->worst_cancel = MAX (stream->worst_cancel, cluster->now - job->abort_sent_at);
     } else if (job->abort && cluster_status (cluster, (job->node + 1) % cluster->n, job->abort))
       job->abort = 0;
-    if (!job->to_cancel && job->ends && cluster->now > job->ends) {
+    if (!job->to_cancel && job->ends_at && cluster->now > job->ends_at) {
       job_state =
           job->poll ? cluster_job_state (cluster, (job->node + 2) % cluster->n, job->poll) : NULL;
       if (g_strcmp0 (job_state, "done") == 0) {
-        job->told = cluster->now;
-        stream->worst_told = MAX (stream->worst_told, cluster->now - job->ends);
+        job->done_at = cluster->now;
+        stream->worst_done = MAX (stream->worst_done, cluster->now - job->ends_at);
       } else
         job->poll = cluster_poll (cluster, (job->node + 2) % cluster->n, job->id);
     }
@@ -142,10 +144,11 @@
   return NULL;
 }
 
+/* Ends tasks after run_s and sends the workers' reports. */
 static void
-stream_work (Stream *stream, guint round)
+stream_step_workers (Stream *stream, guint round)
 {
-  Cluster *cluster = stream->s;
+  Cluster *cluster = stream->cluster;
   for (guint i = 0; i < cluster->workers->len; i++) {
     ClusterWorker *worker = cluster->workers->pdata[i];
     gboolean change = FALSE;
@@ -154,9 +157,9 @@
       StreamJob *job = stream_find (stream, hr_json_str (task, "piece"));
       if (strcmp (hr_json_str (task, "stance"), "exited") == 0)
         continue;
-      if (!job->ends)
-        job->ends = cluster->now + stream->run_s;
-      else if (cluster->now >= job->ends) {
+      if (!job->ends_at)
+        job->ends_at = cluster->now + stream->run_s;
+      else if (cluster->now >= job->ends_at) {
         json_object_set_new (task, "stance", json_string ("exited"));
         json_object_set_new (task, "cause", json_string ("done"));
         change = TRUE;
@@ -167,14 +170,14 @@
   }
 }
 
-/* One-task jobs, four a second, a quarter of them cancelled, at 15 changes a second: all are
- * accepted, confirmed and told in time, and nothing piles up. */
+/* Four one-task jobs a second, a quarter of which are cancelled, at 15 changes a second: users get
+ * each acceptance, cancellation and end in time, and no backlog builds up. */
 static void
 a_stream_of_small_jobs_fits_the_allowance (void **state G_GNUC_UNUSED)
 {
   Cluster *cluster = cluster_new (3);
-  Stream stream = {.s = cluster, .run_s = 6};
-  cluster_limit_writes (cluster, SCARCE_WRITES);
+  Stream stream = {.cluster = cluster, .run_s = 6};
+  cluster_limit_writes (cluster, SCARCE_WRITE_RPS);
   cluster_run (cluster, 6);
   stream.jobs = g_array_new (FALSE, TRUE, sizeof (StreamJob));
   g_array_set_clear_func (stream.jobs, stream_job_clear);
@@ -186,36 +189,36 @@
     if (round % 5 == 0 && round < 60 * 20) {
       guint n = stream.jobs->len;
       StreamJob job = {.id = g_strdup_printf ("job-%u", n), .node = n % 3, .to_cancel = n % 4 == 3};
-      job.sent = cluster->now;
+      job.sent_at = cluster->now;
       job.submission = cluster_submit (cluster, job.node, job.id, 1);
       g_array_append_val (stream.jobs, job);
     }
     cluster_run (cluster, 0.05);
-    stream_work (&stream, round);
-    stream_users (&stream);
+    stream_step_workers (&stream, round);
+    stream_step_users (&stream);
   }
   guint open = 0;
   for (guint i = 0; i < stream.jobs->len; i++) {
     StreamJob *job = &g_array_index (stream.jobs, StreamJob, i);
-    open += !(job->cancelled || job->told);
+    open += !(job->cancelled_at || job->done_at);
   }
-  print_message ("%u jobs: accepted within %.2f s, cancelled within %.2f s, told within %.2f s; "
+  print_message ("%u jobs: accepted within %.2f s, cancelled within %.2f s, done within %.2f s; "
                  "%u changes, %u transactions refused\n",
-                 stream.jobs->len, stream.worst_accept, stream.worst_cancel, stream.worst_told,
+                 stream.jobs->len, stream.worst_accept, stream.worst_cancel, stream.worst_done,
                  cluster->carried_out, cluster->refused_writes);
   assert_int_equal (open, 0);
   assert_true (stream.worst_accept < 2);
   assert_true (stream.worst_cancel < 2.5);
-  assert_true (stream.worst_told < 3);
+  assert_true (stream.worst_done < 3);
   g_array_unref (stream.jobs);
   cluster_free (cluster);
 }
 
-/* ---- slow, refused, away ---- */
+/* ---- a slow service, a refused leader, an outage ---- */
 
-/* Whatever a node says of the job, it is not older than that it is cancelled. */
+/* Checks that no node answers with a state of the job from before its cancellation. */
 static void
-nobody_says_otherwise (Cluster *cluster, const char *id)
+assert_no_older_state (Cluster *cluster, const char *id)
 {
   for (int node = 0; node < cluster->n; node++) {
     guint64 poll = cluster_poll (cluster, node, id), again = cluster_submit (cluster, node, id, 1);
@@ -223,63 +226,63 @@
          i < 50 && !(cluster_reply (cluster, node, poll) && cluster_reply (cluster, node, again));
          i++)
       cluster_run (cluster, 0.05);
-    const char *told[] = {cluster_job_state (cluster, node, poll),
-                          cluster_job_state (cluster, node, again)};
+    const char *states[] = {cluster_job_state (cluster, node, poll),
+                            cluster_job_state (cluster, node, again)};
     for (int i = 0; i < 2; i++)
-      if (told[i])
-        assert_string_equal (told[i], "withdrawn");
+      if (states[i])
+        assert_string_equal (states[i], "withdrawn");
     assert_int_not_equal (cluster_status (cluster, node, poll), 404);
     assert_int_not_equal (cluster_status (cluster, node, again), 201);
   }
 }
 
 static void
-slow_service (Cluster *cluster, int next, int third)
+check_slow_service (Cluster *cluster, int next, int third)
 {
   cluster->slow = 0.8;
   guint64 id = cluster_submit (cluster, next, "job-e", 1);
-  cluster_run (cluster,
-               2.5); /* a first try given up too early, one more, and a look at the record */
+  /* Time for a first attempt that times out too early, a second one and a read of the record. */
+  cluster_run (cluster, 2.5);
   assert_in_range (cluster_status (cluster, next, id), 200, 201);
   id = cluster_submit (cluster, third, "job-c", 1);
-  cluster_run (cluster, 1); /* by now it is known to be slow */
+  cluster_run (cluster, 1); /* by now the node knows that the service is slow */
   assert_int_equal (cluster_status (cluster, third, id), 201);
   guint64 polls[3];
   for (int i = 0; i < 3; i++)
     polls[i] = cluster_poll (cluster, i, "job-c");
-  cluster_run (cluster, 1.95); /* users wait two seconds */
+  cluster_run (cluster, 1.95); /* requests wait at most two seconds */
   for (int i = 0; i < 3; i++)
     assert_non_null (cluster_job_state (cluster, i, polls[i]));
   guint64 abort = cluster_abort (cluster, third, "job-a");
   cluster_run (cluster, 3);
   assert_string_equal (cluster_job_state (cluster, third, abort), "withdrawn");
-  nobody_says_otherwise (cluster, "job-a");
+  assert_no_older_state (cluster, "job-a");
   cluster->slow = 0;
   cluster_run (cluster, 2);
 }
 
 static void
-refused_leader (Cluster *cluster, int leader, int next)
+check_refused_leader (Cluster *cluster, int leader, int next)
 {
-  /* The leader alone is refused, and others confirm. */
+  /* The state service refuses the leader alone, and another node confirms a cancellation. */
   cluster->nodes[leader].served = FALSE;
   cluster_run (cluster, 0.2);
   guint64 abort = cluster_abort (cluster, next, "job-b");
   cluster_run (cluster, 0.3);
   assert_string_equal (cluster_job_state (cluster, next, abort), "withdrawn");
-  nobody_says_otherwise (cluster, "job-b");
+  assert_no_older_state (cluster, "job-b");
   cluster_run (cluster, 0.7);
 }
 
 static void
-outage (Cluster *cluster, int next)
+check_outage (Cluster *cluster, int next)
 {
-  /* A second later it is out for all, for longer than cancel_s. */
+  /* A second later the service is out for all nodes, for longer than cancel_s. */
   cluster->outage = TRUE;
   double until = cluster->now + 42;
   while (cluster->now < until) {
-    nobody_says_otherwise (cluster, "job-a");
-    nobody_says_otherwise (cluster, "job-b");
+    assert_no_older_state (cluster, "job-a");
+    assert_no_older_state (cluster, "job-b");
     cluster_run (cluster, 1);
   }
   guint64 id = cluster_submit (cluster, next, "job-d", 1);
@@ -288,8 +291,8 @@
   assert_int_equal (cluster_status (cluster, next, id), 503);
   assert_int_equal (cluster_reply (cluster, next, id)->retry_after, 2);
   assert_int_equal (cluster_status (cluster, next, abort), 503);
-  assert_string_equal (cluster_asked (cluster, next, "job-b"),
-                       "withdrawn"); /* final: it may be told */
+  /* A final state may be answered during the outage. */
+  assert_string_equal (cluster_asked (cluster, next, "job-b"), "withdrawn");
 }
 
 static void
@@ -302,9 +305,9 @@
   cluster_report (cluster, worker, leader);
   cluster_place (cluster, worker, next, "job-a");
   cluster_place (cluster, worker, next, "job-b");
-  slow_service (cluster, next, third);
-  refused_leader (cluster, leader, next);
-  outage (cluster, next);
+  check_slow_service (cluster, next, third);
+  check_refused_leader (cluster, leader, next);
+  check_outage (cluster, next);
   cluster->outage = FALSE;
   cluster->nodes[leader].served = TRUE;
   cluster_run (cluster, 10);
@@ -321,8 +324,8 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-      cmocka_unit_test (users_write_before_launches),
-      cmocka_unit_test (a_burst_beyond_the_allowance_is_paced),
+      cmocka_unit_test (user_writes_precede_launches),
+      cmocka_unit_test (a_burst_beyond_the_allowance_is_retried),
       cmocka_unit_test (a_stream_of_small_jobs_fits_the_allowance),
       cmocka_unit_test (a_slow_service_then_a_refused_leader_then_an_outage),
   };
--- a/tests/test_pacing.c
+++ b/tests/test_pacing.c
@@ -1,4 +1,4 @@
-/* Planning passes leave most of the processor time to workers' reports and users' requests. */
+/* Planning passes leave most of the processor time to workers' reports and reads of the store. */
 #include "scripted_cluster.h"
 #include "coordination/state.h"
 #include <setjmp.h>
@@ -9,10 +9,9 @@
 #define RUN_S 30.0
 #define STEP_S 0.1
 
-/* Returns how many planning passes the leader makes in RUN_S seconds if each of its steps takes
- * step_took seconds. */
+/* Returns how many planning passes of pass_s seconds each the leader makes in RUN_S seconds. */
 static guint
-count_passes (double step_took)
+count_passes (double pass_s)
 {
   Cluster *cluster = cluster_led (2);
   HrCore *leader = cluster->nodes[cluster_leader (cluster)].core;
@@ -24,15 +23,15 @@
     leader->scheduling.plan_is_stale = TRUE;
     cluster_tick (cluster, 0.001);
     n += leader->scheduling.planned_at > before;
-    hr_core_step_took (leader, step_took);
+    hr_core_step_took (leader, pass_s);
     run_for += STEP_S;
   }
   cluster_free (cluster);
   return n;
 }
 
-/* Passes of one second start at most every fifth second or so, passes of a millisecond are not spaced,
- * and a process goes on planning after a pause of a minute. */
+/* Passes of one second take at most about a fifth of the time, passes of a millisecond are not
+ * delayed, and a process goes on planning after a pause of a minute within a pass. */
 static void
 long_passes_are_spaced (void **state G_GNUC_UNUSED)
 {
--- a/tests/test_renewals.c
+++ b/tests/test_renewals.c
@@ -1,5 +1,5 @@
-/* Who renews a worker's lease names in the same answer a stop for each of its tasks that must not
- * run. Message by message (scripted_fleet.h), and with generated reports. */
+/* An answer that renews a worker's lease names a stop for each of its tasks that must not run.
+ * Checked message by message (scripted_fleet.h) and with generated reports. */
 #include "scripted_fleet.h"
 #include "coordination/invariant.h"
 #include "coordination/agents/lease_renewal.h"
@@ -14,7 +14,7 @@
 #define SEED 20261202
 
 static gboolean
-runs_somewhere (Fleet *fleet, gpointer piece)
+task_runs (Fleet *fleet, gpointer piece)
 {
   return fleet_count (fleet, piece) > 0;
 }
@@ -26,13 +26,13 @@
   FleetMachine *machine = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
   fleet_submit (fleet, 0, job_id, NULL);
-  fleet_until (fleet, runs_somewhere, piece, 8);
+  fleet_until (fleet, task_runs, piece, 8);
   fleet_run (fleet, 3);
   return machine;
 }
 
 static guint64
-token (Fleet *fleet)
+current_token (Fleet *fleet)
 {
   json_t *map = json_loads (cluster_value (fleet->cluster, "h/map"), 0, NULL);
   guint64 number = json_integer_value (json_object_get (map, "b"));
@@ -44,29 +44,31 @@
 another_leads (Fleet *fleet, gpointer before)
 {
   int leader = cluster_leader (fleet->cluster);
-  return token (fleet) > *(guint64 *)before && leader >= 0 && fleet->cluster->nodes[leader].core;
+  return current_token (fleet) > *(guint64 *)before && leader >= 0 &&
+         fleet->cluster->nodes[leader].core;
 }
 
-/* The leader ends, another one leads; the machine reaches nobody meanwhile. */
+/* Ends the leader and waits until another controller leads. The machine reaches none meanwhile. */
 static void
 change_leader (Fleet *fleet, FleetMachine *machine)
 {
-  guint64 before = token (fleet);
+  guint64 before = current_token (fleet);
   machine->reports = FALSE;
   cluster_end (fleet->cluster, cluster_leader (fleet->cluster));
   fleet_until (fleet, another_leads, &before, 12);
   fleet_run (fleet, 0.5);
 }
 
-/* The orders of the answer to this report, or NULL when the answer does not renew the lease. */
+/* Returns the orders in the answer to the report; NULL if the answer does not renew the lease. */
 static json_t *
-renewed_with (Fleet *fleet, int node, const char *report)
+orders_of_renewal (Fleet *fleet, int node, const char *report)
 {
   guint64 id = cluster_request (fleet->cluster, node, HR_POST, "/hello", report);
   const ClusterReply *reply = cluster_reply (fleet->cluster, node, id);
   return reply && reply->status == 200 ? json_object_get (reply->body, "orders") : NULL;
 }
 
+/* Returns whether the orders name a stop for that attempt of the task. */
 static gboolean
 names_stop (json_t *orders, const char *piece, int attempt)
 {
@@ -82,16 +84,17 @@
   return FALSE;
 }
 
-/* ---- the incident ---- */
+/* ---- reports of a cancelled job's tasks ---- */
 
 static gboolean
 answered_by_the_leader (Fleet *fleet, gpointer machine)
 {
-  return ((FleetMachine *)machine)->token == token (fleet);
+  return ((FleetMachine *)machine)->token == current_token (fleet);
 }
 
-/* Each leader ends right after its first answer to the worker. All know the job as cancelled as
- * they begin; the worker keeps its lease, and lives by the protocol otherwise. */
+/* Each leader ends right after its first answer to the worker, which renews the lease. Unless that
+ * answer names the stop, the task of a job that every leader knows to be cancelled outlives
+ * cancel_s, although the worker follows the protocol. */
 static void
 leaders_that_end_after_their_first_answer (void **state G_GNUC_UNUSED)
 {
@@ -100,10 +103,10 @@
   FleetMachine *machine = machine_running (fleet, "job-a");
   machine->reached = machine->reports = FALSE;
   fleet_cancel (fleet, (cluster_leader (cluster) + 1) % 3, "job-a");
-  double told = cluster->now;
-  while (cluster->now < told + fleet->cancel_s + 2 && !fleet->broken->len) {
+  double cancelled_at = cluster->now;
+  while (cluster->now < cancelled_at + fleet->cancel_s + 2 && !fleet->broken->len) {
     int leader = cluster_leader (cluster);
-    guint64 before = token (fleet);
+    guint64 before = current_token (fleet);
     cluster_end (cluster, leader);
     fleet_until (fleet, another_leads, &before, 10);
     cluster_start (cluster, leader);
@@ -125,16 +128,16 @@
   fleet_cancel (fleet, 0, "job-a");
   change_leader (fleet, machine);
   g_autofree char *report = fleet_write (machine);
-  json_t *orders = renewed_with (fleet, cluster_leader (fleet->cluster), report);
+  json_t *orders = orders_of_renewal (fleet, cluster_leader (fleet->cluster), report);
   assert_non_null (orders);
   assert_true (names_stop (orders, "job-a/0", 1));
-  /* Nothing else: how old the report is nobody knows. */
+  /* No other order, since the age of the report is unknown. */
   assert_int_equal (json_array_size (orders), 1);
   fleet_end (fleet);
 }
 
 static void
-an_overtaken_report_gets_the_stop (void **state G_GNUC_UNUSED)
+an_out_of_order_report_gets_the_stop (void **state G_GNUC_UNUSED)
 {
   Fleet *fleet = fleet_new (2);
   FleetMachine *machine = machine_running (fleet, "job-a");
@@ -142,14 +145,14 @@
   fleet_cancel (fleet, 0, "job-a");
   int leader = cluster_leader (fleet->cluster);
   g_autofree char *older = fleet_write (machine), *newer = fleet_write (machine);
-  assert_true (names_stop (renewed_with (fleet, leader, newer), "job-a/0", 1));
-  json_t *orders = renewed_with (fleet, leader, older);
+  assert_true (names_stop (orders_of_renewal (fleet, leader, newer), "job-a/0", 1));
+  json_t *orders = orders_of_renewal (fleet, leader, older);
   assert_true (names_stop (orders, "job-a/0", 1));
   assert_int_equal (json_array_size (orders), 1);
   fleet_end (fleet);
 }
 
-/* The report left before the direct launch arrived, and its answer comes after the cancellation. */
+/* The report was sent before the direct launch arrived and is answered after the cancellation. */
 static void
 a_task_that_the_report_lacks_gets_the_stop (void **state G_GNUC_UNUSED)
 {
@@ -159,21 +162,21 @@
   machine->reports = FALSE;
   g_autofree char *before = fleet_write (machine);
   fleet_submit (fleet, 0, "job-a", NULL);
-  fleet_until (fleet, runs_somewhere, "job-a/0", 8);
+  fleet_until (fleet, task_runs, "job-a/0", 8);
   machine->reached = FALSE;
   fleet_cancel (fleet, 0, "job-a");
-  json_t *orders = renewed_with (fleet, cluster_leader (fleet->cluster), before);
+  json_t *orders = orders_of_renewal (fleet, cluster_leader (fleet->cluster), before);
   assert_true (names_stop (orders, "job-a/0", 1));
   fleet_end (fleet);
 }
 
-/* ---- a launch that may still come ---- */
+/* ---- a launch that is still in flight ---- */
 
-/* The launch of a cancelled job is on its way for longer than the leader may go on, the write that
- * would make it void is not answered, and the cloud deletes nothing: its worker's lease has to run
- * out in time. */
+/* The launch of a cancelled job is in flight for longer than the leader may go on renewing the
+ * lease, the write of a higher fencing token, which would invalidate the launch, gets no answer,
+ * and the cloud deletes no machine. The worker's lease has to run out in time. */
 static void
-a_launch_that_may_still_come_ends_the_lease (void **state G_GNUC_UNUSED)
+a_launch_in_flight_lets_the_lease_expire (void **state G_GNUC_UNUSED)
 {
   Fleet *fleet = fleet_new (2);
   Cluster *cluster = fleet->cluster;
@@ -183,14 +186,14 @@
   machine->reports = fleet->cloud_deletes = FALSE;
   ClusterCall *late = cluster_delay (cluster, fleet_launch_call (fleet, machine, leader, "job-a"));
   fleet_cancel (fleet, 1 - leader, "job-a");
-  double told = cluster->now;
+  double cancelled_at = cluster->now;
   cluster_hold (cluster, leader, "/commit", "h/map");
   machine->reports = TRUE;
-  while (cluster->now < told + fleet->cancel_s - fleet->lease_s + 3) {
+  while (cluster->now < cancelled_at + fleet->cancel_s - fleet->lease_s + 3) {
     fleet_run (fleet, 0.5);
-    ClusterCall *raise = cluster_call (cluster, leader, "/commit", "h/map");
-    if (raise && cluster->now - raise->sent > raise->timeout)
-      cluster_lose (cluster, raise);
+    ClusterCall *token_write = cluster_call (cluster, leader, "/commit", "h/map");
+    if (token_write && cluster->now - token_write->sent > token_write->timeout)
+      cluster_lose (cluster, token_write);
   }
   fleet_obey_direct (machine, late->body);
   cluster_late (cluster, late);
@@ -203,7 +206,8 @@
 
 static const char *const task_states[] = {"fetching", "gathering", "running", "flushing", "exited"};
 
-/* A worker's report with tasks of known, unknown and cancelled jobs, odd attempts and numbers. */
+/* Returns a report with tasks of known, unknown and cancelled jobs, and random attempts, sequence
+ * numbers and fencing tokens. */
 static json_t *
 generated_report (GRand *rand, guint64 newest_token)
 {
@@ -226,9 +230,10 @@
                     "pieces", pieces);
 }
 
-/* Every task of a job that is cancelled or done, and that the report shows alive, is named. */
+/* Checks that the orders stop every task in the report that has not exited and whose job is in
+ * ended_jobs. */
 static void
-check_answer (json_t *report, json_t *orders, const char *const *over)
+check_answer (json_t *report, json_t *orders, const char *const *ended_jobs)
 {
   size_t i;
   json_t *item;
@@ -236,11 +241,12 @@
   {
     const char *piece = hr_json_str (item, "piece");
     g_autofree char *job_id = g_strndup (piece, strcspn (piece, "/"));
-    if (!g_strv_contains (over, job_id) || strcmp (hr_json_str (item, "stance"), "exited") == 0)
+    if (!g_strv_contains (ended_jobs, job_id) ||
+        strcmp (hr_json_str (item, "stance"), "exited") == 0)
       continue;
     if (!names_stop (orders, piece, json_integer_value (json_object_get (item, "try")))) {
       g_autofree char *text = json_dumps (report, JSON_COMPACT);
-      fail_msg ("%s goes on after the answer to %s", piece, text);
+      fail_msg ("no stop for %s in the answer to %s", piece, text);
     }
   }
 }
@@ -248,14 +254,14 @@
 static void
 generated_reports_get_their_stops (void **state G_GNUC_UNUSED)
 {
-  static const char *const over[] = {"job-b", "job-c", NULL};
+  static const char *const ended_jobs[] = {"job-b", "job-c", NULL};
   Fleet *fleet = fleet_new (2);
   FleetMachine *machine = machine_running (fleet, "job-a");
   fleet_submit (fleet, 0, "job-b", NULL);
-  fleet_until (fleet, runs_somewhere, "job-b/0", 8);
+  fleet_until (fleet, task_runs, "job-b/0", 8);
   fleet_exit (machine, "job-b/0", "done");
   fleet_submit (fleet, 0, "job-c", NULL);
-  fleet_until (fleet, runs_somewhere, "job-c/0", 8);
+  fleet_until (fleet, task_runs, "job-c/0", 8);
   fleet_run (fleet, 6);
   assert_string_equal (fleet_job_state (fleet, 0, "job-b"), "done");
   machine->reports = machine->reached = FALSE;
@@ -266,11 +272,11 @@
   g_autoptr (GRand) rand = g_rand_new_with_seed (SEED);
   guint renewed = 0;
   for (int i = 0; i < REPORTS; i++) {
-    json_t *report = generated_report (rand, token (fleet));
+    json_t *report = generated_report (rand, current_token (fleet));
     g_autofree char *text = json_dumps (report, JSON_COMPACT);
-    json_t *orders = renewed_with (fleet, leader, text);
+    json_t *orders = orders_of_renewal (fleet, leader, text);
     if (orders)
-      check_answer (report, orders, over);
+      check_answer (report, orders, ended_jobs);
     renewed += orders != NULL;
     json_decref (report);
   }
@@ -278,23 +284,23 @@
   fleet_end (fleet);
 }
 
-/* ---- the check itself ---- */
+/* ---- the check of the orders ---- */
 
-/* The check does not go by what put the orders together: it finds a stop that they lack, of a task
- * that the report shows and of one that only the record has there. A release counts that and ends
- * no process. */
+/* The check is independent of the code that compiles the orders. It finds a missing stop both for a
+ * task in the report and for one that only the record places on the machine. A release build counts
+ * the violation and does not abort. */
 static void
-a_stop_that_is_missing_is_found (void **state G_GNUC_UNUSED)
+the_check_finds_a_missing_stop (void **state G_GNUC_UNUSED)
 {
   Fleet *fleet = fleet_new (2);
-  FleetMachine *machine_row = machine_running (fleet, "job-a");
-  machine_row->reached = machine_row->reports = FALSE;
+  FleetMachine *fleet_worker = machine_running (fleet, "job-a");
+  fleet_worker->reached = fleet_worker->reports = FALSE;
   fleet_cancel (fleet, 0, "job-a");
   HrCore *core = fleet->cluster->nodes[cluster_leader (fleet->cluster)].core;
   HrMachine *machine = hr_machine_find (&core->store.tables, "m-1");
-  g_autofree char *shown = fleet_write (machine_row);
-  g_ptr_array_set_size (machine_row->tasks, 0);
-  g_autofree char *empty = fleet_write (machine_row);
+  g_autofree char *shown = fleet_write (fleet_worker);
+  g_ptr_array_set_size (fleet_worker->tasks, 0);
+  g_autofree char *empty = fleet_write (fleet_worker);
   g_autoptr (HrHeartbeat) with = hr_heartbeat_parse (shown, strlen (shown), NULL);
   g_autoptr (HrHeartbeat) without = hr_heartbeat_parse (empty, strlen (empty), NULL);
   g_autoptr (GArray) orders = hr_order_list_new ();
@@ -309,7 +315,7 @@
   assert_null (hr_lease_renewal_missing_stop (core, machine, with, orders));
   assert_null (hr_lease_renewal_missing_stop (core, machine, without, orders));
   hr_invariant_set_fatal (FALSE);
-  hr_invariant_violated (core, "%s", "as a test has it");
+  hr_invariant_violated (core, "%s", "reported by a test");
   hr_invariant_set_fatal (TRUE);
   assert_int_equal (core->metrics.counters.invariants_violated, 1);
   fleet_end (fleet);
@@ -321,11 +327,11 @@
   const struct CMUnitTest tests[] = {
       cmocka_unit_test (leaders_that_end_after_their_first_answer),
       cmocka_unit_test (a_report_from_before_the_token_gets_the_stop),
-      cmocka_unit_test (an_overtaken_report_gets_the_stop),
+      cmocka_unit_test (an_out_of_order_report_gets_the_stop),
       cmocka_unit_test (a_task_that_the_report_lacks_gets_the_stop),
-      cmocka_unit_test (a_launch_that_may_still_come_ends_the_lease),
+      cmocka_unit_test (a_launch_in_flight_lets_the_lease_expire),
       cmocka_unit_test (generated_reports_get_their_stops),
-      cmocka_unit_test (a_stop_that_is_missing_is_found),
+      cmocka_unit_test (the_check_finds_a_missing_stop),
   };
   g_log_set_writer_func (cluster_log, NULL, NULL);
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/test_requests.c
+++ b/tests/test_requests.c
@@ -9,7 +9,7 @@
 #include <string.h>
 #include <cmocka.h>
 
-/* Returns the status with which the node answers the request. Checks that a refusal gives a reason. */
+/* Returns the status of the node's answer to the request. Checks that a refusal gives a reason. */
 static int
 request_status (Cluster *cluster, int node, HrMethod method, const char *path, const char *body)
 {
@@ -225,8 +225,8 @@
   cluster_free (cluster);
 }
 
-/* At most half of the tasks of a gang with `apart` may run in one zone, and the job allows no second
- * zone. */
+/* At most half of the tasks of a gang with `apart` may run in one zone, and the job allows no
+ * second zone. */
 static void
 a_gang_without_a_second_zone_is_refused (void **state G_GNUC_UNUSED)
 {
@@ -252,8 +252,9 @@
   cluster_free (cluster);
 }
 
-/* The id alone identifies a job: a submission with the id of an accepted job returns that job, whatever
- * else it says, also at a node that has not read the record yet and while the node reads it again. */
+/* The id alone identifies a job: a submission with the id of an accepted job returns that job,
+ * whatever else it says, also at a node that has not read the record yet and while the node reads
+ * it again. */
 static void
 a_resubmission_with_other_content_returns_the_job (void **state G_GNUC_UNUSED)
 {
@@ -300,7 +301,8 @@
   cluster_run (cluster, 5);
   assert_int_equal (submit_with (cluster, "rank", NULL), 503);
   assert_int_equal (submit_with (cluster, "crew", "\"strangers\""), 503);
-  assert_int_equal (submit_with (cluster, "name_id", NULL), 400); /* without an id, no existing job can be meant */
+  /* Without an id, the submission cannot mean an existing job. */
+  assert_int_equal (submit_with (cluster, "name_id", NULL), 400);
   cluster->outage = FALSE;
   cluster_run (cluster, 3);
   assert_int_equal (submit_with (cluster, "rank", NULL), 400);
@@ -381,7 +383,7 @@
   cluster_free (cluster);
 }
 
-/* A malformed record: its job was accepted, so the answer is neither 404 nor the state read before. */
+/* A malformed record: its job was accepted, so the answer is neither 404 nor an earlier state. */
 static void
 a_job_with_a_malformed_record_is_answered_503 (void **state G_GNUC_UNUSED)
 {
--- a/tests/test_store_reads.c
+++ b/tests/test_store_reads.c
@@ -1,6 +1,6 @@
-/* Meetings of users' requests with what is on its way to and from the state service, message by
- * message (scripted_cluster.h). docs/meetings.md says which meeting each test brings about and
- * which guard it fails without. */
+/* Interleavings of users' requests with calls to and answers from the state service, message by
+ * message (scripted_cluster.h). docs/meetings.md describes the interleaving of each test and the
+ * guard without which it fails. */
 #include "scripted_cluster.h"
 #include "protocol/json_util.h"
 #include <setjmp.h>
@@ -34,22 +34,23 @@
   cluster_free (cluster);
 }
 
-#define READING "hold_ms=0"
+/* Queries of a read of the store's changes and of a watch (long poll). */
+#define READ "hold_ms=0"
 #define WATCH "hold_ms=10000"
 
 /* ---- the read index ---- */
 
-/* A reading that was sent before the question knows nothing of what was accepted in between. */
+/* A read that was sent before the request does not show what was accepted in between. */
 static void
-a_reading_sent_before_the_question_does_not_answer_it (void **state G_GNUC_UNUSED)
+a_read_sent_before_the_request_does_not_answer_it (void **state G_GNUC_UNUSED)
 {
   Cluster *cluster = cluster_led (2);
   int leader = cluster_leader (cluster), other = 1 - leader;
-  cluster_hold (cluster, other, READING, NULL);
+  cluster_hold (cluster, other, READ, NULL);
   cluster_hold (cluster, other, WATCH, NULL);
   guint64 early = cluster_poll (cluster, other, "job-a");
   cluster_tick (cluster, 0.05);
-  ClusterCall *before = cluster_call (cluster, other, READING, NULL);
+  ClusterCall *before = cluster_call (cluster, other, READ, NULL);
   assert_non_null (before);
   cluster_carry_out (cluster, before);
   guint64 id = cluster_submit (cluster, leader, "job-a", 1);
@@ -57,67 +58,68 @@
   assert_int_equal (cluster_status (cluster, leader, id), 201);
   guint64 late = cluster_poll (cluster, other, "job-a");
   cluster_tick (cluster, 0.05);
-  assert_int_equal (cluster_count (cluster, other, READING, NULL), 1);
+  assert_int_equal (cluster_count (cluster, other, READ, NULL), 1);
   cluster_answer (cluster, before);
   assert_int_equal (cluster_status (cluster, other, early), 404);
   assert_int_equal (cluster_status (cluster, other, late), 0);
   cluster_tick (cluster, 0.05);
-  cluster_answer (cluster, cluster_call (cluster, other, READING, NULL));
+  cluster_answer (cluster, cluster_call (cluster, other, READ, NULL));
   assert_string_equal (cluster_job_state (cluster, other, late), "queued");
   cluster_free (cluster);
 }
 
-/* Hundreds ask at once, close after one another and while a reading is out: one at a time. */
+/* Hundreds of requests arrive in close succession, also while a read is in flight: the node has at
+ * most one read in flight. */
 static void
-one_reading_serves_all_who_asked_before_it (void **state G_GNUC_UNUSED)
+one_read_serves_all_requests_before_it (void **state G_GNUC_UNUSED)
 {
   Cluster *cluster = cluster_led (2);
   int other = 1 - cluster_leader (cluster);
-  GArray *asked = g_array_new (FALSE, FALSE, sizeof (guint64));
+  GArray *requests = g_array_new (FALSE, FALSE, sizeof (guint64));
   cluster_submit (cluster, other, "job-a", 1);
   cluster_run (cluster, 0.5);
-  cluster_hold (cluster, other, READING, NULL);
+  cluster_hold (cluster, other, READ, NULL);
   for (int i = 0; i < 600; i++) {
     guint64 id = i % 3 == 0   ? cluster_poll (cluster, other, "job-a")
                  : i % 3 == 1 ? cluster_submit (cluster, other, "job-a", 1)
                               : cluster_poll (cluster, other, "job-never");
-    g_array_append_val (asked, id);
+    g_array_append_val (requests, id);
     cluster_tick (cluster, 0.002);
-    assert_in_range (cluster_count (cluster, other, READING, NULL), 0, 1);
+    assert_in_range (cluster_count (cluster, other, READ, NULL), 0, 1);
     if (i % 200 == 199)
-      cluster_answer (cluster, cluster_call (cluster, other, READING, NULL));
+      cluster_answer (cluster, cluster_call (cluster, other, READ, NULL));
   }
   cluster_tick (cluster, 0.05);
-  cluster_answer (cluster, cluster_call (cluster, other, READING, NULL));
-  for (guint i = 0; i < asked->len; i++)
-    assert_int_equal (cluster_status (cluster, other, g_array_index (asked, guint64, i)),
+  cluster_answer (cluster, cluster_call (cluster, other, READ, NULL));
+  for (guint i = 0; i < requests->len; i++)
+    assert_int_equal (cluster_status (cluster, other, g_array_index (requests, guint64, i)),
                       i % 3 == 2 ? 404 : 200);
-  g_array_unref (asked);
+  g_array_unref (requests);
   cluster_free (cluster);
 }
 
-/* Too many requests: who asked waits for the next reading, for a while, and is then sent away;
- * nobody is answered from memory. */
+/* The state service refuses the read as one too many (429): the request waits for the next read,
+ * and after a while is answered 503. No request is answered from memory. */
 static void
-a_refused_reading_answers_nobody (void **state G_GNUC_UNUSED)
+a_refused_read_answers_no_request (void **state G_GNUC_UNUSED)
 {
   Cluster *cluster = cluster_led (2);
   int leader = cluster_leader (cluster), other = 1 - leader;
-  cluster_hold (cluster, other, READING, NULL);
+  cluster_hold (cluster, other, READ, NULL);
   cluster_hold (cluster, other, WATCH, NULL);
   guint64 id = cluster_poll (cluster, other, "job-a");
   cluster_tick (cluster, 0.05);
   cluster_submit (cluster, leader, "job-a", 1);
   cluster_serve (cluster);
-  cluster_answer_with (cluster, cluster_call (cluster, other, READING, NULL), 429, "{}");
+  cluster_answer_with (cluster, cluster_call (cluster, other, READ, NULL), 429, "{}");
   assert_int_equal (cluster_status (cluster, other, id), 0);
   cluster_tick (cluster, 0.05);
-  cluster_answer (cluster, cluster_call (cluster, other, READING, NULL));
+  cluster_answer (cluster, cluster_call (cluster, other, READ, NULL));
   assert_string_equal (cluster_job_state (cluster, other, id), "queued");
   id = cluster_poll (cluster, other, "job-never");
   for (int i = 0; i < 40 && !cluster_status (cluster, other, id); i++) {
     cluster_tick (cluster, 0.05);
-    ClusterCall *call = cluster_call (cluster, other, READING, NULL);
+    ClusterCall *call = cluster_call (cluster, other, READ, NULL);
     if (call)
       cluster_answer_with (cluster, call, 429, "{}");
   }
@@ -125,10 +127,10 @@
   cluster_free (cluster);
 }
 
-/* The changes since the last reading are gone: all is read anew, and until then nothing is
- * said of jobs that are not final. */
+/* The changes since the last read are discarded: the node reads the whole store again, and until
+ * then gives no state of a job that is not final. */
 static void
-a_reading_too_old_is_read_anew (void **state G_GNUC_UNUSED)
+a_read_of_discarded_changes_rereads_the_store (void **state G_GNUC_UNUSED)
 {
   Cluster *cluster = cluster_led (2);
   int leader = cluster_leader (cluster), other = 1 - leader;
@@ -136,14 +138,14 @@
   cluster_report (cluster, worker, leader);
   cluster_report (cluster, worker, leader);
   cluster_place (cluster, worker, leader, "job-b");
-  cluster_hold (cluster, leader, "/do", NULL); /* its worker does not hear that it is to end */
+  cluster_hold (cluster, leader, "/do", NULL); /* the stop does not reach its worker */
   cluster_submit (cluster, leader, "job-a", 1);
   cluster_run (cluster, 0.5);
   guint64 gone = cluster_abort (cluster, other, "job-b");
   cluster_run (cluster, 0.5);
   assert_string_equal (cluster_job_state (cluster, other, gone), "withdrawn");
   assert_null (strstr (cluster_value (cluster, "h/j/job-b"), "\"n\":1")); /* no tombstone yet */
-  cluster_hold (cluster, other, READING, NULL);
+  cluster_hold (cluster, other, READ, NULL);
   cluster_hold (cluster, other, WATCH, NULL);
   cluster_hold (cluster, other, "/kv?", NULL);
   cluster_abort (cluster, leader, "job-a");
@@ -151,10 +153,10 @@
   cluster_forget_changes (cluster);
   guint64 id = cluster_poll (cluster, other, "job-a");
   cluster_tick (cluster, 1.1);
-  ClusterCall *reading = cluster_call (cluster, other, READING, NULL);
-  if (!reading) /* it asks again after a moment */
+  ClusterCall *read_call = cluster_call (cluster, other, READ, NULL);
+  if (!read_call) /* the node reads again after a moment */
     cluster_tick (cluster, 1.1);
-  cluster_answer (cluster, cluster_call (cluster, other, READING, NULL));
+  cluster_answer (cluster, cluster_call (cluster, other, READ, NULL));
   assert_int_equal (cluster_status (cluster, other, id), 503);
   cluster_tick (cluster, 0.05);
   assert_non_null (cluster_call (cluster, other, "/kv?", NULL));
@@ -172,7 +174,7 @@
 
 /* A new process answers nothing before it has read the state store. */
 static void
-a_new_process_attests_nothing_before_it_has_read (void **state G_GNUC_UNUSED)
+a_new_process_answers_nothing_before_it_has_read (void **state G_GNUC_UNUSED)
 {
   Cluster *cluster = cluster_led (2);
   int leader = cluster_leader (cluster), other = 1 - leader;
@@ -189,8 +191,8 @@
   assert_int_equal (cluster_status (cluster, other, poll), 503);
   assert_int_equal (cluster_status (cluster, other, again), 503);
   assert_int_equal (cluster_status (cluster, other, abort), 503);
-  /* Rows alone are not enough: the first reading is still out. */
-  cluster_hold (cluster, other, READING, NULL);
+  /* The listed keys alone are not enough: the first read of changes is still in flight. */
+  cluster_hold (cluster, other, READ, NULL);
   cluster_answer (cluster, cluster_call (cluster, other, "/kv?", NULL));
   poll = cluster_poll (cluster, other, "job-a");
   assert_int_equal (cluster_status (cluster, other, poll), 0);
@@ -200,9 +202,9 @@
   cluster_free (cluster);
 }
 
-/* The leader's own key lapses, and another takes over: the leader is deposed. */
+/* Lets the leader lock expire until another controller leads. */
 static void
-depose (Cluster *cluster, int leader)
+expire_leader_lock (Cluster *cluster, int leader)
 {
   cluster_hold (cluster, leader, "/touch", NULL);
   cluster_hold (cluster, leader, "/commit", "h/leader");
@@ -211,42 +213,43 @@
   assert_int_not_equal (cluster_leader (cluster), leader);
 }
 
-/* An answer to a reading from before a reset, when those who wait have asked since. */
+/* The answer to a read from before a reset arrives, while requests from after the reset wait. */
 static void
-a_reading_from_before_a_reset_does_not_count (void **state G_GNUC_UNUSED)
+a_read_from_before_a_reset_does_not_count (void **state G_GNUC_UNUSED)
 {
   Cluster *cluster = cluster_led (2);
   int old = cluster_leader (cluster), next = 1 - old;
   cluster_submit (cluster, next, "job-a", 1);
   cluster_run (cluster, 0.5);
-  cluster_hold (cluster, old, READING, NULL);
+  cluster_hold (cluster, old, READ, NULL);
   guint64 first = cluster_poll (cluster, old, "job-a");
   cluster_tick (cluster, 0.05);
-  ClusterCall *before = cluster_call (cluster, old, READING, NULL);
+  ClusterCall *before = cluster_call (cluster, old, READ, NULL);
   assert_non_null (before);
   cluster_carry_out (cluster, before);
-  depose (cluster, old);
-  cluster_run (cluster, 1); /* its watch told it; it reads anew */
+  expire_leader_lock (cluster, old);
+  cluster_run (cluster, 1); /* its watch shows the new leader, and it reads the store again */
   assert_int_equal (cluster_status (cluster, old, first), 503);
   cluster_hold (cluster, old, WATCH, NULL);
-  guint readings = 0;
-  for (guint i = 0; i < cluster->calls->len; i++) { /* all but that one, until none is out */
+  guint reads = 0;
+  /* Answers all reads but that one, until no other is in flight. */
+  for (guint i = 0; i < cluster->calls->len; i++) {
     ClusterCall *call = cluster->calls->pdata[i];
-    if (call == before || !strstr (call->path, READING))
+    if (call == before || !strstr (call->path, READ))
       continue;
     cluster_answer (cluster, call);
     cluster_tick (cluster, 0.05);
-    readings++;
+    reads++;
     i = 0;
   }
-  assert_true (readings > 0);
+  assert_true (reads > 0);
   guint64 abort = cluster_abort (cluster, next, "job-a");
   cluster_run (cluster, 0.3);
   assert_string_equal (cluster_job_state (cluster, next, abort), "withdrawn");
   guint64 late = cluster_poll (cluster, old, "job-a");
   cluster_tick (cluster, 0.05);
-  assert_int_equal (cluster_count (cluster, old, READING, NULL),
-                    2); /* its own is out, and the old one */
+  /* The read for the new request, and the old one. */
+  assert_int_equal (cluster_count (cluster, old, READ, NULL), 2);
   cluster_answer (cluster, before);
   assert_int_equal (cluster_status (cluster, old, late), 0);
   cluster_release (cluster);
@@ -255,17 +258,17 @@
   cluster_free (cluster);
 }
 
-/* A watch's answer that a newer reading has overtaken changes nothing: the leader's key would
- * look free for good, and this node would stand against the leader again and again. */
+/* The answer to a watch arrives after that to a newer read and is dropped. Otherwise the leader
+ * lock would look free for good, and this node would stand for election again and again. */
 static void
-an_overtaken_watch_is_dropped (void **state G_GNUC_UNUSED)
+a_superseded_watch_is_dropped (void **state G_GNUC_UNUSED)
 {
   Cluster *cluster = cluster_led (2);
   int leader = cluster_leader (cluster), other = 1 - leader;
   cluster_hold (cluster, leader, "/touch", NULL);
   cluster_hold (cluster, other, "/commit", "h/leader");
   cluster_hold (cluster, other, WATCH, NULL);
-  cluster_hold (cluster, other, READING, NULL);
+  cluster_hold (cluster, other, READ, NULL);
   cluster_hold (cluster, leader, "/commit", "h/leader");
   for (int i = 0; i < 100 && cluster_value (cluster, "h/leader"); i++)
     cluster_run (cluster, 0.05);
@@ -274,12 +277,12 @@
   assert_non_null (watch);
   cluster_carry_out (cluster, watch);
   for (int i = 0; i < 100 && !cluster_value (cluster, "h/leader"); i++) {
-    cluster_run (cluster, 0.05); /* with its lapsed claim first, then with a new one */
+    cluster_run (cluster, 0.05); /* with its expired lease (claim) first, then with a new one */
     if (cluster_call (cluster, leader, "/commit", "h/leader"))
       cluster_answer (cluster, cluster_call (cluster, leader, "/commit", "h/leader"));
   }
   assert_non_null (cluster_value (cluster, "h/leader"));
-  cluster_answer (cluster, cluster_call (cluster, other, READING, NULL));
+  cluster_answer (cluster, cluster_call (cluster, other, READ, NULL));
   cluster_answer (cluster, watch);
   cluster_release (cluster);
   cluster_hold (cluster, other, "/commit", "h/leader");
@@ -291,10 +294,10 @@
 
 /* ---- repeated submissions ---- */
 
-/* The same submission twice at one node and once at another, all on their way at once: one
- * record, and every answer says that it is accepted. */
+/* The same submission is in flight twice at one node and once at another: one record is written,
+ * and every answer says that the job is accepted. */
 static void
-a_submission_in_flight_is_repeated (void **state G_GNUC_UNUSED)
+concurrent_submissions_write_one_record (void **state G_GNUC_UNUSED)
 {
   Cluster *cluster = cluster_led (3);
   int leader = cluster_leader (cluster), second_node = (leader + 1) % 3,
@@ -328,10 +331,10 @@
   cluster_free (cluster);
 }
 
-/* The answer to the write of a submission comes last, after the job was cancelled elsewhere and
- * this node has read that: it does not bring the job back. */
+/* The answer to the write of a submission arrives after the job was cancelled at another node and
+ * this node has read that. The job stays cancelled. */
 static void
-a_late_answer_does_not_bring_a_job_back (void **state G_GNUC_UNUSED)
+a_late_answer_does_not_reopen_a_cancelled_job (void **state G_GNUC_UNUSED)
 {
   Cluster *cluster = cluster_led (2);
   int leader = cluster_leader (cluster), other = 1 - leader;
@@ -352,9 +355,10 @@
   cluster_free (cluster);
 }
 
-/* All nodes are asked, and the submission repeated, in the milliseconds after each answer. */
+/* In the milliseconds after an answer, every node is polled and gets the submission again. No
+ * answer is older than that first one. */
 static void
-nobody_answers_something_older (void **state G_GNUC_UNUSED)
+no_node_answers_with_an_older_state (void **state G_GNUC_UNUSED)
 {
   Cluster *cluster = cluster_led (3);
   int leader = cluster_leader (cluster);
@@ -406,16 +410,16 @@
 {
   const struct CMUnitTest tests[] = {
       cmocka_unit_test (a_job_runs_to_its_end),
-      cmocka_unit_test (a_reading_sent_before_the_question_does_not_answer_it),
-      cmocka_unit_test (one_reading_serves_all_who_asked_before_it),
-      cmocka_unit_test (a_refused_reading_answers_nobody),
-      cmocka_unit_test (a_reading_too_old_is_read_anew),
-      cmocka_unit_test (a_new_process_attests_nothing_before_it_has_read),
-      cmocka_unit_test (a_reading_from_before_a_reset_does_not_count),
-      cmocka_unit_test (an_overtaken_watch_is_dropped),
-      cmocka_unit_test (a_submission_in_flight_is_repeated),
-      cmocka_unit_test (a_late_answer_does_not_bring_a_job_back),
-      cmocka_unit_test (nobody_answers_something_older),
+      cmocka_unit_test (a_read_sent_before_the_request_does_not_answer_it),
+      cmocka_unit_test (one_read_serves_all_requests_before_it),
+      cmocka_unit_test (a_refused_read_answers_no_request),
+      cmocka_unit_test (a_read_of_discarded_changes_rereads_the_store),
+      cmocka_unit_test (a_new_process_answers_nothing_before_it_has_read),
+      cmocka_unit_test (a_read_from_before_a_reset_does_not_count),
+      cmocka_unit_test (a_superseded_watch_is_dropped),
+      cmocka_unit_test (concurrent_submissions_write_one_record),
+      cmocka_unit_test (a_late_answer_does_not_reopen_a_cancelled_job),
+      cmocka_unit_test (no_node_answers_with_an_older_state),
   };
   g_log_set_writer_func (cluster_log, NULL, NULL);
   return cmocka_run_group_tests (tests, NULL, NULL);
