--- a/tests/test_attestation.c
+++ b/tests/test_attestation.c
@@ -293,9 +293,9 @@
   scripted_run (controller, 4);
   assert_true (controller->lost_launches > 0);
   controller->store_available = FALSE;
-  HrPeerStatus *c1 = &controller->members[0].status;
-  set_cancellation_log (c1, scripted_cancel_by_other (controller, JOB), 1);
-  hr_named_cancellations_add (&c1->cancellations, JOB);
+  HrPeerStatus *peer_status = &controller->members[0].status;
+  set_cancellation_log (peer_status, scripted_cancel_by_other (controller, JOB), 1);
+  hr_named_cancellations_add (&peer_status->cancellations, JOB);
   int status = scripted_report_for (controller, 10);
   assert_int_equal (status, 503);
   controller->incarnation++; /* the lease ran out */
--- a/tests/test_writes.c
+++ b/tests/test_writes.c
@@ -258,7 +258,7 @@
   cluster_run (cluster, 0.5);
   ClusterCall *write = cluster_call (cluster, pair.leader, "/commit", "\"s\":1");
   assert_non_null (write);
-  for (int i = 0; i < 2; i++) /* done in the leader's memory alone */
+  for (int i = 0; i < 2; i++) /* the job is done in the leader's memory only */
     assert_string_not_equal (cluster_asked (cluster, i, "job-a"), "done");
   cluster_carry_out (cluster, write);
   guint64 revision = cluster_stamp (cluster, "h/j/job-a");
@@ -272,7 +272,7 @@
   cluster_free (cluster);
 }
 
-/* The answer to the write of the leader record is lost: the candidate learns the result by a read. */
+/* The answer to the write of the leader record is lost: a read tells the candidate the result. */
 static void
 an_election_without_answer_is_decided_by_a_read (void **state G_GNUC_UNUSED)
 {
@@ -399,8 +399,8 @@
 {
   ControllerPair pair = controller_pair ();
   Cluster *cluster = pair.cluster;
-  /* The other controller stands for election, and its write is delayed. The leader lock expires, the
-   * controller stands again, and that write is delayed as well. */
+  /* The other controller stands for election, and its write is delayed. The leader lock expires,
+   * the controller stands again, and that write is delayed as well. */
   cluster_hold (cluster, pair.leader, "/touch", NULL);
   cluster_hold (cluster, pair.leader, "/commit", "h/leader");
   cluster_hold (cluster, pair.other, "/commit", "h/leader");
