--- a/src/bookkeeping/record_format.c
+++ b/src/bookkeeping/record_format.c
@@ -25,7 +25,7 @@
 hr_record_format_set_supported (HrStore *store, guint format)
 {
   store->format.supported = format;
-  store->limits = format ? store->settings->planned : present_limits (store->settings);
+  store->limits = format ? store->settings->planned_limits : present_limits (store->settings);
   double rate = store->limits.write_rps;
   store->transactions.allowance = (HrTokenBucket){rate, rate, rate, 0};
 }
--- a/src/bookkeeping/store.h
+++ b/src/bookkeeping/store.h
@@ -151,7 +151,7 @@
   guint in_flight;    /* splits */
   guint next_scanned; /* position in the list of open jobs */
   /* Jobs that cannot be cancelled until their record is split; stated to peers. */
-  char oversized[HR_MAX_OVERSIZED][HR_JOB_ID_MOST + 1];
+  char oversized[HR_MAX_OVERSIZED][HR_JOB_ID_MAX_BYTES + 1];
   guint n_oversized;
 } HrRecordSplitter;
 
--- a/src/client/hoprock.c
+++ b/src/client/hoprock.c
@@ -1,4 +1,4 @@
-/* hoprock: the users' command line. docs/man/hoprock.1 documents it. */
+/* hoprock: the command-line client for users. docs/man/hoprock.1 documents it. */
 #include "client/history.h"
 #include "client/options.h"
 #include "client/requests.h"
@@ -9,30 +9,30 @@
 #include <string.h>
 
 /* Exit codes. */
-#define EXIT_REFUSED 1 /* 400, 404 or 422: asking again changes nothing */
+#define EXIT_REFUSED 1 /* status 400, 404 or 422: a retry would not help */
 #define EXIT_WRONG_USE 2
-#define EXIT_GAVE_UP 3   /* no final answer within a minute */
+#define EXIT_GAVE_UP 3   /* no final answer within the retry time of 60 s */
 #define EXIT_CANCELLED 4 /* status --watch: the job was cancelled */
 
-/* How long to wait for an answer to a submission or cancellation, and to a question. */
-#define SUBMIT_ANSWER_S 5
-#define POLL_ANSWER_S 2
-/* Between two requests of --watch. */
+/* Timeouts of one attempt: of a submission or cancellation, and of a read. */
+#define WRITE_TIMEOUT_S 5
+#define READ_TIMEOUT_S 2
+/* Polling interval of --watch. */
 #define WATCH_INTERVAL_S 5
 
-/* Where a controller's metrics are. */
+/* Path of a controller's metrics. */
 #define METRICS_PATH "/metrics"
 
 static int
-wrong_use (const char *text)
+usage_error (const char *text)
 {
   fprintf (stderr, "hoprock: %s; see hoprock --help\n", text);
   return EXIT_WRONG_USE;
 }
 
-/* Reports why there is no good answer. Returns the exit code. */
+/* Reports why a request did not succeed. Returns the exit code. */
 static int
-explain (const HrAnswer *answer)
+report_failure (const HrAnswer *answer)
 {
   gsize size;
   const char *text = hr_answer_text (answer, &size);
@@ -41,13 +41,13 @@
     fprintf (stderr, "hoprock: refused (%u): %s\n", answer->status, why);
     return EXIT_REFUSED;
   }
-  fprintf (stderr, "hoprock: no node could say within a minute; the last one: %u %s\n",
-           answer->status, answer->status ? why : "no answer");
+  fprintf (stderr, "hoprock: no usable answer within 60 s; last status %u: %s\n", answer->status,
+           answer->status ? why : "no answer");
   return EXIT_GAVE_UP;
 }
 
 static void
-print_state (const HrClientOptions *options, const HrJobStatus *status)
+print_status (const HrClientOptions *options, const HrJobStatus *status)
 {
   if (options->json) {
     json_t *line = json_pack ("{sssssIsI}", "id", status->id, "state", status->state, "done",
@@ -63,30 +63,30 @@
   fflush (stdout);
 }
 
-/* Reads and prints the state; returns the exit code. */
+/* Parses and prints a job's status. Returns the exit code. */
 static int
-show (const HrClientOptions *options, const HrAnswer *answer, HrJobStatus *status)
+print_answer (const HrClientOptions *options, const HrAnswer *answer, HrJobStatus *status)
 {
   gsize size;
   const char *text = hr_answer_text (answer, &size);
   if ((answer->status != 200 && answer->status != 201) || !hr_job_status_read (text, size, status))
-    return explain (answer);
-  print_state (options, status);
+    return report_failure (answer);
+  print_status (options, status);
   return 0;
 }
 
 static int
-ask_and_show (const HrClientOptions *options, HrClient *client, const char *method,
-              const char *path, guint answer_s)
+request_and_print (const HrClientOptions *options, HrClient *client, const char *method,
+                   const char *path, guint timeout_s)
 {
-  g_auto (HrAnswer) answer = hr_client_ask (client, method, path, NULL, answer_s);
+  g_auto (HrAnswer) answer = hr_client_request (client, method, path, NULL, timeout_s);
   g_auto (HrJobStatus) status = {0};
-  return show (options, &answer, &status);
+  return print_answer (options, &answer, &status);
 }
 
 /* ---- commands ---- */
 
-/* The body of the submission that the options describe, or that their file holds. */
+/* Returns the body of the submission: the contents of --file, or made from the other options. */
 static char *
 submission_body (HrClientOptions *options, GError **error)
 {
@@ -97,8 +97,9 @@
   }
   HrSubmission *job = &options->job;
   if (!job->job_class || !job->team || !job->image || job->cpus <= 0) {
-    g_set_error_literal (error, G_OPTION_ERROR, G_OPTION_ERROR_FAILED,
-                         "--class, --team, --image and --cpus are needed, or --file");
+    g_set_error_literal (
+        error, G_OPTION_ERROR, G_OPTION_ERROR_FAILED,
+        "--class, --team, --image and --cpus are required, unless --file is given");
     return NULL;
   }
   if (!job->id)
@@ -114,14 +115,15 @@
   g_autoptr (GError) error = NULL;
   g_autofree char *body = submission_body (options, &error);
   if (!body)
-    return wrong_use (error ? error->message : "the job cannot be read");
+    return usage_error (error ? error->message : "the submission cannot be read");
   g_autofree char *id = hr_submission_id (body, strlen (body));
   if (!id)
-    return wrong_use ("the job has no valid id: `job-` and letters, digits, - _ .");
-  g_auto (HrAnswer) answer = hr_client_ask (client, "POST", HR_JOBS_PATH, body, SUBMIT_ANSWER_S);
+    return usage_error ("the job has no valid id: expected `job-` and letters, digits, - _ .");
+  g_auto (HrAnswer) answer =
+      hr_client_request (client, "POST", HR_JOBS_PATH, body, WRITE_TIMEOUT_S);
   g_auto (HrJobStatus) status = {0};
-  int code = show (options, &answer, &status);
-  if (code == 0 || code == EXIT_GAVE_UP) /* without an answer it may have been accepted */
+  int code = print_answer (options, &answer, &status);
+  if (code == 0 || code == EXIT_GAVE_UP) /* a submission without an answer may have been accepted */
     hr_history_add (id);
   return code;
 }
@@ -131,20 +133,20 @@
 {
   g_autofree char *path = hr_job_path (id);
   if (!options->watch)
-    return ask_and_show (options, client, "GET", path, POLL_ANSWER_S);
+    return request_and_print (options, client, "GET", path, READ_TIMEOUT_S);
   g_autofree char *last = NULL;
   for (;;) {
-    g_auto (HrAnswer) answer = hr_client_ask (client, "GET", path, NULL, POLL_ANSWER_S);
+    g_auto (HrAnswer) answer = hr_client_request (client, "GET", path, NULL, READ_TIMEOUT_S);
     g_auto (HrJobStatus) read = {0};
     gsize size;
     const char *text = hr_answer_text (&answer, &size);
-    g_autofree char *now = g_strndup (text ? text : "", size);
+    g_autofree char *current = g_strndup (text ? text : "", size);
     if (answer.status != 200 || !hr_job_status_read (text, size, &read))
-      return explain (&answer);
-    if (g_strcmp0 (now, last) != 0)
-      print_state (options, &read);
+      return report_failure (&answer);
+    if (g_strcmp0 (current, last) != 0)
+      print_status (options, &read);
     g_free (last);
-    last = g_steal_pointer (&now);
+    last = g_steal_pointer (&current);
     if (hr_job_status_is_final (&read))
       return hr_job_status_is_cancelled (&read) ? EXIT_CANCELLED : 0;
     g_usleep ((gulong)WATCH_INTERVAL_S * G_USEC_PER_SEC);
@@ -155,7 +157,7 @@
 cancel (HrClientOptions *options, HrClient *client, const char *id)
 {
   g_autofree char *path = hr_cancel_path (id);
-  return ask_and_show (options, client, "POST", path, SUBMIT_ANSWER_S);
+  return request_and_print (options, client, "POST", path, WRITE_TIMEOUT_S);
 }
 
 static int
@@ -165,17 +167,17 @@
   int code = 0;
   for (guint i = 0; i < ids->len; i++) {
     g_autofree char *path = hr_job_path (ids->pdata[i]);
-    int one = ask_and_show (options, client, "GET", path, POLL_ANSWER_S);
-    code = MAX (code, one);
-    if (one == EXIT_GAVE_UP)
-      break; /* the others would not be answered either */
+    int exit_code = request_and_print (options, client, "GET", path, READ_TIMEOUT_S);
+    code = MAX (code, exit_code);
+    if (exit_code == EXIT_GAVE_UP)
+      break; /* requests for the other jobs would fail as well */
   }
   return code;
 }
 
-/* The value of a metric; -1 when the node's text has none. */
+/* Returns the value of a metric; -1 when the answer does not contain it. */
 static double
-metric (const HrAnswer *answer, const char *name)
+metric_value (const HrAnswer *answer, const char *name)
 {
   gsize size;
   const char *text = hr_answer_text (answer, &size);
@@ -191,7 +193,7 @@
 print_node (const HrClientOptions *options, const char *server, gboolean answers, gboolean ready,
             const HrAnswer *metrics)
 {
-  gboolean leads = metric (metrics, "hoprock_leads") == 1;
+  gboolean leads = metric_value (metrics, "hoprock_leads") == 1;
   if (options->json) {
     json_t *line = json_pack ("{sssbsbsb}", "server", server, "answers", answers, "ready", ready,
                               "leads", leads);
@@ -211,9 +213,9 @@
   guint ready = 0;
   for (guint i = 0; client->servers[i]; i++) {
     g_auto (HrAnswer) probe =
-        hr_client_ask_node (client, client->servers[i], HR_READY_PATH, POLL_ANSWER_S);
+        hr_client_get_once (client, client->servers[i], HR_READY_PATH, READ_TIMEOUT_S);
     g_auto (HrAnswer) metrics =
-        hr_client_ask_node (client, client->servers[i], METRICS_PATH, POLL_ANSWER_S);
+        hr_client_get_once (client, client->servers[i], METRICS_PATH, READ_TIMEOUT_S);
     ready += probe.status == 200;
     print_node (options, client->servers[i], probe.status != 0, probe.status == 200, &metrics);
   }
@@ -233,7 +235,7 @@
                                    {"nodes", FALSE, nodes}};
 
 static const Command *
-command_of (const char *name)
+find_command (const char *name)
 {
   for (guint i = 0; name && i < G_N_ELEMENTS (commands); i++)
     if (g_str_equal (commands[i].name, name))
@@ -248,21 +250,21 @@
   HrClient client = {0};
   g_autoptr (GError) error = NULL;
   if (!hr_client_options_parse (&options, &argc, &argv, &error))
-    return wrong_use (error->message);
-  const Command *command = command_of (argc > 1 ? argv[1] : NULL);
+    return usage_error (error->message);
+  const Command *command = find_command (argc > 1 ? argv[1] : NULL);
   if (!command)
-    return wrong_use ("a command is needed: submit, status, cancel, list or nodes");
+    return usage_error ("expected a command: submit, status, cancel, list or nodes");
   if (argc != (command->takes_id ? 3 : 2))
-    return wrong_use (command->takes_id ? "one job's id is needed" : "unexpected argument");
+    return usage_error (command->takes_id ? "expected one job id" : "unexpected argument");
   if (command->takes_id && !hr_job_id_valid (argv[2]))
-    return wrong_use ("not a job's id: `job-` and letters, digits, - _ .");
-  const char *from_environment = g_getenv ("HOPROCK_SERVER");
-  const char *servers = options.server     ? options.server
-                        : from_environment ? from_environment
-                                           : "127.0.0.1:8080";
-  int code = hr_client_begin (&client, servers, options.quiet)
+    return usage_error ("not a valid job id: expected `job-` and letters, digits, - _ .");
+  const char *default_servers = g_getenv ("HOPROCK_SERVER");
+  const char *servers = options.server    ? options.server
+                        : default_servers ? default_servers
+                                          : "127.0.0.1:8080";
+  int code = hr_client_init (&client, servers, options.quiet)
                  ? command->run (&options, &client, command->takes_id ? argv[2] : NULL)
-                 : wrong_use ("--server names no node");
-  hr_client_end (&client);
+                 : usage_error ("--server contains no address");
+  hr_client_clear (&client);
   return code;
 }
--- a/src/client/options.c
+++ b/src/client/options.c
@@ -2,17 +2,17 @@
 
 static const char usage[] = "COMMAND [OPTIONS]\n\nCommands:\n"
                             "  submit   submit a job, from options or a file\n"
-                            "  status   say how a job stands; --watch until it ends\n"
+                            "  status   show a job's status; with --watch until it ends\n"
                             "  cancel   cancel a job\n"
-                            "  list     how the jobs submitted from here stand\n"
-                            "  nodes    which nodes are ready, and which one leads\n";
+                            "  list     show the status of each job that you submitted\n"
+                            "  nodes    show which nodes are ready and which one leads\n";
 
 static GOptionGroup *
 job_options (HrSubmission *submission)
 {
   const GOptionEntry entries[] = {
-      {"id", 0, 0, G_OPTION_ARG_STRING, &submission->id, "its id; default: drawn", "job-NAME"},
-      {"class", 0, 0, G_OPTION_ARG_STRING, &submission->job_class, "class of jobs", "NAME"},
+      {"id", 0, 0, G_OPTION_ARG_STRING, &submission->id, "job id; default: random", "job-NAME"},
+      {"class", 0, 0, G_OPTION_ARG_STRING, &submission->job_class, "class of the job", "NAME"},
       {"team", 0, 0, G_OPTION_ARG_STRING, &submission->team, "team", "NAME"},
       {"shape", 0, 0, G_OPTION_ARG_STRING, &submission->shape, "batch, ensemble or daemon",
        "SHAPE"},
@@ -24,17 +24,17 @@
        "N"},
       {"memory", 0, 0, G_OPTION_ARG_DOUBLE, &submission->memory_gb, "memory of each task", "GB"},
       {"image", 0, 0, G_OPTION_ARG_STRING, &submission->image, "image", "NAME"},
-      {"image-size", 0, 0, G_OPTION_ARG_DOUBLE, &submission->image_gb, "its size", "GB"},
+      {"image-size", 0, 0, G_OPTION_ARG_DOUBLE, &submission->image_gb, "image size", "GB"},
       {"type", 0, 0, G_OPTION_ARG_STRING_ARRAY, &submission->types,
        "allowed machine type, repeatable", "NAME"},
       {"zone", 0, 0, G_OPTION_ARG_STRING, &submission->zone, "the only allowed zone", "NAME"},
       {"together", 0, 0, G_OPTION_ARG_NONE, &submission->one_zone, "all tasks in one zone", NULL},
-      {"apart", 0, 0, G_OPTION_ARG_NONE, &submission->spread, "at most half of the tasks in a zone",
-       NULL},
+      {"apart", 0, 0, G_OPTION_ARG_NONE, &submission->spread,
+       "at most half of the tasks in one zone", NULL},
       {"spot", 0, 0, G_OPTION_ARG_NONE, &submission->allows_spot, "may use spot machines", NULL},
       {"estimate", 0, 0, G_OPTION_ARG_DOUBLE, &submission->estimate_s, "run time of a task", "S"},
-      {"checkpoint", 0, 0, G_OPTION_ARG_DOUBLE, &submission->checkpoint_s, "between checkpoints",
-       "S"},
+      {"checkpoint", 0, 0, G_OPTION_ARG_DOUBLE, &submission->checkpoint_s,
+       "time between checkpoints", "S"},
       {"save", 0, 0, G_OPTION_ARG_DOUBLE, &submission->save_s, "time to save when stopped", "S"},
       {"due", 0, 0, G_OPTION_ARG_DOUBLE, &submission->deadline_s, "deadline, from now", "S"},
       {"await", 0, 0, G_OPTION_ARG_STRING_ARRAY, &submission->awaits, "job to wait for, repeatable",
@@ -52,11 +52,12 @@
   const GOptionEntry entries[] = {
       {"server", 's', 0, G_OPTION_ARG_STRING, &options->server,
        "nodes or load balancer; default: $HOPROCK_SERVER, or 127.0.0.1:8080", "HOST:PORT,..."},
-      {"json", 'j', 0, G_OPTION_ARG_NONE, &options->json, "one JSON object a line", NULL},
-      {"quiet", 'q', 0, G_OPTION_ARG_NONE, &options->quiet, "say nothing about retries", NULL},
-      {"watch", 'w', 0, G_OPTION_ARG_NONE, &options->watch, "status: until the job ends", NULL},
-      {"file", 'f', 0, G_OPTION_ARG_FILENAME, &options->file, "submit: a submission in JSON",
-       "FILE"},
+      {"json", 'j', 0, G_OPTION_ARG_NONE, &options->json, "print one JSON object per line", NULL},
+      {"quiet", 'q', 0, G_OPTION_ARG_NONE, &options->quiet, "do not report retries", NULL},
+      {"watch", 'w', 0, G_OPTION_ARG_NONE, &options->watch, "status: poll until the job ends",
+       NULL},
+      {"file", 'f', 0, G_OPTION_ARG_FILENAME, &options->file,
+       "submit: read the submission from a JSON file", "FILE"},
       {NULL}};
   g_autoptr (GOptionContext) context = g_option_context_new (usage);
   g_option_context_add_main_entries (context, entries, NULL);
--- a/src/client/options.h
+++ b/src/client/options.h
@@ -1,4 +1,4 @@
-/* The command line's options. */
+/* Options of the command-line client. */
 #pragma once
 #include "protocol/messages.h"
 
@@ -11,14 +11,14 @@
 
 /**
  * hr_client_options_parse:
- * @options: zeroed, but for defaults; to be cleared in any case
- * @argc: (inout): as in main(); what is no option is left
+ * @options: zeroed, except for defaults; to be cleared even after a failure
+ * @argc: (inout): as in main(); arguments that are not options remain
  * @argv: (inout): as in main()
  * @error: a #GOptionError
  *
- * Ends the program after --help.
+ * Parses the command line. With --help, prints the usage and ends the program.
  *
- * Returns: %FALSE with @error set when an option is not known or lacks its value
+ * Returns: %FALSE with @error set when an option is unknown or has no valid value
  */
 gboolean hr_client_options_parse (HrClientOptions *options, int *argc, char ***argv,
                                   GError **error);
@@ -26,7 +26,7 @@
 /**
  * hr_client_options_clear:
  *
- * Frees what the options hold.
+ * Frees the strings of the options.
  */
 void hr_client_options_clear (HrClientOptions *options);
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (HrClientOptions, hr_client_options_clear)
--- a/src/client/requests.c
+++ b/src/client/requests.c
@@ -3,14 +3,14 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Time for all tries of a request. */
-#define GIVE_UP_S 60
-/* Between two tries: at least, and the longest Retry-After that is obeyed. */
-#define MIN_PAUSE_S 1
-#define MAX_PAUSE_S 30
+/* Time limit for all attempts of a request. */
+#define MAX_REQUEST_TIME_S 60
+/* Range of the delay between two attempts; the maximum also bounds Retry-After. */
+#define MIN_RETRY_DELAY_S 1
+#define MAX_RETRY_DELAY_S 30
 
 gboolean
-hr_client_begin (HrClient *client, const char *servers, gboolean quiet)
+hr_client_init (HrClient *client, const char *servers, gboolean quiet)
 {
   client->servers = g_strsplit (servers, ",", -1);
   client->next = 0;
@@ -21,7 +21,7 @@
 }
 
 void
-hr_client_end (HrClient *client)
+hr_client_clear (HrClient *client)
 {
   g_clear_object (&client->session);
   g_strfreev (client->servers);
@@ -47,10 +47,10 @@
          status == 422;
 }
 
-/* One try. *retry_after: the answer's Retry-After in seconds; 0: none. */
+/* Makes one attempt. *retry_after: the answer's Retry-After in seconds; 0: none. */
 static HrAnswer
 send_once (HrClient *client, const char *server, const char *method, const char *path,
-           const char *body, guint answer_s, guint64 *retry_after)
+           const char *body, guint timeout_s, guint64 *retry_after)
 {
   HrAnswer answer = {0};
   g_autofree char *uri = g_strconcat ("http://", server, path, NULL);
@@ -63,7 +63,7 @@
     g_autoptr (GBytes) bytes = g_bytes_new (body, strlen (body));
     soup_message_set_request_body_from_bytes (msg, "application/json", bytes);
   }
-  soup_session_set_timeout (client->session, answer_s);
+  soup_session_set_timeout (client->session, timeout_s);
   answer.body = soup_session_send_and_read (client->session, msg, NULL, NULL);
   if (!answer.body)
     return answer;
@@ -76,46 +76,46 @@
 }
 
 static void
-show_progress (const HrClient *client, const char *server, const HrAnswer *answer, guint tries,
-               guint pause)
+report_retry (const HrClient *client, const char *server, const HrAnswer *answer, guint attempt,
+              guint delay_s)
 {
   gsize size;
   const char *text = hr_answer_text (answer, &size);
   g_autofree char *why = answer->status ? hr_error_text (text, size) : g_strdup ("no answer");
   if (client->quiet)
     return;
-  fprintf (stderr, "hoprock: try %u: %s answers ", tries, server);
+  fprintf (stderr, "hoprock: attempt %u: %s: ", attempt, server);
   if (answer->status)
     fprintf (stderr, "%u (%s)", answer->status, why);
   else
-    fprintf (stderr, "nothing");
-  fprintf (stderr, "; again in %u s\n", pause);
+    fprintf (stderr, "no answer");
+  fprintf (stderr, "; retrying in %u s\n", delay_s);
 }
 
 HrAnswer
-hr_client_ask (HrClient *client, const char *method, const char *path, const char *body,
-               guint answer_s)
+hr_client_request (HrClient *client, const char *method, const char *path, const char *body,
+                   guint timeout_s)
 {
-  gint64 until = g_get_monotonic_time () + (gint64)GIVE_UP_S * G_USEC_PER_SEC;
-  for (guint tries = 1;; tries++) {
+  gint64 deadline = g_get_monotonic_time () + (gint64)MAX_REQUEST_TIME_S * G_USEC_PER_SEC;
+  for (guint attempt = 1;; attempt++) {
     guint64 retry_after;
     const char *server = client->servers[client->next];
-    HrAnswer answer = send_once (client, server, method, path, body, answer_s, &retry_after);
+    HrAnswer answer = send_once (client, server, method, path, body, timeout_s, &retry_after);
     if (is_final (answer.status))
       return answer;
-    guint pause = CLAMP (retry_after, MIN_PAUSE_S, MAX_PAUSE_S);
-    if (g_get_monotonic_time () + (gint64)pause * G_USEC_PER_SEC > until)
+    guint delay_s = CLAMP (retry_after, MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S);
+    if (g_get_monotonic_time () + (gint64)delay_s * G_USEC_PER_SEC > deadline)
       return answer;
-    show_progress (client, server, &answer, tries, pause);
+    report_retry (client, server, &answer, attempt, delay_s);
     hr_answer_clear (&answer);
     client->next = client->servers[client->next + 1] ? client->next + 1 : 0;
-    g_usleep ((gulong)pause * G_USEC_PER_SEC);
+    g_usleep ((gulong)delay_s * G_USEC_PER_SEC);
   }
 }
 
 HrAnswer
-hr_client_ask_node (HrClient *client, const char *server, const char *path, guint answer_s)
+hr_client_get_once (HrClient *client, const char *server, const char *path, guint timeout_s)
 {
   guint64 unused;
-  return send_once (client, server, "GET", path, NULL, answer_s, &unused);
+  return send_once (client, server, "GET", path, NULL, timeout_s, &unused);
 }
--- a/src/client/requests.h
+++ b/src/client/requests.h
@@ -1,67 +1,69 @@
-/* Requests of a user to the controllers. A request is repeated, at one server after the other,
- * until there is a final answer or its time is up: 60 s in all. */
+/* Requests of a user to the controllers. A request is retried, with the next server each time,
+ * until there is a final answer or 60 s have passed. */
 #pragma once
 #include <gio/gio.h>
 #include <libsoup/soup.h>
 
-/* To be used by one thread. */
+/* Not thread-safe. */
 typedef struct {
   SoupSession *session;
-  GStrv servers; /* IP:PORT or HOST:PORT */
-  guint next;    /* index of the server that gets the next try */
+  GStrv servers; /* each IP:PORT or HOST:PORT */
+  guint next;    /* index of the server for the next attempt */
   gboolean quiet;
 } HrClient;
 
 typedef struct {
-  guint status; /* HTTP status; 0: there was no answer in time */
-  GBytes *body; /* NULL: none */
+  guint status; /* HTTP status; 0: no answer within the timeout */
+  GBytes *body; /* NULL: no body */
 } HrAnswer;
 
 /**
- * hr_client_begin:
- * @client: (out): to be ended in any case
- * @servers: separated by commas
- * @quiet: whether to write nothing about retries
+ * hr_client_init:
+ * @client: (out): the client, to be cleared even after a failure
+ * @servers: addresses of the servers, separated by commas
+ * @quiet: whether to suppress reports of retries
  *
- * Returns: %FALSE when @servers names none
+ * Initialises a client.
+ *
+ * Returns: %FALSE when @servers contains no address
  */
-gboolean hr_client_begin (HrClient *client, const char *servers, gboolean quiet);
+gboolean hr_client_init (HrClient *client, const char *servers, gboolean quiet);
 
 /**
- * hr_client_end:
+ * hr_client_clear:
  *
- * Closes all connections.
+ * Closes all connections and frees what the client holds.
  */
-void hr_client_end (HrClient *client);
+void hr_client_clear (HrClient *client);
 
 /**
- * hr_client_ask:
+ * hr_client_request:
  * @method: the HTTP method
- * @path: the path
+ * @path: path of the request
  * @body: (nullable): a body in JSON
- * @answer_s: seconds to wait for each answer
+ * @timeout_s: timeout of each attempt, in seconds
  *
- * Sends the request until an answer is final: 200, 201, 400, 404, 405 or 422. After any other, or
- * none, the next server is tried 1 s later, or after the answer's Retry-After (30 s at the most).
- * Each retry is reported on standard error, unless the client is quiet.
+ * Sends the request until an answer is final: status 200, 201, 400, 404, 405 or 422. After another
+ * status or no answer, retries with the next server, 1 s later or after the answer's Retry-After
+ * (at most 30 s). Reports each retry on standard error, unless the client is quiet.
  *
- * Returns: (transfer full): the final answer; the last one when the time is up
+ * Returns: (transfer full): the final answer, or the last one when the retry time is over
  */
-HrAnswer hr_client_ask (HrClient *client, const char *method, const char *path, const char *body,
-                        guint answer_s);
+HrAnswer hr_client_request (HrClient *client, const char *method, const char *path,
+                            const char *body, guint timeout_s);
 
 /**
- * hr_client_ask_node:
- * @server: one of the client's
- * @path: the path
- * @answer_s: seconds to wait for the answer
+ * hr_client_get_once:
+ * @server: one of the client's servers
+ * @path: path of the request
+ * @timeout_s: timeout in seconds
  *
- * Sends a GET request once, to that server.
+ * Sends a GET request to one server, without retries.
  *
  * Returns: (transfer full): the answer
  */
-HrAnswer hr_client_ask_node (HrClient *client, const char *server, const char *path,
-                             guint answer_s);
+HrAnswer hr_client_get_once (HrClient *client, const char *server, const char *path,
+                             guint timeout_s);
 
 /**
  * hr_answer_clear:
@@ -73,8 +75,8 @@
 
 /**
  * hr_answer_text:
- * @size: (out): bytes of the body
+ * @size: (out): length of the body in bytes
  *
- * Returns: (transfer none) (nullable): the body, without a terminating NUL
+ * Returns: (transfer none) (nullable): the body, which has no terminating NUL
  */
 const char *hr_answer_text (const HrAnswer *answer, gsize *size);
--- a/src/coordination/core_policy.c
+++ b/src/coordination/core_policy.c
@@ -58,9 +58,12 @@
   hr_policy_vars_set (vars, "gang_wait_s", settings ? settings->gang_wait_s : SAMPLE_GANG_WAIT_S);
   hr_policy_vars_set (vars, "gang_peer_s", settings ? settings->gang_peer_s : SAMPLE_GANG_PEER_S);
   hr_policy_vars_set (vars, "cancel_s", settings ? settings->cancel_s : SAMPLE_CANCEL_S);
-  hr_policy_vars_set (vars, "state_rps", settings ? settings->planned.rps : SAMPLE_STATE_RPS);
-  hr_policy_vars_set (vars, "write_rps", settings ? settings->planned.write_rps : SAMPLE_WRITE_RPS);
-  hr_policy_vars_set (vars, "value_kb", settings ? settings->planned.value_kb : SAMPLE_VALUE_KB);
+  hr_policy_vars_set (vars, "state_rps",
+                      settings ? settings->planned_limits.rps : SAMPLE_STATE_RPS);
+  hr_policy_vars_set (vars, "write_rps",
+                      settings ? settings->planned_limits.write_rps : SAMPLE_WRITE_RPS);
+  hr_policy_vars_set (vars, "value_kb",
+                      settings ? settings->planned_limits.value_kb : SAMPLE_VALUE_KB);
   hr_policy_vars_set (vars, "cloud_rps", settings ? settings->cloud_rps : SAMPLE_CLOUD_RPS);
   hr_policy_vars_set (vars, "list_lag_s", settings ? settings->list_lag_s : SAMPLE_LIST_LAG_S);
   hr_policy_vars_set (vars, "controllers",
--- a/src/coordination/jobs/submissions.c
+++ b/src/coordination/jobs/submissions.c
@@ -217,7 +217,7 @@
   HrJobSpec spec = {0};
   g_auto (GStrv) awaits = NULL;
   gboolean is_valid = object && hr_jobspec_parse (object, core->names, &spec, &id, invalid) &&
-                      hr_jobspec_awaits (object, &awaits, invalid);
+                      hr_jobspec_parse_awaits (object, &awaits, invalid);
   HrUserRequest *request = NULL;
   if (is_valid || hr_job_id_valid (id)) {
     request = hr_user_request_new (command->id, HR_REQUEST_SUBMIT, id, core->wall_time);
--- a/src/coordination/membership/peer_status.h
+++ b/src/coordination/membership/peer_status.h
@@ -54,7 +54,7 @@
   guint n_echoes;
   guint32 format; /* newest format of records that it reads and writes; 0: not stated */
   /* Jobs that it could not cancel, since their records are too large to be written. */
-  char oversized[HR_MAX_OVERSIZED][HR_JOB_ID_MOST + 1];
+  char oversized[HR_MAX_OVERSIZED][HR_JOB_ID_MAX_BYTES + 1];
   guint n_oversized;
 } HrPeerStatus;
 
--- a/src/coordination/scaling/instance_requests.c
+++ b/src/coordination/scaling/instance_requests.c
@@ -157,7 +157,7 @@
     if (hr_capacity_is_refused (core, type->type, zone, spot))
       continue;
     guint n = requested[zone] + count_machines (core, type->type, zone);
-    if (zone == core->settings->home)
+    if (zone == core->settings->home_zone)
       n /= 2;
     if (n < least) {
       least = n;
--- a/src/coordination/scheduling/mtedf_gang.c
+++ b/src/coordination/scheduling/mtedf_gang.c
@@ -110,7 +110,7 @@
     const GangSlot *slot = chosen->pdata[i];
     placement.runs_at = MAX (placement.runs_at, slot->start + slot->delay);
   }
-  if (zone != HR_NONE && zone == core->settings->home)
+  if (zone != HR_NONE && zone == core->settings->home_zone)
     placement.runs_at -= HR_HOME_S;
   placement.slots = g_steal_pointer (&chosen);
   return placement;
--- a/src/coordination/scheduling/service_replicas.c
+++ b/src/coordination/scheduling/service_replicas.c
@@ -112,7 +112,7 @@
   double fetch = hr_estimate_fetch_time (core, job, machine);
   gboolean takes_last_slot = is_short && fetch > 0 && !has_slots (core, &job->spec, machine, 2);
   /* Behind a cut of the controllers' own zone its workers still hear the leader. */
-  double home = machine->zone == core->settings->home ? HR_HOME_S * SCORE_PER_HOME_S : 0;
+  double home = machine->zone == core->settings->home_zone ? HR_HOME_S * SCORE_PER_HOME_S : 0;
   return home - SCORE_PER_FETCH_S * fetch - (takes_last_slot ? SCORE_LAST_SLOT : 0) +
          machine->tasks->len * SCORE_PER_TASK -
          (machine->free.gpus + machine->free.cpus * SCORE_PER_FREE_CPU);
--- a/src/emulator/wire.c
+++ b/src/emulator/wire.c
@@ -62,7 +62,7 @@
   GUri *uri = soup_server_message_get_uri (msg);
   const char *text = g_uri_get_query (uri);
   HrEffect effect = {.kind = HR_EFFECT_CALL, .id = ++live->calls, .call.target = listener->target};
-  effect.call.method = hr_method_of (soup_server_message_get_method (msg));
+  effect.call.method = hr_method_parse (soup_server_message_get_method (msg));
   effect.call.path = g_strconcat (path, text ? "?" : NULL, text, NULL);
   effect.call.address = listener->address;
   effect.body = strlen (body) ? body : NULL;
--- a/src/hoprockd.c
+++ b/src/hoprockd.c
@@ -55,7 +55,7 @@
     else if (effect->kind == HR_EFFECT_CALL)
       hr_http_client_call (daemon->client, effect);
     else
-      hr_peers_tell (daemon->peers, effect->peer_status);
+      hr_peers_send_status (daemon->peers, effect->peer_status);
   }
   hr_http_server_flush (daemon->server);
   return G_SOURCE_REMOVE;
@@ -97,7 +97,7 @@
 static guint
 server_share (const HrSettings *settings)
 {
-  guint reserved = hr_http_client_sockets (settings->sockets) + OTHER_SOCKETS +
+  guint reserved = hr_http_client_max_sockets (settings->sockets) + OTHER_SOCKETS +
                    MEMBER_SOCKETS * settings->members->len;
   return MAX (settings->sockets / 2, settings->sockets - MIN (reserved, settings->sockets));
 }
@@ -197,7 +197,7 @@
              options->log_format);
     return FALSE;
   }
-  if (!hr_log_writer_begin (g_getenv ("LOG_LEVEL"), json ? HR_LOG_JSON : HR_LOG_TEXT)) {
+  if (!hr_log_writer_install (g_getenv ("LOG_LEVEL"), json ? HR_LOG_JSON : HR_LOG_TEXT)) {
     fprintf (stderr, "hoprockd: LOG_LEVEL: expected error, info or debug\n");
     return FALSE;
   }
--- a/src/protocol/cloud.c
+++ b/src/protocol/cloud.c
@@ -2,9 +2,10 @@
 #include "protocol/json_util.h"
 #include "protocol/wire_names.h"
 
-/* Entries in one page of the list of instances. */
+/* Maximum number of entries on one page of the list of instances. */
 #define LIST_PAGE_ENTRIES "500"
-/* An image's fetch time is its size over this rate, which may not be zero. */
+/* Lower bound of the fetch rate, in gigabytes per second. The rate must not be zero, since an
+ * image's fetch time is its size divided by the rate. */
 #define MIN_FETCH_RATE 1e-3
 
 static void
@@ -38,13 +39,13 @@
     type.fetch_rate = MAX (type.fetch_rate, MIN_FETCH_RATE);
     type.type = hr_intern (&names->types, sku);
     if (type.type >= HR_MAX_MACHINE_TYPES)
-      continue; /* more types than the bit set of a job holds */
+      continue; /* HrJobSpec.types has no bit for it */
     type.zones = g_array_new (FALSE, TRUE, sizeof (guint32));
     json_t *zones = json_object_get (object, HR_WIRE_ZONES);
     json_array_foreach (zones, k, zone) if (json_is_string (zone))
     {
-      guint32 k = hr_intern (&names->zones, json_string_value (zone));
-      g_array_append_val (type.zones, k);
+      guint32 zone_index = hr_intern (&names->zones, json_string_value (zone));
+      g_array_append_val (type.zones, zone_index);
     }
     if (type.zones->len)
       g_array_append_val (out, type);
--- a/src/protocol/cloud.h
+++ b/src/protocol/cloud.h
@@ -1,15 +1,16 @@
-/* The cloud: what this controller sends it and what it answers. Here its names become terms and
- * back; the rest of the controller spells none of them. Prices are of one hour, sizes in gigabytes,
- * times in seconds. Paths and bodies that are returned are the caller's to free. */
+/* Requests to the cloud's API and its answers. This module translates between the API's field
+ * names and the terms that the rest of the controller uses; no other module contains the field
+ * names. Prices are per hour, sizes in gigabytes, times in seconds. The caller frees the paths and
+ * bodies that are returned. */
 #pragma once
 #include "protocol/jobspec.h"
 
-/* Where instances are requested. */
+/* Path for requesting and listing instances. */
 #define HR_CLOUD_INSTANCES_PATH "/rentals"
-/* Where instances are returned. */
+/* Path for deleting instances. */
 #define HR_CLOUD_DELETION_PATH "/rentals/delete"
 #define HR_CLOUD_MACHINE_TYPES_PATH "/machine_types"
-/* The reason in an answer of 503 that means: not in this zone just now. */
+/* The reason in a 503 answer when the zone has no capacity for the request at the moment. */
 #define HR_CLOUD_NO_CAPACITY "no capacity"
 
 typedef struct {
@@ -20,17 +21,17 @@
 
 typedef enum { HR_INSTANCE_STARTING, HR_INSTANCE_RUNNING, HR_INSTANCE_FAILED } HrInstanceState;
 
-/* An entry of the cloud's list of instances; the texts belong to the answer. */
+/* An entry of the cloud's list of instances; the strings belong to the answer. */
 typedef struct {
   const char *name, *address, *type, *zone;
   gboolean is_spot;
   HrInstanceState state;
-  double age;
+  double age; /* seconds since the instance was requested */
 } HrListedInstance;
 
 /* A request for instances. */
 typedef struct {
-  const char *name; /* idempotency key: the same name again gives no further instances */
+  const char *name; /* idempotency key: a repeated request with the same name creates nothing */
   const char *type, *zone;
   gboolean is_spot;
   guint count;
@@ -40,16 +41,16 @@
  * hr_machine_types_parse:
  * @object: (nullable): the cloud's answer
  *
- * Reads which machine types there are. Entries that make no sense are left out.
+ * Parses the machine types that the cloud offers. Skips invalid entries.
  *
- * Returns: (transfer full) (nullable) (element-type HrMachineType): %NULL when nothing usable is
- * there
+ * Returns: (transfer full) (nullable) (element-type HrMachineType): the machine types; %NULL when
+ *   the answer contains no valid one
  */
 GArray *hr_machine_types_parse (const json_t *object, HrNames *names);
 
 /**
  * hr_instance_list_path:
- * @cursor: (nullable): the last name of the page before; %NULL for the first page
+ * @cursor: (nullable): the last name on the previous page; %NULL for the first page
  *
  * Returns: (transfer full): the path of one page of the list of instances
  */
@@ -57,7 +58,7 @@
 
 /**
  * hr_instance_list_entries:
- * @answer: (nullable): with a page of the list
+ * @answer: (nullable): the answer to a request for a page of the list
  *
  * Returns: (nullable): the entries, for hr_listed_instance_parse(); %NULL when @answer has none
  */
@@ -73,7 +74,9 @@
 /**
  * hr_listed_instance_parse:
  *
- * Returns: %FALSE when the entry makes no sense
+ * Parses an entry of the list of instances.
+ *
+ * Returns: %FALSE when the entry is invalid
  */
 gboolean hr_listed_instance_parse (const json_t *object, HrListedInstance *out);
 
@@ -86,9 +89,9 @@
 
 /**
  * hr_instances_granted:
- * @answer: (nullable): of 200, to a request for instances
+ * @answer: (nullable): an answer with status 200 to a request for instances
  *
- * Returns: (nullable): the names of the instances that the cloud gave
+ * Returns: (nullable): the names of the instances that the cloud created
  */
 const json_t *hr_instances_granted (const json_t *answer);
 
--- a/src/protocol/http_method.c
+++ b/src/protocol/http_method.c
@@ -2,7 +2,7 @@
 #include <string.h>
 
 HrMethod
-hr_method_of (const char *name)
+hr_method_parse (const char *name)
 {
   return strcmp (name, "GET") == 0      ? HR_GET
          : strcmp (name, "POST") == 0   ? HR_POST
--- a/src/protocol/intern.c
+++ b/src/protocol/intern.c
@@ -20,17 +20,17 @@
   guint32 i = hr_intern_find (intern, name);
   if (i != HR_NONE)
     return i;
-  char *own = g_strdup (name);
-  g_ptr_array_add (intern->names, own);
-  g_hash_table_insert (intern->by_name, own, GUINT_TO_POINTER (intern->names->len));
+  char *copy = g_strdup (name);
+  g_ptr_array_add (intern->names, copy);
+  g_hash_table_insert (intern->by_name, copy, GUINT_TO_POINTER (intern->names->len));
   return intern->names->len - 1;
 }
 
 guint32
 hr_intern_find (const HrIntern *intern, const char *name)
 {
-  guint found = GPOINTER_TO_UINT (g_hash_table_lookup (intern->by_name, name));
-  return found ? found - 1 : HR_NONE;
+  guint index_plus_one = GPOINTER_TO_UINT (g_hash_table_lookup (intern->by_name, name));
+  return index_plus_one ? index_plus_one - 1 : HR_NONE;
 }
 
 const char *
--- a/src/protocol/intern.h
+++ b/src/protocol/intern.h
@@ -1,10 +1,10 @@
-/* Interned names: names of jobs, machines, teams and so on become dense indices as they come in, so
- * that the rest of the program compares and stores numbers. Names are never removed; an index stays
- * valid for the life of the table. */
+/* String interning: maps names of jobs, machines, teams and so on to dense indices, so that the
+ * rest of the program compares and stores numbers. Names are never removed; an index stays valid
+ * for the life of the table. */
 #pragma once
 #include <glib.h>
 
-/* No index. */
+/* Stands for the absence of an index. */
 #define HR_NONE G_MAXUINT32
 
 typedef struct {
@@ -15,34 +15,36 @@
 /**
  * hr_intern_init:
  *
- * Makes an empty table.
+ * Initialises an empty table.
  */
 void hr_intern_init (HrIntern *intern);
 
 /**
  * hr_intern_clear:
  *
- * Frees all names. Does nothing to a table that is cleared already.
+ * Frees all names. Does nothing if the table has been cleared before.
  */
 void hr_intern_clear (HrIntern *intern);
 
 /**
  * hr_intern:
  *
- * Returns: the index of the name, which is added if it is new
+ * Adds the name if the table does not contain it.
+ *
+ * Returns: the index of the name
  */
 guint32 hr_intern (HrIntern *intern, const char *name);
 
 /**
  * hr_intern_find:
  *
- * Returns: the index of the name; %HR_NONE if it was never added
+ * Returns: the index of the name; %HR_NONE if the table does not contain it
  */
 guint32 hr_intern_find (const HrIntern *intern, const char *name);
 
 /**
  * hr_intern_name:
  *
- * Returns: (transfer none): the name of an index; "" if it has none
+ * Returns: (transfer none): the name with this index; "" if there is none
  */
 const char *hr_intern_name (const HrIntern *intern, guint32 i);
--- a/src/protocol/jobspec.c
+++ b/src/protocol/jobspec.c
@@ -4,14 +4,14 @@
 #include <math.h>
 #include <string.h>
 
-/* Of a class, a team or an image. */
+/* Maximum length in bytes of the name of a class, a team or an image. */
 #define MAX_NAME_BYTES 200
-/* Of any amount in a submission. */
+/* Maximum value of a numeric field in a submission. */
 #define MAX_AMOUNT 1e9
-/* Of HrJobSpec.types: stands for all types that the cloud does not offer. */
+/* The bit of HrJobSpec.types that stands for all types that the cloud does not offer. */
 #define UNKNOWN_TYPE_BIT HR_MAX_MACHINE_TYPES
 
-/* By HrShape and by HrPriority. */
+/* Indexed by HrShape and by HrPriority. */
 static const char *const shapes[] = {HR_WIRE_SHAPE_BATCH, HR_WIRE_SHAPE_GANG,
                                      HR_WIRE_SHAPE_SERVICE};
 static const char *const priorities[] = {"production", "urgent", "normal", "low"};
@@ -39,7 +39,7 @@
 gboolean
 hr_job_id_valid (const char *id)
 {
-  if (!id || strncmp (id, "job-", 4) != 0 || !id[4] || strlen (id) > HR_JOB_ID_MOST)
+  if (!id || strncmp (id, "job-", 4) != 0 || !id[4] || strlen (id) > HR_JOB_ID_MAX_BYTES)
     return FALSE;
   for (const char *text = id + 4; *text; text++)
     if (!g_ascii_isalnum (*text) && *text != '-' && *text != '_' && *text != '.')
@@ -56,9 +56,9 @@
   return -1;
 }
 
-/* Always FALSE, for the caller to return. */
+/* Sets *error for an invalid field. Always returns FALSE, so that callers can return the result. */
 static gboolean
-bad_field (GError **error, const char *field, const char *why)
+set_field_error (GError **error, const char *field, const char *why)
 {
   g_set_error (error, HR_PROTOCOL_ERROR, HR_PROTOCOL_ERROR_FIELD, "field %s: %s", field, why);
   return FALSE;
@@ -69,7 +69,7 @@
 {
   const char *text = hr_json_str (object, key);
   if (!text || !*text || strlen (text) > MAX_NAME_BYTES)
-    return bad_field (error, key, "expected a text of 1 to 200 bytes");
+    return set_field_error (error, key, "expected a text of 1 to 200 bytes");
   *out = hr_intern (intern, text);
   return TRUE;
 }
@@ -78,7 +78,7 @@
 parse_amount (const json_t *object, const char *key, double *out, GError **error)
 {
   if (!hr_json_num (object, key, out) || *out < 0 || *out > MAX_AMOUNT)
-    return bad_field (error, key, "expected a number from 0 to 1e9");
+    return set_field_error (error, key, "expected a number from 0 to 1e9");
   return TRUE;
 }
 
@@ -86,13 +86,13 @@
 parse_flag (const json_t *object, const char *key, gboolean *out, GError **error)
 {
   if (!hr_json_bool (object, key, out))
-    return bad_field (error, key, "expected true or false");
+    return set_field_error (error, key, "expected true or false");
   return TRUE;
 }
 
-/* TRUE also for what is no array at all. */
+/* Returns whether all elements are strings; TRUE also for a value that is not an array. */
 static gboolean
-only_strings (const json_t *array)
+all_strings (const json_t *array)
 {
   for (size_t i = 0; i < json_array_size (array); i++)
     if (!json_is_string (json_array_get (array, i)))
@@ -100,8 +100,9 @@
   return TRUE;
 }
 
-/* Types that the cloud does not offer are dropped; if none is left, the top bit, which no type
- * has, makes the job fit nothing. No types: any (0). */
+/* Returns the bit set of the allowed machine types; 0, which allows any type, for an empty list.
+ * Types that the cloud does not offer set the top bit, which no machine type has: a job with no
+ * other bit fits no machine. */
 static guint64
 type_bits (const json_t *types, HrNames *names)
 {
@@ -118,16 +119,16 @@
 {
   int shape = find_name (shapes, G_N_ELEMENTS (shapes), hr_json_str (object, HR_WIRE_SHAPE));
   if (shape < 0)
-    return bad_field (error, HR_WIRE_SHAPE,
-                      "expected " HR_WIRE_SHAPE_BATCH ", " HR_WIRE_SHAPE_GANG
-                      " or " HR_WIRE_SHAPE_SERVICE);
+    return set_field_error (error, HR_WIRE_SHAPE,
+                            "expected " HR_WIRE_SHAPE_BATCH ", " HR_WIRE_SHAPE_GANG
+                            " or " HR_WIRE_SHAPE_SERVICE);
   int priority =
       find_name (priorities, G_N_ELEMENTS (priorities), hr_json_str (object, HR_WIRE_PRIORITY));
   if (priority < 0)
-    return bad_field (error, HR_WIRE_PRIORITY, "expected production, urgent, normal or low");
+    return set_field_error (error, HR_WIRE_PRIORITY, "expected production, urgent, normal or low");
   guint64 tasks;
   if (!hr_json_count (object, HR_WIRE_TASKS, HR_MAX_TASKS, &tasks) || tasks == 0)
-    return bad_field (error, HR_WIRE_TASKS, "expected an integer from 1 to 100000");
+    return set_field_error (error, HR_WIRE_TASKS, "expected an integer from 1 to 100000");
   spec->shape = shape;
   spec->priority = priority;
   spec->tasks = tasks;
@@ -159,22 +160,24 @@
          parse_flag (object, HR_WIRE_SPOT, &spec->allows_spot, error);
 }
 
-/* types, zone: NULL or null stands for any. */
+/* Checks the fields for machine types and zone; NULL and JSON null allow any. */
 static gboolean
 check_placement (const json_t *types, const json_t *zone, GError **error)
 {
   if (types && !json_is_null (types) && !json_is_array (types))
-    return bad_field (error, HR_WIRE_MACHINE_TYPES, "expected an array of machine types, or null");
+    return set_field_error (error, HR_WIRE_MACHINE_TYPES,
+                            "expected an array of machine types, or null");
   if (zone && !json_is_null (zone) && (!json_is_string (zone) || !json_string_length (zone)))
-    return bad_field (error, HR_WIRE_ZONE, "expected the name of a zone, or null");
-  if (!only_strings (types))
-    return bad_field (error, HR_WIRE_MACHINE_TYPES, "expected an array of machine types, or null");
+    return set_field_error (error, HR_WIRE_ZONE, "expected the name of a zone, or null");
+  if (!all_strings (types))
+    return set_field_error (error, HR_WIRE_MACHINE_TYPES,
+                            "expected an array of machine types, or null");
   if (json_is_array (types) && json_array_size (types) == 0)
-    return bad_field (error, HR_WIRE_MACHINE_TYPES, "an empty list allows no machine");
+    return set_field_error (error, HR_WIRE_MACHINE_TYPES, "an empty list allows no machine");
   return TRUE;
 }
 
-/* zone: NULL or no text stands for any. */
+/* Returns the index of the zone; HR_NONE, which allows any zone, when the value is not a string. */
 static guint32
 zone_index (const json_t *zone, HrNames *names)
 {
@@ -193,13 +196,13 @@
   }
   *id = hr_json_str (object, HR_WIRE_ID);
   if (!hr_job_id_valid (*id))
-    return bad_field (error, HR_WIRE_ID, "expected a job id such as job-000412");
+    return set_field_error (error, HR_WIRE_ID, "expected a job id such as job-000412");
   const json_t *types = json_object_get (object, HR_WIRE_MACHINE_TYPES);
   const json_t *zone = json_object_get (object, HR_WIRE_ZONE);
   if (!parse_kind (object, spec, error) || !parse_amounts (object, spec, error) ||
       !parse_flags (object, spec, error) || !check_placement (types, zone, error))
     return FALSE;
-  /* Names are interned last, so that a bad submission leaves no trace. */
+  /* Names are interned last, so that an invalid submission adds none to the tables. */
   if (!parse_name (object, HR_WIRE_JOB_CLASS, &names->classes, &spec->job_class, error) ||
       !parse_name (object, HR_WIRE_TEAM, &names->teams, &spec->team, error) ||
       !parse_name (object, HR_WIRE_IMAGE, &names->images, &spec->image, error))
@@ -230,7 +233,7 @@
 }
 
 gboolean
-hr_jobspec_awaits (const json_t *object, GStrv *out, GError **error)
+hr_jobspec_parse_awaits (const json_t *object, GStrv *out, GError **error)
 {
   const json_t *array = json_object_get (object, HR_WIRE_AWAITS);
   *out = NULL;
@@ -238,8 +241,8 @@
     return TRUE;
   *out = hr_job_ids_read (array);
   if (!*out)
-    return bad_field (error, HR_WIRE_AWAITS,
-                      "expected an array of job ids such as job-000398, or null");
+    return set_field_error (error, HR_WIRE_AWAITS,
+                            "expected an array of job ids such as job-000398, or null");
   if (!**out)
     g_clear_pointer (out, g_strfreev);
   return TRUE;
@@ -294,7 +297,7 @@
   json_t *entry;
   json_array_foreach (types, i, entry)
   {
-    /* A record is read before the machine types are known: intern them here. */
+    /* Records may be read before the list of machine types, so the names are added here. */
     guint32 type = json_is_string (entry) ? hr_intern (&names->types, json_string_value (entry))
                                           : UNKNOWN_TYPE_BIT;
     spec->types |= (guint64)1 << MIN (type, UNKNOWN_TYPE_BIT);
--- a/src/protocol/jobspec.h
+++ b/src/protocol/jobspec.h
@@ -1,14 +1,14 @@
-/* The description of a job: parsing and checking what its user submits, and its compact form in the
- * job's record in the state store. Times are in seconds, sizes in gigabytes. */
+/* The specification of a job: parsing and validation of submissions, and the compact form that is
+ * stored in the job's record in the state store. Times are in seconds, sizes in gigabytes. */
 #pragma once
 #include "protocol/intern.h"
 #include <jansson.h>
 
 /* Batch: tasks that run to their end, each on its own. Gang: all tasks run at the same time.
- * Service: replicas that run until the job is cancelled. The numbers are in records. */
+ * Service: replicas that run until the job is cancelled. The values are stored in records. */
 typedef enum { HR_BATCH, HR_GANG, HR_SERVICE } HrShape;
 
-/* The most important first. The numbers are in records. */
+/* The highest priority first. The values are stored in records. */
 typedef enum {
   HR_PRIORITY_PRODUCTION,
   HR_PRIORITY_URGENT,
@@ -16,22 +16,23 @@
   HR_PRIORITY_LOW
 } HrPriority;
 
-/* Tasks of a job. */
+/* Maximum number of tasks of a job. */
 #define HR_MAX_TASKS 100000
-/* Bytes of a job's id, without its terminating NUL. */
-#define HR_JOB_ID_MOST 100
-/* Jobs with oversized records that one status of a controller names. */
+/* Maximum length of a job id in bytes, without the terminating NUL. */
+#define HR_JOB_ID_MAX_BYTES 100
+/* Maximum number of jobs with oversized records that a controller's status lists. */
 #define HR_MAX_OVERSIZED 4
-/* Machine types that the cloud may have: one bit each in HrJobSpec.types, but for the top one. */
+/* Maximum number of machine types: each has a bit in HrJobSpec.types, whose top bit stands for
+ * unknown types. */
 #define HR_MAX_MACHINE_TYPES 63
-/* Bytes of the body of a request. */
+/* Maximum size of a request body in bytes. */
 #define HR_MAX_BODY 65536
-/* Where it is asked whether a controller can serve users. */
+/* Path of the readiness check: whether a controller can serve users. */
 #define HR_READY_PATH "/ready"
-/* Where users submit jobs; the path of a job is below it. */
+/* Path for submitting jobs; a job's own path is below it. */
 #define HR_JOBS_PATH "/v1/jobs"
 
-/* The tables that turn names into indices, one per process. */
+/* The tables that map names to indices; one set per process. */
 typedef struct {
   HrIntern classes, teams, images, types, zones;
 } HrNames;
@@ -39,7 +40,7 @@
 /**
  * hr_names_init:
  *
- * Makes empty tables.
+ * Initialises empty tables.
  */
 void hr_names_init (HrNames *names);
 
@@ -50,76 +51,81 @@
  */
 void hr_names_clear (HrNames *names);
 
-/* A job as described. cpus to image_gb: of each task. */
+/* A job as its user specified it. cpus, gpus, memory_gb and image_gb are per task. */
 typedef struct {
   guint32 job_class, team, image, zone; /* zone: HR_NONE for any */
   HrShape shape;
   HrPriority priority;
   guint32 tasks;
   double cpus, gpus, memory_gb, image_gb;
-  guint64 types;     /* bit per allowed machine type (names.types); 0: any */
+  guint64 types;     /* bit set of allowed machine types (names.types); 0: any */
   gboolean one_zone; /* all tasks in one zone */
   gboolean spread;   /* at most half of the tasks in one zone */
   gboolean allows_spot;
-  double estimate_s;   /* run time of a task, as its user estimates it */
-  double checkpoint_s; /* between checkpoints; 0: it has none */
-  double save_s;       /* to save its progress when it is stopped */
-  double deadline_s;   /* after its submission; < 0: none */
+  double estimate_s;   /* the user's estimate of a task's run time */
+  double checkpoint_s; /* time between checkpoints; 0: no checkpoints */
+  double save_s;       /* time that a stopped task needs to save its progress */
+  double deadline_s;   /* deadline, counted from the submission; < 0: none */
 } HrJobSpec;
 
 /**
  * hr_job_id_valid:
- * @id: (nullable): any text
+ * @id: (nullable): any string
  *
- * Returns: whether it is "job-" and a name that a key of the state store can hold
+ * Returns: whether @id is "job-" followed by characters that a key of the state store may contain,
+ *   and not too long
  */
 gboolean hr_job_id_valid (const char *id);
 
 /**
  * hr_jobspec_parse:
  * @object: (nullable): the body of a submission
- * @names: tables that get the names of a valid submission
- * @out: (out): the description; without a meaning after an error
- * @id: (out) (transfer none): the job's id, which belongs to @object. It is set, if the submission
- *   has one, also when another field is wrong.
- * @error: %HR_PROTOCOL_ERROR_FIELD; names the first field that is wrong, and why
+ * @names: tables to which the names of a valid submission are added
+ * @out: (out): the specification; undefined after an error
+ * @id: (out) (transfer none): the job's id, which belongs to @object. If the submission has one, it
+ *   is set even when another field is invalid.
+ * @error: %HR_PROTOCOL_ERROR_FIELD; names the first invalid field and the reason
  *
- * Returns: %FALSE with @error set when the submission is not valid
+ * Parses and validates a submission.
+ *
+ * Returns: %FALSE with @error set when the submission is invalid
  */
 gboolean hr_jobspec_parse (const json_t *object, HrNames *names, HrJobSpec *out, const char **id,
                            GError **error);
 
 /**
- * hr_jobspec_awaits:
+ * hr_jobspec_parse_awaits:
  * @object: the body of a submission
- * @out: (out) (transfer full) (nullable): the ids of the jobs that it depends on, each once and in
- *   order; %NULL when there are none
+ * @out: (out) (transfer full) (nullable): the ids of the jobs that the job depends on, without
+ *   duplicates and in the order of the submission; %NULL when there are none
  * @error: %HR_PROTOCOL_ERROR_FIELD
  *
- * Returns: %FALSE with @error set when the field is not valid
+ * Parses the list of jobs that a submission depends on.
+ *
+ * Returns: %FALSE with @error set when the field is invalid
  */
-gboolean hr_jobspec_awaits (const json_t *object, GStrv *out, GError **error);
+gboolean hr_jobspec_parse_awaits (const json_t *object, GStrv *out, GError **error);
 
 /**
  * hr_job_ids_read:
  * @array: (nullable): any value
  *
- * Returns: (transfer full) (nullable): the ids in an array of valid ids, each once and in order;
- *   %NULL when it is anything else
+ * Returns: (transfer full) (nullable): the ids without duplicates, in the order of @array; %NULL
+ *   when @array is not an array of valid job ids
  */
 GStrv hr_job_ids_read (const json_t *array);
 
 /**
  * hr_jobspec_pack:
  *
- * Returns: (transfer full): the form of the description in the job's record
+ * Returns: (transfer full): the specification as it is stored in the job's record
  */
 json_t *hr_jobspec_pack (const HrJobSpec *spec, const HrNames *names);
 
 /**
  * hr_jobspec_unpack:
- * @array: (nullable): what hr_jobspec_pack() made, perhaps in another process
+ * @array: (nullable): the result of hr_jobspec_pack(), possibly from another process
  *
- * Returns: %FALSE when it makes no sense
+ * Returns: %FALSE when @array is malformed
  */
 gboolean hr_jobspec_unpack (const json_t *array, HrNames *names, HrJobSpec *out);
--- a/src/protocol/json_util.c
+++ b/src/protocol/json_util.c
@@ -46,11 +46,12 @@
 json_t *
 hr_json_parse (const char *data, gsize len, GError **error)
 {
-  json_error_t failure;
-  json_t *value = json_loadb (data ? data : "", data ? len : 0, JSON_REJECT_DUPLICATES, &failure);
+  json_error_t parse_error;
+  json_t *value =
+      json_loadb (data ? data : "", data ? len : 0, JSON_REJECT_DUPLICATES, &parse_error);
   if (!value)
     g_set_error (error, HR_PROTOCOL_ERROR, HR_PROTOCOL_ERROR_SYNTAX,
-                 "not valid JSON at byte %d: %s", failure.position, failure.text);
+                 "not valid JSON at byte %d: %s", parse_error.position, parse_error.text);
   return value;
 }
 
--- a/src/protocol/json_util.h
+++ b/src/protocol/json_util.h
@@ -1,5 +1,5 @@
-/* Reading JSON with checks: small helpers over jansson. Each accepts NULL, or a value of another
- * type, for the object; no field is found there then. */
+/* Type-checked access to JSON values, on top of jansson. Each function accepts NULL or a value of
+ * another type in place of the object, and treats every field as missing then. */
 #pragma once
 #include "protocol/protocol_error.h"
 #include <glib.h>
@@ -7,39 +7,40 @@
 
 /**
  * hr_json_num:
- * @object: (nullable): where to look
+ * @object: (nullable): a JSON object
  * @key: name of the field
- * @out: (out): the number; as it was where there is none
+ * @out: (out): the number; unchanged on failure
  *
- * Returns: %FALSE if the field is missing, no number or not finite
+ * Returns: %FALSE if the field is missing, not a number or not finite
  */
 gboolean hr_json_num (const json_t *object, const char *key, double *out);
 
 /**
  * hr_json_count:
- * @object: (nullable): where to look
+ * @object: (nullable): a JSON object
  * @key: name of the field
- * @max: the greatest count that is accepted
- * @out: (out): the count; as it was where there is none
+ * @max: the largest valid count
+ * @out: (out): the count; unchanged on failure
  *
- * Returns: %FALSE if the field is missing, or no integer from 0 to @max
+ * Returns: %FALSE if the field is missing or not an integer from 0 to @max
  */
 gboolean hr_json_count (const json_t *object, const char *key, guint64 max, guint64 *out);
 
 /**
  * hr_json_str:
- * @object: (nullable): where to look
+ * @object: (nullable): a JSON object
  * @key: name of the field
  *
- * Returns: (transfer none) (nullable): the text, which belongs to @object
+ * Returns: (transfer none) (nullable): the string, which belongs to @object; %NULL if the field is
+ *   missing or not a string
  */
 const char *hr_json_str (const json_t *object, const char *key);
 
 /**
  * hr_json_bool:
- * @object: (nullable): where to look
+ * @object: (nullable): a JSON object
  * @key: name of the field
- * @out: (out): the value; as it was where there is none
+ * @out: (out): the value; unchanged on failure
  *
  * Returns: %FALSE if the field is missing or of another type
  */
@@ -47,11 +48,12 @@
 
 /**
  * hr_json_parse:
- * @data: (nullable): the bytes of a whole body
- * @len: their number
- * @error: %HR_PROTOCOL_ERROR_SYNTAX; its text may quote bytes of @data that are no UTF-8
+ * @data: (nullable): a complete body
+ * @len: its length in bytes
+ * @error: %HR_PROTOCOL_ERROR_SYNTAX; its message may quote bytes of @data that are not valid UTF-8
  *
- * Returns: (transfer full) (nullable): %NULL when the body is not one JSON value
+ * Returns: (transfer full) (nullable): the parsed value; %NULL with @error set when the body is not
+ *   exactly one JSON value
  */
 json_t *hr_json_parse (const char *data, gsize len, GError **error);
 
@@ -59,6 +61,8 @@
  * hr_json_take_text:
  * @value: (transfer full): any value
  *
- * Returns: (transfer full): its compact text
+ * Serialises a value and releases it.
+ *
+ * Returns: (transfer full): the value as compact JSON text
  */
 char *hr_json_take_text (json_t *value);
--- a/src/protocol/messages.c
+++ b/src/protocol/messages.c
@@ -3,10 +3,10 @@
 #include "protocol/wire_names.h"
 #include <string.h>
 
-/* Of an answer that is not JSON: how much of it is shown. */
-#define SHOWN_BYTES 200
+/* Maximum number of bytes shown of an answer without an error message. */
+#define MAX_EXCERPT_BYTES 200
 
-/* By HrJobStatusState. */
+/* Indexed by HrJobStatusState. */
 static const char *const state_names[] = {HR_WIRE_JOB_QUEUED, HR_WIRE_JOB_RUNNING, HR_WIRE_JOB_DONE,
                                           HR_WIRE_JOB_CANCELLED};
 
@@ -73,9 +73,9 @@
 {
   json_t *object = hr_json_parse (body, size, NULL);
   const char *id = hr_json_str (object, HR_WIRE_ID), *state = hr_json_str (object, HR_WIRE_STATE);
-  gboolean good = id && state;
+  gboolean valid = id && state;
   memset (out, 0, sizeof *out);
-  if (good) {
+  if (valid) {
     out->id = g_strdup (id);
     out->state = g_strdup (state);
     out->reason = g_strdup (hr_json_str (object, HR_WIRE_REASON));
@@ -83,7 +83,7 @@
     hr_json_count (object, HR_WIRE_RUNNING, G_MAXINT64, &out->running);
   }
   json_decref (object);
-  return good;
+  return valid;
 }
 
 void
@@ -119,8 +119,8 @@
 {
   json_t *object = hr_json_parse (body, size, NULL);
   const char *error = hr_json_str (object, HR_WIRE_ERROR);
-  g_autofree char *start = g_strndup (body ? body : "", MIN (size, SHOWN_BYTES));
-  char *text = error ? g_strdup (error) : g_utf8_make_valid (start, -1);
+  g_autofree char *excerpt = g_strndup (body ? body : "", MIN (size, MAX_EXCERPT_BYTES));
+  char *text = error ? g_strdup (error) : g_utf8_make_valid (excerpt, -1);
   json_decref (object);
   return text;
 }
--- a/src/protocol/protocol_error.h
+++ b/src/protocol/protocol_error.h
@@ -1,13 +1,13 @@
-/* Errors of messages and settings that make no sense. The texts are for people: those about a
- * submission or a heartbeat go back to its sender, those about settings to the operator. */
+/* Errors in messages and settings. The error texts are for humans: those about a submission or a
+ * heartbeat are sent back to its sender, those about settings are shown to the operator. */
 #pragma once
 #include <glib.h>
 
 /**
  * HrProtocolError:
- * @HR_PROTOCOL_ERROR_SYNTAX: not one JSON value
- * @HR_PROTOCOL_ERROR_FIELD: a field is missing, of the wrong type or out of its range
- * @HR_PROTOCOL_ERROR_SETTING: the same of a setting
+ * @HR_PROTOCOL_ERROR_SYNTAX: not exactly one JSON value
+ * @HR_PROTOCOL_ERROR_FIELD: a field is missing, has the wrong type or is out of range
+ * @HR_PROTOCOL_ERROR_SETTING: a setting is missing, has the wrong type or is out of range
  */
 typedef enum {
   HR_PROTOCOL_ERROR_SYNTAX,
--- a/src/protocol/settings.c
+++ b/src/protocol/settings.c
@@ -3,19 +3,20 @@
 #include <gio/gio.h>
 #include <string.h>
 
-/* Of any number that has to be above 0. */
+/* Maximum value of a setting that must be above 0. */
 #define MAX_NUMBER 1e9
-/* Elections change two keys at once, and that is the least to plan for. */
+/* Minimum for the announced limit of changes per transaction: an election changes two keys at once.
+ */
 #define MIN_PLANNED_TRANSACTION_OPS 2
-/* Changes of a transaction, in the limits in force. */
+/* Range of the limit of changes per transaction that is in force. */
 #define MIN_TRANSACTION_OPS 3
 #define MAX_TRANSACTION_OPS 1000
-/* Sockets of this process. */
+/* Number of sockets of this process. */
 #define DEFAULT_SOCKETS 1024
 #define MIN_SOCKETS 64
 #define MAX_SOCKETS 1e6
-/* By how much cancel_s has to exceed lease_s: a machine that cannot be reached stops its tasks only
- * when its lease ends. */
+/* cancel_s must exceed lease_s by more than this: a machine that cannot be reached stops its tasks
+ * only when its lease expires. */
 #define CANCEL_MARGIN_S 2
 
 static void
@@ -27,86 +28,88 @@
   g_free (member->endpoint);
 }
 
-/* Always FALSE, for the caller to return. where: the setting's path in the file. */
+/* Sets *error for an invalid setting. path: the setting's path in the file. Always returns FALSE,
+ * so that callers can return the result. */
 static gboolean
-bad_setting (GError **error, const char *where, const char *want)
+set_setting_error (GError **error, const char *path, const char *expected)
 {
-  g_set_error (error, HR_PROTOCOL_ERROR, HR_PROTOCOL_ERROR_SETTING, "setting %s: expected %s",
-               where, want);
+  g_set_error (error, HR_PROTOCOL_ERROR, HR_PROTOCOL_ERROR_SETTING, "setting %s: expected %s", path,
+               expected);
   return FALSE;
 }
 
 static gboolean
-read_text (const json_t *object, const char *where, const char *key, char **out, GError **error)
+read_text (const json_t *object, const char *path, const char *key, char **out, GError **error)
 {
   const char *name = hr_json_str (object, key);
   if (!name || !*name)
-    return bad_setting (error, where, "a text that is not empty");
+    return set_setting_error (error, path, "a non-empty string");
   *out = g_strdup (name);
   return TRUE;
 }
 
-/* IP:PORT, as the deployments use no names. */
+/* Accepts only IP:PORT, since deployments use no host names. */
 static gboolean
-read_address (const json_t *object, const char *where, const char *key, char **out, GError **error)
+read_address (const json_t *object, const char *path, const char *key, char **out, GError **error)
 {
-  if (!read_text (object, where, key, out, error))
+  if (!read_text (object, path, key, out, error))
     return FALSE;
   g_autoptr (GSocketConnectable) parsed = g_network_address_parse (*out, 0, NULL);
   const char *host = parsed ? g_network_address_get_hostname (G_NETWORK_ADDRESS (parsed)) : NULL;
   if (!host || !g_hostname_is_ip_address (host) ||
       g_network_address_get_port (G_NETWORK_ADDRESS (parsed)) == 0)
-    return bad_setting (error, where, "an address such as 10.0.0.1:8080");
+    return set_setting_error (error, path, "IP:PORT, such as 10.0.0.1:8080");
   return TRUE;
 }
 
 static gboolean
-read_positive (const json_t *object, const char *where, const char *key, double *out,
-               GError **error)
+read_positive (const json_t *object, const char *path, const char *key, double *out, GError **error)
 {
   if (!hr_json_num (object, key, out) || *out <= 0 || *out > MAX_NUMBER)
-    return bad_setting (error, where, "a number above 0");
+    return set_setting_error (error, path, "a number above 0, at most 1e9");
   return TRUE;
 }
 
 static gboolean
-read_amount (const json_t *object, const char *where, const char *key, double *out, GError **error)
+read_amount (const json_t *object, const char *path, const char *key, double *out, GError **error)
 {
   if (!hr_json_num (object, key, out) || *out < 0)
-    return bad_setting (error, where, "a number, 0 or more");
+    return set_setting_error (error, path, "a number of at least 0");
   return TRUE;
 }
 
-/* An announced limit, which may be missing. */
+/* Lowers *limit to the announced limit, if there is one. */
 static gboolean
-read_announced (const json_t *next, const char *where, const char *key, double *limit,
-                GError **error)
+read_announced_limit (const json_t *next, const char *path, const char *key, double *limit,
+                      GError **error)
 {
   double value;
   if (!json_object_get (next, key) || json_is_null (json_object_get (next, key)))
     return TRUE;
-  if (!read_positive (next, where, key, &value, error))
+  if (!read_positive (next, path, key, &value, error))
     return FALSE;
   *limit = MIN (*limit, value);
   return TRUE;
 }
 
 static gboolean
-read_planned (HrSettings *settings, const json_t *next, GError **error)
+read_planned_limits (HrSettings *settings, const json_t *next, GError **error)
 {
   double ops = settings->txn_ops;
-  settings->planned = (HrStateLimits){settings->state_rps, settings->state_write_rps,
-                                      settings->value_kb, settings->txn_ops};
-  if (!read_announced (next, "facts.state.next.rps", "rps", &settings->planned.rps, error) ||
-      !read_announced (next, "facts.state.next.write_rps", "write_rps",
-                       &settings->planned.write_rps, error) ||
-      !read_announced (next, "facts.state.next.value_kb", "value_kb", &settings->planned.value_kb,
-                       error) ||
-      !read_announced (next, "facts.state.next.txn_ops", "txn_ops", &ops, error))
+  settings->planned_limits = (HrStateLimits){settings->state_rps, settings->state_write_rps,
+                                             settings->value_kb, settings->txn_ops};
+  if (!read_announced_limit (next, "facts.state.next.rps", "rps", &settings->planned_limits.rps,
+                             error) ||
+      !read_announced_limit (next, "facts.state.next.write_rps", "write_rps",
+                             &settings->planned_limits.write_rps, error) ||
+      !read_announced_limit (next, "facts.state.next.value_kb", "value_kb",
+                             &settings->planned_limits.value_kb, error) ||
+      !read_announced_limit (next, "facts.state.next.txn_ops", "txn_ops", &ops, error))
     return FALSE;
   if (ops < MIN_PLANNED_TRANSACTION_OPS)
-    return bad_setting (error, "facts.state.next.txn_ops", "at least 2 changes a transaction");
-  settings->planned.txn_ops = ops;
+    return set_setting_error (error, "facts.state.next.txn_ops",
+                              "at least 2 changes per transaction");
+  settings->planned_limits.txn_ops = ops;
   return TRUE;
 }
 
@@ -123,7 +126,7 @@
          read_positive (workers, "facts.workers.cancel_s", "cancel_s", &settings->cancel_s, error);
 }
 
-/* *ops: changes a transaction, still to be checked. */
+/* *ops: changes per transaction, whose range the caller checks. */
 static gboolean
 read_store_facts (HrSettings *settings, const json_t *state, double *ops, GError **error)
 {
@@ -147,7 +150,7 @@
   double sockets = DEFAULT_SOCKETS;
   hr_json_num (machine_limits, "fd_limit", &sockets);
   if (sockets < MIN_SOCKETS)
-    return bad_setting (error, "facts.machine_limits.fd_limit", "at least 64 sockets");
+    return set_setting_error (error, "facts.machine_limits.fd_limit", "a number of at least 64");
   settings->sockets = MIN (sockets, MAX_SOCKETS);
   return TRUE;
 }
@@ -156,7 +159,7 @@
 read_teams (HrSettings *settings, const json_t *teams, HrNames *names, GError **error)
 {
   if (!json_is_array (teams) || json_array_size (teams) == 0)
-    return bad_setting (error, "facts.teams", "an array with at least one team");
+    return set_setting_error (error, "facts.teams", "an array with at least one team");
   size_t i;
   json_t *object;
   json_array_foreach (teams, i, object)
@@ -164,7 +167,7 @@
     HrTeam team = {0};
     const char *name = hr_json_str (object, "name");
     if (!name || !*name)
-      return bad_setting (error, "facts.teams[].name", "a text that is not empty");
+      return set_setting_error (error, "facts.teams[].name", "a non-empty string");
     if (!read_amount (object, "facts.teams[].cpus", "cpus", &team.cpus, error) ||
         !read_amount (object, "facts.teams[].gpus", "gpus", &team.gpus, error) ||
         !read_amount (object, "facts.teams[].cpus_max", "cpus_max", &team.cpus_max, error) ||
@@ -195,7 +198,7 @@
   {
     const char *kind = hr_json_str (object, "kind"), *job_class = hr_json_str (object, "class");
     if (!kind || !job_class)
-      continue; /* an objective of a kind that is unknown here steers nothing */
+      continue; /* an objective without a kind or a class has no effect */
     HrObjective objective = {objective_kind (kind), hr_intern (&names->classes, job_class), 0, 0};
     hr_json_num (object, objective.kind == HR_OBJECTIVE_UP ? "after_s" : "within_s",
                  &objective.within_s);
@@ -214,13 +217,13 @@
       !read_cloud_facts (settings, json_object_get (facts, "cloud"), error))
     return FALSE;
   if (ops < MIN_TRANSACTION_OPS)
-    return bad_setting (error, "facts.state.txn_ops", "at least 3 changes a transaction");
+    return set_setting_error (error, "facts.state.txn_ops", "at least 3 changes per transaction");
   settings->txn_ops = MIN (ops, MAX_TRANSACTION_OPS);
-  if (!read_planned (settings, json_object_get (state, "next"), error) ||
+  if (!read_planned_limits (settings, json_object_get (state, "next"), error) ||
       !read_sockets (settings, json_object_get (facts, "machine_limits"), error))
     return FALSE;
   if (settings->cancel_s <= settings->lease_s + CANCEL_MARGIN_S)
-    return bad_setting (error, "facts.workers.cancel_s", "more than lease_s and two seconds");
+    return set_setting_error (error, "facts.workers.cancel_s", "more than lease_s + 2 seconds");
   if (!read_teams (settings, json_object_get (facts, "teams"), names, error))
     return FALSE;
   read_objectives (settings, json_object_get (facts, "objectives"), names);
@@ -243,7 +246,7 @@
 read_members (HrSettings *settings, const json_t *members, GError **error)
 {
   if (!json_is_array (members))
-    return bad_setting (error, "members", "an array");
+    return set_setting_error (error, "members", "an array");
   size_t i;
   json_t *object;
   json_array_foreach (members, i, object)
@@ -261,15 +264,15 @@
   return TRUE;
 }
 
-/* The zone that all controllers are in, else HR_NONE. */
+/* Returns the zone of all controllers; HR_NONE if they are in several zones. */
 static guint32
-home_zone (const HrSettings *settings, HrNames *names)
+common_zone (const HrSettings *settings, HrNames *names)
 {
-  guint32 home = hr_intern (&names->zones, settings->zone);
+  guint32 zone = hr_intern (&names->zones, settings->zone);
   for (guint i = 0; i < settings->members->len; i++)
     if (g_strcmp0 (g_array_index (settings->members, HrMember, i).zone, settings->zone) != 0)
       return HR_NONE;
-  return home;
+  return zone;
 }
 
 HrSettings *
@@ -281,13 +284,13 @@
   settings->teams = g_array_new (FALSE, TRUE, sizeof (HrTeam));
   settings->objectives = g_array_new (FALSE, TRUE, sizeof (HrObjective));
   if (!json_is_object (root)) {
-    bad_setting (error, "(the whole file)", "a JSON object");
+    set_setting_error (error, "(top level)", "a JSON object");
     return NULL;
   }
   if (!read_addresses (settings, root, error) ||
       !read_members (settings, json_object_get (root, "members"), error))
     return NULL;
-  settings->home = home_zone (settings, names);
+  settings->home_zone = common_zone (settings, names);
   if (!read_facts (settings, json_object_get (root, "facts"), names, error))
     return NULL;
   return g_steal_pointer (&settings);
--- a/src/protocol/settings.h
+++ b/src/protocol/settings.h
@@ -1,36 +1,37 @@
-/* The platform's settings file, in JSON: where this controller and the services are, and the
- * figures that the platform states. Times are in seconds. Settings do not change while a controller
- * runs. */
+/* The platform's settings file, in JSON: the addresses of this controller and of the services, and
+ * the parameters that the platform specifies. Times are in seconds. Settings do not change while a
+ * controller runs. */
 #pragma once
 #include "protocol/jobspec.h"
 
-/* Another controller. endpoint: IP:PORT for statuses. */
+/* Another controller. endpoint: IP:PORT to which statuses are sent. */
 typedef struct {
   char *label, *zone, *endpoint;
 } HrMember;
 
-/* A team's guarantee (cpus, gpus) and the most that it may use. */
+/* A team's guaranteed capacity (cpus, gpus) and its limits (cpus_max, gpus_max). */
 typedef struct {
   guint32 team;
-  double cpus, gpus, cpus_max, gpus_max; /* 0: none */
+  double cpus, gpus, cpus_max, gpus_max; /* 0: no guarantee; no limit */
 } HrTeam;
 
 typedef enum {
-  HR_OBJECTIVE_WAIT,     /* start within a time of the submission */
-  HR_OBJECTIVE_UP,       /* replicas of a service run, some time after its submission */
-  HR_OBJECTIVE_DEADLINE, /* done by the deadline */
-  HR_OBJECTIVE_FINISHED, /* done within a time */
-  HR_OBJECTIVE_OTHER     /* of a later version; steers nothing */
+  HR_OBJECTIVE_WAIT,     /* tasks start within a time after the submission */
+  HR_OBJECTIVE_UP,       /* replicas of a service run from some time after its submission on */
+  HR_OBJECTIVE_DEADLINE, /* jobs are done by their deadline */
+  HR_OBJECTIVE_FINISHED, /* jobs are done within a time after the submission */
+  HR_OBJECTIVE_OTHER     /* unknown to this version; has no effect */
 } HrObjectiveKind;
 
-/* A service level objective for a class of jobs. */
+/* A service-level objective for a class of jobs. */
 typedef struct {
   HrObjectiveKind kind;
   guint32 job_class;
-  double within_s, share; /* within_s: of HR_OBJECTIVE_UP, the time after which it counts */
+  double within_s, share; /* within_s: for HR_OBJECTIVE_UP, the time from which on it applies */
 } HrObjective;
 
-/* Limits of the state store: requests and changes a second, KiB a value, changes a transaction. */
+/* Limits of the state store: requests and changes per second, KiB per value, changes per
+ * transaction. */
 typedef struct {
   double rps, write_rps, value_kb;
   guint txn_ops;
@@ -38,33 +39,37 @@
 
 typedef struct {
   char *label, *zone;
-  char *front, *back;  /* IP:PORT where users and workers, and other controllers, connect */
+  char *front, *back;  /* IP:PORT to listen on: front for users and workers, back for controllers */
   char *cloud, *state; /* IP:PORT of the cloud and of the state store */
   GArray *members;     /* HrMember: the other controllers */
   GArray *teams;       /* HrTeam */
   GArray *objectives;  /* HrObjective */
-  guint32 home;        /* the zone that all controllers are in; HR_NONE: they are in several */
-  double report_s;     /* between two heartbeats of a worker */
-  double lease_s;      /* of a worker, from the answer to its heartbeat on */
-  double gang_wait_s;  /* that a gang's task waits on its machine for the others */
-  double gang_peer_s;  /* that a gang's task runs on after another one has ended */
-  double cancel_s;     /* from a confirmed cancellation to the end of the job's last task */
+  guint32 home_zone;   /* the zone of all controllers; HR_NONE if they are in several zones */
+  double report_s;     /* interval between a worker's heartbeats */
+  double lease_s;      /* duration of a worker's lease, from the answer to its heartbeat on */
+  double gang_wait_s;  /* how long a gang's task waits on its machine for the other tasks */
+  double gang_peer_s;  /* how long a gang's task keeps running after another one has ended */
+  /* maximum time from a confirmed cancellation to the end of the job's last task */
+  double cancel_s;
   double state_rps, state_write_rps, value_kb;
   guint txn_ops;
-  /* What to plan for: the smaller of the limits in force and of those announced, which come
-   * into force at any moment. */
-  HrStateLimits planned;
-  guint sockets;                /* of this process; a usual limit when the file has none */
-  double cloud_rps, list_lag_s; /* list_lag_s: how old the cloud's list of instances may be */
+  /* The smaller of the limits in force and the announced limits, which may come into force at any
+   * moment. */
+  HrStateLimits planned_limits;
+  guint sockets;                /* of this process; a common limit if the file has none */
+  double cloud_rps, list_lag_s; /* list_lag_s: maximum age of the cloud's list of instances */
 } HrSettings;
 
 /**
  * hr_settings_load:
- * @path: of the settings file
- * @names: tables that get the names of zones, teams and classes
- * @error: a #GFileError or #HrProtocolError; its text names the file and the setting
+ * @path: path of the settings file
+ * @names: tables to which the names of zones, teams and classes are added
+ * @error: a #GFileError or #HrProtocolError; its message names the file and the setting
  *
- * Returns: (transfer full) (nullable): %NULL with @error set
+ * Reads and validates a settings file.
+ *
+ * Returns: (transfer full) (nullable): the settings; %NULL with @error set when the file cannot be
+ *   read or is invalid
  */
 HrSettings *hr_settings_load (const char *path, HrNames *names, GError **error);
 
@@ -72,9 +77,9 @@
  * hr_settings_parse:
  * @root: (nullable): the content of a settings file
  * @names: as for hr_settings_load()
- * @error: %HR_PROTOCOL_ERROR_SETTING; its text names the setting
+ * @error: %HR_PROTOCOL_ERROR_SETTING; its message names the setting
  *
- * Returns: (transfer full) (nullable): %NULL with @error set
+ * Returns: (transfer full) (nullable): the settings; %NULL with @error set when one is invalid
  */
 HrSettings *hr_settings_parse (const json_t *root, HrNames *names, GError **error);
 
--- a/src/protocol/store_api.c
+++ b/src/protocol/store_api.c
@@ -2,7 +2,7 @@
 #include "protocol/json_util.h"
 #include "protocol/wire_names.h"
 
-/* Keys in one page of the list. */
+/* Maximum number of keys on one page of a list. */
 #define LIST_PAGE_KEYS "1000"
 
 char *
--- a/src/protocol/store_api.h
+++ b/src/protocol/store_api.h
@@ -1,29 +1,29 @@
-/* The requests and answers of the replicated state store: a key-value service with revisions,
- * transactions and leases. Here its names for them become terms and back; bookkeeping and
- * leadership call these functions and spell none of the names.
+/* Requests to the replicated state store and its answers. The store is a key-value service with
+ * revisions, transactions and leases. This module translates between the store's field names and
+ * the terms that bookkeeping and leadership use; they do not contain the field names.
  *
- * Paths and bodies that are returned are the caller's to free. What is read points into the answer
- * and lives as long as it does. */
+ * The caller frees the paths and bodies that are returned. Values read from an answer belong to the
+ * answer and are valid as long as it is. */
 #pragma once
 #include <glib.h>
 #include <jansson.h>
 
-/* Where transactions are sent. */
+/* Path for transactions. */
 #define HR_STORE_COMMIT_PATH "/commit"
-/* Where leases are granted. */
+/* Path for requesting leases. */
 #define HR_STORE_LEASES_PATH "/leases"
 
-/* One change, or one row of a list. */
+/* One change, or one row of a list of keys. */
 typedef struct {
   const char *key;
   const json_t *value; /* NULL: the key was deleted */
-  guint64 revision;    /* at which it was written */
+  guint64 revision;    /* revision of this write */
 } HrStoreChange;
 
 /**
  * hr_store_list_path:
- * @prefix: of the keys
- * @cursor: (nullable): the last key of the page before; %NULL for the first page
+ * @prefix: prefix of the listed keys
+ * @cursor: (nullable): the last key on the previous page; %NULL for the first page
  *
  * Returns: (transfer full): the path of one page of the list of keys
  */
@@ -31,38 +31,38 @@
 
 /**
  * hr_store_changes_path:
- * @prefix: of the keys
- * @after: a revision; later changes are wanted
- * @wait_ms: how long the store may wait for a change before it answers
+ * @prefix: prefix of the watched keys
+ * @after: revision after which changes are read
+ * @wait_ms: how long the store may wait for a change before it answers, in milliseconds
  *
- * Returns: (transfer full): the path of a read of changes
+ * Returns: (transfer full): the path for reading changes
  */
 char *hr_store_changes_path (const char *prefix, guint64 after, guint wait_ms);
 
 /**
  * hr_store_key_path:
  *
- * Returns: (transfer full): the path of a read of one key
+ * Returns: (transfer full): the path for reading one key
  */
 char *hr_store_key_path (const char *key);
 
 /**
  * hr_store_lease_path:
  *
- * Returns: (transfer full): the path at which the lease is given back
+ * Returns: (transfer full): the path for releasing the lease
  */
 char *hr_store_lease_path (guint64 lease_id);
 
 /**
  * hr_store_lease_renewal_path:
  *
- * Returns: (transfer full): the path at which the lease is renewed
+ * Returns: (transfer full): the path for renewing the lease
  */
 char *hr_store_lease_renewal_path (guint64 lease_id);
 
 /**
  * hr_store_lease_text:
- * @life_ms: how long the lease lasts after its last renewal
+ * @life_ms: time in milliseconds after which the lease expires unless it is renewed
  *
  * Returns: (transfer full): the body of a request for a lease
  */
@@ -70,27 +70,29 @@
 
 /**
  * hr_store_read_lease_id:
- * @answer: (nullable): to a request for a lease
+ * @answer: (nullable): the answer to a request for a lease
  *
- * Returns: %FALSE when the answer grants none
+ * Returns: %FALSE when the answer grants no lease
  */
 gboolean hr_store_read_lease_id (const json_t *answer, guint64 *lease_id);
 
 /**
  * hr_store_read_revision:
- * @answer: (nullable): to a read or a transaction
+ * @answer: (nullable): the answer to a read or a transaction
  *
- * Reads the revision of the store as a whole; of a transaction, the one that it was carried out at.
+ * Reads the revision of the whole store; after a transaction, the revision that it created.
  *
- * Returns: %FALSE when the answer makes no sense
+ * Returns: %FALSE when the answer has no valid revision
  */
 gboolean hr_store_read_revision (const json_t *answer, guint64 *revision);
 
 /**
  * hr_store_read_key_revision:
- * @answer: (nullable): to a read of one key
+ * @answer: (nullable): the answer to a read of one key
  *
- * Returns: %FALSE, with *@revision as it was, when the answer names none
+ * Reads the revision at which the key was last written.
+ *
+ * Returns: %FALSE, with *@revision unchanged, when the answer has no valid revision
  */
 gboolean hr_store_read_key_revision (const json_t *answer, guint64 *revision);
 
@@ -104,7 +106,7 @@
 /**
  * hr_store_changes:
  *
- * Returns: (nullable): the list of changes in an answer, the oldest first
+ * Returns: (nullable): the changes in an answer, the oldest first
  */
 const json_t *hr_store_changes (const json_t *answer);
 
@@ -113,14 +115,14 @@
  *
  * Reads an entry of hr_store_changes().
  *
- * Returns: %FALSE when the entry makes no sense
+ * Returns: %FALSE when the entry is malformed
  */
 gboolean hr_store_read_change (const json_t *entry, HrStoreChange *change);
 
 /**
  * hr_store_list_rows:
  *
- * Returns: (nullable): the rows in the answer with a page of the list
+ * Returns: (nullable): the rows of a page of the list of keys
  */
 const json_t *hr_store_list_rows (const json_t *answer);
 
@@ -129,7 +131,7 @@
  *
  * Reads an entry of hr_store_list_rows().
  *
- * Returns: %FALSE when the entry makes no sense
+ * Returns: %FALSE when the entry is malformed
  */
 gboolean hr_store_read_row (const json_t *entry, HrStoreChange *row);
 
@@ -142,7 +144,7 @@
 
 /**
  * hr_store_condition:
- * @revision: that the key must have; 0: it must not exist
+ * @revision: the revision that the key must have; 0: the key must not exist
  *
  * Returns: (transfer full): a condition of a transaction
  */
@@ -150,8 +152,9 @@
 
 /**
  * hr_store_put:
- * @value: (transfer full): what is written
- * @lease_id: the key is deleted with this lease; 0: it stays
+ * @value: (transfer full): the new value
+ * @lease_id: the lease to which the key is attached: the store deletes the key when the lease ends;
+ *   0: no lease
  *
  * Returns: (transfer full): a write of a transaction
  */
@@ -167,6 +170,8 @@
 /**
  * hr_store_commit_text:
  *
- * Returns: (transfer full): the body of a transaction; takes references of its own
+ * Takes its own references to @conditions and @writes.
+ *
+ * Returns: (transfer full): the body of a transaction
  */
 char *hr_store_commit_text (json_t *conditions, json_t *writes);
--- a/src/protocol/worker.c
+++ b/src/protocol/worker.c
@@ -4,10 +4,10 @@
 #include "protocol/wire_names.h"
 #include <string.h>
 
-/* Bytes of a machine's name. */
+/* Maximum length of a machine's name in bytes. */
 #define MAX_MACHINE_NAME_BYTES 64
 
-/* By HrReportedState and by HrExitCause. */
+/* Indexed by HrReportedState and by HrExitCause. */
 static const char *const states[] = {"fetching", "gathering", "running", "flushing", "exited"};
 static const char *const causes[] = {"",      "done", "halted", "peers",  "incomplete",
                                      "error", "full", "in_use", "unknown"};
@@ -29,7 +29,8 @@
   return FALSE;
 }
 
-/* A cause that a later version of the worker knows counts as a failure. */
+/* Returns the cause with this name. An unknown one, perhaps of a later version of the worker,
+ * counts as HR_EXIT_ERROR. */
 static HrExitCause
 parse_exit_cause (const char *name)
 {
@@ -51,7 +52,7 @@
       !hr_json_count (object, HR_WIRE_ATTEMPT, G_MAXUINT32, &attempt))
     return FALSE;
   char *job_id = g_strndup (name, slash - name);
-  g_ptr_array_add (heartbeat->texts, job_id);
+  g_ptr_array_add (heartbeat->job_ids, job_id);
   *reported = (HrReportedTask){.job = job_id, .task = task, .attempt = attempt};
   if (!parse_state (state_name, &reported->state))
     return FALSE;
@@ -61,7 +62,7 @@
   return TRUE;
 }
 
-/* Fills in all but the tasks. */
+/* Parses all fields except the tasks. */
 static gboolean
 parse_header (const json_t *root, HrHeartbeat *heartbeat)
 {
@@ -91,7 +92,7 @@
   g_autoptr (HrHeartbeat) heartbeat = g_new0 (HrHeartbeat, 1);
   heartbeat->root = root;
   heartbeat->tasks = g_array_new (FALSE, TRUE, sizeof (HrReportedTask));
-  heartbeat->texts = g_ptr_array_new_with_free_func (g_free);
+  heartbeat->job_ids = g_ptr_array_new_with_free_func (g_free);
   if (!parse_header (root, heartbeat)) {
     g_set_error_literal (error, HR_PROTOCOL_ERROR, HR_PROTOCOL_ERROR_FIELD,
                          "not a worker's report: a field is missing or of the wrong type");
@@ -119,11 +120,11 @@
     return;
   json_decref (heartbeat->root);
   g_array_unref (heartbeat->tasks);
-  g_ptr_array_unref (heartbeat->texts);
+  g_ptr_array_unref (heartbeat->job_ids);
   g_free (heartbeat);
 }
 
-/* The verbs of the protocol, by HrOrderKind. */
+/* Verbs of the protocol, indexed by HrOrderKind. */
 static const char *const order_verbs[] = {HR_WIRE_ORDER_LAUNCH, HR_WIRE_ORDER_STOP,
                                           HR_WIRE_ORDER_CLEAR};
 
--- a/src/transport/http_client.c
+++ b/src/transport/http_client.c
@@ -2,24 +2,25 @@
 #include <libsoup/soup.h>
 #include <string.h>
 
-/* An answer larger than this counts as none: no service has cause to send it. */
+/* A larger answer counts as no usable answer: no service sends one this large. */
 #define MAX_ANSWER_BYTES ((gsize)8 * 1024 * 1024)
-/* Calls with a longer timeout are watches. */
+/* Calls to the state store with a longer timeout are watches. */
 #define WATCH_TIMEOUT_S 10
-/* Longer than any call; each call has its own timer. */
+/* Longer than any call, since each call has a timer of its own. */
 #define SESSION_TIMEOUT_S 75
-/* How long a connection stays open for the next call. */
+/* Time after which an unused connection is closed. */
 #define IDLE_TIMEOUT_S 20
 #define WORKER_IDLE_TIMEOUT_S 2
-/* Connections to one worker. */
+/* Maximum number of connections to one worker. */
 #define WORKER_CONNECTIONS 2
-/* Connections to all workers together: at least so many, else this part of the sockets. */
+/* Maximum number of connections to all workers: the process's sockets divided by the divisor, but
+ * at least the minimum. */
 #define MIN_WORKERS_CONNECTIONS 16
 #define WORKERS_SOCKET_DIVISOR 10
 
-/* A SoupSession holds calls back while another of its calls waits for a connection, and completes a
- * cancelled call only after that one. So the watches, which wait for long by design, the store, the
- * cloud and the workers each have a session of their own. */
+/* While a call of a SoupSession waits for a connection, the session delays its other calls, and
+ * completes a cancelled call only after that one. So there are separate sessions for watches, whose
+ * answers take long by design, for other calls to the store, for the cloud and for the workers. */
 typedef enum {
   SESSION_WATCH,
   SESSION_STORE,
@@ -35,17 +36,17 @@
   gpointer data;
 };
 
-/* A call on its way. */
+/* A call that has not completed. */
 typedef struct {
   HrHttpClient *client;
   guint64 id;
   SoupMessage *msg;
   GCancellable *cancel;
-  guint timer; /* of its deadline; 0: that has passed, and the result was given */
+  guint timer; /* source of the deadline; 0: the deadline has passed and the result was delivered */
 } Call;
 
 static void
-give_result (Call *call, guint status, GBytes *body)
+deliver_result (Call *call, guint status, GBytes *body)
 {
   HrCommand *command = hr_command_new (HR_COMMAND_RESULT);
   command->id = call->id;
@@ -54,14 +55,14 @@
   call->client->sink (command, call->client->data);
 }
 
-/* The result is given here, not when libsoup has carried the cancellation out: that may take until
- * other calls of the session have ended. */
+/* Delivers the result at once rather than when libsoup completes the cancelled call, which may be
+ * after other calls of the session have ended. */
 static gboolean
 on_deadline (gpointer data)
 {
   Call *call = data;
   call->timer = 0;
-  give_result (call, 0, NULL);
+  deliver_result (call, 0, NULL);
   g_cancellable_cancel (call->cancel);
   return G_SOURCE_REMOVE;
 }
@@ -73,10 +74,10 @@
   g_autoptr (GError) error = NULL;
   GBytes *body = soup_session_send_and_read_finish (SOUP_SESSION (src), res, &error);
   if (call->timer) {
-    gboolean good = body && g_bytes_get_size (body) <= MAX_ANSWER_BYTES;
+    gboolean usable = body && g_bytes_get_size (body) <= MAX_ANSWER_BYTES;
     g_source_remove (call->timer);
-    give_result (call, good ? soup_message_get_status (call->msg) : 0,
-                 good ? g_steal_pointer (&body) : NULL);
+    deliver_result (call, usable ? soup_message_get_status (call->msg) : 0,
+                    usable ? g_steal_pointer (&body) : NULL);
   }
   g_clear_pointer (&body, g_bytes_unref);
   g_object_unref (call->cancel);
@@ -84,8 +85,8 @@
   g_free (call);
 }
 
-/* Connections to workers are seldom used twice soon, and each has its source in the main loop: a
- * tenth of the sockets is for them. */
+/* Returns the maximum number of connections of a session. Workers get only a tenth of the sockets:
+ * their connections are rarely reused soon, and each adds a source to the main loop. */
 static guint
 pool_size (SessionKind kind, guint sockets)
 {
@@ -95,7 +96,7 @@
 }
 
 guint
-hr_http_client_sockets (guint sockets)
+hr_http_client_max_sockets (guint sockets)
 {
   guint n = 0;
   for (int i = 0; i < N_SESSIONS; i++)
@@ -114,11 +115,11 @@
   client->data = data;
   for (int i = 0; i < N_SESSIONS; i++) {
     guint connections = pool_size (i, sockets);
-    gboolean workers = i == SESSION_WORKERS;
+    gboolean is_workers = i == SESSION_WORKERS;
     client->sessions[i] = soup_session_new_with_options (
-        "max-conns", connections, "max-conns-per-host", workers ? WORKER_CONNECTIONS : connections,
-        "timeout", SESSION_TIMEOUT_S, "idle-timeout",
-        workers ? WORKER_IDLE_TIMEOUT_S : IDLE_TIMEOUT_S, NULL);
+        "max-conns", connections, "max-conns-per-host",
+        is_workers ? WORKER_CONNECTIONS : connections, "timeout", SESSION_TIMEOUT_S, "idle-timeout",
+        is_workers ? WORKER_IDLE_TIMEOUT_S : IDLE_TIMEOUT_S, NULL);
     soup_session_set_proxy_resolver (client->sessions[i], NULL);
   }
   return client;
@@ -169,8 +170,8 @@
     start_call (call, effect);
     return;
   }
-  /* An address that makes no sense, perhaps from a worker's heartbeat. */
-  give_result (call, 0, NULL);
+  /* The address is invalid; it may come from a worker's heartbeat. */
+  deliver_result (call, 0, NULL);
   g_free (call);
 }
 
--- a/src/transport/http_server.c
+++ b/src/transport/http_server.c
@@ -1,8 +1,8 @@
-/* Why not libsoup, as everywhere else: its server adds one GSource to the main loop for every open
- * connection, and GLib looks at every source in every iteration. With the workers of a large
- * deployment that alone took two to three times the processor that a controller has
- * (docs/design.md). GNU libmicrohttpd keeps its connections behind one epoll descriptor, which is a
- * single source of the main loop. */
+/* This server uses GNU libmicrohttpd, not libsoup as the rest of the program. libsoup's server adds
+ * one GSource to the main loop for each open connection, and GLib checks every source in every
+ * iteration. With the workers of a large deployment that alone took two to three times the
+ * processor time that a controller has (docs/design.md). libmicrohttpd polls its connections
+ * through one epoll descriptor, which is a single source of the main loop. */
 #include "transport/http_server.h"
 #include "protocol/jobspec.h"
 #include <arpa/inet.h>
@@ -10,29 +10,29 @@
 #include <microhttpd.h>
 #include <string.h>
 
-/* Workers send heartbeats and users poll every few seconds. A connection silent for longer is
- * mostly one whose other end is gone without notice: behind a network partition nobody receives the
- * FIN. Left open, such connections would use up the sockets. */
+/* Workers send heartbeats and users poll every few seconds. On a connection that is idle for
+ * longer, the client has usually disappeared without closing it: during a network partition its FIN
+ * does not arrive. Such connections, left open, would use up the sockets. */
 #define IDLE_TIMEOUT_S 20
-/* Load shedding: while more than this share of its connections is in use, users' requests are
- * refused at once. A worker that finds no free connection loses its lease; a user loses a second.
- */
+/* Load shedding: while more than this share of the connections is in use, users' requests are
+ * refused at once. A worker without a connection loses its lease, whereas a user only has to retry
+ * a little later. */
 #define OVERLOAD_SHARE 0.94
-/* Retry-After of refused requests. */
+/* Retry-After header of refused requests, in seconds. */
 #define OVERLOAD_RETRY_AFTER_S "2"
-/* Time between two warnings about refused requests. */
+/* Minimum time between two warnings about refused requests. */
 #define OVERLOAD_LOG_INTERVAL_S 10
-/* Bytes for one connection's headers; bodies are stored elsewhere. */
+/* Memory for the headers of one connection; bodies are stored separately. */
 #define CONNECTION_MEMORY_BYTES (8 * 1024)
 
 struct HrHttpServer {
   struct MHD_Daemon *daemon;
   GSource *source;
-  GHashTable *open; /* request id -> Request, while its answer is awaited */
+  GHashTable *pending; /* request id -> Request, for requests without a reply */
   guint64 last_id;
   guint max_connections;
-  guint n_refused;           /* requests refused for overload since the last warning about it */
-  gint64 overload_logged_at; /* steady clock, microseconds */
+  guint n_refused;           /* requests refused for overload since the last warning */
+  gint64 overload_logged_at; /* monotonic time of the last warning, in microseconds */
   HrCommandSink sink;
   gpointer data;
 };
@@ -40,7 +40,7 @@
 typedef struct {
   HrHttpServer *server;
   struct MHD_Connection *conn;
-  guint64 id; /* 0: not handed to the sink yet */
+  guint64 id; /* 0: not passed to the sink yet */
   GByteArray *body;
   gboolean too_large;
   struct MHD_Response *response;
@@ -59,24 +59,24 @@
 
 static void
 on_completed (void *data, struct MHD_Connection *conn G_GNUC_UNUSED, void **state,
-              enum MHD_RequestTerminationCode why G_GNUC_UNUSED)
+              enum MHD_RequestTerminationCode reason G_GNUC_UNUSED)
 {
   HrHttpServer *server = data;
   Request *request = *state;
   if (!request)
     return;
-  if (request->id && server->open)
-    g_hash_table_remove (server->open, &request->id);
+  if (request->id && server->pending)
+    g_hash_table_remove (server->pending, &request->id);
   request_free (request);
   *state = NULL;
 }
 
-/* Past the limit nothing is stored: a huge body must not cost its size in memory. */
+/* Beyond the size limit nothing is stored, so that a huge body does not use up memory. */
 static void
 append_body (Request *request, const char *data, gsize size)
 {
-  gsize have = request->body ? request->body->len : 0;
-  if (request->too_large || have + size > HR_MAX_BODY) {
+  gsize stored = request->body ? request->body->len : 0;
+  if (request->too_large || stored + size > HR_MAX_BODY) {
     request->too_large = TRUE;
     g_clear_pointer (&request->body, g_byte_array_unref);
     return;
@@ -94,15 +94,16 @@
   return info && info->num_connections > server->max_connections * OVERLOAD_SHARE;
 }
 
-/* Counts a refused request, and warns of those so far unless that was done just before. */
+/* Counts a refused request. Logs the number of those since the last warning, at most once per
+ * OVERLOAD_LOG_INTERVAL_S. */
 static void
-note_refusal (HrHttpServer *server)
+record_refusal (HrHttpServer *server)
 {
   gint64 now = g_get_monotonic_time ();
   server->n_refused++;
   if (now - server->overload_logged_at <= (gint64)OVERLOAD_LOG_INTERVAL_S * G_USEC_PER_SEC)
     return;
-  g_warning ("nearly all of %u connections are in use: %u users' requests sent away",
+  g_warning ("nearly all of %u connections are in use: refused %u user requests",
              server->max_connections, server->n_refused);
   server->overload_logged_at = now;
   server->n_refused = 0;
@@ -119,29 +120,30 @@
   MHD_add_response_header (response, "Connection", "close");
   enum MHD_Result ok = MHD_queue_response (conn, 503, response);
   MHD_destroy_response (response);
-  note_refusal (server);
+  record_refusal (server);
   return ok;
 }
 
-/* The request is complete; its connection waits for hr_http_server_reply(). */
+/* Passes a complete request to the sink and suspends its connection until hr_http_server_reply().
+ */
 static void
-hand_to_sink (Request *request, const char *method, const char *url)
+dispatch_request (Request *request, const char *method, const char *url)
 {
   HrHttpServer *server = request->server;
   HrCommand *command = hr_command_new (HR_COMMAND_REQUEST);
   command->id = request->id = ++server->last_id;
-  command->request.method = hr_method_of (method);
+  command->request.method = hr_method_parse (method);
   command->request.path = g_utf8_make_valid (url, -1);
   command->request.is_too_large = request->too_large;
   if (request->body)
     command->body = g_byte_array_free_to_bytes (g_steal_pointer (&request->body));
-  g_hash_table_insert (server->open, &request->id, request);
+  g_hash_table_insert (server->pending, &request->id, request);
   MHD_suspend_connection (request->conn);
   server->sink (command, server->data);
 }
 
-/* Called by libmicrohttpd for the headers, for each piece of the body, at its end, and again when
- * the connection is resumed. */
+/* libmicrohttpd calls this after the headers, for each part of the body, at the end of the body,
+ * and again when the connection is resumed. */
 static enum MHD_Result
 on_request (void *data, struct MHD_Connection *conn, const char *url, const char *method,
             const char *version G_GNUC_UNUSED, const char *upload, size_t *upload_size,
@@ -149,7 +151,7 @@
 {
   HrHttpServer *server = data;
   Request *request = *state;
-  if (!request) { /* the first call of a request: only its headers have come */
+  if (!request) { /* first call of a request: only the headers have been received */
     if (g_str_has_prefix (url, HR_JOBS_PATH) && is_overloaded (server))
       return refuse_overloaded (server, conn);
     request = g_new0 (Request, 1);
@@ -167,24 +169,24 @@
     return MHD_queue_response (conn, request->status, request->response);
   if (request->id)
     return MHD_YES;
-  hand_to_sink (request, method, url);
+  dispatch_request (request, method, url);
   return MHD_YES;
 }
 
-/* ---- the source of the main loop ---- */
+/* ---- GSource for the epoll descriptor ---- */
 
 typedef struct {
   GSource source;
   HrHttpServer *server;
   gpointer fd;
-} Source;
+} ServerSource;
 
 static gboolean
 source_prepare (GSource *source, gint *timeout)
 {
   MHD_UNSIGNED_LONG_LONG timeout_ms;
   *timeout = -1;
-  if (MHD_get_timeout (((Source *)source)->server->daemon, &timeout_ms) == MHD_YES)
+  if (MHD_get_timeout (((ServerSource *)source)->server->daemon, &timeout_ms) == MHD_YES)
     *timeout = MIN (timeout_ms, G_MAXINT);
   return *timeout == 0;
 }
@@ -193,7 +195,7 @@
 source_check (GSource *source)
 {
   MHD_UNSIGNED_LONG_LONG timeout_ms;
-  Source *server_source = (Source *)source;
+  ServerSource *server_source = (ServerSource *)source;
   return g_source_query_unix_fd (source, server_source->fd) ||
          (MHD_get_timeout (server_source->server->daemon, &timeout_ms) == MHD_YES &&
           timeout_ms == 0);
@@ -202,7 +204,7 @@
 static gboolean
 source_dispatch (GSource *source, GSourceFunc callback G_GNUC_UNUSED, gpointer data G_GNUC_UNUSED)
 {
-  MHD_run (((Source *)source)->server->daemon);
+  MHD_run (((ServerSource *)source)->server->daemon);
   return G_SOURCE_CONTINUE;
 }
 
@@ -212,7 +214,7 @@
     .dispatch = source_dispatch,
 };
 
-/* address: IP:PORT. */
+/* Parses IP:PORT. */
 static gboolean
 parse_address (const char *address, struct sockaddr_in *out, GError **error)
 {
@@ -244,8 +246,8 @@
 attach_source (HrHttpServer *server)
 {
   int epoll_fd = MHD_get_daemon_info (server->daemon, MHD_DAEMON_INFO_EPOLL_FD)->epoll_fd;
-  server->source = g_source_new (&source_funcs, sizeof (Source));
-  Source *source = (Source *)server->source;
+  server->source = g_source_new (&source_funcs, sizeof (ServerSource));
+  ServerSource *source = (ServerSource *)server->source;
   source->server = server;
   source->fd = g_source_add_unix_fd (server->source, epoll_fd, G_IO_IN);
   g_source_attach (server->source, NULL);
@@ -262,10 +264,11 @@
   server->sink = sink;
   server->data = data;
   server->max_connections = connections;
-  server->open = g_hash_table_new (g_int64_hash, g_int64_equal);
+  server->pending = g_hash_table_new (g_int64_hash, g_int64_equal);
   server->daemon = start_daemon (server, &listen_address);
   if (!server->daemon) {
-    g_set_error (error, G_IO_ERROR, G_IO_ERROR_FAILED, "%s: %s", address, g_strerror (errno));
+    g_set_error (error, G_IO_ERROR, G_IO_ERROR_FAILED, "cannot listen on %s: %s", address,
+                 g_strerror (errno));
     hr_http_server_free (server);
     return NULL;
   }
@@ -276,10 +279,10 @@
 void
 hr_http_server_reply (HrHttpServer *server, const HrEffect *effect)
 {
-  Request *request = g_hash_table_lookup (server->open, &effect->id);
+  Request *request = g_hash_table_lookup (server->pending, &effect->id);
   if (!request)
     return; /* the client has closed its connection */
-  g_hash_table_remove (server->open, &effect->id);
+  g_hash_table_remove (server->pending, &effect->id);
   const char *body = effect->body ? effect->body : "{}";
   request->status = effect->reply.status;
   request->response =
@@ -308,15 +311,15 @@
     g_source_unref (server->source);
   }
   if (server->daemon) {
-    /* Requests that wait for an answer have to be resumed before libmicrohttpd can end. */
+    /* libmicrohttpd requires that suspended connections are resumed before it is stopped. */
     GHashTableIter iter;
     gpointer data;
-    g_hash_table_iter_init (&iter, server->open);
+    g_hash_table_iter_init (&iter, server->pending);
     while (g_hash_table_iter_next (&iter, NULL, &data))
       MHD_resume_connection (((Request *)data)->conn);
-    g_clear_pointer (&server->open, g_hash_table_unref);
+    g_clear_pointer (&server->pending, g_hash_table_unref);
     MHD_stop_daemon (server->daemon);
   }
-  g_clear_pointer (&server->open, g_hash_table_unref);
+  g_clear_pointer (&server->pending, g_hash_table_unref);
   g_free (server);
 }
--- a/src/transport/http_server.h
+++ b/src/transport/http_server.h
@@ -1,6 +1,6 @@
-/* The HTTP server for users and workers: each complete request becomes an %HR_COMMAND_REQUEST, and
- * its reply is sent by the command's id. Requests that are too many for the sockets are refused
- * here, users' first. All of it runs on the default main context. */
+/* The HTTP server for users and workers. Each complete request becomes an %HR_COMMAND_REQUEST; the
+ * reply refers to the request by the command's id. When connections run short, the server refuses
+ * requests, those of users first. All functions and callbacks run on the default main context. */
 #pragma once
 #include "coordination/command.h"
 
@@ -8,22 +8,23 @@
 
 /**
  * HrCommandSink:
- * @command: (transfer full): what has come in
- * @data: as given along with the sink
+ * @command: (transfer full): a request, a result or a peer's status that was received
+ * @data: the argument that was given together with the sink
  *
- * Takes a command from the transport. It may be called from within a call of the transport's.
+ * Receives a command from the transport. A function of the transport may call it before it
+ * returns.
  */
 typedef void (*HrCommandSink) (HrCommand *command, gpointer data);
 
 /**
  * hr_http_server_new:
  * @address: IPv4 address and port to listen on, "IP:PORT"
- * @connections: how many it may hold; the last few are reserved for workers
- * @sink: takes the requests
- * @data: for @sink
- * @error: a #GIOErrorEnum when the address cannot be listened on
+ * @connections: maximum number of connections; the last few are reserved for workers
+ * @sink: receives the requests
+ * @data: argument for @sink
+ * @error: a #GIOErrorEnum when the server cannot listen on @address
  *
- * Returns: (transfer full) (nullable): %NULL with @error set
+ * Returns: (transfer full) (nullable): the server; %NULL with @error set
  */
 HrHttpServer *hr_http_server_new (const char *address, guint connections, HrCommandSink sink,
                                   gpointer data, GError **error);
@@ -32,20 +33,20 @@
  * hr_http_server_reply:
  * @effect: an %HR_EFFECT_REPLY to a request
  *
- * Answers the request of that id; does nothing when its client is gone.
+ * Answers the request with the id of @effect; does nothing if the client has closed its connection.
  */
 void hr_http_server_reply (HrHttpServer *server, const HrEffect *effect);
 
 /**
  * hr_http_server_flush:
  *
- * Sends the replies that were given so far, without waiting for the main loop.
+ * Sends the replies passed to hr_http_server_reply() so far, without waiting for the main loop.
  */
 void hr_http_server_flush (HrHttpServer *server);
 
 /**
  * hr_http_server_free:
  *
- * Closes all connections; requests without a reply get none.
+ * Closes all connections, also those whose requests have not been answered, and frees the server.
  */
 void hr_http_server_free (HrHttpServer *server);
--- a/src/transport/log_writer.c
+++ b/src/transport/log_writer.c
@@ -3,21 +3,22 @@
 #include <stdio.h>
 #include <string.h>
 
-/* The least severe level that is written; GLib gives severe levels small numbers. */
+/* The least severe level that is written; more severe levels have smaller values in GLib. */
 static int max_level = G_LOG_LEVEL_INFO;
 static HrLogFormat log_format;
 static char *node_label;
 
-/* Debug lines of libraries (GLib's sockets write six for each connection) would hide ours. */
+/* Returns whether debug messages of the log domain are written. Those of libraries are off by
+ * default, since they would bury the program's own: GLib's sockets write six per connection. */
 static gboolean
-debug_wanted (const char *domain)
+is_debug_enabled (const char *domain)
 {
-  const char *named = g_getenv ("G_MESSAGES_DEBUG");
+  const char *enabled = g_getenv ("G_MESSAGES_DEBUG");
   if (g_str_equal (domain, G_LOG_DOMAIN))
     return TRUE;
-  if (!named)
+  if (!enabled)
     return FALSE;
-  g_auto (GStrv) domains = g_strsplit_set (named, " ,", -1);
+  g_auto (GStrv) domains = g_strsplit_set (enabled, " ,", -1);
   return g_strv_contains ((const char *const *)domains, domain) ||
          g_strv_contains ((const char *const *)domains, "all");
 }
@@ -31,8 +32,8 @@
   return size > 0;
 }
 
-/* Adds the fields of a message "NAME: KEY=VALUE ..."; FALSE, with nothing done, when anything else
- * follows the name. */
+/* Adds the fields of a message of the form "NAME: KEY=VALUE ...". Returns FALSE, without changes to
+ * the line, when the message has another form. */
 static gboolean
 add_fields (json_t *line, const char *message)
 {
@@ -49,7 +50,7 @@
   for (guint i = 0; words[i]; i++) {
     char *equals = strchr (words[i], '=');
     *equals = 0;
-    /* The keys that every line has stay as they are. */
+    /* A key must not replace a member that every line has. */
     g_autofree char *key =
         g_strconcat (json_object_get (line, words[i]) ? "field_" : "", words[i], NULL);
     json_object_set_new (line, key, json_string (equals + 1));
@@ -66,9 +67,9 @@
     json_object_set_new (line, "label", json_string (node_label));
   if (!add_fields (line, text))
     json_object_set_new (line, "message", json_string (text));
-  char *dumped = json_dumps (line, JSON_COMPACT | JSON_REAL_PRECISION (14));
-  char *copy = g_strdup (dumped);
-  free (dumped);
+  char *json_text = json_dumps (line, JSON_COMPACT | JSON_REAL_PRECISION (14));
+  char *copy = g_strdup (json_text);
+  free (json_text);
   json_decref (line);
   return copy;
 }
@@ -94,7 +95,7 @@
     else if (g_str_equal (fields[i].key, "GLIB_DOMAIN"))
       domain = fields[i].value;
   }
-  if (level & G_LOG_LEVEL_DEBUG && !debug_wanted (domain))
+  if (level & G_LOG_LEVEL_DEBUG && !is_debug_enabled (domain))
     return G_LOG_WRITER_HANDLED;
   const char *name = level & (G_LOG_LEVEL_ERROR | G_LOG_LEVEL_CRITICAL) ? "error"
                      : level & G_LOG_LEVEL_WARNING                      ? "warning"
@@ -107,7 +108,7 @@
 }
 
 gboolean
-hr_log_writer_begin (const char *level, HrLogFormat format)
+hr_log_writer_install (const char *level, HrLogFormat format)
 {
   if (!level || !*level || g_str_equal (level, "info"))
     max_level = G_LOG_LEVEL_INFO;
--- a/src/transport/log_writer.h
+++ b/src/transport/log_writer.h
@@ -1,42 +1,43 @@
-/* Writes GLib's log messages to standard error, one line each, as text or as JSON. There is one
- * writer for the whole process. */
+/* Writes GLib's log messages to standard error, one line each, as text or as JSON. The writer is
+ * global to the process. */
 #pragma once
 #include <glib.h>
 
 typedef enum { HR_LOG_TEXT, HR_LOG_JSON } HrLogFormat;
 
 /**
- * hr_log_writer_begin:
- * @level: (nullable): "error", "info" or "debug"; %NULL and "" stand for "info"
- * @format: of the lines
+ * hr_log_writer_install:
+ * @level: (nullable): "error", "info" or "debug"; %NULL and "" mean "info"
+ * @format: format of the lines
  *
- * Takes over all log messages from here on. Debug lines of other domains than this program's are
- * left out, unless the variable G_MESSAGES_DEBUG names the domain or is "all".
+ * Installs the writer for all log messages of the process. Debug messages of other log domains than
+ * this program's are dropped, unless the environment variable G_MESSAGES_DEBUG contains the domain
+ * or "all".
  *
- * Returns: %FALSE, with nothing done, when @level is none of these
+ * Returns: %FALSE, without installing the writer, when @level is not valid
  */
-gboolean hr_log_writer_begin (const char *level, HrLogFormat format);
+gboolean hr_log_writer_install (const char *level, HrLogFormat format);
 
 /**
  * hr_log_writer_set_label:
- * @label: of this controller
+ * @label: label of this controller
  *
- * The label is added to lines in JSON from here on.
+ * Sets the label that is added to lines in JSON.
  */
 void hr_log_writer_set_label (const char *label);
 
 /**
  * hr_log_writer_line:
- * @format: of the line
- * @time: seconds since 1970
- * @level: the name of a level
- * @domain: of the message
+ * @format: format of the line
+ * @time: real time, in seconds since the epoch
+ * @level: name of the log level
+ * @domain: log domain of the message
  * @message: the message
  *
- * Of a message "NAME: KEY=VALUE ..." a JSON line has `event` and a member for each key; others have
- * `message`.
+ * Formats a log message. In JSON, a message of the form "NAME: KEY=VALUE ..." becomes the member
+ * `event` and a member for each key; any other becomes the member `message`.
  *
- * Returns: (transfer full): one line, without its newline
+ * Returns: (transfer full): the line, without a newline
  */
 char *hr_log_writer_line (HrLogFormat format, double time, const char *level, const char *domain,
                           const char *message);
--- a/src/transport/peer.c
+++ b/src/transport/peer.c
@@ -3,35 +3,35 @@
 #include <gio/gio.h>
 #include <string.h>
 
-/* Bytes before a frame that hold its length. */
+/* Size of the length prefix of a frame, in bytes. */
 #define LENGTH_BYTES 4
-/* Peers send a status every second: a connection silent for longer is dead. */
-#define SILENCE_S 15
-/* How long an attempt to connect may take. */
+/* Peers send a status every second, so a connection without data for this long is dead. */
+#define READ_TIMEOUT_S 15
+/* Timeout of an attempt to connect. */
 #define CONNECT_TIMEOUT_S 3
 
-/* The connection that carries this controller's statuses to one other; made again when it breaks.
- */
+/* The connection on which this controller sends its statuses to another one. It is reopened after a
+ * failure. */
 typedef struct {
   char *endpoint;
   GSocketConnection *conn;
   gboolean connecting, writing;
-  guint8 frame[LENGTH_BYTES + HR_MAX_FRAME]; /* being written */
+  guint8 frame[LENGTH_BYTES + HR_MAX_FRAME]; /* the frame that is being written */
 } Outgoing;
 
 struct HrPeers {
   GSocketService *service;
   GSocketClient *client;
-  GPtrArray *outgoing; /* Outgoing, one for each other controller */
+  GPtrArray *outgoing; /* Outgoing, one per other controller */
   HrCommandSink sink;
   gpointer data;
 };
 
-/* A connection that another controller made, to send its statuses. */
+/* A connection on which another controller sends its statuses. */
 typedef struct {
   HrPeers *peers;
   GSocketConnection *conn;
-  guint8 length[LENGTH_BYTES]; /* of the frame that follows, big-endian */
+  guint8 length[LENGTH_BYTES]; /* length of the following frame, big-endian */
   guint8 body[HR_MAX_FRAME];
 } Incoming;
 
@@ -50,7 +50,7 @@
 {
   HrCommand *command = hr_command_new (HR_COMMAND_PEER_STATUS);
   if (!hr_peer_status_unpack (command->peer_status, incoming->body, len)) {
-    g_info ("a peer sent a frame that is no status; dropped");
+    g_info ("dropped a malformed status frame from a peer");
     hr_command_free (command);
     return;
   }
@@ -112,7 +112,7 @@
   Incoming *incoming = g_new0 (Incoming, 1);
   incoming->peers = data;
   incoming->conn = g_object_ref (conn);
-  g_socket_set_timeout (g_socket_connection_get_socket (conn), SILENCE_S);
+  g_socket_set_timeout (g_socket_connection_get_socket (conn), READ_TIMEOUT_S);
   read_length (incoming);
   return TRUE;
 }
@@ -155,7 +155,7 @@
 }
 
 void
-hr_peers_tell (HrPeers *peers, const HrPeerStatus *status)
+hr_peers_send_status (HrPeers *peers, const HrPeerStatus *status)
 {
   guint8 frame[HR_MAX_FRAME];
   gsize len = hr_peer_status_pack (status, frame);
@@ -168,7 +168,7 @@
       g_socket_client_connect_to_host_async (peers->client, outgoing->endpoint, 0, NULL,
                                              on_connected, outgoing);
     }
-    /* Statuses are not queued: the next one states everything anew. */
+    /* Statuses are not queued, since each one is complete. */
     if (outgoing->conn && !outgoing->writing)
       send_frame (outgoing, frame, len);
   }
--- a/src/transport/peer_status_frame.c
+++ b/src/transport/peer_status_frame.c
@@ -2,8 +2,8 @@
 #include "peer.pb-c.h"
 #include <string.h>
 
-/* The shortest job id takes this many bytes of HrNamedCancellations.ids. */
-#define SHORTEST_ID 6
+/* Bytes that the shortest job id takes in HrNamedCancellations.ids. */
+#define MIN_ID_BYTES 6
 
 static void
 pack_cancellations (const HrNamedCancellations *named, Hr__Cancellations *message, char **jobs)
@@ -34,19 +34,19 @@
   message.synced = status->synced;
   message.latest_cancellation = status->latest_cancellation;
   message.applied_revision = status->applied_revision;
-  Hr__Echo echoes[HR_MAX_ECHOES], *list[HR_MAX_ECHOES];
+  Hr__Echo echoes[HR_MAX_ECHOES], *echo_pointers[HR_MAX_ECHOES];
   for (guint i = 0; i < status->n_echoes; i++) {
     hr__echo__init (&echoes[i]);
     echoes[i].label = (char *)status->echoes[i].label;
     echoes[i].incarnation = (char *)status->echoes[i].incarnation;
     echoes[i].clock = status->echoes[i].clock;
     echoes[i].cancellations_taken = status->echoes[i].cancellations_taken;
-    list[i] = &echoes[i];
+    echo_pointers[i] = &echoes[i];
   }
   message.n_echoes = status->n_echoes;
-  message.echoes = list;
+  message.echoes = echo_pointers;
   Hr__Cancellations cancellations;
-  char *jobs[HR_NAMED_CANCELLATIONS_BYTES / SHORTEST_ID + 1];
+  char *jobs[HR_NAMED_CANCELLATIONS_BYTES / MIN_ID_BYTES + 1];
   if (status->cancellations.is_stated && status->cancellations.count < G_N_ELEMENTS (jobs)) {
     pack_cancellations (&status->cancellations, &cancellations, jobs);
     message.cancellations = &cancellations;
@@ -61,7 +61,7 @@
   return len <= HR_MAX_FRAME ? hr__peer_status__pack (&message, frame) : 0;
 }
 
-/* Of a list that is too long for the table, only the beginning is read. */
+/* Reads only the beginning of a list that exceeds the capacity of *named. */
 static void
 unpack_cancellations (HrNamedCancellations *named, const Hr__Cancellations *message)
 {
@@ -103,9 +103,9 @@
     unpack_cancellations (&status->cancellations, message->cancellations);
   status->format = message->format;
   for (gsize i = 0; i < message->n_oversized && status->n_oversized < HR_MAX_OVERSIZED; i++)
-    if (strlen (message->oversized[i]) <= HR_JOB_ID_MOST)
+    if (strlen (message->oversized[i]) <= HR_JOB_ID_MAX_BYTES)
       g_strlcpy (status->oversized[status->n_oversized++], message->oversized[i],
-                 HR_JOB_ID_MOST + 1);
+                 HR_JOB_ID_MAX_BYTES + 1);
   hr__peer_status__free_unpacked (message, NULL);
   return TRUE;
 }
--- a/src/transport/process_metrics.c
+++ b/src/transport/process_metrics.c
@@ -10,25 +10,25 @@
 static void
 append_metrics (GString *text)
 {
-  struct rusage use;
-  if (getrusage (RUSAGE_SELF, &use) != 0)
+  struct rusage usage;
+  if (getrusage (RUSAGE_SELF, &usage) != 0)
     return;
   g_string_append_printf (text,
                           "# HELP process_cpu_seconds_total processor time used\n"
                           "# TYPE process_cpu_seconds_total counter\n"
                           "process_cpu_seconds_total %.3f\n",
-                          seconds (use.ru_utime) + seconds (use.ru_stime));
+                          seconds (usage.ru_utime) + seconds (usage.ru_stime));
   g_string_append_printf (text,
                           "# HELP hoprock_memory_most_bytes most memory resident so far\n"
                           "# TYPE hoprock_memory_most_bytes gauge\n"
                           "hoprock_memory_most_bytes %ld\n",
-                          use.ru_maxrss * 1024);
+                          usage.ru_maxrss * 1024);
 }
 
 void
 hr_process_metrics_add (HrEffect *effect)
 {
-  /* The kind first: the fields of a reply share their memory with those of a call. */
+  /* The kind is checked first: the fields of a reply are in a union with those of a call. */
   if (effect->kind != HR_EFFECT_REPLY || !effect->reply.is_plain_text)
     return;
   GString *text = g_string_new (effect->body);
--- a/src/transport/process_metrics.h
+++ b/src/transport/process_metrics.h
@@ -1,12 +1,12 @@
-/* What the operating system states of this process, in the Prometheus text format. */
+/* Metrics of this process's resource usage, in the Prometheus text format. */
 #pragma once
 #include "coordination/command.h"
 
 /**
  * hr_process_metrics_add:
- * @effect: what the core has put out
+ * @effect: an effect of the core
  *
- * Appends processor time and peak memory to a reply with metrics, which the core makes without
- * knowing its process. Any other effect stays as it is.
+ * Appends processor time and peak memory to a reply with metrics; the core, which does no I/O,
+ * cannot add them itself. Leaves other effects unchanged.
  */
 void hr_process_metrics_add (HrEffect *effect);
--- a/tests/test_fixtures.c
+++ b/tests/test_fixtures.c
@@ -301,7 +301,7 @@
 tell (gpointer data)
 {
   Wire *wire = data;
-  hr_peers_tell (wire->peers, &wire->status);
+  hr_peers_send_status (wire->peers, &wire->status);
   return TRUE;
 }
 
--- a/tests/test_protocol.c
+++ b/tests/test_protocol.c
@@ -79,7 +79,7 @@
   json_t *object = json_object ();
   if (value)
     json_object_set_new (object, "awaits", json_loads (value, JSON_DECODE_ANY, NULL));
-  gboolean ok = hr_jobspec_awaits (object, ids, error);
+  gboolean ok = hr_jobspec_parse_awaits (object, ids, error);
   json_decref (object);
   return ok;
 }
@@ -279,11 +279,11 @@
   hr_names_init (&names);
   g_autoptr (HrSettings) same = settings ("10.0.0.2:81", "z0", 44, &names, &error);
   assert_non_null (same);
-  assert_int_equal (same->home, hr_intern_find (&names.zones, "z0"));
+  assert_int_equal (same->home_zone, hr_intern_find (&names.zones, "z0"));
   /* Controllers in several zones have no zone of their own to prefer. */
   g_autoptr (HrSettings) apart = settings ("10.0.0.2:81", "z1", 44, &names, &error);
   assert_non_null (apart);
-  assert_int_equal (apart->home, HR_NONE);
+  assert_int_equal (apart->home_zone, HR_NONE);
   /* Each wrong file is refused with the field's name. */
   assert_null (settings ("nowhere", "z0", 44, &names, &error));
   assert_non_null (strstr (error->message, "endpoint"));
