--- a/src/protocol/worker.h
+++ b/src/protocol/worker.h
@@ -81,7 +81,7 @@
  */
 const char *hr_exit_name (HrExitCause cause);
 
-/* What an order tells a worker to do with one attempt of a task. */
+/* The action that an order requests for one attempt of a task. */
 typedef enum {
   HR_ORDER_LAUNCH,
   HR_ORDER_STOP,
