--- a/src/coordination/scheduling/mtedf_gang.c
+++ b/src/coordination/scheduling/mtedf_gang.c
@@ -115,7 +115,7 @@
     const GangSlot *slot = chosen->pdata[i];
     placement.effective_start = MAX (placement.effective_start, slot->start + slot->delay);
   }
-  if (zone != HR_NONE && zone == core->settings->home)
+  if (zone != HR_NONE && zone == core->settings->home_zone)
     placement.effective_start -= HR_HOME_ZONE_BONUS_S;
   placement.slots = g_steal_pointer (&chosen);
   return placement;
--- a/src/hoprockd.c
+++ b/src/hoprockd.c
@@ -56,7 +56,7 @@
     else if (effect->kind == HR_EFFECT_CALL)
       hr_http_client_call (daemon->client, effect);
     else
-      hr_peers_tell (daemon->peers, effect->peer_status);
+      hr_peers_send_status (daemon->peers, effect->peer_status);
   }
   hr_http_server_flush (daemon->server);
   return G_SOURCE_REMOVE;
@@ -98,7 +98,7 @@
 static guint
 max_server_connections (const HrSettings *settings)
 {
-  guint reserved = hr_http_client_sockets (settings->sockets) + OTHER_SOCKETS +
+  guint reserved = hr_http_client_max_sockets (settings->sockets) + OTHER_SOCKETS +
                    SOCKETS_PER_MEMBER * settings->members->len;
   return MAX (settings->sockets / 2, settings->sockets - MIN (reserved, settings->sockets));
 }
@@ -199,7 +199,7 @@
              options->log_format);
     return FALSE;
   }
-  if (!hr_log_writer_begin (g_getenv ("LOG_LEVEL"), json ? HR_LOG_JSON : HR_LOG_TEXT)) {
+  if (!hr_log_writer_install (g_getenv ("LOG_LEVEL"), json ? HR_LOG_JSON : HR_LOG_TEXT)) {
     fprintf (stderr, "hoprockd: LOG_LEVEL: expected error, info or debug\n");
     return FALSE;
   }
