--- a/src/emulator/balancer.c
+++ b/src/emulator/balancer.c
@@ -14,10 +14,10 @@
 #define REQUEST_TIMEOUT_S 5.0
 
 struct Balancer {
-  Live *live;
+  Emulator *emulator;
   SoupServer *server;
   gboolean healthy[MAX_NODES];
-  guint open[MAX_NODES]; /* requests that a node has not answered yet */
+  guint open[MAX_NODES]; /* number of requests that each node has not answered yet */
 };
 
 /* ---- health ---- */
@@ -46,12 +46,12 @@
   w_at (world, world->now + PROBE_INTERVAL_S, probe_all, balancer);
 }
 
-/* The healthy node with the fewest open requests; -1: none is healthy. */
+/* Returns the healthy node with the fewest open requests, or -1 if none is healthy. */
 static int
-choose (const Balancer *balancer)
+choose_node (const Balancer *balancer)
 {
   int best = -1;
-  for (int i = 0; i < balancer->live->world->n; i++)
+  for (int i = 0; i < balancer->emulator->world->n; i++)
     if (balancer->healthy[i] && (best < 0 || balancer->open[i] < balancer->open[best]))
       best = i;
   return best;
@@ -59,12 +59,12 @@
 
 /* ---- requests ---- */
 
-/* A user's request that was handed to a controller. */
+/* A user's request that was forwarded to a controller. */
 typedef struct {
   Balancer *balancer;
   int node;
   SoupServerMessage *msg;
-  Question *question; /* NULL: about no job that the world knows */
+  Question *question; /* NULL: the request concerns no job known to the world */
 } BalancedRequest;
 
 static void
@@ -90,7 +90,8 @@
   soup_server_message_unpause (msg);
 }
 
-/* The job that a request is about; the world knows one from its first submission on. */
+/* Returns the job that a request concerns, or NULL if the world does not know it. A job becomes
+ * known with its first submission. */
 static SimJob *
 requested_job (World *world, const char *path, const char *body)
 {
@@ -113,15 +114,15 @@
             GHashTable *query G_GNUC_UNUSED, gpointer data)
 {
   Balancer *balancer = data;
-  World *world = balancer->live->world;
-  live_catch_up (balancer->live);
+  World *world = balancer->emulator->world;
+  emulator_catch_up (balancer->emulator);
   g_autoptr (GBytes) bytes = soup_message_body_flatten (soup_server_message_get_request_body (msg));
   gsize size = g_bytes_get_size (bytes);
   g_autofree char *body = size ? g_strndup (g_bytes_get_data (bytes, NULL), size) : NULL;
   const char *method = soup_server_message_get_method (msg);
-  if (control_request (balancer->live, msg, path, body))
+  if (control_request (balancer->emulator, msg, path, body))
     return;
-  int node = choose (balancer);
+  int node = choose_node (balancer);
   if (node < 0) {
     reply (msg, 503, "{\"error\":\"no controller is ready\"}");
     return;
@@ -140,27 +141,28 @@
 }
 
 Balancer *
-balancer_new (Live *live, const char *address, GError **error)
+balancer_new (Emulator *emulator, const char *address, GError **error)
 {
   g_autoptr (GSocketConnectable) net = g_network_address_parse (address, 0, error);
   if (!net)
     return NULL;
-  GNetworkAddress *where = G_NETWORK_ADDRESS (net);
+  GNetworkAddress *host_port = G_NETWORK_ADDRESS (net);
   g_autoptr (GSocketAddress) listen = g_inet_socket_address_new_from_string (
-      g_network_address_get_hostname (where), g_network_address_get_port (where));
+      g_network_address_get_hostname (host_port), g_network_address_get_port (host_port));
   if (!listen) {
-    g_set_error (error, G_IO_ERROR, G_IO_ERROR_INVALID_ARGUMENT, "%s is no IP address", address);
+    g_set_error (error, G_IO_ERROR, G_IO_ERROR_INVALID_ARGUMENT, "%s is not an IP address",
+                 address);
     return NULL;
   }
   Balancer *balancer = g_new0 (Balancer, 1);
-  balancer->live = live;
+  balancer->emulator = emulator;
   balancer->server = soup_server_new (NULL, NULL);
   soup_server_add_handler (balancer->server, NULL, on_request, balancer, NULL);
   if (!soup_server_listen (balancer->server, listen, 0, error)) {
     balancer_free (balancer);
     return NULL;
   }
-  w_at (live->world, FIRST_PROBE_S, probe_all, balancer);
+  w_at (emulator->world, FIRST_PROBE_S, probe_all, balancer);
   return balancer;
 }
 
--- a/src/emulator/balancer.h
+++ b/src/emulator/balancer.h
@@ -1,5 +1,5 @@
-/* The load balancer, as users see it: one address for all controllers. It hands requests to those
- * that answer /ready, and notes for the simulated world the jobs that pass through it. */
+/* The load balancer: one address through which users reach all controllers. It forwards requests to
+ * controllers that answer /ready, and records the submitted jobs in the simulated world. */
 #pragma once
 #include "emulator/live.h"
 
@@ -7,13 +7,13 @@
 
 /**
  * balancer_new:
- * @live: the deployment
- * @address: where to listen, "IP:PORT"
- * @error: a #GIOErrorEnum when it cannot
+ * @emulator: the deployment
+ * @address: address to listen on, "IP:PORT"
+ * @error: a #GIOErrorEnum when it cannot listen there
  *
- * Returns: (transfer full) (nullable): %NULL with @error set
+ * Returns: (transfer full) (nullable): the load balancer, or %NULL with @error set
  */
-Balancer *balancer_new (Live *live, const char *address, GError **error);
+Balancer *balancer_new (Emulator *emulator, const char *address, GError **error);
 
 /**
  * balancer_free:
--- a/src/emulator/control.c
+++ b/src/emulator/control.c
@@ -35,36 +35,36 @@
 }
 
 gboolean
-control_plan (Live *live, const char *text, GError **error)
+control_plan (Emulator *emulator, const char *text, GError **error)
 {
   g_auto (GStrv) lines = g_strsplit (text, "\n", -1);
-  g_autoptr (GArray) troubles = g_array_new (FALSE, FALSE, sizeof (HrTrouble));
+  g_autoptr (GArray) faults = g_array_new (FALSE, FALSE, sizeof (HrFault));
   for (guint i = 0; lines[i]; i++) {
-    HrTrouble trouble;
+    HrFault fault;
     g_strstrip (lines[i]);
     if (!*lines[i] || *lines[i] == '#')
       continue;
-    if (!trouble_parse (lines[i], &trouble)) {
+    if (!fault_parse (lines[i], &fault)) {
       g_set_error (error, G_IO_ERROR, G_IO_ERROR_INVALID_DATA, "line %u is no trouble: %s", i + 1,
                    lines[i]);
       return FALSE;
     }
-    trouble.at_s += live->world->now;
-    g_array_append_val (troubles, trouble);
+    fault.at_s += emulator->world->now;
+    g_array_append_val (faults, fault);
   }
-  troubles_plan (live->world, (const HrTrouble *)troubles->data, troubles->len);
+  faults_plan (emulator->world, (const HrFault *)faults->data, faults->len);
   return TRUE;
 }
 
 gboolean
-control_request (Live *live, SoupServerMessage *msg, const char *path, const char *body)
+control_request (Emulator *emulator, SoupServerMessage *msg, const char *path, const char *body)
 {
   g_autoptr (GError) error = NULL;
   if (strcmp (path, "/emulator") == 0)
-    reply (msg, 200, describe (live->world));
+    reply (msg, 200, describe (emulator->world));
   else if (strcmp (path, "/emulator/troubles") != 0)
     return FALSE;
-  else if (control_plan (live, body ? body : "", &error))
+  else if (control_plan (emulator, body ? body : "", &error))
     reply (msg, 200, json_object ());
   else
     reply (msg, 400, json_pack ("{ss}", "error", error->message));
--- a/src/emulator/control.h
+++ b/src/emulator/control.h
@@ -1,6 +1,7 @@
-/* The emulator's own interface, on the address of its load balancer:
- *   GET  /emulator            state of the controllers, machines and jobs, and which rules broke
- *   POST /emulator/troubles   faults, one a line, as trouble_parse reads them; `at` counts from now
+/* The emulator's own HTTP interface, on the address of its load balancer:
+ *   GET  /emulator            state of the controllers, machines and jobs, and violated rules
+ *   POST /emulator/troubles   plans faults: one per line in the format of fault_parse(); the time
+ *                             `at` is relative to the time of the request
  */
 #pragma once
 #include "emulator/live.h"
@@ -11,17 +12,20 @@
  * @path: its path
  * @body: (nullable): its body
  *
- * Returns: whether it was one of these, and is answered
+ * Answers a request to the emulator's own interface.
+ *
+ * Returns: %FALSE when @path does not belong to that interface; the request is not answered then
  */
-gboolean control_request (Live *live, SoupServerMessage *msg, const char *path, const char *body);
+gboolean control_request (Emulator *emulator, SoupServerMessage *msg, const char *path,
+                          const char *body);
 
 /**
  * control_plan:
- * @text: faults, one a line; empty lines and those that begin with # are ignored
- * @error: %G_IO_ERROR_INVALID_DATA; names the line
+ * @text: faults, one per line; empty lines and lines that begin with # are ignored
+ * @error: %G_IO_ERROR_INVALID_DATA; the message gives the line
  *
- * Plans all faults of the text, or none.
+ * Plans all faults of the text, or none of them if a line is invalid.
  *
- * Returns: %FALSE with @error set when a line is no fault
+ * Returns: %FALSE with @error set when a line is not a valid fault
  */
-gboolean control_plan (Live *live, const char *text, GError **error);
+gboolean control_plan (Emulator *emulator, const char *text, GError **error);
--- a/src/emulator/live.c
+++ b/src/emulator/live.c
@@ -2,62 +2,62 @@
 #include <errno.h>
 #include <glib/gstdio.h>
 
-/* Between two steps of the world. */
-#define STEP_MS 4
+/* Interval between two updates of the world. */
+#define STEP_INTERVAL_MS 4
 
 void
-live_catch_up (Live *live)
+emulator_catch_up (Emulator *emulator)
 {
-  double now = (g_get_monotonic_time () - live->began) / 1e6;
-  live->longest_gap = MAX (live->longest_gap, now - live->world->now);
-  world_run (live->world, now);
+  double now = (g_get_monotonic_time () - emulator->started_us) / 1e6;
+  emulator->longest_gap = MAX (emulator->longest_gap, now - emulator->world->now);
+  world_run (emulator->world, now);
 }
 
 void
-live_prepare (Live *live, guint32 seed, int nodes)
+emulator_prepare (Emulator *emulator, guint32 seed, int nodes)
 {
   g_autoptr (GError) error = NULL;
-  live->dir = g_dir_make_tmp ("hoprock-live-XXXXXX", &error);
-  if (!live->dir)
+  emulator->dir = g_dir_make_tmp ("hoprock-live-XXXXXX", &error);
+  if (!emulator->dir)
     g_error ("emulator: %s", error->message);
-  live->world = world_prepare (seed, nodes);
-  live->world->controllers = &live_controllers;
-  live->world->controllers_data = live;
-  live_wire_prepare (live);
-  live_processes_prepare (live);
+  emulator->world = world_prepare (seed, nodes);
+  emulator->world->controllers = &emulator_controllers;
+  emulator->world->controllers_data = emulator;
+  emulator_wire_prepare (emulator);
+  emulator_processes_prepare (emulator);
 }
 
 void
-live_begin (Live *live)
+emulator_begin (Emulator *emulator)
 {
-  live->began = g_get_monotonic_time ();
-  world_begin (live->world);
+  emulator->started_us = g_get_monotonic_time ();
+  world_begin (emulator->world);
 }
 
 static gboolean
 on_step (gpointer data)
 {
-  live_catch_up (data);
+  emulator_catch_up (data);
   return G_SOURCE_CONTINUE;
 }
 
 void
-live_run (Live *live, double until)
+emulator_run (Emulator *emulator, double until)
 {
-  guint step = g_timeout_add (STEP_MS, on_step, live);
-  while (live->world->now < until && !live->stop)
+  guint step = g_timeout_add (STEP_INTERVAL_MS, on_step, emulator);
+  while (emulator->world->now < until && !emulator->stop)
     g_main_context_iteration (NULL, TRUE);
   g_source_remove (step);
 }
 
 void
-live_end (Live *live)
+emulator_end (Emulator *emulator)
 {
-  for (int i = 0; i < live->world->n; i++)
-    node_kill (live->world, i);
-  live_wire_end (live);
-  live_processes_end (live);
-  if (live->remove_files && g_rmdir (live->dir) != 0)
-    g_warning ("emulator: %s is left behind: %s", live->dir, g_strerror (errno));
-  g_free (live->dir);
+  for (int i = 0; i < emulator->world->n; i++)
+    node_kill (emulator->world, i);
+  emulator_wire_end (emulator);
+  emulator_processes_end (emulator);
+  if (emulator->remove_files && g_rmdir (emulator->dir) != 0)
+    g_warning ("emulator: cannot delete %s: %s", emulator->dir, g_strerror (errno));
+  g_free (emulator->dir);
 }
--- a/src/emulator/live.h
+++ b/src/emulator/live.h
@@ -1,177 +1,183 @@
-/* Real controllers on the loopback interface, with a simulated cluster (tests/sim) around them over
- * real HTTP. The simulated services and workers check every rule of the protocol on what reaches
- * them, by the clock of this process; they do not see the insides of a controller. All times are in
- * seconds since the start. Everything runs on the default main context. */
+/* Runs real controllers as processes on the loopback interface and connects them over HTTP to a
+ * simulated cluster (tests/sim). The simulated services and workers check every rule of the
+ * protocol on the messages that they receive, by the clock of this process; they cannot inspect
+ * the state inside a controller. All times are in seconds since the start. Everything runs on the
+ * default main context. */
 #pragma once
 #include "sim/messages.h"
 #include <gio/gio.h>
 #include <libsoup/soup.h>
 
-typedef struct Live Live;
+typedef struct Emulator Emulator;
 
-/* A simulated server: a service for one controller, or one worker. */
+/* The HTTP server of a simulated service (one for each controller) or of a simulated worker. */
 typedef struct {
-  Live *live;
+  Emulator *emulator;
   SoupServer *server;
-  int node; /* the controller that uses it; -1: of a worker, any controller may */
+  int node; /* the controller that uses this server; -1: a worker's server, used by all of them */
   HrTarget target;
-  char *address; /* IP:PORT; a worker names it in its heartbeats */
-} LiveListener;
+  char *address; /* IP:PORT; a worker reports it in its heartbeats */
+} EmulatorListener;
 
-/* A controller. */
+/* A controller process. */
 typedef struct {
-  char *front, *back; /* IP:PORT; each port is reserved by a socket of `held` */
-  GSocket *held[2];
-  LiveListener *state, *cloud;
-  char *peers[MAX_NODES];        /* IP:PORT of the relay to each other one */
-  SoupSession *session;          /* for workers' and users' requests to it */
-  GSubprocess *process, *ending; /* ending: killed, perhaps still ending */
-  char *log;                     /* path of its log */
-} LiveNode;
-
-struct Live {
+  char *front, *back;   /* IP:PORT of each listening address */
+  GSocket *reserved[2]; /* bound sockets that reserve the ports of `front` and `back` */
+  EmulatorListener *state, *cloud;
+  char *peers[MAX_NODES]; /* IP:PORT of the relay to each other controller */
+  SoupSession *session;   /* for requests of workers and users to this controller */
+  GSubprocess *process;
+  GSubprocess *terminating; /* the killed process, which may not have exited yet */
+  char *log;                /* path of the log file */
+} EmulatorNode;
+
+struct Emulator {
   World *world;
-  gint64 began; /* steady clock, microseconds */
+  gint64 started_us; /* monotonic time, in microseconds */
   const char *daemon, *policy;
-  const char *old_daemon; /* program of controllers not upgraded yet; NULL: none */
+  const char *old_daemon; /* program of the controllers not upgraded yet; NULL: none */
   char *dir;              /* directory of settings and logs */
-  gboolean remove_files;  /* delete `dir` at the end */
-  LiveNode nodes[MAX_NODES];
-  GPtrArray *workers; /* LiveListener */
+  gboolean remove_files;  /* emulator_end() deletes `dir` */
+  EmulatorNode nodes[MAX_NODES];
+  GPtrArray *workers; /* EmulatorListener */
   GPtrArray *relays;
   GHashTable *pending; /* id of a call -> SoupServerMessage */
-  guint64 calls;
-  gboolean stop;                  /* live_run has to return */
-  double longest_gap;             /* between two steps of this program, in seconds */
-  guint kills, freezes, requests; /* requests: to simulated servers */
+  guint64 last_call_id;
+  gboolean stop;        /* makes emulator_run() return */
+  double longest_gap;   /* longest time between two updates of the world, in seconds */
+  guint kills, freezes; /* of controllers */
+  guint requests;       /* that the simulated servers received */
 };
 
 /* ---- live.c ---- */
 
 /**
- * live_prepare:
- * @live: zeroed, but for the programs and the policy
- * @seed: of the simulated world
+ * emulator_prepare:
+ * @emulator: zero-initialized except for the programs and the policy
+ * @seed: seed of the simulated world
  * @nodes: number of controllers
  *
- * Makes the world and all addresses. Until live_begin() the world's parameters may be changed.
+ * Creates the world and all addresses. The world's parameters may be changed until
+ * emulator_begin().
  */
-void live_prepare (Live *live, guint32 seed, int nodes);
+void emulator_prepare (Emulator *emulator, guint32 seed, int nodes);
 
 /**
- * live_begin:
+ * emulator_begin:
  *
  * Starts the controllers and the clock.
  */
-void live_begin (Live *live);
+void emulator_begin (Emulator *emulator);
 
 /**
- * live_run:
+ * emulator_run:
+ * @until: time at which to return, in seconds since the start
  *
- * Runs the main loop until that time, or until `stop` is set.
+ * Runs the main loop until @until, or until `stop` is set.
  */
-void live_run (Live *live, double until);
+void emulator_run (Emulator *emulator, double until);
 
 /**
- * live_end:
+ * emulator_end:
  *
- * Ends all controllers. The world can still be examined.
+ * Kills all controllers and frees the emulator's resources. The world stays valid.
  */
-void live_end (Live *live);
+void emulator_end (Emulator *emulator);
 
 /**
- * live_catch_up:
+ * emulator_catch_up:
  *
- * Advances the world to the present. Called before anything from outside is handed to it.
+ * Advances the world to the present. Called before an external event is passed to the world.
  */
-void live_catch_up (Live *live);
+void emulator_catch_up (Emulator *emulator);
 
 /* ---- processes.c: controllers as processes ---- */
 
-/* For the world, which starts, kills and freezes controllers. */
-extern const SimControllers live_controllers;
+/* Callbacks with which the world starts, kills and freezes controllers. */
+extern const SimControllers emulator_controllers;
 
 /**
- * live_processes_prepare:
+ * emulator_processes_prepare:
  *
- * Reserves the ports and makes the relays.
+ * Reserves the ports and creates the relays.
  */
-void live_processes_prepare (Live *live);
+void emulator_processes_prepare (Emulator *emulator);
 
 /**
- * live_processes_end:
+ * emulator_processes_end:
  *
- * Waits for killed processes and frees ports, relays and, if wanted, files.
+ * Waits until the killed processes have exited, then frees the ports and relays and, if
+ * `remove_files` is set, deletes the files.
  */
-void live_processes_end (Live *live);
+void emulator_processes_end (Emulator *emulator);
 
 /* ---- wire.c: HTTP between controllers and the simulated world ---- */
 
 /**
- * live_wire_prepare:
+ * emulator_wire_prepare:
  *
- * Starts the services' servers.
+ * Starts the HTTP servers of the simulated services.
  */
-void live_wire_prepare (Live *live);
+void emulator_wire_prepare (Emulator *emulator);
 
 /**
- * live_wire_end:
+ * emulator_wire_end:
  *
  * Closes all servers and requests.
  */
-void live_wire_end (Live *live);
+void emulator_wire_end (Emulator *emulator);
 
 /**
- * live_listen:
- * @node: the controller that uses the server; -1: any
- * @target: what it simulates
+ * emulator_listen:
+ * @node: the controller that uses the server; -1: any controller
+ * @target: the service that the server simulates
  *
- * Returns: (transfer full): a server on a port that the kernel picked
+ * Returns: (transfer full): a server on a port that the kernel chose
  */
-LiveListener *live_listen (Live *live, int node, HrTarget target);
+EmulatorListener *emulator_listen (Emulator *emulator, int node, HrTarget target);
 
 /**
- * live_listener_free:
+ * emulator_listener_free:
  *
  * Closes the server.
  */
-void live_listener_free (LiveListener *listener);
+void emulator_listener_free (EmulatorListener *listener);
 
 /**
- * live_push:
+ * emulator_push:
  * @command: (transfer full): a request, or the result of a call
  *
- * Sends what the world delivers to a controller.
+ * Sends a message of the world to a controller.
  */
-void live_push (World *world, int node, HrCommand *command);
+void emulator_push (World *world, int node, HrCommand *command);
 
 /**
- * live_worker_address:
+ * emulator_worker_address:
  *
  * Returns: (transfer full): IP:PORT of a new server for that machine's worker
  */
-char *live_worker_address (World *world, guint machine);
+char *emulator_worker_address (World *world, guint machine);
 
 /* ---- relay.c: connections between controllers, which network partitions cut ---- */
 
 /**
- * live_relay:
+ * emulator_relay:
  *
  * Returns: (transfer full): IP:PORT where controller @from reaches controller @to
  */
-char *live_relay (Live *live, int from, int to);
+char *emulator_relay (Emulator *emulator, int from, int to);
 
 /**
- * live_relay_free:
- * @relay: an element of Live.relays
+ * emulator_relay_free:
+ * @relay: an element of Emulator.relays
  *
- * Stops listening; open connections stay.
+ * Stops listening; open connections stay open.
  */
-void live_relay_free (gpointer relay);
+void emulator_relay_free (gpointer relay);
 
 /**
- * live_address:
+ * emulator_address:
  *
  * Returns: (transfer full): IP:PORT of an address on the loopback interface
  */
-char *live_address (GInetSocketAddress *address);
+char *emulator_address (GInetSocketAddress *address);
--- a/src/emulator/main.c
+++ b/src/emulator/main.c
@@ -1,6 +1,6 @@
-/* hoprock-emulator: a whole deployment on one machine, for trying hoprock out. The controllers are
- * real; state store, cloud, workers and load balancer are simulated. docs/emulator.md documents it.
- */
+/* hoprock-emulator: a complete deployment on one machine for trying out hoprock. The controllers
+ * are real processes; the state store, the cloud, the workers and the load balancer are simulated.
+ * Documentation: docs/emulator.md. */
 #include "emulator/balancer.h"
 #include "emulator/control.h"
 #include "protocol/json_util.h"
@@ -10,7 +10,7 @@
 #include <signal.h>
 #include <stdio.h>
 
-/* Without --seconds. */
+/* Run time without --seconds. */
 #define FOREVER_S 1e9
 
 typedef struct {
@@ -18,41 +18,41 @@
   double seconds;
 } Options;
 
-/* Figures of the settings file, each with its range. */
+/* A numeric setting of the settings file and its valid range. */
 typedef struct {
   const char *key;
   double min, max;
   gsize offset;
-} Figure;
+} NumericSetting;
 
 typedef struct {
   double controllers, machines, report_s, lease_s, cancel_s, seed;
-} Figures;
+} NumericSettings;
 
-#define FIGURE(key, min, max)                                                                      \
+#define SETTING(key, min, max)                                                                     \
   {                                                                                                \
-#key, min, max, G_STRUCT_OFFSET(Figures, key)                                                  \
+#key, min, max, G_STRUCT_OFFSET(NumericSettings, key)                                          \
   }
 
-static const Figure known_figures[] = {
-    FIGURE (controllers, 1, MAX_NODES), FIGURE (machines, 1, 200),  FIGURE (report_s, 0.5, 60),
-    FIGURE (lease_s, 2, 600),           FIGURE (cancel_s, 5, 3600), FIGURE (seed, 0, 4e9)};
+static const NumericSetting known_settings[] = {
+    SETTING (controllers, 1, MAX_NODES), SETTING (machines, 1, 200),  SETTING (report_s, 0.5, 60),
+    SETTING (lease_s, 2, 600),           SETTING (cancel_s, 5, 3600), SETTING (seed, 0, 4e9)};
 
 static gboolean
-set_figure (Figures *figures, const char *key, const json_t *value)
+set_number (NumericSettings *settings, const char *key, const json_t *value)
 {
-  for (guint i = 0; i < G_N_ELEMENTS (known_figures); i++) {
+  for (guint i = 0; i < G_N_ELEMENTS (known_settings); i++) {
     double number = json_is_number (value) ? json_number_value (value) : -1;
-    if (!g_str_equal (known_figures[i].key, key))
+    if (!g_str_equal (known_settings[i].key, key))
       continue;
-    *(double *)((char *)figures + known_figures[i].offset) = number;
-    return number >= known_figures[i].min && number <= known_figures[i].max;
+    *(double *)((char *)settings + known_settings[i].offset) = number;
+    return number >= known_settings[i].min && number <= known_settings[i].max;
   }
   return FALSE;
 }
 
 static gboolean
-read_settings (const char *file, Figures *figures)
+read_settings (const char *file, NumericSettings *settings)
 {
   json_error_t error;
   json_t *root = json_load_file (file, 0, &error), *value;
@@ -62,7 +62,7 @@
     fprintf (stderr, "hoprock-emulator: %s:%d: %s\n", file, error.line, error.text);
   json_object_foreach (root, key, value)
   {
-    if (!good || set_figure (figures, key, value))
+    if (!good || set_number (settings, key, value))
       continue;
     fprintf (stderr, "hoprock-emulator: %s: %s is not known, or out of range\n", file, key);
     good = FALSE;
@@ -74,18 +74,22 @@
 static gboolean
 parse (Options *options, int *argc, char ***argv)
 {
-  const GOptionEntry entries[] = {
-      {"daemon", 0, 0, G_OPTION_ARG_FILENAME, &options->daemon, "the controller's program", "FILE"},
-      {"policy", 0, 0, G_OPTION_ARG_FILENAME, &options->policy, "its policy", "FILE"},
-      {"settings", 0, 0, G_OPTION_ARG_FILENAME, &options->settings, "figures, in JSON", "FILE"},
-      {"troubles", 0, 0, G_OPTION_ARG_FILENAME, &options->troubles, "one trouble a line", "FILE"},
-      {"listen", 0, 0, G_OPTION_ARG_STRING, &options->listen,
-       "users' address; default 127.0.0.1:8080", "IP:PORT"},
-      {"seconds", 0, 0, G_OPTION_ARG_DOUBLE, &options->seconds, "end by itself after so long", "S"},
-      {NULL}};
+  const GOptionEntry entries[] = {{"daemon", 0, 0, G_OPTION_ARG_FILENAME, &options->daemon,
+                                   "program of the controllers (hoprockd)", "FILE"},
+                                  {"policy", 0, 0, G_OPTION_ARG_FILENAME, &options->policy,
+                                   "policy of the controllers", "FILE"},
+                                  {"settings", 0, 0, G_OPTION_ARG_FILENAME, &options->settings,
+                                   "numeric settings, in JSON", "FILE"},
+                                  {"troubles", 0, 0, G_OPTION_ARG_FILENAME, &options->troubles,
+                                   "faults to inject, one per line", "FILE"},
+                                  {"listen", 0, 0, G_OPTION_ARG_STRING, &options->listen,
+                                   "address for users; default 127.0.0.1:8080", "IP:PORT"},
+                                  {"seconds", 0, 0, G_OPTION_ARG_DOUBLE, &options->seconds,
+                                   "exit after this time, in seconds", "S"},
+                                  {NULL}};
   g_autoptr (GError) error = NULL;
   g_autoptr (GOptionContext) context =
-      g_option_context_new ("- a whole hoprock deployment on this machine");
+      g_option_context_new ("- a complete hoprock deployment on this machine");
   g_option_context_add_main_entries (context, entries, NULL);
   if (g_option_context_parse (context, argc, argv, &error) && *argc == 1 && options->daemon &&
       options->policy)
@@ -96,59 +100,58 @@
 }
 
 static gboolean
-on_signal (gpointer live)
+on_signal (gpointer emulator)
 {
-  ((Live *)live)->stop = TRUE;
+  ((Emulator *)emulator)->stop = TRUE;
   return G_SOURCE_CONTINUE;
 }
 
 static void
-set_figures (World *world, const Figures *figures)
+apply_settings (World *world, const NumericSettings *settings)
 {
-  world->capacity = (guint)figures->machines;
-  world->report_s = figures->report_s;
-  world->lease_s = figures->lease_s;
-  world->cancel_s = figures->cancel_s;
-  world->loss = world->dup = 0; /* the only faults are those of the troubles file */
+  world->capacity = (guint)settings->machines;
+  world->report_s = settings->report_s;
+  world->lease_s = settings->lease_s;
+  world->cancel_s = settings->cancel_s;
+  world->loss = world->dup = 0; /* the only faults are those of the --troubles file */
 }
 
 static gboolean
-plan_file (Live *live, const char *file)
+plan_file (Emulator *emulator, const char *file)
 {
   g_autofree char *text = NULL;
   g_autoptr (GError) error = NULL;
   if (!file)
     return TRUE;
-  if (g_file_get_contents (file, &text, NULL, &error) && control_plan (live, text, &error))
+  if (g_file_get_contents (file, &text, NULL, &error) && control_plan (emulator, text, &error))
     return TRUE;
   fprintf (stderr, "hoprock-emulator: %s\n", error->message);
   return FALSE;
 }
 
-/* Runs until a signal, or until --seconds are over. Returns the exit code: 1 when a rule was
- * broken.
- */
+/* Runs until a signal arrives or the time of --seconds has passed. Returns the exit code: 1 when a
+ * rule was violated. */
 static int
-emulate (Live *live, const Options *options)
+emulate (Emulator *emulator, const Options *options)
 {
   g_autoptr (GError) error = NULL;
   const char *listen = options->listen ? options->listen : "127.0.0.1:8080";
-  users_init (live->world, 0, 0);
-  Balancer *balancer = balancer_new (live, listen, &error);
+  users_init (emulator->world, 0, 0);
+  Balancer *balancer = balancer_new (emulator, listen, &error);
   if (!balancer) {
     fprintf (stderr, "hoprock-emulator: %s\n", error->message);
     return 2;
   }
-  if (!plan_file (live, options->troubles))
+  if (!plan_file (emulator, options->troubles))
     return 2;
-  printf ("%d controllers; users at %s; logs in %s\n", live->world->n, listen, live->dir);
+  printf ("%d controllers; users at %s; logs in %s\n", emulator->world->n, listen, emulator->dir);
   fflush (stdout);
-  live_run (live, options->seconds > 0 ? options->seconds : FOREVER_S);
-  guint broken = live->world->broken->len;
+  emulator_run (emulator, options->seconds > 0 ? options->seconds : FOREVER_S);
+  guint broken = emulator->world->broken->len;
   for (guint i = 0; i < broken; i++)
-    printf ("broken rule: %s\n", (char *)live->world->broken->pdata[i]);
-  printf ("ended after %.0f s: %u starts, %u rules broken\n", live->world->now, live->world->starts,
-          broken);
+    printf ("broken rule: %s\n", (char *)emulator->world->broken->pdata[i]);
+  printf ("ended after %.0f s: %u starts, %u rules broken\n", emulator->world->now,
+          emulator->world->starts, broken);
   balancer_free (balancer);
   return broken > 0;
 }
@@ -157,20 +160,20 @@
 main (int argc, char **argv)
 {
   Options options = {0};
-  Figures figures = {3, 24, 2.5, 14, 36, 1};
-  Live live = {0};
+  NumericSettings settings = {3, 24, 2.5, 14, 36, 1};
+  Emulator emulator = {0};
   if (!parse (&options, &argc, &argv) ||
-      (options.settings && !read_settings (options.settings, &figures)))
+      (options.settings && !read_settings (options.settings, &settings)))
     return 2;
   sim_log_init ();
-  live.daemon = options.daemon;
-  live.policy = options.policy;
-  live_prepare (&live, (guint32)figures.seed, (int)figures.controllers);
-  set_figures (live.world, &figures);
-  live_begin (&live);
-  g_unix_signal_add (SIGTERM, on_signal, &live);
-  g_unix_signal_add (SIGINT, on_signal, &live);
-  int code = emulate (&live, &options);
-  live_end (&live);
+  emulator.daemon = options.daemon;
+  emulator.policy = options.policy;
+  emulator_prepare (&emulator, (guint32)settings.seed, (int)settings.controllers);
+  apply_settings (emulator.world, &settings);
+  emulator_begin (&emulator);
+  g_unix_signal_add (SIGTERM, on_signal, &emulator);
+  g_unix_signal_add (SIGINT, on_signal, &emulator);
+  int code = emulate (&emulator, &options);
+  emulator_end (&emulator);
   return code;
 }
--- a/src/emulator/processes.c
+++ b/src/emulator/processes.c
@@ -1,5 +1,5 @@
-/* The controllers as processes: started, killed, frozen (SIGSTOP) and resumed, each by its process
- * id, and only those that this program started. */
+/* Starts, kills, freezes (SIGSTOP) and resumes the controller processes. Signals go to process ids
+ * only, and only to processes that this program started. */
 #include "emulator/live.h"
 #include <errno.h>
 #include <fcntl.h>
@@ -8,8 +8,8 @@
 #include <sys/socket.h>
 #include <glib/gstdio.h>
 
-/* Reserves a port that the kernel picks: it stays bound, but is not listened on, so that the
- * controller can listen on it after each start and no other program gets it. */
+/* Reserves a port that the kernel chooses. The returned socket stays bound but does not listen, so
+ * the controller can listen on the port after each start and no other program gets it. */
 static GSocket *
 reserve_port (char **address)
 {
@@ -20,38 +20,38 @@
   g_autoptr (GSocketAddress) any = g_inet_socket_address_new (loopback, 0);
   if (!socket || !g_socket_set_option (socket, SOL_SOCKET, SO_REUSEPORT, 1, &error) ||
       !g_socket_bind (socket, any, TRUE, &error))
-    g_error ("emulator: no port: %s", error->message);
+    g_error ("emulator: cannot reserve a port: %s", error->message);
   g_autoptr (GSocketAddress) bound = g_socket_get_local_address (socket, NULL);
-  *address = live_address (G_INET_SOCKET_ADDRESS (bound));
+  *address = emulator_address (G_INET_SOCKET_ADDRESS (bound));
   return socket;
 }
 
 void
-live_processes_prepare (Live *live)
+emulator_processes_prepare (Emulator *emulator)
 {
-  live->relays = g_ptr_array_new_with_free_func (live_relay_free);
-  for (int i = 0; i < live->world->n; i++) {
-    live->nodes[i].held[0] = reserve_port (&live->nodes[i].front);
-    live->nodes[i].held[1] = reserve_port (&live->nodes[i].back);
-    live->nodes[i].log = g_strdup_printf ("%s/c%d.log", live->dir, i);
+  emulator->relays = g_ptr_array_new_with_free_func (emulator_relay_free);
+  for (int i = 0; i < emulator->world->n; i++) {
+    emulator->nodes[i].reserved[0] = reserve_port (&emulator->nodes[i].front);
+    emulator->nodes[i].reserved[1] = reserve_port (&emulator->nodes[i].back);
+    emulator->nodes[i].log = g_strdup_printf ("%s/c%d.log", emulator->dir, i);
   }
-  for (int i = 0; i < live->world->n; i++)
-    for (int k = 0; k < live->world->n; k++)
+  for (int i = 0; i < emulator->world->n; i++)
+    for (int k = 0; k < emulator->world->n; k++)
       if (k != i)
-        live->nodes[i].peers[k] = live_relay (live, i, k);
+        emulator->nodes[i].peers[k] = emulator_relay (emulator, i, k);
 }
 
 static char *
-settings_file (const Live *live, int i)
+settings_file (const Emulator *emulator, int i)
 {
-  return g_strdup_printf ("%s/c%d.json", live->dir, i);
+  return g_strdup_printf ("%s/c%d.json", emulator->dir, i);
 }
 
 static char *
-write_settings (Live *live, int i)
+write_settings (Emulator *emulator, int i)
 {
-  const LiveNode *node = &live->nodes[i];
-  json_t *root = node_settings (live->world, i), *member;
+  const EmulatorNode *node = &emulator->nodes[i];
+  json_t *root = node_settings (emulator->world, i), *member;
   json_object_set_new (root, "front", json_string (node->front));
   json_object_set_new (root, "back", json_string (node->back));
   json_object_set_new (json_object_get (root, "outside"), "cloud",
@@ -64,65 +64,66 @@
     int k = json_string_value (json_object_get (member, "label"))[1] - '0';
     json_object_set_new (member, "endpoint", json_string (node->peers[k]));
   }
-  char *file = settings_file (live, i);
+  char *file = settings_file (emulator, i);
   if (json_dump_file (root, file, JSON_INDENT (1)) != 0)
-    g_error ("emulator: %s cannot be written", file);
+    g_error ("emulator: cannot write %s", file);
   json_decref (root);
   return file;
 }
 
-/* Runs in the child: the kernel kills it when this program ends, in whatever way. */
+/* Runs in the child process: makes the kernel kill it when this program exits for any reason. */
 static void
 die_with_parent (gpointer unused G_GNUC_UNUSED)
 {
   prctl (PR_SET_PDEATHSIG, SIGKILL);
 }
 
-/* A process whose end is waited for. */
+/* A process whose exit is being watched. */
 typedef struct {
-  Live *live;
+  Emulator *emulator;
   int node;
 } WatchedProcess;
 
 static void
-on_ended (GObject *source, GAsyncResult *result, gpointer data)
+on_exited (GObject *source, GAsyncResult *result, gpointer data)
 {
   g_autofree WatchedProcess *watched = data;
-  Live *live = watched->live;
+  Emulator *emulator = watched->emulator;
   g_subprocess_wait_finish (G_SUBPROCESS (source), result, NULL);
-  if (!live->world || live->nodes[watched->node].process != G_SUBPROCESS (source))
-    return; /* killed by this program */
-  live_catch_up (live);
-  w_broken (live->world, "ended", "c%d ended by itself", watched->node);
-  node_kill (live->world, watched->node);
-  node_start_at (live->world, watched->node, live->world->now + 1);
+  if (!emulator->world || emulator->nodes[watched->node].process != G_SUBPROCESS (source))
+    return; /* this program killed it */
+  emulator_catch_up (emulator);
+  w_broken (emulator->world, "ended", "c%d exited unexpectedly", watched->node);
+  node_kill (emulator->world, watched->node);
+  node_start_at (emulator->world, watched->node, emulator->world->now + 1);
 }
 
-/* Waits until the killed process has ended, so that its ports are free. Called only when they are
- * needed: a process with sanitizers takes a while to end, and the simulated world must go
- * on meanwhile. */
+/* Waits until the killed process has exited, so that its ports are free. Called only when the ports
+ * are needed: a process with sanitizers takes a while to exit, and the simulated world must keep
+ * running in the meantime. */
 static void
-await_end (LiveNode *node)
+await_termination (EmulatorNode *node)
 {
-  if (node->ending)
-    g_subprocess_wait (node->ending, NULL, NULL);
-  g_clear_object (&node->ending);
+  if (node->terminating)
+    g_subprocess_wait (node->terminating, NULL, NULL);
+  g_clear_object (&node->terminating);
 }
 
-/* A controller that is not upgraded yet is started again in the old version. */
+/* Returns the program of controller @i: the old version until the controller is upgraded. */
 static const char *
-program_of (const Live *live, int i)
+program_of (const Emulator *emulator, int i)
 {
-  return live->old_daemon && !live->world->nodes[i].upgraded ? live->old_daemon : live->daemon;
+  return emulator->old_daemon && !emulator->world->nodes[i].upgraded ? emulator->old_daemon
+                                                                     : emulator->daemon;
 }
 
 static void
-start (World *world, int i)
+start_process (World *world, int i)
 {
-  Live *live = world->controllers_data;
-  LiveNode *node = &live->nodes[i];
-  g_autofree char *settings = write_settings (live, i);
-  await_end (node);
+  Emulator *emulator = world->controllers_data;
+  EmulatorNode *node = &emulator->nodes[i];
+  g_autofree char *settings = write_settings (emulator, i);
+  await_termination (node);
   g_autoptr (GError) error = NULL;
   g_autoptr (GSubprocessLauncher) launcher = g_subprocess_launcher_new (G_SUBPROCESS_FLAGS_NONE);
   g_subprocess_launcher_setenv (launcher, "LOG_LEVEL", "debug", TRUE);
@@ -130,86 +131,88 @@
   g_subprocess_launcher_set_child_setup (launcher, die_with_parent, NULL, NULL);
   int log = g_open (node->log, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
   g_subprocess_launcher_take_stderr_fd (launcher, log);
-  node->process = g_subprocess_launcher_spawn (launcher, &error, program_of (live, i), "--policy",
-                                               live->policy, "--config", settings, NULL);
+  node->process =
+      g_subprocess_launcher_spawn (launcher, &error, program_of (emulator, i), "--policy",
+                                   emulator->policy, "--config", settings, NULL);
   if (!node->process)
     g_error ("emulator: %s", error->message);
   WatchedProcess *watched = g_new (WatchedProcess, 1);
-  *watched = (WatchedProcess){live, i};
-  g_subprocess_wait_async (node->process, NULL, on_ended, watched);
+  *watched = (WatchedProcess){emulator, i};
+  g_subprocess_wait_async (node->process, NULL, on_exited, watched);
 }
 
 static void
-end (World *world, int i)
+kill_process (World *world, int i)
 {
-  Live *live = world->controllers_data;
-  GSubprocess *process = g_steal_pointer (&live->nodes[i].process);
+  Emulator *emulator = world->controllers_data;
+  GSubprocess *process = g_steal_pointer (&emulator->nodes[i].process);
   if (!process)
     return;
-  live->kills++;
+  emulator->kills++;
   g_subprocess_force_exit (process);
-  await_end (&live->nodes[i]);
-  live->nodes[i].ending = process;
+  await_termination (&emulator->nodes[i]);
+  emulator->nodes[i].terminating = process;
 }
 
-/* A process to be resumed, unless the controller has been started anew since. */
+/* A frozen process. It is resumed unless the controller has been restarted since. */
 typedef struct {
   int node;
-  guint gen; /* counts the controller's starts */
+  guint gen; /* number of starts of the controller when the process was frozen */
 } FrozenProcess;
 
 static void
 resume (World *world, gpointer data)
 {
   g_autofree FrozenProcess *frozen = data;
-  Live *live = world->controllers_data;
+  Emulator *emulator = world->controllers_data;
   if (world->nodes[frozen->node].up && world->nodes[frozen->node].gen == frozen->gen)
-    g_subprocess_send_signal (live->nodes[frozen->node].process, SIGCONT);
+    g_subprocess_send_signal (emulator->nodes[frozen->node].process, SIGCONT);
 }
 
 static void
 freeze (World *world, int i, double for_s)
 {
-  Live *live = world->controllers_data;
-  live->freezes++;
-  g_subprocess_send_signal (live->nodes[i].process, SIGSTOP);
+  Emulator *emulator = world->controllers_data;
+  emulator->freezes++;
+  g_subprocess_send_signal (emulator->nodes[i].process, SIGSTOP);
   FrozenProcess *frozen = g_new (FrozenProcess, 1);
   *frozen = (FrozenProcess){i, world->nodes[i].gen};
   w_at (world, world->now + for_s, resume, frozen);
 }
 
-const SimControllers live_controllers = {start, end, live_push, freeze, live_worker_address};
+const SimControllers emulator_controllers = {start_process, kill_process, emulator_push, freeze,
+                                             emulator_worker_address};
 
 static void
 remove_file (const char *file)
 {
   if (g_unlink (file) != 0)
-    g_warning ("emulator: %s is left behind: %s", file, g_strerror (errno));
+    g_warning ("emulator: cannot delete %s: %s", file, g_strerror (errno));
 }
 
 static void
-remove_files (const Live *live, int i)
+remove_files (const Emulator *emulator, int i)
 {
-  g_autofree char *settings = settings_file (live, i);
+  g_autofree char *settings = settings_file (emulator, i);
   remove_file (settings);
-  remove_file (live->nodes[i].log);
+  remove_file (emulator->nodes[i].log);
 }
 
 void
-live_processes_end (Live *live)
+emulator_processes_end (Emulator *emulator)
 {
-  for (int i = 0; i < live->world->n; i++) {
-    LiveNode *node = &live->nodes[i];
-    await_end (node);
+  for (int i = 0; i < emulator->world->n; i++) {
+    EmulatorNode *node = &emulator->nodes[i];
+    await_termination (node);
     for (int k = 0; k < 2; k++)
-      g_object_unref (node->held[k]);
-    for (int k = 0; k < live->world->n; k++)
+      g_object_unref (node->reserved[k]);
+    for (int k = 0; k < emulator->world->n; k++)
       g_free (node->peers[k]);
-    if (live->remove_files)
-      remove_files (live, i);
+    if (emulator->remove_files)
+      remove_files (emulator, i);
     g_free (node->front);
     g_free (node->back);
     g_free (node->log);
   }
-  g_ptr_array_unref (live->relays);
+  g_ptr_array_unref (emulator->relays);
 }
--- a/src/emulator/relay.c
+++ b/src/emulator/relay.c
@@ -1,27 +1,27 @@
-/* A relay forwards what one controller sends to another, unless a network partition separates them.
- */
+/* A relay forwards the data that one controller sends to another, unless a network partition
+ * separates them. */
 #include "emulator/live.h"
 
-/* What is read and forwarded at once. */
+/* Size of the buffer for one read and write. */
 #define CHUNK_BYTES 4096
-/* How often a relay that holds data checks whether the partition has ended. */
+/* Interval at which a relay that holds back data checks whether the partition has ended. */
 #define CUT_POLL_MS 50
 
 typedef struct {
-  Live *live;
+  Emulator *emulator;
   int from, to;
   GSocketService *service;
 } Relay;
 
-/* A connection through the relay: one from the sender and one to the receiver. Freed when neither
- * of its directions is read any more. */
+/* A connection through the relay: a socket connection from the sender and one to the receiver.
+ * Freed when both directions have ended. */
 typedef struct {
   Relay *relay;
   GSocketConnection *ends[2];
-  int refs; /* directions that are read */
+  int refs; /* number of open directions */
 } RelayedConnection;
 
-/* One direction: what is read at one end is written to the other. */
+/* One direction of a connection: data read at one end is written to the other. */
 typedef struct {
   RelayedConnection *connection;
   int end; /* index of the end that is read */
@@ -34,7 +34,7 @@
 static gboolean
 is_cut (const Relay *relay)
 {
-  const World *world = relay->live->world;
+  const World *world = relay->emulator->world;
   return world->nodes[relay->from].cut_peers > world->now ||
          world->nodes[relay->to].cut_peers > world->now;
 }
@@ -63,7 +63,8 @@
     direction_end (direction);
 }
 
-/* What was sent into a partition is held back until its end. */
+/* Writes the data read last. While a partition separates the controllers, holds the data back and
+ * tries again. */
 static gboolean
 direction_write (gpointer data)
 {
@@ -110,7 +111,7 @@
   direction_read (direction);
 }
 
-/* A connection that came in, while the one to the receiver is made. */
+/* An incoming connection while the one to the receiver is being established. */
 typedef struct {
   Relay *relay;
   GSocketConnection *incoming;
@@ -147,31 +148,31 @@
   Connecting *connecting = g_new (Connecting, 1);
   *connecting = (Connecting){relay, g_object_ref (incoming)};
   g_autoptr (GSocketClient) client = g_socket_client_new ();
-  g_socket_client_connect_to_host_async (client, relay->live->nodes[relay->to].back, 0, NULL,
+  g_socket_client_connect_to_host_async (client, relay->emulator->nodes[relay->to].back, 0, NULL,
                                          on_connected, connecting);
   return TRUE;
 }
 
 char *
-live_relay (Live *live, int from, int to)
+emulator_relay (Emulator *emulator, int from, int to)
 {
   Relay *relay = g_new0 (Relay, 1);
-  *relay = (Relay){live, from, to, g_socket_service_new ()};
+  *relay = (Relay){emulator, from, to, g_socket_service_new ()};
   g_autoptr (GInetAddress) loopback = g_inet_address_new_loopback (G_SOCKET_FAMILY_IPV4);
   g_autoptr (GSocketAddress) any = g_inet_socket_address_new (loopback, 0);
   g_autoptr (GSocketAddress) bound = NULL;
   g_autoptr (GError) error = NULL;
   if (!g_socket_listener_add_address (G_SOCKET_LISTENER (relay->service), any, G_SOCKET_TYPE_STREAM,
                                       G_SOCKET_PROTOCOL_TCP, NULL, &bound, &error))
-    g_error ("emulator: a relay cannot listen: %s", error->message);
+    g_error ("emulator: relay cannot listen: %s", error->message);
   g_signal_connect (relay->service, "incoming", G_CALLBACK (on_incoming), relay);
-  g_ptr_array_add (live->relays, relay);
-  return live_address (G_INET_SOCKET_ADDRESS (bound));
+  g_ptr_array_add (emulator->relays, relay);
+  return emulator_address (G_INET_SOCKET_ADDRESS (bound));
 }
 
-/* Connections that are still open refer to the relay, so only its listener is closed. */
+/* Open connections still refer to the relay, so only its listener is closed. */
 void
-live_relay_free (gpointer relay)
+emulator_relay_free (gpointer relay)
 {
   Relay *ended = relay;
   g_socket_service_stop (ended->service);
--- a/src/emulator/wire.c
+++ b/src/emulator/wire.c
@@ -1,89 +1,94 @@
-/* HTTP between the controllers and the simulated services and workers: a request of either side
- * becomes a message of the simulated world, which may delay, lose or repeat it as the planned
- * faults demand; what the world delivers is sent over real HTTP. */
+/* HTTP between the controllers and the simulated services and workers. A request of either side
+ * becomes a message of the simulated world, which delays, drops or duplicates it according to the
+ * planned faults. Messages that the world delivers are sent over real HTTP. */
 #include "emulator/live.h"
 #include "sim/request.h"
 #include <string.h>
 
-/* Timeout of calls by controllers: longer than any of theirs, of which watches are the longest. */
+/* Timeout of calls by controllers: longer than every timeout of the controllers themselves, the
+ * longest of which is that of watches. */
 #define CALL_TIMEOUT_S 30.0
-/* Timeout of requests to controllers: nothing in the world waits longer. Requests that are given up
- * must leave the SoupSession, whose work for each message grows with the number of open ones. */
+/* Timeout of requests to controllers, in seconds: no client in the world waits longer. Abandoned
+ * requests must leave the SoupSession, because its cost per message grows with the number of open
+ * messages. */
 #define REQUEST_TIMEOUT_S 6
-/* Connections to one controller. */
+/* Limit of connections to one controller. */
 #define MAX_CONNECTIONS 200
-/* Set on a message whose client has closed its connection. */
-#define GONE_KEY "gone"
+/* Data key set on a message whose client has closed the connection. */
+#define DISCONNECTED_KEY "gone"
 
 char *
-live_address (GInetSocketAddress *address)
+emulator_address (GInetSocketAddress *address)
 {
   return g_strdup_printf ("127.0.0.1:%u", g_inet_socket_address_get_port (address));
 }
 
 /* ---- from controllers ---- */
 
-/* The controller that wrote the leader record with the order's fencing token; -1: none did. */
+/* Returns the controller that wrote the leader record with the order's fencing token, or -1 if
+ * there is none. */
 static int
-node_of_token (Live *live, const char *body)
+node_of_token (Emulator *emulator, const char *body)
 {
   json_t *object = json_loads (body, 0, NULL);
   guint64 token = json_integer_value (json_object_get (object, "baton"));
   json_decref (object);
   gpointer node;
-  if (!g_hash_table_lookup_extended (live->world->token_nodes, &token, NULL, &node))
+  if (!g_hash_table_lookup_extended (emulator->world->token_nodes, &token, NULL, &node))
     return -1;
   return GPOINTER_TO_INT (node);
 }
 
-/* The controller has ended, or has given the call up. */
+/* The controller has exited or abandoned the call. */
 static void
 on_disconnected (SoupServerMessage *msg, gpointer id G_GNUC_UNUSED)
 {
-  g_object_set_data (G_OBJECT (msg), GONE_KEY, GINT_TO_POINTER (TRUE));
+  g_object_set_data (G_OBJECT (msg), DISCONNECTED_KEY, GINT_TO_POINTER (TRUE));
 }
 
 static void
 on_call (SoupServer *server G_GNUC_UNUSED, SoupServerMessage *msg, const char *path,
          GHashTable *query G_GNUC_UNUSED, gpointer data)
 {
-  LiveListener *listener = data;
-  Live *live = listener->live;
-  live_catch_up (live);
-  live->requests++;
+  EmulatorListener *listener = data;
+  Emulator *emulator = listener->emulator;
+  emulator_catch_up (emulator);
+  emulator->requests++;
   SoupMessageBody *received = soup_server_message_get_request_body (msg);
   g_autoptr (GBytes) bytes = soup_message_body_flatten (received);
   g_autofree char *body = g_strndup (g_bytes_get_data (bytes, NULL), g_bytes_get_size (bytes));
-  int node = listener->node >= 0 ? listener->node : node_of_token (live, body);
-  if (node < 0 || !live->world->nodes[node].up) { /* sent by a process that has just ended */
+  int node = listener->node >= 0 ? listener->node : node_of_token (emulator, body);
+  if (node < 0 || !emulator->world->nodes[node].up) { /* sent by a process that has just exited */
     soup_server_message_set_status (msg, 503, NULL);
     return;
   }
   GUri *uri = soup_server_message_get_uri (msg);
   const char *text = g_uri_get_query (uri);
-  HrEffect effect = {.kind = HR_EFFECT_CALL, .id = ++live->calls, .call.target = listener->target};
+  HrEffect effect = {
+      .kind = HR_EFFECT_CALL, .id = ++emulator->last_call_id, .call.target = listener->target};
   effect.call.method = hr_method_of (soup_server_message_get_method (msg));
   effect.call.path = g_strconcat (path, text ? "?" : NULL, text, NULL);
   effect.call.address = listener->address;
   effect.body = strlen (body) ? body : NULL;
   effect.call.timeout_s = CALL_TIMEOUT_S;
-  g_hash_table_insert (live->pending, g_memdup2 (&effect.id, sizeof effect.id), g_object_ref (msg));
+  g_hash_table_insert (emulator->pending, g_memdup2 (&effect.id, sizeof effect.id),
+                       g_object_ref (msg));
   g_signal_connect (msg, "disconnected", G_CALLBACK (on_disconnected), NULL);
   soup_server_message_pause (msg);
-  node_perform (live->world, node, &effect);
+  node_perform (emulator->world, node, &effect);
   g_free (effect.call.path);
 }
 
-/* Sends the world's answer to a call; status 0: closes the connection without one. */
+/* Sends the world's answer to a call. Status 0 stands for no answer and closes the connection. */
 static void
-answer_call (Live *live, const HrCommand *command)
+answer_call (Emulator *emulator, const HrCommand *command)
 {
   gpointer key, value;
-  if (!g_hash_table_steal_extended (live->pending, &command->id, &key, &value))
+  if (!g_hash_table_steal_extended (emulator->pending, &command->id, &key, &value))
     return;
   g_free (key);
   g_autoptr (SoupServerMessage) msg = value;
-  if (g_object_get_data (G_OBJECT (msg), GONE_KEY))
+  if (g_object_get_data (G_OBJECT (msg), DISCONNECTED_KEY))
     return;
   if (!command->result.status) {
     g_autoptr (GIOStream) connection = soup_server_message_steal_connection (msg);
@@ -99,11 +104,11 @@
   soup_server_message_unpause (msg);
 }
 
-LiveListener *
-live_listen (Live *live, int node, HrTarget target)
+EmulatorListener *
+emulator_listen (Emulator *emulator, int node, HrTarget target)
 {
-  LiveListener *listener = g_new0 (LiveListener, 1);
-  listener->live = live;
+  EmulatorListener *listener = g_new0 (EmulatorListener, 1);
+  listener->emulator = emulator;
   listener->node = node;
   listener->target = target;
   listener->server = soup_server_new (NULL, NULL);
@@ -112,7 +117,7 @@
   g_autoptr (GSocketAddress) any = g_inet_socket_address_new (loopback, 0);
   g_autoptr (GError) error = NULL;
   if (!soup_server_listen (listener->server, any, 0, &error))
-    g_error ("emulator: a stand-in cannot listen: %s", error->message);
+    g_error ("emulator: simulated server cannot listen: %s", error->message);
   GSList *uris = soup_server_get_uris (listener->server);
   listener->address = g_strdup_printf ("127.0.0.1:%d", g_uri_get_port (uris->data));
   g_slist_free_full (uris, (GDestroyNotify)g_uri_unref);
@@ -120,7 +125,7 @@
 }
 
 void
-live_listener_free (LiveListener *listener)
+emulator_listener_free (EmulatorListener *listener)
 {
   soup_server_disconnect (listener->server);
   g_object_unref (listener->server);
@@ -129,33 +134,33 @@
 }
 
 char *
-live_worker_address (World *world, guint machine G_GNUC_UNUSED)
+emulator_worker_address (World *world, guint machine G_GNUC_UNUSED)
 {
-  Live *live = world->controllers_data;
-  LiveListener *listener = live_listen (live, -1, HR_TO_WORKER);
-  g_ptr_array_add (live->workers, listener);
+  Emulator *emulator = world->controllers_data;
+  EmulatorListener *listener = emulator_listen (emulator, -1, HR_TO_WORKER);
+  g_ptr_array_add (emulator->workers, listener);
   return g_strdup (listener->address);
 }
 
 /* ---- to controllers ---- */
 
-/* A request to a controller that waits for its answer. */
+/* A request to a controller that is waiting for its answer. */
 typedef struct {
-  Live *live;
+  Emulator *emulator;
   int node;
-  guint64 id; /* of the request in the world */
+  guint64 id; /* id of the request in the world */
   SoupMessage *msg;
 } ForwardedRequest;
 
-/* Nothing listens there, or the process ended: the sender gets "no answer" at once. */
+/* Fails the request at once, without an answer: the controller does not listen or has exited. */
 static void
-no_answer (Live *live, int node, guint64 id)
+no_answer (Emulator *emulator, int node, guint64 id)
 {
-  Node *n = &live->world->nodes[node];
+  Node *n = &emulator->world->nodes[node];
   SimRequest *request = n->up ? g_hash_table_lookup (n->open, &id) : NULL;
   if (!request)
     return;
-  w_answer (live->world, request, 0, NULL);
+  w_answer (emulator->world, request, 0, NULL);
   g_hash_table_remove (n->open, &id);
 }
 
@@ -163,79 +168,79 @@
 on_answered (GObject *source, GAsyncResult *result, gpointer data)
 {
   g_autofree ForwardedRequest *forwarded = data;
-  Live *live = forwarded->live;
+  Emulator *emulator = forwarded->emulator;
   g_autoptr (GError) error = NULL;
   g_autoptr (SoupMessage) msg = forwarded->msg;
   g_autoptr (GBytes) bytes =
       soup_session_send_and_read_finish (SOUP_SESSION (source), result, &error);
-  if (!live->world)
+  if (!emulator->world)
     return;
-  live_catch_up (live);
+  emulator_catch_up (emulator);
   if (!bytes) {
-    no_answer (live, forwarded->node, forwarded->id);
+    no_answer (emulator, forwarded->node, forwarded->id);
     return;
   }
   HrEffect effect = {
       .kind = HR_EFFECT_REPLY, .id = forwarded->id, .reply.status = soup_message_get_status (msg)};
   effect.body = g_strndup (g_bytes_get_data (bytes, NULL), g_bytes_get_size (bytes));
-  if (live->world->nodes[forwarded->node].up)
-    node_perform (live->world, forwarded->node, &effect);
+  if (emulator->world->nodes[forwarded->node].up)
+    node_perform (emulator->world, forwarded->node, &effect);
   g_free (effect.body);
 }
 
 static void
-forward_request (Live *live, int node, const HrCommand *command)
+forward_request (Emulator *emulator, int node, const HrCommand *command)
 {
   static const char *const methods[] = {"GET", "POST", "DELETE", "PUT"};
   g_autofree char *uri =
-      g_strconcat ("http://", live->nodes[node].front, command->request.path, NULL);
+      g_strconcat ("http://", emulator->nodes[node].front, command->request.path, NULL);
   ForwardedRequest *forwarded = g_new (ForwardedRequest, 1);
-  *forwarded = (ForwardedRequest){live, node, command->id,
+  *forwarded = (ForwardedRequest){emulator, node, command->id,
                                   soup_message_new (methods[command->request.method], uri)};
   if (!forwarded->msg)
-    g_error ("emulator: no address: %s", uri);
+    g_error ("emulator: invalid URL: %s", uri);
   if (command->body)
     soup_message_set_request_body_from_bytes (forwarded->msg, "application/json", command->body);
-  soup_session_send_and_read_async (live->nodes[node].session, forwarded->msg, G_PRIORITY_DEFAULT,
-                                    NULL, on_answered, forwarded);
+  soup_session_send_and_read_async (emulator->nodes[node].session, forwarded->msg,
+                                    G_PRIORITY_DEFAULT, NULL, on_answered, forwarded);
 }
 
 void
-live_push (World *world, int node, HrCommand *command)
+emulator_push (World *world, int node, HrCommand *command)
 {
-  Live *live = world->controllers_data;
+  Emulator *emulator = world->controllers_data;
   if (command->kind == HR_COMMAND_REQUEST)
-    forward_request (live, node, command);
+    forward_request (emulator, node, command);
   else if (command->kind == HR_COMMAND_RESULT)
-    answer_call (live, command);
+    answer_call (emulator, command);
   hr_command_free (command);
 }
 
-/* ---- beginning and end ---- */
+/* ---- setup and teardown ---- */
 
 void
-live_wire_prepare (Live *live)
+emulator_wire_prepare (Emulator *emulator)
 {
-  live->pending = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_object_unref);
-  live->workers = g_ptr_array_new_with_free_func ((GDestroyNotify)live_listener_free);
-  for (int i = 0; i < live->world->n; i++) {
-    live->nodes[i].session =
+  emulator->pending = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_object_unref);
+  emulator->workers = g_ptr_array_new_with_free_func ((GDestroyNotify)emulator_listener_free);
+  for (int i = 0; i < emulator->world->n; i++) {
+    emulator->nodes[i].session =
         soup_session_new_with_options ("max-conns", MAX_CONNECTIONS, "max-conns-per-host",
                                        MAX_CONNECTIONS, "timeout", REQUEST_TIMEOUT_S, NULL);
-    live->nodes[i].state = live_listen (live, i, HR_TO_STORE);
-    live->nodes[i].cloud = live_listen (live, i, HR_TO_CLOUD);
+    emulator->nodes[i].state = emulator_listen (emulator, i, HR_TO_STORE);
+    emulator->nodes[i].cloud = emulator_listen (emulator, i, HR_TO_CLOUD);
   }
 }
 
 void
-live_wire_end (Live *live)
+emulator_wire_end (Emulator *emulator)
 {
-  for (int i = 0; i < live->world->n; i++) {
-    soup_session_abort (live->nodes[i].session);
-    g_object_unref (live->nodes[i].session);
-    live_listener_free (live->nodes[i].state);
-    live_listener_free (live->nodes[i].cloud);
+  for (int i = 0; i < emulator->world->n; i++) {
+    soup_session_abort (emulator->nodes[i].session);
+    g_object_unref (emulator->nodes[i].session);
+    emulator_listener_free (emulator->nodes[i].state);
+    emulator_listener_free (emulator->nodes[i].cloud);
   }
-  g_hash_table_unref (live->pending);
-  g_ptr_array_unref (live->workers);
+  g_hash_table_unref (emulator->pending);
+  g_ptr_array_unref (emulator->workers);
 }
--- a/tests/emulator.sh
+++ b/tests/emulator.sh
@@ -16,7 +16,7 @@
 expect 2 'colour is not known' "${run[@]}" --settings "$tmp/odd.json"
 echo 'kind=earthquake at=3' >"$tmp/odd.troubles"
 expect 2 'line 1 is no trouble' "${run[@]}" --troubles "$tmp/odd.troubles" --listen 127.0.0.1:18311
-expect 2 'is no IP address' "${run[@]}" --listen here:80
+expect 2 'is not an IP address' "${run[@]}" --listen here:80
 "${run[@]}" --listen 127.0.0.1:18312 --seconds 60 >"$tmp/log" 2>&1 &
 emulator_id=$!
 sleep 3
--- a/tests/fault_scenarios.h
+++ b/tests/fault_scenarios.h
@@ -13,7 +13,7 @@
 static guint other_from, other_to;
 
 static void
-play_seeds (guint from, guint to, const FaultScenario *settings, const HrTrouble *day, guint n)
+play_seeds (guint from, guint to, const FaultScenario *settings, const HrFault *day, guint n)
 {
   guint broken = 0;
   if (other_to > other_from) {
--- a/tests/sim/answer_checks.c
+++ b/tests/sim/answer_checks.c
@@ -64,7 +64,7 @@
       (heard_before (job->heard_cancelled, question) && !cancelled))
     w_broken (world, "went_back", "%s is called %s", job->id, state);
   check_final (world, job, done, cancelled);
-  pipeline_told (world, job, state, question->sent_at);
+  pipeline_state_reported (world, job, state, question->sent_at);
   if (status == 201 && heard_before (job->heard_accepted, question))
     w_broken (world, "status", "%s is accepted as new a second time", job->id);
   gboolean first = !job->heard_accepted;
@@ -82,7 +82,7 @@
   }
   job->ok_at = world->now;
   if (news)
-    troubles_told (world, job, first && !done && !cancelled);
+    faults_on_job_state_reported (world, job, first && !done && !cancelled);
 }
 
 void
--- a/tests/sim/cloud.c
+++ b/tests/sim/cloud.c
@@ -97,7 +97,7 @@
     machine->images = g_hash_table_new (g_direct_hash, g_direct_equal);
     double boot_s = w_rand (world, 0, 1) < 0.05 ? 1 : w_rand (world, 12, 30);
     machine->boots =
-        troubles_boots (world, w_rand (world, 0, 1) < 0.04 ? 1e9 : world->now + boot_s);
+        faults_boot_time (world, w_rand (world, 0, 1) < 0.04 ? 1e9 : world->now + boot_s);
     g_ptr_array_add (world->machines, machine);
     json_array_append_new (names, json_string (machine->name));
     if (machine->boots < 1e8)
--- a/tests/sim/fault_scenario.c
+++ b/tests/sim/fault_scenario.c
@@ -1,13 +1,13 @@
-/* Days on which troubles meet: played, and looked at when they are over. */
+/* Plays days on which planned faults overlap, and checks the state at their end. */
 #include "sim/fault_scenario.h"
 #include "sim/user.h"
 #include <stdio.h>
 
-#define DAY_S 700.0 /* long enough after the last trouble for all work to end */
+#define DAY_S 700.0 /* leaves enough time after the last fault for all work to end */
 
-/* All work is done, and each planned trouble took effect on something. */
+/* Checks that all work is done and that each planned fault had an effect. */
 static void
-check_end (World *world, const HrTrouble *day, guint n)
+check_end (World *world, const HrFault *day, guint n)
 {
   for (guint i = 0; i < world->jobs->len; i++) {
     SimJob *job = world->jobs->pdata[i];
@@ -22,12 +22,12 @@
       w_broken (world, "liveness", "%s never ran", job->id);
   }
   for (guint i = 0; i < n; i++)
-    if (!world->troubles.played[day[i].kind])
-      w_broken (world, "played", "%s took no effect", trouble_kind_name (day[i].kind));
+    if (!world->troubles.effects[day[i].kind])
+      w_broken (world, "played", "fault %s had no effect", fault_kind_name (day[i].kind));
 }
 
 guint
-fault_scenario_play (guint32 seed, const FaultScenario *settings, const HrTrouble *day, guint n)
+fault_scenario_play (guint32 seed, const FaultScenario *settings, const HrFault *day, guint n)
 {
   World *world = world_new (seed, seed % 3 == 2 ? 5 : 3);
   world->quota_gpus = settings->quota_gpus;
@@ -39,7 +39,7 @@
   if (settings->users)
     settings->users (world);
   users_probe (world);
-  troubles_plan (world, day, n);
+  faults_plan (world, day, n);
   world_run (world, settings->until > 0 ? settings->until : DAY_S);
   check_end (world, day, n);
   if (settings->started_cancelled && world->started_cancelled > settings->started_cancelled)
--- a/tests/sim/fault_scenario.h
+++ b/tests/sim/fault_scenario.h
@@ -1,18 +1,18 @@
-/* One day on which troubles meet. */
+/* Plays one simulated day on which planned faults overlap. */
 #pragma once
 #include "sim/world.h"
 
-/* What a day has beside its troubles; whatever is 0 or NULL is as always. */
+/* Settings of a day besides its faults; 0 or NULL selects the default. */
 typedef struct {
-  void (*users) (World *world); /* their jobs; NULL: forty of all shapes within five minutes */
+  void (*users) (World *world); /* submits jobs; NULL: forty of all shapes within five minutes */
   double quota_gpus;            /* the limit of the only team */
   guint capacity;               /* machines that the cloud has; a third as many spot machines */
-  guint started_cancelled; /* starts after a confirmed cancellation: more are a fault; 0: any */
-  double until;            /* the day's end; 0: 700, long enough for all work to end */
+  guint started_cancelled;      /* allowed starts after a confirmed cancellation; 0: any number */
+  double until;                 /* end of the day; 0: 700, long enough for all work to end */
 } FaultScenario;
 
-/* Plays the day with this seed: three controllers, or five. Every rule is asserted at every event;
- * in the end all work is done, and each trouble took effect on something. What broke is printed.
- * Returns how often a rule broke. */
-guint fault_scenario_play (guint32 seed, const FaultScenario *settings, const HrTrouble *day,
+/* Plays the day with this seed and three or five controllers. Every rule is asserted at every
+ * event; at the end all work must be done and each fault must have had an effect. Prints the
+ * violated rules and returns the number of violations. */
+guint fault_scenario_play (guint32 seed, const FaultScenario *settings, const HrFault *day,
                            guint n);
--- a/tests/sim/faults.h
+++ b/tests/sim/faults.h
@@ -1,54 +1,58 @@
-/* Faults of controllers, machines and the state service: drawn from the seed (faults_init), or one
- * that a day asks for. Times in seconds of the day. fault_* are for the files of faults alone. */
+/* Faults of controllers, machines and the state store: drawn from the seed (faults_init), or
+ * scripted for a day. Times are in seconds of the day. Functions with the prefix fault_ are only
+ * for the faults*.c files. */
 #pragma once
 #include "sim/worker.h"
 #include "sim/world.h"
 
-/* The controller ends, and is back after a while, or within a fraction of a second. */
+/* Kills the controller; it restarts after a few seconds, or sometimes within half a second. */
 void fault_crash (World *world, int node);
-/* The same, back within half a second at most. node: GINT_TO_POINTER. */
-void fault_stumble (World *world, gpointer node);
-/* The state service answers this controller no more for a while. */
-void fault_store_away (World *world, int node);
-/* Of the machines marked for it when a trouble began: how many there are, and for how many it is
- * so. */
-guint fault_marked (World *world, gboolean (*is_so) (const SimMachine *), guint *all);
+/* Kills the controller; it restarts within half a second. node: GINT_TO_POINTER. */
+void fault_restart_quickly (World *world, gpointer node);
+/* Cuts this controller off from the state store for a while. */
+void fault_cut_node_from_store (World *world, int node);
+/* Counts the machines that were marked when a fault began (through_cut). all: the number of marked
+ * machines. Returns for how many of them the predicate holds. */
+guint fault_count_marked (World *world, gboolean (*predicate) (const SimMachine *), guint *all);
 
 void faults_init (World *world, guint n, double from, double to);
-/* No trouble begins any more, unless one is planned for later. */
-void world_calm (World *world, gpointer unused);
-/* All controllers are behind a cut for 30 s that holds packets back. */
-void faults_held_cut (World *world, double at);
-/* The state service answers no controller for 50 s; they hear one another, and workers. */
+/* Marks the end of all faults, unless one is planned for later. */
+void world_end_faults (World *world, gpointer unused);
+/* Partitions all controllers from workers, state store and users for 30 s; messages sent during
+ * the partition arrive when it ends. */
+void faults_cut_all_holding_packets (World *world, double at);
+/* The state store answers no controller for 50 s; controllers still reach one another and the
+ * workers. */
 void faults_cut_from_store (World *world, double at);
-/* The same, after one of them confirmed a cancellation that the leader did not read. Leases are to
- * last all the same, but where that member restarts. */
+/* As faults_cut_from_store(), after one member confirmed a cancellation that the leader did not
+ * read. Leases must last nevertheless, unless that member restarts. */
 void faults_missed_cancellation (World *world, double at, gboolean restart);
-/* The state service refuses the leader alone while all other members confirm cancellations, and is
- * then down for all, for longer than a cancelled job's tasks may live. */
+/* The state store refuses only the leader while all other members confirm cancellations. After that
+ * it is down for all, for longer than the tasks of a cancelled job may keep running. */
 void faults_cancellation_gap (World *world, double at);
-/* No worker reaches the leader for 40 s; other controllers do. */
-void faults_leader_unreached (World *world, double at, gboolean hold);
-/* Half of the machines end without notice, and so does the process of the leader. */
-void faults_half_gone (World *world, double at);
-/* The pages of large jobs become unreadable while all controllers are away for a moment. */
+/* No worker reaches the leader for 40 s, but workers reach the other controllers. */
+void faults_cut_leader_from_workers (World *world, double at, gboolean hold);
+/* Half of the machines with tasks and the leader's process crash without notice. */
+void faults_crash_half_of_machines (World *world, double at);
+/* The record pages of large jobs become unreadable while all controllers are restarting. */
 void faults_unreadable_pages (World *world, double at);
-/* The leader is cut off from state service and members until another leads; then no controller
- * is served for 50 s, and all hear one another again. */
+/* The leader is cut off from the state store and the other members until another controller leads.
+ * Then the state store answers no controller for 50 s, while all controllers reach one another
+ * again. */
 void faults_two_leaders (World *world, double at);
-/* A hundred machines end, a hundred hang, a quarter is cut off; the leader ends meanwhile. Then
- * all controllers end, twice, and one stands still. */
-void faults_mass (World *world, double at);
-/* Again and again the leader changes, and machines end without notice. */
-void faults_leaders (World *world, double from, double to);
-/* Each gang loses one task's machine once, while it fetches its image. */
-void faults_lost_places (World *world, double from, double to);
-/* The process of the leader ends, and is back soon. */
-void faults_leader_ends (World *world, double at);
-/* Again and again the changes that the leader has not read yet are no longer kept. */
-void faults_changes_gone (World *world, double from, double to);
-/* Controllers stand still while their clocks run on: the leader, another, or all of them. */
+/* A hundred machines crash, a hundred hang and a quarter is partitioned; the leader crashes
+ * meanwhile. Then all controllers crash, twice, and one freezes. */
+void faults_mass_failure (World *world, double at);
+/* Forces a change of the leader again and again, and crashes machines without notice. */
+void faults_change_leaders (World *world, double from, double to);
+/* Crashes, once for each gang, the machine of one of its tasks while the gang fetches its image. */
+void faults_crash_gang_machines (World *world, double from, double to);
+/* The leader's process crashes and restarts soon. */
+void faults_crash_leader (World *world, double at);
+/* Compacts the changes that the leader has not read yet, again and again. */
+void faults_compact_changes (World *world, double from, double to);
+/* Freezes controllers while their clocks keep running: the leader, the other ones, or all. */
 typedef enum { FREEZE_LEADER, FREEZE_OTHER, FREEZE_ALL } FreezeWho;
 void faults_freeze (World *world, double at, FreezeWho who, double for_s);
-/* At that time the busiest machine stops hearing what it is told. */
+/* From that time on the busiest machine receives neither answers nor direct orders. */
 void faults_inbound_cut (World *world, double at);
--- a/tests/sim/faults_fleet.c
+++ b/tests/sim/faults_fleet.c
@@ -1,9 +1,9 @@
-/* Faults of machines and of whole controllers. */
+/* Scripted faults of machines and of whole controllers. */
 #include "sim/cloud.h"
 #include "sim/faults.h"
 
-#define CHANGES_GONE_EVERY_S 10
-#define LEADER_CHANGES_EVERY_S 35
+#define COMPACTION_INTERVAL_S 10
+#define LEADER_CHANGE_INTERVAL_S 35
 #include "sim/store.h"
 #include "sim/user.h"
 #include "sim/worker.h"
@@ -14,19 +14,19 @@
   return !machine->asked_gone;
 }
 
-/* That half of all is silent looks like a trouble of the new leader's own, and proof by time
- * takes it hold_s and a lease. The cloud's list tells sooner. */
+/* To a new leader half of the machines being silent looks like a failure of its own. Proving by
+ * elapsed time that they are gone takes it hold_s and a lease; the cloud's list shows it earlier.
+ * Checks that the leader has asked to delete all of them. */
 static void
-proven (World *world, gpointer data G_GNUC_UNUSED)
+check_deletion_requested (World *world, gpointer data G_GNUC_UNUSED)
 {
-  guint gone, kept = fault_marked (world, is_kept, &gone);
+  guint gone, kept = fault_count_marked (world, is_kept, &gone);
   if (!gone || kept)
-    w_broken (world, "proof", "%u of %u machines that went are not asked to be deleted", kept,
-              gone);
+    w_broken (world, "proof", "no deletion requested for %u of %u crashed machines", kept, gone);
 }
 
 static void
-half_gone (World *world, gpointer data G_GNUC_UNUSED)
+crash_half_of_machines (World *world, gpointer data G_GNUC_UNUSED)
 {
   int leader = store_leader (world);
   guint n = 0;
@@ -38,17 +38,17 @@
   }
   if (leader >= 0)
     fault_crash (world, leader);
-  w_at (world, world->now + 26, proven, NULL);
+  w_at (world, world->now + 26, check_deletion_requested, NULL);
 }
 
 void
-faults_half_gone (World *world, double at)
+faults_crash_half_of_machines (World *world, double at)
 {
-  w_at (world, at, half_gone, NULL);
+  w_at (world, at, crash_half_of_machines, NULL);
 }
 
 static void
-leader_ends (World *world, gpointer data G_GNUC_UNUSED)
+crash_leader (World *world, gpointer data G_GNUC_UNUSED)
 {
   int leader = store_leader (world);
   if (leader >= 0)
@@ -56,17 +56,17 @@
 }
 
 static void
-all_end (World *world, gpointer data G_GNUC_UNUSED)
+crash_all_nodes (World *world, gpointer data G_GNUC_UNUSED)
 {
   for (int k = 0; k < world->n; k++)
     fault_crash (world, k);
 }
 
 static void
-all_unserved (World *world, gpointer data G_GNUC_UNUSED)
+cut_all_from_store (World *world, gpointer data G_GNUC_UNUSED)
 {
   for (int k = 0; k < world->n; k++)
-    fault_store_away (world, k);
+    fault_cut_node_from_store (world, k);
 }
 
 static void
@@ -79,7 +79,7 @@
   n->cut_store = n->cut_peers = world->now + 7.9;
   n->alone_at = world->now;
   n->hold = FALSE;
-  w_at (world, world->now + 5, all_unserved, NULL);
+  w_at (world, world->now + 5, cut_all_from_store, NULL);
 }
 
 void
@@ -91,9 +91,9 @@
 static void
 corrupt_pages (World *world, gpointer data G_GNUC_UNUSED)
 {
-  all_end (world, NULL);
+  crash_all_nodes (world, NULL);
   if (!store_corrupt_pages (world))
-    w_broken (world, "unreadable", "no page is there");
+    w_broken (world, "unreadable", "no record page exists");
 }
 
 void
@@ -103,7 +103,7 @@
 }
 
 static void
-mass (World *world, gpointer data G_GNUC_UNUSED)
+mass_failure (World *world, gpointer data G_GNUC_UNUSED)
 {
   guint n = 0, dead = 0, hung = 0;
   for (guint i = 0; i < world->machines->len; i++) {
@@ -116,23 +116,23 @@
       machine->hold = TRUE;
     } else if (n % 4 == 1 && dead++ < 100)
       machine_end (world, machine);
-    else if (n % 4 == 2 && hung++ < 100) /* some past their lease */
+    else if (n % 4 == 2 && hung++ < 100) /* some for longer than their lease */
       machine->hang = world->now + (n % 8 < 4 ? 20 : 35);
   }
 }
 
 void
-faults_mass (World *world, double at)
+faults_mass_failure (World *world, double at)
 {
-  w_at (world, at, mass, NULL);
-  w_at (world, at + 4, leader_ends, NULL);
-  w_at (world, at + 80, all_end, NULL);
-  w_at (world, at + 130, all_end, NULL);
+  w_at (world, at, mass_failure, NULL);
+  w_at (world, at + 4, crash_leader, NULL);
+  w_at (world, at + 80, crash_all_nodes, NULL);
+  w_at (world, at + 130, crash_all_nodes, NULL);
   faults_freeze (world, at + 170, FREEZE_LEADER, 20);
 }
 
 static void
-lose_places (World *world, gpointer data)
+crash_gang_machines (World *world, gpointer data)
 {
   double *to = data;
   for (guint i = 0; world->jobs && i < world->jobs->len; i++) {
@@ -155,28 +155,28 @@
     }
   }
   if (world->now < *to)
-    w_at (world, world->now + 0.5, lose_places, data);
+    w_at (world, world->now + 0.5, crash_gang_machines, data);
   else
     g_free (data);
 }
 
 void
-faults_lost_places (World *world, double from, double to)
+faults_crash_gang_machines (World *world, double from, double to)
 {
-  w_at (world, from, lose_places, g_memdup2 (&to, sizeof to));
+  w_at (world, from, crash_gang_machines, g_memdup2 (&to, sizeof to));
 }
 
 void
-faults_leader_ends (World *world, double at)
+faults_crash_leader (World *world, double at)
 {
-  w_at (world, at, leader_ends, NULL);
+  w_at (world, at, crash_leader, NULL);
 }
 
 static void
 change_leader (World *world, gpointer data G_GNUC_UNUSED)
 {
-  /* Whoever leads: all but one go, one after the other, so that a node that knows
-   * nothing leads next. */
+  /* Crashes all controllers but one, whichever of them leads, so that a node without any state
+   * leads next. */
   int i = g_rand_int_range (world->rand, 0, world->n);
   for (int k = 0; k < world->n - 1; k++)
     fault_crash (world, (i + k) % world->n);
@@ -188,7 +188,7 @@
 }
 
 static void
-changes_gone (World *world, gpointer data G_GNUC_UNUSED)
+compact_changes (World *world, gpointer data G_GNUC_UNUSED)
 {
   int leader = store_leader (world);
   if (leader >= 0)
@@ -196,21 +196,21 @@
 }
 
 void
-faults_changes_gone (World *world, double from, double to)
+faults_compact_changes (World *world, double from, double to)
 {
   double at = from;
   while (at < to) {
-    w_at (world, at, changes_gone, NULL);
-    at += CHANGES_GONE_EVERY_S;
+    w_at (world, at, compact_changes, NULL);
+    at += COMPACTION_INTERVAL_S;
   }
 }
 
 void
-faults_leaders (World *world, double from, double to)
+faults_change_leaders (World *world, double from, double to)
 {
   double at = from;
   while (at < to) {
     w_at (world, at, change_leader, NULL);
-    at += LEADER_CHANGES_EVERY_S;
+    at += LEADER_CHANGE_INTERVAL_S;
   }
 }
--- a/tests/sim/faults_members.c
+++ b/tests/sim/faults_members.c
@@ -1,4 +1,4 @@
-/* Faults of the ways between controllers, the state service and workers. */
+/* Scripted faults of the network between controllers, the state store and workers. */
 #include "sim/faults.h"
 #include "sim/store.h"
 #include "sim/user.h"
@@ -10,12 +10,12 @@
   return machine->gone || machine->tenure > 1;
 }
 
-/* ---- what members tell the leader in a cut of them all ---- */
+/* ---- attestations of members to the leader while all of them are cut off ---- */
 
 #define CUT_ALL_S 50.0
 
 static void
-still_held (World *world, gpointer data G_GNUC_UNUSED)
+check_leases_held (World *world, gpointer data G_GNUC_UNUSED)
 {
   guint up = 0, lost = 0;
   for (guint i = 0; i < world->machines->len; i++) {
@@ -25,56 +25,57 @@
   }
   if (!up || lost)
     w_broken (world, "attestation",
-              "%u of %u machines lost their lease, though no member was served", lost, up);
+              "%u of %u machines lost their lease although no member reached the state store", lost,
+              up);
 }
 
 void
-fault_store_away (World *world, int node)
+fault_cut_node_from_store (World *world, int node)
 {
   world->nodes[node].cut_store = world->now + CUT_ALL_S;
   world->nodes[node].hold = FALSE;
 }
 
-/* Leases are to last until just before the cut ends. */
+/* Schedules a check that leases last until just before the partition ends. */
 static void
-watch_leases (World *world)
+schedule_lease_check (World *world)
 {
   for (guint i = 0; i < world->machines->len; i++) {
     SimMachine *machine = world->machines->pdata[i];
     machine->through_cut = machine->up && !machine->gone && !machine->spot && machine->tenure == 1;
   }
-  w_at (world, world->now + CUT_ALL_S - 2, still_held, NULL);
+  w_at (world, world->now + CUT_ALL_S - 2, check_leases_held, NULL);
 }
 
 static void
-all_away (World *world, gpointer data G_GNUC_UNUSED)
+cut_all_from_store (World *world, gpointer data G_GNUC_UNUSED)
 {
   for (int k = 0; k < world->n; k++)
-    fault_store_away (world, k);
-  watch_leases (world);
+    fault_cut_node_from_store (world, k);
+  schedule_lease_check (world);
 }
 
 void
 faults_cut_from_store (World *world, double at)
 {
-  w_at (world, at, all_away, NULL);
+  w_at (world, at, cut_all_from_store, NULL);
 }
 
-/* All but one node miss a cancellation that this one confirms just before it is cut off too,
- * and perhaps restarts: its attestation must not keep the job's tasks alive, but those of
- * others, as long as it can name that job to the leader. */
+/* All nodes but one miss a cancellation. That node confirms it just before it is cut off as well,
+ * and may then restart. Its attestation must not extend the leases of the cancelled job's tasks,
+ * but must extend those of other jobs as long as it can name that job to the leader. */
 static void
-others_away (World *world, gpointer data)
+cut_remaining_from_store (World *world, gpointer data)
 {
   int other = GPOINTER_TO_INT (data) % MAX_NODES;
   for (int k = 0; k < world->n; k++)
     if (world->nodes[k].cut_store < world->now)
-      fault_store_away (world, k);
+      fault_cut_node_from_store (world, k);
   if (GPOINTER_TO_INT (data) >= MAX_NODES)
-    fault_stumble (world, GINT_TO_POINTER (other));
+    fault_restart_quickly (world, GINT_TO_POINTER (other));
   else if (world->nodes[store_leader (world)].frozen <=
-           world->now) /* else that costs leases by itself */
-    watch_leases (world);
+           world->now) /* a freeze of the leader would cost leases by itself */
+    schedule_lease_check (world);
 }
 
 static void
@@ -86,9 +87,10 @@
   int other = (leader + 1) % world->n;
   for (int k = 0; k < world->n; k++)
     if (k != other)
-      fault_store_away (world, k);
+      fault_cut_node_from_store (world, k);
   users_cancel_service_at (world, other);
-  w_at (world, world->now + 0.8, others_away, GINT_TO_POINTER (other + (data ? MAX_NODES : 0)));
+  w_at (world, world->now + 0.8, cut_remaining_from_store,
+        GINT_TO_POINTER (other + (data ? MAX_NODES : 0)));
 }
 
 void
@@ -98,7 +100,7 @@
 }
 
 static void
-cancel_elsewhere (World *world, gpointer data G_GNUC_UNUSED)
+cancel_at_other_nodes (World *world, gpointer data G_GNUC_UNUSED)
 {
   int leader = store_leader (world);
   for (int k = 0; k < world->n; k++)
@@ -107,10 +109,10 @@
 }
 
 static void
-outage_for_all (World *world, gpointer data G_GNUC_UNUSED)
+store_outage (World *world, gpointer data G_GNUC_UNUSED)
 {
   world->outage = world->now + CUT_ALL_S;
-  watch_leases (world);
+  schedule_lease_check (world);
 }
 
 static void
@@ -122,10 +124,10 @@
   world->nodes[leader].refused = world->now + 14;
   double after = 0.3;
   while (after < 1.5) {
-    w_at (world, world->now + after, cancel_elsewhere, NULL);
+    w_at (world, world->now + after, cancel_at_other_nodes, NULL);
     after += 0.4;
   }
-  w_at (world, world->now + 2, outage_for_all, NULL);
+  w_at (world, world->now + 2, store_outage, NULL);
 }
 
 void
@@ -134,18 +136,18 @@
   w_at (world, at, cancellation_gap, NULL);
 }
 
-/* Nothing that runs may be given away because its reports do not reach the leader. */
+/* No machine with running tasks may be given up because its reports do not reach the leader. */
 static void
-reached_again (World *world, gpointer data G_GNUC_UNUSED)
+check_workers_kept (World *world, gpointer data G_GNUC_UNUSED)
 {
-  guint up, lost = fault_marked (world, is_lost, &up);
+  guint up, lost = fault_count_marked (world, is_lost, &up);
   if (!up || lost)
-    w_broken (world, "kept", "%u of %u machines are lost with the owner's way to its workers", lost,
-              up);
+    w_broken (world, "kept", "%u of %u machines lost after the leader was cut off from its workers",
+              lost, up);
 }
 
 static void
-leader_unreached (World *world, gpointer data)
+cut_leader_from_workers (World *world, gpointer data)
 {
   int leader = store_leader (world);
   if (leader < 0)
@@ -157,11 +159,11 @@
     machine->through_cut =
         machine->up && !machine->gone && machine->tenure == 1 && machine->tasks->len;
   }
-  w_at (world, world->now + 39, reached_again, NULL);
+  w_at (world, world->now + 39, check_workers_kept, NULL);
 }
 
 void
-faults_leader_unreached (World *world, double at, gboolean hold)
+faults_cut_leader_from_workers (World *world, double at, gboolean hold)
 {
-  w_at (world, at, leader_unreached, GINT_TO_POINTER (hold));
+  w_at (world, at, cut_leader_from_workers, GINT_TO_POINTER (hold));
 }
--- a/tests/sim/invariant_checks.c
+++ b/tests/sim/invariant_checks.c
@@ -195,7 +195,7 @@
 void
 check_waiting_jobs (World *world)
 {
-  if (world_troubled (world)) {
+  if (world_has_active_fault (world)) {
     world->quiet_at = 0;
     return;
   }
@@ -226,7 +226,7 @@
   SimJob *job = world->jobs->pdata[task->job];
   guint here = 0;
   world->starts++;
-  pipeline_start (world, job, task->task);
+  pipeline_on_task_start (world, job, task->task);
   job->started = world->now;
   if (!job->first && job->shape != HR_GANG) /* a gang begins when all its tasks run */
     job->first = world->now;
--- a/tests/sim/limits.c
+++ b/tests/sim/limits.c
@@ -1,4 +1,4 @@
-/* Work for days on which a team is at its limit. */
+/* Workloads for days on which a team is at its limit. */
 #include "sim/limits.h"
 #include "sim/user.h"
 
--- a/tests/sim/limits.h
+++ b/tests/sim/limits.h
@@ -1,23 +1,24 @@
-/* Work for days on which a team is at its limit (world.h: quota_gpus). Each task of an array
- * and each replica takes one GPU, each task of a gang a machine with its two. */
+/* Workloads for days on which a team is at its limit (world.h: quota_gpus). Each task of an array
+ * and each replica takes one GPU; each task of a gang takes a machine with both of its GPUs. */
 #pragma once
 #include "sim/user.h"
 #include "sim/world.h"
 
-/* One job. due_s: an array's deadline, from its submission; 0: by its run time. */
+/* One job. due_s: an array's deadline, in seconds from its submission; 0: derived from its run
+ * time. */
 typedef struct {
   double at_s;
   HrShape shape;
   guint tasks;
   double run_s;
-  const char *rank; /* NULL: as its shape has it */
+  const char *rank; /* NULL: the default of its shape */
   double due_s;
   gboolean large;
   const char *team; /* NULL: the first one */
 } HrLimitJob;
 
 void limits_submit (World *world, const HrLimitJob *jobs, guint n);
-/* Gangs of one task, each gap_s after the one before. */
+/* Submits gangs of one task at intervals of gap_s. */
 void limits_stream (World *world, double from, double to, double gap_s, double run_s);
-/* The nth job of the plan, as submitted. */
+/* Returns the nth submitted job of the day. */
 SimJob *limits_job (World *world, guint n);
--- a/tests/sim/log.c
+++ b/tests/sim/log.c
@@ -1,10 +1,10 @@
-/* What the controllers of a simulated day log. */
+/* Log output of the controllers of a simulated day. */
 #include "sim/log.h"
 #include "sim/world.h"
 #include <stdio.h>
 
-/* With HR_SIM_VERBOSE=1: all of it, with simulated time and node. Fatal messages are shown always.
- */
+/* Writes all messages, with simulated time and node, if HR_SIM_VERBOSE is set; otherwise only fatal
+ * messages. */
 static GLogWriterOutput
 log_writer (GLogLevelFlags level, const GLogField *fields, gsize n, gpointer verbose)
 {
--- a/tests/sim/log.h
+++ b/tests/sim/log.h
@@ -2,8 +2,8 @@
 #pragma once
 #include "sim/world.h"
 
-/* Who is at work, for logs. */
+/* Time and node of the running controller, for log lines. */
 extern double sim_log_time;
 extern int sim_log_node;
-/* Once a program, before its first day. */
+/* Called once per process, before its first day. */
 void sim_log_init (void);
--- a/tests/sim/malformed_requests.c
+++ b/tests/sim/malformed_requests.c
@@ -1,9 +1,9 @@
-/* Requests that must be turned away, or change nothing: each has the status that it must get.
- * A controller that cannot decide just now may say so (429, 503), and an answer may be lost: then
- * it is asked again until it decides. A repeated submission is known by its id alone, so a
- * malformed one that names a job needs a reading too; one that names none is known at once. Nothing
- * may be recorded of them: each one carries a mark, which no key and no value of the state stand-in
- * may hold. */
+/* Requests that must be rejected or have no effect, each with the required status. A controller
+ * that cannot decide yet may answer 429 or 503, and an answer may be lost; the request is then
+ * retried until a controller decides. A repeated submission is recognized by its id alone, so a
+ * controller also needs a snapshot read to reject a malformed request that names a job; it can
+ * reject one that names no job at once. Nothing of these requests may be recorded: each carries a
+ * mark that must not appear in any key or value of the simulated state store. */
 #include "coordination/command.h"
 #include "protocol/json_util.h"
 #include "sim/answer_checks.h"
@@ -15,51 +15,52 @@
 #include "sim/world.h"
 #include <string.h>
 
-#define ROUND_S 1.5
-#define RECORDED_AFTER_S 8.0 /* an answer may be lost, and a write be late */
+#define ROUND_INTERVAL_S 1.5
+#define RECORDED_AFTER_S 8.0 /* answers may be lost and writes may be late */
 #define REPEAT_SPAN_S 0.03
-#define AGAIN_S 1.0
-#define MOST_TRIES 60 /* longer than any spell without a reading in these days */
+#define RETRY_INTERVAL_S 1.0
+#define MAX_TRIES 60 /* longer than any period without a snapshot read on these days */
 
 typedef struct {
-  char *mark; /* in whatever is recorded of it; NULL: nothing to look for */
+  char *mark; /* part of everything that could be recorded of the request; NULL: not checked */
   char *what;
   int expected;
   char *path, *body;
   guint tries;
-  SimJob *job; /* a job that it is about; NULL: none */
+  SimJob *job; /* the existing job that the request names; NULL: none */
   Question *question;
-} WrongValue;
+} MalformedRequest;
 
 static void
-odd_free (WrongValue *odd)
+malformed_free (MalformedRequest *request)
 {
-  g_free (odd->mark);
-  g_free (odd->what);
-  g_free (odd->path);
-  g_free (odd->body);
-  g_free (odd->question);
-  g_free (odd);
+  g_free (request->mark);
+  g_free (request->what);
+  g_free (request->path);
+  g_free (request->body);
+  g_free (request->question);
+  g_free (request);
 }
 
 static void
-not_recorded (World *world, gpointer data)
+check_not_recorded (World *world, gpointer data)
 {
-  WrongValue *odd = data;
-  if (odd->mark && store_names (world, odd->mark))
-    w_broken (world, "recorded", "%s, of a request that gets %d: %s", odd->mark, odd->expected,
-              odd->what);
-  odd_free (odd);
+  MalformedRequest *request = data;
+  if (request->mark && store_names (world, request->mark))
+    w_broken (world, "recorded", "%s of a request with the expected status %d is recorded: %s",
+              request->mark, request->expected, request->what);
+  malformed_free (request);
 }
 
 static void
-check_body (World *world, const WrongValue *odd, json_t *body)
+check_body (World *world, const MalformedRequest *request, json_t *body)
 {
-  if (odd->expected >= 400 && !json_string_length (json_object_get (body, "error")))
-    w_broken (world, "odd", "%s: an answer of %d without an error text", odd->what, odd->expected);
+  if (request->expected >= 400 && !json_string_length (json_object_get (body, "error")))
+    w_broken (world, "odd", "%s: answer %d without an error text", request->what,
+              request->expected);
 }
 
-static void ask_again (World *world, gpointer data);
+static void retry (World *world, gpointer data);
 
 static int
 any_node (World *world)
@@ -68,57 +69,58 @@
 }
 
 static void
-on_odd (World *world, int status, json_t *body, gpointer data)
+on_answer (World *world, int status, json_t *body, gpointer data)
 {
-  WrongValue *odd = data;
+  MalformedRequest *request = data;
   gboolean undecided = status == 0 || status == 503 || status == 429;
-  gboolean names_none = odd->expected == 400 && !odd->mark;
-  if (undecided && (status == 0 || !names_none) && odd->tries < MOST_TRIES) {
-    w_at (world, world->now + AGAIN_S, ask_again, odd);
+  gboolean names_no_job = request->expected == 400 && !request->mark;
+  if (undecided && (status == 0 || !names_no_job) && request->tries < MAX_TRIES) {
+    w_at (world, world->now + RETRY_INTERVAL_S, retry, request);
     return;
   }
-  if (status == odd->expected)
-    check_body (world, odd, body);
+  if (status == request->expected)
+    check_body (world, request, body);
   else
     w_broken (world, status == 200 || status == 201 ? "accepted" : "odd",
-              "%s gets %d in place of %d", odd->what, status, odd->expected);
-  if (odd->job && (status == 200 || status == 201))
-    answer_check (world, odd->question, status, body);
-  else if (odd->job && (status == 400 || status == 404 || status == 422))
-    answer_unknown (world, odd->question, odd->what, status);
-  world->troubles.played[TROUBLE_ODD_REQUESTS]++;
-  w_at (world, world->now + RECORDED_AFTER_S, not_recorded, odd);
+              "%s gets %d instead of %d", request->what, status, request->expected);
+  if (request->job && (status == 200 || status == 201))
+    answer_check (world, request->question, status, body);
+  else if (request->job && (status == 400 || status == 404 || status == 422))
+    answer_unknown (world, request->question, request->what, status);
+  world->troubles.effects[FAULT_ODD_REQUESTS]++;
+  w_at (world, world->now + RECORDED_AFTER_S, check_not_recorded, request);
 }
 
-static WrongValue *
-odd_new (const char *mark, const char *what, int expected)
+static MalformedRequest *
+malformed_new (const char *mark, const char *what, int expected)
 {
-  WrongValue *odd = g_new0 (WrongValue, 1);
-  odd->mark = g_strdup (mark);
-  odd->what = g_strdup (what);
-  odd->expected = expected;
-  return odd;
+  MalformedRequest *request = g_new0 (MalformedRequest, 1);
+  request->mark = g_strdup (mark);
+  request->what = g_strdup (what);
+  request->expected = expected;
+  return request;
 }
 
-/* Takes the body. */
+/* Takes ownership of the body. */
 static void
-post (World *world, WrongValue *odd, int node, const char *path, char *body)
+post (World *world, MalformedRequest *request, int node, const char *path, char *body)
 {
-  odd->path = g_strdup (path);
-  odd->body = body;
-  w_ask (world, node, -1, HR_POST, path, g_strdup (body), 5, on_odd, odd);
+  request->path = g_strdup (path);
+  request->body = body;
+  w_ask (world, node, -1, HR_POST, path, g_strdup (body), 5, on_answer, request);
 }
 
 static void
-ask_again (World *world, gpointer data)
+retry (World *world, gpointer data)
 {
-  WrongValue *odd = data;
-  odd->tries++;
-  if (odd->question) { /* what has been told meanwhile counts for this answer too */
-    g_free (odd->question);
-    odd->question = question_new (world, odd->job);
+  MalformedRequest *request = data;
+  request->tries++;
+  if (request->question) { /* what users learned in the meantime applies to this answer too */
+    g_free (request->question);
+    request->question = question_new (world, request->job);
   }
-  w_ask (world, any_node (world), -1, HR_POST, odd->path, g_strdup (odd->body), 5, on_odd, odd);
+  w_ask (world, any_node (world), -1, HR_POST, request->path, g_strdup (request->body), 5,
+         on_answer, request);
 }
 
 /* ---- submissions ---- */
@@ -126,7 +128,7 @@
 static json_t *
 valid_job (World *world, char **mark)
 {
-  *mark = g_strdup_printf ("job-odd-%u", ++world->troubles.odd_requests);
+  *mark = g_strdup_printf ("job-odd-%u", ++world->troubles.malformed_sent);
   g_autofree char *image = g_strconcat ("img-", *mark, NULL);
   return json_pack ("{sssssssssssisfsfsfsssfsnsnsbsbsbsfsfsfsn}", "name_id", *mark, "jobclass",
                     "array", "crew", "crew", "shape", "batch", "rank", "normal", "pieces", 1,
@@ -135,9 +137,9 @@
                     "cairn_s", 0.0, "stash_s", 0.0, "due_s");
 }
 
-/* value: NULL: without that field. */
+/* value: NULL leaves the field out. */
 static void
-with_field (World *world, const char *field, json_t *value, int expected)
+submit_with_field (World *world, const char *field, json_t *value, int expected)
 {
   g_autofree char *mark = NULL, *text = value ? json_dumps (value, JSON_ENCODE_ANY) : NULL;
   json_t *job = valid_job (world, &mark);
@@ -146,27 +148,27 @@
     json_object_set_new (job, field, value);
   else
     json_object_del (job, field);
-  post (world, odd_new (mark, what, expected), any_node (world), "/v1/jobs",
+  post (world, malformed_new (mark, what, expected), any_node (world), "/v1/jobs",
         hr_json_take_text (job));
 }
 
-/* Fields that may not be null may not be missing. */
+/* Fields that must not be null must not be missing either. */
 static void
-fields_missing (World *world)
+submit_missing_fields (World *world)
 {
   static const char *const fields[] = {
       "name_id", "jobclass",     "crew",      "shape",   "rank",    "pieces",
       "vcpus",   "accelerators", "memory_gb", "bundle",  "size_gb", "together",
       "apart",   "loaners",      "guess_s",   "cairn_s", "stash_s"};
   for (guint i = 0; i < G_N_ELEMENTS (fields); i++) {
-    with_field (world, fields[i], NULL, 400);
-    with_field (world, fields[i], json_null (), 400);
-    with_field (world, fields[i], json_object (), 400);
+    submit_with_field (world, fields[i], NULL, 400);
+    submit_with_field (world, fields[i], json_null (), 400);
+    submit_with_field (world, fields[i], json_object (), 400);
   }
 }
 
 static void
-fields_of_wrong_type (World *world)
+submit_wrong_values (World *world)
 {
   static const char *const texts[] = {"name_id", "jobclass", "crew",  "shape",
                                       "rank",    "bundle",   "hulls", "quarry"};
@@ -174,61 +176,62 @@
                                         "guess_s", "cairn_s",      "stash_s",   "due_s"};
   static const char *const flags[] = {"together", "apart", "loaners"};
   for (guint i = 0; i < G_N_ELEMENTS (texts); i++)
-    with_field (world, texts[i], json_integer (7), 400);
+    submit_with_field (world, texts[i], json_integer (7), 400);
   for (guint i = 0; i < G_N_ELEMENTS (amounts); i++) {
-    with_field (world, amounts[i], json_string ("4.0"), 400);
-    with_field (world, amounts[i], json_real (-1), 400);
+    submit_with_field (world, amounts[i], json_string ("4.0"), 400);
+    submit_with_field (world, amounts[i], json_real (-1), 400);
   }
   for (guint i = 0; i < G_N_ELEMENTS (flags); i++)
-    with_field (world, flags[i], json_integer (1), 400);
-  with_field (world, "pieces", json_string ("3"), 400);
-  with_field (world, "pieces", json_real (2.5), 400);
-  with_field (world, "pieces", json_integer (0), 400);
-  with_field (world, "pieces", json_integer (-1), 400);
-  with_field (world, "pieces", json_integer (100001), 400);
-  with_field (world, "shape", json_string ("swarm"), 400);
-  with_field (world, "rank", json_string ("highest"), 400);
-  with_field (world, "name_id", json_string ("odd-1"), 400);
-  with_field (world, "name_id", json_string ("job-a/b"), 400);
-  with_field (world, "hulls", json_string ("g2"), 400);
-  with_field (world, "hulls", json_pack ("[i]", 2), 400);
+    submit_with_field (world, flags[i], json_integer (1), 400);
+  submit_with_field (world, "pieces", json_string ("3"), 400);
+  submit_with_field (world, "pieces", json_real (2.5), 400);
+  submit_with_field (world, "pieces", json_integer (0), 400);
+  submit_with_field (world, "pieces", json_integer (-1), 400);
+  submit_with_field (world, "pieces", json_integer (100001), 400);
+  submit_with_field (world, "shape", json_string ("swarm"), 400);
+  submit_with_field (world, "rank", json_string ("highest"), 400);
+  submit_with_field (world, "name_id", json_string ("odd-1"), 400);
+  submit_with_field (world, "name_id", json_string ("job-a/b"), 400);
+  submit_with_field (world, "hulls", json_string ("g2"), 400);
+  submit_with_field (world, "hulls", json_pack ("[i]", 2), 400);
 }
 
 static void
-can_never_run (World *world)
+submit_unplaceable (World *world)
 {
-  with_field (world, "crew", json_string ("nobody"), 422);
-  with_field (world, "vcpus", json_real (13), 422);
-  with_field (world, "accelerators", json_real (3), 422);
-  with_field (world, "memory_gb", json_real (97), 422);
-  with_field (world, "hulls", json_pack ("[s]", "none"), 422);
-  with_field (world, "quarry", json_string ("z9"), 422);
+  submit_with_field (world, "crew", json_string ("nobody"), 422);
+  submit_with_field (world, "vcpus", json_real (13), 422);
+  submit_with_field (world, "accelerators", json_real (3), 422);
+  submit_with_field (world, "memory_gb", json_real (97), 422);
+  submit_with_field (world, "hulls", json_pack ("[s]", "none"), 422);
+  submit_with_field (world, "quarry", json_string ("z9"), 422);
 }
 
 static void
-no_object (World *world)
+submit_non_objects (World *world)
 {
   static const char *const bodies[] = {"", "{", "[]", "7", "null", "\"job-odd\"", "{\"a\":1}x"};
   for (guint i = 0; i < G_N_ELEMENTS (bodies); i++) {
     g_autofree char *what = g_strdup_printf ("a submission of '%s'", bodies[i]);
-    post (world, odd_new (NULL, what, 400), any_node (world), "/v1/jobs", g_strdup (bodies[i]));
+    post (world, malformed_new (NULL, what, 400), any_node (world), "/v1/jobs",
+          g_strdup (bodies[i]));
   }
 }
 
-/* ---- jobs that are there, and jobs that are not ---- */
+/* ---- existing and unknown jobs ---- */
 
 static void
-unknown_jobs (World *world)
+cancel_unknown_job (World *world)
 {
-  g_autofree char *mark = g_strdup_printf ("job-odd-%u", ++world->troubles.odd_requests);
+  g_autofree char *mark = g_strdup_printf ("job-odd-%u", ++world->troubles.malformed_sent);
   g_autofree char *path = g_strconcat ("/v1/jobs/", mark, "/abort", NULL);
-  post (world, odd_new (mark, "a cancellation of an unknown job", 404), any_node (world), path,
-        NULL);
+  post (world, malformed_new (mark, "a cancellation of an unknown job", 404), any_node (world),
+        path, NULL);
 }
 
-/* Cancels a job that is done, and one that is cancelled already: the state is what it was. */
+/* Cancels a job that is done and one that is already cancelled; their states must not change. */
 static void
-final_jobs (World *world)
+cancel_final_jobs (World *world)
 {
   SimJob *chosen[2] = {NULL, NULL};
   for (guint i = 0, seen[2] = {0}; i < world->jobs->len; i++) {
@@ -244,15 +247,15 @@
     if (!job)
       continue;
     g_autofree char *path = g_strconcat ("/v1/jobs/", job->id, "/abort", NULL);
-    WrongValue *odd =
-        odd_new (NULL, k ? "a second cancellation" : "a cancellation of a done job", 200);
-    odd->job = job;
-    odd->question = question_new (world, job);
-    post (world, odd, any_node (world), path, NULL);
+    MalformedRequest *request =
+        malformed_new (NULL, k ? "a second cancellation" : "a cancellation of a done job", 200);
+    request->job = job;
+    request->question = question_new (world, job);
+    post (world, request, any_node (world), path, NULL);
   }
 }
 
-typedef enum { CONTENT_SMALLER, CONTENT_NO_TEAM, CONTENT_NO_MACHINE, CONTENTS } Content;
+typedef enum { CONTENT_SMALLER, CONTENT_NO_TEAM, CONTENT_NO_MACHINE, CONTENT_KINDS } Content;
 
 static char *
 other_content (const SimJob *job, Content content, const char *mark)
@@ -275,28 +278,27 @@
   Content content;
 } Repeat;
 
-/* A repeated submission is known by its id alone. */
+/* Repeats a submission with other content; the controller recognizes it by its id alone. */
 static void
-repeat (World *world, gpointer data)
+submit_repeat (World *world, gpointer data)
 {
-  g_autofree Repeat *repeat_row = data;
+  g_autofree Repeat *plan = data;
   static const char *const names[] = {"smaller", "of no team", "for no machine"};
-  g_autofree char *mark = g_strdup_printf ("job-odd-%u", ++world->troubles.odd_requests);
+  g_autofree char *mark = g_strdup_printf ("job-odd-%u", ++world->troubles.malformed_sent);
   g_autofree char *what =
-      g_strdup_printf ("a repeated submission with other content (%s)", names[repeat_row->content]);
-  WrongValue *odd = odd_new (mark, what, 200);
-  odd->job = repeat_row->job;
-  odd->question = question_new (world, repeat_row->job);
-  post (world, odd, repeat_row->node, "/v1/jobs",
-        other_content (repeat_row->job, repeat_row->content, mark));
+      g_strdup_printf ("a repeated submission with other content (%s)", names[plan->content]);
+  MalformedRequest *request = malformed_new (mark, what, 200);
+  request->job = plan->job;
+  request->question = question_new (world, plan->job);
+  post (world, request, plan->node, "/v1/jobs", other_content (plan->job, plan->content, mark));
 }
 
 static void
 plan_repeat (World *world, SimJob *job, int node)
 {
-  Repeat *repeat_row = g_new (Repeat, 1);
-  *repeat_row = (Repeat){job, node, g_rand_int_range (world->troubles.rand, 0, CONTENTS)};
-  w_at (world, world->now + trouble_rand (world, 0, REPEAT_SPAN_S), repeat, repeat_row);
+  Repeat *plan = g_new (Repeat, 1);
+  *plan = (Repeat){job, node, g_rand_int_range (world->troubles.rand, 0, CONTENT_KINDS)};
+  w_at (world, world->now + fault_rand (world, 0, REPEAT_SPAN_S), submit_repeat, plan);
 }
 
 void
@@ -307,7 +309,7 @@
 }
 
 static void
-unfinished_jobs (World *world)
+repeat_unfinished_job (World *world)
 {
   SimJob *chosen = NULL;
   for (guint i = 0, seen = 0; i < world->jobs->len; i++) {
@@ -321,22 +323,22 @@
 }
 
 static void
-odd_round (World *world, gpointer data G_GNUC_UNUSED)
+send_round (World *world, gpointer data G_GNUC_UNUSED)
 {
-  if (world->troubles.odd_until <= world->now)
+  if (world->troubles.malformed_until <= world->now)
     return;
-  fields_missing (world);
-  fields_of_wrong_type (world);
-  can_never_run (world);
-  no_object (world);
-  unknown_jobs (world);
-  final_jobs (world);
-  unfinished_jobs (world);
-  w_at (world, world->now + ROUND_S, odd_round, NULL);
+  submit_missing_fields (world);
+  submit_wrong_values (world);
+  submit_unplaceable (world);
+  submit_non_objects (world);
+  cancel_unknown_job (world);
+  cancel_final_jobs (world);
+  repeat_unfinished_job (world);
+  w_at (world, world->now + ROUND_INTERVAL_S, send_round, NULL);
 }
 
 void
 malformed_requests_begin (World *world)
 {
-  odd_round (world, NULL);
+  send_round (world, NULL);
 }
--- a/tests/sim/messages.c
+++ b/tests/sim/messages.c
@@ -1,4 +1,4 @@
-/* Requests and answers on their way: delays, cuts, losses, copies. */
+/* Requests and answers in transit: delays, partitions, losses and duplicates. */
 #include "coordination/command.h"
 #include "sim/cloud.h"
 #include "sim/messages.h"
@@ -14,7 +14,7 @@
 {
   double usual =
       w_rand (world, 0, 1) < 0.02 ? w_rand (world, 0.1, 0.5) : w_rand (world, 0.001, 0.01);
-  return usual + troubles_link_delay (world);
+  return usual + faults_link_delay (world);
 }
 
 void
@@ -31,14 +31,15 @@
 /* ---- answers ---- */
 
 typedef struct {
-  SimRequest *r;
+  SimRequest *request;
   int status;
   char *body;
 } Answer;
 
-/* The state service answered this node; has it read what others decided? */
+/* Records that the state store answered this node. An answer to /changes also records the revision
+ * that the node has read, and whether that includes the last change by another node. */
 static void
-served (World *world, const SimRequest *request, const char *body)
+note_store_answer (World *world, const SimRequest *request, const char *body)
 {
   Node *n = &world->nodes[request->node];
   n->store_at = world->now;
@@ -58,7 +59,7 @@
 deliver_answer (World *world, gpointer data)
 {
   Answer *answer = data;
-  SimRequest *request = answer->r;
+  SimRequest *request = answer->request;
   if (!request->answered) {
     request->answered = TRUE;
     if (request->node >= 0) {
@@ -68,9 +69,9 @@
         command->id = request->call;
         command->result.status = answer->status;
         if (request->target == HR_TO_STORE && answer->status == 200)
-          served (world, request, answer->body);
+          note_store_answer (world, request, answer->body);
         if (request->target == HR_TO_STORE && strcmp (request->path, "/commit") == 0)
-          troubles_moment (world, ON_WRITE_ANSWERED);
+          faults_trigger (world, ON_WRITE_ANSWERED);
         if (answer->body)
           command->body = g_bytes_new (answer->body, strlen (answer->body));
         node_push (world, request->node, command);
@@ -97,7 +98,8 @@
   return NULL;
 }
 
-/* Until when the way between a controller and what it talks to is cut. */
+/* Returns until when the connection between a controller and the other end of the request is cut.
+ * hold: set to whether messages are delayed until then instead of dropped. */
 static double
 cut_until (World *world, SimRequest *request, gboolean *hold)
 {
@@ -108,7 +110,7 @@
                        : request->target == HR_TO_WORKER && request->node >= 0
                            ? machine_at (world, request->addr)
                            : NULL;
-  double zone = troubles_zone_cut (world, request, worker);
+  double zone = faults_zone_cut_until (world, request, worker);
   if (zone > world->now) {
     *hold = world->troubles.zone_hold;
     return zone;
@@ -140,7 +142,7 @@
 {
   gboolean hold;
   double cut = cut_until (world, request, &hold),
-         until = world->now + net_delay (world) + troubles_delay (world, request);
+         until = world->now + net_delay (world) + faults_answer_delay (world, request);
   if (request->answer_lost ||
       (request->node < 0 && request->machine >= 0 &&
        ((SimMachine *)world->machines->pdata[request->machine])->inbound_cut > world->now)) {
@@ -180,7 +182,7 @@
   } else {
     Node *n = &world->nodes[request->to];
     if (!n->up)
-      w_answer (world, request, 0, NULL); /* refused */
+      w_answer (world, request, 0, NULL); /* connection refused */
     else {
       HrCommand *command = hr_command_new (HR_COMMAND_REQUEST);
       command->id = ++n->next;
@@ -205,23 +207,23 @@
 {
   SimRequest *request = data;
   Answer *answer = g_new0 (Answer, 1);
-  answer->r = request;
-  deliver_answer (world, answer); /* no answer came; drops the reference too */
+  answer->request = request;
+  deliver_answer (world, answer); /* timeout without an answer; drops the reference too */
 }
 
 SimRequest *
 req_copy (const SimRequest *request, int to)
 {
-  SimRequest *core = g_new0 (SimRequest, 1);
-  core->node = -1;
-  core->to = to;
-  core->machine = request->machine;
-  core->method = request->method;
-  core->path = g_strdup (request->path);
-  core->body = g_strdup (request->body);
-  core->answered = TRUE;
-  core->refs = 1;
-  return core;
+  SimRequest *copy = g_new0 (SimRequest, 1);
+  copy->node = -1;
+  copy->to = to;
+  copy->machine = request->machine;
+  copy->method = request->method;
+  copy->path = g_strdup (request->path);
+  copy->body = g_strdup (request->body);
+  copy->answered = TRUE;
+  copy->refs = 1;
+  return copy;
 }
 
 void
@@ -231,9 +233,10 @@
   w_at (world, until, req_arrive, request);
 }
 
-/* A copy of a report comes seconds to well over a lease later. Nobody waits for its answer. */
+/* Sends a copy of a report that arrives between seconds and well over a lease later. Nobody waits
+ * for its answer. */
 static void
-late_copy (World *world, SimRequest *request)
+send_late_copy (World *world, SimRequest *request)
 {
   req_stray (world, req_copy (request, request->to), world->now + w_rand (world, 1, 90));
 }
@@ -245,7 +248,7 @@
   double cut = cut_until (world, request, &hold), until = world->now + net_delay (world);
   if (request->node >= 0 && request->target == HR_TO_STORE &&
       strcmp (request->path, "/commit") == 0)
-    troubles_moment (world, ON_WRITE_SENT);
+    faults_trigger (world, ON_WRITE_SENT);
   request->refs++;
   w_at (world, world->now + request->timeout, expire, request);
   SimMachine *worker = request->node >= 0 && request->target == HR_TO_WORKER
@@ -255,13 +258,13 @@
     return;
   if (!world->calm && request->node < 0 && request->machine >= 0 &&
       w_rand (world, 0, 1) < world->copies)
-    late_copy (world, request);
+    send_late_copy (world, request);
   if (cut > world->now) {
     if (!hold)
       return;
     until = cut + net_delay (world);
   }
-  if (troubles_take (world, request, until))
+  if (faults_intercept_request (world, request, until))
     return;
   if (world->choose) {
     w_apply_outcome (world, request, world->choose (world, request, world->choose_data), until);
@@ -274,7 +277,8 @@
     return;
   }
   if (!world->calm && w_rand (world, 0, 1) < world->loss) {
-    if (request->node >= 0 && w_rand (world, 0, 1) < 0.5) { /* no answer, but carried out later */
+    if (request->node >= 0 &&
+        w_rand (world, 0, 1) < 0.5) { /* carried out later, without an answer */
       request->refs++;
       req_stray (world, request, until + w_rand (world, 3, world->late));
     }
@@ -282,7 +286,7 @@
   }
   request->refs++;
   w_at (world, until, req_arrive, request);
-  /* Late copies: what was sent once may be carried out again, minutes later. */
+  /* Late duplicates: a request that was sent once may be carried out again, minutes later. */
   if (!world->calm && request->node >= 0 && w_rand (world, 0, 1) < world->dup) {
     request->refs++;
     req_stray (world, request, until + w_rand (world, 0.05, world->late));
--- a/tests/sim/messages.h
+++ b/tests/sim/messages.h
@@ -1,19 +1,19 @@
-/* Between the controllers of the simulated cluster (world.c) and the ways of their messages
- * (messages.c), with what is checked of each (node_checks.c). */
+/* Interface between the controllers of the simulated cluster (world.c), the network (messages.c)
+ * and the checks of each message (node_checks.c). */
 #pragma once
 #include "sim/request.h"
 #include "sim/world.h"
 
-/* How long one message takes, in seconds. */
+/* Returns the drawn latency of one message, in seconds. */
 double net_delay (World *world);
-/* The request leaves whoever asks. */
+/* Sends the request from its client. */
 void req_send (World *world, SimRequest *request);
-/* A command for this controller's next batch. Takes it over. */
+/* Adds a command to this controller's next batch. Takes ownership. */
 void node_push (World *world, int node, HrCommand *command);
-/* What the controller sends: an answer, a call, a status. */
+/* Performs an effect of the controller: an answer, a call or a status. */
 void node_perform (World *world, int node, HrEffect *effect);
 void node_check_launches (World *world, int i, const char *text);
-/* The report with this id is handed to a controller that is a process of its own. */
+/* Records that the report with this id is sent to a controller that is a separate process. */
 void node_note_report (World *world, int i, guint64 id, const char *machine);
 void node_check_order (World *world, int i, guint64 id, const char *report, const char *answer);
 void node_check_kills (World *world, int i, const char *report, const char *answer);
--- a/tests/sim/pipeline.c
+++ b/tests/sim/pipeline.c
@@ -5,37 +5,38 @@
 #include "sim/user.h"
 #include <string.h>
 
-#define MOST_STEPS 6
-#define LOOK_S 0.4
+#define MAX_STEPS 6
+#define POLL_S 0.4
 
 /* One user's pipeline: each step is submitted once those that it awaits are accepted. */
 typedef struct {
-  SimJob *steps[MOST_STEPS];
+  SimJob *steps[MAX_STEPS];
   guint nsteps, sent;
-  gboolean late; /* the last step is submitted only when the others are over */
+  gboolean late; /* the last step is submitted only when the others have ended */
 } Pipeline;
 
 /* ---- the rules ---- */
 
-/* When a user was first told that a job before this one is cancelled; 0: none was. */
+/* Returns when a user first learned that a job before this one is cancelled; 0: never. */
 static double
-told_before (const SimJob *job)
+ancestor_cancelled_at (const SimJob *job)
 {
   double first = 0;
   for (guint i = 0; job->awaits && i < job->awaits->len; i++) {
     const SimJob *before = job->awaits->pdata[i];
-    double told = before->told_cancelled ? before->told_cancelled : told_before (before);
+    double told = before->told_cancelled ? before->told_cancelled : ancestor_cancelled_at (before);
     if (told && (!first || told < first))
       first = told;
   }
   return first;
 }
 
-/* The same, counted from when the job itself was accepted where that is later. */
+/* Returns ancestor_cancelled_at(), or the time when the job itself was accepted if that is later.
+ */
 static double
-orphan_since (const SimJob *job)
+orphaned_since (const SimJob *job)
 {
-  double told = told_before (job);
+  double told = ancestor_cancelled_at (job);
   return told && job->accepted ? MAX (told, job->accepted_at) : 0;
 }
 
@@ -54,11 +55,11 @@
   for (guint i = 0; job->awaits && i < job->awaits->len; i++)
     if (!job_all_done (job->awaits->pdata[i]))
       return FALSE;
-  return !told_before (job);
+  return !ancestor_cancelled_at (job);
 }
 
 void
-pipeline_start (World *world, const SimJob *job, guint32 task_index)
+pipeline_on_task_start (World *world, const SimJob *job, guint32 task_index)
 {
   for (guint i = 0; job->awaits && i < job->awaits->len; i++) {
     const SimJob *before = job->awaits->pdata[i];
@@ -75,14 +76,14 @@
 void
 pipeline_on_machine (World *world, const SimJob *job, guint32 task_index)
 {
-  double since = orphan_since (job);
+  double since = orphaned_since (job);
   if (since && world->now > since + world->cancel_s)
-    w_broken (world, "orphaned", "%s/%u is on a machine", job->id, task_index);
+    w_broken (world, "orphaned", "%s/%u is still on a machine", job->id, task_index);
 }
 
-/* Whatever was not in the state service by now is lost. */
+/* Crashes all controllers; anything that is not in the state store yet is lost. */
 static void
-shock (World *world)
+crash_all_nodes (World *world)
 {
   if (w_rand (world, 0, 1) < 0.5)
     world->outage = MAX (world->outage, world->now + w_rand (world, 3, 15));
@@ -93,24 +94,26 @@
 }
 
 void
-pipeline_told (World *world, SimJob *job, const char *state, double sent)
+pipeline_state_reported (World *world, SimJob *job, const char *state, double sent)
 {
-  gboolean over = strcmp (state, "withdrawn") == 0 || strcmp (state, "done") == 0;
-  double since = orphan_since (job);
-  /* Every answer rests on a reading sent after the question: what was told before it shows. The
-   * first answer to a submission alone needs none. */
-  if (since && since < sent && !over)
-    w_broken (world, "orphaned", "%s is called %s %.1f s after one before it was called withdrawn",
+  gboolean ended = strcmp (state, "withdrawn") == 0 || strcmp (state, "done") == 0;
+  double since = orphaned_since (job);
+  /* Every answer relies on a snapshot read that was sent after the request, so it reflects
+   * everything that users learned before. Only the first answer to a submission needs no such read.
+   */
+  if (since && since < sent && !ended)
+    w_broken (world, "orphaned",
+              "%s is reported as %s %.1f s after a job before it was reported as withdrawn",
               job->id, state, sent - since);
   if (world->shock && !world->calm && strcmp (state, "withdrawn") == 0 && !job->told_cancelled &&
       world->now - world->shocked_at > 20) {
     world->shocked_at = world->now;
-    shock (world);
+    crash_all_nodes (world);
   }
 }
 
 void
-pipelines_verdict (World *world)
+pipelines_check_end (World *world)
 {
   for (guint i = 0; i < world->jobs->len; i++) {
     const SimJob *job = world->jobs->pdata[i];
@@ -120,8 +123,8 @@
       w_broken (world, "liveness", "%s was never accepted", job->id);
     else if (job->asked_cancel && !job->told_cancelled && !job->told_done)
       w_broken (world, "liveness", "%s was not withdrawn", job->id);
-    else if (told_before (job) && !job->told_cancelled)
-      w_broken (world, "orphaned", "%s was never called withdrawn", job->id);
+    else if (ancestor_cancelled_at (job) && !job->told_cancelled)
+      w_broken (world, "orphaned", "%s was never reported as withdrawn", job->id);
     else if (!job->told_cancelled && (job->shape == HR_SERVICE ? !job->started : !job->told_done))
       w_broken (world, "liveness", "%s (%d, %u tasks) is not done", job->id, job->shape,
                 job->tasks);
@@ -131,33 +134,33 @@
 /* ---- users ---- */
 
 static gboolean
-over (const SimJob *job)
+has_ended (const SimJob *job)
 {
   return job->told_done || job->told_cancelled;
 }
 
 static void
-go_on (World *world, gpointer data)
+submit_next_step (World *world, gpointer data)
 {
-  Pipeline *line = data;
-  SimJob *next = line->steps[line->sent];
-  gboolean now = TRUE, last = line->sent + 1 == line->nsteps;
-  for (guint i = 0; i < line->sent; i++) {
-    const SimJob *before = line->steps[i];
-    now &= before->accepted && (!last || !line->late || over (before));
+  Pipeline *pipeline = data;
+  SimJob *next = pipeline->steps[pipeline->sent];
+  gboolean now = TRUE, last = pipeline->sent + 1 == pipeline->nsteps;
+  for (guint i = 0; i < pipeline->sent; i++) {
+    const SimJob *before = pipeline->steps[i];
+    now &= before->accepted && (!last || !pipeline->late || has_ended (before));
   }
   if (now) {
     job_submit (world, next);
-    line->sent++;
+    pipeline->sent++;
   }
-  if (line->sent < line->nsteps)
-    w_at (world, world->now + w_rand (world, 0.1, now ? 3 : LOOK_S), go_on, line);
+  if (pipeline->sent < pipeline->nsteps)
+    w_at (world, world->now + w_rand (world, 0.1, now ? 3 : POLL_S), submit_next_step, pipeline);
   else
-    g_free (line);
+    g_free (pipeline);
 }
 
 static SimJob *
-step_of (World *world, HrShape shape, guint tasks)
+new_step (World *world, HrShape shape, guint tasks)
 {
   SimJob *job = job_new (world);
   job->shape = shape;
@@ -176,55 +179,56 @@
 }
 
 static void
-await_steps (SimJob *job, Pipeline *line, guint from, guint to)
+await_steps (SimJob *job, Pipeline *pipeline, guint from, guint to)
 {
   for (guint i = from; i < to; i++)
-    g_ptr_array_add (job->awaits, line->steps[i]);
+    g_ptr_array_add (job->awaits, pipeline->steps[i]);
 }
 
-/* One array, then a few that await it, a gang that awaits those, and a last job with the
- * deadline of all: mostly an array, now and then a service. */
+/* Creates a pipeline: one array, a few arrays that await it, a gang that awaits those, and a last
+ * job with the deadline of the pipeline, mostly an array and sometimes a service. */
 static void
 new_pipeline (World *world, gpointer data G_GNUC_UNUSED)
 {
   double cancelled = world->pipelines_cancelled;
-  Pipeline *line = g_new0 (Pipeline, 1);
+  Pipeline *pipeline = g_new0 (Pipeline, 1);
   guint middle = g_rand_int_range (world->rand, 1, 4);
-  line->steps[0] = step_of (world, HR_BATCH, g_rand_int_range (world->rand, 1, 5));
-  for (guint i = 1; i <= middle; i++) { /* some stand in pages */
+  pipeline->steps[0] = new_step (world, HR_BATCH, g_rand_int_range (world->rand, 1, 5));
+  for (guint i = 1; i <= middle; i++) { /* some are stored in pages */
     guint tasks = w_rand (world, 0, 1) < 0.1 ? 90 : g_rand_int_range (world->rand, 1, 12);
-    line->steps[i] = step_of (world, HR_BATCH, tasks);
-    await_steps (line->steps[i], line, 0, 1);
+    pipeline->steps[i] = new_step (world, HR_BATCH, tasks);
+    await_steps (pipeline->steps[i], pipeline, 0, 1);
   }
-  line->steps[middle + 1] = step_of (world, HR_GANG, g_rand_int_range (world->rand, 1, 3));
-  await_steps (line->steps[middle + 1], line, 1, middle + 1);
+  pipeline->steps[middle + 1] = new_step (world, HR_GANG, g_rand_int_range (world->rand, 1, 3));
+  await_steps (pipeline->steps[middle + 1], pipeline, 1, middle + 1);
   HrShape last = w_rand (world, 0, 1) < 0.1 ? HR_SERVICE : HR_BATCH;
-  line->steps[middle + 2] = step_of (world, last, g_rand_int_range (world->rand, 1, 4));
-  line->steps[middle + 2]->no_deadline = last == HR_SERVICE;
-  await_steps (line->steps[middle + 2], line, w_rand (world, 0, 1) < 0.2 ? 0 : middle + 1,
+  pipeline->steps[middle + 2] = new_step (world, last, g_rand_int_range (world->rand, 1, 4));
+  pipeline->steps[middle + 2]->no_deadline = last == HR_SERVICE;
+  await_steps (pipeline->steps[middle + 2], pipeline, w_rand (world, 0, 1) < 0.2 ? 0 : middle + 1,
                middle + 2);
-  line->nsteps = middle + 3;
-  line->late = w_rand (world, 0, 1) < 0.25;
+  pipeline->nsteps = middle + 3;
+  pipeline->late = w_rand (world, 0, 1) < 0.25;
   if (w_rand (world, 0, 1) < cancelled) {
-    SimJob *root = line->steps[g_rand_int_range (world->rand, 0, line->nsteps - 1)];
+    SimJob *root = pipeline->steps[g_rand_int_range (world->rand, 0, pipeline->nsteps - 1)];
     root->cancel = TRUE;
     root->due_cancel = world->now + w_rand (world, 1, 40);
   }
-  go_on (world, line);
+  submit_next_step (world, pipeline);
 }
 
-/* A job that awaits what nobody submitted is never accepted. */
+/* A job that awaits a job that nobody submitted must never be accepted. */
 static void
-on_stranger (World *world, int status, json_t *body G_GNUC_UNUSED, gpointer data G_GNUC_UNUSED)
+on_unknown_dependency (World *world, int status, json_t *body G_GNUC_UNUSED,
+                       gpointer data G_GNUC_UNUSED)
 {
   if (status == 200 || status == 201)
-    w_broken (world, "invented", "a job that awaits an unknown one is accepted");
+    w_broken (world, "invented", "a job that awaits an unknown job is accepted");
   else if (status == 400)
-    w_broken (world, "status", "a job that awaits an unknown one gets 400");
+    w_broken (world, "status", "a job that awaits an unknown job gets 400");
 }
 
 static void
-stranger (World *world, gpointer data G_GNUC_UNUSED)
+submit_with_unknown_dependency (World *world, gpointer data G_GNUC_UNUSED)
 {
   guint n = ++world->invented_asked;
   int node = g_rand_int_range (world->rand, 0, world->n);
@@ -236,24 +240,24 @@
       "\"due_s\":null,\"awaits\":[\"job-x%u\"]}",
       n, n);
   g_autofree char *path = g_strdup_printf ("/v1/jobs/job-y%u", n - 1);
-  w_ask (world, node, -1, HR_POST, "/v1/jobs", body, 5, on_stranger, NULL);
-  w_ask (world, node, -1, HR_GET, path, NULL, 2, on_stranger, NULL);
-  w_at (world, world->now + 6, stranger, NULL);
+  w_ask (world, node, -1, HR_POST, "/v1/jobs", body, 5, on_unknown_dependency, NULL);
+  w_ask (world, node, -1, HR_GET, path, NULL, 2, on_unknown_dependency, NULL);
+  w_at (world, world->now + 6, submit_with_unknown_dependency, NULL);
 }
 
 void
 users_pipelines (World *world, const PipelineDay *day)
 {
   users_init (world, 0, 0);
-  users_pipelines_beside (world, day);
+  users_add_pipelines (world, day);
 }
 
 void
-users_pipelines_beside (World *world, const PipelineDay *day)
+users_add_pipelines (World *world, const PipelineDay *day)
 {
   world->pipelines_cancelled = day->cancelled;
-  world->shock = day->shock;
+  world->shock = day->crash_after_cancellation;
   for (guint i = 0; i < day->pipelines; i++)
     w_at (world, w_rand (world, day->from, day->to), new_pipeline, NULL);
-  w_at (world, MAX (6, day->from), stranger, NULL);
+  w_at (world, MAX (6, day->from), submit_with_unknown_dependency, NULL);
 }
--- a/tests/sim/pipeline.h
+++ b/tests/sim/pipeline.h
@@ -1,32 +1,35 @@
-/* Users of pipelines: jobs that await others, submitted one after another, and the two rules
- * that came with them (too_early, orphaned). */
+/* Users of pipelines: jobs that await others, submitted one after another, and the two rules that
+ * apply to them: too_early and orphaned. */
 #pragma once
 #include "sim/user.h"
 #include "sim/world.h"
 
-/* What the users of a day's pipelines do. */
+/* The pipelines of a day. */
 typedef struct {
   guint pipelines;
-  double from, to;  /* their first steps are submitted then */
-  double cancelled; /* share of them of which some job is cancelled */
-  gboolean shock;   /* whenever a cancellation was told, all controllers end, half of the time
-                       together with the state service */
+  double from, to;                   /* period in which their first steps are submitted */
+  double cancelled;                  /* share of pipelines of which some job is cancelled */
+  gboolean crash_after_cancellation; /* all controllers crash when a user learns of a
+                                        cancellation, half of the time along with an outage of the
+                                        state store */
 } PipelineDay;
 
 void users_pipelines (World *world, const PipelineDay *day);
-/* The same beside other users, after users_init. */
-void users_pipelines_beside (World *world, const PipelineDay *day);
-/* At the end of a day: every job has come to the end that it had to come to. */
-void pipelines_verdict (World *world);
+/* Adds pipelines to the day's other users; called after users_init(). */
+void users_add_pipelines (World *world, const PipelineDay *day);
+/* Checks at the end of a day that every job has reached its required final state. */
+void pipelines_check_end (World *world);
 
-/* Has the user of the job, or of one before it, asked to cancel that? */
+/* Returns whether a user has asked to cancel the job or one that it awaits, directly or
+ * indirectly. */
 gboolean pipeline_cancel_asked (const SimJob *job);
 
-/* All that the job awaits is done, and no user was told that one before it is cancelled. */
+/* Returns whether all jobs that the job awaits are done and no user has learned that one before it
+ * is cancelled. */
 gboolean pipeline_ready (const SimJob *job);
 
-/* Hooks of the stand-ins. */
-void pipeline_start (World *world, const SimJob *job, guint32 task_index);
+/* Hooks of the simulated workers and users. */
+void pipeline_on_task_start (World *world, const SimJob *job, guint32 task_index);
 void pipeline_on_machine (World *world, const SimJob *job, guint32 task_index);
-/* The job's user hears its stance; sent: when he asked. */
-void pipeline_told (World *world, SimJob *job, const char *state, double sent);
+/* The job's user receives its state. sent: when the user's request was sent. */
+void pipeline_state_reported (World *world, SimJob *job, const char *state, double sent);
--- a/tests/sim/store.c
+++ b/tests/sim/store.c
@@ -377,7 +377,7 @@
     note_assignments (world, entry);
     note_decision (world, request, entry);
     if (g_strcmp0 (path, "h/map") == 0)
-      troubles_map (world, value);
+      faults_on_leader_record (world, value);
     if (path)
       change (world, path, hr_json_take_text (json_incref (value)),
               json_integer_value (json_object_get (entry, "claim")));
@@ -411,7 +411,7 @@
   w_answer (world, request, 200,
             g_strdup_printf ("{\"epoch\":%" G_GUINT64_FORMAT "}", world->epoch));
   json_decref (object);
-  troubles_moment (world, ON_WRITE_DONE);
+  faults_trigger (world, ON_WRITE_DONE);
   wake (world);
 }
 
--- a/tests/sim/trouble_hooks.h
+++ b/tests/sim/trouble_hooks.h
@@ -1,31 +1,32 @@
-/* Where the simulated services, workers and users meet the planned troubles (troubles.h). */
+/* Hooks through which the simulated services, workers and users apply planned faults
+ * (troubles.h). */
 #pragma once
 #include "sim/request.h"
 #include "sim/user.h"
 #include "sim/worker.h"
 #include "sim/world.h"
 
-void troubles_init (World *world, guint32 seed);
-void troubles_free (World *world);
-double trouble_rand (World *world, double lo, double hi);
-/* Takes over a request on its way (arrives_at: when it would arrive). FALSE: it goes on as always.
- */
-gboolean troubles_take (World *world, SimRequest *request, double arrives_at);
-/* Until when a cut zone parts the two ends of this request; 0: it does not. machine: the worker's.
- */
-double troubles_zone_cut (World *world, const SimRequest *request, const SimMachine *machine);
-double troubles_link_delay (World *world);
-/* How much later than usual this request's answer leaves. */
-double troubles_delay (World *world, const SimRequest *request);
-/* A trouble of any kind still has its hold on something. */
-gboolean world_troubled (const World *world);
-/* When a machine rented now is up. at: as the cloud has drawn it. */
-double troubles_boots (World *world, double at);
-/* The leader record is written: who leads, and the token. */
-void troubles_map (World *world, json_t *map);
+void fault_injection_init (World *world, guint32 seed);
+void fault_injection_free (World *world);
+double fault_rand (World *world, double lo, double hi);
+/* Applies faults to a request in transit. arrives_at: its regular arrival time. Returns TRUE if a
+ * fault dropped or delayed the request; otherwise the caller delivers it. */
+gboolean faults_intercept_request (World *world, SimRequest *request, double arrives_at);
+/* Returns until when a zone partition separates the two ends of this request; 0: they are
+ * connected. machine: the worker that sends or receives the request; NULL: none. */
+double faults_zone_cut_until (World *world, const SimRequest *request, const SimMachine *machine);
+double faults_link_delay (World *world);
+/* Returns the additional delay of the answer to this request, in seconds. */
+double faults_answer_delay (World *world, const SimRequest *request);
+/* Returns whether a fault of any kind still affects something. */
+gboolean world_has_active_fault (const World *world);
+/* Returns when a machine rented now is up. at: the time that the cloud has drawn. */
+double faults_boot_time (World *world, double at);
+/* The leader record was written; map holds the leader and its token. */
+void faults_on_leader_record (World *world, json_t *map);
 /* A controller answers a worker with 200. */
-void troubles_reply (World *world, int node, const char *answer);
+void faults_on_report_answer (World *world, int node, const char *answer);
 /* The last task of this job has ended. */
-void troubles_job_ended (World *world, SimJob *job);
-/* Users were first told that it is accepted, done or cancelled. */
-void troubles_told (World *world, SimJob *job, gboolean accepted);
+void faults_on_job_ended (World *world, SimJob *job);
+/* A user learned for the first time that the job is accepted, done or cancelled. */
+void faults_on_job_state_reported (World *world, SimJob *job, gboolean accepted);
--- a/tests/sim/trouble_messages.c
+++ b/tests/sim/trouble_messages.c
@@ -1,4 +1,4 @@
-/* Planned troubles on the way of messages: held up, copied, without an answer, cut off. */
+/* Applies planned faults to messages: delays, copies, lost answers and partitions. */
 #include "coordination/command.h"
 #include "sim/request.h"
 #include "sim/trouble_hooks.h"
@@ -7,9 +7,9 @@
 #include <string.h>
 
 #define FAST_BOOT_S 2.0
-#define KEPT_MAX 500
+#define MAX_KEPT_COPIES 500
 
-/* ---- requests on their way ---- */
+/* ---- requests in transit ---- */
 
 static gboolean
 is_report (const SimRequest *request)
@@ -18,57 +18,60 @@
 }
 
 static void
-carry_out_late (World *world, SimRequest *request, double until)
+deliver_late (World *world, SimRequest *request, double arrives_at)
 {
   request->answer_lost = TRUE;
   request->refs++;
-  req_stray (world, request, until);
+  req_stray (world, request, arrives_at);
 }
 
 static gboolean
-take_write (World *world, SimRequest *request, double until)
+intercept_write (World *world, SimRequest *request, double arrives_at)
 {
-  HrTroubles *troubles = &world->troubles;
-  if (trouble_strikes (world, &troubles->lost_answers)) {
+  HrFaultState *faults = &world->troubles;
+  if (fault_window_hits (world, &faults->lost_answers)) {
     request->answer_lost = TRUE;
-    troubles->played[TROUBLE_LATE_WRITES]++;
+    faults->effects[FAULT_LATE_WRITES]++;
     return FALSE;
   }
-  if (!trouble_strikes (world, &troubles->late_writes))
+  if (!fault_window_hits (world, &faults->late_writes))
     return FALSE;
-  carry_out_late (world, request, until + trouble_rand (world, LATE_WRITE_MIN_S, LATE_WRITE_MAX_S));
-  troubles->played[TROUBLE_LATE_WRITES]++;
+  deliver_late (world, request,
+                arrives_at + fault_rand (world, LATE_WRITE_MIN_S, LATE_WRITE_MAX_S));
+  faults->effects[FAULT_LATE_WRITES]++;
   return TRUE;
 }
 
 static gboolean
-take_command (World *world, SimRequest *request, double until)
+intercept_command (World *world, SimRequest *request, double arrives_at)
 {
-  if (!trouble_strikes (world, &world->troubles.late_commands))
+  if (!fault_window_hits (world, &world->troubles.late_commands))
     return FALSE;
-  carry_out_late (world, request,
-                  until + trouble_rand (world, LATE_COMMAND_MIN_S, LATE_COMMAND_MAX_S));
-  world->troubles.played[TROUBLE_LATE_COMMANDS]++;
+  deliver_late (world, request,
+                arrives_at + fault_rand (world, LATE_COMMAND_MIN_S, LATE_COMMAND_MAX_S));
+  world->troubles.effects[FAULT_LATE_COMMANDS]++;
   return TRUE;
 }
 
 static void
 copy_report (World *world, const SimRequest *request)
 {
-  HrTroubles *troubles = &world->troubles;
-  if (trouble_strikes (world, &troubles->late_reports)) {
-    double late = trouble_rand (world, LATE_REPORT_MIN_S, LATE_REPORT_MAX_LEASES * world->lease_s);
+  HrFaultState *faults = &world->troubles;
+  if (fault_window_hits (world, &faults->late_reports)) {
+    double late = fault_rand (world, LATE_REPORT_MIN_S, LATE_REPORT_MAX_LEASES * world->lease_s);
     req_stray (world, req_copy (request, request->to), world->now + late);
-    troubles->played[TROUBLE_LATE_REPORTS]++;
+    faults->effects[FAULT_LATE_REPORTS]++;
   }
-  if (trouble_strikes (world, &troubles->reports_for_next) && troubles->kept_next->len < KEPT_MAX)
-    g_ptr_array_add (troubles->kept_next, req_copy (request, request->to));
-  if (trouble_strikes (world, &troubles->reports_to_all) && troubles->kept_all->len < KEPT_MAX)
-    g_ptr_array_add (troubles->kept_all, req_copy (request, request->to));
+  if (fault_window_hits (world, &faults->reports_for_next) &&
+      faults->kept_for_next->len < MAX_KEPT_COPIES)
+    g_ptr_array_add (faults->kept_for_next, req_copy (request, request->to));
+  if (fault_window_hits (world, &faults->reports_to_all) &&
+      faults->kept_for_all->len < MAX_KEPT_COPIES)
+    g_ptr_array_add (faults->kept_for_all, req_copy (request, request->to));
 }
 
 gboolean
-troubles_take (World *world, SimRequest *request, double until)
+faults_intercept_request (World *world, SimRequest *request, double arrives_at)
 {
   if (request->node < 0 && request->machine >= 0) {
     const SimMachine *machine = world->machines->pdata[request->machine];
@@ -80,97 +83,95 @@
   }
   if (request->node >= 0 && request->target == HR_TO_STORE &&
       strcmp (request->path, "/commit") == 0)
-    return take_write (world, request, until);
+    return intercept_write (world, request, arrives_at);
   if (request->node >= 0 && request->target == HR_TO_WORKER)
-    return take_command (world, request, until);
+    return intercept_command (world, request, arrives_at);
   return FALSE;
 }
 
 double
-troubles_delay (World *world, const SimRequest *request)
+faults_answer_delay (World *world, const SimRequest *request)
 {
-  const HrTroubles *troubles = &world->troubles;
-  if (request->node < 0 || request->target != HR_TO_STORE ||
-      troubles->state_slow_until <= world->now)
+  const HrFaultState *faults = &world->troubles;
+  if (request->node < 0 || request->target != HR_TO_STORE || faults->state_slow_until <= world->now)
     return 0;
-  return troubles->state_slow_s * trouble_rand (world, 0.3, 1.6);
+  return faults->state_slow_s * fault_rand (world, 0.3, 1.6);
 }
 
 double
-troubles_link_delay (World *world)
+faults_link_delay (World *world)
 {
-  const HrTroubles *troubles = &world->troubles;
-  return troubles->links_slow_until > world->now
-             ? troubles->links_slow_s * trouble_rand (world, 0.5, 1.5)
-             : 0;
+  const HrFaultState *faults = &world->troubles;
+  return faults->links_slow_until > world->now ? faults->links_slow_s * fault_rand (world, 0.5, 1.5)
+                                               : 0;
 }
 
 double
-troubles_zone_cut (World *world, const SimRequest *request, const SimMachine *machine)
+faults_zone_cut_until (World *world, const SimRequest *request, const SimMachine *machine)
 {
-  const HrTroubles *troubles = &world->troubles;
+  const HrFaultState *faults = &world->troubles;
   int node = request->node >= 0 ? request->node : request->to;
-  if (troubles->zone_cut_until <= world->now)
+  if (faults->zone_cut_until <= world->now)
     return 0;
-  gboolean parted;
+  gboolean separated;
   if (machine)
-    parted = (machine->zone == troubles->zone_cut) != trouble_inside (world, node);
-  else /* users, the cloud and the state service are in no zone */
-    parted = trouble_inside (world, node);
-  return parted ? troubles->zone_cut_until : 0;
+    separated = (machine->zone == faults->zone_cut) != fault_in_cut_zone (world, node);
+  else /* users, the cloud and the state store are in no zone */
+    separated = fault_in_cut_zone (world, node);
+  return separated ? faults->zone_cut_until : 0;
 }
 
 double
-troubles_boots (World *world, double at)
+faults_boot_time (World *world, double at)
 {
   if (world->troubles.fast_boot_until <= world->now)
     return at;
-  world->troubles.played[TROUBLE_FAST_BOOT]++;
-  return world->now + trouble_rand (world, 0.3, FAST_BOOT_S);
+  world->troubles.effects[FAULT_FAST_BOOT]++;
+  return world->now + fault_rand (world, 0.3, FAST_BOOT_S);
 }
 
 /* ---- copies of reports for a new leader ---- */
 
 static void
-let_go (World *world, SimRequest *copy, int node, double within)
+release_copy (World *world, SimRequest *copy, int node, double within)
 {
-  req_stray (world, req_copy (copy, node), world->now + trouble_rand (world, 0, within));
-  world->troubles.played[TROUBLE_LATE_REPORTS]++;
+  req_stray (world, req_copy (copy, node), world->now + fault_rand (world, 0, within));
+  world->troubles.effects[FAULT_LATE_REPORTS]++;
 }
 
 void
-troubles_map (World *world, json_t *map)
+faults_on_leader_record (World *world, json_t *map)
 {
-  HrTroubles *troubles = &world->troubles;
+  HrFaultState *faults = &world->troubles;
   const char *process = json_string_value (json_object_get (map, "i"));
-  if (g_strcmp0 (process, troubles->leader_process) == 0)
+  if (g_strcmp0 (process, faults->leader_process) == 0)
     return;
-  g_free (troubles->leader_process);
-  troubles->leader_process = g_strdup (process);
-  troubles->leader_token = json_integer_value (json_object_get (map, "b"));
-  troubles->leaders++;
-  troubles_moment (world, ON_HAND_OVER);
-  for (guint i = 0; i < troubles->kept_all->len; i++)
+  g_free (faults->leader_process);
+  faults->leader_process = g_strdup (process);
+  faults->leader_token = json_integer_value (json_object_get (map, "b"));
+  faults->leaders++;
+  faults_trigger (world, ON_HAND_OVER);
+  for (guint i = 0; i < faults->kept_for_all->len; i++)
     for (int node = 0; node < world->n; node++)
-      let_go (world, troubles->kept_all->pdata[i], node, 0.1);
-  g_ptr_array_set_size (troubles->kept_all, 0);
+      release_copy (world, faults->kept_for_all->pdata[i], node, 0.1);
+  g_ptr_array_set_size (faults->kept_for_all, 0);
 }
 
 void
-troubles_reply (World *world, int node, const char *answer)
+faults_on_report_answer (World *world, int node, const char *answer)
 {
-  HrTroubles *troubles = &world->troubles;
-  troubles_moment (world, ON_REPORT_ANSWERED);
-  if (troubles->leaders == troubles->leaders_acted || !troubles->kept_next->len)
+  HrFaultState *faults = &world->troubles;
+  faults_trigger (world, ON_REPORT_ANSWERED);
+  if (faults->leaders == faults->leaders_released || !faults->kept_for_next->len)
     return;
   json_t *object = json_loads (answer, 0, NULL);
   gboolean acted =
-      (guint64)json_integer_value (json_object_get (object, "baton")) >= troubles->leader_token;
+      (guint64)json_integer_value (json_object_get (object, "baton")) >= faults->leader_token;
   json_decref (object);
   if (!acted)
     return;
-  troubles->leaders_acted = troubles->leaders;
-  for (guint i = 0; i < troubles->kept_next->len; i++)
-    let_go (world, troubles->kept_next->pdata[i], node, 0.5);
-  g_ptr_array_set_size (troubles->kept_next, 0);
+  faults->leaders_released = faults->leaders;
+  for (guint i = 0; i < faults->kept_for_next->len; i++)
+    release_copy (world, faults->kept_for_next->pdata[i], node, 0.5);
+  g_ptr_array_set_size (faults->kept_for_next, 0);
 }
--- a/tests/sim/trouble_parts.h
+++ b/tests/sim/trouble_parts.h
@@ -1,5 +1,5 @@
-/* What the parts of the planned troubles share: troubles.c begins them, trouble_messages.c meets
- * them on the way of messages, trouble_users.c plays the users that they bring. */
+/* Internal interface of planned faults: troubles.c begins them, trouble_messages.c applies them to
+ * messages, and trouble_users.c simulates the user requests that they consist of. */
 #pragma once
 #include "sim/world.h"
 
@@ -10,11 +10,12 @@
 #define LATE_REPORT_MIN_S 2.0
 #define LATE_REPORT_MAX_LEASES 2.5
 
-gboolean trouble_on (const World *world, const HrSwitch *trouble_switch);
-/* Whether it hits this one. Drawn only while it is on. */
-gboolean trouble_strikes (World *world, const HrSwitch *trouble_switch);
-int trouble_any_node (World *world);
-void trouble_shuffle (World *world, GPtrArray *list);
-/* The controller is in the zone that is cut off. */
-gboolean trouble_inside (const World *world, int node);
-void trouble_cancel_now (World *world, const HrTrouble *trouble);
+gboolean fault_window_active (const World *world, const HrFaultWindow *window);
+/* Returns whether the fault affects the current message or job. Draws a random number only while
+ * the window is active. */
+gboolean fault_window_hits (World *world, const HrFaultWindow *window);
+int fault_random_node (World *world);
+void fault_shuffle (World *world, GPtrArray *list);
+/* Returns whether the controller is inside the partitioned zone. */
+gboolean fault_in_cut_zone (const World *world, int node);
+void fault_cancel_now (World *world, const HrFault *fault);
--- a/tests/sim/trouble_text.c
+++ b/tests/sim/trouble_text.c
@@ -1,19 +1,20 @@
-/* Troubles as text, one line each, so that a day can be printed, kept and played again. */
+/* Converts planned faults to text and back, one line each, so that a day can be printed, stored and
+ * replayed. */
 #include "sim/troubles.h"
 #include <string.h>
 
-static const char *const kind_names[TROUBLE_KINDS] = {
+static const char *const kind_names[FAULT_KINDS] = {
     "late_writes",  "late_reports", "late_commands", "machine_deaf", "machine_mute",
     "machine_hang", "machine_cut",  "machine_crash", "cancel_now",   "cancel_at_end",
     "close_looks",  "node_cut",     "node_crash",    "node_freeze",  "state_refuses",
     "state_outage", "state_slow",   "fast_boot",     "zone_cut",     "slow_links",
     "cloud_outage", "odd_requests"};
-static const char *const who_names[] = {"leader", "other", "others", "all"};
-static const char *const moment_names[TROUBLE_MOMENTS] = {
+static const char *const target_names[] = {"leader", "other", "others", "all"};
+static const char *const trigger_names[FAULT_TRIGGERS] = {
     "time", "write_sent", "write_done", "write_answered", "report_answered", "hand_over"};
 
 const char *
-trouble_kind_name (HrTroubleKind kind)
+fault_kind_name (HrFaultKind kind)
 {
   return kind_names[kind];
 }
@@ -28,7 +29,7 @@
 
 #define FIELD(name, type, member)                                                                  \
   {                                                                                                \
-    name, type, G_STRUCT_OFFSET (HrTrouble, member)                                                \
+    name, type, G_STRUCT_OFFSET (HrFault, member)                                                  \
   }
 
 static const Field fields[] = {FIELD ("at", NUMBER, at_s),
@@ -52,13 +53,13 @@
                                FIELD ("from_users", FLAG, from_users)};
 
 char *
-trouble_text (const HrTrouble *trouble)
+fault_to_text (const HrFault *fault)
 {
   GString *text = g_string_new (NULL);
-  g_string_append_printf (text, "kind=%s who=%s on=%s", kind_names[trouble->kind],
-                          who_names[trouble->who], moment_names[trouble->on]);
+  g_string_append_printf (text, "kind=%s who=%s on=%s", kind_names[fault->kind],
+                          target_names[fault->who], trigger_names[fault->on]);
   for (guint i = 0; i < G_N_ELEMENTS (fields); i++) {
-    gconstpointer member = (const char *)trouble + fields[i].offset;
+    gconstpointer member = (const char *)fault + fields[i].offset;
     char number[G_ASCII_DTOSTR_BUF_SIZE];
     if (fields[i].type == NUMBER && *(const double *)member != 0)
       g_string_append_printf (text, " %s=%s", fields[i].name,
@@ -70,7 +71,7 @@
 }
 
 static gboolean
-parse_name (const char *value, const char *const *names, guint n, guint *number)
+parse_enum (const char *value, const char *const *names, guint n, guint *number)
 {
   for (*number = 0; *number < n; ++*number)
     if (g_str_equal (names[*number], value))
@@ -79,11 +80,11 @@
 }
 
 static gboolean
-parse_field (const char *name, const char *value, HrTrouble *trouble)
+parse_field (const char *name, const char *value, HrFault *fault)
 {
   char *end = NULL;
   for (guint i = 0; i < G_N_ELEMENTS (fields); i++) {
-    gpointer member = (char *)trouble + fields[i].offset;
+    gpointer member = (char *)fault + fields[i].offset;
     if (!g_str_equal (fields[i].name, name))
       continue;
     if (fields[i].type == NUMBER)
@@ -96,11 +97,11 @@
 }
 
 gboolean
-trouble_parse (const char *line, HrTrouble *trouble)
+fault_parse (const char *line, HrFault *fault)
 {
   gboolean kind_given = FALSE;
   g_auto (GStrv) words = g_strsplit (line, " ", -1);
-  memset (trouble, 0, sizeof *trouble);
+  memset (fault, 0, sizeof *fault);
   for (guint i = 0; words[i]; i++) {
     guint number;
     char *value = strchr (words[i], '=');
@@ -108,16 +109,16 @@
       return FALSE;
     *value++ = 0;
     if (g_str_equal (words[i], "kind") &&
-        parse_name (value, kind_names, G_N_ELEMENTS (kind_names), &number)) {
-      trouble->kind = number;
+        parse_enum (value, kind_names, G_N_ELEMENTS (kind_names), &number)) {
+      fault->kind = number;
       kind_given = TRUE;
     } else if (g_str_equal (words[i], "who") &&
-               parse_name (value, who_names, G_N_ELEMENTS (who_names), &number))
-      trouble->who = number;
+               parse_enum (value, target_names, G_N_ELEMENTS (target_names), &number))
+      fault->who = number;
     else if (g_str_equal (words[i], "on") &&
-             parse_name (value, moment_names, G_N_ELEMENTS (moment_names), &number))
-      trouble->on = number;
-    else if (!parse_field (words[i], value, trouble))
+             parse_enum (value, trigger_names, G_N_ELEMENTS (trigger_names), &number))
+      fault->on = number;
+    else if (!parse_field (words[i], value, fault))
       return FALSE;
   }
   return kind_given;
--- a/tests/sim/troubles.h
+++ b/tests/sim/troubles.h
@@ -1,168 +1,173 @@
-/* Troubles that a day plans: what, when, how long and whom it hits. A day is a table of
- * HrTrouble, handed to troubles_plan() before the world runs. All that is drawn for them comes
- * from a random stream of their own, so that days without them stay as they are.
+/* Planned faults: which fault begins when, how long it lasts and what it affects. A simulated day
+ * is a table of HrFault that is passed to faults_plan() before the world runs. In the text format
+ * and in the names of files and options these faults are called troubles. Their random numbers come
+ * from a separate stream, so that days without planned faults do not change.
  *
- * All times are simulated seconds; for_s counts from at_s; shares go from 0 to 1. */
+ * All times are simulated seconds; for_s counts from at_s; shares are from 0 to 1. */
 #pragma once
 #include <glib.h>
 
 typedef struct World World;
 
 typedef enum {
-  /* A share of the transactions to the state service gets no answer. Without at_once each is
-   * carried out 2 to 12 s later, after newer ones; with at_once at once, only the answer is
-   * lost, while other controllers read what it wrote. Fields: share, for_s, at_once. */
-  TROUBLE_LATE_WRITES,
-  /* Of a share of the workers' reports a copy arrives again at the controller that the report
-   * went to, 2 s to 2.5 leases later. With for_next all copies are kept, and arrive at the next
-   * leader within half a second after it first answered a report. With to_all they are kept too,
-   * and arrive at every controller within a tenth of a second after the leader record names a new
+  /* A share of the transactions to the state store gets no answer. Without at_once each of them is
+   * carried out 2 to 12 s later, after newer transactions. With at_once it is carried out at once
+   * and only the answer is lost, while other controllers read what it wrote.
+   * Fields: share, for_s, at_once. */
+  FAULT_LATE_WRITES,
+  /* A share of the workers' reports is duplicated. The copy reaches the controller that received
+   * the report, 2 s to 2.5 leases later. With for_next all copies are kept and reach the next
+   * leader within half a second of its first answer to a report. With to_all all copies are kept
+   * and reach every controller within a tenth of a second after the leader record names a new
    * leader. Fields: share, for_s, for_next, to_all. */
-  TROUBLE_LATE_REPORTS,
-  /* A share of the direct orders is held up on its way, stays without an answer, and is carried
-   * out once, 2 to 16 s late, if token and incarnation still match. Fields: share, for_s. */
-  TROUBLE_LATE_COMMANDS,
+  FAULT_LATE_REPORTS,
+  /* A share of the direct orders is delayed, gets no answer, and is carried out once, 2 to 16 s
+   * late, if token and incarnation still match. Fields: share, for_s. */
+  FAULT_LATE_COMMANDS,
   /* Reports of these machines arrive; answers and direct orders to them are lost.
    * Fields: count, share or zone, for_s. */
-  TROUBLE_MACHINE_DEAF,
+  FAULT_MACHINE_DEAF,
   /* These machines reach no controller; direct orders reach them and are answered.
    * Fields: count, share or zone, for_s. */
-  TROUBLE_MACHINE_MUTE,
-  /* These machines stand still. Fields: count, share or zone, for_s. */
-  TROUBLE_MACHINE_HANG,
-  /* The ways between these machines and all controllers are cut; with hold what is sent meanwhile
-   * arrives when the cut ends. Fields: count, share or zone, for_s, hold. */
-  TROUBLE_MACHINE_CUT,
-  /* These machines end without notice. Fields: count, share or zone. */
-  TROUBLE_MACHINE_CRASH,
-  /* Users call off count jobs that run and have long to go, within a fifth of a second; with
-   * hang_s up to eight of their machines hang that long. Fields: count, hang_s. */
-  TROUBLE_CANCEL_NOW,
-  /* A share of the jobs that end is called off by their users at the moment of the end: half of
-   * them when the last task ends, half up to 0.6 s later, while that is reported and recorded.
+  FAULT_MACHINE_MUTE,
+  /* These machines hang. Fields: count, share or zone, for_s. */
+  FAULT_MACHINE_HANG,
+  /* These machines are partitioned from all controllers. With hold, messages sent during the
+   * partition arrive when it ends. Fields: count, share or zone, for_s, hold. */
+  FAULT_MACHINE_CUT,
+  /* These machines crash without notice. Fields: count, share or zone. */
+  FAULT_MACHINE_CRASH,
+  /* Users cancel count running jobs that have long run times left, within a fifth of a second. With
+   * hang_s up to eight of the machines of these jobs hang for that time. Fields: count, hang_s. */
+  FAULT_CANCEL_NOW,
+  /* A share of the jobs that end is cancelled at the moment of the end: half of them when the last
+   * task ends, half up to 0.6 s later, while the end is being reported and recorded.
    * Fields: share, for_s. */
-  TROUBLE_CANCEL_AT_END,
-  /* Whenever a user is told that a job is accepted, done or cancelled, or its last task ends,
-   * users ask at all controllers, several times within 30 ms, and repeat the submission; share of
-   * the jobs just accepted are called off at once (0: a tenth). Fields: for_s, share. */
-  TROUBLE_CLOSE_LOOKS,
-  /* Controllers lose what the from_ fields name. Fields: who, for_s, from_state, from_peers,
-   * from_workers, from_users, hold. */
-  TROUBLE_NODE_CUT,
-  /* Controllers end, and are back after back_s (0: 3 to 7 s), the first of them after
-   * first_back_s if that is set. Fields: who, back_s, first_back_s. */
-  TROUBLE_NODE_CRASH,
-  /* Controllers stand still while their clocks run on. Fields: who, for_s. */
-  TROUBLE_NODE_FREEZE,
-  /* The state service answers 503 to these controllers alone. Fields: who, for_s. */
-  TROUBLE_STATE_REFUSES,
-  /* The state service answers 503 to all controllers. Fields: for_s. */
-  TROUBLE_STATE_OUTAGE,
-  /* Each answer of the state service takes 0.3 to 1.6 times delay_s longer. Fields: for_s,
-   * delay_s. */
-  TROUBLE_STATE_SLOW,
-  /* Machines that are rented meanwhile are up within two seconds. Fields: for_s. */
-  TROUBLE_FAST_BOOT,
-  /* A zone with its workers, and the controllers that who names, is cut off from everything
-   * else, while inside it all reach one another. Fields: zone, who, for_s, hold. */
-  TROUBLE_ZONE_CUT,
-  /* Every message takes 0.5 to 1.5 times delay_s longer. Fields: for_s, delay_s. */
-  TROUBLE_SLOW_LINKS,
-  /* The cloud answers 503 to everything. Fields: for_s. */
-  TROUBLE_CLOUD_OUTAGE,
-  /* Every 1.5 s users send one request of each kind that must be turned away or change nothing:
-   * sim/malformed_requests.c lists them with the answers they must get. Of jobs just accepted the
-   * submission is repeated with other content. Fields: for_s. */
-  TROUBLE_ODD_REQUESTS,
-  TROUBLE_KINDS
-} HrTroubleKind;
+  FAULT_CANCEL_AT_END,
+  /* Whenever a user learns that a job is accepted, done or cancelled, or the last task of a job
+   * ends, users query the job at all controllers, several times within 30 ms, and repeat the
+   * submission. A share of the jobs just accepted is cancelled at once (0: a tenth).
+   * Fields: for_s, share. */
+  FAULT_CLOSE_LOOKS,
+  /* Controllers lose the connections that the from_ fields name.
+   * Fields: who, for_s, from_state, from_peers, from_workers, from_users, hold. */
+  FAULT_NODE_CUT,
+  /* Controllers crash and restart after back_s (0: 3 to 7 s), the first of them after first_back_s
+   * if that is set. Fields: who, back_s, first_back_s. */
+  FAULT_NODE_CRASH,
+  /* Controllers freeze while their clocks keep running. Fields: who, for_s. */
+  FAULT_NODE_FREEZE,
+  /* The state store answers 503 to these controllers only. Fields: who, for_s. */
+  FAULT_STATE_REFUSES,
+  /* The state store answers 503 to all controllers. Fields: for_s. */
+  FAULT_STATE_OUTAGE,
+  /* Each answer of the state store is delayed by a further 0.3 to 1.6 times delay_s.
+   * Fields: for_s, delay_s. */
+  FAULT_STATE_SLOW,
+  /* Machines rented during this time are up within two seconds. Fields: for_s. */
+  FAULT_FAST_BOOT,
+  /* A zone with its workers and the controllers that who names is partitioned from everything else;
+   * inside the partition all of them reach one another. Fields: zone, who, for_s, hold. */
+  FAULT_ZONE_CUT,
+  /* Every message is delayed by a further 0.5 to 1.5 times delay_s. Fields: for_s, delay_s. */
+  FAULT_SLOW_LINKS,
+  /* The cloud answers 503 to all requests. Fields: for_s. */
+  FAULT_CLOUD_OUTAGE,
+  /* Every 1.5 s users send one request of each kind that must be rejected or have no effect;
+   * sim/malformed_requests.c lists them with the required answers. Submissions of jobs just
+   * accepted are repeated with other content. Fields: for_s. */
+  FAULT_ODD_REQUESTS,
+  FAULT_KINDS
+} HrFaultKind;
 
-/* Whom a trouble of controllers hits, as of when it begins. */
+/* The controllers that a fault affects, determined when the fault begins. */
 typedef enum {
-  WHO_LEADER, /* whom the leader record names */
-  WHO_OTHER,  /* the controller after it */
+  WHO_LEADER, /* the controller that the leader record names */
+  WHO_OTHER,  /* the controller after the leader */
   WHO_OTHERS, /* all but the leader */
   WHO_ALL
-} HrWho;
+} HrFaultTarget;
 
-/* When a trouble begins: at its time, or at the first such moment after it. */
+/* When a fault begins: at its time, or at the first such event after that time. */
 typedef enum {
   ON_TIME,
-  ON_WRITE_SENT,      /* a transaction leaves its controller */
-  ON_WRITE_DONE,      /* one was carried out */
-  ON_WRITE_ANSWERED,  /* its answer arrives */
-  ON_REPORT_ANSWERED, /* a worker's report gets a 200 */
+  ON_WRITE_SENT,      /* a controller sends a transaction */
+  ON_WRITE_DONE,      /* a transaction was carried out */
+  ON_WRITE_ANSWERED,  /* the answer to a transaction arrives */
+  ON_REPORT_ANSWERED, /* a worker's report is answered with 200 */
   ON_HAND_OVER,       /* the leader record names another process */
-  TROUBLE_MOMENTS
-} HrMoment;
+  FAULT_TRIGGERS
+} HrFaultTrigger;
 
-/* In a table, .zone is the number of a zone plus one, so that 0 names none. */
+/* In a table, .zone is the number of a zone plus one; 0 stands for no zone. */
 #define ZONE(z) ((z) + 1)
 
 typedef struct {
   double at_s;
-  HrTroubleKind kind;
+  HrFaultKind kind;
   double for_s;
   double share;                /* of messages, jobs or machines */
-  guint count;                 /* of machines or jobs; where it is 0 share or zone counts */
+  guint count;                 /* of machines or jobs; 0: share or zone selects them */
   guint zone;                  /* ZONE (0) or ZONE (1); 0: none */
-  HrWho who;                   /* controllers */
-  double hang_s;               /* TROUBLE_CANCEL_NOW */
-  double back_s, first_back_s; /* TROUBLE_NODE_CRASH */
-  double delay_s;              /* TROUBLE_STATE_SLOW, TROUBLE_SLOW_LINKS */
-  guint times;                 /* it begins so often, each every_s after the one before; 0: once */
+  HrFaultTarget who;           /* affected controllers */
+  double hang_s;               /* FAULT_CANCEL_NOW */
+  double back_s, first_back_s; /* FAULT_NODE_CRASH */
+  double delay_s;              /* FAULT_STATE_SLOW, FAULT_SLOW_LINKS */
+  guint times;                 /* number of repetitions, at intervals of every_s; 0: once */
   double every_s;
-  gboolean hold; /* a cut holds packets back in place of losing them */
+  gboolean hold; /* a partition delays messages until its end instead of dropping them */
   gboolean at_once, for_next, to_all;
   gboolean from_state, from_peers, from_workers, from_users;
-  HrMoment on; /* with `times` 0 or 1 */
-} HrTrouble;
+  HrFaultTrigger on; /* with `times` 0 or 1 */
+} HrFault;
 
-/* A switch that is on until then. share: of what it counts. */
+/* A fault that is active until a time. share: the share of messages or jobs that it affects. */
 typedef struct {
   double until, share;
-} HrSwitch;
+} HrFaultWindow;
 
-/* What is on at the moment; see HrTroubleKind for what each one does. */
+/* The active faults; HrFaultKind describes each kind. */
 typedef struct {
-  GRand *rand;                        /* their own stream */
-  HrSwitch late_writes, lost_answers; /* lost_answers: late_writes with at_once */
-  HrSwitch late_reports, reports_for_next, reports_to_all;
-  HrSwitch late_commands;
-  HrSwitch cancel_at_end, close_looks;
+  GRand *rand;                             /* random stream of planned faults */
+  HrFaultWindow late_writes, lost_answers; /* lost_answers: late_writes with at_once */
+  HrFaultWindow late_reports, reports_for_next, reports_to_all;
+  HrFaultWindow late_commands;
+  HrFaultWindow cancel_at_end, close_looks;
   double state_slow_until, state_slow_s;
   double links_slow_until, links_slow_s;
-  double odd_until;
-  guint odd_requests; /* sent so far: numbers them */
+  double malformed_until;
+  guint malformed_sent; /* number of malformed requests so far; used in their marks */
   double fast_boot_until;
-  double zone_cut_until; /* of zone_cut, with the controllers whose bits zone_nodes has */
-  guint zone_cut, zone_nodes;
+  double zone_cut_until; /* end of the partition of zone_cut */
+  guint zone_cut;
+  guint zone_nodes; /* bit set of the controllers inside that partition */
   gboolean zone_hold;
-  GPtrArray *kept_next, *kept_all; /* SimRequest, copies of reports */
-  /* Leaders that the leader record has named, and how many of them had answered a worker when
-   * copies were last let go; token with which the newest one began. */
-  guint leaders, leaders_acted;
-  guint64 leader_token;
+  GPtrArray *kept_for_next, *kept_for_all; /* SimRequest, copies of reports */
+  guint leaders;                           /* number of leaders named by the leader record so far */
+  guint leaders_released; /* `leaders` when copies were last released, or their recording began */
+  guint64 leader_token;   /* token with which the newest leader began */
   char *leader_process;
-  GPtrArray *armed;            /* HrTrouble that begin with a moment */
-  guint played[TROUBLE_KINDS]; /* how often each kind took effect on something */
-  double over_at;              /* when the last one planned is over */
-} HrTroubles;
+  GPtrArray *armed;           /* HrFault that wait for their trigger */
+  guint effects[FAULT_KINDS]; /* how often a fault of each kind affected something */
+  double ends_at;             /* end of the last planned fault */
+} HrFaultState;
 
-/* Plans them; when the last one is over the day is calm. Call it once a day. */
-void troubles_plan (World *world, const HrTrouble *day, guint n);
-/* It is this moment: what waits for it begins. */
-void troubles_moment (World *world, HrMoment moment);
+/* Plans the faults of a day. No fault begins after the last planned one has ended. Called once a
+ * day. */
+void faults_plan (World *world, const HrFault *day, guint n);
+/* Begins the faults that wait for this event. */
+void faults_trigger (World *world, HrFaultTrigger event);
 
 /* ---- trouble_text.c ---- */
 
-const char *trouble_kind_name (HrTroubleKind kind);
-/* One line "KEY=VALUE ..." that trouble_parse reads; to be freed. */
-char *trouble_text (const HrTrouble *trouble);
-/* FALSE: the line is no trouble. */
-gboolean trouble_parse (const char *line, HrTrouble *trouble);
+const char *fault_kind_name (HrFaultKind kind);
+/* Returns a line "KEY=VALUE ..." for fault_parse(); to be freed. */
+char *fault_to_text (const HrFault *fault);
+/* Returns FALSE if the line is not a valid fault. */
+gboolean fault_parse (const char *line, HrFault *fault);
 
 /* ---- trouble_draw.c ---- */
 
-/* A trouble of this kind, all else drawn. lease_s: of workers; it lasts up to 1.3 times as long. */
-HrTrouble trouble_draw (GRand *rand, HrTroubleKind kind, double at_s, double lease_s);
+/* Returns a fault of this kind whose other fields are drawn. lease_s: lease time of the workers;
+ * the fault lasts up to 1.3 times as long. */
+HrFault fault_draw (GRand *rand, HrFaultKind kind, double at_s, double lease_s);
--- a/tests/sim/upgrade.c
+++ b/tests/sim/upgrade.c
@@ -1,11 +1,11 @@
-/* An upgrade: controllers of production come back new one after the other, and some time after
- * the last the state service has its new limits, without notice. */
+/* A rolling upgrade: controllers of the version in production restart as the new version one after
+ * the other. Some time after the last one the state store's new limits apply, without notice. */
 #include "coordination/core.h"
 #include "sim/store.h"
 #include "sim/upgrade.h"
 #include "sim/world.h"
 
-/* Down for so long in its turn. */
+/* Downtime of each controller except the last one. */
 #define DOWN_S 5.0
 
 void
@@ -18,9 +18,9 @@
   world_restart (world);
 }
 
-/* Its process ends, if it is there; from now on it comes back new. */
+/* Kills the controller's process, if it is running, and restarts it as the new version. */
 static void
-turn (World *world, gpointer data)
+upgrade_node (World *world, gpointer data)
 {
   int i = GPOINTER_TO_INT (data);
   node_kill (world, i);
@@ -29,18 +29,18 @@
   node_start_at (world, GPOINTER_TO_INT (data), world->now + (i == 0 ? world->last_down : DOWN_S));
 }
 
-/* The first node's turn is the last. */
+/* Node 0 is upgraded last. */
 double
 upgrade_roll (World *world, double from, double gap, double last_down)
 {
   world->last_down = last_down;
   for (int i = 0; i < world->n; i++)
-    w_at (world, from + i * gap, turn, GINT_TO_POINTER ((i + 1) % world->n));
+    w_at (world, from + i * gap, upgrade_node, GINT_TO_POINTER ((i + 1) % world->n));
   return from + (world->n - 1) * gap;
 }
 
 void
-upgrade_limits_fall (World *world, double at)
+upgrade_lower_limits (World *world, double at)
 {
   world->limits_fall = at;
 }
--- a/tests/sim/upgrade.h
+++ b/tests/sim/upgrade.h
@@ -1,9 +1,11 @@
-/* Controllers of the version in production, which are replaced by new ones one after the other. */
+/* A rolling upgrade of controllers from the version in production to the new one. */
 #pragma once
 #include "sim/world.h"
 
-/* Controllers of production, which come back new one after the other */
+/* Restarts all controllers as the version in production. */
 void upgrade_init (World *world);
-/* The last one stays away for so long. Returns when its turn begins. */
+/* Upgrades the controllers one after the other, `gap` seconds apart; the last one is down for
+ * last_down seconds. Returns when the upgrade of the last one begins. */
 double upgrade_roll (World *world, double from, double gap, double last_down);
-void upgrade_limits_fall (World *world, double at);
+/* Lowers the limits of the state store at that time, without notice. */
+void upgrade_lower_limits (World *world, double at);
--- a/tests/sim/worker.c
+++ b/tests/sim/worker.c
@@ -239,7 +239,7 @@
     task_job->done[task->task] = TRUE;
     end (world, task, "done");
     if (job_all_done (task_job))
-      troubles_job_ended (world, task_job);
+      faults_on_job_ended (world, task_job);
   } else if (task->state == SIM_TASK_SAVE && world->now >= task->until) {
     task_job->progress[task_job->shape == HR_GANG ? 0 : task->task] = task->base;
     task->kept = TRUE;
--- a/tests/sim/world.c
+++ b/tests/sim/world.c
@@ -113,7 +113,7 @@
         node_check_order (world, i, effect->id, request->body, effect->body);
         if (!request->answered)
           node_check_kills (world, i, request->body, effect->body);
-        troubles_reply (world, i, effect->body);
+        faults_on_report_answer (world, i, effect->body);
       }
       /* A leader that has not read what others decided may have been replaced. */
       if (effect->reply.status == 200 && strcmp (request->path, "/hello") == 0 &&
@@ -395,7 +395,7 @@
   world->value_kb = 4;
   for (int i = 0; i < world->n; i++)
     world->nodes[i].speaks = HR_FORMAT;
-  troubles_init (world, seed);
+  fault_injection_init (world, seed);
   store_init (world);
   cloud_init (world);
   return world;
@@ -448,7 +448,7 @@
 {
   for (int i = 0; i < world->n; i++)
     node_kill (world, i);
-  troubles_free (world);
+  fault_injection_free (world);
   store_free (world);
   cloud_free (world);
   if (world->jobs)
--- a/tests/sim/world.h
+++ b/tests/sim/world.h
@@ -126,7 +126,7 @@
   double calm_at, faults_to;
   double stray_until; /* messages that were held up or copied are on their way until then */
   double quiet_at;    /* no trouble has a hold on anything since; 0: one has */
-  HrTroubles troubles;
+  HrFaultState troubles;
   guint64 answers;         /* counts what users ask and hear: the one clock of answers */
   guint started_cancelled; /* starts after a confirmed cancellation */
   guint invented_asked;
--- a/tests/soak.c
+++ b/tests/soak.c
@@ -48,20 +48,20 @@
 /* ---- troubles ---- */
 
 typedef struct {
-  HrTroubleKind kind;
+  HrFaultKind kind;
   guint weight;
 } Weighted;
 
 static const Weighted kinds[] = {
-    {TROUBLE_NODE_CRASH, 8},    {TROUBLE_NODE_FREEZE, 4},   {TROUBLE_NODE_CUT, 6},
-    {TROUBLE_STATE_REFUSES, 3}, {TROUBLE_STATE_OUTAGE, 2},  {TROUBLE_STATE_SLOW, 2},
-    {TROUBLE_MACHINE_CUT, 6},   {TROUBLE_MACHINE_HANG, 4},  {TROUBLE_MACHINE_DEAF, 3},
-    {TROUBLE_MACHINE_MUTE, 3},  {TROUBLE_MACHINE_CRASH, 2}, {TROUBLE_CANCEL_NOW, 10},
-    {TROUBLE_LATE_WRITES, 3},   {TROUBLE_LATE_REPORTS, 4},  {TROUBLE_LATE_COMMANDS, 4},
-    {TROUBLE_CANCEL_AT_END, 2}, {TROUBLE_CLOSE_LOOKS, 2},   {TROUBLE_SLOW_LINKS, 1},
-    {TROUBLE_CLOUD_OUTAGE, 2},  {TROUBLE_ODD_REQUESTS, 1}};
+    {FAULT_NODE_CRASH, 8},    {FAULT_NODE_FREEZE, 4},   {FAULT_NODE_CUT, 6},
+    {FAULT_STATE_REFUSES, 3}, {FAULT_STATE_OUTAGE, 2},  {FAULT_STATE_SLOW, 2},
+    {FAULT_MACHINE_CUT, 6},   {FAULT_MACHINE_HANG, 4},  {FAULT_MACHINE_DEAF, 3},
+    {FAULT_MACHINE_MUTE, 3},  {FAULT_MACHINE_CRASH, 2}, {FAULT_CANCEL_NOW, 10},
+    {FAULT_LATE_WRITES, 3},   {FAULT_LATE_REPORTS, 4},  {FAULT_LATE_COMMANDS, 4},
+    {FAULT_CANCEL_AT_END, 2}, {FAULT_CLOSE_LOOKS, 2},   {FAULT_SLOW_LINKS, 1},
+    {FAULT_CLOUD_OUTAGE, 2},  {FAULT_ODD_REQUESTS, 1}};
 
-static HrTroubleKind
+static HrFaultKind
 draw_kind (GRand *rand)
 {
   guint all = 0, at;
@@ -78,28 +78,28 @@
 /* Users cancel while many machines are out of reach, and one leader after the other ends: leases
  * are renewed across terms, by leaders that have just begun. Returns how many troubles it added. */
 static guint
-draw_cancels_across_terms (GRand *rand, double at, HrTrouble *day)
+draw_cancels_across_terms (GRand *rand, double at, HrFault *day)
 {
-  day[0] = (HrTrouble){.at_s = at,
-                       .kind = TROUBLE_MACHINE_CUT,
-                       .share = g_rand_double_range (rand, 0.3, 1),
-                       .for_s = g_rand_double_range (rand, 1, LEASE_S),
-                       .hold = g_rand_boolean (rand)};
-  day[1] = (HrTrouble){
-      .at_s = at + 0.2, .kind = TROUBLE_CANCEL_NOW, .count = g_rand_int_range (rand, 3, 12)};
-  day[2] = (HrTrouble){.at_s = at + g_rand_double_range (rand, 0.5, 3),
-                       .kind = TROUBLE_NODE_CRASH,
-                       .who = WHO_LEADER,
-                       .back_s = g_rand_double_range (rand, 0.1, 1),
-                       .times = g_rand_int_range (rand, 2, 7),
-                       .every_s = g_rand_double_range (rand, 1.2, 4)};
+  day[0] = (HrFault){.at_s = at,
+                     .kind = FAULT_MACHINE_CUT,
+                     .share = g_rand_double_range (rand, 0.3, 1),
+                     .for_s = g_rand_double_range (rand, 1, LEASE_S),
+                     .hold = g_rand_boolean (rand)};
+  day[1] = (HrFault){
+      .at_s = at + 0.2, .kind = FAULT_CANCEL_NOW, .count = g_rand_int_range (rand, 3, 12)};
+  day[2] = (HrFault){.at_s = at + g_rand_double_range (rand, 0.5, 3),
+                     .kind = FAULT_NODE_CRASH,
+                     .who = WHO_LEADER,
+                     .back_s = g_rand_double_range (rand, 0.1, 1),
+                     .times = g_rand_int_range (rand, 2, 7),
+                     .every_s = g_rand_double_range (rand, 1.2, 4)};
   return 3;
 }
 
 static void
-print_trouble (const HrTrouble *trouble)
+print_trouble (const HrFault *trouble)
 {
-  g_autofree char *text = trouble_text (trouble);
+  g_autofree char *text = fault_to_text (trouble);
   fprintf (stderr, "  %s\n", text);
 }
 
@@ -121,7 +121,7 @@
 }
 
 static void
-print_tail (const LiveNode *n, int node)
+print_tail (const EmulatorNode *n, int node)
 {
   g_autofree char *text = NULL;
   if (!g_file_get_contents (n->log, &text, NULL, NULL))
@@ -135,13 +135,13 @@
 }
 
 static gboolean
-is_void (const Live *live)
+is_void (const Emulator *live)
 {
   return live->longest_gap > MOST_GAP_S;
 }
 
 static void
-report (Live *live, guint32 seed, const HrTrouble *day, guint n)
+report (Emulator *live, guint32 seed, const HrFault *day, guint n)
 {
   World *world = live->world;
   guint cancelled = 0;
@@ -203,14 +203,14 @@
   double first = FIRST_TURN_SHARE * end, last = LAST_TURN_SHARE * end;
   double gap = world->n > 1 ? (last - first) / (world->n - 1) : 0;
   upgrade_roll (world, first, gap, TURN_DOWN_S);
-  upgrade_limits_fall (world, last + TURN_DOWN_S + g_rand_double_range (rand, 0, LIMITS_FALL_S));
+  upgrade_lower_limits (world, last + TURN_DOWN_S + g_rand_double_range (rand, 0, LIMITS_FALL_S));
   if (g_rand_double (rand) < END_ALL_SHARE)
     w_at (world, first + (g_rand_int_range (rand, 0, world->n) + 0.5) * gap, end_all, NULL);
   /* Nothing new is asked for before all have the new version; pipelines are new to those that know
    * no format of records. */
   double from = world->production ? last + TURN_DOWN_S + 1 : 1;
   const PipelineDay day = {(end - from) / PIPELINE_EVERY_S, from, end, PIPELINES_CANCELLED, FALSE};
-  users_pipelines_beside (world, &day);
+  users_add_pipelines (world, &day);
 }
 
 /* All controllers begin old. */
@@ -241,13 +241,13 @@
 static Verdict
 run (const Options *options, guint32 seed)
 {
-  Live live = {0}, *live_row = &live;
+  Emulator live = {0}, *live_row = &live;
   g_autoptr (GRand) rand = g_rand_new_with_seed (seed);
   int nodes = options->controllers ? options->controllers : seed % 2 ? 3 : 5;
   live_row->daemon = options->daemon;
   live_row->policy = options->policy;
   live_row->old_daemon = options->old_daemon;
-  live_prepare (live_row, seed, nodes);
+  emulator_prepare (live_row, seed, nodes);
   World *world = live_row->world;
   world->report_s = REPORT_S;
   world->lease_s = LEASE_S;
@@ -256,12 +256,12 @@
   world->fickle = g_rand_boolean (rand);
   if (options->old_daemon)
     begin_old (world, options->old_format);
-  live_begin (live_row);
+  emulator_begin (live_row);
   users_init (world, options->seconds * 3 / 4, options->seconds - CALM_S);
   users_probe (world);
   if (options->old_daemon)
     plan_upgrade (world, rand, options->seconds - CALM_S);
-  HrTrouble day[MOST_TROUBLES] = {{.kind = TROUBLE_FAST_BOOT, .for_s = options->seconds}};
+  HrFault day[MOST_TROUBLES] = {{.kind = FAULT_FAST_BOOT, .for_s = options->seconds}};
   guint n = 1;
   double last = options->seconds - CALM_S - 1.3 * LEASE_S;
   for (double at = TROUBLES_FROM_S; at < last && n + 3 < MOST_TROUBLES;
@@ -269,16 +269,16 @@
     if (g_rand_double (rand) < ACROSS_TERMS_SHARE)
       n += draw_cancels_across_terms (rand, at, day + n);
     else
-      day[n++] = trouble_draw (rand, draw_kind (rand), at, LEASE_S);
-  troubles_plan (world, day, n);
-  live_run (live_row, options->seconds);
+      day[n++] = fault_draw (rand, draw_kind (rand), at, LEASE_S);
+  faults_plan (world, day, n);
+  emulator_run (live_row, options->seconds);
   check_end (world);
   if (options->old_daemon)
     check_upgrade (world);
   report (live_row, seed, day, n);
   Verdict verdict = is_void (live_row) ? RUN_VOID : world->broken->len ? RUN_BROKEN : RUN_OK;
   live_row->remove_files = verdict != RUN_BROKEN;
-  live_end (live_row);
+  emulator_end (live_row);
   end_callbacks ();
   return verdict;
 }
--- a/tests/test_exhaustive.c
+++ b/tests/test_exhaustive.c
@@ -177,7 +177,7 @@
   world->choose_data = &play;
   users_init (world, 0, 0);
   users_probe (world);
-  world->troubles.close_looks = (HrSwitch){END_S, 0};
+  world->troubles.close_looks = (HrFaultWindow){END_S, 0};
   users_array (world, 1, 8, 1, 0);
   users_array (world, scenario->tasks, scenario->run, scenario->at, scenario->cancel_at);
   world_run (world, END_S);
--- a/tests/test_fault_scenarios.c
+++ b/tests/test_fault_scenarios.c
@@ -9,11 +9,11 @@
 static void
 late_writes_and_looks (void **state G_GNUC_UNUSED)
 {
-  static const HrTrouble day[] = {
-      {.at_s = 40, .kind = TROUBLE_LATE_WRITES, .for_s = 60, .share = 0.3},
-      {.at_s = 40, .kind = TROUBLE_CLOSE_LOOKS, .for_s = 200},
-      {.at_s = 150, .kind = TROUBLE_LATE_WRITES, .for_s = 40, .share = 0.6},
-      {.at_s = 160, .kind = TROUBLE_NODE_CRASH, .who = WHO_LEADER, .back_s = 0.4}};
+  static const HrFault day[] = {
+      {.at_s = 40, .kind = FAULT_LATE_WRITES, .for_s = 60, .share = 0.3},
+      {.at_s = 40, .kind = FAULT_CLOSE_LOOKS, .for_s = 200},
+      {.at_s = 150, .kind = FAULT_LATE_WRITES, .for_s = 40, .share = 0.6},
+      {.at_s = 160, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER, .back_s = 0.4}};
   PLAY (2000, 2004, day);
 }
 
@@ -22,9 +22,9 @@
 static void
 cancels_at_once_and_looks (void **state G_GNUC_UNUSED)
 {
-  static const HrTrouble day[] = {
-      {.at_s = 2, .kind = TROUBLE_CLOSE_LOOKS, .for_s = 300, .share = 0.6},
-      {.at_s = 100, .kind = TROUBLE_STATE_SLOW, .for_s = 60, .delay_s = 0.3}};
+  static const HrFault day[] = {
+      {.at_s = 2, .kind = FAULT_CLOSE_LOOKS, .for_s = 300, .share = 0.6},
+      {.at_s = 100, .kind = FAULT_STATE_SLOW, .for_s = 60, .delay_s = 0.3}};
   PLAY_SET (2200, 2204, day, .started_cancelled = 2);
 }
 
@@ -33,12 +33,12 @@
 static void
 lost_answers_and_cancels (void **state G_GNUC_UNUSED)
 {
-  static const HrTrouble day[] = {
-      {.at_s = 40, .kind = TROUBLE_LATE_WRITES, .for_s = 60, .share = 0.5, .at_once = TRUE},
-      {.at_s = 30, .kind = TROUBLE_CLOSE_LOOKS, .for_s = 220},
-      {.at_s = 60, .kind = TROUBLE_CANCEL_NOW, .count = 10},
-      {.at_s = 150, .kind = TROUBLE_LATE_WRITES, .for_s = 60, .share = 0.5, .at_once = TRUE},
-      {.at_s = 150, .kind = TROUBLE_CANCEL_AT_END, .for_s = 60, .share = 0.6}};
+  static const HrFault day[] = {
+      {.at_s = 40, .kind = FAULT_LATE_WRITES, .for_s = 60, .share = 0.5, .at_once = TRUE},
+      {.at_s = 30, .kind = FAULT_CLOSE_LOOKS, .for_s = 220},
+      {.at_s = 60, .kind = FAULT_CANCEL_NOW, .count = 10},
+      {.at_s = 150, .kind = FAULT_LATE_WRITES, .for_s = 60, .share = 0.5, .at_once = TRUE},
+      {.at_s = 150, .kind = FAULT_CANCEL_AT_END, .for_s = 60, .share = 0.6}};
   PLAY (2010, 2014, day);
 }
 
@@ -46,12 +46,12 @@
 static void
 reports_for_the_next_leader (void **state G_GNUC_UNUSED)
 {
-  static const HrTrouble day[] = {
+  static const HrFault day[] = {
       /* Some are of machines that go, and are gone for long when the copies come. */
-      {.at_s = 35, .kind = TROUBLE_LATE_REPORTS, .for_s = 24, .share = 0.7, .for_next = TRUE},
-      {.at_s = 59.5, .kind = TROUBLE_MACHINE_CRASH, .share = 0.5},
-      {.at_s = 106, .kind = TROUBLE_CANCEL_NOW, .count = 8, .hang_s = 11},
-      {.at_s = 110, .kind = TROUBLE_NODE_CRASH, .who = WHO_LEADER}};
+      {.at_s = 35, .kind = FAULT_LATE_REPORTS, .for_s = 24, .share = 0.7, .for_next = TRUE},
+      {.at_s = 59.5, .kind = FAULT_MACHINE_CRASH, .share = 0.5},
+      {.at_s = 106, .kind = FAULT_CANCEL_NOW, .count = 8, .hang_s = 11},
+      {.at_s = 110, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER}};
   PLAY (2020, 2024, day);
 }
 
@@ -59,13 +59,13 @@
 static void
 reports_as_a_leader_begins (void **state G_GNUC_UNUSED)
 {
-  static const HrTrouble day[] = {
-      {.at_s = 35, .kind = TROUBLE_LATE_REPORTS, .for_s = 24, .share = 0.7, .to_all = TRUE},
-      {.at_s = 59.5, .kind = TROUBLE_MACHINE_CRASH, .share = 0.5},
-      {.at_s = 108, .kind = TROUBLE_CANCEL_NOW, .count = 8, .hang_s = 11},
-      {.at_s = 110, .kind = TROUBLE_NODE_CRASH, .who = WHO_LEADER},
-      {.at_s = 160, .kind = TROUBLE_LATE_REPORTS, .for_s = 60, .share = 0.3},
-      {.at_s = 180, .kind = TROUBLE_NODE_CRASH, .who = WHO_LEADER, .back_s = 0.3}};
+  static const HrFault day[] = {
+      {.at_s = 35, .kind = FAULT_LATE_REPORTS, .for_s = 24, .share = 0.7, .to_all = TRUE},
+      {.at_s = 59.5, .kind = FAULT_MACHINE_CRASH, .share = 0.5},
+      {.at_s = 108, .kind = FAULT_CANCEL_NOW, .count = 8, .hang_s = 11},
+      {.at_s = 110, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER},
+      {.at_s = 160, .kind = FAULT_LATE_REPORTS, .for_s = 60, .share = 0.3},
+      {.at_s = 180, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER, .back_s = 0.3}};
   PLAY (2030, 2034, day);
 }
 
@@ -74,11 +74,11 @@
 static void
 late_commands_and_deaf_machines (void **state G_GNUC_UNUSED)
 {
-  static const HrTrouble day[] = {
-      {.at_s = 40, .kind = TROUBLE_LATE_COMMANDS, .for_s = 150, .share = 0.4},
-      {.at_s = 60, .kind = TROUBLE_MACHINE_DEAF, .for_s = 18, .share = 0.3},
-      {.at_s = 70, .kind = TROUBLE_CANCEL_NOW, .count = 10, .hang_s = 9},
-      {.at_s = 120, .kind = TROUBLE_CANCEL_NOW, .count = 10, .hang_s = 20}};
+  static const HrFault day[] = {
+      {.at_s = 40, .kind = FAULT_LATE_COMMANDS, .for_s = 150, .share = 0.4},
+      {.at_s = 60, .kind = FAULT_MACHINE_DEAF, .for_s = 18, .share = 0.3},
+      {.at_s = 70, .kind = FAULT_CANCEL_NOW, .count = 10, .hang_s = 9},
+      {.at_s = 120, .kind = FAULT_CANCEL_NOW, .count = 10, .hang_s = 20}};
   PLAY (2040, 2044, day);
 }
 
@@ -87,12 +87,11 @@
 static void
 mute_machines_and_cancels (void **state G_GNUC_UNUSED)
 {
-  static const HrTrouble day[] = {
-      {.at_s = 80, .kind = TROUBLE_MACHINE_MUTE, .for_s = 25, .share = 0.4},
-      {.at_s = 84, .kind = TROUBLE_CANCEL_NOW, .count = 10},
-      {.at_s = 88, .kind = TROUBLE_NODE_CRASH, .who = WHO_LEADER},
-      {.at_s = 170, .kind = TROUBLE_MACHINE_MUTE, .for_s = 12, .share = 1},
-      {.at_s = 172, .kind = TROUBLE_CANCEL_NOW, .count = 10, .hang_s = 13}};
+  static const HrFault day[] = {{.at_s = 80, .kind = FAULT_MACHINE_MUTE, .for_s = 25, .share = 0.4},
+                                {.at_s = 84, .kind = FAULT_CANCEL_NOW, .count = 10},
+                                {.at_s = 88, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER},
+                                {.at_s = 170, .kind = FAULT_MACHINE_MUTE, .for_s = 12, .share = 1},
+                                {.at_s = 172, .kind = FAULT_CANCEL_NOW, .count = 10, .hang_s = 13}};
   PLAY (2050, 2054, day);
 }
 
@@ -101,24 +100,23 @@
 static void
 cut_leaders_and_cancels (void **state G_GNUC_UNUSED)
 {
-  static const HrTrouble day[] = {
-      {.at_s = 60, .kind = TROUBLE_CLOSE_LOOKS, .for_s = 160},
-      {.at_s = 80,
-       .kind = TROUBLE_NODE_CUT,
-       .who = WHO_LEADER,
-       .for_s = 30,
-       .from_state = TRUE,
-       .from_peers = TRUE},
-      {.at_s = 86, .kind = TROUBLE_CANCEL_NOW, .count = 6},
-      {.at_s = 92, .kind = TROUBLE_CANCEL_NOW, .count = 6, .hang_s = 10},
-      {.at_s = 160,
-       .kind = TROUBLE_NODE_CUT,
-       .who = WHO_LEADER,
-       .for_s = 20,
-       .from_state = TRUE,
-       .from_peers = TRUE,
-       .hold = TRUE},
-      {.at_s = 163, .kind = TROUBLE_CANCEL_NOW, .count = 10}};
+  static const HrFault day[] = {{.at_s = 60, .kind = FAULT_CLOSE_LOOKS, .for_s = 160},
+                                {.at_s = 80,
+                                 .kind = FAULT_NODE_CUT,
+                                 .who = WHO_LEADER,
+                                 .for_s = 30,
+                                 .from_state = TRUE,
+                                 .from_peers = TRUE},
+                                {.at_s = 86, .kind = FAULT_CANCEL_NOW, .count = 6},
+                                {.at_s = 92, .kind = FAULT_CANCEL_NOW, .count = 6, .hang_s = 10},
+                                {.at_s = 160,
+                                 .kind = FAULT_NODE_CUT,
+                                 .who = WHO_LEADER,
+                                 .for_s = 20,
+                                 .from_state = TRUE,
+                                 .from_peers = TRUE,
+                                 .hold = TRUE},
+                                {.at_s = 163, .kind = FAULT_CANCEL_NOW, .count = 10}};
   PLAY (2060, 2064, day);
 }
 
@@ -127,13 +125,13 @@
 static void
 refused_leaders_and_outages (void **state G_GNUC_UNUSED)
 {
-  static const HrTrouble day[] = {
-      {.at_s = 80, .kind = TROUBLE_STATE_REFUSES, .who = WHO_LEADER, .for_s = 14},
-      {.at_s = 80, .kind = TROUBLE_CANCEL_NOW, .count = 12},
-      {.at_s = 81, .kind = TROUBLE_STATE_OUTAGE, .for_s = 45},
-      {.at_s = 170, .kind = TROUBLE_STATE_REFUSES, .who = WHO_LEADER, .for_s = 14},
-      {.at_s = 171.5, .kind = TROUBLE_CANCEL_NOW, .count = 12, .hang_s = 12},
-      {.at_s = 172.5, .kind = TROUBLE_STATE_OUTAGE, .for_s = 50}};
+  static const HrFault day[] = {
+      {.at_s = 80, .kind = FAULT_STATE_REFUSES, .who = WHO_LEADER, .for_s = 14},
+      {.at_s = 80, .kind = FAULT_CANCEL_NOW, .count = 12},
+      {.at_s = 81, .kind = FAULT_STATE_OUTAGE, .for_s = 45},
+      {.at_s = 170, .kind = FAULT_STATE_REFUSES, .who = WHO_LEADER, .for_s = 14},
+      {.at_s = 171.5, .kind = FAULT_CANCEL_NOW, .count = 12, .hang_s = 12},
+      {.at_s = 172.5, .kind = FAULT_STATE_OUTAGE, .for_s = 50}};
   PLAY (2070, 2076, day);
 }
 
@@ -141,12 +139,12 @@
 static void
 slow_state_and_looks (void **state G_GNUC_UNUSED)
 {
-  static const HrTrouble day[] = {
-      {.at_s = 40, .kind = TROUBLE_STATE_SLOW, .for_s = 120, .delay_s = 0.8},
-      {.at_s = 40, .kind = TROUBLE_CLOSE_LOOKS, .for_s = 200},
-      {.at_s = 80, .kind = TROUBLE_CANCEL_NOW, .count = 8},
-      {.at_s = 60, .kind = TROUBLE_CANCEL_AT_END, .for_s = 140, .share = 0.8},
-      {.at_s = 130, .kind = TROUBLE_NODE_CRASH, .who = WHO_LEADER}};
+  static const HrFault day[] = {
+      {.at_s = 40, .kind = FAULT_STATE_SLOW, .for_s = 120, .delay_s = 0.8},
+      {.at_s = 40, .kind = FAULT_CLOSE_LOOKS, .for_s = 200},
+      {.at_s = 80, .kind = FAULT_CANCEL_NOW, .count = 8},
+      {.at_s = 60, .kind = FAULT_CANCEL_AT_END, .for_s = 140, .share = 0.8},
+      {.at_s = 130, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER}};
   PLAY (2080, 2084, day);
 }
 
@@ -155,12 +153,12 @@
 static void
 odd_requests_and_new_leaders (void **state G_GNUC_UNUSED)
 {
-  static const HrTrouble day[] = {
-      {.at_s = 10, .kind = TROUBLE_ODD_REQUESTS, .for_s = 250},
-      {.at_s = 60, .kind = TROUBLE_LATE_WRITES, .for_s = 40, .share = 0.3, .at_once = TRUE},
-      {.at_s = 120, .kind = TROUBLE_NODE_CRASH, .who = WHO_LEADER},
-      {.at_s = 160, .kind = TROUBLE_STATE_SLOW, .for_s = 60, .delay_s = 0.5},
-      {.at_s = 180, .kind = TROUBLE_STATE_REFUSES, .who = WHO_OTHER, .for_s = 20}};
+  static const HrFault day[] = {
+      {.at_s = 10, .kind = FAULT_ODD_REQUESTS, .for_s = 250},
+      {.at_s = 60, .kind = FAULT_LATE_WRITES, .for_s = 40, .share = 0.3, .at_once = TRUE},
+      {.at_s = 120, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER},
+      {.at_s = 160, .kind = FAULT_STATE_SLOW, .for_s = 60, .delay_s = 0.5},
+      {.at_s = 180, .kind = FAULT_STATE_REFUSES, .who = WHO_OTHER, .for_s = 20}};
   PLAY (2090, 2093, day);
 }
 
@@ -168,10 +166,10 @@
 static void
 ten_leaders_and_an_outage (void **state G_GNUC_UNUSED)
 {
-  static const HrTrouble day[] = {
-      {.at_s = 60, .kind = TROUBLE_NODE_CRASH, .who = WHO_LEADER, .times = 10, .every_s = 12},
-      {.at_s = 100, .kind = TROUBLE_STATE_OUTAGE, .for_s = 20},
-      {.at_s = 70, .kind = TROUBLE_CANCEL_NOW, .count = 4, .hang_s = 8, .times = 5, .every_s = 20}};
+  static const HrFault day[] = {
+      {.at_s = 60, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER, .times = 10, .every_s = 12},
+      {.at_s = 100, .kind = FAULT_STATE_OUTAGE, .for_s = 20},
+      {.at_s = 70, .kind = FAULT_CANCEL_NOW, .count = 4, .hang_s = 8, .times = 5, .every_s = 20}};
   PLAY (2120, 2124, day);
 }
 
@@ -180,14 +178,14 @@
 static void
 deaf_machines_and_the_next_leader (void **state G_GNUC_UNUSED)
 {
-  static const HrTrouble day[] = {
-      {.at_s = 60, .kind = TROUBLE_LATE_REPORTS, .for_s = 45, .share = 0.5, .for_next = TRUE},
-      {.at_s = 95, .kind = TROUBLE_MACHINE_DEAF, .share = 0.4, .for_s = 25},
-      {.at_s = 96, .kind = TROUBLE_MACHINE_CUT, .share = 0.3, .for_s = 25, .hold = TRUE},
-      {.at_s = 97, .kind = TROUBLE_NODE_CRASH, .who = WHO_LEADER},
-      {.at_s = 99, .kind = TROUBLE_CANCEL_NOW, .count = 8, .hang_s = 11},
-      {.at_s = 170, .kind = TROUBLE_LATE_REPORTS, .for_s = 30, .share = 0.5, .to_all = TRUE},
-      {.at_s = 185, .kind = TROUBLE_NODE_CRASH, .who = WHO_LEADER, .back_s = 0.3}};
+  static const HrFault day[] = {
+      {.at_s = 60, .kind = FAULT_LATE_REPORTS, .for_s = 45, .share = 0.5, .for_next = TRUE},
+      {.at_s = 95, .kind = FAULT_MACHINE_DEAF, .share = 0.4, .for_s = 25},
+      {.at_s = 96, .kind = FAULT_MACHINE_CUT, .share = 0.3, .for_s = 25, .hold = TRUE},
+      {.at_s = 97, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER},
+      {.at_s = 99, .kind = FAULT_CANCEL_NOW, .count = 8, .hang_s = 11},
+      {.at_s = 170, .kind = FAULT_LATE_REPORTS, .for_s = 30, .share = 0.5, .to_all = TRUE},
+      {.at_s = 185, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER, .back_s = 0.3}};
   PLAY (2300, 2304, day);
 }
 
@@ -196,15 +194,15 @@
 static void
 standing_leaders_and_refusals (void **state G_GNUC_UNUSED)
 {
-  static const HrTrouble day[] = {
-      {.at_s = 70, .kind = TROUBLE_NODE_FREEZE, .who = WHO_LEADER, .for_s = 3.5},
-      {.at_s = 71, .kind = TROUBLE_CANCEL_NOW, .count = 6, .hang_s = 9},
-      {.at_s = 90, .kind = TROUBLE_NODE_FREEZE, .who = WHO_LEADER, .for_s = 9},
-      {.at_s = 93, .kind = TROUBLE_CANCEL_NOW, .count = 8},
-      {.at_s = 150, .kind = TROUBLE_STATE_REFUSES, .who = WHO_LEADER, .for_s = 12},
-      {.at_s = 151, .kind = TROUBLE_CANCEL_NOW, .count = 10},
-      {.at_s = 152, .kind = TROUBLE_STATE_OUTAGE, .for_s = 45},
-      {.at_s = 158, .kind = TROUBLE_NODE_FREEZE, .who = WHO_LEADER, .for_s = 6}};
+  static const HrFault day[] = {
+      {.at_s = 70, .kind = FAULT_NODE_FREEZE, .who = WHO_LEADER, .for_s = 3.5},
+      {.at_s = 71, .kind = FAULT_CANCEL_NOW, .count = 6, .hang_s = 9},
+      {.at_s = 90, .kind = FAULT_NODE_FREEZE, .who = WHO_LEADER, .for_s = 9},
+      {.at_s = 93, .kind = FAULT_CANCEL_NOW, .count = 8},
+      {.at_s = 150, .kind = FAULT_STATE_REFUSES, .who = WHO_LEADER, .for_s = 12},
+      {.at_s = 151, .kind = FAULT_CANCEL_NOW, .count = 10},
+      {.at_s = 152, .kind = FAULT_STATE_OUTAGE, .for_s = 45},
+      {.at_s = 158, .kind = FAULT_NODE_FREEZE, .who = WHO_LEADER, .for_s = 6}};
   PLAY (2310, 2314, day);
 }
 
