--- a/tests/test_fault_scenarios_fleet.c
+++ b/tests/test_fault_scenarios_fleet.c
@@ -10,13 +10,13 @@
 static void
 fast_boots_and_late_writes (void **state G_GNUC_UNUSED)
 {
-  static const HrTrouble day[] = {
-      {.at_s = 0.1, .kind = TROUBLE_FAST_BOOT, .for_s = 250},
-      {.at_s = 2, .kind = TROUBLE_LATE_WRITES, .for_s = 80, .share = 0.3},
-      {.at_s = 40, .kind = TROUBLE_NODE_CRASH, .who = WHO_LEADER},
-      {.at_s = 110, .kind = TROUBLE_MACHINE_CRASH, .share = 0.5},
-      {.at_s = 110, .kind = TROUBLE_LATE_WRITES, .for_s = 40, .share = 0.6},
-      {.at_s = 114, .kind = TROUBLE_NODE_CRASH, .who = WHO_LEADER, .back_s = 0.5}};
+  static const HrFault day[] = {
+      {.at_s = 0.1, .kind = FAULT_FAST_BOOT, .for_s = 250},
+      {.at_s = 2, .kind = FAULT_LATE_WRITES, .for_s = 80, .share = 0.3},
+      {.at_s = 40, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER},
+      {.at_s = 110, .kind = FAULT_MACHINE_CRASH, .share = 0.5},
+      {.at_s = 110, .kind = FAULT_LATE_WRITES, .for_s = 40, .share = 0.6},
+      {.at_s = 114, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER, .back_s = 0.5}};
   PLAY (2100, 2104, day);
 }
 
@@ -31,12 +31,12 @@
 static void
 single_jobs_and_new_leaders (void **state G_GNUC_UNUSED)
 {
-  static const HrTrouble day[] = {
-      {.at_s = 30, .kind = TROUBLE_CANCEL_AT_END, .for_s = 150, .share = 0.2},
-      {.at_s = 40, .kind = TROUBLE_CLOSE_LOOKS, .for_s = 30},
-      {.at_s = 60, .kind = TROUBLE_NODE_CRASH, .who = WHO_LEADER},
-      {.at_s = 100, .kind = TROUBLE_LATE_WRITES, .for_s = 30, .share = 0.2, .at_once = TRUE},
-      {.at_s = 140, .kind = TROUBLE_NODE_CRASH, .who = WHO_LEADER, .back_s = 0.4}};
+  static const HrFault day[] = {
+      {.at_s = 30, .kind = FAULT_CANCEL_AT_END, .for_s = 150, .share = 0.2},
+      {.at_s = 40, .kind = FAULT_CLOSE_LOOKS, .for_s = 30},
+      {.at_s = 60, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER},
+      {.at_s = 100, .kind = FAULT_LATE_WRITES, .for_s = 30, .share = 0.2, .at_once = TRUE},
+      {.at_s = 140, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER, .back_s = 0.4}};
   PLAY_SET (2110, 2112, day, .users = four_a_second, .until = 500);
 }
 
@@ -44,16 +44,16 @@
 static void
 cut_zones_and_cancels (void **state G_GNUC_UNUSED)
 {
-  static const HrTrouble day[] = {
-      {.at_s = 70, .kind = TROUBLE_ZONE_CUT, .zone = ZONE (0), .who = WHO_LEADER, .for_s = 30},
-      {.at_s = 74, .kind = TROUBLE_CANCEL_NOW, .count = 8},
+  static const HrFault day[] = {
+      {.at_s = 70, .kind = FAULT_ZONE_CUT, .zone = ZONE (0), .who = WHO_LEADER, .for_s = 30},
+      {.at_s = 74, .kind = FAULT_CANCEL_NOW, .count = 8},
       {.at_s = 160,
-       .kind = TROUBLE_ZONE_CUT,
+       .kind = FAULT_ZONE_CUT,
        .zone = ZONE (1),
        .who = WHO_OTHER,
        .for_s = 40,
        .hold = TRUE},
-      {.at_s = 165, .kind = TROUBLE_CANCEL_NOW, .count = 8, .hang_s = 11}};
+      {.at_s = 165, .kind = FAULT_CANCEL_NOW, .count = 8, .hang_s = 11}};
   PLAY (2130, 2134, day);
 }
 
@@ -62,13 +62,13 @@
 static void
 full_teams_and_cut_machines (void **state G_GNUC_UNUSED)
 {
-  static const HrTrouble day[] = {
-      {.at_s = 80, .kind = TROUBLE_MACHINE_CUT, .share = 0.4, .for_s = 22, .hold = TRUE},
-      {.at_s = 82, .kind = TROUBLE_CANCEL_NOW, .count = 6, .hang_s = 12},
-      {.at_s = 83, .kind = TROUBLE_NODE_CRASH, .who = WHO_LEADER},
-      {.at_s = 150, .kind = TROUBLE_LATE_WRITES, .for_s = 20, .share = 0.4},
-      {.at_s = 155, .kind = TROUBLE_CANCEL_NOW, .count = 6, .hang_s = 20},
-      {.at_s = 156, .kind = TROUBLE_NODE_CRASH, .who = WHO_LEADER, .back_s = 0.3}};
+  static const HrFault day[] = {
+      {.at_s = 80, .kind = FAULT_MACHINE_CUT, .share = 0.4, .for_s = 22, .hold = TRUE},
+      {.at_s = 82, .kind = FAULT_CANCEL_NOW, .count = 6, .hang_s = 12},
+      {.at_s = 83, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER},
+      {.at_s = 150, .kind = FAULT_LATE_WRITES, .for_s = 20, .share = 0.4},
+      {.at_s = 155, .kind = FAULT_CANCEL_NOW, .count = 6, .hang_s = 20},
+      {.at_s = 156, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER, .back_s = 0.3}};
   PLAY_SET (2140, 2144, day, .quota_gpus = 12, .until = 1100);
 }
 
@@ -77,12 +77,12 @@
 static void
 no_controllers_and_cut_machines (void **state G_GNUC_UNUSED)
 {
-  static const HrTrouble day[] = {
-      {.at_s = 80, .kind = TROUBLE_NODE_CRASH, .who = WHO_ALL, .back_s = 18},
-      {.at_s = 90, .kind = TROUBLE_MACHINE_CUT, .zone = ZONE (1), .for_s = 20, .hold = TRUE},
-      {.at_s = 109, .kind = TROUBLE_CANCEL_NOW, .count = 6},
-      {.at_s = 170, .kind = TROUBLE_NODE_CRASH, .who = WHO_ALL, .back_s = 25, .first_back_s = 0.5},
-      {.at_s = 171, .kind = TROUBLE_CLOSE_LOOKS, .for_s = 30}};
+  static const HrFault day[] = {
+      {.at_s = 80, .kind = FAULT_NODE_CRASH, .who = WHO_ALL, .back_s = 18},
+      {.at_s = 90, .kind = FAULT_MACHINE_CUT, .zone = ZONE (1), .for_s = 20, .hold = TRUE},
+      {.at_s = 109, .kind = FAULT_CANCEL_NOW, .count = 6},
+      {.at_s = 170, .kind = FAULT_NODE_CRASH, .who = WHO_ALL, .back_s = 25, .first_back_s = 0.5},
+      {.at_s = 171, .kind = FAULT_CLOSE_LOOKS, .for_s = 30}};
   PLAY (2150, 2154, day);
 }
 
@@ -96,12 +96,12 @@
 static void
 bound_jobs_and_lost_machines (void **state G_GNUC_UNUSED)
 {
-  static const HrTrouble day[] = {
-      {.at_s = 70, .kind = TROUBLE_MACHINE_CRASH, .zone = ZONE (0), .share = 0.6},
-      {.at_s = 72, .kind = TROUBLE_NODE_CRASH, .who = WHO_LEADER},
-      {.at_s = 120, .kind = TROUBLE_MACHINE_HANG, .zone = ZONE (1), .share = 0.5, .for_s = 18},
-      {.at_s = 125, .kind = TROUBLE_CANCEL_NOW, .count = 6},
-      {.at_s = 170, .kind = TROUBLE_MACHINE_CUT, .zone = ZONE (0), .for_s = 25}};
+  static const HrFault day[] = {
+      {.at_s = 70, .kind = FAULT_MACHINE_CRASH, .zone = ZONE (0), .share = 0.6},
+      {.at_s = 72, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER},
+      {.at_s = 120, .kind = FAULT_MACHINE_HANG, .zone = ZONE (1), .share = 0.5, .for_s = 18},
+      {.at_s = 125, .kind = FAULT_CANCEL_NOW, .count = 6},
+      {.at_s = 170, .kind = FAULT_MACHINE_CUT, .zone = ZONE (0), .for_s = 25}};
   PLAY_SET (2160, 2164, day, .users = bound_to_zones);
 }
 
@@ -122,9 +122,9 @@
 static void
 a_gang_beyond_the_limit_and_new_leaders (void **state G_GNUC_UNUSED)
 {
-  static const HrTrouble day[] = {
-      {.at_s = 60, .kind = TROUBLE_NODE_CRASH, .who = WHO_LEADER},
-      {.at_s = 70, .kind = TROUBLE_NODE_CRASH, .who = WHO_LEADER, .back_s = 0.4}};
+  static const HrFault day[] = {
+      {.at_s = 60, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER},
+      {.at_s = 70, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER, .back_s = 0.4}};
   PLAY_SET (2190, 2192, day, .users = at_their_limit, .quota_gpus = 12);
 }
 
@@ -132,15 +132,10 @@
 static void
 overload_and_slow_links (void **state G_GNUC_UNUSED)
 {
-  static const HrTrouble day[] = {
-      {.at_s = 20, .kind = TROUBLE_SLOW_LINKS, .for_s = 150, .delay_s = 0.25},
-      {.at_s = 90, .kind = TROUBLE_NODE_CRASH, .who = WHO_LEADER},
-      {.at_s = 100,
-       .kind = TROUBLE_CANCEL_NOW,
-       .count = 5,
-       .hang_s = 12,
-       .times = 3,
-       .every_s = 9}};
+  static const HrFault day[] = {
+      {.at_s = 20, .kind = FAULT_SLOW_LINKS, .for_s = 150, .delay_s = 0.25},
+      {.at_s = 90, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER},
+      {.at_s = 100, .kind = FAULT_CANCEL_NOW, .count = 5, .hang_s = 12, .times = 3, .every_s = 9}};
   PLAY_SET (2170, 2174, day, .users = too_much, .capacity = 8, .until = 900);
 }
 
@@ -149,12 +144,12 @@
 static void
 ends_far_apart_and_new_leaders (void **state G_GNUC_UNUSED)
 {
-  static const HrTrouble day[] = {
-      {.at_s = 40, .kind = TROUBLE_CLOSE_LOOKS, .for_s = 200},
-      {.at_s = 50, .kind = TROUBLE_CANCEL_AT_END, .for_s = 150, .share = 0.5},
-      {.at_s = 60, .kind = TROUBLE_LATE_WRITES, .for_s = 120, .share = 0.3, .at_once = TRUE},
-      {.at_s = 70, .kind = TROUBLE_NODE_CRASH, .who = WHO_LEADER, .times = 5, .every_s = 25},
-      {.at_s = 71, .kind = TROUBLE_MACHINE_CRASH, .count = 2, .times = 5, .every_s = 25}};
+  static const HrFault day[] = {
+      {.at_s = 40, .kind = FAULT_CLOSE_LOOKS, .for_s = 200},
+      {.at_s = 50, .kind = FAULT_CANCEL_AT_END, .for_s = 150, .share = 0.5},
+      {.at_s = 60, .kind = FAULT_LATE_WRITES, .for_s = 120, .share = 0.3, .at_once = TRUE},
+      {.at_s = 70, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER, .times = 5, .every_s = 25},
+      {.at_s = 71, .kind = FAULT_MACHINE_CRASH, .count = 2, .times = 5, .every_s = 25}};
   PLAY (2320, 2324, day);
 }
 
@@ -163,11 +158,11 @@
 static void
 cloud_outages_and_lost_machines (void **state G_GNUC_UNUSED)
 {
-  static const HrTrouble day[] = {{.at_s = 60, .kind = TROUBLE_CLOUD_OUTAGE, .for_s = 25},
-                                  {.at_s = 62, .kind = TROUBLE_MACHINE_CRASH, .share = 0.4},
-                                  {.at_s = 150, .kind = TROUBLE_MACHINE_CRASH, .share = 0.6},
-                                  {.at_s = 150, .kind = TROUBLE_CLOUD_OUTAGE, .for_s = 20},
-                                  {.at_s = 160, .kind = TROUBLE_NODE_CRASH, .who = WHO_LEADER}};
+  static const HrFault day[] = {{.at_s = 60, .kind = FAULT_CLOUD_OUTAGE, .for_s = 25},
+                                {.at_s = 62, .kind = FAULT_MACHINE_CRASH, .share = 0.4},
+                                {.at_s = 150, .kind = FAULT_MACHINE_CRASH, .share = 0.6},
+                                {.at_s = 150, .kind = FAULT_CLOUD_OUTAGE, .for_s = 20},
+                                {.at_s = 160, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER}};
   PLAY (2180, 2184, day);
 }
 
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -269,22 +269,22 @@
       {64, HR_BATCH, 30, 50, NULL, 0, FALSE, NULL}, {150, HR_GANG, 2, 60, NULL, 0, FALSE, NULL},
   };
   /* New machines are up at once, so that what is wrongly taken for free starts meanwhile. */
-  static const HrTrouble day[] = {
-      {.at_s = 90, .kind = TROUBLE_FAST_BOOT, .for_s = 60},
-      {.at_s = 100, .kind = TROUBLE_MACHINE_CUT, .count = 5, .for_s = 30, .hold = TRUE},
-      {.at_s = 102, .kind = TROUBLE_CANCEL_NOW, .count = 3, .hang_s = 24},
-      {.at_s = 102.5, .kind = TROUBLE_NODE_CRASH, .who = WHO_LEADER},
-      {.at_s = 190, .kind = TROUBLE_FAST_BOOT, .for_s = 60},
-      {.at_s = 200, .kind = TROUBLE_LATE_WRITES, .share = 0.4, .for_s = 30},
-      {.at_s = 205, .kind = TROUBLE_CANCEL_NOW, .count = 2, .hang_s = 24},
-      {.at_s = 206, .kind = TROUBLE_NODE_CRASH, .who = WHO_LEADER},
+  static const HrFault day[] = {
+      {.at_s = 90, .kind = FAULT_FAST_BOOT, .for_s = 60},
+      {.at_s = 100, .kind = FAULT_MACHINE_CUT, .count = 5, .for_s = 30, .hold = TRUE},
+      {.at_s = 102, .kind = FAULT_CANCEL_NOW, .count = 3, .hang_s = 24},
+      {.at_s = 102.5, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER},
+      {.at_s = 190, .kind = FAULT_FAST_BOOT, .for_s = 60},
+      {.at_s = 200, .kind = FAULT_LATE_WRITES, .share = 0.4, .for_s = 30},
+      {.at_s = 205, .kind = FAULT_CANCEL_NOW, .count = 2, .hang_s = 24},
+      {.at_s = 206, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER},
   };
   guint broken = 0;
   for (guint32 incarnation = 1240; incarnation < 1248; incarnation++) {
     World *world = world_with_limit (incarnation, LIMIT_GPUS);
     users_probe (world);
     limits_submit (world, work, G_N_ELEMENTS (work));
-    troubles_plan (world, day, G_N_ELEMENTS (day));
+    faults_plan (world, day, G_N_ELEMENTS (day));
     world_run (world, DAY_S);
     check_done (world);
     broken += verdict (world, incarnation);
--- a/tests/test_pairs.c
+++ b/tests/test_pairs.c
@@ -17,8 +17,8 @@
 #include <string.h>
 
 #define PAIRS_A_DAY 4
-#define PAIRS (TROUBLE_KINDS * (TROUBLE_KINDS + 1) / 2)
-#define MOMENTS (TROUBLE_MOMENTS - 1)
+#define PAIRS (FAULT_KINDS * (FAULT_KINDS + 1) / 2)
+#define MOMENTS (FAULT_TRIGGERS - 1)
 #define DAYS ((PAIRS * MOMENTS + PAIRS_A_DAY - 1) / PAIRS_A_DAY)
 #define FIRST_AT_S 50.0
 #define PAIR_EVERY_S 45.0
@@ -31,13 +31,13 @@
 
 typedef struct {
   guint32 seed;
-  HrTrouble troubles[MOST];
+  HrFault troubles[MOST];
   guint n;
 } Day;
 
 typedef struct {
-  HrTroubleKind first, second;
-  HrMoment moment;
+  HrFaultKind first, second;
+  HrFaultTrigger moment;
 } Pair;
 
 /* The pair with this number: pairs of kinds go through all moments in turn. */
@@ -46,8 +46,8 @@
 {
   guint kinds = number % PAIRS;
   Pair pair = {.moment = ON_TIME + 1 + (number / PAIRS + kinds) % MOMENTS};
-  for (guint a = 0, at = 0; a < TROUBLE_KINDS; a++)
-    for (guint b = a; b < TROUBLE_KINDS; b++, at++)
+  for (guint a = 0, at = 0; a < FAULT_KINDS; a++)
+    for (guint b = a; b < FAULT_KINDS; b++, at++)
       if (at == kinds) {
         gboolean swap = number / PAIRS % 2;
         pair.first = swap ? b : a;
@@ -64,9 +64,9 @@
   for (guint i = 0; i < PAIRS_A_DAY; i++) {
     Pair pair = pair_of (number * PAIRS_A_DAY + i);
     double at = FIRST_AT_S + i * PAIR_EVERY_S;
-    HrTrouble *first = &day.troubles[day.n++], *second = &day.troubles[day.n++];
-    *first = trouble_draw (rand, pair.first, at, 14);
-    *second = trouble_draw (rand, pair.second, at + g_rand_double_range (rand, 0, WITHIN_S), 14);
+    HrFault *first = &day.troubles[day.n++], *second = &day.troubles[day.n++];
+    *first = fault_draw (rand, pair.first, at, 14);
+    *second = fault_draw (rand, pair.second, at + g_rand_double_range (rand, 0, WITHIN_S), 14);
     second->on = pair.moment;
   }
   return day;
@@ -79,7 +79,7 @@
   World *world = world_new (day->seed, day->seed % 3 == 2 ? 5 : 3);
   users_init (world, 40, 260);
   users_probe (world);
-  troubles_plan (world, day->troubles, day->n);
+  faults_plan (world, day->troubles, day->n);
   world_run (world, DAY_S);
   for (guint i = 0; i < world->jobs->len; i++) {
     const SimJob *job = world->jobs->pdata[i];
@@ -147,7 +147,7 @@
 {
   fprintf (stderr, "seed=%u\n", day->seed);
   for (guint i = 0; i < day->n; i++) {
-    g_autofree char *text = trouble_text (&day->troubles[i]);
+    g_autofree char *text = fault_to_text (&day->troubles[i]);
     fprintf (stderr, "%s\n", text);
   }
 }
@@ -161,15 +161,15 @@
 
 /* ---- the search ---- */
 
-static guint met[TROUBLE_KINDS][TROUBLE_KINDS];
+static guint met[FAULT_KINDS][FAULT_KINDS];
 
 /* Both took effect on something that day. */
 static void
 note_met (const World *world, const Day *day)
 {
   for (guint i = 0; i + 1 < day->n; i += 2) {
-    HrTroubleKind first = day->troubles[i].kind, second = day->troubles[i + 1].kind;
-    if (world->troubles.played[first] && world->troubles.played[second]) {
+    HrFaultKind first = day->troubles[i].kind, second = day->troubles[i + 1].kind;
+    if (world->troubles.effects[first] && world->troubles.effects[second]) {
       met[first][second]++;
       if (first != second)
         met[second][first]++;
@@ -182,8 +182,8 @@
 {
   guint pairs = 0;
   printf ("%-14s how often each pair of troubles took effect on one day\n", "");
-  for (int attempt = 0; attempt < TROUBLE_KINDS; attempt++) {
-    printf ("%-14s", trouble_kind_name (attempt));
+  for (int attempt = 0; attempt < FAULT_KINDS; attempt++) {
+    printf ("%-14s", fault_kind_name (attempt));
     for (int b = 0; b <= attempt; b++) {
       printf (" %2u", met[attempt][b]);
       pairs += met[attempt][b] > 0;
@@ -227,7 +227,7 @@
   for (guint i = 0; lines[i]; i++) {
     if (g_str_has_prefix (lines[i], "seed="))
       day->seed = g_ascii_strtoull (lines[i] + strlen ("seed="), NULL, 10);
-    else if (*lines[i] && (day->n == MOST || !trouble_parse (lines[i], &day->troubles[day->n++]))) {
+    else if (*lines[i] && (day->n == MOST || !fault_parse (lines[i], &day->troubles[day->n++]))) {
       fprintf (stderr, "test_pairs: %s:%u is no trouble\n", file, i + 1);
       return FALSE;
     }
@@ -242,10 +242,10 @@
   for (guint number = 0; number < DAYS; number++) {
     Day day = draw_day (number);
     for (guint i = 0; i < day.n; i++) {
-      HrTrouble again;
-      g_autofree char *text = trouble_text (&day.troubles[i]);
-      gboolean read = trouble_parse (text, &again);
-      g_autofree char *second = read ? trouble_text (&again) : NULL;
+      HrFault again;
+      g_autofree char *text = fault_to_text (&day.troubles[i]);
+      gboolean read = fault_parse (text, &again);
+      g_autofree char *second = read ? fault_to_text (&again) : NULL;
       if (g_strcmp0 (text, second) != 0) {
         fprintf (stderr, "read back otherwise: %s\n", text);
         return FALSE;
--- a/tests/test_pipelines.c
+++ b/tests/test_pipelines.c
@@ -48,7 +48,7 @@
   /* A day on which nothing was taken along, or nothing came after another, shows nothing. */
   if (cancelled < 4 || done < 20)
     w_broken (world, "day", "%u jobs were taken along, %u are done after others", cancelled, done);
-  pipelines_verdict (world);
+  pipelines_check_end (world);
   if (world->limits_fall > 0 && store_large (world))
     w_broken (world, "large", "%u records are too large", store_large (world));
   if (store_garbage (world))
@@ -81,7 +81,7 @@
   guint broken = 0;
   for (guint seed = 2030; seed < 2036; seed++) {
     World *world = world_new (seed, 3);
-    faults_leaders (world, 25, CALM_AT);
+    faults_change_leaders (world, 25, CALM_AT);
     broken += play (world, seed, 0, FALSE);
   }
   assert_int_equal (broken, 0);
@@ -135,9 +135,9 @@
     world_restart (world);
   }
   double last = upgrade_roll (world, 60, seed % 2 ? 12 : 25, 4);
-  upgrade_limits_fall (world, last + fall_after_turn[seed % G_N_ELEMENTS (fall_after_turn)]);
+  upgrade_lower_limits (world, last + fall_after_turn[seed % G_N_ELEMENTS (fall_after_turn)]);
   if (seed % 3 == 0)
-    faults_leaders (world, 20, CALM_AT);
+    faults_change_leaders (world, 20, CALM_AT);
   return play (world, seed, seed % 3, FALSE);
 }
 
--- a/tests/test_sim.c
+++ b/tests/test_sim.c
@@ -141,7 +141,7 @@
   guint broken = 0;
   for (guint seed = 850; seed < 856; seed++) {
     World *world = world_new (seed, 3);
-    faults_held_cut (world, 150);
+    faults_cut_all_holding_packets (world, 150);
     broken += play_on (world, seed, 0, 0, 0);
   }
   assert_int_equal (broken, 0);
@@ -246,7 +246,7 @@
     World *world = world_new (seed, 3);
     users_long_fetches (world, seed >= 994);
     if (seed >= 994) /* the next owner knows images from the records alone */
-      faults_leader_ends (world, 116.5);
+      faults_crash_leader (world, 116.5);
     world_run (world, 600);
     for (guint i = 0; i < world->jobs->len; i++) {
       SimJob *job = world->jobs->pdata[i];
@@ -268,7 +268,7 @@
   for (guint seed = 960; seed < 964; seed++) {
     World *world = world_new (seed, 3);
     world->gang_image = 8;
-    faults_lost_places (world, 5, 250);
+    faults_crash_gang_machines (world, 5, 250);
     users_gangs (world, 6, 5, 30);
     world_run (world, 450);
     for (guint i = 0; i < world->jobs->len; i++) {
@@ -294,7 +294,7 @@
   for (guint seed = 900; seed < 908; seed++) {
     World *world = world_new (seed, 3);
     world->copies = 0.5;
-    faults_leaders (world, 40, 320);
+    faults_change_leaders (world, 40, 320);
     broken += play_on (world, seed, 0, 0, 0);
   }
   assert_int_equal (broken, 0);
@@ -384,7 +384,7 @@
     World *world = world_new (seed, 3);
     world->late_orders = 0.5;
     world->fickle = TRUE;
-    faults_changes_gone (world, 20, 300);
+    faults_compact_changes (world, 20, 300);
     broken += play_on (world, seed, 0, 0, 0);
   }
   assert_int_equal (broken, 0);
@@ -418,7 +418,7 @@
   guint broken = 0;
   for (guint seed = 1030; seed < 1036; seed++) {
     World *world = world_new (seed, seed % 2 ? 5 : 3);
-    faults_leader_unreached (world, 120, seed < 1033);
+    faults_cut_leader_from_workers (world, 120, seed < 1033);
     broken += play_services (world, seed);
   }
   assert_int_equal (broken, 0);
@@ -431,7 +431,7 @@
   guint broken = 0;
   for (guint seed = 1040; seed < 1046; seed++) {
     World *world = world_new (seed, seed % 2 ? 5 : 3);
-    faults_half_gone (world, 120);
+    faults_crash_half_of_machines (world, 120);
     broken += play_services (world, seed);
   }
   assert_int_equal (broken, 0);
@@ -494,7 +494,7 @@
   world_restart (world);
   users_crowd (world, 620, 250);
   users_probe (world);
-  faults_mass (world, 100);
+  faults_mass_failure (world, 100);
   faults_init (world, 0, 0, 330);
   world_run (world, 90);
   for (guint i = 0; i < world->machines->len; i++) {
@@ -539,7 +539,7 @@
   users_arrays (world, 10, 150);
   users_probe (world);
   double last = upgrade_roll (world, 75, seed % 2 ? 9 : 15, late ? 45 : 5);
-  upgrade_limits_fall (world, last + (late ? 3 : 5) + w_rand (world, 0.2, 3));
+  upgrade_lower_limits (world, last + (late ? 3 : 5) + w_rand (world, 0.2, 3));
   faults_init (world, faults, 30, 320);
   world_run (world, 900);
   if (!store_has (world, "h/format"))
--- a/tests/test_users_days.c
+++ b/tests/test_users_days.c
@@ -32,7 +32,7 @@
 #define PLAY(from, to, day) play_seeds (from, to, day, G_N_ELEMENTS (day))
 
 static void
-play_seeds (guint from, guint to, const HrTrouble *day, guint n)
+play_seeds (guint from, guint to, const HrFault *day, guint n)
 {
   guint broken = 0;
   for (guint seed = from; seed < to; seed++) {
@@ -40,11 +40,11 @@
     users_services (world, 6, 2, 2); /* so that there is always something to call off */
     users_init (world, 40, 300);
     users_probe (world);
-    troubles_plan (world, day, n);
+    faults_plan (world, day, n);
     world_run (world, DAY_S);
     check_end (world);
     for (guint i = 0; i < n; i++)
-      if (!world->troubles.played[day[i].kind])
+      if (!world->troubles.effects[day[i].kind])
         w_broken (world, "played", "trouble %u took no effect", i);
     for (guint i = 0; i < MIN (world->broken->len, 12); i++)
       fprintf (stderr, "seed %u: %s\n", seed, (char *)world->broken->pdata[i]);
@@ -59,15 +59,15 @@
 static void
 lost_answers_over_hand_overs (void **state G_GNUC_UNUSED)
 {
-  static const HrTrouble day[] = {
-      {.at_s = 30, .kind = TROUBLE_CLOSE_LOOKS, .for_s = 250, .share = 0.3},
-      {.at_s = 50, .kind = TROUBLE_LATE_WRITES, .for_s = 200, .share = 0.4, .at_once = TRUE},
-      {.at_s = 80, .kind = TROUBLE_NODE_CRASH, .who = WHO_LEADER, .back_s = 0.5},
-      {.at_s = 81, .kind = TROUBLE_CANCEL_NOW, .count = 6},
-      {.at_s = 84, .kind = TROUBLE_CANCEL_NOW, .count = 6},
-      {.at_s = 140, .kind = TROUBLE_NODE_FREEZE, .who = WHO_LEADER, .for_s = 8},
-      {.at_s = 143, .kind = TROUBLE_CANCEL_NOW, .count = 6},
-      {.at_s = 200, .kind = TROUBLE_NODE_CRASH, .who = WHO_ALL, .back_s = 1}};
+  static const HrFault day[] = {
+      {.at_s = 30, .kind = FAULT_CLOSE_LOOKS, .for_s = 250, .share = 0.3},
+      {.at_s = 50, .kind = FAULT_LATE_WRITES, .for_s = 200, .share = 0.4, .at_once = TRUE},
+      {.at_s = 80, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER, .back_s = 0.5},
+      {.at_s = 81, .kind = FAULT_CANCEL_NOW, .count = 6},
+      {.at_s = 84, .kind = FAULT_CANCEL_NOW, .count = 6},
+      {.at_s = 140, .kind = FAULT_NODE_FREEZE, .who = WHO_LEADER, .for_s = 8},
+      {.at_s = 143, .kind = FAULT_CANCEL_NOW, .count = 6},
+      {.at_s = 200, .kind = FAULT_NODE_CRASH, .who = WHO_ALL, .back_s = 1}};
   PLAY (2200, 2204, day);
 }
 
@@ -75,13 +75,13 @@
 static void
 late_writes_at_the_end (void **state G_GNUC_UNUSED)
 {
-  static const HrTrouble day[] = {
-      {.at_s = 30, .kind = TROUBLE_CANCEL_AT_END, .for_s = 250, .share = 0.6},
-      {.at_s = 40, .kind = TROUBLE_LATE_WRITES, .for_s = 80, .share = 0.4},
-      {.at_s = 90, .kind = TROUBLE_NODE_CRASH, .who = WHO_LEADER, .back_s = 0.5},
-      {.at_s = 150, .kind = TROUBLE_LATE_WRITES, .for_s = 80, .share = 0.6},
-      {.at_s = 160, .kind = TROUBLE_CLOSE_LOOKS, .for_s = 100},
-      {.at_s = 180, .kind = TROUBLE_STATE_REFUSES, .who = WHO_LEADER, .for_s = 9}};
+  static const HrFault day[] = {
+      {.at_s = 30, .kind = FAULT_CANCEL_AT_END, .for_s = 250, .share = 0.6},
+      {.at_s = 40, .kind = FAULT_LATE_WRITES, .for_s = 80, .share = 0.4},
+      {.at_s = 90, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER, .back_s = 0.5},
+      {.at_s = 150, .kind = FAULT_LATE_WRITES, .for_s = 80, .share = 0.6},
+      {.at_s = 160, .kind = FAULT_CLOSE_LOOKS, .for_s = 100},
+      {.at_s = 180, .kind = FAULT_STATE_REFUSES, .who = WHO_LEADER, .for_s = 9}};
   PLAY (2210, 2214, day);
 }
 
@@ -90,14 +90,14 @@
 static void
 slow_refused_and_away (void **state G_GNUC_UNUSED)
 {
-  static const HrTrouble day[] = {
-      {.at_s = 30, .kind = TROUBLE_CLOSE_LOOKS, .for_s = 250, .share = 0.3},
-      {.at_s = 50, .kind = TROUBLE_STATE_SLOW, .for_s = 40, .delay_s = 0.5},
-      {.at_s = 60, .kind = TROUBLE_CANCEL_NOW, .count = 6},
-      {.at_s = 99.8, .kind = TROUBLE_CANCEL_NOW, .count = 6},
-      {.at_s = 100, .kind = TROUBLE_STATE_REFUSES, .who = WHO_LEADER, .for_s = 60},
-      {.at_s = 100.3, .kind = TROUBLE_CANCEL_NOW, .count = 6},
-      {.at_s = 101, .kind = TROUBLE_STATE_OUTAGE, .for_s = 50}};
+  static const HrFault day[] = {
+      {.at_s = 30, .kind = FAULT_CLOSE_LOOKS, .for_s = 250, .share = 0.3},
+      {.at_s = 50, .kind = FAULT_STATE_SLOW, .for_s = 40, .delay_s = 0.5},
+      {.at_s = 60, .kind = FAULT_CANCEL_NOW, .count = 6},
+      {.at_s = 99.8, .kind = FAULT_CANCEL_NOW, .count = 6},
+      {.at_s = 100, .kind = FAULT_STATE_REFUSES, .who = WHO_LEADER, .for_s = 60},
+      {.at_s = 100.3, .kind = FAULT_CANCEL_NOW, .count = 6},
+      {.at_s = 101, .kind = FAULT_STATE_OUTAGE, .for_s = 50}};
   PLAY (2220, 2224, day);
 }
 
