--- a/tests/sim/faults.c
+++ b/tests/sim/faults.c
@@ -130,7 +130,7 @@
 }
 
 static void
-hit_machine (World *world, const DrawnFault *fault, int kind)
+apply_machine_fault (World *world, const DrawnFault *fault, int kind)
 {
   if (!fault->machine)
     return;
@@ -167,7 +167,7 @@
     break;
   case DRAWN_MACHINE_CUT:
   case DRAWN_MACHINE_HANG:
-    hit_machine (world, fault, kind);
+    apply_machine_fault (world, fault, kind);
     break;
   case DRAWN_SPOT_RECLAIMED:
     reclaim_spot_machines (world);
@@ -210,7 +210,7 @@
 }
 
 typedef struct {
-  FreezeWho who;
+  FreezeTarget who;
   double for_s;
 } Freeze;
 
@@ -226,7 +226,7 @@
 }
 
 void
-faults_freeze (World *world, double at, FreezeWho who, double for_s)
+faults_freeze (World *world, double at, FreezeTarget who, double for_s)
 {
   Freeze *freeze_plan = g_new (Freeze, 1);
   *freeze_plan = (Freeze){who, for_s};
--- a/tests/sim/faults.h
+++ b/tests/sim/faults.h
@@ -52,7 +52,7 @@
 /* Compacts the changes that the leader has not read yet, again and again. */
 void faults_compact_changes (World *world, double from, double to);
 /* Freezes controllers while their clocks keep running: the leader, the other ones, or all. */
-typedef enum { FREEZE_LEADER, FREEZE_OTHER, FREEZE_ALL } FreezeWho;
-void faults_freeze (World *world, double at, FreezeWho who, double for_s);
+typedef enum { FREEZE_LEADER, FREEZE_OTHER, FREEZE_ALL } FreezeTarget;
+void faults_freeze (World *world, double at, FreezeTarget who, double for_s);
 /* From that time on the busiest machine receives neither answers nor direct orders. */
 void faults_inbound_cut (World *world, double at);
--- a/tests/test_sim.c
+++ b/tests/test_sim.c
@@ -401,7 +401,7 @@
   for (guint seed = 1000; seed < 1018; seed++) {
     World *world = world_new (seed, seed % 3 == 2 ? 5 : 3);
     double for_s = lengths[seed % G_N_ELEMENTS (lengths)];
-    FreezeWho who = seed / 6 % 3;
+    FreezeTarget who = seed / 6 % 3;
     faults_freeze (world, 60, who, for_s);
     faults_freeze (world, 60 + for_s + 0.6, who, for_s);
     faults_freeze (world, 190, FREEZE_LEADER, for_s);
