--- a/tests/bench_core.c
+++ b/tests/bench_core.c
@@ -1,6 +1,6 @@
-/* Processor time of the single owner of all state, by kind of command, at the size of a
- * grown deployment: bench_core [MACHINES [JOBS]]. No test: it prints figures.
- * The stand-ins answer at once, so only the leader's own work is measured. */
+/* Micro-benchmark: CPU time of the core of a leading controller, by kind of command, at the size of
+ * a large deployment. Usage: bench_core [MACHINES [JOBS]]. It prints figures and checks nothing.
+ * The fake services answer at once, so that only the core's own work is measured. */
 #include "coordination/core.h"
 #include "protocol/json_util.h"
 #include <stdio.h>
@@ -13,15 +13,15 @@
   double now;
   guint64 epoch;
   guint machines, tally;
-  GPtrArray *inbox; /* HrCommand: answers to calls */
-  GHashTable *on;   /* machine -> GHashTable of "piece try" */
-  GString *log;     /* changes since the last reading; watches stay open */
+  GPtrArray *responses;      /* HrCommand: responses to calls */
+  GHashTable *running_tasks; /* machine -> set of task members of its heartbeat */
+  GString *log;              /* changes since the last read; watches stay open */
   guint writes;
 } Bench;
 
 typedef struct {
   const char *name;
-  double sum, most;
+  double sum_s, max_s;
   guint n;
 } Figure;
 
@@ -31,7 +31,7 @@
 enum { F_REPORT, F_POLL, F_SUBMIT, F_ANSWER, F_PASS, F_TICK };
 
 static double
-cpu (void)
+cpu_time_s (void)
 {
   struct timespec time;
   clock_gettime (CLOCK_PROCESS_CPUTIME_ID, &time);
@@ -39,20 +39,20 @@
 }
 
 static void
-answer (Bench *bench, guint64 id, int status, char *text)
+add_response (Bench *bench, guint64 id, int status, char *text)
 {
   HrCommand *command = hr_command_new (HR_COMMAND_RESULT);
   command->id = id;
   command->result.status = status;
   command->body = g_bytes_new_take (text, strlen (text));
-  g_ptr_array_add (bench->inbox, command);
+  g_ptr_array_add (bench->responses, command);
 }
 
 static void
-obey (Bench *bench, const char *machine, const char *body)
+apply_orders (Bench *bench, const char *machine, const char *body)
 {
   json_t *object = json_loads (body, 0, NULL), *entry;
-  GHashTable *settings = g_hash_table_lookup (bench->on, machine);
+  GHashTable *tasks = g_hash_table_lookup (bench->running_tasks, machine);
   size_t i;
   json_array_foreach (json_object_get (object, "orders"), i, entry)
   {
@@ -61,109 +61,112 @@
         "\"piece\":\"%s\",\"try\":%d", json_string_value (json_object_get (entry, "piece")),
         (int)json_integer_value (json_object_get (entry, "try")));
     if (strcmp (verb, "launch") == 0)
-      g_hash_table_add (settings, g_steal_pointer (&key));
+      g_hash_table_add (tasks, g_steal_pointer (&key));
     else
-      g_hash_table_remove (settings, key);
+      g_hash_table_remove (tasks, key);
   }
   json_decref (object);
 }
 
 static char *
-report (Bench *bench, const char *machine)
+heartbeat_text (Bench *bench, const char *machine)
 {
   GString *text = g_string_new (NULL);
   GHashTableIter iter;
-  gpointer k;
-  const char *sep = "";
+  gpointer task;
+  const char *separator = "";
   g_string_printf (text,
                    "{\"rockhand\":\"%s\",\"addr\":\"%s\",\"hull\":\"g2\",\"quarry\":"
                    "\"z0\",\"loaners\":false,\"tenure\":1,\"tally\":%u,\"baton\":1,\"warning_s\":"
                    "null,\"pieces\":[",
                    machine, machine, ++bench->tally);
-  g_hash_table_iter_init (&iter, g_hash_table_lookup (bench->on, machine));
-  while (g_hash_table_iter_next (&iter, &k, NULL)) {
-    g_string_append_printf (text, "%s{%s,\"stance\":\"running\"}", sep, (char *)k);
-    sep = ",";
+  g_hash_table_iter_init (&iter, g_hash_table_lookup (bench->running_tasks, machine));
+  while (g_hash_table_iter_next (&iter, &task, NULL)) {
+    g_string_append_printf (text, "%s{%s,\"stance\":\"running\"}", separator, (char *)task);
+    separator = ",";
   }
   g_string_append (text, "]}");
   return g_string_free (text, FALSE);
 }
 
 static void
-call (Bench *bench, HrEffect *effect)
+answer_call (Bench *bench, HrEffect *effect)
 {
   if (effect->call.target == HR_TO_WORKER) {
-    obey (bench, effect->call.address, effect->body);
-    answer (bench, effect->id, 200, report (bench, effect->call.address));
+    apply_orders (bench, effect->call.address, effect->body);
+    add_response (bench, effect->id, 200, heartbeat_text (bench, effect->call.address));
     return;
   }
   if (strcmp (effect->call.path, "/commit") == 0) {
-    json_t *object = json_loads (effect->body, 0, NULL), *workers;
+    json_t *object = json_loads (effect->body, 0, NULL), *write;
     size_t i;
     bench->epoch++;
-    json_array_foreach (json_object_get (object, "writes"), i, workers)
+    json_array_foreach (json_object_get (object, "writes"), i, write)
     {
       g_autofree char *value =
-          json_dumps (json_object_get (workers, "value"), JSON_COMPACT | JSON_ENCODE_ANY);
+          json_dumps (json_object_get (write, "value"), JSON_COMPACT | JSON_ENCODE_ANY);
       bench->writes++;
       g_string_append_printf (
           bench->log, "%s{\"set\":\"%s\",\"value\":%s,\"stamp\":%" G_GUINT64_FORMAT "}",
-          bench->log->len ? "," : "", json_string_value (json_object_get (workers, "set")), value,
+          bench->log->len ? "," : "", json_string_value (json_object_get (write, "set")), value,
           bench->epoch);
     }
     json_decref (object);
-    answer (bench, effect->id, 200,
-            g_strdup_printf ("{\"epoch\":%" G_GUINT64_FORMAT "}", bench->epoch));
+    add_response (bench, effect->id, 200,
+                  g_strdup_printf ("{\"epoch\":%" G_GUINT64_FORMAT "}", bench->epoch));
   } else if (g_str_has_prefix (effect->call.path, "/changes?")) {
     if (strstr (effect->call.path, "hold_ms=0")) {
-      answer (bench, effect->id, 200,
-              g_strdup_printf ("{\"epoch\":%" G_GUINT64_FORMAT ",\"log\":[%s]}", bench->epoch,
-                               bench->log->str));
+      add_response (bench, effect->id, 200,
+                    g_strdup_printf ("{\"epoch\":%" G_GUINT64_FORMAT ",\"log\":[%s]}", bench->epoch,
+                                     bench->log->str));
       g_string_truncate (bench->log, 0);
     }
   } else if (strcmp (effect->call.path, "/leases") == 0)
-    answer (bench, effect->id, 200, g_strdup ("{\"claim\":1}"));
+    add_response (bench, effect->id, 200, g_strdup ("{\"claim\":1}"));
   else if (g_str_has_prefix (effect->call.path, "/kv?"))
-    answer (bench, effect->id, 200,
-            g_strdup_printf ("{\"rows\":[],\"more\":false,\"epoch\":%" G_GUINT64_FORMAT "}",
-                             bench->epoch));
+    add_response (bench, effect->id, 200,
+                  g_strdup_printf ("{\"rows\":[],\"more\":false,\"epoch\":%" G_GUINT64_FORMAT "}",
+                                   bench->epoch));
   else if (strcmp (effect->call.path, "/machine_types") == 0)
-    answer (bench, effect->id, 200,
-            g_strdup ("{\"hulls\":[{\"sku\":\"g2\",\"vcpus\":12,\"accelerators\":2,\"memory_gb\":"
-                      "96,\"cache_gb\":100,\"fetch_gb_per_s\":0.3,\"hourly\":5.0,\"low_price\":"
-                      "2.0,\"startup_s\":40,\"quarries\":[\"z0\"]}]}"));
+    add_response (
+        bench, effect->id, 200,
+        g_strdup ("{\"hulls\":[{\"sku\":\"g2\",\"vcpus\":12,\"accelerators\":2,\"memory_gb\":"
+                  "96,\"cache_gb\":100,\"fetch_gb_per_s\":0.3,\"hourly\":5.0,\"low_price\":"
+                  "2.0,\"startup_s\":40,\"quarries\":[\"z0\"]}]}"));
   else if (strcmp (effect->call.path, "/rentals") == 0 ||
            g_str_has_prefix (effect->call.path, "/rentals?"))
-    answer (bench, effect->id, 503, g_strdup ("{\"error\":\"no capacity\"}"));
+    add_response (bench, effect->id, 503, g_strdup ("{\"error\":\"no capacity\"}"));
   else
-    answer (bench, effect->id, 200, g_strdup ("{}"));
+    add_response (bench, effect->id, 200, g_strdup ("{}"));
 }
 
-/* One step with these commands (taken), then the answers to what it asked for. */
+/* Runs one step with these commands, which are consumed, then steps with the responses to the calls
+ * that result, until there are none. The time of the first step counts for `figure`.
+ * @machine: worker that receives the orders in the reply, or NULL */
 static void
-step (Bench *bench, GPtrArray *commands, int figure, const char *machine)
+run_step (Bench *bench, GPtrArray *commands, int figure, const char *machine)
 {
   for (int first = 1; commands->len; first = 0) {
     g_autoptr (GPtrArray) out = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_effect_free);
-    double until = cpu ();
+    double started_at = cpu_time_s ();
     hr_core_step (bench->core, bench->now, 1e9 + bench->now, commands, out);
-    until = cpu () - until;
-    Figure *figure_row = &figures[first ? figure : F_ANSWER];
-    figure_row->sum += until;
-    figure_row->most = MAX (figure_row->most, until);
-    figure_row->n += first ? 1 : commands->len;
+    double elapsed_s = cpu_time_s () - started_at;
+    Figure *row = &figures[first ? figure : F_ANSWER];
+    row->sum_s += elapsed_s;
+    row->max_s = MAX (row->max_s, elapsed_s);
+    row->n += first ? 1 : commands->len;
     for (guint i = 0; i < out->len; i++) {
       HrEffect *effect = out->pdata[i];
       if (effect->kind == HR_EFFECT_CALL)
-        call (bench, effect);
+        answer_call (bench, effect);
       else if (effect->kind == HR_EFFECT_REPLY && machine && effect->reply.status == 200 && first)
-        obey (bench, machine, effect->body);
+        apply_orders (bench, machine, effect->body);
     }
     g_ptr_array_set_size (commands, 0);
-    for (guint i = 0; i < bench->inbox->len; i++)
-      g_ptr_array_add (commands, bench->inbox->pdata[i]);
-    g_ptr_array_set_free_func (bench->inbox, NULL);
-    g_ptr_array_set_size (bench->inbox, 0);
+    for (guint i = 0; i < bench->responses->len; i++)
+      g_ptr_array_add (commands, bench->responses->pdata[i]);
+    g_ptr_array_set_free_func (bench->responses, NULL);
+    g_ptr_array_set_size (bench->responses, 0);
   }
 }
 
@@ -179,7 +182,7 @@
   command->request.path = g_strdup (path);
   command->body = body ? g_bytes_new_take (body, strlen (body)) : NULL;
   g_ptr_array_add (queue, command);
-  step (bench, queue, figure, machine);
+  run_step (bench, queue, figure, machine);
 }
 
 static void
@@ -188,11 +191,11 @@
   g_autoptr (GPtrArray) queue = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_command_free);
   bench->now += step_s;
   g_ptr_array_add (queue, hr_command_new (HR_COMMAND_TICK));
-  step (bench, queue, step_s > 0.1 ? F_PASS : F_TICK, NULL);
+  run_step (bench, queue, step_s > 0.1 ? F_PASS : F_TICK, NULL);
 }
 
 static char *
-job (guint i, guint *tasks)
+submission_text (guint i, guint *tasks)
 {
   const char *shape = i % 5 == 0 ? "daemon" : i % 5 < 3 ? "batch" : "ensemble";
   const char *priority = i % 5 == 0 ? "production" : i % 5 < 3 ? "normal" : "urgent";
@@ -208,8 +211,8 @@
 }
 
 static GLogWriterOutput
-silent (GLogLevelFlags level G_GNUC_UNUSED, const GLogField *fields G_GNUC_UNUSED,
-        gsize n G_GNUC_UNUSED, gpointer data G_GNUC_UNUSED)
+discard_log (GLogLevelFlags level G_GNUC_UNUSED, const GLogField *fields G_GNUC_UNUSED,
+             gsize n G_GNUC_UNUSED, gpointer data G_GNUC_UNUSED)
 {
   return G_LOG_WRITER_HANDLED;
 }
@@ -237,7 +240,7 @@
           bench->writes);
   for (guint i = 0; i < G_N_ELEMENTS (figures); i++)
     printf ("%-26s %7u times %10.1f us each %10.1f us at most\n", figures[i].name, figures[i].n,
-            1e6 * figures[i].sum / MAX (1, figures[i].n), 1e6 * figures[i].most);
+            1e6 * figures[i].sum_s / MAX (1, figures[i].n), 1e6 * figures[i].max_s);
 }
 
 int
@@ -250,9 +253,9 @@
   HrPolicy policy;
   g_autoptr (GError) error = NULL;
   g_autoptr (GHashTable) vars = hr_policy_vars_new ();
-  g_log_set_writer_func (silent, NULL, NULL);
-  bench.inbox = g_ptr_array_new ();
-  bench.on =
+  g_log_set_writer_func (discard_log, NULL, NULL);
+  bench.responses = g_ptr_array_new ();
+  bench.running_tasks =
       g_hash_table_new_full (g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_hash_table_unref);
   bench.log = g_string_new (NULL);
   hr_names_init (&names);
@@ -266,18 +269,18 @@
   bench.core = hr_core_new (settings, &policy, &names, "bench", 1);
   for (int i = 0; i < 100; i++)
     tick (&bench, 0.1);
-  guint tasks = 0, all = 0;
+  guint tasks = 0, total_tasks = 0;
   for (guint round = 0; round < 12; round++) {
     for (guint i = 0; i < machines; i++) {
       g_autofree char *name = g_strdup_printf ("m-%06u", i);
-      if (!g_hash_table_contains (bench.on, name))
-        g_hash_table_insert (bench.on, g_strdup (name),
+      if (!g_hash_table_contains (bench.running_tasks, name))
+        g_hash_table_insert (bench.running_tasks, g_strdup (name),
                              g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL));
-      request (&bench, HR_POST, "/hello", report (&bench, name), F_REPORT, name);
+      request (&bench, HR_POST, "/hello", heartbeat_text (&bench, name), F_REPORT, name);
     }
     for (guint i = round * jobs / 12; i < (round + 1) * jobs / 12; i++) {
-      request (&bench, HR_POST, "/v1/jobs", job (i, &tasks), F_SUBMIT, NULL);
-      all += tasks;
+      request (&bench, HR_POST, "/v1/jobs", submission_text (i, &tasks), F_SUBMIT, NULL);
+      total_tasks += tasks;
     }
     for (guint i = 0; i < (round + 1) * jobs / 12; i++) {
       g_autofree char *path = g_strdup_printf ("/v1/jobs/job-%06u", i);
@@ -288,6 +291,6 @@
       tick (&bench, 0.01);
     }
   }
-  print_figures (&bench, jobs, all);
+  print_figures (&bench, jobs, total_tasks);
   return 0;
 }
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -1,5 +1,5 @@
-/* Days of the simulated cluster on which a team is at its limit: what is rented, what starts
- * next, and that the limit holds whatever else happens. */
+/* Simulated days on which a team is at its limit: which machines are rented, which tasks start
+ * next, and that the limit holds under failures too. */
 #include "sim/limits.h"
 #include "sim/log.h"
 #include "sim/troubles.h"
@@ -28,7 +28,7 @@
 }
 
 static guint
-verdict (World *world, guint32 seed)
+report_violations (World *world, guint32 seed)
 {
   guint broken = world->broken->len;
   for (guint i = 0; i < MIN (broken, 12); i++)
@@ -41,7 +41,7 @@
 }
 
 static void
-check_done (World *world)
+check_jobs_done (World *world)
 {
   for (guint i = 0; i < world->jobs->len; i++) {
     SimJob *job = world->jobs->pdata[i];
@@ -53,13 +53,13 @@
 }
 
 static double
-waited (const World *world, const SimJob *job)
+wait_s (const World *world, const SimJob *job)
 {
   return (job->first > 0 ? job->first : world->now) - job->accepted_at;
 }
 
-/* Far more work than the limit lets run: machines are rented for what may start, and are not
- * returned and rented again in cycles. */
+/* Guards against machines rented for tasks that the limit keeps from starting, and against machines
+ * returned and rented again in cycles, when the team has far more work than its limit allows. */
 static void
 renting (void **state G_GNUC_UNUSED)
 {
@@ -71,20 +71,21 @@
   };
   const guint needed = LIMIT_GPUS / MACHINE_GPUS;
   guint broken = 0;
-  for (guint32 incarnation = 1200; incarnation < 1204; incarnation++) {
-    World *world = world_with_limit (incarnation, LIMIT_GPUS);
+  for (guint32 seed = 1200; seed < 1204; seed++) {
+    World *world = world_with_limit (seed, LIMIT_GPUS);
     limits_submit (world, work, G_N_ELEMENTS (work));
     world_run (world, DAY_S);
-    check_done (world);
+    check_jobs_done (world);
     if (world->machines->len > 2 * needed)
-      w_broken (world, "rented", "%u machines where %u hold all that may run", world->machines->len,
-                needed);
-    broken += verdict (world, incarnation);
+      w_broken (world, "rented", "%u machines rented where %u hold all that may run",
+                world->machines->len, needed);
+    broken += report_violations (world, seed);
   }
   assert_int_equal (broken, 0);
 }
 
-/* Services arrive and find the limit used up: no room is kept for the next ones. */
+/* Guards against spare machines for future services of a team that has used up its limit, so that
+ * those services could not start. */
 static void
 spare_room (void **state G_GNUC_UNUSED)
 {
@@ -93,8 +94,8 @@
   guint broken = 0;
   for (guint i = 0; i < G_N_ELEMENTS (work); i++)
     work[i] = (HrLimitJob){5 + 4 * i, HR_SERVICE, 4, 0, NULL, 0, FALSE, NULL};
-  for (guint32 incarnation = 1260; incarnation < 1264; incarnation++) {
-    World *world = world_with_limit (incarnation, LIMIT_GPUS);
+  for (guint32 seed = 1260; seed < 1264; seed++) {
+    World *world = world_with_limit (seed, LIMIT_GPUS);
     limits_submit (world, work, G_N_ELEMENTS (work));
     world_run (world, 200);
     guint up = 0;
@@ -102,36 +103,37 @@
       up += !((SimMachine *)world->machines->pdata[i])->gone;
     if (up > needed + needed / 4)
       w_broken (world, "rented", "%u machines are kept where %u hold all that may run", up, needed);
-    broken += verdict (world, incarnation);
+    broken += report_violations (world, seed);
   }
   assert_int_equal (broken, 0);
 }
 
-/* A gang that wants the whole limit, beside a stream of small ones that alone nearly fills it. */
+/* Guards against starvation of a gang that needs the team's whole limit, while a stream of small
+ * jobs alone nearly fills it. */
 static void
 gang_in_a_stream (void **state G_GNUC_UNUSED)
 {
   static const HrLimitJob gang[] = {{60, HR_GANG, 6, 25, NULL, 0, TRUE, NULL}};
   guint broken = 0;
-  for (guint32 incarnation = 1210; incarnation < 1214; incarnation++) {
-    World *world = world_with_limit (incarnation, LIMIT_GPUS / 2);
+  for (guint32 seed = 1210; seed < 1214; seed++) {
+    World *world = world_with_limit (seed, LIMIT_GPUS / 2);
     limits_stream (world, 5, 500, 4.5, 20);
     limits_submit (world, gang, G_N_ELEMENTS (gang));
     world_run (world, DAY_S);
-    check_done (world);
+    check_jobs_done (world);
     for (guint i = 0; i < world->jobs->len; i++) {
       SimJob *job = world->jobs->pdata[i];
-      if (waited (world, job) > (job->large ? 180 : 240))
-        w_broken (world, "starved", "%s of %u tasks begins after %.0f s", job->id, job->tasks,
-                  waited (world, job));
+      if (wait_s (world, job) > (job->large ? 180 : 240))
+        w_broken (world, "starved", "%s of %u tasks starts after %.0f s", job->id, job->tasks,
+                  wait_s (world, job));
     }
-    broken += verdict (world, incarnation);
+    broken += report_violations (world, seed);
   }
   assert_int_equal (broken, 0);
 }
 
-/* Long work of the lowest priority fills the limit. What comes with a higher priority begins at
- * once, by having that work stopped; of one priority the earlier deadline goes first. */
+/* Long tasks of the lowest priority fill the limit. Jobs of a higher priority start at once by
+ * preempting them; within one priority the earlier deadline goes first. */
 static void
 order (void **state G_GNUC_UNUSED)
 {
@@ -143,25 +145,25 @@
       {263, HR_BATCH, 20, 40, "normal", 60, FALSE, NULL},
   };
   guint broken = 0;
-  for (guint32 incarnation = 1220; incarnation < 1224; incarnation++) {
-    World *world = world_with_limit (incarnation, LIMIT_GPUS);
+  for (guint32 seed = 1220; seed < 1224; seed++) {
+    World *world = world_with_limit (seed, LIMIT_GPUS);
     limits_submit (world, work, G_N_ELEMENTS (work));
     world_run (world, 1500);
-    check_done (world);
+    check_jobs_done (world);
     for (guint i = 1; i < 5; i++)
-      if (waited (world, limits_job (world, i)) > 45)
-        w_broken (world, "order", "%s, of a higher rank, begins after %.0f s",
-                  limits_job (world, i)->id, waited (world, limits_job (world, i)));
+      if (wait_s (world, limits_job (world, i)) > 45)
+        w_broken (world, "order", "%s starts after %.0f s, although its priority is higher",
+                  limits_job (world, i)->id, wait_s (world, limits_job (world, i)));
     if (limits_job (world, 4)->done_at > limits_job (world, 3)->done_at)
-      w_broken (world, "order", "the later deadline is done first");
-    broken += verdict (world, incarnation);
+      w_broken (world, "order", "the job with the later deadline is done first");
+    broken += report_violations (world, seed);
   }
   assert_int_equal (broken, 0);
 }
 
-/* How many starts of the job's tasks were recorded. */
+/* Returns how many starts of the job's tasks were recorded. */
 static guint
-attempts (const World *world, const SimJob *job)
+recorded_starts (const World *world, const SimJob *job)
 {
   g_autofree char *prefix = g_strdup_printf ("%s/", job->id);
   GHashTableIter iter;
@@ -173,8 +175,9 @@
   return n;
 }
 
-/* The limit is full but for one machine's worth, and a gang waits for all of it. A long job behind
- * that gang does not get short work stopped that fills the gap meanwhile. */
+/* All but one machine's worth of the limit is in use, and a gang waits for the whole limit. Guards
+ * against churn: a long job behind that gang must not preempt the short tasks that fill the gap in
+ * the meantime. */
 static void
 short_work_fills_a_gap (void **state G_GNUC_UNUSED)
 {
@@ -186,21 +189,22 @@
   };
   const guint short_tasks = 60;
   guint broken = 0;
-  for (guint32 incarnation = 1270; incarnation < 1276; incarnation++) {
-    World *world = world_with_limit (incarnation, LIMIT_GPUS / 2);
+  for (guint32 seed = 1270; seed < 1276; seed++) {
+    World *world = world_with_limit (seed, LIMIT_GPUS / 2);
     limits_submit (world, work, G_N_ELEMENTS (work));
     world_run (world, 1500);
-    check_done (world);
-    /* Of the short work alone: a gang that loses a machine begins anew with all its tasks. */
-    guint starts = attempts (world, limits_job (world, 3));
+    check_jobs_done (world);
+    /* Counts the short tasks only: a gang that loses a machine restarts all its tasks. */
+    guint starts = recorded_starts (world, limits_job (world, 3));
     if (starts > short_tasks + short_tasks / 4)
       w_broken (world, "churn", "%u starts of %u short tasks", starts, short_tasks);
-    broken += verdict (world, incarnation);
+    broken += report_violations (world, seed);
   }
   assert_int_equal (broken, 0);
 }
 
-/* A gang within the limit that no machines are left for: the others do not wait for it. */
+/* Guards against jobs that wait for a gang which is within the limit but for which the cloud has no
+ * machines left. */
 static void
 gang_without_machines (void **state G_GNUC_UNUSED)
 {
@@ -210,24 +214,24 @@
       {450, HR_BATCH, 12, 30, NULL, 0, FALSE, NULL},
   };
   guint broken = 0;
-  for (guint32 incarnation = 1230; incarnation < 1234; incarnation++) {
-    World *world = world_with_limit (incarnation, LIMIT_GPUS);
+  for (guint32 seed = 1230; seed < 1234; seed++) {
+    World *world = world_with_limit (seed, LIMIT_GPUS);
     world->capacity = 6;
     limits_submit (world, work, G_N_ELEMENTS (work));
     world_run (world, DAY_S);
     for (guint i = 0; i < world->jobs->len; i++) {
       SimJob *job = world->jobs->pdata[i];
-      if (!job->large && waited (world, job) > 90)
-        w_broken (world, "idle", "%s waits %.0f s beside a machine with room, under the limit",
-                  job->id, waited (world, job));
+      if (!job->large && wait_s (world, job) > 90)
+        w_broken (world, "idle", "%s waits %.0f s under the limit, although a machine has room",
+                  job->id, wait_s (world, job));
     }
-    broken += verdict (world, incarnation);
+    broken += report_violations (world, seed);
   }
   assert_int_equal (broken, 0);
 }
 
-/* A job within its team's guarantee that no machines are left for: others need not wait for it
- * beside machines with room. */
+/* Guards against jobs that wait, although machines have room, for a job within its team's guarantee
+ * for which the cloud has no machines left. */
 static void
 guarantee_without_machines (void **state G_GNUC_UNUSED)
 {
@@ -238,8 +242,8 @@
       {300, HR_BATCH, 6, 30, NULL, 0, FALSE, NULL},
   };
   guint broken = 0;
-  for (guint32 incarnation = 1250; incarnation < 1254; incarnation++) {
-    World *world = world_new (incarnation, 3);
+  for (guint32 seed = 1250; seed < 1254; seed++) {
+    World *world = world_new (seed, 3);
     world->guarantee_gpus = 8;
     world->capacity = 2;
     world_restart (world);
@@ -248,17 +252,18 @@
     world_run (world, DAY_S);
     for (guint i = 0; i < world->jobs->len; i++) {
       SimJob *job = world->jobs->pdata[i];
-      if (!job->large && waited (world, job) > 90)
-        w_broken (world, "idle", "%s waits %.0f s beside a machine with room", job->id,
-                  waited (world, job));
+      if (!job->large && wait_s (world, job) > 90)
+        w_broken (world, "idle", "%s waits %.0f s although a machine has room", job->id,
+                  wait_s (world, job));
     }
-    broken += verdict (world, incarnation);
+    broken += report_violations (world, seed);
   }
   assert_int_equal (broken, 0);
 }
 
-/* Every team is at its limit when machines cannot be asked or hang, jobs are cancelled in that
- * spell and the leader changes: what may still run holds its share until it is proven gone. */
+/* Guards against a team that exceeds its limit after a leader change: jobs are cancelled while
+ * machines are unreachable or hang, and their tasks count against the limit until they have
+ * provably terminated. */
 static void
 leader_changes (void **state G_GNUC_UNUSED)
 {
@@ -268,7 +273,8 @@
       {60, HR_BATCH, 40, 60, NULL, 0, FALSE, NULL}, {62, HR_GANG, 4, 60, NULL, 0, FALSE, NULL},
       {64, HR_BATCH, 30, 50, NULL, 0, FALSE, NULL}, {150, HR_GANG, 2, 60, NULL, 0, FALSE, NULL},
   };
-  /* New machines are up at once, so that what is wrongly taken for free starts meanwhile. */
+  /* New machines boot at once: if a share of the limit is wrongly taken for free, other tasks start
+   * before the old ones have terminated. */
   static const HrTrouble day[] = {
       {.at_s = 90, .kind = TROUBLE_FAST_BOOT, .for_s = 60},
       {.at_s = 100, .kind = TROUBLE_MACHINE_CUT, .count = 5, .for_s = 30, .hold = TRUE},
@@ -280,14 +286,14 @@
       {.at_s = 206, .kind = TROUBLE_NODE_CRASH, .who = WHO_LEADER},
   };
   guint broken = 0;
-  for (guint32 incarnation = 1240; incarnation < 1248; incarnation++) {
-    World *world = world_with_limit (incarnation, LIMIT_GPUS);
+  for (guint32 seed = 1240; seed < 1248; seed++) {
+    World *world = world_with_limit (seed, LIMIT_GPUS);
     users_probe (world);
     limits_submit (world, work, G_N_ELEMENTS (work));
     troubles_plan (world, day, G_N_ELEMENTS (day));
     world_run (world, DAY_S);
-    check_done (world);
-    broken += verdict (world, incarnation);
+    check_jobs_done (world);
+    broken += report_violations (world, seed);
   }
   assert_int_equal (broken, 0);
 }
--- a/tests/test_peer_status_frame.c
+++ b/tests/test_peer_status_frame.c
@@ -1,4 +1,4 @@
-/* The form of statuses between controllers: sizes, and what other versions send. */
+/* Frames of the statuses that controllers exchange: their sizes, and frames of other versions. */
 #include "coordination/command.h"
 #include "peer.pb-c.h"
 #include "transport/peer_status_frame.h"
@@ -9,19 +9,19 @@
 #include <cmocka.h>
 
 static void
-fill (char *text, gsize size)
+fill_string (char *text, gsize size)
 {
   memset (text, 'x', size - 1);
   text[size - 1] = 0;
 }
 
-/* All that a status can hold, with ids of so many bytes. */
+/* Fills a status with as much as it can hold, with job ids of this many bytes. */
 static void
-largest (HrPeerStatus *status, guint id_len)
+fill_status (HrPeerStatus *status, guint id_len)
 {
   memset (status, 0, sizeof *status);
-  fill (status->label, sizeof status->label);
-  fill (status->incarnation, sizeof status->incarnation);
+  fill_string (status->label, sizeof status->label);
+  fill_string (status->incarnation, sizeof status->incarnation);
   status->fencing_token = status->leader_record_revision = status->latest_cancellation =
       status->applied_revision = G_MAXUINT64;
   status->worker_contacts = G_MAXUINT32;
@@ -29,14 +29,14 @@
   status->clock = 1e9;
   for (status->n_echoes = 0; status->n_echoes < HR_MAX_ECHOES; status->n_echoes++) {
     HrEcho *echo = &status->echoes[status->n_echoes];
-    fill (echo->label, sizeof echo->label);
-    fill (echo->incarnation, sizeof echo->incarnation);
+    fill_string (echo->label, sizeof echo->label);
+    fill_string (echo->incarnation, sizeof echo->incarnation);
     echo->clock = 1e9;
     echo->cancellations_taken = G_MAXUINT64;
   }
   status->format = G_MAXUINT32;
   for (; status->n_oversized < HR_MAX_OVERSIZED; status->n_oversized++)
-    fill (status->oversized[status->n_oversized], sizeof status->oversized[0]);
+    fill_string (status->oversized[status->n_oversized], sizeof status->oversized[0]);
   HrNamedCancellations *named = &status->cancellations;
   named->is_stated = TRUE;
   named->dropped_revision = named->log_begin = named->first_position = named->log_end = G_MAXUINT64;
@@ -45,57 +45,60 @@
     ;
 }
 
-/* The shortest id that there is, what benches use, and the longest. */
+/* The lengths are those of the shortest job id, of ids in benchmarks and of the longest job id. */
 static void
 the_largest_status_fits_a_frame (void **state G_GNUC_UNUSED)
 {
   static const guint lengths[] = {5, 10, 100};
   for (guint i = 0; i < G_N_ELEMENTS (lengths); i++) {
-    HrPeerStatus status, got = {0};
+    HrPeerStatus status, received = {0};
     guint8 frame[HR_MAX_FRAME];
-    largest (&status, lengths[i]);
+    fill_status (&status, lengths[i]);
     gsize len = hr_peer_status_pack (&status, frame);
     assert_true (len > 0 && len <= HR_MAX_FRAME);
-    assert_true (hr_peer_status_unpack (&got, frame, len));
-    assert_memory_equal (&got.cancellations, &status.cancellations, sizeof status.cancellations);
-    assert_memory_equal (got.echoes, status.echoes, sizeof status.echoes);
-    assert_true (got.applied_revision == status.applied_revision &&
-                 got.latest_cancellation == status.latest_cancellation);
-    assert_true (got.format == status.format && got.n_oversized == status.n_oversized);
-    assert_memory_equal (got.oversized, status.oversized, sizeof status.oversized);
-    assert_true (got.is_leader && got.synced && got.store_served &&
-                 got.n_echoes == status.n_echoes);
+    assert_true (hr_peer_status_unpack (&received, frame, len));
+    assert_memory_equal (&received.cancellations, &status.cancellations,
+                         sizeof status.cancellations);
+    assert_memory_equal (received.echoes, status.echoes, sizeof status.echoes);
+    assert_true (received.applied_revision == status.applied_revision &&
+                 received.latest_cancellation == status.latest_cancellation);
+    assert_true (received.format == status.format && received.n_oversized == status.n_oversized);
+    assert_memory_equal (received.oversized, status.oversized, sizeof status.oversized);
+    assert_true (received.is_leader && received.synced && received.store_served &&
+                 received.n_echoes == status.n_echoes);
   }
 }
 
-/* A status without a log is one of a version that has none: an empty log would say much more. */
+/* Guards against a status without a list of cancellations that is read as one with an empty list:
+ * versions that do not send the list may have cancellations, while an empty list states none. */
 static void
-a_peer_status_without_a_log (void **state G_GNUC_UNUSED)
+missing_list_differs_from_an_empty_one (void **state G_GNUC_UNUSED)
 {
-  HrPeerStatus status = {.label = "c1", .latest_cancellation = 7, .synced = TRUE}, got = {0};
+  HrPeerStatus status = {.label = "c1", .latest_cancellation = 7, .synced = TRUE}, received = {0};
   guint8 frame[HR_MAX_FRAME];
   gsize len = hr_peer_status_pack (&status, frame);
-  assert_true (hr_peer_status_unpack (&got, frame, len));
-  assert_false (got.cancellations.is_stated);
-  assert_int_equal (got.latest_cancellation, 7);
-  status.cancellations.is_stated = TRUE; /* and an empty one comes as such */
-  memset (&got, 0, sizeof got);
+  assert_true (hr_peer_status_unpack (&received, frame, len));
+  assert_false (received.cancellations.is_stated);
+  assert_int_equal (received.latest_cancellation, 7);
+  status.cancellations.is_stated = TRUE; /* an empty list is received as such */
+  memset (&received, 0, sizeof received);
   len = hr_peer_status_pack (&status, frame);
-  assert_true (hr_peer_status_unpack (&got, frame, len));
-  assert_true (got.cancellations.is_stated);
-  assert_int_equal (got.cancellations.count, 0);
+  assert_true (hr_peer_status_unpack (&received, frame, len));
+  assert_true (received.cancellations.is_stated);
+  assert_int_equal (received.cancellations.count, 0);
 }
 
-/* Of a list longer than we keep the beginning counts: nothing in its middle may be missing. */
+/* A list longer than a status can hold is truncated at its end, so that no cancellation is missing
+ * between two kept ones. */
 static void
-a_longer_list_is_cut_at_its_end (void **state G_GNUC_UNUSED)
+overlong_list_is_truncated_at_its_end (void **state G_GNUC_UNUSED)
 {
   enum { JOBS = 40 };
   char ids[JOBS][101], *jobs[JOBS];
   guint8 frame[2 * HR_MAX_FRAME];
   for (guint i = 0; i < JOBS; i++) {
     memset (ids[i], 'a' + (int)(i % 26), 100);
-    ids[i][i == JOBS - 1 ? 5 : 100] = 0; /* the last one would fit */
+    ids[i][i == JOBS - 1 ? 5 : 100] = 0; /* short enough to fit after the truncation */
     jobs[i] = ids[i];
   }
   Hr__Cancellations cancellations = HR__CANCELLATIONS__INIT;
@@ -106,19 +109,19 @@
   message.cancellations = &cancellations;
   assert_true (hr__peer_status__get_packed_size (&message) <= sizeof frame);
   gsize len = hr__peer_status__pack (&message, frame);
-  HrPeerStatus got = {0};
-  assert_true (hr_peer_status_unpack (&got, frame, len));
-  assert_true (got.cancellations.count < JOBS &&
-               got.cancellations.count == got.cancellations.bytes / 101);
-  assert_int_equal (got.cancellations.log_end, JOBS);
+  HrPeerStatus received = {0};
+  assert_true (hr_peer_status_unpack (&received, frame, len));
+  assert_true (received.cancellations.count < JOBS &&
+               received.cancellations.count == received.cancellations.bytes / 101);
+  assert_int_equal (received.cancellations.log_end, JOBS);
 }
 
 static void
-what_is_no_status_is_dropped (void **state G_GNUC_UNUSED)
+malformed_frame_is_rejected (void **state G_GNUC_UNUSED)
 {
   const guint8 text[] = "GET / HTTP/1.1\r\n\r\n";
-  HrPeerStatus got = {0};
-  assert_false (hr_peer_status_unpack (&got, text, sizeof text));
+  HrPeerStatus received = {0};
+  assert_false (hr_peer_status_unpack (&received, text, sizeof text));
 }
 
 int
@@ -126,9 +129,9 @@
 {
   const struct CMUnitTest tests[] = {
       cmocka_unit_test (the_largest_status_fits_a_frame),
-      cmocka_unit_test (a_peer_status_without_a_log),
-      cmocka_unit_test (a_longer_list_is_cut_at_its_end),
-      cmocka_unit_test (what_is_no_status_is_dropped),
+      cmocka_unit_test (missing_list_differs_from_an_empty_one),
+      cmocka_unit_test (overlong_list_is_truncated_at_its_end),
+      cmocka_unit_test (malformed_frame_is_rejected),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/test_protocol.c
+++ b/tests/test_protocol.c
@@ -1,4 +1,4 @@
-/* What comes in from users, workers, the cloud and the platform. */
+/* Parsing of submissions, heartbeats, orders, machine types and settings. */
 #include "protocol/cloud.h"
 #include "protocol/json_util.h"
 #include "protocol/settings.h"
@@ -18,7 +18,7 @@
   "\"due_s\":900.0,\"later\":{\"unknown\":1}}"
 
 static gboolean
-parses (const char *text, HrJobSpec *spec, GError **error)
+parse_submission (const char *text, HrJobSpec *spec, GError **error)
 {
   HrNames names;
   const char *id;
@@ -32,11 +32,11 @@
 }
 
 static void
-a_submission (void **state G_GNUC_UNUSED)
+valid_submission (void **state G_GNUC_UNUSED)
 {
   HrJobSpec spec;
   g_autoptr (GError) error = NULL;
-  assert_true (parses (JOB, &spec, &error));
+  assert_true (parse_submission (JOB, &spec, &error));
   assert_int_equal (spec.tasks, 16);
   assert_int_equal (spec.shape, HR_GANG);
   assert_int_equal (spec.priority, HR_PRIORITY_URGENT);
@@ -46,9 +46,9 @@
   assert_int_equal (spec.zone, HR_NONE);
 }
 
-/* A field replaced by something wrong: refused, with the field's name. */
+/* A submission with an invalid field is rejected with an error that names the field. */
 static void
-wrong_fields (void **state G_GNUC_UNUSED)
+invalid_fields_are_rejected (void **state G_GNUC_UNUSED)
 {
   static const char *const cases[][2] = {
       {"name_id", "\"job 1\""}, {"name_id", "7"},    {"name_id", "\"job-\""}, {"shape", "\"gang\""},
@@ -66,7 +66,7 @@
     char *text = json_dumps (object, 0);
     HrJobSpec spec;
     g_autoptr (GError) error = NULL;
-    if (parses (text, &spec, &error) || !error || !strstr (error->message, cases[i][0]))
+    if (parse_submission (text, &spec, &error) || !error || !strstr (error->message, cases[i][0]))
       fail_msg ("%s = %s: %s", cases[i][0], cases[i][1], error ? error->message : "accepted");
     free (text);
     json_decref (object);
@@ -74,7 +74,7 @@
 }
 
 static gboolean
-awaits (const char *value, GStrv *ids, GError **error)
+parse_awaits (const char *value, GStrv *ids, GError **error)
 {
   json_t *object = json_object ();
   if (value)
@@ -84,100 +84,104 @@
   return ok;
 }
 
-/* Each id once, in the order given; none at all is no array to keep. */
+/* Each id is returned once, in the order given; without ids the result is NULL. */
 static void
-awaited_jobs (void **state G_GNUC_UNUSED)
+awaits_lists_are_parsed (void **state G_GNUC_UNUSED)
 {
-  static const char *const none[] = {NULL, "null", "[]"};
-  static const char *const bad[] = {"\"job-1\"", "7",           "{}",      "[7]",
-                                    "[null]",    "[\"\"]",      "[\"1\"]", "[\"job-\"]",
-                                    "[[]]",      "[\"job 1\"]", "true",    "[\"job-1\",\"job-/\"]"};
-  for (gsize i = 0; i < G_N_ELEMENTS (none); i++) {
+  static const char *const empty[] = {NULL, "null", "[]"};
+  static const char *const invalid[] = {
+      "\"job-1\"", "7",          "{}",   "[7]",         "[null]", "[\"\"]",
+      "[\"1\"]",   "[\"job-\"]", "[[]]", "[\"job 1\"]", "true",   "[\"job-1\",\"job-/\"]"};
+  for (gsize i = 0; i < G_N_ELEMENTS (empty); i++) {
     g_auto (GStrv) ids = NULL;
     g_autoptr (GError) error = NULL;
-    assert_true (awaits (none[i], &ids, &error));
+    assert_true (parse_awaits (empty[i], &ids, &error));
     assert_null (ids);
   }
-  for (gsize i = 0; i < G_N_ELEMENTS (bad); i++) {
+  for (gsize i = 0; i < G_N_ELEMENTS (invalid); i++) {
     g_auto (GStrv) ids = NULL;
     g_autoptr (GError) error = NULL;
-    if (awaits (bad[i], &ids, &error) || ids || !error || !strstr (error->message, "awaits"))
-      fail_msg ("awaits = %s: %s", bad[i], error ? error->message : "accepted");
+    if (parse_awaits (invalid[i], &ids, &error) || ids || !error ||
+        !strstr (error->message, "awaits"))
+      fail_msg ("awaits = %s: %s", invalid[i], error ? error->message : "accepted");
   }
   g_auto (GStrv) ids = NULL;
   g_autoptr (GError) error = NULL;
-  assert_true (awaits ("[\"job-2\",\"job-1\",\"job-2\"]", &ids, &error));
+  assert_true (parse_awaits ("[\"job-2\",\"job-1\",\"job-2\"]", &ids, &error));
   assert_int_equal (g_strv_length (ids), 2);
   assert_string_equal (ids[0], "job-2");
   assert_string_equal (ids[1], "job-1");
 }
 
-/* Of generated lists exactly those of well-formed ids are taken, with all that they name. */
+/* Of randomly generated lists exactly those with only well-formed ids are accepted, with each id
+ * that they name. */
 static void
-generated_awaits (void **state G_GNUC_UNUSED)
+random_awaits_lists (void **state G_GNUC_UNUSED)
 {
-  static const char *const parts[] = {
+  static const char *const elements[] = {
       "\"job-000398\"", "\"job-a.b_c-d\"", "\"job-\"", "\"x\"", "null", "12", "[]", "\"job-é\""};
-  const guint good = 2;
+  const guint n_valid = 2;
   g_autoptr (GRand) rand = g_rand_new_with_seed (17);
-  guint taken = 0;
+  guint accepted = 0;
   for (guint n = 0; n < 3000; n++) {
     g_autoptr (GString) text = g_string_new ("[");
-    gboolean fine = TRUE, named[2] = {FALSE, FALSE};
+    gboolean valid = TRUE, named[2] = {FALSE, FALSE};
     for (int k = g_rand_int_range (rand, 0, 4); k > 0; k--) {
-      guint pick = g_rand_int_range (rand, 0, g_rand_boolean (rand) ? good : G_N_ELEMENTS (parts));
-      g_string_append_printf (text, "%s%s", text->len > 1 ? "," : "", parts[pick]);
-      fine = fine && pick < good;
-      if (pick < good)
+      guint pick =
+          g_rand_int_range (rand, 0, g_rand_boolean (rand) ? n_valid : G_N_ELEMENTS (elements));
+      g_string_append_printf (text, "%s%s", text->len > 1 ? "," : "", elements[pick]);
+      valid = valid && pick < n_valid;
+      if (pick < n_valid)
         named[pick] = TRUE;
     }
     g_string_append_c (text, ']');
     g_auto (GStrv) ids = NULL;
     g_autoptr (GError) error = NULL;
-    assert_int_equal (awaits (text->str, &ids, &error), fine);
-    if (!fine)
+    assert_int_equal (parse_awaits (text->str, &ids, &error), valid);
+    if (!valid)
       assert_non_null (error);
     else
       assert_int_equal (ids ? g_strv_length (ids) : 0, named[0] + named[1]);
-    taken += fine;
+    accepted += valid;
   }
-  assert_true (taken > 500 && taken < 2900);
+  assert_true (accepted > 500 && accepted < 2900);
 }
 
 static void
-wrong_bodies (void **state G_GNUC_UNUSED)
+malformed_bodies_are_rejected (void **state G_GNUC_UNUSED)
 {
-  static const char *const bad[] = {"",      "{",  "[]",
-                                    "null",  "7",  "{\"pieces\":1}",
-                                    "{} {}", "\"", "{\"pieces\":99999999999999999999999}"};
-  for (gsize i = 0; i < G_N_ELEMENTS (bad); i++) {
+  static const char *const invalid[] = {"",      "{",  "[]",
+                                        "null",  "7",  "{\"pieces\":1}",
+                                        "{} {}", "\"", "{\"pieces\":99999999999999999999999}"};
+  for (gsize i = 0; i < G_N_ELEMENTS (invalid); i++) {
     HrJobSpec spec;
     g_autoptr (GError) error = NULL;
-    assert_false (parses (bad[i], &spec, &error));
+    assert_false (parse_submission (invalid[i], &spec, &error));
     assert_non_null (error);
   }
 }
 
-/* A bit of any body changed: taken or refused with a reason, never anything else. */
+/* Guards against crashes and invalid values: a submission with randomly changed bytes is either
+ * accepted with values in range, or rejected with an error. */
 static void
-generated_bodies (void **state G_GNUC_UNUSED)
+randomly_changed_bodies (void **state G_GNUC_UNUSED)
 {
   g_autoptr (GRand) rand = g_rand_new_with_seed (11);
-  guint taken = 0;
+  guint accepted = 0;
   for (guint n = 0; n < 5000; n++) {
     char text[] = JOB;
     for (int k = g_rand_int_range (rand, 1, 4); k > 0; k--)
       text[g_rand_int_range (rand, 0, sizeof text - 1)] = g_rand_int_range (rand, 1, 256);
     HrJobSpec spec;
     g_autoptr (GError) error = NULL;
-    if (parses (text, &spec, &error)) {
-      taken++;
+    if (parse_submission (text, &spec, &error)) {
+      accepted++;
       assert_true (spec.tasks >= 1 && spec.tasks <= HR_MAX_TASKS && spec.cpus >= 0 &&
                    isfinite (spec.cpus));
     } else
       assert_non_null (error);
   }
-  assert_true (taken > 50 && taken < 4500);
+  assert_true (accepted > 50 && accepted < 4500);
 }
 
 #define REPORT                                                                                     \
@@ -187,7 +191,7 @@
   "{\"piece\":\"job-000398/0\",\"try\":1,\"stance\":\"exited\",\"cause\":\"done\"}]}"
 
 static void
-reports (void **state G_GNUC_UNUSED)
+heartbeats (void **state G_GNUC_UNUSED)
 {
   g_autoptr (GError) error = NULL;
   g_autoptr (HrHeartbeat) heartbeat = hr_heartbeat_parse (REPORT, strlen (REPORT), &error);
@@ -200,13 +204,13 @@
   assert_int_equal (g_array_index (heartbeat->tasks, HrReportedTask, 1).cause, HR_EXIT_DONE);
   assert_true (heartbeat->preemption_notice_s < 0);
   g_autoptr (GRand) rand = g_rand_new_with_seed (13);
-  for (guint n = 0; n < 5000; n++) { /* nonsense is refused, and harms nobody */
+  for (guint n = 0; n < 5000; n++) { /* random changes: accepted or rejected with an error */
     char text[] = REPORT;
     for (int k = g_rand_int_range (rand, 1, 4); k > 0; k--)
       text[g_rand_int_range (rand, 0, sizeof text - 1)] = g_rand_int_range (rand, 1, 256);
     g_autoptr (GError) error = NULL;
-    g_autoptr (HrHeartbeat) heartbeat_row = hr_heartbeat_parse (text, strlen (text), &error);
-    assert_true (heartbeat_row || error);
+    g_autoptr (HrHeartbeat) changed = hr_heartbeat_parse (text, strlen (text), &error);
+    assert_true (changed || error);
   }
 }
 
@@ -217,14 +221,14 @@
   hr_order_launch (list, "job-1", 4, 2);
   hr_order_stop (list, "job-2", 1, 1, 10);
   hr_order_clear (list, "job-3", 0, 1);
-  g_autofree char *team_name = hr_orders_text (41, 3, list);
-  json_t *object = json_loads (team_name, 0, NULL);
+  g_autofree char *text = hr_orders_text (41, 3, list);
+  json_t *object = json_loads (text, 0, NULL);
   assert_int_equal (json_integer_value (json_object_get (object, "baton")), 41);
   assert_int_equal (json_integer_value (json_object_get (object, "tenure")), 3);
-  json_t *list_row = json_object_get (object, "orders");
-  assert_int_equal (json_array_size (list_row), 3);
-  assert_string_equal (hr_json_str (json_array_get (list_row, 0), "piece"), "job-1/4");
-  assert_string_equal (hr_json_str (json_array_get (list_row, 1), "verb"), "kill");
+  json_t *entries = json_object_get (object, "orders");
+  assert_int_equal (json_array_size (entries), 3);
+  assert_string_equal (hr_json_str (json_array_get (entries, 0), "piece"), "job-1/4");
+  assert_string_equal (hr_json_str (json_array_get (entries, 1), "verb"), "kill");
   json_decref (object);
 }
 
@@ -239,12 +243,12 @@
                   "\"fetch_gb_per_s\":1.0,\"hourly\":12.0,\"low_price\":4.5,\"startup_s\":45,"
                   "\"quarries\":[\"a\",\"b\"]},{\"sku\":\"broken\"}]}",
                   0, NULL);
-  g_autoptr (GArray) ended = hr_machine_types_parse (object, &names);
-  assert_int_equal (ended->len, 1);
-  assert_int_equal (g_array_index (ended, HrMachineType, 0).zones->len, 2);
-  json_t *none = json_object ();
-  assert_null (hr_machine_types_parse (none, &names));
-  json_decref (none);
+  g_autoptr (GArray) types = hr_machine_types_parse (object, &names);
+  assert_int_equal (types->len, 1);
+  assert_int_equal (g_array_index (types, HrMachineType, 0).zones->len, 2);
+  json_t *missing = json_object ();
+  assert_null (hr_machine_types_parse (missing, &names));
+  json_decref (missing);
   json_decref (object);
   hr_names_clear (&names);
 }
@@ -256,19 +260,21 @@
   "\"cancel_s\":%g},\"state\":{\"rps\":100,\"write_rps\":15,\"value_kb\":4,\"txn_ops\":12},"       \
   "\"cloud\":{\"rps\":8,\"list_lag_s\":3}}"
 
-/* A settings file with one other member, in that zone, or NULL when it is refused. */
+/* Parses settings with one other member, which has this endpoint and zone. Returns NULL if they are
+ * rejected. */
 static HrSettings *
-settings (const char *endpoint, const char *area, double cancel, HrNames *names, GError **error)
+parse_settings (const char *endpoint, const char *zone, double cancel_s, HrNames *names,
+                GError **error)
 {
   g_autofree char *text = g_strdup_printf (
       "{\"label\":\"a\",\"area\":\"z0\",\"front\":\"10.0.0.1:80\",\"back\":\"10.0.0.1:81\","
       "\"outside\":{\"cloud\":\"10.2.0.2:84\",\"state\":\"10.2.0.1:23\"},"
       "\"members\":[{\"label\":\"b\",\"area\":\"%s\",\"endpoint\":\"%s\"}]," FACTS "}",
-      area, endpoint, cancel);
+      zone, endpoint, cancel_s);
   json_t *object = json_loads (text, 0, NULL);
-  HrSettings *read = hr_settings_parse (object, names, error);
+  HrSettings *parsed = hr_settings_parse (object, names, error);
   json_decref (object);
-  return read;
+  return parsed;
 }
 
 static void
@@ -277,18 +283,18 @@
   g_autoptr (GError) error = NULL;
   HrNames names;
   hr_names_init (&names);
-  g_autoptr (HrSettings) same = settings ("10.0.0.2:81", "z0", 44, &names, &error);
+  g_autoptr (HrSettings) same = parse_settings ("10.0.0.2:81", "z0", 44, &names, &error);
   assert_non_null (same);
   assert_int_equal (same->home, hr_intern_find (&names.zones, "z0"));
-  /* Controllers in several zones have no zone of their own to prefer. */
-  g_autoptr (HrSettings) apart = settings ("10.0.0.2:81", "z1", 44, &names, &error);
+  /* Controllers in several zones have no home zone. */
+  g_autoptr (HrSettings) apart = parse_settings ("10.0.0.2:81", "z1", 44, &names, &error);
   assert_non_null (apart);
   assert_int_equal (apart->home, HR_NONE);
-  /* Each wrong file is refused with the field's name. */
-  assert_null (settings ("nowhere", "z0", 44, &names, &error));
+  /* Each invalid file is rejected with an error that names the field. */
+  assert_null (parse_settings ("nowhere", "z0", 44, &names, &error));
   assert_non_null (strstr (error->message, "endpoint"));
   g_clear_error (&error);
-  assert_null (settings ("10.0.0.2:81", "z0", 15, &names, &error));
+  assert_null (parse_settings ("10.0.0.2:81", "z0", 15, &names, &error));
   assert_non_null (strstr (error->message, "cancel_s"));
   hr_names_clear (&names);
 }
@@ -297,11 +303,16 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-      cmocka_unit_test (a_submission),  cmocka_unit_test (wrong_fields),
-      cmocka_unit_test (wrong_bodies),  cmocka_unit_test (generated_bodies),
-      cmocka_unit_test (awaited_jobs),  cmocka_unit_test (generated_awaits),
-      cmocka_unit_test (reports),       cmocka_unit_test (orders),
-      cmocka_unit_test (machine_types), cmocka_unit_test (settings_files),
+      cmocka_unit_test (valid_submission),
+      cmocka_unit_test (invalid_fields_are_rejected),
+      cmocka_unit_test (malformed_bodies_are_rejected),
+      cmocka_unit_test (randomly_changed_bodies),
+      cmocka_unit_test (awaits_lists_are_parsed),
+      cmocka_unit_test (random_awaits_lists),
+      cmocka_unit_test (heartbeats),
+      cmocka_unit_test (orders),
+      cmocka_unit_test (machine_types),
+      cmocka_unit_test (settings_files),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/test_transport.c
+++ b/tests/test_transport.c
@@ -1,4 +1,4 @@
-/* The HTTP server and client on loopback, driven by the main loop of the test. */
+/* The HTTP server and client on the loopback interface, driven by the main loop of the test. */
 #include "coordination/command.h"
 #include "protocol/jobspec.h"
 #include "transport/http_client.h"
@@ -13,39 +13,39 @@
 
 typedef struct {
   HrHttpServer *server;
-  GPtrArray *queue; /* HrCommand */
+  GPtrArray *queue; /* HrCommand: requests without a reply yet */
   guint requests, results;
-  gboolean too_large, hold;
+  gboolean too_large, hold_replies;
   int status;
   double result_at[8];
-} Probe;
+} Fixture;
 
 static void
-sink (HrCommand *command, gpointer data)
+on_command (HrCommand *command, gpointer data)
 {
-  Probe *probe = data;
+  Fixture *fixture = data;
   if (command->kind == HR_COMMAND_RESULT) {
-    probe->status = command->result.status;
-    if (probe->results < G_N_ELEMENTS (probe->result_at))
-      probe->result_at[probe->results] = g_get_monotonic_time () / 1e6;
-    probe->results++;
+    fixture->status = command->result.status;
+    if (fixture->results < G_N_ELEMENTS (fixture->result_at))
+      fixture->result_at[fixture->results] = g_get_monotonic_time () / 1e6;
+    fixture->results++;
     hr_command_free (command);
   } else {
-    probe->requests++;
-    probe->too_large = command->request.is_too_large;
-    g_ptr_array_add (probe->queue, command);
+    fixture->requests++;
+    fixture->too_large = command->request.is_too_large;
+    g_ptr_array_add (fixture->queue, command);
   }
 }
 
-/* As the daemon does it: a turn of the loop, then the answers, all at once. */
+/* Runs one iteration of the main loop, then sends all replies at once, as the daemon does. */
 static void
-turn (Probe *probe)
+iterate_loop (Fixture *fixture)
 {
   g_main_context_iteration (NULL, FALSE);
-  if (!probe || !probe->queue || probe->hold)
+  if (!fixture || !fixture->queue || fixture->hold_replies)
     return;
-  for (guint i = 0; i < probe->queue->len; i++) {
-    HrCommand *command = probe->queue->pdata[i];
+  for (guint i = 0; i < fixture->queue->len; i++) {
+    HrCommand *command = fixture->queue->pdata[i];
     HrEffect effect = {
         .kind = HR_EFFECT_REPLY, .id = command->id, .reply.status = 200, .body = "{\"ok\":true}"};
     if (command->request.is_too_large)
@@ -54,11 +54,11 @@
       effect.reply.status = 503;
       effect.reply.retry_after_s = 7;
     }
-    hr_http_server_reply (probe->server, &effect);
+    hr_http_server_reply (fixture->server, &effect);
   }
-  if (probe->queue->len)
-    hr_http_server_flush (probe->server);
-  g_ptr_array_set_size (probe->queue, 0);
+  if (fixture->queue->len)
+    hr_http_server_flush (fixture->server);
+  g_ptr_array_set_size (fixture->queue, 0);
 }
 
 static guint16
@@ -69,17 +69,17 @@
 }
 
 static void
-serve (Probe *probe, guint16 port, guint sockets)
+start_server (Fixture *fixture, guint16 port, guint sockets)
 {
   g_autofree char *address = g_strdup_printf ("127.0.0.1:%u", port);
   g_autoptr (GError) error = NULL;
-  probe->queue = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_command_free);
-  probe->server = hr_http_server_new (address, sockets, sink, probe, &error);
-  assert_non_null (probe->server);
+  fixture->queue = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_command_free);
+  fixture->server = hr_http_server_new (address, sockets, on_command, fixture, &error);
+  assert_non_null (fixture->server);
 }
 
 static GSocket *
-dial (guint16 port)
+connect_to (guint16 port)
 {
   g_autoptr (GSocketAddress) address = g_inet_socket_address_new_from_string ("127.0.0.1", port);
   GSocket *socket =
@@ -90,165 +90,171 @@
 }
 
 static void
-spin (Probe *probe, double seconds)
+run_loop_for (Fixture *fixture, double seconds)
 {
-  gint64 until = g_get_monotonic_time () + (gint64)(seconds * 1e6);
-  while (g_get_monotonic_time () < until) {
-    turn (probe);
+  gint64 end = g_get_monotonic_time () + (gint64)(seconds * 1e6);
+  while (g_get_monotonic_time () < end) {
+    iterate_loop (fixture);
     g_usleep (500);
   }
 }
 
 static void
-stop (Probe *probe)
+stop_server (Fixture *fixture)
 {
-  hr_http_server_free (probe->server);
-  g_ptr_array_unref (probe->queue);
+  hr_http_server_free (fixture->server);
+  g_ptr_array_unref (fixture->queue);
 }
 
-/* Sends the text and gives what came back within two seconds. */
+/* Sends the text and returns what is received within two seconds, up to the end of a JSON body. */
 static char *
-ask (Probe *probe, GSocket *socket, const char *text, gsize len)
+exchange (Fixture *fixture, GSocket *socket, const char *text, gsize len)
 {
-  GString *got = g_string_new (NULL);
+  GString *response = g_string_new (NULL);
   char buf[4096];
   gsize sent = 0;
-  for (int i = 0; i < 4000 && !strstr (got->str, "}"); i++) {
+  for (int i = 0; i < 4000 && !strstr (response->str, "}"); i++) {
     if (sent < len) {
       gssize n = g_socket_send (socket, text + sent, len - sent, NULL, NULL);
       sent += MAX (0, n);
     }
-    turn (probe);
+    iterate_loop (fixture);
     gssize n = g_socket_receive (socket, buf, sizeof buf, NULL, NULL);
     if (n > 0)
-      g_string_append_len (got, buf, n);
+      g_string_append_len (response, buf, n);
     else if (n == 0)
       break;
     else
       g_usleep (500);
   }
-  return g_string_free (got, FALSE);
+  return g_string_free (response, FALSE);
 }
 
-static const char *const get = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
+static const char *const ready_request = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
 static void
-a_connection_stays_open (void **state G_GNUC_UNUSED)
+connection_is_kept_alive (void **state G_GNUC_UNUSED)
 {
-  Probe probe = {0};
+  Fixture fixture = {0};
   guint16 port = free_port ();
-  serve (&probe, port, 100);
-  g_autoptr (GSocket) socket = dial (port);
+  start_server (&fixture, port, 100);
+  g_autoptr (GSocket) socket = connect_to (port);
   for (guint i = 1; i < 4; i++) {
-    g_autofree char *got = ask (&probe, socket, get, strlen (get));
-    assert_non_null (strstr (got, "200 OK"));
-    assert_null (strstr (got, "Connection: close"));
-    assert_int_equal (probe.requests, i);
+    g_autofree char *response = exchange (&fixture, socket, ready_request, strlen (ready_request));
+    assert_non_null (strstr (response, "200 OK"));
+    assert_null (strstr (response, "Connection: close"));
+    assert_int_equal (fixture.requests, i);
   }
   const char *busy = "GET /busy HTTP/1.1\r\nHost: x\r\n\r\n";
-  g_autofree char *got = ask (&probe, socket, busy, strlen (busy));
-  assert_non_null (strstr (got, "503"));
-  assert_non_null (strstr (got, "Retry-After: 7"));
-  stop (&probe);
+  g_autofree char *response = exchange (&fixture, socket, busy, strlen (busy));
+  assert_non_null (strstr (response, "503"));
+  assert_non_null (strstr (response, "Retry-After: 7"));
+  stop_server (&fixture);
 }
 
 static void
-bodies_have_a_limit (void **state G_GNUC_UNUSED)
+body_size_is_limited (void **state G_GNUC_UNUSED)
 {
-  for (int over = 0; over < 2; over++) {
-    Probe probe = {0};
+  for (int excess = 0; excess < 2; excess++) {
+    Fixture fixture = {0};
     guint16 port = free_port ();
-    serve (&probe, port, 100);
-    g_autoptr (GSocket) socket = dial (port);
-    gsize size = HR_MAX_BODY + over;
+    start_server (&fixture, port, 100);
+    g_autoptr (GSocket) socket = connect_to (port);
+    gsize size = HR_MAX_BODY + excess;
     g_autofree char *body = g_strnfill (size, 'x');
     g_autofree char *text = g_strdup_printf (
         "POST /v1/jobs HTTP/1.1\r\nHost: x\r\nContent-Length: %zu\r\n\r\n%s", size, body);
-    g_autofree char *got = ask (&probe, socket, text, strlen (text));
-    assert_int_equal (probe.requests, 1);
-    assert_int_equal (probe.too_large, over);
-    assert_non_null (strstr (got, over ? "400" : "200"));
-    stop (&probe);
+    g_autofree char *response = exchange (&fixture, socket, text, strlen (text));
+    assert_int_equal (fixture.requests, 1);
+    assert_int_equal (fixture.too_large, excess);
+    assert_non_null (strstr (response, excess ? "400" : "200"));
+    stop_server (&fixture);
   }
 }
 
-/* Guards against one source of the main loop per connection: GLib looks at each in every
- * turn, which took several times a controller's processor with 600 workers. */
+/* Guards against one main loop source per connection: GLib examines every source in each iteration,
+ * which with 600 workers took several times a controller's CPU time. */
 static void
-connections_cost_the_loop_nothing (void **state G_GNUC_UNUSED)
+connections_add_no_loop_sources (void **state G_GNUC_UNUSED)
 {
-  Probe probe = {0};
+  Fixture fixture = {0};
   guint16 port = free_port ();
-  serve (&probe, port, 1000);
-  g_autoptr (GPtrArray) all = g_ptr_array_new_with_free_func (g_object_unref);
+  start_server (&fixture, port, 1000);
+  g_autoptr (GPtrArray) sockets = g_ptr_array_new_with_free_func (g_object_unref);
   for (guint i = 0; i < 100; i++) {
-    GSocket *socket = dial (port);
-    g_ptr_array_add (all, socket);
-    g_autofree char *got = ask (&probe, socket, get, strlen (get));
-    assert_non_null (strstr (got, "200 OK"));
+    GSocket *socket = connect_to (port);
+    g_ptr_array_add (sockets, socket);
+    g_autofree char *response = exchange (&fixture, socket, ready_request, strlen (ready_request));
+    assert_non_null (strstr (response, "200 OK"));
   }
   GPollFD fds[200];
-  gint timeout, most;
+  gint timeout, max_priority;
   GMainContext *loop = g_main_context_default ();
   assert_true (g_main_context_acquire (loop));
-  g_main_context_prepare (loop, &most);
-  gint n = g_main_context_query (loop, most, &timeout, fds, G_N_ELEMENTS (fds));
+  g_main_context_prepare (loop, &max_priority);
+  gint n = g_main_context_query (loop, max_priority, &timeout, fds, G_N_ELEMENTS (fds));
   g_main_context_release (loop);
   assert_in_range (n, 1, 8);
-  stop (&probe);
+  stop_server (&fixture);
 }
 
 static void
-an_asker_may_leave (void **state G_GNUC_UNUSED)
+client_may_disconnect_before_the_reply (void **state G_GNUC_UNUSED)
 {
-  Probe probe = {.hold = TRUE};
+  Fixture fixture = {.hold_replies = TRUE};
   guint16 port = free_port ();
-  serve (&probe, port, 100);
-  GSocket *socket = dial (port);
-  assert_int_equal (g_socket_send (socket, get, strlen (get), NULL, NULL), strlen (get));
-  spin (&probe, 0.1);
-  assert_int_equal (probe.requests, 1);
+  start_server (&fixture, port, 100);
+  GSocket *socket = connect_to (port);
+  assert_int_equal (g_socket_send (socket, ready_request, strlen (ready_request), NULL, NULL),
+                    strlen (ready_request));
+  run_loop_for (&fixture, 0.1);
+  assert_int_equal (fixture.requests, 1);
   g_object_unref (socket);
-  spin (&probe, 0.05);
-  probe.hold = FALSE;
-  spin (&probe, 0.05);
-  /* An id that is no longer known. */
+  run_loop_for (&fixture, 0.05);
+  fixture.hold_replies = FALSE;
+  run_loop_for (&fixture, 0.05);
+  /* A reply to a request that the server no longer knows is dropped. */
   HrEffect effect = {.kind = HR_EFFECT_REPLY, .id = 1, .reply.status = 200, .body = "{}"};
-  hr_http_server_reply (probe.server, &effect);
-  stop (&probe);
+  hr_http_server_reply (fixture.server, &effect);
+  stop_server (&fixture);
 }
 
-/* Guards against workers that lose their leases because users' connections fill the node:
- * near the limit users are sent away at once, with when to come back, and make room. */
+/* Guards against workers that lose their leases because users' connections exhaust the limit: near
+ * the limit user requests get 503 with Retry-After at once, and their connections are closed. */
 static void
-workers_come_before_users (void **state G_GNUC_UNUSED)
+workers_take_precedence_over_users (void **state G_GNUC_UNUSED)
 {
-  static const char user[] = "GET /v1/jobs/job-000001 HTTP/1.1\r\nHost: x\r\n\r\n";
-  static const char worker[] = "POST /hello HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{}";
-  Probe probe = {0};
+  static const char user_request[] = "GET /v1/jobs/job-000001 HTTP/1.1\r\nHost: x\r\n\r\n";
+  static const char worker_request[] =
+      "POST /hello HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{}";
+  Fixture fixture = {0};
   guint16 port = free_port ();
-  serve (&probe, port, 50);
-  g_autoptr (GPtrArray) all = g_ptr_array_new_with_free_func (g_object_unref);
+  start_server (&fixture, port, 50);
+  g_autoptr (GPtrArray) sockets = g_ptr_array_new_with_free_func (g_object_unref);
   for (guint i = 0; i < 40; i++) {
-    g_ptr_array_add (all, dial (port));
-    g_autofree char *got = ask (&probe, all->pdata[i], user, strlen (user));
-    assert_non_null (strstr (got, "200 OK"));
+    g_ptr_array_add (sockets, connect_to (port));
+    g_autofree char *response =
+        exchange (&fixture, sockets->pdata[i], user_request, strlen (user_request));
+    assert_non_null (strstr (response, "200 OK"));
   }
-  for (guint i = 0; i < 9; i++) { /* workers fill it */
-    g_ptr_array_add (all, dial (port));
-    g_autofree char *got = ask (&probe, all->pdata[all->len - 1], worker, strlen (worker));
-    assert_non_null (strstr (got, "200 OK"));
+  for (guint i = 0; i < 9; i++) { /* workers use up the limit */
+    g_ptr_array_add (sockets, connect_to (port));
+    g_autofree char *response = exchange (&fixture, sockets->pdata[sockets->len - 1],
+                                          worker_request, strlen (worker_request));
+    assert_non_null (strstr (response, "200 OK"));
   }
-  g_autofree char *away = ask (&probe, all->pdata[0], user, strlen (user));
-  assert_non_null (strstr (away, " 503 "));
-  assert_non_null (strstr (away, "Retry-After: 2"));
-  assert_non_null (strstr (away, "\"error\""));
-  spin (&probe, 0.1);
+  g_autofree char *rejected =
+      exchange (&fixture, sockets->pdata[0], user_request, strlen (user_request));
+  assert_non_null (strstr (rejected, " 503 "));
+  assert_non_null (strstr (rejected, "Retry-After: 2"));
+  assert_non_null (strstr (rejected, "\"error\""));
+  run_loop_for (&fixture, 0.1);
   char rest[16];
-  assert_int_equal (g_socket_receive (all->pdata[0], rest, sizeof rest, NULL, NULL), 0);
-  g_autofree char *still = ask (&probe, all->pdata[45], worker, strlen (worker));
-  assert_non_null (strstr (still, "200 OK"));
-  stop (&probe);
+  assert_int_equal (g_socket_receive (sockets->pdata[0], rest, sizeof rest, NULL, NULL), 0);
+  g_autofree char *accepted =
+      exchange (&fixture, sockets->pdata[45], worker_request, strlen (worker_request));
+  assert_non_null (strstr (accepted, "200 OK"));
+  stop_server (&fixture);
 }
 
 static void
@@ -264,8 +270,9 @@
   hr_http_client_call (client, &effect);
 }
 
-/* Guards against libsoup's way to end a cancelled call only once another one that waits
- * for a connection has ended: two controllers took 12 s longer than a cut to read again. */
+/* Guards against calls that outlast their deadline: libsoup ends a cancelled call only after
+ * another call that waits for a connection has ended. After a network partition two controllers
+ * resumed their reads of the store 12 s late. */
 static void
 calls_end_at_their_deadline (void **state G_GNUC_UNUSED)
 {
@@ -276,53 +283,53 @@
   assert_true (g_socket_bind (listener, address, TRUE, NULL));
   g_socket_set_listen_backlog (listener, 0);
   assert_true (g_socket_listen (listener, NULL));
-  /* Nobody accepts: with these the queue is full, and who comes next hangs. */
-  g_autoptr (GPtrArray) full = g_ptr_array_new_with_free_func (g_object_unref);
+  /* Nothing is accepted: these connections fill the backlog, and further connections hang. */
+  g_autoptr (GPtrArray) pending = g_ptr_array_new_with_free_func (g_object_unref);
   for (int i = 0; i < 3; i++) {
     GSocket *socket =
         g_socket_new (G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, NULL);
     g_socket_set_blocking (socket, FALSE);
     g_socket_connect (socket, address, NULL, NULL);
-    g_ptr_array_add (full, socket);
+    g_ptr_array_add (pending, socket);
   }
-  Probe probe = {.status = -1};
+  Fixture fixture = {.status = -1};
   g_autofree char *store = g_strdup_printf ("127.0.0.1:%u", port);
-  HrHttpClient *client = hr_http_client_new (store, store, 100, sink, &probe);
-  double until = g_get_monotonic_time () / 1e6;
+  HrHttpClient *client = hr_http_client_new (store, store, 100, on_command, &fixture);
+  double started_at = g_get_monotonic_time () / 1e6;
   send_call (client, 3);
-  spin (&probe, 0.1);
+  run_loop_for (&fixture, 0.1);
   send_call (client, 0.4);
-  spin (&probe, 1.2);
-  assert_int_equal (probe.results, 1);
-  assert_int_equal (probe.status, 0);
-  assert_true (probe.result_at[0] - until < 0.9);
-  spin (&probe, 2.4);
-  assert_int_equal (probe.results, 2);
-  assert_true (probe.result_at[1] - until < 3.4);
+  run_loop_for (&fixture, 1.2);
+  assert_int_equal (fixture.results, 1);
+  assert_int_equal (fixture.status, 0);
+  assert_true (fixture.result_at[0] - started_at < 0.9);
+  run_loop_for (&fixture, 2.4);
+  assert_int_equal (fixture.results, 2);
+  assert_true (fixture.result_at[1] - started_at < 3.4);
   hr_http_client_free (client);
-  spin (&probe, 0.1);
+  run_loop_for (&fixture, 0.1);
 }
 
-/* Found on the emulator: a call's address was taken for a reply's flag, and orders to workers left
- * with metrics behind them. */
+/* Guards against metrics appended to orders to workers: the reply's flag for plain text was read
+ * from a call, where the worker's address is stored in the same place. */
 static void
-metrics_are_added_to_replies_alone (void **state G_GNUC_UNUSED)
+metrics_are_added_to_plain_text_replies_only (void **state G_GNUC_UNUSED)
 {
   HrEffect call = {.kind = HR_EFFECT_CALL, .body = g_strdup ("{}")};
   call.call.target = HR_TO_WORKER;
   call.call.address = (char *)"127.0.0.1:1";
   hr_process_metrics_add (&call);
   assert_string_equal (call.body, "{}");
-  HrEffect answer = {.kind = HR_EFFECT_REPLY, .body = g_strdup ("{}")};
-  hr_process_metrics_add (&answer);
-  assert_string_equal (answer.body, "{}");
+  HrEffect json_reply = {.kind = HR_EFFECT_REPLY, .body = g_strdup ("{}")};
+  hr_process_metrics_add (&json_reply);
+  assert_string_equal (json_reply.body, "{}");
   HrEffect metrics = {.kind = HR_EFFECT_REPLY, .body = g_strdup ("core 1\n")};
   metrics.reply.is_plain_text = TRUE;
   hr_process_metrics_add (&metrics);
   assert_true (g_str_has_prefix (metrics.body, "core 1\n"));
   assert_non_null (strstr (metrics.body, "process_cpu_seconds_total"));
   g_free (call.body);
-  g_free (answer.body);
+  g_free (json_reply.body);
   g_free (metrics.body);
 }
 
@@ -330,13 +337,13 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-      cmocka_unit_test (metrics_are_added_to_replies_alone),
-      cmocka_unit_test (a_connection_stays_open),
-      cmocka_unit_test (bodies_have_a_limit),
-      cmocka_unit_test (connections_cost_the_loop_nothing),
-      cmocka_unit_test (an_asker_may_leave),
+      cmocka_unit_test (metrics_are_added_to_plain_text_replies_only),
+      cmocka_unit_test (connection_is_kept_alive),
+      cmocka_unit_test (body_size_is_limited),
+      cmocka_unit_test (connections_add_no_loop_sources),
+      cmocka_unit_test (client_may_disconnect_before_the_reply),
       cmocka_unit_test (calls_end_at_their_deadline),
-      cmocka_unit_test (workers_come_before_users),
+      cmocka_unit_test (workers_take_precedence_over_users),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/test_watching.c
+++ b/tests/test_watching.c
@@ -1,4 +1,4 @@
-/* What operators see of a controller: /metrics and the lines of its log. */
+/* What operators monitor of a controller: /metrics and the lines of its log. */
 #include "scripted_cluster.h"
 #include "coordination/metrics/metrics.h"
 #include "transport/log_writer.h"
@@ -9,11 +9,11 @@
 #include <cmocka.h>
 
 #define SEED 20261202
-#define LINES 500
+#define RANDOM_MESSAGES 500
 
-/* The value of a sample, or -1 when the text has none. */
+/* Returns the value of the sample with this name, or -1 if the text has none. */
 static double
-sample (const char *text, const char *name)
+sample_value (const char *text, const char *name)
 {
   g_auto (GStrv) lines = g_strsplit (text, "\n", -1);
   g_autofree char *prefix = g_strconcat (name, " ", NULL);
@@ -23,7 +23,8 @@
   return -1;
 }
 
-/* Every line is a comment about a metric, or a sample of the metric that the comments named. */
+/* Checks that every line is a HELP or TYPE comment, or a sample of the metric that the comments
+ * before it name. */
 static void
 check_format (const char *text)
 {
@@ -48,41 +49,42 @@
 }
 
 static void
-metrics_count_what_happened (void **state G_GNUC_UNUSED)
+metrics_reflect_cluster_events (void **state G_GNUC_UNUSED)
 {
   Cluster *cluster = cluster_led (2);
   ClusterWorker *worker = cluster_worker (cluster, "m-1");
   int leader = cluster_leader (cluster);
   cluster_report (cluster, worker, leader);
   cluster_place (cluster, worker, leader, "job-a");
-  g_autofree char *running = hr_metrics_text (cluster->nodes[leader].core);
-  check_format (running);
-  assert_true (sample (running, "hoprock_leads") == 1);
-  assert_true (sample (running, "hoprock_may_answer") == 1);
-  assert_true (sample (running, "hoprock_terms_total") == 1);
-  assert_true (sample (running, "hoprock_tasks_bound") == 1);
-  assert_true (sample (running, "hoprock_starts_total") >= 1);
-  assert_true (sample (running, "hoprock_reports_before_token_total") == 1);
-  assert_true (sample (running, "hoprock_machines{state=\"up\"}") == 1);
-  double renewals = sample (running, "hoprock_reports_answered_total") +
-                    sample (running, "hoprock_reports_before_token_total") +
-                    sample (running, "hoprock_reports_overtaken_total");
-  assert_true (sample (running, "hoprock_renewal_reading_age_seconds_count") == renewals);
+  g_autofree char *while_running = hr_metrics_text (cluster->nodes[leader].core);
+  check_format (while_running);
+  assert_true (sample_value (while_running, "hoprock_leads") == 1);
+  assert_true (sample_value (while_running, "hoprock_may_answer") == 1);
+  assert_true (sample_value (while_running, "hoprock_terms_total") == 1);
+  assert_true (sample_value (while_running, "hoprock_tasks_bound") == 1);
+  assert_true (sample_value (while_running, "hoprock_starts_total") >= 1);
+  assert_true (sample_value (while_running, "hoprock_reports_before_token_total") == 1);
+  assert_true (sample_value (while_running, "hoprock_machines{state=\"up\"}") == 1);
+  double renewals = sample_value (while_running, "hoprock_reports_answered_total") +
+                    sample_value (while_running, "hoprock_reports_before_token_total") +
+                    sample_value (while_running, "hoprock_reports_overtaken_total");
+  assert_true (sample_value (while_running, "hoprock_renewal_reading_age_seconds_count") ==
+               renewals);
   cluster_abort (cluster, 1 - leader, "job-a");
   cluster_run (cluster, 2);
   cluster_report (cluster, worker, leader);
-  g_autofree char *stopped = hr_metrics_text (cluster->nodes[leader].core);
-  assert_true (sample (stopped, "hoprock_stops_total") >= 1);
-  assert_true (sample (stopped, "hoprock_withdrawals_total") == 1);
-  assert_true (sample (stopped, "hoprock_invariants_violated_total") == 0);
-  g_autofree char *other = hr_metrics_text (cluster->nodes[1 - leader].core);
-  assert_true (sample (other, "hoprock_leads") == 0);
-  assert_true (sample (other, "hoprock_machines{state=\"up\"}") == 0);
+  g_autofree char *after_stop = hr_metrics_text (cluster->nodes[leader].core);
+  assert_true (sample_value (after_stop, "hoprock_stops_total") >= 1);
+  assert_true (sample_value (after_stop, "hoprock_withdrawals_total") == 1);
+  assert_true (sample_value (after_stop, "hoprock_invariants_violated_total") == 0);
+  g_autofree char *follower = hr_metrics_text (cluster->nodes[1 - leader].core);
+  assert_true (sample_value (follower, "hoprock_leads") == 0);
+  assert_true (sample_value (follower, "hoprock_machines{state=\"up\"}") == 0);
   cluster_free (cluster);
 }
 
 static json_t *
-parsed (const char *message)
+parse_json_line (const char *message)
 {
   g_autofree char *line = hr_log_writer_line (HR_LOG_JSON, 1.5, "info", "hoprock", message);
   assert_null (strchr (line, '\n'));
@@ -92,49 +94,50 @@
 }
 
 static const char *
-member (json_t *object, const char *key)
+string_member (json_t *object, const char *key)
 {
   return json_string_value (json_object_get (object, key));
 }
 
 static void
-fields_become_members (void **state G_GNUC_UNUSED)
+log_fields_become_json_members (void **state G_GNUC_UNUSED)
 {
-  json_t *object = parsed ("leads: token=7 epoch=12 why=a=b");
-  assert_string_equal (member (object, "event"), "leads");
-  assert_string_equal (member (object, "token"), "7");
-  assert_string_equal (member (object, "why"), "a=b");
+  json_t *object = parse_json_line ("leads: token=7 epoch=12 why=a=b");
+  assert_string_equal (string_member (object, "event"), "leads");
+  assert_string_equal (string_member (object, "token"), "7");
+  assert_string_equal (string_member (object, "why"), "a=b");
   assert_null (json_object_get (object, "message"));
   json_decref (object);
-  object = parsed ("odd: level=3 event=4");
-  assert_string_equal (member (object, "level"), "info");
-  assert_string_equal (member (object, "field_level"), "3");
-  assert_string_equal (member (object, "event"), "odd");
+  object = parse_json_line ("odd: level=3 event=4");
+  assert_string_equal (string_member (object, "level"), "info");
+  assert_string_equal (string_member (object, "field_level"), "3");
+  assert_string_equal (string_member (object, "event"), "odd");
   json_decref (object);
-  object = parsed ("m-1 is returned: its worker is silent");
-  assert_string_equal (member (object, "message"), "m-1 is returned: its worker is silent");
+  object = parse_json_line ("m-1 is returned: its worker is silent");
+  assert_string_equal (string_member (object, "message"), "m-1 is returned: its worker is silent");
   assert_null (json_object_get (object, "event"));
   json_decref (object);
   g_autofree char *text = hr_log_writer_line (HR_LOG_TEXT, 1.5, "info", "hoprock", "a b");
   assert_string_equal (text, "1.500 info hoprock: a b");
 }
 
-/* Whatever is logged, its line is one JSON object with the keys that every line has. */
+/* Guards against broken log lines: any message, with control characters and invalid UTF-8 too,
+ * becomes one line with one JSON object and the keys that every line has. */
 static void
-any_message_is_one_line (void **state G_GNUC_UNUSED)
+any_message_is_one_json_line (void **state G_GNUC_UNUSED)
 {
   static const char alphabet[] = "ab=: \"\\\n\t{}\xc3\xa9\xff%_0";
   g_autoptr (GRand) rand = g_rand_new_with_seed (SEED);
-  for (int i = 0; i < LINES; i++) {
+  for (int i = 0; i < RANDOM_MESSAGES; i++) {
     char message[40];
     int n = g_rand_int_range (rand, 0, sizeof message - 1);
     for (int k = 0; k < n; k++)
       message[k] = alphabet[g_rand_int_range (rand, 0, sizeof alphabet - 1)];
     message[n] = 0;
-    json_t *object = parsed (message);
-    assert_string_equal (member (object, "level"), "info");
+    json_t *object = parse_json_line (message);
+    assert_string_equal (string_member (object, "level"), "info");
     assert_true (json_number_value (json_object_get (object, "time")) == 1.5);
-    assert_true (!member (object, "event") != !member (object, "message"));
+    assert_true (!string_member (object, "event") != !string_member (object, "message"));
     json_decref (object);
   }
 }
@@ -143,9 +146,9 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-      cmocka_unit_test (metrics_count_what_happened),
-      cmocka_unit_test (fields_become_members),
-      cmocka_unit_test (any_message_is_one_line),
+      cmocka_unit_test (metrics_reflect_cluster_events),
+      cmocka_unit_test (log_fields_become_json_members),
+      cmocka_unit_test (any_message_is_one_json_line),
   };
   g_log_set_writer_func (cluster_log, NULL, NULL);
   return cmocka_run_group_tests (tests, NULL, NULL);
