--- a/src/emulator/balancer.c
+++ b/src/emulator/balancer.c
@@ -28,22 +28,23 @@
 } Probe;
 
 static void
-on_probed (World *world G_GNUC_UNUSED, int status, json_t *body G_GNUC_UNUSED, gpointer data)
+on_probed (SimCluster *cluster G_GNUC_UNUSED, int status, json_t *body G_GNUC_UNUSED, gpointer data)
 {
   g_autofree Probe *probe = data;
   probe->balancer->healthy[probe->node] = status == 200;
 }
 
 static void
-probe_all (World *world, gpointer data)
+probe_all (SimCluster *cluster, gpointer data)
 {
   Balancer *balancer = data;
-  for (int i = 0; i < world->n; i++) {
+  for (int i = 0; i < cluster->n; i++) {
     Probe *probe = g_new (Probe, 1);
     *probe = (Probe){balancer, i};
-    w_ask (world, i, -1, HR_GET, HR_READY_PATH, NULL, PROBE_TIMEOUT_S, on_probed, probe);
+    sim_send_request (cluster, i, -1, HR_GET, HR_READY_PATH, NULL, PROBE_TIMEOUT_S, on_probed,
+                      probe);
   }
-  w_at (world, world->now + PROBE_INTERVAL_S, probe_all, balancer);
+  sim_schedule (cluster, cluster->now + PROBE_INTERVAL_S, probe_all, balancer);
 }
 
 /* The healthy node with the fewest open requests; -1: none is healthy. */
@@ -51,7 +52,7 @@
 choose (const Balancer *balancer)
 {
   int best = -1;
-  for (int i = 0; i < balancer->live->world->n; i++)
+  for (int i = 0; i < balancer->live->cluster->n; i++)
     if (balancer->healthy[i] && (best < 0 || balancer->open[i] < balancer->open[best]))
       best = i;
   return best;
@@ -64,7 +65,7 @@
   Balancer *balancer;
   int node;
   SoupServerMessage *msg;
-  Question *question; /* NULL: about no job that the world knows */
+  SimUserRequest *question; /* NULL: about no job that the cluster knows */
 } BalancedRequest;
 
 static void
@@ -75,36 +76,36 @@
 }
 
 static void
-on_answered (World *world, int status, json_t *body, gpointer data)
+on_answered (SimCluster *cluster, int status, json_t *body, gpointer data)
 {
   g_autofree BalancedRequest *request = data;
-  g_autofree Question *question = request->question;
+  g_autofree SimUserRequest *question = request->question;
   g_autoptr (SoupServerMessage) msg = request->msg;
   g_autofree char *text = body ? hr_json_take_text (json_incref (body)) : g_strdup ("{}");
   request->balancer->open[request->node]--;
   if (question && (status == 200 || status == 201)) {
     question->job->accepted = TRUE;
-    answer_check (world, question, status, body);
+    check_user_response (cluster, question, status, body);
   }
   reply (msg, status ? status : 504, status ? text : "{\"error\":\"the node does not answer\"}");
   soup_server_message_unpause (msg);
 }
 
-/* The job that a request is about; the world knows one from its first submission on. */
+/* The job that a request is about; the cluster knows one from its first submission on. */
 static SimJob *
-requested_job (World *world, const char *path, const char *body)
+requested_job (SimCluster *cluster, const char *path, const char *body)
 {
   static const char jobs[] = HR_JOBS_PATH "/";
   guint32 index;
   if (body && strcmp (path, HR_JOBS_PATH) == 0)
-    return external_job (world, body);
+    return external_job (cluster, body);
   if (!g_str_has_prefix (path, jobs))
     return NULL;
   const char *rest = path + strlen (jobs);
   g_autofree char *id = g_strndup (rest, strcspn (rest, "/"));
-  SimJob *job = job_by_id (world, id, &index);
+  SimJob *job = job_by_id (cluster, id, &index);
   if (job && g_str_has_suffix (path, "/abort"))
-    job->asked_cancel = TRUE;
+    job->cancel_requested = TRUE;
   return job;
 }
 
@@ -113,7 +114,7 @@
             GHashTable *query G_GNUC_UNUSED, gpointer data)
 {
   Balancer *balancer = data;
-  World *world = balancer->live->world;
+  SimCluster *cluster = balancer->live->cluster;
   live_catch_up (balancer->live);
   g_autoptr (GBytes) bytes = soup_message_body_flatten (soup_server_message_get_request_body (msg));
   gsize size = g_bytes_get_size (bytes);
@@ -126,17 +127,17 @@
     reply (msg, 503, "{\"error\":\"no controller is ready\"}");
     return;
   }
-  SimJob *job = requested_job (world, path, body);
+  SimJob *job = requested_job (cluster, path, body);
   BalancedRequest *request = g_new (BalancedRequest, 1);
-  *request =
-      (BalancedRequest){balancer, node, g_object_ref (msg), job ? question_new (world, job) : NULL};
+  *request = (BalancedRequest){balancer, node, g_object_ref (msg),
+                               job ? sim_user_request_new (cluster, job) : NULL};
   balancer->open[node]++;
   soup_server_message_pause (msg);
   HrMethod kind = strcmp (method, "GET") == 0    ? HR_GET
                   : strcmp (method, "POST") == 0 ? HR_POST
                                                  : HR_OTHER_METHOD;
-  w_ask (world, node, -1, kind, path, g_steal_pointer (&body), REQUEST_TIMEOUT_S, on_answered,
-         request);
+  sim_send_request (cluster, node, -1, kind, path, g_steal_pointer (&body), REQUEST_TIMEOUT_S,
+                    on_answered, request);
 }
 
 Balancer *
@@ -160,7 +161,7 @@
     balancer_free (balancer);
     return NULL;
   }
-  w_at (live->world, FIRST_PROBE_S, probe_all, balancer);
+  sim_schedule (live->cluster, FIRST_PROBE_S, probe_all, balancer);
   return balancer;
 }
 
--- a/src/emulator/balancer.h
+++ b/src/emulator/balancer.h
@@ -1,5 +1,5 @@
 /* The load balancer, as users see it: one address for all controllers. It hands requests to those
- * that answer /ready, and notes for the simulated world the jobs that pass through it. */
+ * that answer /ready, and notes for the simulated cluster the jobs that pass through it. */
 #pragma once
 #include "emulator/live.h"
 
@@ -18,6 +18,6 @@
 /**
  * balancer_free:
  *
- * Closes all connections. The world must not run afterwards.
+ * Closes all connections. The cluster must not run afterwards.
  */
 void balancer_free (Balancer *balancer);
--- a/src/emulator/control.c
+++ b/src/emulator/control.c
@@ -13,25 +13,26 @@
 }
 
 static json_t *
-describe (const World *world)
+describe (const SimCluster *cluster)
 {
   guint up = 0, tasks = 0, done = 0;
   json_t *nodes = json_array (), *broken = json_array ();
-  for (guint i = 0; i < world->machines->len; i++) {
-    const SimMachine *machine = world->machines->pdata[i];
+  for (guint i = 0; i < cluster->machines->len; i++) {
+    const SimMachine *machine = cluster->machines->pdata[i];
     up += machine->up && !machine->gone;
     for (guint k = 0; k < machine->tasks->len; k++)
-      tasks += !machine->gone && g_array_index (machine->tasks, SimTask, k).on;
+      tasks += !machine->gone && g_array_index (machine->tasks, SimTask, k).active;
   }
-  for (guint i = 0; i < world->jobs->len; i++)
-    done += ((const SimJob *)world->jobs->pdata[i])->told_done > 0;
-  for (int i = 0; i < world->n; i++)
-    json_array_append_new (nodes, json_boolean (world->nodes[i].up));
-  for (guint i = 0; i < world->broken->len; i++)
-    json_array_append_new (broken, json_string (world->broken->pdata[i]));
-  return json_pack ("{sfsososisisisisi}", "seconds", world->now, "controllers_up", nodes, "broken",
-                    broken, "machines", (int)up, "tasks", (int)tasks, "jobs", (int)world->jobs->len,
-                    "jobs_done", (int)done, "terms", (int)world->troubles.leaders);
+  for (guint i = 0; i < cluster->jobs->len; i++)
+    done += ((const SimJob *)cluster->jobs->pdata[i])->done_reply_at > 0;
+  for (int i = 0; i < cluster->n; i++)
+    json_array_append_new (nodes, json_boolean (cluster->nodes[i].up));
+  for (guint i = 0; i < cluster->violations->len; i++)
+    json_array_append_new (broken, json_string (cluster->violations->pdata[i]));
+  return json_pack ("{sfsososisisisisi}", "seconds", cluster->now, "controllers_up", nodes,
+                    "broken", broken, "machines", (int)up, "tasks", (int)tasks, "jobs",
+                    (int)cluster->jobs->len, "jobs_done", (int)done, "terms",
+                    (int)cluster->troubles.leaders);
 }
 
 gboolean
@@ -49,10 +50,10 @@
                    lines[i]);
       return FALSE;
     }
-    trouble.at_s += live->world->now;
+    trouble.at_s += live->cluster->now;
     g_array_append_val (troubles, trouble);
   }
-  troubles_plan (live->world, (const HrTrouble *)troubles->data, troubles->len);
+  troubles_plan (live->cluster, (const HrTrouble *)troubles->data, troubles->len);
   return TRUE;
 }
 
@@ -61,7 +62,7 @@
 {
   g_autoptr (GError) error = NULL;
   if (strcmp (path, "/emulator") == 0)
-    reply (msg, 200, describe (live->world));
+    reply (msg, 200, describe (live->cluster));
   else if (strcmp (path, "/emulator/troubles") != 0)
     return FALSE;
   else if (control_plan (live, body ? body : "", &error))
--- a/src/emulator/live.h
+++ b/src/emulator/live.h
@@ -30,7 +30,7 @@
 } LiveNode;
 
 struct Live {
-  World *world;
+  SimCluster *cluster;
   gint64 began; /* steady clock, microseconds */
   const char *daemon, *policy;
   const char *old_daemon; /* program of controllers not upgraded yet; NULL: none */
@@ -51,10 +51,10 @@
 /**
  * live_prepare:
  * @live: zeroed, but for the programs and the policy
- * @seed: of the simulated world
+ * @seed: of the simulated cluster
  * @nodes: number of controllers
  *
- * Makes the world and all addresses. Until live_begin() the world's parameters may be changed.
+ * Makes the cluster and all addresses. Until live_begin() the cluster's parameters may be changed.
  */
 void live_prepare (Live *live, guint32 seed, int nodes);
 
@@ -75,20 +75,20 @@
 /**
  * live_end:
  *
- * Ends all controllers. The world can still be examined.
+ * Ends all controllers. The cluster can still be examined.
  */
 void live_end (Live *live);
 
 /**
  * live_catch_up:
  *
- * Advances the world to the present. Called before anything from outside is handed to it.
+ * Advances the cluster to the present. Called before anything from outside is handed to it.
  */
 void live_catch_up (Live *live);
 
 /* ---- processes.c: controllers as processes ---- */
 
-/* For the world, which starts, kills and freezes controllers. */
+/* For the cluster, which starts, kills and freezes controllers. */
 extern const SimControllers live_controllers;
 
 /**
@@ -105,7 +105,7 @@
  */
 void live_processes_end (Live *live);
 
-/* ---- wire.c: HTTP between controllers and the simulated world ---- */
+/* ---- wire.c: HTTP between controllers and the simulated cluster ---- */
 
 /**
  * live_wire_prepare:
@@ -141,16 +141,16 @@
  * live_push:
  * @command: (transfer full): a request, or the result of a call
  *
- * Sends what the world delivers to a controller.
+ * Sends what the cluster delivers to a controller.
  */
-void live_push (World *world, int node, HrCommand *command);
+void live_push (SimCluster *cluster, int node, HrCommand *command);
 
 /**
  * live_worker_address:
  *
  * Returns: (transfer full): IP:PORT of a new server for that machine's worker
  */
-char *live_worker_address (World *world, guint machine);
+char *live_worker_address (SimCluster *cluster, guint machine);
 
 /* ---- relay.c: connections between controllers, which network partitions cut ---- */
 
--- a/src/emulator/main.c
+++ b/src/emulator/main.c
@@ -103,13 +103,14 @@
 }
 
 static void
-set_figures (World *world, const Figures *figures)
+set_figures (SimCluster *cluster, const Figures *figures)
 {
-  world->capacity = (guint)figures->machines;
-  world->report_s = figures->report_s;
-  world->lease_s = figures->lease_s;
-  world->cancel_s = figures->cancel_s;
-  world->loss = world->dup = 0; /* the only faults are those of the troubles file */
+  cluster->capacity = (guint)figures->machines;
+  cluster->report_s = figures->report_s;
+  cluster->lease_s = figures->lease_s;
+  cluster->cancel_s = figures->cancel_s;
+  cluster->loss_share = cluster->duplicate_share =
+      0; /* the only faults are those of the troubles file */
 }
 
 static gboolean
@@ -133,7 +134,7 @@
 {
   g_autoptr (GError) error = NULL;
   const char *listen = options->listen ? options->listen : "127.0.0.1:8080";
-  users_init (live->world, 0, 0);
+  users_init (live->cluster, 0, 0);
   Balancer *balancer = balancer_new (live, listen, &error);
   if (!balancer) {
     fprintf (stderr, "hoprock-emulator: %s\n", error->message);
@@ -141,14 +142,14 @@
   }
   if (!plan_file (live, options->troubles))
     return 2;
-  printf ("%d controllers; users at %s; logs in %s\n", live->world->n, listen, live->dir);
+  printf ("%d controllers; users at %s; logs in %s\n", live->cluster->n, listen, live->dir);
   fflush (stdout);
   live_run (live, options->seconds > 0 ? options->seconds : FOREVER_S);
-  guint broken = live->world->broken->len;
+  guint broken = live->cluster->violations->len;
   for (guint i = 0; i < broken; i++)
-    printf ("broken rule: %s\n", (char *)live->world->broken->pdata[i]);
-  printf ("ended after %.0f s: %u starts, %u rules broken\n", live->world->now, live->world->starts,
-          broken);
+    printf ("broken rule: %s\n", (char *)live->cluster->violations->pdata[i]);
+  printf ("ended after %.0f s: %u starts, %u rules broken\n", live->cluster->now,
+          live->cluster->task_starts, broken);
   balancer_free (balancer);
   return broken > 0;
 }
@@ -166,7 +167,7 @@
   live.daemon = options.daemon;
   live.policy = options.policy;
   live_prepare (&live, (guint32)figures.seed, (int)figures.controllers);
-  set_figures (live.world, &figures);
+  set_figures (live.cluster, &figures);
   live_begin (&live);
   g_unix_signal_add (SIGTERM, on_signal, &live);
   g_unix_signal_add (SIGINT, on_signal, &live);
--- a/src/emulator/processes.c
+++ b/src/emulator/processes.c
@@ -30,13 +30,13 @@
 live_processes_prepare (Live *live)
 {
   live->relays = g_ptr_array_new_with_free_func (live_relay_free);
-  for (int i = 0; i < live->world->n; i++) {
+  for (int i = 0; i < live->cluster->n; i++) {
     live->nodes[i].held[0] = reserve_port (&live->nodes[i].front);
     live->nodes[i].held[1] = reserve_port (&live->nodes[i].back);
     live->nodes[i].log = g_strdup_printf ("%s/c%d.log", live->dir, i);
   }
-  for (int i = 0; i < live->world->n; i++)
-    for (int k = 0; k < live->world->n; k++)
+  for (int i = 0; i < live->cluster->n; i++)
+    for (int k = 0; k < live->cluster->n; k++)
       if (k != i)
         live->nodes[i].peers[k] = live_relay (live, i, k);
 }
@@ -51,7 +51,7 @@
 write_settings (Live *live, int i)
 {
   const LiveNode *node = &live->nodes[i];
-  json_t *root = node_settings (live->world, i), *member;
+  json_t *root = node_settings (live->cluster, i), *member;
   json_object_set_new (root, "front", json_string (node->front));
   json_object_set_new (root, "back", json_string (node->back));
   json_object_set_new (json_object_get (root, "outside"), "cloud",
@@ -90,16 +90,16 @@
   g_autofree WatchedProcess *watched = data;
   Live *live = watched->live;
   g_subprocess_wait_finish (G_SUBPROCESS (source), result, NULL);
-  if (!live->world || live->nodes[watched->node].process != G_SUBPROCESS (source))
+  if (!live->cluster || live->nodes[watched->node].process != G_SUBPROCESS (source))
     return; /* killed by this program */
   live_catch_up (live);
-  w_broken (live->world, "ended", "c%d ended by itself", watched->node);
-  node_kill (live->world, watched->node);
-  node_start_at (live->world, watched->node, live->world->now + 1);
+  sim_report_violation (live->cluster, "ended", "c%d ended by itself", watched->node);
+  node_kill (live->cluster, watched->node);
+  node_start_at (live->cluster, watched->node, live->cluster->now + 1);
 }
 
 /* Waits until the killed process has ended, so that its ports are free. Called only when they are
- * needed: a process with sanitizers takes a while to end, and the simulated world must go
+ * needed: a process with sanitizers takes a while to end, and the simulated cluster must go
  * on meanwhile. */
 static void
 await_end (LiveNode *node)
@@ -113,13 +113,13 @@
 static const char *
 program_of (const Live *live, int i)
 {
-  return live->old_daemon && !live->world->nodes[i].upgraded ? live->old_daemon : live->daemon;
+  return live->old_daemon && !live->cluster->nodes[i].upgraded ? live->old_daemon : live->daemon;
 }
 
 static void
-start (World *world, int i)
+start (SimCluster *cluster, int i)
 {
-  Live *live = world->controllers_data;
+  Live *live = cluster->controllers_data;
   LiveNode *node = &live->nodes[i];
   g_autofree char *settings = write_settings (live, i);
   await_end (node);
@@ -140,9 +140,9 @@
 }
 
 static void
-end (World *world, int i)
+end (SimCluster *cluster, int i)
 {
-  Live *live = world->controllers_data;
+  Live *live = cluster->controllers_data;
   GSubprocess *process = g_steal_pointer (&live->nodes[i].process);
   if (!process)
     return;
@@ -159,23 +159,23 @@
 } FrozenProcess;
 
 static void
-resume (World *world, gpointer data)
+resume (SimCluster *cluster, gpointer data)
 {
   g_autofree FrozenProcess *frozen = data;
-  Live *live = world->controllers_data;
-  if (world->nodes[frozen->node].up && world->nodes[frozen->node].gen == frozen->gen)
+  Live *live = cluster->controllers_data;
+  if (cluster->nodes[frozen->node].up && cluster->nodes[frozen->node].generation == frozen->gen)
     g_subprocess_send_signal (live->nodes[frozen->node].process, SIGCONT);
 }
 
 static void
-freeze (World *world, int i, double for_s)
+freeze (SimCluster *cluster, int i, double for_s)
 {
-  Live *live = world->controllers_data;
+  Live *live = cluster->controllers_data;
   live->freezes++;
   g_subprocess_send_signal (live->nodes[i].process, SIGSTOP);
   FrozenProcess *frozen = g_new (FrozenProcess, 1);
-  *frozen = (FrozenProcess){i, world->nodes[i].gen};
-  w_at (world, world->now + for_s, resume, frozen);
+  *frozen = (FrozenProcess){i, cluster->nodes[i].generation};
+  sim_schedule (cluster, cluster->now + for_s, resume, frozen);
 }
 
 const SimControllers live_controllers = {start, end, live_push, freeze, live_worker_address};
@@ -198,12 +198,12 @@
 void
 live_processes_end (Live *live)
 {
-  for (int i = 0; i < live->world->n; i++) {
+  for (int i = 0; i < live->cluster->n; i++) {
     LiveNode *node = &live->nodes[i];
     await_end (node);
     for (int k = 0; k < 2; k++)
       g_object_unref (node->held[k]);
-    for (int k = 0; k < live->world->n; k++)
+    for (int k = 0; k < live->cluster->n; k++)
       g_free (node->peers[k]);
     if (live->remove_files)
       remove_files (live, i);
--- a/src/emulator/relay.c
+++ b/src/emulator/relay.c
@@ -34,9 +34,9 @@
 static gboolean
 is_cut (const Relay *relay)
 {
-  const World *world = relay->live->world;
-  return world->nodes[relay->from].cut_peers > world->now ||
-         world->nodes[relay->to].cut_peers > world->now;
+  const SimCluster *cluster = relay->live->cluster;
+  return cluster->nodes[relay->from].cut_peers_until > cluster->now ||
+         cluster->nodes[relay->to].cut_peers_until > cluster->now;
 }
 
 static void
--- a/src/emulator/wire.c
+++ b/src/emulator/wire.c
@@ -1,14 +1,14 @@
 /* HTTP between the controllers and the simulated services and workers: a request of either side
- * becomes a message of the simulated world, which may delay, lose or repeat it as the planned
- * faults demand; what the world delivers is sent over real HTTP. */
+ * becomes a message of the simulated cluster, which may delay, lose or repeat it as the planned
+ * faults demand; what the cluster delivers is sent over real HTTP. */
 #include "emulator/live.h"
 #include "sim/request.h"
 #include <string.h>
 
 /* Timeout of calls by controllers: longer than any of theirs, of which watches are the longest. */
 #define CALL_TIMEOUT_S 30.0
-/* Timeout of requests to controllers: nothing in the world waits longer. Requests that are given up
- * must leave the SoupSession, whose work for each message grows with the number of open ones. */
+/* Timeout of requests to controllers: nothing in the cluster waits longer. Requests that are given
+ * up must leave the SoupSession, whose work for each message grows with the number of open ones. */
 #define REQUEST_TIMEOUT_S 6
 /* Connections to one controller. */
 #define MAX_CONNECTIONS 200
@@ -31,7 +31,7 @@
   guint64 token = json_integer_value (json_object_get (object, "baton"));
   json_decref (object);
   gpointer node;
-  if (!g_hash_table_lookup_extended (live->world->token_nodes, &token, NULL, &node))
+  if (!g_hash_table_lookup_extended (live->cluster->token_nodes, &token, NULL, &node))
     return -1;
   return GPOINTER_TO_INT (node);
 }
@@ -55,7 +55,7 @@
   g_autoptr (GBytes) bytes = soup_message_body_flatten (received);
   g_autofree char *body = g_strndup (g_bytes_get_data (bytes, NULL), g_bytes_get_size (bytes));
   int node = listener->node >= 0 ? listener->node : node_of_token (live, body);
-  if (node < 0 || !live->world->nodes[node].up) { /* sent by a process that has just ended */
+  if (node < 0 || !live->cluster->nodes[node].up) { /* sent by a process that has just ended */
     soup_server_message_set_status (msg, 503, NULL);
     return;
   }
@@ -70,11 +70,11 @@
   g_hash_table_insert (live->pending, g_memdup2 (&effect.id, sizeof effect.id), g_object_ref (msg));
   g_signal_connect (msg, "disconnected", G_CALLBACK (on_disconnected), NULL);
   soup_server_message_pause (msg);
-  node_perform (live->world, node, &effect);
+  node_perform (live->cluster, node, &effect);
   g_free (effect.call.path);
 }
 
-/* Sends the world's answer to a call; status 0: closes the connection without one. */
+/* Sends the cluster's answer to a call; status 0: closes the connection without one. */
 static void
 answer_call (Live *live, const HrCommand *command)
 {
@@ -129,9 +129,9 @@
 }
 
 char *
-live_worker_address (World *world, guint machine G_GNUC_UNUSED)
+live_worker_address (SimCluster *cluster, guint machine G_GNUC_UNUSED)
 {
-  Live *live = world->controllers_data;
+  Live *live = cluster->controllers_data;
   LiveListener *listener = live_listen (live, -1, HR_TO_WORKER);
   g_ptr_array_add (live->workers, listener);
   return g_strdup (listener->address);
@@ -143,7 +143,7 @@
 typedef struct {
   Live *live;
   int node;
-  guint64 id; /* of the request in the world */
+  guint64 id; /* of the request in the cluster */
   SoupMessage *msg;
 } ForwardedRequest;
 
@@ -151,11 +151,11 @@
 static void
 no_answer (Live *live, int node, guint64 id)
 {
-  Node *n = &live->world->nodes[node];
+  SimNode *n = &live->cluster->nodes[node];
   SimRequest *request = n->up ? g_hash_table_lookup (n->open, &id) : NULL;
   if (!request)
     return;
-  w_answer (live->world, request, 0, NULL);
+  sim_send_response (live->cluster, request, 0, NULL);
   g_hash_table_remove (n->open, &id);
 }
 
@@ -168,7 +168,7 @@
   g_autoptr (SoupMessage) msg = forwarded->msg;
   g_autoptr (GBytes) bytes =
       soup_session_send_and_read_finish (SOUP_SESSION (source), result, &error);
-  if (!live->world)
+  if (!live->cluster)
     return;
   live_catch_up (live);
   if (!bytes) {
@@ -178,8 +178,8 @@
   HrEffect effect = {
       .kind = HR_EFFECT_REPLY, .id = forwarded->id, .reply.status = soup_message_get_status (msg)};
   effect.body = g_strndup (g_bytes_get_data (bytes, NULL), g_bytes_get_size (bytes));
-  if (live->world->nodes[forwarded->node].up)
-    node_perform (live->world, forwarded->node, &effect);
+  if (live->cluster->nodes[forwarded->node].up)
+    node_perform (live->cluster, forwarded->node, &effect);
   g_free (effect.body);
 }
 
@@ -201,9 +201,9 @@
 }
 
 void
-live_push (World *world, int node, HrCommand *command)
+live_push (SimCluster *cluster, int node, HrCommand *command)
 {
-  Live *live = world->controllers_data;
+  Live *live = cluster->controllers_data;
   if (command->kind == HR_COMMAND_REQUEST)
     forward_request (live, node, command);
   else if (command->kind == HR_COMMAND_RESULT)
@@ -218,7 +218,7 @@
 {
   live->pending = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_object_unref);
   live->workers = g_ptr_array_new_with_free_func ((GDestroyNotify)live_listener_free);
-  for (int i = 0; i < live->world->n; i++) {
+  for (int i = 0; i < live->cluster->n; i++) {
     live->nodes[i].session =
         soup_session_new_with_options ("max-conns", MAX_CONNECTIONS, "max-conns-per-host",
                                        MAX_CONNECTIONS, "timeout", REQUEST_TIMEOUT_S, NULL);
@@ -230,7 +230,7 @@
 void
 live_wire_end (Live *live)
 {
-  for (int i = 0; i < live->world->n; i++) {
+  for (int i = 0; i < live->cluster->n; i++) {
     soup_session_abort (live->nodes[i].session);
     g_object_unref (live->nodes[i].session);
     live_listener_free (live->nodes[i].state);
--- a/tests/sim/answer_checks.c
+++ b/tests/sim/answer_checks.c
@@ -1,20 +1,19 @@
-/* What users are told. One clock counts every question that leaves and every answer that
- * arrives, whoever asks and whichever controller answers: an answer to a question that left
- * after another answer had arrived must not be older than that one. */
+/* Checks of the answers that users get (answer_checks.h). The clock counts the requests of all
+ * users and the answers of all controllers. */
 #include "sim/answer_checks.h"
 #include "sim/invariant_checks.h"
 #include "sim/pipeline.h"
 #include "sim/trouble_hooks.h"
 #include "sim/user.h"
-#include "sim/world.h"
+#include "sim/cluster.h"
 #include <string.h>
 
-Question *
-question_new (World *world, SimJob *job)
+SimUserRequest *
+sim_user_request_new (SimCluster *cluster, SimJob *job)
 {
-  Question *question = g_new (Question, 1);
-  *question = (Question){job, ++world->answers, world->now};
-  return question;
+  SimUserRequest *request = g_new (SimUserRequest, 1);
+  *request = (SimUserRequest){job, ++cluster->message_clock, cluster->now};
+  return request;
 }
 
 gboolean
@@ -27,71 +26,75 @@
 }
 
 static gboolean
-heard_before (guint64 heard, const Question *question)
+known_before (guint64 heard_at, const SimUserRequest *request)
 {
-  return heard && heard < question->sent;
+  return heard_at && heard_at < request->sent;
 }
 
-/* Of what only one can ever be true, no controller may tell both, in whatever order. */
+/* A job ends either done or cancelled: no controller may report both, in whatever order. */
 static void
-check_final (World *world, const SimJob *job, gboolean done, gboolean cancelled)
+check_final (SimCluster *cluster, const SimJob *job, gboolean done, gboolean cancelled)
 {
-  if ((done && job->heard_cancelled) || (cancelled && job->heard_done))
-    w_broken (world, "went_back", "%s is called %s, and was called %s", job->id,
-              done ? "done" : "withdrawn", done ? "withdrawn" : "done");
+  if ((done && job->cancelled_heard_at) || (cancelled && job->done_heard_at))
+    sim_report_violation (cluster, "went_back", "%s is reported %s, and was reported %s", job->id,
+                          done ? "done" : "withdrawn", done ? "withdrawn" : "done");
 }
 
 void
-answer_check (World *world, const Question *question, int status, json_t *body)
+check_user_response (SimCluster *cluster, const SimUserRequest *request, int status, json_t *body)
 {
-  SimJob *job = question->job;
+  SimJob *job = request->job;
   const char *state = json_string_value (json_object_get (body, "stance"));
   const char *id = json_string_value (json_object_get (body, "name_id"));
-  world->answers++;
+  cluster->message_clock++;
   if (!state || g_strcmp0 (id, job->id) != 0) {
-    w_broken (world, "status", "%s: an answer of %d about %s without a state of its own", job->id,
-              status, id ? id : "no job");
+    sim_report_violation (cluster, "status",
+                          "%s: an answer of %d about %s without this job's state", job->id, status,
+                          id ? id : "no job");
     return;
   }
   if (!json_object_get (body, "reason"))
-    w_broken (world, "reason", "%s: an answer without a reason", job->id);
+    sim_report_violation (cluster, "reason", "%s: an answer without a reason", job->id);
   gboolean done = strcmp (state, "done") == 0, cancelled = strcmp (state, "withdrawn") == 0;
   if (done && (job->shape == HR_SERVICE || !job_all_done (job)))
-    w_broken (world, "not_done", "%s is called done", job->id);
+    sim_report_violation (cluster, "not_done", "%s is reported done", job->id);
   if (cancelled && !pipeline_cancel_asked (job))
-    w_broken (world, "went_back", "%s is called withdrawn, nobody asked for that", job->id);
-  if ((heard_before (job->heard_done, question) && !done) ||
-      (heard_before (job->heard_cancelled, question) && !cancelled))
-    w_broken (world, "went_back", "%s is called %s", job->id, state);
-  check_final (world, job, done, cancelled);
-  pipeline_told (world, job, state, question->sent_at);
-  if (status == 201 && heard_before (job->heard_accepted, question))
-    w_broken (world, "status", "%s is accepted as new a second time", job->id);
-  gboolean first = !job->heard_accepted;
-  gboolean news = first || (done && !job->heard_done) || (cancelled && !job->heard_cancelled);
+    sim_report_violation (cluster, "went_back",
+                          "%s is reported withdrawn, though no user cancelled it", job->id);
+  if ((known_before (job->done_heard_at, request) && !done) ||
+      (known_before (job->cancelled_heard_at, request) && !cancelled))
+    sim_report_violation (cluster, "went_back",
+                          "%s is reported %s, which is older than a previous answer", job->id,
+                          state);
+  check_final (cluster, job, done, cancelled);
+  pipeline_told (cluster, job, state, request->sent_at);
+  if (status == 201 && known_before (job->accepted_heard_at, request))
+    sim_report_violation (cluster, "status", "%s is accepted as new a second time", job->id);
+  gboolean first = !job->accepted_heard_at;
+  gboolean news = first || (done && !job->done_heard_at) || (cancelled && !job->cancelled_heard_at);
   if (first)
-    job->heard_accepted = world->answers;
-  if (done && !job->told_done) {
-    job->heard_done = world->answers;
-    job->told_done = world->now;
+    job->accepted_heard_at = cluster->message_clock;
+  if (done && !job->done_reply_at) {
+    job->done_heard_at = cluster->message_clock;
+    job->done_reply_at = cluster->now;
   }
-  if (cancelled && !job->told_cancelled) {
-    job->heard_cancelled = world->answers;
-    job->told_cancelled = world->now;
-    check_cancelled_job (world, job);
+  if (cancelled && !job->cancelled_reply_at) {
+    job->cancelled_heard_at = cluster->message_clock;
+    job->cancelled_reply_at = cluster->now;
+    check_cancelled_job (cluster, job);
   }
-  job->ok_at = world->now;
+  job->answered_at = cluster->now;
   if (news)
-    troubles_told (world, job, first && !done && !cancelled);
+    troubles_told (cluster, job, first && !done && !cancelled);
 }
 
 void
-answer_unknown (World *world, const Question *question, const char *what, int status)
+check_user_error (SimCluster *cluster, const SimUserRequest *request, const char *what, int status)
 {
-  SimJob *job = question->job;
-  world->answers++;
-  if (heard_before (job->heard_accepted, question))
-    w_broken (world, "forgotten", "%s: %s gets %d", job->id, what, status);
+  SimJob *job = request->job;
+  cluster->message_clock++;
+  if (known_before (job->accepted_heard_at, request))
+    sim_report_violation (cluster, "forgotten", "%s: %s gets %d", job->id, what, status);
   else if (status != 404)
-    w_broken (world, "status", "%s: %s gets %d", job->id, what, status);
+    sim_report_violation (cluster, "status", "%s: %s gets %d", job->id, what, status);
 }
--- a/tests/sim/external_jobs.c
+++ b/tests/sim/external_jobs.c
@@ -1,11 +1,11 @@
-/* Jobs of users outside this process: the stand-ins learn of them as they are submitted. */
+/* Jobs that users outside this process submit, as the simulation knows them. */
 #include "sim/external_jobs.h"
 #include "sim/user.h"
-#include "sim/world.h"
+#include "sim/cluster.h"
 #include "protocol/json_util.h"
 
-#define SHORTEST_S 1.0
-#define IMAGES 1000
+#define MIN_RUN_S 1.0
+#define N_IMAGES 1000
 
 static guint
 shape_of (const char *name)
@@ -23,10 +23,10 @@
   return value;
 }
 
-/* The rules of pipelines are judged by what the stand-ins know: what was never submitted is no job
- * of theirs, and such a submission is refused. */
+/* Returns the jobs in the field awaits, for the rules of pipelines. Ids that were never submitted
+ * are left out: a controller refuses such a submission. */
 static GPtrArray *
-read_awaits (World *world, const json_t *object)
+read_awaits (SimCluster *cluster, const json_t *object)
 {
   GPtrArray *awaits = g_ptr_array_new ();
   const json_t *id;
@@ -34,7 +34,8 @@
   json_array_foreach (json_object_get (object, "awaits"), i, id)
   {
     guint32 index;
-    SimJob *before = json_is_string (id) ? job_by_id (world, json_string_value (id), &index) : NULL;
+    SimJob *before =
+        json_is_string (id) ? job_by_id (cluster, json_string_value (id), &index) : NULL;
     if (before)
       g_ptr_array_add (awaits, before);
   }
@@ -42,7 +43,7 @@
 }
 
 static SimJob *
-read_job (World *world, const json_t *object)
+read_job (SimCluster *cluster, const json_t *object)
 {
   SimJob *job = g_new0 (SimJob, 1);
   const char *zone = hr_json_str (object, "quarry"), *image = hr_json_str (object, "bundle");
@@ -52,9 +53,9 @@
   job->cpus = number (object, "vcpus");
   job->gpus = number (object, "accelerators");
   job->mem = number (object, "memory_gb");
-  job->image = image ? g_str_hash (image) % IMAGES : 0;
+  job->image = image ? g_str_hash (image) % N_IMAGES : 0;
   job->image_gb = number (object, "size_gb");
-  job->run = MAX (SHORTEST_S, number (object, "guess_s") * w_rand (world, 0.67, 1.33));
+  job->run = MAX (MIN_RUN_S, number (object, "guess_s") * sim_rand_range (cluster, 0.67, 1.33));
   job->checkpoint = number (object, "cairn_s");
   job->save = number (object, "stash_s");
   job->one_zone = json_is_true (json_object_get (object, "together"));
@@ -62,23 +63,23 @@
   job->spot = json_is_true (json_object_get (object, "loaners"));
   job->zone = zone ? (g_str_equal (zone, "z0") ? 1 : 2) : 0;
   job->submitted = TRUE;
-  job->awaits = read_awaits (world, object);
+  job->awaits = read_awaits (cluster, object);
   job->done = g_new0 (guint, job->tasks);
   job->progress = g_new0 (double, job->tasks);
   return job;
 }
 
 SimJob *
-external_job (World *world, const char *body)
+external_job (SimCluster *cluster, const char *body)
 {
   json_t *object = json_loads (body, 0, NULL);
   const char *id = hr_json_str (object, "name_id");
   guint32 index;
-  SimJob *job = id ? job_by_id (world, id, &index) : NULL;
+  SimJob *job = id ? job_by_id (cluster, id, &index) : NULL;
   if (!job && hr_job_id_valid (id)) {
-    job = read_job (world, object);
-    g_ptr_array_add (world->jobs, job);
-    g_hash_table_insert (world->job_index, job->id, GUINT_TO_POINTER (world->jobs->len));
+    job = read_job (cluster, object);
+    g_ptr_array_add (cluster->jobs, job);
+    g_hash_table_insert (cluster->job_index, job->id, GUINT_TO_POINTER (cluster->jobs->len));
   }
   json_decref (object);
   return job;
--- a/tests/sim/external_jobs.h
+++ b/tests/sim/external_jobs.h
@@ -1,8 +1,8 @@
-/* Jobs of users outside this process. */
+/* Jobs that users outside this process submit. */
 #pragma once
 #include "sim/user.h"
-#include "sim/world.h"
+#include "sim/cluster.h"
 
-/* A job of somebody outside, known from the body of its submission; NULL: the body names none. The
- * same again for a repeated one. Its tasks run as long as was estimated, give or take a third. */
-SimJob *external_job (World *world, const char *body);
+/* Returns the simulated job for the body of a submission, the same one for a repeated submission;
+ * NULL: the body has no valid job id. Its tasks run as long as estimated, plus or minus a third. */
+SimJob *external_job (SimCluster *cluster, const char *body);
--- a/tests/sim/fault_scenario.c
+++ b/tests/sim/fault_scenario.c
@@ -7,51 +7,53 @@
 
 /* All work is done, and each planned trouble took effect on something. */
 static void
-check_end (World *world, const HrTrouble *day, guint n)
+check_end (SimCluster *cluster, const HrTrouble *day, guint n)
 {
-  for (guint i = 0; i < world->jobs->len; i++) {
-    SimJob *job = world->jobs->pdata[i];
+  for (guint i = 0; i < cluster->jobs->len; i++) {
+    SimJob *job = cluster->jobs->pdata[i];
     if (!job->accepted)
-      w_broken (world, "liveness", "%s was never accepted", job->id);
-    else if (job->asked_cancel && !job->told_cancelled && !job->told_done)
-      w_broken (world, "liveness", "%s was not withdrawn", job->id);
-    else if (!job->asked_cancel && job->shape != HR_SERVICE && !job->told_done)
-      w_broken (world, "liveness", "%s (%d, %u tasks) is not done", job->id, job->shape,
-                job->tasks);
-    else if (!job->asked_cancel && job->shape == HR_SERVICE && !job->started)
-      w_broken (world, "liveness", "%s never ran", job->id);
+      sim_report_violation (cluster, "liveness", "%s was never accepted", job->id);
+    else if (job->cancel_requested && !job->cancelled_reply_at && !job->done_reply_at)
+      sim_report_violation (cluster, "liveness", "%s was not withdrawn", job->id);
+    else if (!job->cancel_requested && job->shape != HR_SERVICE && !job->done_reply_at)
+      sim_report_violation (cluster, "liveness", "%s (%d, %u tasks) is not done", job->id,
+                            job->shape, job->tasks);
+    else if (!job->cancel_requested && job->shape == HR_SERVICE && !job->started)
+      sim_report_violation (cluster, "liveness", "%s never ran", job->id);
   }
   for (guint i = 0; i < n; i++)
-    if (!world->troubles.played[day[i].kind])
-      w_broken (world, "played", "%s took no effect", trouble_kind_name (day[i].kind));
+    if (!cluster->troubles.played[day[i].kind])
+      sim_report_violation (cluster, "played", "%s took no effect",
+                            trouble_kind_name (day[i].kind));
 }
 
 guint
 fault_scenario_play (guint32 seed, const FaultScenario *settings, const HrTrouble *day, guint n)
 {
-  World *world = world_new (seed, seed % 3 == 2 ? 5 : 3);
-  world->quota_gpus = settings->quota_gpus;
+  SimCluster *cluster = sim_cluster_new (seed, seed % 3 == 2 ? 5 : 3);
+  cluster->quota_gpus = settings->quota_gpus;
   if (settings->capacity)
-    world->capacity = settings->capacity;
+    cluster->capacity = settings->capacity;
   if (settings->quota_gpus > 0)
-    world_restart (world);
-  users_init (world, settings->users ? 0 : 40, 300);
+    sim_cluster_restart_nodes (cluster);
+  users_init (cluster, settings->users ? 0 : 40, 300);
   if (settings->users)
-    settings->users (world);
-  users_probe (world);
-  troubles_plan (world, day, n);
-  world_run (world, settings->until > 0 ? settings->until : DAY_S);
-  check_end (world, day, n);
-  if (settings->started_cancelled && world->started_cancelled > settings->started_cancelled)
-    w_broken (world, "started_withdrawn", "%u tasks start after a confirmed cancellation",
-              world->started_cancelled);
-  guint broken = world->broken->len;
+    settings->users (cluster);
+  users_probe (cluster);
+  troubles_plan (cluster, day, n);
+  sim_cluster_run (cluster, settings->until > 0 ? settings->until : DAY_S);
+  check_end (cluster, day, n);
+  if (settings->started_cancelled && cluster->started_cancelled > settings->started_cancelled)
+    sim_report_violation (cluster, "started_withdrawn",
+                          "%u tasks start after a confirmed cancellation",
+                          cluster->started_cancelled);
+  guint broken = cluster->violations->len;
   for (guint i = 0; i < MIN (broken, 12); i++)
-    fprintf (stderr, "seed %u: %s\n", seed, (char *)world->broken->pdata[i]);
+    fprintf (stderr, "seed %u: %s\n", seed, (char *)cluster->violations->pdata[i]);
   if (g_getenv ("HR_SIM_VERBOSE"))
-    fprintf (stderr,
-             "seed %u: %u jobs, %u starts, %u of cancelled jobs, epoch %" G_GUINT64_FORMAT "\n",
-             seed, world->jobs->len, world->starts, world->started_cancelled, world->epoch);
-  world_free (world);
+    fprintf (
+        stderr, "seed %u: %u jobs, %u starts, %u of cancelled jobs, epoch %" G_GUINT64_FORMAT "\n",
+        seed, cluster->jobs->len, cluster->task_starts, cluster->started_cancelled, cluster->epoch);
+  sim_cluster_free (cluster);
   return broken;
 }
--- a/tests/sim/faults_fleet.c
+++ b/tests/sim/faults_fleet.c
@@ -11,136 +11,136 @@
 static gboolean
 is_kept (const SimMachine *machine)
 {
-  return !machine->asked_gone;
+  return !machine->delete_requested_at;
 }
 
 /* That half of all is silent looks like a trouble of the new leader's own, and proof by time
  * takes it hold_s and a lease. The cloud's list tells sooner. */
 static void
-proven (World *world, gpointer data G_GNUC_UNUSED)
+proven (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  guint gone, kept = fault_marked (world, is_kept, &gone);
+  guint gone, kept = fault_marked (cluster, is_kept, &gone);
   if (!gone || kept)
-    w_broken (world, "proof", "%u of %u machines that went are not asked to be deleted", kept,
-              gone);
+    sim_report_violation (cluster, "proof",
+                          "%u of %u machines that went are not asked to be deleted", kept, gone);
 }
 
 static void
-half_gone (World *world, gpointer data G_GNUC_UNUSED)
+half_gone (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  int leader = store_leader (world);
+  int leader = store_leader (cluster);
   guint n = 0;
-  for (guint i = 0; i < world->machines->len; i++) {
-    SimMachine *machine = world->machines->pdata[i];
+  for (guint i = 0; i < cluster->machines->len; i++) {
+    SimMachine *machine = cluster->machines->pdata[i];
     machine->through_cut = machine->up && !machine->gone && machine->tasks->len && n++ % 2;
     if (machine->through_cut)
-      machine_end (world, machine);
+      machine_terminate (cluster, machine);
   }
   if (leader >= 0)
-    fault_crash (world, leader);
-  w_at (world, world->now + 26, proven, NULL);
+    fault_crash (cluster, leader);
+  sim_schedule (cluster, cluster->now + 26, proven, NULL);
 }
 
 void
-faults_half_gone (World *world, double at)
+faults_half_gone (SimCluster *cluster, double at)
 {
-  w_at (world, at, half_gone, NULL);
+  sim_schedule (cluster, at, half_gone, NULL);
 }
 
 static void
-leader_ends (World *world, gpointer data G_GNUC_UNUSED)
+leader_ends (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  int leader = store_leader (world);
+  int leader = store_leader (cluster);
   if (leader >= 0)
-    fault_crash (world, leader);
+    fault_crash (cluster, leader);
 }
 
 static void
-all_end (World *world, gpointer data G_GNUC_UNUSED)
+all_end (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  for (int k = 0; k < world->n; k++)
-    fault_crash (world, k);
+  for (int k = 0; k < cluster->n; k++)
+    fault_crash (cluster, k);
 }
 
 static void
-all_unserved (World *world, gpointer data G_GNUC_UNUSED)
+all_unserved (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  for (int k = 0; k < world->n; k++)
-    fault_store_away (world, k);
+  for (int k = 0; k < cluster->n; k++)
+    fault_store_away (cluster, k);
 }
 
 static void
-two_leaders (World *world, gpointer data G_GNUC_UNUSED)
+two_leaders (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  int leader = store_leader (world);
+  int leader = store_leader (cluster);
   if (leader < 0)
     return;
-  Node *n = &world->nodes[leader];
-  n->cut_store = n->cut_peers = world->now + 7.9;
-  n->alone_at = world->now;
-  n->hold = FALSE;
-  w_at (world, world->now + 5, all_unserved, NULL);
+  SimNode *n = &cluster->nodes[leader];
+  n->cut_store_until = n->cut_peers_until = cluster->now + 7.9;
+  n->isolated_at = cluster->now;
+  n->cut_holds_messages = FALSE;
+  sim_schedule (cluster, cluster->now + 5, all_unserved, NULL);
 }
 
 void
-faults_two_leaders (World *world, double at)
+faults_two_leaders (SimCluster *cluster, double at)
 {
-  w_at (world, at, two_leaders, NULL);
+  sim_schedule (cluster, at, two_leaders, NULL);
 }
 
 static void
-corrupt_pages (World *world, gpointer data G_GNUC_UNUSED)
+corrupt_pages (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  all_end (world, NULL);
-  if (!store_corrupt_pages (world))
-    w_broken (world, "unreadable", "no page is there");
+  all_end (cluster, NULL);
+  if (!store_corrupt_pages (cluster))
+    sim_report_violation (cluster, "unreadable", "no page is there");
 }
 
 void
-faults_unreadable_pages (World *world, double at)
+faults_unreadable_pages (SimCluster *cluster, double at)
 {
-  w_at (world, at, corrupt_pages, NULL);
+  sim_schedule (cluster, at, corrupt_pages, NULL);
 }
 
 static void
-mass (World *world, gpointer data G_GNUC_UNUSED)
+mass (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
   guint n = 0, dead = 0, hung = 0;
-  for (guint i = 0; i < world->machines->len; i++) {
-    SimMachine *machine = world->machines->pdata[i];
+  for (guint i = 0; i < cluster->machines->len; i++) {
+    SimMachine *machine = cluster->machines->pdata[i];
     if (!machine->up || machine->gone)
       continue;
     n++;
     if (n % 4 == 0) {
-      machine->cut = world->now + 45;
-      machine->hold = TRUE;
+      machine->cut_until = cluster->now + 45;
+      machine->cut_holds_messages = TRUE;
     } else if (n % 4 == 1 && dead++ < 100)
-      machine_end (world, machine);
+      machine_terminate (cluster, machine);
     else if (n % 4 == 2 && hung++ < 100) /* some past their lease */
-      machine->hang = world->now + (n % 8 < 4 ? 20 : 35);
+      machine->hang_until = cluster->now + (n % 8 < 4 ? 20 : 35);
   }
 }
 
 void
-faults_mass (World *world, double at)
+faults_mass (SimCluster *cluster, double at)
 {
-  w_at (world, at, mass, NULL);
-  w_at (world, at + 4, leader_ends, NULL);
-  w_at (world, at + 80, all_end, NULL);
-  w_at (world, at + 130, all_end, NULL);
-  faults_freeze (world, at + 170, FREEZE_LEADER, 20);
+  sim_schedule (cluster, at, mass, NULL);
+  sim_schedule (cluster, at + 4, leader_ends, NULL);
+  sim_schedule (cluster, at + 80, all_end, NULL);
+  sim_schedule (cluster, at + 130, all_end, NULL);
+  faults_freeze (cluster, at + 170, FREEZE_LEADER, 20);
 }
 
 static void
-lose_places (World *world, gpointer data)
+lose_places (SimCluster *cluster, gpointer data)
 {
   double *to = data;
-  for (guint i = 0; world->jobs && i < world->jobs->len; i++) {
-    SimJob *job = world->jobs->pdata[i];
+  for (guint i = 0; cluster->jobs && i < cluster->jobs->len; i++) {
+    SimJob *job = cluster->jobs->pdata[i];
     SimMachine *last = NULL;
     guint here = 0;
-    for (guint k = 0; k < world->machines->len; k++) {
-      SimMachine *machine = world->machines->pdata[k];
+    for (guint k = 0; k < cluster->machines->len; k++) {
+      SimMachine *machine = cluster->machines->pdata[k];
       for (guint n = 0; !machine->gone && n < machine->tasks->len; n++) {
         SimTask *task = &g_array_index (machine->tasks, SimTask, n);
         if (task->job == i && task->state == SIM_TASK_FETCH) {
@@ -151,66 +151,66 @@
     }
     if (here == job->tasks && !job->lost_place) {
       job->lost_place = TRUE;
-      machine_end (world, last);
+      machine_terminate (cluster, last);
     }
   }
-  if (world->now < *to)
-    w_at (world, world->now + 0.5, lose_places, data);
+  if (cluster->now < *to)
+    sim_schedule (cluster, cluster->now + 0.5, lose_places, data);
   else
     g_free (data);
 }
 
 void
-faults_lost_places (World *world, double from, double to)
+faults_lost_places (SimCluster *cluster, double from, double to)
 {
-  w_at (world, from, lose_places, g_memdup2 (&to, sizeof to));
+  sim_schedule (cluster, from, lose_places, g_memdup2 (&to, sizeof to));
 }
 
 void
-faults_leader_ends (World *world, double at)
+faults_leader_ends (SimCluster *cluster, double at)
 {
-  w_at (world, at, leader_ends, NULL);
+  sim_schedule (cluster, at, leader_ends, NULL);
 }
 
 static void
-change_leader (World *world, gpointer data G_GNUC_UNUSED)
+change_leader (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
   /* Whoever leads: all but one go, one after the other, so that a node that knows
    * nothing leads next. */
-  int i = g_rand_int_range (world->rand, 0, world->n);
-  for (int k = 0; k < world->n - 1; k++)
-    fault_crash (world, (i + k) % world->n);
-  for (guint k = 0; k < world->machines->len; k++) {
-    SimMachine *machine = world->machines->pdata[k];
-    if (machine->up && !machine->gone && w_rand (world, 0, 1) < 0.2)
-      machine_end (world, machine);
+  int i = g_rand_int_range (cluster->rand, 0, cluster->n);
+  for (int k = 0; k < cluster->n - 1; k++)
+    fault_crash (cluster, (i + k) % cluster->n);
+  for (guint k = 0; k < cluster->machines->len; k++) {
+    SimMachine *machine = cluster->machines->pdata[k];
+    if (machine->up && !machine->gone && sim_rand_range (cluster, 0, 1) < 0.2)
+      machine_terminate (cluster, machine);
   }
 }
 
 static void
-changes_gone (World *world, gpointer data G_GNUC_UNUSED)
+changes_gone (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  int leader = store_leader (world);
+  int leader = store_leader (cluster);
   if (leader >= 0)
-    world->nodes[leader].too_old = world->epoch;
+    cluster->nodes[leader].compacted_epoch = cluster->epoch;
 }
 
 void
-faults_changes_gone (World *world, double from, double to)
+faults_changes_gone (SimCluster *cluster, double from, double to)
 {
   double at = from;
   while (at < to) {
-    w_at (world, at, changes_gone, NULL);
+    sim_schedule (cluster, at, changes_gone, NULL);
     at += CHANGES_GONE_EVERY_S;
   }
 }
 
 void
-faults_leaders (World *world, double from, double to)
+faults_leaders (SimCluster *cluster, double from, double to)
 {
   double at = from;
   while (at < to) {
-    w_at (world, at, change_leader, NULL);
+    sim_schedule (cluster, at, change_leader, NULL);
     at += LEADER_CHANGES_EVERY_S;
   }
 }
--- a/tests/sim/faults_members.c
+++ b/tests/sim/faults_members.c
@@ -7,7 +7,7 @@
 static gboolean
 is_lost (const SimMachine *machine)
 {
-  return machine->gone || machine->tenure > 1;
+  return machine->gone || machine->incarnation > 1;
 }
 
 /* ---- what members tell the leader in a cut of them all ---- */
@@ -15,153 +15,157 @@
 #define CUT_ALL_S 50.0
 
 static void
-still_held (World *world, gpointer data G_GNUC_UNUSED)
+still_held (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
   guint up = 0, lost = 0;
-  for (guint i = 0; i < world->machines->len; i++) {
-    SimMachine *machine = world->machines->pdata[i];
+  for (guint i = 0; i < cluster->machines->len; i++) {
+    SimMachine *machine = cluster->machines->pdata[i];
     up += machine->through_cut && !machine->gone;
-    lost += machine->through_cut && !machine->gone && machine->tenure > 1;
+    lost += machine->through_cut && !machine->gone && machine->incarnation > 1;
   }
   if (!up || lost)
-    w_broken (world, "attestation",
-              "%u of %u machines lost their lease, though no member was served", lost, up);
+    sim_report_violation (cluster, "attestation",
+                          "%u of %u machines lost their lease, though no member was served", lost,
+                          up);
 }
 
 void
-fault_store_away (World *world, int node)
+fault_store_away (SimCluster *cluster, int node)
 {
-  world->nodes[node].cut_store = world->now + CUT_ALL_S;
-  world->nodes[node].hold = FALSE;
+  cluster->nodes[node].cut_store_until = cluster->now + CUT_ALL_S;
+  cluster->nodes[node].cut_holds_messages = FALSE;
 }
 
 /* Leases are to last until just before the cut ends. */
 static void
-watch_leases (World *world)
+watch_leases (SimCluster *cluster)
 {
-  for (guint i = 0; i < world->machines->len; i++) {
-    SimMachine *machine = world->machines->pdata[i];
-    machine->through_cut = machine->up && !machine->gone && !machine->spot && machine->tenure == 1;
+  for (guint i = 0; i < cluster->machines->len; i++) {
+    SimMachine *machine = cluster->machines->pdata[i];
+    machine->through_cut =
+        machine->up && !machine->gone && !machine->spot && machine->incarnation == 1;
   }
-  w_at (world, world->now + CUT_ALL_S - 2, still_held, NULL);
+  sim_schedule (cluster, cluster->now + CUT_ALL_S - 2, still_held, NULL);
 }
 
 static void
-all_away (World *world, gpointer data G_GNUC_UNUSED)
+all_away (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  for (int k = 0; k < world->n; k++)
-    fault_store_away (world, k);
-  watch_leases (world);
+  for (int k = 0; k < cluster->n; k++)
+    fault_store_away (cluster, k);
+  watch_leases (cluster);
 }
 
 void
-faults_cut_from_store (World *world, double at)
+faults_cut_from_store (SimCluster *cluster, double at)
 {
-  w_at (world, at, all_away, NULL);
+  sim_schedule (cluster, at, all_away, NULL);
 }
 
 /* All but one node miss a cancellation that this one confirms just before it is cut off too,
  * and perhaps restarts: its attestation must not keep the job's tasks alive, but those of
  * others, as long as it can name that job to the leader. */
 static void
-others_away (World *world, gpointer data)
+others_away (SimCluster *cluster, gpointer data)
 {
   int other = GPOINTER_TO_INT (data) % MAX_NODES;
-  for (int k = 0; k < world->n; k++)
-    if (world->nodes[k].cut_store < world->now)
-      fault_store_away (world, k);
+  for (int k = 0; k < cluster->n; k++)
+    if (cluster->nodes[k].cut_store_until < cluster->now)
+      fault_store_away (cluster, k);
   if (GPOINTER_TO_INT (data) >= MAX_NODES)
-    fault_stumble (world, GINT_TO_POINTER (other));
-  else if (world->nodes[store_leader (world)].frozen <=
-           world->now) /* else that costs leases by itself */
-    watch_leases (world);
+    fault_stumble (cluster, GINT_TO_POINTER (other));
+  else if (cluster->nodes[store_leader (cluster)].frozen_until <=
+           cluster->now) /* else that costs leases by itself */
+    watch_leases (cluster);
 }
 
 static void
-missed_cancellation (World *world, gpointer data)
+missed_cancellation (SimCluster *cluster, gpointer data)
 {
-  int leader = store_leader (world);
+  int leader = store_leader (cluster);
   if (leader < 0)
     return;
-  int other = (leader + 1) % world->n;
-  for (int k = 0; k < world->n; k++)
+  int other = (leader + 1) % cluster->n;
+  for (int k = 0; k < cluster->n; k++)
     if (k != other)
-      fault_store_away (world, k);
-  users_cancel_service_at (world, other);
-  w_at (world, world->now + 0.8, others_away, GINT_TO_POINTER (other + (data ? MAX_NODES : 0)));
+      fault_store_away (cluster, k);
+  users_cancel_service_at (cluster, other);
+  sim_schedule (cluster, cluster->now + 0.8, others_away,
+                GINT_TO_POINTER (other + (data ? MAX_NODES : 0)));
 }
 
 void
-faults_missed_cancellation (World *world, double at, gboolean restart)
+faults_missed_cancellation (SimCluster *cluster, double at, gboolean restart)
 {
-  w_at (world, at, missed_cancellation, GINT_TO_POINTER (restart));
+  sim_schedule (cluster, at, missed_cancellation, GINT_TO_POINTER (restart));
 }
 
 static void
-cancel_elsewhere (World *world, gpointer data G_GNUC_UNUSED)
+cancel_elsewhere (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  int leader = store_leader (world);
-  for (int k = 0; k < world->n; k++)
+  int leader = store_leader (cluster);
+  for (int k = 0; k < cluster->n; k++)
     if (k != leader)
-      users_cancel_service_at (world, k);
+      users_cancel_service_at (cluster, k);
 }
 
 static void
-outage_for_all (World *world, gpointer data G_GNUC_UNUSED)
+outage_for_all (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  world->outage = world->now + CUT_ALL_S;
-  watch_leases (world);
+  cluster->store_outage_until = cluster->now + CUT_ALL_S;
+  watch_leases (cluster);
 }
 
 static void
-cancellation_gap (World *world, gpointer data G_GNUC_UNUSED)
+cancellation_gap (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  int leader = store_leader (world);
+  int leader = store_leader (cluster);
   if (leader < 0)
     return;
-  world->nodes[leader].refused = world->now + 14;
+  cluster->nodes[leader].store_refuses_until = cluster->now + 14;
   double after = 0.3;
   while (after < 1.5) {
-    w_at (world, world->now + after, cancel_elsewhere, NULL);
+    sim_schedule (cluster, cluster->now + after, cancel_elsewhere, NULL);
     after += 0.4;
   }
-  w_at (world, world->now + 2, outage_for_all, NULL);
+  sim_schedule (cluster, cluster->now + 2, outage_for_all, NULL);
 }
 
 void
-faults_cancellation_gap (World *world, double at)
+faults_cancellation_gap (SimCluster *cluster, double at)
 {
-  w_at (world, at, cancellation_gap, NULL);
+  sim_schedule (cluster, at, cancellation_gap, NULL);
 }
 
 /* Nothing that runs may be given away because its reports do not reach the leader. */
 static void
-reached_again (World *world, gpointer data G_GNUC_UNUSED)
+reached_again (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  guint up, lost = fault_marked (world, is_lost, &up);
+  guint up, lost = fault_marked (cluster, is_lost, &up);
   if (!up || lost)
-    w_broken (world, "kept", "%u of %u machines are lost with the owner's way to its workers", lost,
-              up);
+    sim_report_violation (cluster, "kept",
+                          "%u of %u machines are lost with the owner's way to its workers", lost,
+                          up);
 }
 
 static void
-leader_unreached (World *world, gpointer data)
+leader_unreached (SimCluster *cluster, gpointer data)
 {
-  int leader = store_leader (world);
+  int leader = store_leader (cluster);
   if (leader < 0)
     return;
-  world->nodes[leader].cut_workers = world->now + 40;
-  world->nodes[leader].hold = data != NULL;
-  for (guint i = 0; i < world->machines->len; i++) {
-    SimMachine *machine = world->machines->pdata[i];
+  cluster->nodes[leader].cut_workers_until = cluster->now + 40;
+  cluster->nodes[leader].cut_holds_messages = data != NULL;
+  for (guint i = 0; i < cluster->machines->len; i++) {
+    SimMachine *machine = cluster->machines->pdata[i];
     machine->through_cut =
-        machine->up && !machine->gone && machine->tenure == 1 && machine->tasks->len;
+        machine->up && !machine->gone && machine->incarnation == 1 && machine->tasks->len;
   }
-  w_at (world, world->now + 39, reached_again, NULL);
+  sim_schedule (cluster, cluster->now + 39, reached_again, NULL);
 }
 
 void
-faults_leader_unreached (World *world, double at, gboolean hold)
+faults_leader_unreached (SimCluster *cluster, double at, gboolean hold)
 {
-  w_at (world, at, leader_unreached, GINT_TO_POINTER (hold));
+  sim_schedule (cluster, at, leader_unreached, GINT_TO_POINTER (hold));
 }
--- a/tests/sim/limits.c
+++ b/tests/sim/limits.c
@@ -3,10 +3,10 @@
 #include "sim/user.h"
 
 static void
-submit_planned (World *world, gpointer data)
+submit_planned (SimCluster *cluster, gpointer data)
 {
   const HrLimitJob *plan = data;
-  SimJob *job = job_new (world);
+  SimJob *job = job_new (cluster);
   job->shape = plan->shape;
   job->tasks = plan->tasks;
   job->cpus = plan->shape == HR_GANG ? 10 : 4;
@@ -18,14 +18,14 @@
   job->due = plan->due_s;
   job->large = plan->large;
   job->team = plan->team;
-  job_submit (world, job);
+  job_submit (cluster, job);
 }
 
 void
-limits_submit (World *world, const HrLimitJob *jobs, guint n)
+limits_submit (SimCluster *cluster, const HrLimitJob *jobs, guint n)
 {
   for (guint i = 0; i < n; i++)
-    w_at (world, jobs[i].at_s, submit_planned, (gpointer)&jobs[i]);
+    sim_schedule (cluster, jobs[i].at_s, submit_planned, (gpointer)&jobs[i]);
 }
 
 typedef struct {
@@ -33,29 +33,30 @@
 } Stream;
 
 static void
-stream_gang (World *world, gpointer data)
+stream_gang (SimCluster *cluster, gpointer data)
 {
   Stream *stream = data;
-  HrLimitJob gang = {world->now, HR_GANG, 1,     stream->run_s * w_rand (world, 0.8, 1.2),
-                     NULL,       0,       FALSE, NULL};
-  submit_planned (world, &gang);
-  if (world->now + stream->gap_s < stream->to)
-    w_at (world, world->now + stream->gap_s, stream_gang, stream);
+  HrLimitJob gang = {
+      cluster->now, HR_GANG, 1,     stream->run_s * sim_rand_range (cluster, 0.8, 1.2),
+      NULL,         0,       FALSE, NULL};
+  submit_planned (cluster, &gang);
+  if (cluster->now + stream->gap_s < stream->to)
+    sim_schedule (cluster, cluster->now + stream->gap_s, stream_gang, stream);
   else
     g_free (stream);
 }
 
 void
-limits_stream (World *world, double from, double to, double gap_s, double run_s)
+limits_stream (SimCluster *cluster, double from, double to, double gap_s, double run_s)
 {
   Stream *stream = g_new (Stream, 1);
   *stream = (Stream){to, gap_s, run_s};
-  w_at (world, from, stream_gang, stream);
+  sim_schedule (cluster, from, stream_gang, stream);
 }
 
 SimJob *
-limits_job (World *world, guint n)
+limits_job (SimCluster *cluster, guint n)
 {
-  g_assert (n < world->jobs->len);
-  return world->jobs->pdata[n];
+  g_assert (n < cluster->jobs->len);
+  return cluster->jobs->pdata[n];
 }
--- a/tests/sim/log.c
+++ b/tests/sim/log.c
@@ -1,6 +1,6 @@
 /* What the controllers of a simulated day log. */
 #include "sim/log.h"
-#include "sim/world.h"
+#include "sim/cluster.h"
 #include <stdio.h>
 
 /* With HR_SIM_VERBOSE=1: all of it, with simulated time and node. Fatal messages are shown always.
--- a/tests/sim/log.h
+++ b/tests/sim/log.h
@@ -1,6 +1,6 @@
 /* The log of the simulated controllers, with simulated time and node. */
 #pragma once
-#include "sim/world.h"
+#include "sim/cluster.h"
 
 /* Who is at work, for logs. */
 extern double sim_log_time;
--- a/tests/sim/malformed_requests.c
+++ b/tests/sim/malformed_requests.c
@@ -12,7 +12,7 @@
 #include "sim/store.h"
 #include "sim/trouble_hooks.h"
 #include "sim/user.h"
-#include "sim/world.h"
+#include "sim/cluster.h"
 #include <string.h>
 
 #define ROUND_S 1.5
@@ -28,7 +28,7 @@
   char *path, *body;
   guint tries;
   SimJob *job; /* a job that it is about; NULL: none */
-  Question *question;
+  SimUserRequest *question;
 } WrongValue;
 
 static void
@@ -43,51 +43,52 @@
 }
 
 static void
-not_recorded (World *world, gpointer data)
+not_recorded (SimCluster *cluster, gpointer data)
 {
   WrongValue *odd = data;
-  if (odd->mark && store_names (world, odd->mark))
-    w_broken (world, "recorded", "%s, of a request that gets %d: %s", odd->mark, odd->expected,
-              odd->what);
+  if (odd->mark && store_references_machine (cluster, odd->mark))
+    sim_report_violation (cluster, "recorded", "%s, of a request that gets %d: %s", odd->mark,
+                          odd->expected, odd->what);
   odd_free (odd);
 }
 
 static void
-check_body (World *world, const WrongValue *odd, json_t *body)
+check_body (SimCluster *cluster, const WrongValue *odd, json_t *body)
 {
   if (odd->expected >= 400 && !json_string_length (json_object_get (body, "error")))
-    w_broken (world, "odd", "%s: an answer of %d without an error text", odd->what, odd->expected);
+    sim_report_violation (cluster, "odd", "%s: an answer of %d without an error text", odd->what,
+                          odd->expected);
 }
 
-static void ask_again (World *world, gpointer data);
+static void ask_again (SimCluster *cluster, gpointer data);
 
 static int
-any_node (World *world)
+any_node (SimCluster *cluster)
 {
-  return g_rand_int_range (world->troubles.rand, 0, world->n);
+  return g_rand_int_range (cluster->troubles.rand, 0, cluster->n);
 }
 
 static void
-on_odd (World *world, int status, json_t *body, gpointer data)
+on_odd (SimCluster *cluster, int status, json_t *body, gpointer data)
 {
   WrongValue *odd = data;
   gboolean undecided = status == 0 || status == 503 || status == 429;
   gboolean names_none = odd->expected == 400 && !odd->mark;
   if (undecided && (status == 0 || !names_none) && odd->tries < MOST_TRIES) {
-    w_at (world, world->now + AGAIN_S, ask_again, odd);
+    sim_schedule (cluster, cluster->now + AGAIN_S, ask_again, odd);
     return;
   }
   if (status == odd->expected)
-    check_body (world, odd, body);
+    check_body (cluster, odd, body);
   else
-    w_broken (world, status == 200 || status == 201 ? "accepted" : "odd",
-              "%s gets %d in place of %d", odd->what, status, odd->expected);
+    sim_report_violation (cluster, status == 200 || status == 201 ? "accepted" : "odd",
+                          "%s gets %d in place of %d", odd->what, status, odd->expected);
   if (odd->job && (status == 200 || status == 201))
-    answer_check (world, odd->question, status, body);
+    check_user_response (cluster, odd->question, status, body);
   else if (odd->job && (status == 400 || status == 404 || status == 422))
-    answer_unknown (world, odd->question, odd->what, status);
-  world->troubles.played[TROUBLE_ODD_REQUESTS]++;
-  w_at (world, world->now + RECORDED_AFTER_S, not_recorded, odd);
+    check_user_error (cluster, odd->question, odd->what, status);
+  cluster->troubles.played[TROUBLE_ODD_REQUESTS]++;
+  sim_schedule (cluster, cluster->now + RECORDED_AFTER_S, not_recorded, odd);
 }
 
 static WrongValue *
@@ -102,31 +103,32 @@
 
 /* Takes the body. */
 static void
-post (World *world, WrongValue *odd, int node, const char *path, char *body)
+post (SimCluster *cluster, WrongValue *odd, int node, const char *path, char *body)
 {
   odd->path = g_strdup (path);
   odd->body = body;
-  w_ask (world, node, -1, HR_POST, path, g_strdup (body), 5, on_odd, odd);
+  sim_send_request (cluster, node, -1, HR_POST, path, g_strdup (body), 5, on_odd, odd);
 }
 
 static void
-ask_again (World *world, gpointer data)
+ask_again (SimCluster *cluster, gpointer data)
 {
   WrongValue *odd = data;
   odd->tries++;
   if (odd->question) { /* what has been told meanwhile counts for this answer too */
     g_free (odd->question);
-    odd->question = question_new (world, odd->job);
+    odd->question = sim_user_request_new (cluster, odd->job);
   }
-  w_ask (world, any_node (world), -1, HR_POST, odd->path, g_strdup (odd->body), 5, on_odd, odd);
+  sim_send_request (cluster, any_node (cluster), -1, HR_POST, odd->path, g_strdup (odd->body), 5,
+                    on_odd, odd);
 }
 
 /* ---- submissions ---- */
 
 static json_t *
-valid_job (World *world, char **mark)
+valid_job (SimCluster *cluster, char **mark)
 {
-  *mark = g_strdup_printf ("job-odd-%u", ++world->troubles.odd_requests);
+  *mark = g_strdup_printf ("job-odd-%u", ++cluster->troubles.odd_requests);
   g_autofree char *image = g_strconcat ("img-", *mark, NULL);
   return json_pack ("{sssssssssssisfsfsfsssfsnsnsbsbsbsfsfsfsn}", "name_id", *mark, "jobclass",
                     "array", "crew", "crew", "shape", "batch", "rank", "normal", "pieces", 1,
@@ -137,36 +139,36 @@
 
 /* value: NULL: without that field. */
 static void
-with_field (World *world, const char *field, json_t *value, int expected)
+with_field (SimCluster *cluster, const char *field, json_t *value, int expected)
 {
   g_autofree char *mark = NULL, *text = value ? json_dumps (value, JSON_ENCODE_ANY) : NULL;
-  json_t *job = valid_job (world, &mark);
+  json_t *job = valid_job (cluster, &mark);
   g_autofree char *what = g_strdup_printf ("a job with %s %s", field, text ? text : "missing");
   if (value)
     json_object_set_new (job, field, value);
   else
     json_object_del (job, field);
-  post (world, odd_new (mark, what, expected), any_node (world), "/v1/jobs",
+  post (cluster, odd_new (mark, what, expected), any_node (cluster), "/v1/jobs",
         hr_json_take_text (job));
 }
 
 /* Fields that may not be null may not be missing. */
 static void
-fields_missing (World *world)
+fields_missing (SimCluster *cluster)
 {
   static const char *const fields[] = {
       "name_id", "jobclass",     "crew",      "shape",   "rank",    "pieces",
       "vcpus",   "accelerators", "memory_gb", "bundle",  "size_gb", "together",
       "apart",   "loaners",      "guess_s",   "cairn_s", "stash_s"};
   for (guint i = 0; i < G_N_ELEMENTS (fields); i++) {
-    with_field (world, fields[i], NULL, 400);
-    with_field (world, fields[i], json_null (), 400);
-    with_field (world, fields[i], json_object (), 400);
+    with_field (cluster, fields[i], NULL, 400);
+    with_field (cluster, fields[i], json_null (), 400);
+    with_field (cluster, fields[i], json_object (), 400);
   }
 }
 
 static void
-fields_of_wrong_type (World *world)
+fields_of_wrong_type (SimCluster *cluster)
 {
   static const char *const texts[] = {"name_id", "jobclass", "crew",  "shape",
                                       "rank",    "bundle",   "hulls", "quarry"};
@@ -174,69 +176,69 @@
                                         "guess_s", "cairn_s",      "stash_s",   "due_s"};
   static const char *const flags[] = {"together", "apart", "loaners"};
   for (guint i = 0; i < G_N_ELEMENTS (texts); i++)
-    with_field (world, texts[i], json_integer (7), 400);
+    with_field (cluster, texts[i], json_integer (7), 400);
   for (guint i = 0; i < G_N_ELEMENTS (amounts); i++) {
-    with_field (world, amounts[i], json_string ("4.0"), 400);
-    with_field (world, amounts[i], json_real (-1), 400);
+    with_field (cluster, amounts[i], json_string ("4.0"), 400);
+    with_field (cluster, amounts[i], json_real (-1), 400);
   }
   for (guint i = 0; i < G_N_ELEMENTS (flags); i++)
-    with_field (world, flags[i], json_integer (1), 400);
-  with_field (world, "pieces", json_string ("3"), 400);
-  with_field (world, "pieces", json_real (2.5), 400);
-  with_field (world, "pieces", json_integer (0), 400);
-  with_field (world, "pieces", json_integer (-1), 400);
-  with_field (world, "pieces", json_integer (100001), 400);
-  with_field (world, "shape", json_string ("swarm"), 400);
-  with_field (world, "rank", json_string ("highest"), 400);
-  with_field (world, "name_id", json_string ("odd-1"), 400);
-  with_field (world, "name_id", json_string ("job-a/b"), 400);
-  with_field (world, "hulls", json_string ("g2"), 400);
-  with_field (world, "hulls", json_pack ("[i]", 2), 400);
+    with_field (cluster, flags[i], json_integer (1), 400);
+  with_field (cluster, "pieces", json_string ("3"), 400);
+  with_field (cluster, "pieces", json_real (2.5), 400);
+  with_field (cluster, "pieces", json_integer (0), 400);
+  with_field (cluster, "pieces", json_integer (-1), 400);
+  with_field (cluster, "pieces", json_integer (100001), 400);
+  with_field (cluster, "shape", json_string ("swarm"), 400);
+  with_field (cluster, "rank", json_string ("highest"), 400);
+  with_field (cluster, "name_id", json_string ("odd-1"), 400);
+  with_field (cluster, "name_id", json_string ("job-a/b"), 400);
+  with_field (cluster, "hulls", json_string ("g2"), 400);
+  with_field (cluster, "hulls", json_pack ("[i]", 2), 400);
 }
 
 static void
-can_never_run (World *world)
+can_never_run (SimCluster *cluster)
 {
-  with_field (world, "crew", json_string ("nobody"), 422);
-  with_field (world, "vcpus", json_real (13), 422);
-  with_field (world, "accelerators", json_real (3), 422);
-  with_field (world, "memory_gb", json_real (97), 422);
-  with_field (world, "hulls", json_pack ("[s]", "none"), 422);
-  with_field (world, "quarry", json_string ("z9"), 422);
+  with_field (cluster, "crew", json_string ("nobody"), 422);
+  with_field (cluster, "vcpus", json_real (13), 422);
+  with_field (cluster, "accelerators", json_real (3), 422);
+  with_field (cluster, "memory_gb", json_real (97), 422);
+  with_field (cluster, "hulls", json_pack ("[s]", "none"), 422);
+  with_field (cluster, "quarry", json_string ("z9"), 422);
 }
 
 static void
-no_object (World *world)
+no_object (SimCluster *cluster)
 {
   static const char *const bodies[] = {"", "{", "[]", "7", "null", "\"job-odd\"", "{\"a\":1}x"};
   for (guint i = 0; i < G_N_ELEMENTS (bodies); i++) {
     g_autofree char *what = g_strdup_printf ("a submission of '%s'", bodies[i]);
-    post (world, odd_new (NULL, what, 400), any_node (world), "/v1/jobs", g_strdup (bodies[i]));
+    post (cluster, odd_new (NULL, what, 400), any_node (cluster), "/v1/jobs", g_strdup (bodies[i]));
   }
 }
 
 /* ---- jobs that are there, and jobs that are not ---- */
 
 static void
-unknown_jobs (World *world)
+unknown_jobs (SimCluster *cluster)
 {
-  g_autofree char *mark = g_strdup_printf ("job-odd-%u", ++world->troubles.odd_requests);
+  g_autofree char *mark = g_strdup_printf ("job-odd-%u", ++cluster->troubles.odd_requests);
   g_autofree char *path = g_strconcat ("/v1/jobs/", mark, "/abort", NULL);
-  post (world, odd_new (mark, "a cancellation of an unknown job", 404), any_node (world), path,
+  post (cluster, odd_new (mark, "a cancellation of an unknown job", 404), any_node (cluster), path,
         NULL);
 }
 
 /* Cancels a job that is done, and one that is cancelled already: the state is what it was. */
 static void
-final_jobs (World *world)
+final_jobs (SimCluster *cluster)
 {
   SimJob *chosen[2] = {NULL, NULL};
-  for (guint i = 0, seen[2] = {0}; i < world->jobs->len; i++) {
-    SimJob *job = world->jobs->pdata[i];
-    if (!job->told_done && !job->told_cancelled)
+  for (guint i = 0, seen[2] = {0}; i < cluster->jobs->len; i++) {
+    SimJob *job = cluster->jobs->pdata[i];
+    if (!job->done_reply_at && !job->cancelled_reply_at)
       continue;
-    int k = job->told_cancelled > 0;
-    if (g_rand_int_range (world->troubles.rand, 0, ++seen[k]) == 0)
+    int k = job->cancelled_reply_at > 0;
+    if (g_rand_int_range (cluster->troubles.rand, 0, ++seen[k]) == 0)
       chosen[k] = job;
   }
   for (int k = 0; k < 2; k++) {
@@ -247,8 +249,8 @@
     WrongValue *odd =
         odd_new (NULL, k ? "a second cancellation" : "a cancellation of a done job", 200);
     odd->job = job;
-    odd->question = question_new (world, job);
-    post (world, odd, any_node (world), path, NULL);
+    odd->question = sim_user_request_new (cluster, job);
+    post (cluster, odd, any_node (cluster), path, NULL);
   }
 }
 
@@ -277,66 +279,67 @@
 
 /* A repeated submission is known by its id alone. */
 static void
-repeat (World *world, gpointer data)
+repeat (SimCluster *cluster, gpointer data)
 {
   g_autofree Repeat *repeat_row = data;
   static const char *const names[] = {"smaller", "of no team", "for no machine"};
-  g_autofree char *mark = g_strdup_printf ("job-odd-%u", ++world->troubles.odd_requests);
+  g_autofree char *mark = g_strdup_printf ("job-odd-%u", ++cluster->troubles.odd_requests);
   g_autofree char *what =
       g_strdup_printf ("a repeated submission with other content (%s)", names[repeat_row->content]);
   WrongValue *odd = odd_new (mark, what, 200);
   odd->job = repeat_row->job;
-  odd->question = question_new (world, repeat_row->job);
-  post (world, odd, repeat_row->node, "/v1/jobs",
+  odd->question = sim_user_request_new (cluster, repeat_row->job);
+  post (cluster, odd, repeat_row->node, "/v1/jobs",
         other_content (repeat_row->job, repeat_row->content, mark));
 }
 
 static void
-plan_repeat (World *world, SimJob *job, int node)
+plan_repeat (SimCluster *cluster, SimJob *job, int node)
 {
   Repeat *repeat_row = g_new (Repeat, 1);
-  *repeat_row = (Repeat){job, node, g_rand_int_range (world->troubles.rand, 0, CONTENTS)};
-  w_at (world, world->now + trouble_rand (world, 0, REPEAT_SPAN_S), repeat, repeat_row);
+  *repeat_row = (Repeat){job, node, g_rand_int_range (cluster->troubles.rand, 0, CONTENTS)};
+  sim_schedule (cluster, cluster->now + trouble_rand (cluster, 0, REPEAT_SPAN_S), repeat,
+                repeat_row);
 }
 
 void
-malformed_requests_repeat (World *world, SimJob *job)
+malformed_requests_repeat (SimCluster *cluster, SimJob *job)
 {
-  for (int node = 0; node < world->n; node++)
-    plan_repeat (world, job, node);
+  for (int node = 0; node < cluster->n; node++)
+    plan_repeat (cluster, job, node);
 }
 
 static void
-unfinished_jobs (World *world)
+unfinished_jobs (SimCluster *cluster)
 {
   SimJob *chosen = NULL;
-  for (guint i = 0, seen = 0; i < world->jobs->len; i++) {
-    SimJob *job = world->jobs->pdata[i];
-    if (job->accepted && !job->told_done && !job->told_cancelled &&
-        g_rand_int_range (world->troubles.rand, 0, ++seen) == 0)
+  for (guint i = 0, seen = 0; i < cluster->jobs->len; i++) {
+    SimJob *job = cluster->jobs->pdata[i];
+    if (job->accepted && !job->done_reply_at && !job->cancelled_reply_at &&
+        g_rand_int_range (cluster->troubles.rand, 0, ++seen) == 0)
       chosen = job;
   }
   if (chosen)
-    plan_repeat (world, chosen, any_node (world));
+    plan_repeat (cluster, chosen, any_node (cluster));
 }
 
 static void
-odd_round (World *world, gpointer data G_GNUC_UNUSED)
+odd_round (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  if (world->troubles.odd_until <= world->now)
+  if (cluster->troubles.odd_until <= cluster->now)
     return;
-  fields_missing (world);
-  fields_of_wrong_type (world);
-  can_never_run (world);
-  no_object (world);
-  unknown_jobs (world);
-  final_jobs (world);
-  unfinished_jobs (world);
-  w_at (world, world->now + ROUND_S, odd_round, NULL);
+  fields_missing (cluster);
+  fields_of_wrong_type (cluster);
+  can_never_run (cluster);
+  no_object (cluster);
+  unknown_jobs (cluster);
+  final_jobs (cluster);
+  unfinished_jobs (cluster);
+  sim_schedule (cluster, cluster->now + ROUND_S, odd_round, NULL);
 }
 
 void
-malformed_requests_begin (World *world)
+malformed_requests_begin (SimCluster *cluster)
 {
-  odd_round (world, NULL);
+  odd_round (cluster, NULL);
 }
--- a/tests/sim/messages.c
+++ b/tests/sim/messages.c
@@ -10,11 +10,11 @@
 #include <string.h>
 
 double
-net_delay (World *world)
+net_delay (SimCluster *cluster)
 {
-  double usual =
-      w_rand (world, 0, 1) < 0.02 ? w_rand (world, 0.1, 0.5) : w_rand (world, 0.001, 0.01);
-  return usual + troubles_link_delay (world);
+  double usual = sim_rand_range (cluster, 0, 1) < 0.02 ? sim_rand_range (cluster, 0.1, 0.5)
+                                                       : sim_rand_range (cluster, 0.001, 0.01);
+  return usual + troubles_link_delay (cluster);
 }
 
 void
@@ -38,46 +38,46 @@
 
 /* The state service answered this node; has it read what others decided? */
 static void
-served (World *world, const SimRequest *request, const char *body)
+served (SimCluster *cluster, const SimRequest *request, const char *body)
 {
-  Node *n = &world->nodes[request->node];
-  n->store_at = world->now;
+  SimNode *n = &cluster->nodes[request->node];
+  n->store_answered_at = cluster->now;
   if (!g_str_has_prefix (request->path, "/changes"))
     return;
   json_t *object = json_loads (body, 0, NULL);
   guint64 store_revision = json_integer_value (json_object_get (object, "epoch"));
-  if (store_revision >= n->behind_epoch)
-    n->behind_at = 0;
+  if (store_revision >= n->unread_leader_change_epoch)
+    n->unread_leader_change_at = 0;
   n->epoch_sent = MAX (n->epoch_sent, store_revision);
-  Reading reading = {world->now, n->epoch_sent};
-  g_array_append_val (n->readings, reading);
+  SimStoreRead reading = {cluster->now, n->epoch_sent};
+  g_array_append_val (n->store_reads, reading);
   json_decref (object);
 }
 
 static void
-deliver_answer (World *world, gpointer data)
+deliver_answer (SimCluster *cluster, gpointer data)
 {
   Answer *answer = data;
   SimRequest *request = answer->r;
   if (!request->answered) {
     request->answered = TRUE;
     if (request->node >= 0) {
-      Node *n = &world->nodes[request->node];
-      if (n->up && n->gen == request->gen) {
+      SimNode *n = &cluster->nodes[request->node];
+      if (n->up && n->generation == request->generation) {
         HrCommand *command = hr_command_new (HR_COMMAND_RESULT);
         command->id = request->call;
         command->result.status = answer->status;
         if (request->target == HR_TO_STORE && answer->status == 200)
-          served (world, request, answer->body);
+          served (cluster, request, answer->body);
         if (request->target == HR_TO_STORE && strcmp (request->path, "/commit") == 0)
-          troubles_moment (world, ON_WRITE_ANSWERED);
+          troubles_moment (cluster, ON_WRITE_ANSWERED);
         if (answer->body)
           command->body = g_bytes_new (answer->body, strlen (answer->body));
-        node_push (world, request->node, command);
+        node_push (cluster, request->node, command);
       }
     } else {
       json_t *value = answer->body ? json_loads (answer->body, JSON_DECODE_ANY, NULL) : NULL;
-      request->done (world, answer->status, value, request->data);
+      request->done (cluster, answer->status, value, request->data);
       json_decref (value);
     }
   }
@@ -87,10 +87,10 @@
 }
 
 static SimMachine *
-machine_at (World *world, const char *addr)
+machine_at (SimCluster *cluster, const char *addr)
 {
-  for (guint i = 0; i < world->machines->len; i++) {
-    SimMachine *machine = world->machines->pdata[i];
+  for (guint i = 0; i < cluster->machines->len; i++) {
+    SimMachine *machine = cluster->machines->pdata[i];
     if (strcmp (machine->addr, addr) == 0)
       return machine;
   }
@@ -99,88 +99,90 @@
 
 /* Until when the way between a controller and what it talks to is cut. */
 static double
-cut_until (World *world, SimRequest *request, gboolean *hold)
+cut_until (SimCluster *cluster, SimRequest *request, gboolean *hold)
 {
-  Node *n = &world->nodes[request->node >= 0 ? request->node : request->to];
+  SimNode *n = &cluster->nodes[request->node >= 0 ? request->node : request->to];
   double until = 0;
-  *hold = n->hold;
-  SimMachine *worker = request->machine >= 0 ? world->machines->pdata[request->machine]
+  *hold = n->cut_holds_messages;
+  SimMachine *worker = request->machine >= 0 ? cluster->machines->pdata[request->machine]
                        : request->target == HR_TO_WORKER && request->node >= 0
-                           ? machine_at (world, request->addr)
+                           ? machine_at (cluster, request->addr)
                            : NULL;
-  double zone = troubles_zone_cut (world, request, worker);
-  if (zone > world->now) {
-    *hold = world->troubles.zone_hold;
+  double zone = troubles_zone_cut (cluster, request, worker);
+  if (zone > cluster->now) {
+    *hold = cluster->troubles.zone_hold;
     return zone;
   }
   if (request->node < 0) {
-    until = request->machine >= 0 ? n->cut_workers : n->cut_users;
+    until = request->machine >= 0 ? n->cut_workers_until : n->cut_users_until;
     if (request->machine >= 0) {
-      SimMachine *machine = world->machines->pdata[request->machine];
-      if (machine->cut > until) {
-        until = machine->cut;
-        *hold = machine->hold;
+      SimMachine *machine = cluster->machines->pdata[request->machine];
+      if (machine->cut_until > until) {
+        until = machine->cut_until;
+        *hold = machine->cut_holds_messages;
       }
     }
   } else if (request->target == HR_TO_STORE)
-    until = n->cut_store;
+    until = n->cut_store_until;
   else if (request->target == HR_TO_WORKER) {
-    SimMachine *machine = machine_at (world, request->addr);
-    until = n->cut_workers;
-    if (machine && machine->cut > until) {
-      until = machine->cut;
-      *hold = machine->hold;
+    SimMachine *machine = machine_at (cluster, request->addr);
+    until = n->cut_workers_until;
+    if (machine && machine->cut_until > until) {
+      until = machine->cut_until;
+      *hold = machine->cut_holds_messages;
     }
   }
   return until;
 }
 
 void
-w_answer (World *world, SimRequest *request, int status, char *body)
+sim_send_response (SimCluster *cluster, SimRequest *request, int status, char *body)
 {
   gboolean hold;
-  double cut = cut_until (world, request, &hold),
-         until = world->now + net_delay (world) + troubles_delay (world, request);
+  double cut = cut_until (cluster, request, &hold),
+         until = cluster->now + net_delay (cluster) + troubles_delay (cluster, request);
   if (request->answer_lost ||
       (request->node < 0 && request->machine >= 0 &&
-       ((SimMachine *)world->machines->pdata[request->machine])->inbound_cut > world->now)) {
+       ((SimMachine *)cluster->machines->pdata[request->machine])->inbound_cut_until >
+           cluster->now)) {
     g_free (body);
     return;
   }
-  if (cut > world->now) {
+  if (cut > cluster->now) {
     if (!hold) {
       g_free (body);
       return;
     }
-    until = cut + net_delay (world);
+    until = cut + net_delay (cluster);
   }
-  if (request->answer_lost || (!world->calm && w_rand (world, 0, 1) < world->loss)) {
+  if (request->answer_lost ||
+      (!cluster->faults_ended && sim_rand_range (cluster, 0, 1) < cluster->loss_share)) {
     g_free (body);
     return;
   }
   Answer *answer = g_new (Answer, 1);
   *answer = (Answer){request, status, body};
   request->refs++;
-  w_at (world, until, deliver_answer, answer);
+  sim_schedule (cluster, until, deliver_answer, answer);
 }
 
 /* ---- requests ---- */
 
 void
-req_arrive (World *world, gpointer data)
+req_arrive (SimCluster *cluster, gpointer data)
 {
   SimRequest *request = data;
   if (request->node >= 0) {
     if (request->target == HR_TO_STORE)
-      store_request (world, request);
+      store_request (cluster, request);
     else if (request->target == HR_TO_CLOUD)
-      cloud_request (world, request);
+      cloud_request (cluster, request);
     else
-      worker_request (world, request);
+      worker_request (cluster, request);
   } else {
-    Node *n = &world->nodes[request->to];
+    SimNode *n = &cluster->nodes[request->to];
     if (!n->up)
-      w_answer (world, request, 0, NULL); /* refused */
+      sim_send_response (cluster, request, 0, NULL); /* refused */
     else {
       HrCommand *command = hr_command_new (HR_COMMAND_REQUEST);
       command->id = ++n->next;
@@ -191,22 +193,22 @@
       *key = command->id;
       request->refs++;
       g_hash_table_insert (n->open, key, request);
-      if (world->controllers && request->machine >= 0)
-        node_note_report (world, request->to, command->id,
-                          ((SimMachine *)world->machines->pdata[request->machine])->name);
-      node_push (world, request->to, command);
+      if (cluster->controllers && request->machine >= 0)
+        node_note_report (cluster, request->to, command->id,
+                          ((SimMachine *)cluster->machines->pdata[request->machine])->name);
+      node_push (cluster, request->to, command);
     }
   }
   req_unref (request);
 }
 
 static void
-expire (World *world, gpointer data)
+expire (SimCluster *cluster, gpointer data)
 {
   SimRequest *request = data;
   Answer *answer = g_new0 (Answer, 1);
   answer->r = request;
-  deliver_answer (world, answer); /* no answer came; drops the reference too */
+  deliver_answer (cluster, answer); /* no answer came; drops the reference too */
 }
 
 SimRequest *
@@ -225,73 +227,79 @@
 }
 
 void
-req_stray (World *world, SimRequest *request, double until)
+req_arrive_late (SimCluster *cluster, SimRequest *request, double until)
 {
-  world->stray_until = MAX (world->stray_until, until);
-  w_at (world, until, req_arrive, request);
+  cluster->late_messages_until = MAX (cluster->late_messages_until, until);
+  sim_schedule (cluster, until, req_arrive, request);
 }
 
 /* A copy of a report comes seconds to well over a lease later. Nobody waits for its answer. */
 static void
-late_copy (World *world, SimRequest *request)
+late_copy (SimCluster *cluster, SimRequest *request)
 {
-  req_stray (world, req_copy (request, request->to), world->now + w_rand (world, 1, 90));
+  req_arrive_late (cluster, req_copy (request, request->to),
+                   cluster->now + sim_rand_range (cluster, 1, 90));
 }
 
 void
-req_send (World *world, SimRequest *request)
+req_send (SimCluster *cluster, SimRequest *request)
 {
   gboolean hold;
-  double cut = cut_until (world, request, &hold), until = world->now + net_delay (world);
+  double cut = cut_until (cluster, request, &hold), until = cluster->now + net_delay (cluster);
   if (request->node >= 0 && request->target == HR_TO_STORE &&
       strcmp (request->path, "/commit") == 0)
-    troubles_moment (world, ON_WRITE_SENT);
+    troubles_moment (cluster, ON_WRITE_SENT);
   request->refs++;
-  w_at (world, world->now + request->timeout, expire, request);
+  sim_schedule (cluster, cluster->now + request->timeout, expire, request);
   SimMachine *worker = request->node >= 0 && request->target == HR_TO_WORKER
-                           ? machine_at (world, request->addr)
+                           ? machine_at (cluster, request->addr)
                            : NULL;
-  if (worker && worker->inbound_cut > world->now)
+  if (worker && worker->inbound_cut_until > cluster->now)
     return;
-  if (!world->calm && request->node < 0 && request->machine >= 0 &&
-      w_rand (world, 0, 1) < world->copies)
-    late_copy (world, request);
-  if (cut > world->now) {
+  if (!cluster->faults_ended && request->node < 0 && request->machine >= 0 &&
+      sim_rand_range (cluster, 0, 1) < cluster->late_copy_share)
+    late_copy (cluster, request);
+  if (cut > cluster->now) {
     if (!hold)
       return;
-    until = cut + net_delay (world);
+    until = cut + net_delay (cluster);
   }
-  if (troubles_take (world, request, until))
+  if (troubles_take (cluster, request, until))
     return;
-  if (world->choose) {
-    w_apply_outcome (world, request, world->choose (world, request, world->choose_data), until);
+  if (cluster->choose_outcome) {
+    sim_apply_outcome (cluster, request,
+                       cluster->choose_outcome (cluster, request, cluster->choose_outcome_data),
+                       until);
     return;
   }
-  if (!world->calm && worker && world->late_orders > 0 &&
-      w_rand (world, 0, 1) < world->late_orders) {
+  if (!cluster->faults_ended && worker && cluster->late_order_share > 0 &&
+      sim_rand_range (cluster, 0, 1) < cluster->late_order_share) {
     request->refs++;
-    req_stray (world, request, until + w_rand (world, 30, 75));
+    req_arrive_late (cluster, request, until + sim_rand_range (cluster, 30, 75));
     return;
   }
-  if (!world->calm && w_rand (world, 0, 1) < world->loss) {
-    if (request->node >= 0 && w_rand (world, 0, 1) < 0.5) { /* no answer, but carried out later */
+  if (!cluster->faults_ended && sim_rand_range (cluster, 0, 1) < cluster->loss_share) {
+    if (request->node >= 0 &&
+        sim_rand_range (cluster, 0, 1) < 0.5) { /* no answer, but carried out later */
       request->refs++;
-      req_stray (world, request, until + w_rand (world, 3, world->late));
+      req_arrive_late (cluster, request, until + sim_rand_range (cluster, 3, cluster->max_late_s));
     }
     return;
   }
   request->refs++;
-  w_at (world, until, req_arrive, request);
+  sim_schedule (cluster, until, req_arrive, request);
   /* Late copies: what was sent once may be carried out again, minutes later. */
-  if (!world->calm && request->node >= 0 && w_rand (world, 0, 1) < world->dup) {
+  if (!cluster->faults_ended && request->node >= 0 &&
+      sim_rand_range (cluster, 0, 1) < cluster->duplicate_share) {
     request->refs++;
-    req_stray (world, request, until + w_rand (world, 0.05, world->late));
+    req_arrive_late (cluster, request, until + sim_rand_range (cluster, 0.05, cluster->max_late_s));
   }
 }
 
 void
-w_ask (World *world, int node, int machine, HrMethod method, const char *path, char *body,
-       double timeout, void (*done) (World *, int, json_t *, gpointer), gpointer data)
+sim_send_request (SimCluster *cluster, int node, int machine, HrMethod method, const char *path,
+                  char *body, double timeout, void (*done) (SimCluster *, int, json_t *, gpointer),
+                  gpointer data)
 {
   SimRequest *request = g_new0 (SimRequest, 1);
   request->node = -1;
@@ -304,6 +312,6 @@
   request->done = done;
   request->data = data;
   request->refs = 1;
-  req_send (world, request);
+  req_send (cluster, request);
   req_unref (request);
 }
--- a/tests/sim/node_checks.c
+++ b/tests/sim/node_checks.c
@@ -1,136 +1,143 @@
-/* What a controller may send to its workers. */
+/* Checks of what controllers send to their workers. */
 #include "sim/messages.h"
 #include "sim/store.h"
 #include "sim/user.h"
 #include <string.h>
 
-/* A process launches only what it recorded itself: what an earlier leader recorded
- * may have ended since, and others may use its place. */
+/* Checks that a process launches only the assignments that it recorded itself: a task that an
+ * earlier leader assigned may have ended since, and other tasks may use its capacity. */
 void
-node_check_launches (World *world, int i, const char *text)
+node_check_launches (SimCluster *cluster, int i, const char *text)
 {
   json_t *object = json_loads (text, 0, NULL), *entry;
   size_t k;
-  const char *incarnation = world->nodes[i].incarnation;
+  const char *incarnation = cluster->nodes[i].incarnation;
   json_array_foreach (json_object_get (object, "orders"), k, entry)
   {
     g_autofree char *key =
         g_strdup_printf ("%s/%d", json_string_value (json_object_get (entry, "piece")),
                          (int)json_integer_value (json_object_get (entry, "try")));
-    const char *recorder = g_hash_table_lookup (world->assigned, key);
+    const char *recorder = g_hash_table_lookup (cluster->assignment_recorders, key);
     if (strcmp (json_string_value (json_object_get (entry, "verb")), "launch") == 0 &&
         g_strcmp0 (recorder, incarnation) != 0)
-      w_broken (world, "launch", "c%d launches %s, recorded by %s", i, key,
-                recorder ? recorder : "nobody");
+      sim_report_violation (cluster, "launch", "c%d launches %s, recorded by %s", i, key,
+                            recorder ? recorder : "nobody");
   }
   json_decref (object);
 }
 
-/* The job's record says that it is cancelled or done. */
+/* Returns whether the record of the task's job says that it is cancelled or done. */
 static gboolean
-is_over (World *world, const char *piece)
+job_is_final (SimCluster *cluster, const char *piece)
 {
   g_autofree char *id = g_strndup (piece, strcspn (piece, "/"));
   g_autofree char *key = g_strconcat ("h/j/", id, NULL);
-  json_t *record = json_loads (store_text (world, key), 0, NULL);
-  gboolean over = json_integer_value (json_object_get (record, "s")) != 0;
+  json_t *record = json_loads (store_text (cluster, key), 0, NULL);
+  gboolean final = json_integer_value (json_object_get (record, "s")) != 0;
   json_decref (record);
-  return over;
+  return final;
 }
 
-/* Orders on a report whose list of tasks does not count: stops alone, and of jobs alone that
- * are over by their record. */
+/* Returns whether all orders are stops of jobs whose records are final: the only orders allowed in
+ * the answer to a report whose task list is out of date. */
 static gboolean
-only_final_stops (World *world, json_t *orders)
+only_final_stops (SimCluster *cluster, json_t *orders)
 {
   json_t *order;
   size_t k;
   json_array_foreach (orders, k, order)
   {
     if (strcmp (json_string_value (json_object_get (order, "verb")), "kill") != 0 ||
-        !is_over (world, json_string_value (json_object_get (order, "piece"))))
+        !job_is_final (cluster, json_string_value (json_object_get (order, "piece"))))
       return FALSE;
   }
   return TRUE;
 }
 
-/* The newest report of the worker that the controller has answered; made where there is none. */
+/* Returns the newest of the worker's reports that the controller has answered; a zero entry is
+ * added if there is none. */
 static SimReportOrder *
-newest_answered (World *world, int i, const char *machine)
+newest_answered (SimCluster *cluster, int i, const char *machine)
 {
-  SimReportOrder *newest = g_hash_table_lookup (world->nodes[i].heard, machine);
+  SimReportOrder *newest = g_hash_table_lookup (cluster->nodes[i].newest_answered, machine);
   if (!newest) {
     newest = g_new0 (SimReportOrder, 1);
-    g_hash_table_insert (world->nodes[i].heard, g_strdup (machine), newest);
+    g_hash_table_insert (cluster->nodes[i].newest_answered, g_strdup (machine), newest);
   }
   return newest;
 }
 
 void
-node_note_report (World *world, int i, guint64 id, const char *machine)
+node_note_report (SimCluster *cluster, int i, guint64 id, const char *machine)
 {
-  const SimReportOrder *newest = newest_answered (world, i, machine);
-  g_hash_table_insert (world->nodes[i].heard_before, g_memdup2 (&id, sizeof id),
+  const SimReportOrder *newest = newest_answered (cluster, i, machine);
+  g_hash_table_insert (cluster->nodes[i].answered_at_handover, g_memdup2 (&id, sizeof id),
                        g_memdup2 (newest, sizeof *newest));
 }
 
-/* What the controller had answered when it made this answer, at the least. Answers of a process
- * come over several connections, in any order: two reports that it has at the same time are
- * answered in the right order, and may be seen in the other one. */
+/* Returns the newest report that the controller had certainly answered when it made this answer.
+ * Answers of a separate process arrive over several connections, in any order: if it has two
+ * reports at the same time, it may answer them in the right order and the answers arrive in the
+ * other. */
 static SimReportOrder
-answered_before (World *world, int i, guint64 id, const SimReportOrder *newest)
+answered_before (SimCluster *cluster, int i, guint64 id, const SimReportOrder *newest)
 {
-  const SimReportOrder *before = g_hash_table_lookup (world->nodes[i].heard_before, &id);
+  const SimReportOrder *before = g_hash_table_lookup (cluster->nodes[i].answered_at_handover, &id);
   SimReportOrder answered =
-      world->controllers ? (before ? *before : (SimReportOrder){0, 0}) : *newest;
-  g_hash_table_remove (world->nodes[i].heard_before, &id);
+      cluster->controllers ? (before ? *before : (SimReportOrder){0, 0}) : *newest;
+  g_hash_table_remove (cluster->nodes[i].answered_at_handover, &id);
   return answered;
 }
 
-/* Reports are ordered by incarnation and number, not by arrival: one of an earlier incarnation
- * gets no answer that counts; an overtaken one, and one from before the leader's token, none but
- * stops that are right however old it is. */
+/* Checks the order of answered reports. Reports are ordered by incarnation and sequence number, not
+ * by arrival. A report of an earlier incarnation is not answered with 200; a superseded report, and
+ * one from before the leader's token, gets no orders but stops of final jobs, which are right
+ * however old the report is. */
 void
-node_check_order (World *world, int i, guint64 id, const char *report, const char *answer)
+node_check_order (SimCluster *cluster, int i, guint64 id, const char *report, const char *answer)
 {
-  json_t *report_row = json_loads (report, 0, NULL), *array = json_loads (answer, 0, NULL);
-  guint64 incarnation = json_integer_value (json_object_get (report_row, "tenure")),
-          n = json_integer_value (json_object_get (report_row, "tally"));
-  const char *name = json_string_value (json_object_get (report_row, "rockhand"));
-  SimReportOrder *newest = newest_answered (world, i, name);
-  SimReportOrder before = answered_before (world, i, id, newest);
+  json_t *reported = json_loads (report, 0, NULL), *array = json_loads (answer, 0, NULL);
+  guint64 incarnation = json_integer_value (json_object_get (reported, "tenure")),
+          n = json_integer_value (json_object_get (reported, "tally"));
+  const char *name = json_string_value (json_object_get (reported, "rockhand"));
+  SimReportOrder *newest = newest_answered (cluster, i, name);
+  SimReportOrder before = answered_before (cluster, i, id, newest);
   if (incarnation < before.session)
-    w_broken (world, "order", "c%d answers %s in a session that is over", i, name);
+    sim_report_violation (cluster, "order",
+                          "c%d answers a report of %s from an earlier incarnation", i, name);
   else if (incarnation == before.session && n < before.number &&
-           !only_final_stops (world, json_object_get (array, "orders")))
-    w_broken (world, "order", "c%d gives orders on an overtaken report of %s", i, name);
+           !only_final_stops (cluster, json_object_get (array, "orders")))
+    sim_report_violation (cluster, "order",
+                          "c%d sends orders in the answer to a superseded report of %s", i, name);
   if (incarnation > newest->session || (incarnation == newest->session && n > newest->number))
     *newest = (SimReportOrder){incarnation, n};
-  json_decref (report_row);
+  json_decref (reported);
   json_decref (array);
 }
 
-/* Of a process of its own a reading counts as known after so many seconds without standing still:
- * it works through commands in batches, and what it sends waits until this program reads it. */
+/* A separate process is taken to know an answer of the state service this many seconds after it was
+ * sent, not counting suspensions: the process handles commands in batches, and its messages wait
+ * until this program reads them. */
 #define KNOWN_AFTER_S 2.0
 
-/* Up to where the controller knew the state store when it made what it sends now, at the least. */
+/* Returns the epoch up to which the controller certainly knew the state store when it made the
+ * message that it sends now. */
 static guint64
-epoch_known (World *world, int i)
+epoch_known (SimCluster *cluster, int i)
 {
-  const Node *n = &world->nodes[i];
-  if (!world->controllers)
+  const SimNode *n = &cluster->nodes[i];
+  if (!cluster->controllers)
     return n->epoch_acting;
-  for (guint k = n->readings->len; k > 0; k--) {
-    const Reading *reading = &g_array_index (n->readings, Reading, k - 1);
-    if (world->now - MAX (reading->at, n->frozen) >= KNOWN_AFTER_S)
-      return reading->epoch;
+  for (guint k = n->store_reads->len; k > 0; k--) {
+    const SimStoreRead *read = &g_array_index (n->store_reads, SimStoreRead, k - 1);
+    if (cluster->now - MAX (read->at, n->frozen_until) >= KNOWN_AFTER_S)
+      return read->epoch;
   }
   return 0;
 }
 
 static gboolean
-stop_named (json_t *answer, json_t *item)
+orders_stop_of (json_t *answer, json_t *item)
 {
   size_t k;
   json_t *order;
@@ -144,31 +151,32 @@
   return FALSE;
 }
 
-/* What a worker shows running of a job that was cancelled is told to stop in the very answer that
- * renews its lease, whatever report that answers: by a controller that has read the cancellation,
- * and by any longer ago than a leader may go on without knowing. */
+/* Checks that an answer that renews a worker's lease stops each task of a cancelled job that the
+ * report shows not exited, whatever report it answers: an answer of a controller that has read the
+ * cancellation, and any answer later than a leader may answer without having read it (hold_s). */
 void
-node_check_kills (World *world, int i, const char *report, const char *answer)
+node_check_kills (SimCluster *cluster, int i, const char *report, const char *answer)
 {
-  json_t *report_row = json_loads (report, 0, NULL), *array = json_loads (answer, 0, NULL), *item;
+  json_t *reported = json_loads (report, 0, NULL), *array = json_loads (answer, 0, NULL), *item;
   size_t k;
-  json_array_foreach (json_object_get (report_row, "pieces"), k, item)
+  json_array_foreach (json_object_get (reported, "pieces"), k, item)
   {
     const char *piece = json_string_value (json_object_get (item, "piece"));
     g_autofree char *id = g_strndup (piece, strrchr (piece, '/') - piece);
-    const guint64 *store_revision = g_hash_table_lookup (world->cancelled_jobs, id);
+    const guint64 *store_revision = g_hash_table_lookup (cluster->cancelled_jobs, id);
     guint32 index;
-    SimJob *job = job_by_id (world, id, &index);
+    SimJob *job = job_by_id (cluster, id, &index);
     if (strcmp (json_string_value (json_object_get (item, "stance")), "exited") == 0 ||
-        stop_named (array, item))
+        orders_stop_of (array, item))
       continue;
-    if (store_revision && *store_revision <= epoch_known (world, i))
-      w_broken (world, "renewal", "c%d renews the lease of %s, and has read that it is withdrawn",
-                i, piece);
-    if (job && job->cancelled_at && world->now - job->cancelled_at > world->pol.hold_s + 3)
-      w_broken (world, "hold", "c%d lets %s go on %.1f s after its withdrawal", i, piece,
-                world->now - job->cancelled_at);
+    if (store_revision && *store_revision <= epoch_known (cluster, i))
+      sim_report_violation (cluster, "renewal",
+                            "c%d renews the lease of %s though it has read its cancellation", i,
+                            piece);
+    if (job && job->cancelled_at && cluster->now - job->cancelled_at > cluster->policy.hold_s + 3)
+      sim_report_violation (cluster, "hold", "c%d does not stop %s %.1f s after its cancellation",
+                            i, piece, cluster->now - job->cancelled_at);
   }
-  json_decref (report_row);
+  json_decref (reported);
   json_decref (array);
 }
--- a/tests/sim/pipeline.h
+++ b/tests/sim/pipeline.h
@@ -2,7 +2,7 @@
  * that came with them (too_early, orphaned). */
 #pragma once
 #include "sim/user.h"
-#include "sim/world.h"
+#include "sim/cluster.h"
 
 /* What the users of a day's pipelines do. */
 typedef struct {
@@ -13,11 +13,11 @@
                        together with the state service */
 } PipelineDay;
 
-void users_pipelines (World *world, const PipelineDay *day);
+void users_pipelines (SimCluster *cluster, const PipelineDay *day);
 /* The same beside other users, after users_init. */
-void users_pipelines_beside (World *world, const PipelineDay *day);
+void users_pipelines_beside (SimCluster *cluster, const PipelineDay *day);
 /* At the end of a day: every job has come to the end that it had to come to. */
-void pipelines_verdict (World *world);
+void pipelines_verdict (SimCluster *cluster);
 
 /* Has the user of the job, or of one before it, asked to cancel that? */
 gboolean pipeline_cancel_asked (const SimJob *job);
@@ -26,7 +26,7 @@
 gboolean pipeline_ready (const SimJob *job);
 
 /* Hooks of the stand-ins. */
-void pipeline_start (World *world, const SimJob *job, guint32 task_index);
-void pipeline_on_machine (World *world, const SimJob *job, guint32 task_index);
+void pipeline_start (SimCluster *cluster, const SimJob *job, guint32 task_index);
+void pipeline_on_machine (SimCluster *cluster, const SimJob *job, guint32 task_index);
 /* The job's user hears its stance; sent: when he asked. */
-void pipeline_told (World *world, SimJob *job, const char *state, double sent);
+void pipeline_told (SimCluster *cluster, SimJob *job, const char *state, double sent);
--- a/tests/sim/request.h
+++ b/tests/sim/request.h
@@ -1,15 +1,14 @@
-/* A request on its way between workers, users, controllers and the outside services, and its
- * answer. Requests are counted references: who keeps one takes a reference and ends it with
- * req_unref(). */
+/* Requests between workers, users, controllers and the external services, and their answers.
+ * Requests are reference-counted: a holder takes a reference and releases it with req_unref(). */
 #pragma once
 #include "coordination/command.h"
 #include "sim/troubles.h"
 #include <jansson.h>
 
-/* A request on its way, to any server of the world, and its way back. */
+/* A request to any server of the cluster. */
 typedef struct {
-  int node; /* asking controller, or -1: a worker or user asks a controller */
-  guint gen;
+  int node;         /* asking controller, or -1: a worker or user asks a controller */
+  guint generation; /* of the asking controller's process */
   guint64 call;
   int to; /* controller asked, when node is -1 */
   HrTarget target;
@@ -17,23 +16,24 @@
   char *addr, *path, *body;
   double timeout;
   gboolean answered;
-  gboolean answer_lost; /* whatever it is answered does not arrive */
+  gboolean answer_lost; /* its answer is dropped */
   int refs;
   int machine; /* of the asking worker, or -1 */
-  void (*done) (World *world, int status, json_t *body, gpointer data);
+  void (*done) (SimCluster *cluster, int status, json_t *body, gpointer data);
   gpointer data;
 } SimRequest;
 
-/* A worker's or user's request to a controller. */
-void w_ask (World *world, int node, int machine, HrMethod method, const char *path, char *body,
-            double timeout, void (*done) (World *, int, json_t *, gpointer), gpointer data);
-/* A server's answer. Takes the body text. */
-void w_answer (World *world, SimRequest *request, int status, char *body);
+/* Sends a worker's or user's request to a controller. */
+void sim_send_request (SimCluster *cluster, int node, int machine, HrMethod method,
+                       const char *path, char *body, double timeout,
+                       void (*done) (SimCluster *, int, json_t *, gpointer), gpointer data);
+/* Sends a server's answer. Takes ownership of the body. */
+void sim_send_response (SimCluster *cluster, SimRequest *request, int status, char *body);
 void req_unref (SimRequest *request);
-/* A request of a worker or user that has left arrives at its controller now, or if it has left
- * one at the server it asks. Takes a reference. */
-void req_arrive (World *world, gpointer req);
-/* A copy of a worker's report, for whose answer nobody waits. */
+/* Delivers a request at its destination now: that of a worker or user at a controller, that of a
+ * controller at the server that it calls. Takes a reference over. */
+void req_arrive (SimCluster *cluster, gpointer req);
+/* Returns a copy of a worker's report for the controller `to`; its answer is dropped. */
 SimRequest *req_copy (const SimRequest *request, int to);
-/* This request arrives then, later than messages usually do. Takes the reference over. */
-void req_stray (World *world, SimRequest *request, double until);
+/* Delivers the request at this time, later than usual delays. Takes the reference over. */
+void req_arrive_late (SimCluster *cluster, SimRequest *request, double until);
--- a/tests/sim/request_outcomes.c
+++ b/tests/sim/request_outcomes.c
@@ -1,49 +1,50 @@
-/* What becomes of single requests, as a search over message outcomes decides. Times in seconds. */
+/* Applies the outcomes that a search over message outcomes chooses. Times in seconds. */
 #include "sim/request.h"
 #include "sim/request_outcomes.h"
-#include "sim/world.h"
+#include "sim/cluster.h"
 
-/* After every timeout of a call, so that its sender has given up. */
+/* Longer than every timeout of a call, so that its sender has given up. */
 #define LATE_S 6.0
-/* Long enough for a new leader to act, short of a worker's lease. */
+/* Long enough for a new leader to act, shorter than a worker's lease. */
 #define COPY_S 9.0
-#define BACK_S 0.3
-/* Longer than a leader's lease of the state service. */
-#define AWAY_S 7.0
+/* How long a crashed controller is down; DOWN_LONG_S is longer than a leader's lease in the state
+ * service. */
+#define DOWN_S 0.3
+#define DOWN_LONG_S 7.0
 
 static void
-end_process (World *world, gpointer node)
+end_process (SimCluster *cluster, gpointer node)
 {
-  node_kill (world, GPOINTER_TO_INT (node));
+  node_kill (cluster, GPOINTER_TO_INT (node));
 }
 
-/* The request that a copy is made of may be answered and gone by then. */
+/* Returns a full copy: the original may be answered and freed when the copy arrives. */
 static SimRequest *
-copy_of (const SimRequest *request)
+copy_request (const SimRequest *request)
 {
-  SimRequest *core = g_new0 (SimRequest, 1);
-  *core = *request;
-  core->addr = g_strdup (request->addr);
-  core->path = g_strdup (request->path);
-  core->body = g_strdup (request->body);
-  core->answered = TRUE; /* nobody waits for it */
-  core->refs = 1;
-  return core;
+  SimRequest *copy = g_new0 (SimRequest, 1);
+  *copy = *request;
+  copy->addr = g_strdup (request->addr);
+  copy->path = g_strdup (request->path);
+  copy->body = g_strdup (request->body);
+  copy->answered = TRUE; /* its answer is dropped */
+  copy->refs = 1;
+  return copy;
 }
 
 static void
-end_and_return (World *world, const SimRequest *request, double at, double away)
+crash_and_restart (SimCluster *cluster, const SimRequest *request, double at, double down_s)
 {
   gpointer node = GINT_TO_POINTER (request->node >= 0 ? request->node : request->to);
-  w_at (world, at, end_process, node);
-  node_start_at (world, GPOINTER_TO_INT (node), at + away);
+  sim_schedule (cluster, at, end_process, node);
+  node_start_at (cluster, GPOINTER_TO_INT (node), at + down_s);
 }
 
 void
-w_apply_outcome (World *world, SimRequest *request, SimOutcome outcome, double arrives_at)
+sim_apply_outcome (SimCluster *cluster, SimRequest *request, SimOutcome outcome, double arrives_at)
 {
-  /* The answer takes at least as long: the process ends before it comes. */
-  const double carried_out = arrives_at + 1e-5;
+  /* Before the answer can arrive, so that the process ends first. */
+  const double executed_at = arrives_at + 1e-5;
   switch (outcome) {
   case OUTCOME_LOST:
     return;
@@ -54,17 +55,17 @@
     arrives_at += LATE_S;
     break;
   case OUTCOME_COPIED:
-    w_at (world, arrives_at + COPY_S, req_arrive, copy_of (request));
+    sim_schedule (cluster, arrives_at + COPY_S, req_arrive, copy_request (request));
     break;
   case OUTCOME_ENDS_BACK:
-    end_and_return (world, request, carried_out, BACK_S);
+    crash_and_restart (cluster, request, executed_at, DOWN_S);
     break;
   case OUTCOME_ENDS_AWAY:
-    end_and_return (world, request, carried_out, AWAY_S);
+    crash_and_restart (cluster, request, executed_at, DOWN_LONG_S);
     break;
   default:
     break;
   }
   request->refs++;
-  w_at (world, arrives_at, req_arrive, request);
+  sim_schedule (cluster, arrives_at, req_arrive, request);
 }
--- a/tests/sim/single_node.c
+++ b/tests/sim/single_node.c
@@ -27,7 +27,7 @@
 static void
 change_clear (gpointer data)
 {
-  Change *change = data;
+  FakeStoreChange *change = data;
   g_free (change->path);
   g_free (change->text);
 }
@@ -36,7 +36,7 @@
 fake_store_new (void)
 {
   FakeStore *store = g_new0 (FakeStore, 1);
-  store->log = g_array_new (FALSE, TRUE, sizeof (Change));
+  store->log = g_array_new (FALSE, TRUE, sizeof (FakeStoreChange));
   g_array_set_clear_func (store->log, change_clear);
   store->stamp = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   return store;
@@ -53,7 +53,7 @@
 void
 fake_store_set (FakeStore *store, const char *path, const char *text)
 {
-  Change change = {g_strdup (path), g_strdup (text), store->epoch};
+  FakeStoreChange change = {g_strdup (path), g_strdup (text), store->epoch};
   g_array_append_val (store->log, change);
   g_hash_table_replace (store->stamp, g_strdup (path),
                         g_memdup2 (&store->epoch, sizeof store->epoch));
@@ -66,32 +66,32 @@
   return revision ? *revision : 0;
 }
 
-/* The record as it stands, or NULL. */
 const char *
-fake_store_job (const FakeStore *store, const char *id)
+fake_store_job_record (const FakeStore *store, const char *id)
 {
   g_autofree char *path = g_strconcat ("h/j/", id, NULL);
   for (guint i = store->log->len; i > 0; i--) {
-    const Change *change = &g_array_index (store->log, Change, i - 1);
+    const FakeStoreChange *change = &g_array_index (store->log, FakeStoreChange, i - 1);
     if (strcmp (change->path, path) == 0)
       return change->text;
   }
   return NULL;
 }
 
-/* The changes after an epoch, or (as rows of a reading) the latest of each record. */
+/* Returns the changes after an epoch, or (rows) the latest change of each record as rows of a
+ * listing. */
 static char *
-changes (const FakeStore *store, guint64 after, gboolean rows)
+changes_text (const FakeStore *store, guint64 after, gboolean rows)
 {
   json_t *list = json_array ();
   for (guint i = 0; i < store->log->len; i++) {
-    const Change *change = &g_array_index (store->log, Change, i);
+    const FakeStoreChange *change = &g_array_index (store->log, FakeStoreChange, i);
     if (change->stamp <= after || (rows && stamp_of (store, change->path) != change->stamp))
       continue;
     json_t *object = json_pack ("{sssosI}", rows ? "path" : "set", change->path, "value",
                                 json_loads (change->text, JSON_DECODE_ANY, NULL), "stamp",
                                 (json_int_t)change->stamp);
-    if (rows && store->backwards)
+    if (rows && store->newest_first)
       json_array_insert_new (list, 0, object);
     else
       json_array_append_new (list, object);
@@ -164,7 +164,7 @@
 }
 
 static void
-result (SingleNode *n, guint64 id, int status, char *text)
+push_result (SingleNode *n, guint64 id, int status, char *text)
 {
   HrCommand *command = hr_command_new (HR_COMMAND_RESULT);
   command->id = id;
@@ -174,26 +174,27 @@
 }
 
 static void
-call (SingleNode *n, const HrEffect *effect)
+answer_call (SingleNode *n, const HrEffect *effect)
 {
   FakeStore *store = n->store;
   char *text = NULL;
   if (effect->call.target == HR_TO_CLOUD)
-    result (n, effect->id, strcmp (effect->call.path, "/machine_types") == 0 ? 200 : 503,
-            g_strdup (TYPES));
+    push_result (n, effect->id, strcmp (effect->call.path, "/machine_types") == 0 ? 200 : 503,
+                 g_strdup (TYPES));
   else if (store->down)
-    result (n, effect->id, 503, g_strdup ("{}"));
+    push_result (n, effect->id, 503, g_strdup ("{}"));
   else if (g_str_has_prefix (effect->call.path, "/kv?"))
-    result (n, effect->id, 200, changes (store, 0, TRUE));
+    push_result (n, effect->id, 200, changes_text (store, 0, TRUE));
   else if (g_str_has_prefix (effect->call.path, "/leases"))
-    result (n, effect->id, 200, g_strdup ("{\"claim\":1}"));
+    push_result (n, effect->id, 200, g_strdup ("{\"claim\":1}"));
   else if (strcmp (effect->call.path, "/commit") == 0) {
     int status = commit (store, effect->body, &text);
-    result (n, effect->id, status, text);
+    push_result (n, effect->id, status, text);
   } else if (g_str_has_suffix (effect->call.path, "hold_ms=0")) {
     const char *after = strstr (effect->call.path, "after=") + strlen ("after=");
-    result (n, effect->id, 200, changes (store, g_ascii_strtoull (after, NULL, 10), FALSE));
-  } /* a watch stays open */
+    push_result (n, effect->id, 200,
+                 changes_text (store, g_ascii_strtoull (after, NULL, 10), FALSE));
+  } /* a watch gets no answer */
 }
 
 static void
@@ -207,7 +208,7 @@
   for (guint i = 0; i < out->len; i++) {
     const HrEffect *effect = out->pdata[i];
     if (effect->kind == HR_EFFECT_CALL)
-      call (n, effect);
+      answer_call (n, effect);
     else if (effect->kind == HR_EFFECT_REPLY) {
       g_hash_table_insert (n->answers, g_memdup2 (&effect->id, sizeof effect->id),
                            GINT_TO_POINTER (effect->reply.status));
@@ -305,7 +306,7 @@
 }
 
 void
-fake_store_done (FakeStore *store, const char *id)
+fake_store_finish_job (FakeStore *store, const char *id)
 {
   g_autofree char *path = g_strconcat ("h/j/", id, NULL);
   store->epoch++;
@@ -313,7 +314,7 @@
 }
 
 HrMachine *
-single_node_machine (SingleNode *n)
+single_node_add_machine (SingleNode *n)
 {
   HrMachine *machine = hr_machine_get (&n->core->store.tables, "m-1");
   machine->state = HR_MACHINE_UP;
--- a/tests/sim/single_node.h
+++ b/tests/sim/single_node.h
@@ -1,27 +1,27 @@
-/* One node on a state service played here, without users, workers or other nodes: for tests that
- * ask the core itself. */
+/* One controller core with a fake state service, without users, workers or other controllers: for
+ * tests that send requests to the core itself. */
 #pragma once
 #include "coordination/state.h"
 
 typedef struct {
   char *path, *text;
   guint64 stamp;
-} Change;
+} FakeStoreChange;
 
-/* All records, as the changes that made them. */
+/* A state service that keeps every change of every record. */
 typedef struct {
-  GArray *log;       /* Change */
+  GArray *log;       /* FakeStoreChange */
   GHashTable *stamp; /* path -> guint64: the latest change */
   guint64 epoch;
-  gboolean down, backwards; /* backwards: a full reading gives the newest record first */
+  gboolean down, newest_first; /* newest_first: a full listing gives the newest record first */
 } FakeStore;
 
 FakeStore *fake_store_new (void);
 void fake_store_free (FakeStore *store);
-/* A change at the present epoch. */
+/* Appends a change at the current epoch. */
 void fake_store_set (FakeStore *store, const char *path, const char *text);
-/* The job's main record as it stands, or NULL. */
-const char *fake_store_job (const FakeStore *store, const char *id);
+/* Returns the current text of the job's main record, or NULL. */
+const char *fake_store_job_record (const FakeStore *store, const char *id);
 
 typedef struct {
   FakeStore *store;
@@ -32,28 +32,28 @@
   GPtrArray *inbox;
   guint64 next;
   GHashTable *answers; /* request id -> status */
-  json_t *body;        /* of the latest answer */
+  json_t *body;        /* of the last answer */
 } SingleNode;
 
-/* state_more: more members of the settings' `state`, with a comma before them. */
+/* state_more: additional members of the settings' `state`, with a leading comma. */
 SingleNode *single_node_new (FakeStore *store, const char *state_more);
 void single_node_free (SingleNode *n);
 void single_node_run (SingleNode *n, double for_s);
-/* Asks the node, and gives its answer's status; 0 when none came within a minute. */
+/* Sends a request to the node and returns the status of its answer; 0: no answer within 60 s. */
 int single_node_request (SingleNode *n, HrMethod method, const char *path, char *body);
-/* A node that leads. */
+/* Returns a node that has become the leader. */
 SingleNode *single_node_leading (FakeStore *store);
-/* Submits a job with these fields beside the usual ones (an array of two small tasks of 20 s).
- * awaits: an array, or NULL; more: `due_s` and `priority` with a comma before them, or NULL. */
+/* Submits an array of two small tasks of 20 s. awaits: the JSON array for that field, or NULL;
+ * more: the fields `due_s` and `rank` with a leading comma, or NULL for the defaults. */
 int single_node_submit (SingleNode *n, const char *id, const char *awaits, const char *more);
-/* A service of two small replicas. */
+/* Submits a service of two small replicas. */
 int single_node_submit_service (SingleNode *n, const char *id);
-/* The job's stance as the node tells it; "unknown" with a 404. */
+/* Returns the job's state as the node answers it; "unknown" for 404, "none" for other statuses. */
 const char *single_node_poll (SingleNode *n, const char *id);
 int single_node_cancel (SingleNode *n, const char *id);
-/* Is the job in the list of those that the leader has to look at? */
+/* Returns whether the job is in the leader's list of open jobs. */
 gboolean single_node_lists_open (SingleNode *n, const char *id);
-/* The job's record, as if its last task had ended. */
-void fake_store_done (FakeStore *store, const char *id);
-/* m-1, which is up and has room. */
-HrMachine *single_node_machine (SingleNode *n);
+/* Rewrites the job's record as after the end of its last task. */
+void fake_store_finish_job (FakeStore *store, const char *id);
+/* Adds the machine m-1, which is up and free. */
+HrMachine *single_node_add_machine (SingleNode *n);
--- a/tests/sim/store.c
+++ b/tests/sim/store.c
@@ -1,4 +1,4 @@
-/* A stand-in for the state service. */
+/* The simulated state service. */
 #include "bookkeeping/tables.h"
 #include "coordination/command.h"
 #include "coordination/core.h"
@@ -8,7 +8,7 @@
 #include "sim/trouble_hooks.h"
 #include "sim/user.h"
 #include "sim/worker.h"
-#include "sim/world.h"
+#include "sim/cluster.h"
 #include <stdlib.h>
 #include <string.h>
 
@@ -25,14 +25,14 @@
 typedef struct {
   guint64 id;
   double ends, life;
-} SLease;
+} StoreLease;
 
 typedef struct {
-  SimRequest *r;
+  SimRequest *request;
   char *prefix;
   guint64 after;
   double ends;
-} SWatch;
+} StoreWatch;
 
 static void
 key_free (gpointer data)
@@ -42,119 +42,121 @@
   g_free (k);
 }
 
-/* Machines that went, named by a record until now. */
+/* Notes the time for machines that are gone and were named by the record that now changes. */
 static void
-note_named (World *world, const char *path)
+note_last_reference (SimCluster *cluster, const char *path)
 {
-  StoreKey *old = g_hash_table_lookup (world->keys, path);
-  for (guint i = 0; old && i < world->machines->len; i++) {
-    SimMachine *machine = world->machines->pdata[i];
+  StoreKey *old = g_hash_table_lookup (cluster->keys, path);
+  for (guint i = 0; old && i < cluster->machines->len; i++) {
+    SimMachine *machine = cluster->machines->pdata[i];
     if (machine->gone && strstr (old->text, machine->name))
-      machine->named_at = world->now;
+      machine->last_referenced_at = cluster->now;
   }
 }
 
 static void
-change (World *world, const char *path, char *text, guint64 lease_id)
+change (SimCluster *cluster, const char *path, char *text, guint64 lease_id)
 {
-  note_named (world, path);
-  StoreChange core = {g_strdup (path), g_strdup (text), world->epoch};
-  g_array_append_val (world->log, core);
+  note_last_reference (cluster, path);
+  StoreChange entry = {g_strdup (path), g_strdup (text), cluster->epoch};
+  g_array_append_val (cluster->log, entry);
   if (!text) {
-    g_hash_table_remove (world->keys, path);
+    g_hash_table_remove (cluster->keys, path);
     return;
   }
   StoreKey *k = g_new0 (StoreKey, 1);
   k->text = text;
-  k->stamp = world->epoch;
+  k->stamp = cluster->epoch;
   k->claim = lease_id;
-  g_hash_table_replace (world->keys, g_strdup (path), k);
+  g_hash_table_replace (cluster->keys, g_strdup (path), k);
 }
 
 static char *
-changes_text (World *world, const char *prefix, guint64 after, guint *n)
+changes_text (SimCluster *cluster, const char *prefix, guint64 after, guint *n)
 {
   json_t *log = json_array ();
   *n = 0;
-  for (guint i = 0; i < world->log->len; i++) {
-    StoreChange *core = &g_array_index (world->log, StoreChange, i);
-    if (core->stamp <= after || !g_str_has_prefix (core->path, prefix))
+  for (guint i = 0; i < cluster->log->len; i++) {
+    StoreChange *entry = &g_array_index (cluster->log, StoreChange, i);
+    if (entry->stamp <= after || !g_str_has_prefix (entry->path, prefix))
       continue;
-    json_t *object = json_pack ("{sssI}", core->text ? "set" : "delete", core->path, "stamp",
-                                (json_int_t)core->stamp);
-    if (core->text)
-      json_object_set_new (object, "value", json_loads (core->text, JSON_DECODE_ANY, NULL));
+    json_t *object = json_pack ("{sssI}", entry->text ? "set" : "delete", entry->path, "stamp",
+                                (json_int_t)entry->stamp);
+    if (entry->text)
+      json_object_set_new (object, "value", json_loads (entry->text, JSON_DECODE_ANY, NULL));
     json_array_append_new (log, object);
     ++*n;
   }
-  return hr_json_take_text (json_pack ("{sIso}", "epoch", (json_int_t)world->epoch, "log", log));
+  return hr_json_take_text (json_pack ("{sIso}", "epoch", (json_int_t)cluster->epoch, "log", log));
 }
 
+/* Answers the watches that have changes or whose time is over. */
 static void
-wake (World *world)
+answer_watches (SimCluster *cluster)
 {
-  if (world->outage > world->now)
+  if (cluster->store_outage_until > cluster->now)
     return; /* open watches stay open */
-  for (guint i = 0; i < world->watches->len;) {
-    SWatch *watch = world->watches->pdata[i];
+  for (guint i = 0; i < cluster->watches->len;) {
+    StoreWatch *watch = cluster->watches->pdata[i];
     guint n;
-    g_autofree char *team_name = changes_text (world, watch->prefix, watch->after, &n);
-    Node *node = &world->nodes[watch->r->node];
-    if ((!n && watch->ends > world->now) || node->refused > world->now) {
+    g_autofree char *text = changes_text (cluster, watch->prefix, watch->after, &n);
+    SimNode *node = &cluster->nodes[watch->request->node];
+    if ((!n && watch->ends > cluster->now) || node->store_refuses_until > cluster->now) {
       i++;
       continue;
     }
-    w_answer (world, watch->r, 200, g_steal_pointer (&team_name));
-    req_unref (watch->r);
+    sim_send_response (cluster, watch->request, 200, g_steal_pointer (&text));
+    req_unref (watch->request);
     g_free (watch->prefix);
     g_free (watch);
-    g_ptr_array_remove_index (world->watches, i);
+    g_ptr_array_remove_index (cluster->watches, i);
   }
 }
 
 static void
-leases_tick (World *world, gpointer data G_GNUC_UNUSED)
+leases_tick (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
   GHashTableIter iter;
   gpointer value;
-  g_autoptr (GPtrArray) over = g_ptr_array_new ();
-  g_hash_table_iter_init (&iter, world->leases);
+  g_autoptr (GPtrArray) expired = g_ptr_array_new ();
+  g_hash_table_iter_init (&iter, cluster->leases);
   while (g_hash_table_iter_next (&iter, NULL, &value)) {
-    SLease *lease = value;
-    if (world->outage > world->now)
-      lease->ends =
-          world->outage + lease->life; /* after an outage every lease has its full time again */
-    else if (lease->ends < world->now)
-      g_ptr_array_add (over, lease);
+    StoreLease *lease = value;
+    if (cluster->store_outage_until > cluster->now)
+      lease->ends = cluster->store_outage_until +
+                    lease->life; /* after an outage every lease gets its full duration again */
+    else if (lease->ends < cluster->now)
+      g_ptr_array_add (expired, lease);
   }
-  for (guint i = 0; i < over->len; i++) {
-    SLease *lease = over->pdata[i];
-    g_autoptr (GPtrArray) dead = g_ptr_array_new_with_free_func (g_free);
+  for (guint i = 0; i < expired->len; i++) {
+    StoreLease *lease = expired->pdata[i];
+    g_autoptr (GPtrArray) paths = g_ptr_array_new_with_free_func (g_free);
     gpointer k;
-    g_hash_table_iter_init (&iter, world->keys);
+    g_hash_table_iter_init (&iter, cluster->keys);
     while (g_hash_table_iter_next (&iter, &k, &value))
       if (((StoreKey *)value)->claim == lease->id)
-        g_ptr_array_add (dead, g_strdup (k));
-    if (dead->len)
-      world->epoch++;
-    for (guint d = 0; d < dead->len; d++)
-      change (world, dead->pdata[d], NULL, 0);
-    g_hash_table_remove (world->leases, &lease->id);
+        g_ptr_array_add (paths, g_strdup (k));
+    if (paths->len)
+      cluster->epoch++;
+    for (guint d = 0; d < paths->len; d++)
+      change (cluster, paths->pdata[d], NULL, 0);
+    g_hash_table_remove (cluster->leases, &lease->id);
   }
-  wake (world);
-  w_at (world, world->now + 0.05, leases_tick, NULL);
+  answer_watches (cluster);
+  sim_schedule (cluster, cluster->now + 0.05, leases_tick, NULL);
 }
 
-/* Nothing is placed on a machine that went long ago, whatever late copies of its reports
- * say: longer than it may look alive, than an outage, and than a write may take. */
+/* Checks that no task is placed on a machine that has been gone for more than 45 s, whatever late
+ * copies of its reports say: longer than the machine may appear alive, than an outage, and than a
+ * write may take. */
 static void
-check_place (World *world, const char *what, const char *machine)
+check_placement (SimCluster *cluster, const char *what, const char *machine)
 {
-  for (guint i = 0; machine && i < world->machines->len; i++) {
-    SimMachine *host = world->machines->pdata[i];
-    if (host->gone && world->now - host->gone_at > 45 && strcmp (host->name, machine) == 0)
-      w_broken (world, "stale", "%s is placed on %s, %.0f s after that went", what, machine,
-                world->now - host->gone_at);
+  for (guint i = 0; machine && i < cluster->machines->len; i++) {
+    SimMachine *host = cluster->machines->pdata[i];
+    if (host->gone && cluster->now - host->gone_at > 45 && strcmp (host->name, machine) == 0)
+      sim_report_violation (cluster, "stale", "%s is placed on %s, which has been gone for %.0f s",
+                            what, machine, cluster->now - host->gone_at);
   }
 }
 
@@ -165,23 +167,24 @@
          g_str_has_prefix (path, "h/u/");
 }
 
-/* Tasks a page: in its key, or in the job's main record. */
+/* Returns the number of tasks per page: from the page's key, or from the job's main record. */
 static guint
-page_size (World *world, const char *path, const char *id)
+page_size (SimCluster *cluster, const char *path, const char *id)
 {
   if (path[2] == 'u')
     return atoi (path + strlen ("h/u/") + strlen (id) + 1);
   g_autofree char *main = g_strconcat ("h/j/", id, NULL);
-  StoreKey *k = g_hash_table_lookup (world->keys, main);
+  StoreKey *k = g_hash_table_lookup (cluster->keys, main);
   json_t *object = k ? json_loads (k->text, 0, NULL) : NULL;
   guint n = json_integer_value (json_object_get (object, "q"));
   json_decref (object);
   return n;
 }
 
-/* Notes which process recorded each assignment first: its tag begins with its incarnation. */
+/* Records which process wrote each assignment first: the record's tag begins with the incarnation
+ * of its writer. */
 static void
-note_assignments (World *world, json_t *put)
+note_assignments (SimCluster *cluster, json_t *put)
 {
   const char *path = json_string_value (json_object_get (put, "set"));
   json_t *value = json_object_get (put, "value"), *entry;
@@ -191,23 +194,23 @@
     return;
   const char *page = path[2] == 'j' ? NULL : strrchr (path, '/');
   g_autofree char *id = g_strndup (path + 4, strcspn (path + 4, "/"));
-  guint first = page ? atoi (page + 1) * page_size (world, path, id) : 0;
+  guint first = page ? atoi (page + 1) * page_size (cluster, path, id) : 0;
   json_array_foreach (json_object_get (value, "x"), i, entry)
   {
     g_autofree char *key = g_strdup_printf ("%s/%u/%d", id, first + (guint)i,
                                             (int)json_integer_value (json_array_get (entry, 2)));
-    if (json_is_array (entry) && !g_hash_table_contains (world->assigned, key))
-      check_place (world, key, json_string_value (json_array_get (entry, 0)));
-    if (json_is_array (entry) && !g_hash_table_contains (world->assigned, key))
-      g_hash_table_insert (world->assigned, g_steal_pointer (&key),
+    if (json_is_array (entry) && !g_hash_table_contains (cluster->assignment_recorders, key))
+      check_placement (cluster, key, json_string_value (json_array_get (entry, 0)));
+    if (json_is_array (entry) && !g_hash_table_contains (cluster->assignment_recorders, key))
+      g_hash_table_insert (cluster->assignment_recorders, g_steal_pointer (&key),
                            g_strndup (tag, strcspn (tag, ".")));
   }
 }
 
-/* A write of the leader (tasks of a job that goes on) holds on the leader record's revision, or a
- * former owner's late write would count. */
+/* Checks that a write with assignments of a job that is not cancelled is conditional on the leader
+ * record's revision; otherwise a late write of a former leader would succeed. */
 static void
-check_fence (World *world, json_t *when, json_t *put)
+check_fence (SimCluster *cluster, json_t *when, json_t *put)
 {
   const char *path = json_string_value (json_object_get (put, "set"));
   json_t *value = json_object_get (put, "value"), *entry, *tasks = json_object_get (value, "x");
@@ -219,107 +222,115 @@
   json_array_foreach (when, i, entry) fenced |=
       g_strcmp0 (json_string_value (json_object_get (entry, "path")), "h/map") == 0;
   if (bound && !fenced)
-    w_broken (world, "fence", "%s is written without a hold on the map", path);
+    sim_report_violation (cluster, "fence",
+                          "%s is written without a condition on the leader record", path);
 }
 
-/* A process of its own has written the leader record. */
+/* Notes the incarnation and token of a separate process that has written the leader record. */
 static void
-note_process (World *world, int node, json_t *map)
+note_process (SimCluster *cluster, int node, json_t *map)
 {
   guint64 token = json_integer_value (json_object_get (map, "b"));
-  g_free (world->nodes[node].incarnation);
-  world->nodes[node].incarnation = g_strdup (json_string_value (json_object_get (map, "i")));
-  g_hash_table_insert (world->token_nodes, g_memdup2 (&token, sizeof token),
+  g_free (cluster->nodes[node].incarnation);
+  cluster->nodes[node].incarnation = g_strdup (json_string_value (json_object_get (map, "i")));
+  g_hash_table_insert (cluster->token_nodes, g_memdup2 (&token, sizeof token),
                        GINT_TO_POINTER (node));
 }
 
-/* The leader record's change, and a cancellation, are what a leader must not miss for long:
- * check_kills in world.c sees to the latter. */
+/* Notes the writes that a leader must read soon: changes of the leader record, and cancellations
+ * (checked by node_check_kills in node_checks.c). */
 static void
-note_decision (World *world, const SimRequest *request, json_t *put)
+note_decision (SimCluster *cluster, const SimRequest *request, json_t *put)
 {
   const char *path = json_string_value (json_object_get (put, "set"));
   json_t *state = json_object_get (json_object_get (put, "value"), "s");
   if (json_integer_value (state) == 2 && g_str_has_prefix (path, "h/j/")) {
     guint32 index;
-    SimJob *job = job_by_id (world, path + strlen ("h/j/"), &index);
+    SimJob *job = job_by_id (cluster, path + strlen ("h/j/"), &index);
     if (job && !job->cancelled_at)
-      job->cancelled_at = world->now;
-    if (!g_hash_table_contains (world->cancelled_jobs, path + 4))
-      g_hash_table_insert (world->cancelled_jobs, g_strdup (path + 4),
-                           g_memdup2 (&world->epoch, sizeof world->epoch));
+      job->cancelled_at = cluster->now;
+    if (!g_hash_table_contains (cluster->cancelled_jobs, path + 4))
+      g_hash_table_insert (cluster->cancelled_jobs, g_strdup (path + 4),
+                           g_memdup2 (&cluster->epoch, sizeof cluster->epoch));
   }
   if (g_strcmp0 (path, "h/map") != 0)
     return;
-  if (world->controllers)
-    note_process (world, request->node, json_object_get (put, "value"));
-  for (int k = 0; k < world->n; k++)
+  if (cluster->controllers)
+    note_process (cluster, request->node, json_object_get (put, "value"));
+  for (int k = 0; k < cluster->n; k++)
     if (k != request->node) {
-      Node *n = &world->nodes[k];
-      if (!n->behind_at)
-        n->behind_at = world->now;
-      n->behind_epoch = world->epoch;
+      SimNode *n = &cluster->nodes[k];
+      if (!n->unread_leader_change_at)
+        n->unread_leader_change_at = cluster->now;
+      n->unread_leader_change_epoch = cluster->epoch;
     }
 }
 
-/* Nothing that production would misread is written while one of its processes may be there. */
+/* Checks that no record which the release in production would misread is written while one of its
+ * processes may run. */
 static void
-check_form (World *world, json_t *put)
+check_record_format (SimCluster *cluster, json_t *put)
 {
   const char *path = json_string_value (json_object_get (put, "set"));
-  gboolean form = path && (g_str_has_prefix (path, "h/u/") || strcmp (path, "h/format") == 0 ||
-                           json_object_get (json_object_get (put, "value"), "u"));
-  for (int k = 0; form && k < world->n; k++)
-    if (!world->nodes[k].speaks)
-      w_broken (world, "form", "%s is written while c%d may be of production", path, k);
+  gboolean new_format =
+      path && (g_str_has_prefix (path, "h/u/") || strcmp (path, "h/format") == 0 ||
+               json_object_get (json_object_get (put, "value"), "u"));
+  for (int k = 0; new_format && k < cluster->n; k++)
+    if (!cluster->nodes[k].record_format)
+      sim_report_violation (cluster, "form",
+                            "%s is written while c%d may run the release in production", path, k);
 }
 
 static gboolean
-limits_fell (World *world)
+limits_dropped (SimCluster *cluster)
 {
-  return world->limits_fall > 0 && world->now >= world->limits_fall;
+  return cluster->limits_drop_at > 0 && cluster->now >= cluster->limits_drop_at;
 }
 
-/* Values beyond the limit are refused; of the new version none is sent again and again. */
+/* Returns whether the value is refused for its size. Checks that a process of the new version does
+ * not send a refused value again and again. */
 static gboolean
-refuse_size (World *world, SimRequest *request, json_t *put)
+refuse_size (SimCluster *cluster, SimRequest *request, json_t *put)
 {
   if (!json_object_get (put, "value"))
     return FALSE;
   const char *path = json_string_value (json_object_get (put, "set"));
-  g_autofree char *team_name = hr_json_take_text (json_incref (json_object_get (put, "value")));
-  if (!world->production && strlen (team_name) > NEXT_VALUE_KB * 1024)
-    w_broken (world, "limit", "a value of %zu bytes for %s", strlen (team_name), path);
-  if (strlen (team_name) <= (limits_fell (world) ? NEXT_VALUE_KB : world->value_kb) * 1024)
+  g_autofree char *text = hr_json_take_text (json_incref (json_object_get (put, "value")));
+  if (!cluster->production && strlen (text) > NEXT_VALUE_KB * 1024)
+    sim_report_violation (cluster, "limit", "a value of %zu bytes for %s", strlen (text), path);
+  if (strlen (text) <= (limits_dropped (cluster) ? NEXT_VALUE_KB : cluster->value_kb) * 1024)
     return FALSE;
-  guint *times = g_hash_table_lookup (world->too_large, path);
+  guint *times = g_hash_table_lookup (cluster->too_large, path);
   if (!times) {
     times = g_new0 (guint, 1);
-    g_hash_table_insert (world->too_large, g_strdup (path), times);
+    g_hash_table_insert (cluster->too_large, g_strdup (path), times);
   }
-  if (++*times > 6 && world->nodes[request->node].speaks)
-    w_broken (world, "spin", "a value of %zu bytes for %s is sent for the %uth time",
-              strlen (team_name), path, *times);
+  if (++*times > 6 && cluster->nodes[request->node].record_format)
+    sim_report_violation (cluster, "spin", "a value of %zu bytes for %s is sent for the %uth time",
+                          strlen (text), path, *times);
   return TRUE;
 }
 
 static gboolean
-refuse_rate (World *world, guint changes)
+refuse_rate (SimCluster *cluster, guint changes)
 {
-  if (!limits_fell (world))
+  if (!limits_dropped (cluster))
     return FALSE;
-  world->write_tokens = MIN (
-      NEXT_WRITE_RPS, world->write_tokens + (world->now - world->write_tokens_at) * NEXT_WRITE_RPS);
-  world->write_tokens_at = world->now;
-  if (world->write_tokens < changes)
+  cluster->write_tokens =
+      MIN (NEXT_WRITE_RPS,
+           cluster->write_tokens + (cluster->now - cluster->write_tokens_at) * NEXT_WRITE_RPS);
+  cluster->write_tokens_at = cluster->now;
+  if (cluster->write_tokens < changes)
     return TRUE;
-  world->write_tokens -= changes;
+  cluster->write_tokens -= changes;
   return FALSE;
 }
 
-/* What the service refuses before it looks at revisions: the status and the error; 0: nothing. */
+/* Returns the status with which the service refuses a transaction before it compares revisions, and
+ * sets the error; 0: it is not refused. */
 static int
-refuse_commit (World *world, SimRequest *request, json_t *when, json_t *writes, const char **error)
+refuse_commit (SimCluster *cluster, SimRequest *request, json_t *when, json_t *writes,
+               const char **error)
 {
   json_t *entry;
   size_t i;
@@ -328,15 +339,15 @@
   json_array_foreach (writes, i, entry)
   {
     guint64 lease_id = json_integer_value (json_object_get (entry, "claim"));
-    check_fence (world, when, entry);
-    lease_gone |= lease_id && !g_hash_table_contains (world->leases, &lease_id);
-    check_form (world, entry);
-    too_large |= refuse_size (world, request, entry);
+    check_fence (cluster, when, entry);
+    lease_gone |= lease_id && !g_hash_table_contains (cluster->leases, &lease_id);
+    check_record_format (cluster, entry);
+    too_large |= refuse_size (cluster, request, entry);
   }
-  too_large |= limits_fell (world) && changes > NEXT_TXN_OPS;
-  if (!world->production && changes > NEXT_TXN_OPS)
-    w_broken (world, "limit", "%u changes in a transaction", changes);
-  if (too_large || refuse_rate (world, changes)) {
+  too_large |= limits_dropped (cluster) && changes > NEXT_TXN_OPS;
+  if (!cluster->production && changes > NEXT_TXN_OPS)
+    sim_report_violation (cluster, "limit", "%u changes in a transaction", changes);
+  if (too_large || refuse_rate (cluster, changes)) {
     *error =
         too_large ? "{\"error\":\"the value is too large\"}" : "{\"error\":\"too many changes\"}";
     return too_large ? 400 : 429;
@@ -345,16 +356,17 @@
   return lease_gone ? 400 : 0;
 }
 
-/* The paths whose revision is not the one that the transaction asks for; to be unreferenced. */
+/* Returns the paths whose revision differs from the transaction's condition; the caller
+ * unreferences the array. */
 static json_t *
-failed_conditions (World *world, json_t *when)
+failed_conditions (SimCluster *cluster, json_t *when)
 {
   json_t *failed = json_array (), *entry;
   size_t i;
   json_array_foreach (when, i, entry)
   {
     const char *path = json_string_value (json_object_get (entry, "path"));
-    StoreKey *key = g_hash_table_lookup (world->keys, path);
+    StoreKey *key = g_hash_table_lookup (cluster->keys, path);
     if ((guint64)json_integer_value (json_object_get (entry, "stamp")) != (key ? key->stamp : 0))
       json_array_append_new (failed, json_string (path));
   }
@@ -362,80 +374,79 @@
 }
 
 static void
-apply_writes (World *world, SimRequest *request, json_t *writes)
+apply_writes (SimCluster *cluster, SimRequest *request, json_t *writes)
 {
   json_t *entry;
   size_t i;
   if (json_array_size (writes) > 12)
-    w_broken (world, "limit", "%zu changes in a transaction", json_array_size (writes));
+    sim_report_violation (cluster, "limit", "%zu changes in a transaction",
+                          json_array_size (writes));
   if (json_array_size (writes))
-    world->epoch++;
+    cluster->epoch++;
   json_array_foreach (writes, i, entry)
   {
     const char *path = json_string_value (json_object_get (entry, "set"));
     json_t *value = json_object_get (entry, "value");
-    note_assignments (world, entry);
-    note_decision (world, request, entry);
+    note_assignments (cluster, entry);
+    note_decision (cluster, request, entry);
     if (g_strcmp0 (path, "h/map") == 0)
-      troubles_map (world, value);
+      troubles_map (cluster, value);
     if (path)
-      change (world, path, hr_json_take_text (json_incref (value)),
+      change (cluster, path, hr_json_take_text (json_incref (value)),
               json_integer_value (json_object_get (entry, "claim")));
     else
-      change (world, json_string_value (json_object_get (entry, "delete")), NULL, 0);
+      change (cluster, json_string_value (json_object_get (entry, "delete")), NULL, 0);
   }
 }
 
 static void
-commit (World *world, SimRequest *request)
+commit (SimCluster *cluster, SimRequest *request)
 {
   json_t *object = request->body ? json_loads (request->body, 0, NULL) : NULL;
   json_t *when = json_object_get (object, "when"), *writes = json_object_get (object, "writes");
   const char *error;
-  int refused = refuse_commit (world, request, when, writes, &error);
+  int refused = refuse_commit (cluster, request, when, writes, &error);
   if (refused) {
-    w_answer (world, request, refused, g_strdup (error));
+    sim_send_response (cluster, request, refused, g_strdup (error));
     json_decref (object);
     return;
   }
-  json_t *failed = failed_conditions (world, when);
+  json_t *failed = failed_conditions (cluster, when);
   if (json_array_size (failed)) {
-    w_answer (world, request, 409,
-              hr_json_take_text (
-                  json_pack ("{sosI}", "failed", failed, "epoch", (json_int_t)world->epoch)));
+    sim_send_response (cluster, request, 409,
+                       hr_json_take_text (json_pack ("{sosI}", "failed", failed, "epoch",
+                                                     (json_int_t)cluster->epoch)));
     json_decref (object);
     return;
   }
   json_decref (failed);
-  apply_writes (world, request, writes);
-  w_answer (world, request, 200,
-            g_strdup_printf ("{\"epoch\":%" G_GUINT64_FORMAT "}", world->epoch));
+  apply_writes (cluster, request, writes);
+  sim_send_response (cluster, request, 200,
+                     g_strdup_printf ("{\"epoch\":%" G_GUINT64_FORMAT "}", cluster->epoch));
   json_decref (object);
-  troubles_moment (world, ON_WRITE_DONE);
-  wake (world);
+  troubles_moment (cluster, ON_WRITE_DONE);
+  answer_watches (cluster);
 }
 
-/* Does any record name this machine? */
 gboolean
-store_names (World *world, const char *machine)
+store_references_machine (SimCluster *cluster, const char *machine)
 {
   GHashTableIter iter;
   gpointer k;
-  g_hash_table_iter_init (&iter, world->keys);
+  g_hash_table_iter_init (&iter, cluster->keys);
   while (g_hash_table_iter_next (&iter, NULL, &k))
     if (strstr (((StoreKey *)k)->text, machine))
       return TRUE;
   return FALSE;
 }
 
-/* Every page of tasks becomes one that cannot be read. */
 guint
-store_corrupt_pages (World *world)
+store_corrupt_pages (SimCluster *cluster)
 {
   GHashTableIter iter;
   gpointer path, k;
   guint n = 0;
-  g_hash_table_iter_init (&iter, world->keys);
+  g_hash_table_iter_init (&iter, cluster->keys);
   while (g_hash_table_iter_next (&iter, &path, &k))
     if (g_str_has_prefix (path, "h/t/")) {
       g_free (((StoreKey *)k)->text);
@@ -445,63 +456,62 @@
   return n;
 }
 
-/* Pages in the state store whose job is final. */
 guint
-store_garbage (World *world)
+store_count_obsolete_pages (SimCluster *cluster)
 {
   GHashTableIter iter;
   gpointer path;
   guint n = 0;
-  g_hash_table_iter_init (&iter, world->keys);
+  g_hash_table_iter_init (&iter, cluster->keys);
   while (g_hash_table_iter_next (&iter, &path, NULL)) {
     if (!is_record (path) || g_str_has_prefix (path, "h/j/"))
       continue;
     const char *rest = (char *)path + strlen ("h/t/");
     g_autofree char *id = g_strndup (rest, strcspn (rest, "/"));
     g_autofree char *main = g_strconcat ("h/j/", id, NULL);
-    StoreKey *k = g_hash_table_lookup (world->keys, main);
+    StoreKey *k = g_hash_table_lookup (cluster->keys, main);
     n += k && !strstr (k->text, "\"j\":"); /* a tombstone has no description */
   }
   return n;
 }
 
 guint
-store_large (World *world)
+store_count_oversized_records (SimCluster *cluster)
 {
   GHashTableIter iter;
   gpointer path, k;
   guint n = 0;
-  g_hash_table_iter_init (&iter, world->keys);
+  g_hash_table_iter_init (&iter, cluster->keys);
   while (g_hash_table_iter_next (&iter, &path, &k))
     n += is_record (path) && strlen (((StoreKey *)k)->text) > NEXT_VALUE_KB * 1024;
   return n;
 }
 
 gboolean
-store_split (World *world, const char *id)
+store_job_is_split (SimCluster *cluster, const char *id)
 {
   g_autofree char *main = g_strconcat ("h/j/", id, NULL);
-  StoreKey *k = g_hash_table_lookup (world->keys, main);
+  StoreKey *k = g_hash_table_lookup (cluster->keys, main);
   return k && strstr (k->text, "\"u\":1");
 }
 
 void
-store_put (World *world, const char *path, const char *text)
+store_preload (SimCluster *cluster, const char *path, const char *text)
 {
-  world->epoch++;
-  change (world, path, g_strdup (text), 0);
+  cluster->epoch++;
+  change (cluster, path, g_strdup (text), 0);
 }
 
 gboolean
-store_has (World *world, const char *path)
+store_has_key (SimCluster *cluster, const char *path)
 {
-  return g_hash_table_contains (world->keys, path);
+  return g_hash_table_contains (cluster->keys, path);
 }
 
 int
-store_leader (World *world)
+store_leader (SimCluster *cluster)
 {
-  StoreKey *k = g_hash_table_lookup (world->keys, "h/map");
+  StoreKey *k = g_hash_table_lookup (cluster->keys, "h/map");
   json_t *object = k ? json_loads (k->text, 0, NULL) : NULL;
   const char *label = json_string_value (json_object_get (object, "o"));
   int node = label ? label[1] - '0' : -1;
@@ -513,11 +523,11 @@
 query (const char *path, const char *name)
 {
   const char *text = strchr (path, '?');
-  g_autofree char *want = g_strconcat (name, "=", NULL);
+  g_autofree char *prefix = g_strconcat (name, "=", NULL);
   g_auto (GStrv) fields = g_strsplit (text ? text + 1 : "", "&", -1);
   for (guint i = 0; fields[i]; i++)
-    if (g_str_has_prefix (fields[i], want))
-      return g_strdup (fields[i] + strlen (want));
+    if (g_str_has_prefix (fields[i], prefix))
+      return g_strdup (fields[i] + strlen (prefix));
   return NULL;
 }
 
@@ -528,159 +538,160 @@
 }
 
 static void
-range (World *world, SimRequest *request)
+range (SimCluster *cluster, SimRequest *request)
 {
   g_autofree char *prefix = query (request->path, "starts"),
                   *after = query (request->path, "after");
   g_autoptr (GPtrArray) keys = g_ptr_array_new ();
   if (!after)
-    world->nodes[request->node].too_old = 0; /* it reads everything anew */
+    cluster->nodes[request->node].compacted_epoch = 0; /* it reads a new snapshot */
   GHashTableIter iter;
   gpointer k;
-  g_hash_table_iter_init (&iter, world->keys);
+  g_hash_table_iter_init (&iter, cluster->keys);
   while (g_hash_table_iter_next (&iter, &k, NULL))
     if (g_str_has_prefix (k, prefix) && (!after || strcmp (k, after) > 0))
       g_ptr_array_add (keys, k);
   g_ptr_array_sort (keys, by_text);
   json_t *rows = json_array ();
   for (guint i = 0; i < keys->len && i < 7; i++) { /* short pages, so that paging is tested */
-    StoreKey *key = g_hash_table_lookup (world->keys, keys->pdata[i]);
+    StoreKey *key = g_hash_table_lookup (cluster->keys, keys->pdata[i]);
     json_array_append_new (rows, json_pack ("{sssosI}", "path", keys->pdata[i], "value",
                                             json_loads (key->text, JSON_DECODE_ANY, NULL), "stamp",
                                             (json_int_t)key->stamp));
   }
-  w_answer (world, request, 200,
-            hr_json_take_text (json_pack ("{sosbsI}", "rows", rows, "more", keys->len > 7, "epoch",
-                                          (json_int_t)world->epoch)));
+  sim_send_response (cluster, request, 200,
+                     hr_json_take_text (json_pack ("{sosbsI}", "rows", rows, "more", keys->len > 7,
+                                                   "epoch", (json_int_t)cluster->epoch)));
 }
 
 static void
-lease (World *world, SimRequest *request)
+lease_request (SimCluster *cluster, SimRequest *request)
 {
   guint64 id = 0;
   if (strcmp (request->path, "/leases") == 0) {
     json_t *object = json_loads (request->body, 0, NULL);
-    SLease *lease_row = g_new0 (SLease, 1);
-    lease_row->id = ++world->claims;
-    lease_row->life = json_integer_value (json_object_get (object, "life_ms")) / 1000.0;
-    lease_row->ends = world->now + lease_row->life;
+    StoreLease *lease = g_new0 (StoreLease, 1);
+    lease->id = ++cluster->last_lease_id;
+    lease->life = json_integer_value (json_object_get (object, "life_ms")) / 1000.0;
+    lease->ends = cluster->now + lease->life;
     json_decref (object);
-    g_hash_table_insert (world->leases, &lease_row->id, lease_row);
-    w_answer (world, request, 200,
-              g_strdup_printf ("{\"claim\":%" G_GUINT64_FORMAT "}", lease_row->id));
+    g_hash_table_insert (cluster->leases, &lease->id, lease);
+    sim_send_response (cluster, request, 200,
+                       g_strdup_printf ("{\"claim\":%" G_GUINT64_FORMAT "}", lease->id));
     return;
   }
   id = g_ascii_strtoull (request->path + strlen ("/leases/"), NULL, 10);
-  SLease *lease_row = g_hash_table_lookup (world->leases, &id);
-  if (!lease_row) {
-    w_answer (world, request, 404, g_strdup ("{}"));
+  StoreLease *lease = g_hash_table_lookup (cluster->leases, &id);
+  if (!lease) {
+    sim_send_response (cluster, request, 404, g_strdup ("{}"));
     return;
   }
-  lease_row->ends = request->method == HR_DELETE ? world->now - 1 : world->now + lease_row->life;
-  w_answer (world, request, 200, g_strdup ("{}"));
+  lease->ends = request->method == HR_DELETE ? cluster->now - 1 : cluster->now + lease->life;
+  sim_send_response (cluster, request, 200, g_strdup ("{}"));
 }
 
 void
-store_request (World *world, SimRequest *request)
+store_request (SimCluster *cluster, SimRequest *request)
 {
-  if (world->outage > world->now || world->nodes[request->node].refused > world->now)
-    w_answer (world, request, 503, g_strdup ("{\"error\":\"trouble\"}"));
+  if (cluster->store_outage_until > cluster->now ||
+      cluster->nodes[request->node].store_refuses_until > cluster->now)
+    sim_send_response (cluster, request, 503, g_strdup ("{\"error\":\"trouble\"}"));
   else if (strcmp (request->path, "/commit") == 0)
-    commit (world, request);
+    commit (cluster, request);
   else if (g_str_has_prefix (request->path, "/leases"))
-    lease (world, request);
+    lease_request (cluster, request);
   else if (g_str_has_prefix (request->path, "/kv?"))
-    range (world, request);
+    range (cluster, request);
   else if (g_str_has_prefix (request->path, "/kv/")) {
-    StoreKey *k = g_hash_table_lookup (world->keys, request->path + 4);
+    StoreKey *k = g_hash_table_lookup (cluster->keys, request->path + 4);
     if (!k)
-      w_answer (world, request, 404,
-                g_strdup_printf ("{\"epoch\":%" G_GUINT64_FORMAT "}", world->epoch));
+      sim_send_response (cluster, request, 404,
+                         g_strdup_printf ("{\"epoch\":%" G_GUINT64_FORMAT "}", cluster->epoch));
     else
-      w_answer (world, request, 200,
-                hr_json_take_text (json_pack ("{sssosI}", "path", request->path + 4, "value",
-                                              json_loads (k->text, JSON_DECODE_ANY, NULL), "stamp",
-                                              (json_int_t)k->stamp)));
+      sim_send_response (
+          cluster, request, 200,
+          hr_json_take_text (json_pack ("{sssosI}", "path", request->path + 4, "value",
+                                        json_loads (k->text, JSON_DECODE_ANY, NULL), "stamp",
+                                        (json_int_t)k->stamp)));
   } else if (g_str_has_prefix (request->path, "/changes?")) {
     g_autofree char *after = query (request->path, "after"),
                     *hold = query (request->path, "hold_ms");
-    guint64 too_old = world->nodes[request->node].too_old;
+    guint64 too_old = cluster->nodes[request->node].compacted_epoch;
     if (too_old && g_ascii_strtoull (after, NULL, 10) <= too_old) {
-      w_answer (world, request, 410, g_strdup ("{\"error\":\"too old\"}"));
+      sim_send_response (cluster, request, 410, g_strdup ("{\"error\":\"too old\"}"));
       return;
     }
-    SWatch *watch = g_new0 (SWatch, 1);
-    watch->r = request;
+    StoreWatch *watch = g_new0 (StoreWatch, 1);
+    watch->request = request;
     request->refs++;
     watch->prefix = query (request->path, "starts");
     watch->after = g_ascii_strtoull (after, NULL, 10);
-    watch->ends = world->now + g_ascii_strtod (hold, NULL) / 1000;
-    g_ptr_array_add (world->watches, watch);
-    wake (world);
+    watch->ends = cluster->now + g_ascii_strtod (hold, NULL) / 1000;
+    g_ptr_array_add (cluster->watches, watch);
+    answer_watches (cluster);
   } else
-    w_broken (world, "protocol", "the state service was asked for %s", request->path);
+    sim_report_violation (cluster, "protocol", "the state service was asked for %s", request->path);
 }
 
 static void
 change_clear (gpointer data)
 {
-  StoreChange *core = data;
-  g_free (core->path);
-  g_free (core->text);
+  StoreChange *entry = data;
+  g_free (entry->path);
+  g_free (entry->text);
 }
 
-/* As after an upgrade long ago; an upgrade's own day begins without it. */
 void
-store_format (World *world, gboolean known)
+store_set_format (SimCluster *cluster, gboolean known)
 {
   if (!known) {
-    g_hash_table_remove (world->keys, "h/format");
+    g_hash_table_remove (cluster->keys, "h/format");
     return;
   }
   StoreKey *k = g_new0 (StoreKey, 1);
   k->text = g_strdup_printf ("{\"f\":%d}", HR_FORMAT);
-  k->stamp = ++world->epoch;
-  g_hash_table_replace (world->keys, g_strdup ("h/format"), k);
+  k->stamp = ++cluster->epoch;
+  g_hash_table_replace (cluster->keys, g_strdup ("h/format"), k);
 }
 
 void
-store_init (World *world)
+store_init (SimCluster *cluster)
 {
-  world->keys = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, key_free);
-  world->leases = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
-  world->log = g_array_new (FALSE, TRUE, sizeof (StoreChange));
-  g_array_set_clear_func (world->log, change_clear);
-  world->watches = g_ptr_array_new ();
-  world->too_large = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  world->token_nodes = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, NULL);
-  world->assigned = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  store_format (world, TRUE);
-  world->cancelled_jobs = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  w_at (world, 0.05, leases_tick, NULL);
+  cluster->keys = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, key_free);
+  cluster->leases = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
+  cluster->log = g_array_new (FALSE, TRUE, sizeof (StoreChange));
+  g_array_set_clear_func (cluster->log, change_clear);
+  cluster->watches = g_ptr_array_new ();
+  cluster->too_large = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  cluster->token_nodes = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, NULL);
+  cluster->assignment_recorders = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  store_set_format (cluster, TRUE);
+  cluster->cancelled_jobs = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  sim_schedule (cluster, 0.05, leases_tick, NULL);
 }
 
 const char *
-store_text (World *world, const char *key)
+store_text (SimCluster *cluster, const char *key)
 {
-  const StoreKey *k = g_hash_table_lookup (world->keys, key);
+  const StoreKey *k = g_hash_table_lookup (cluster->keys, key);
   return k ? k->text : "";
 }
 
 void
-store_free (World *world)
+store_free (SimCluster *cluster)
 {
-  for (guint i = 0; i < world->watches->len; i++) {
-    SWatch *watch = world->watches->pdata[i];
+  for (guint i = 0; i < cluster->watches->len; i++) {
+    StoreWatch *watch = cluster->watches->pdata[i];
     g_free (watch->prefix);
-    req_unref (watch->r);
+    req_unref (watch->request);
     g_free (watch);
   }
-  g_ptr_array_unref (world->watches);
-  g_hash_table_unref (world->keys);
-  g_hash_table_unref (world->leases);
-  g_array_unref (world->log);
-  g_hash_table_unref (world->token_nodes);
-  g_hash_table_unref (world->assigned);
-  g_hash_table_unref (world->too_large);
-  g_hash_table_unref (world->cancelled_jobs);
+  g_ptr_array_unref (cluster->watches);
+  g_hash_table_unref (cluster->keys);
+  g_hash_table_unref (cluster->leases);
+  g_array_unref (cluster->log);
+  g_hash_table_unref (cluster->token_nodes);
+  g_hash_table_unref (cluster->assignment_recorders);
+  g_hash_table_unref (cluster->too_large);
+  g_hash_table_unref (cluster->cancelled_jobs);
 }
--- a/tests/sim/store.h
+++ b/tests/sim/store.h
@@ -2,26 +2,31 @@
  * and outages. It checks what controllers write: fencing, record formats, sizes. */
 #pragma once
 #include "sim/request.h"
-#include "sim/world.h"
+#include "sim/cluster.h"
 
-/* Announced for the state service in all days. */
+/* Limits that the settings of all days announce for the state service. */
 #define NEXT_VALUE_KB 2.0
 #define NEXT_TXN_OPS 4
 #define NEXT_WRITE_RPS 40.0
-void store_request (World *world, SimRequest *request);
-void store_init (World *world);
-void store_format (World *world, gboolean known);
-gboolean store_names (World *world, const char *machine);
-/* The value of a key, as text; NULL: not there. */
-const char *store_text (World *world, const char *key);
-guint store_garbage (World *world);
-/* Records of open jobs that are larger than the announced limit. */
-guint store_large (World *world);
-/* A record of this job is in pages of a size that it was split into. */
-gboolean store_split (World *world, const char *id);
-gboolean store_has (World *world, const char *path);
-/* As if it had been written before the day began. */
-void store_put (World *world, const char *path, const char *text);
-guint store_corrupt_pages (World *world);
-int store_leader (World *world); /* the node that the leader record names; -1: none */
-void store_free (World *world);
+void store_request (SimCluster *cluster, SimRequest *request);
+void store_init (SimCluster *cluster);
+/* Writes the current record format as the cluster's; known FALSE: deletes the entry, as before the
+ * first upgrade. */
+void store_set_format (SimCluster *cluster, gboolean known);
+/* Returns whether any record names this machine. */
+gboolean store_references_machine (SimCluster *cluster, const char *machine);
+/* Returns the value of a key as text; empty if there is no such key. */
+const char *store_text (SimCluster *cluster, const char *key);
+/* Returns the number of pages whose job is final. */
+guint store_count_obsolete_pages (SimCluster *cluster);
+/* Returns the number of records that are larger than the announced limit. */
+guint store_count_oversized_records (SimCluster *cluster);
+/* Returns whether the job's record was split into pages of another size. */
+gboolean store_job_is_split (SimCluster *cluster, const char *id);
+gboolean store_has_key (SimCluster *cluster, const char *path);
+/* Writes a value without the checks, as if it had been there before the day began. */
+void store_preload (SimCluster *cluster, const char *path, const char *text);
+/* Makes every page of tasks unreadable. Returns their number. */
+guint store_corrupt_pages (SimCluster *cluster);
+int store_leader (SimCluster *cluster); /* the node that the leader record names; -1: none */
+void store_free (SimCluster *cluster);
--- a/tests/sim/trouble_messages.c
+++ b/tests/sim/trouble_messages.c
@@ -18,130 +18,133 @@
 }
 
 static void
-carry_out_late (World *world, SimRequest *request, double until)
+carry_out_late (SimCluster *cluster, SimRequest *request, double until)
 {
   request->answer_lost = TRUE;
   request->refs++;
-  req_stray (world, request, until);
+  req_arrive_late (cluster, request, until);
 }
 
 static gboolean
-take_write (World *world, SimRequest *request, double until)
+take_write (SimCluster *cluster, SimRequest *request, double until)
 {
-  HrTroubles *troubles = &world->troubles;
-  if (trouble_strikes (world, &troubles->lost_answers)) {
+  HrTroubles *troubles = &cluster->troubles;
+  if (trouble_strikes (cluster, &troubles->lost_answers)) {
     request->answer_lost = TRUE;
     troubles->played[TROUBLE_LATE_WRITES]++;
     return FALSE;
   }
-  if (!trouble_strikes (world, &troubles->late_writes))
+  if (!trouble_strikes (cluster, &troubles->late_writes))
     return FALSE;
-  carry_out_late (world, request, until + trouble_rand (world, LATE_WRITE_MIN_S, LATE_WRITE_MAX_S));
+  carry_out_late (cluster, request,
+                  until + trouble_rand (cluster, LATE_WRITE_MIN_S, LATE_WRITE_MAX_S));
   troubles->played[TROUBLE_LATE_WRITES]++;
   return TRUE;
 }
 
 static gboolean
-take_command (World *world, SimRequest *request, double until)
+take_command (SimCluster *cluster, SimRequest *request, double until)
 {
-  if (!trouble_strikes (world, &world->troubles.late_commands))
+  if (!trouble_strikes (cluster, &cluster->troubles.late_commands))
     return FALSE;
-  carry_out_late (world, request,
-                  until + trouble_rand (world, LATE_COMMAND_MIN_S, LATE_COMMAND_MAX_S));
-  world->troubles.played[TROUBLE_LATE_COMMANDS]++;
+  carry_out_late (cluster, request,
+                  until + trouble_rand (cluster, LATE_COMMAND_MIN_S, LATE_COMMAND_MAX_S));
+  cluster->troubles.played[TROUBLE_LATE_COMMANDS]++;
   return TRUE;
 }
 
 static void
-copy_report (World *world, const SimRequest *request)
+copy_report (SimCluster *cluster, const SimRequest *request)
 {
-  HrTroubles *troubles = &world->troubles;
-  if (trouble_strikes (world, &troubles->late_reports)) {
-    double late = trouble_rand (world, LATE_REPORT_MIN_S, LATE_REPORT_MAX_LEASES * world->lease_s);
-    req_stray (world, req_copy (request, request->to), world->now + late);
+  HrTroubles *troubles = &cluster->troubles;
+  if (trouble_strikes (cluster, &troubles->late_reports)) {
+    double late =
+        trouble_rand (cluster, LATE_REPORT_MIN_S, LATE_REPORT_MAX_LEASES * cluster->lease_s);
+    req_arrive_late (cluster, req_copy (request, request->to), cluster->now + late);
     troubles->played[TROUBLE_LATE_REPORTS]++;
   }
-  if (trouble_strikes (world, &troubles->reports_for_next) && troubles->kept_next->len < KEPT_MAX)
+  if (trouble_strikes (cluster, &troubles->reports_for_next) && troubles->kept_next->len < KEPT_MAX)
     g_ptr_array_add (troubles->kept_next, req_copy (request, request->to));
-  if (trouble_strikes (world, &troubles->reports_to_all) && troubles->kept_all->len < KEPT_MAX)
+  if (trouble_strikes (cluster, &troubles->reports_to_all) && troubles->kept_all->len < KEPT_MAX)
     g_ptr_array_add (troubles->kept_all, req_copy (request, request->to));
 }
 
 gboolean
-troubles_take (World *world, SimRequest *request, double until)
+troubles_take (SimCluster *cluster, SimRequest *request, double until)
 {
   if (request->node < 0 && request->machine >= 0) {
-    const SimMachine *machine = world->machines->pdata[request->machine];
-    if (machine->outbound_cut > world->now)
+    const SimMachine *machine = cluster->machines->pdata[request->machine];
+    if (machine->outbound_cut_until > cluster->now)
       return TRUE;
     if (is_report (request))
-      copy_report (world, request);
+      copy_report (cluster, request);
     return FALSE;
   }
   if (request->node >= 0 && request->target == HR_TO_STORE &&
       strcmp (request->path, "/commit") == 0)
-    return take_write (world, request, until);
+    return take_write (cluster, request, until);
   if (request->node >= 0 && request->target == HR_TO_WORKER)
-    return take_command (world, request, until);
+    return take_command (cluster, request, until);
   return FALSE;
 }
 
 double
-troubles_delay (World *world, const SimRequest *request)
+troubles_delay (SimCluster *cluster, const SimRequest *request)
 {
-  const HrTroubles *troubles = &world->troubles;
+  const HrTroubles *troubles = &cluster->troubles;
   if (request->node < 0 || request->target != HR_TO_STORE ||
-      troubles->state_slow_until <= world->now)
+      troubles->state_slow_until <= cluster->now)
     return 0;
-  return troubles->state_slow_s * trouble_rand (world, 0.3, 1.6);
+  return troubles->state_slow_s * trouble_rand (cluster, 0.3, 1.6);
 }
 
 double
-troubles_link_delay (World *world)
+troubles_link_delay (SimCluster *cluster)
 {
-  const HrTroubles *troubles = &world->troubles;
-  return troubles->links_slow_until > world->now
-             ? troubles->links_slow_s * trouble_rand (world, 0.5, 1.5)
+  const HrTroubles *troubles = &cluster->troubles;
+  return troubles->links_slow_until > cluster->now
+             ? troubles->links_slow_s * trouble_rand (cluster, 0.5, 1.5)
              : 0;
 }
 
 double
-troubles_zone_cut (World *world, const SimRequest *request, const SimMachine *machine)
+troubles_zone_cut (SimCluster *cluster, const SimRequest *request, const SimMachine *machine)
 {
-  const HrTroubles *troubles = &world->troubles;
+  const HrTroubles *troubles = &cluster->troubles;
   int node = request->node >= 0 ? request->node : request->to;
-  if (troubles->zone_cut_until <= world->now)
+  if (troubles->zone_cut_until <= cluster->now)
     return 0;
   gboolean parted;
   if (machine)
-    parted = (machine->zone == troubles->zone_cut) != trouble_inside (world, node);
+    parted = (machine->zone == troubles->zone_cut) != trouble_inside (cluster, node);
   else /* users, the cloud and the state service are in no zone */
-    parted = trouble_inside (world, node);
+    parted = trouble_inside (cluster, node);
   return parted ? troubles->zone_cut_until : 0;
 }
 
 double
-troubles_boots (World *world, double at)
+troubles_boots (SimCluster *cluster, double at)
 {
-  if (world->troubles.fast_boot_until <= world->now)
+  if (cluster->troubles.fast_boot_until <= cluster->now)
     return at;
-  world->troubles.played[TROUBLE_FAST_BOOT]++;
-  return world->now + trouble_rand (world, 0.3, FAST_BOOT_S);
+  cluster->troubles.played[TROUBLE_FAST_BOOT]++;
+  return cluster->now + trouble_rand (cluster, 0.3, FAST_BOOT_S);
 }
 
 /* ---- copies of reports for a new leader ---- */
 
 static void
-let_go (World *world, SimRequest *copy, int node, double within)
+let_go (SimCluster *cluster, SimRequest *copy, int node, double within)
 {
-  req_stray (world, req_copy (copy, node), world->now + trouble_rand (world, 0, within));
-  world->troubles.played[TROUBLE_LATE_REPORTS]++;
+  req_arrive_late (cluster, req_copy (copy, node),
+                   cluster->now + trouble_rand (cluster, 0, within));
+  cluster->troubles.played[TROUBLE_LATE_REPORTS]++;
 }
 
 void
-troubles_map (World *world, json_t *map)
+troubles_map (SimCluster *cluster, json_t *map)
 {
-  HrTroubles *troubles = &world->troubles;
+  HrTroubles *troubles = &cluster->troubles;
   const char *process = json_string_value (json_object_get (map, "i"));
   if (g_strcmp0 (process, troubles->leader_process) == 0)
     return;
@@ -149,18 +152,18 @@
   troubles->leader_process = g_strdup (process);
   troubles->leader_token = json_integer_value (json_object_get (map, "b"));
   troubles->leaders++;
-  troubles_moment (world, ON_HAND_OVER);
+  troubles_moment (cluster, ON_HAND_OVER);
   for (guint i = 0; i < troubles->kept_all->len; i++)
-    for (int node = 0; node < world->n; node++)
-      let_go (world, troubles->kept_all->pdata[i], node, 0.1);
+    for (int node = 0; node < cluster->n; node++)
+      let_go (cluster, troubles->kept_all->pdata[i], node, 0.1);
   g_ptr_array_set_size (troubles->kept_all, 0);
 }
 
 void
-troubles_reply (World *world, int node, const char *answer)
+troubles_reply (SimCluster *cluster, int node, const char *answer)
 {
-  HrTroubles *troubles = &world->troubles;
-  troubles_moment (world, ON_REPORT_ANSWERED);
+  HrTroubles *troubles = &cluster->troubles;
+  troubles_moment (cluster, ON_REPORT_ANSWERED);
   if (troubles->leaders == troubles->leaders_acted || !troubles->kept_next->len)
     return;
   json_t *object = json_loads (answer, 0, NULL);
@@ -171,6 +174,6 @@
     return;
   troubles->leaders_acted = troubles->leaders;
   for (guint i = 0; i < troubles->kept_next->len; i++)
-    let_go (world, troubles->kept_next->pdata[i], node, 0.5);
+    let_go (cluster, troubles->kept_next->pdata[i], node, 0.5);
   g_ptr_array_set_size (troubles->kept_next, 0);
 }
--- a/tests/sim/troubles.c
+++ b/tests/sim/troubles.c
@@ -15,41 +15,42 @@
 #define BACK_MAX_S 7.0
 
 double
-trouble_rand (World *world, double lo, double hi)
+trouble_rand (SimCluster *cluster, double lo, double hi)
 {
-  return g_rand_double_range (world->troubles.rand, lo, hi);
+  return g_rand_double_range (cluster->troubles.rand, lo, hi);
 }
 
 gboolean
-trouble_on (const World *world, const HrSwitch *trouble_switch)
+trouble_on (const SimCluster *cluster, const HrSwitch *trouble_switch)
 {
-  return trouble_switch->until > world->now;
+  return trouble_switch->until > cluster->now;
 }
 
 /* Drawn only while it is on. */
 gboolean
-trouble_strikes (World *world, const HrSwitch *trouble_switch)
+trouble_strikes (SimCluster *cluster, const HrSwitch *trouble_switch)
 {
-  return trouble_on (world, trouble_switch) && trouble_rand (world, 0, 1) < trouble_switch->share;
+  return trouble_on (cluster, trouble_switch) &&
+         trouble_rand (cluster, 0, 1) < trouble_switch->share;
 }
 
 gboolean
-trouble_inside (const World *world, int node)
+trouble_inside (const SimCluster *cluster, int node)
 {
-  return world->troubles.zone_nodes >> node & 1;
+  return cluster->troubles.zone_nodes >> node & 1;
 }
 
 int
-trouble_any_node (World *world)
+trouble_any_node (SimCluster *cluster)
 {
-  return g_rand_int_range (world->troubles.rand, 0, world->n);
+  return g_rand_int_range (cluster->troubles.rand, 0, cluster->n);
 }
 
 void
-trouble_shuffle (World *world, GPtrArray *list)
+trouble_shuffle (SimCluster *cluster, GPtrArray *list)
 {
   for (guint i = list->len; i > 1; i--) {
-    guint k = g_rand_int_range (world->troubles.rand, 0, i);
+    guint k = g_rand_int_range (cluster->troubles.rand, 0, i);
     gpointer swapped = list->pdata[k];
     list->pdata[k] = list->pdata[i - 1];
     list->pdata[i - 1] = swapped;
@@ -60,16 +61,16 @@
 
 /* Machines that are up, those with tasks first. */
 static GPtrArray *
-pick_machines (World *world, const HrTrouble *trouble)
+pick_machines (SimCluster *cluster, const HrTrouble *trouble)
 {
   g_autoptr (GPtrArray) up = g_ptr_array_new ();
   GPtrArray *picked = g_ptr_array_new ();
-  for (guint i = 0; i < world->machines->len; i++) {
-    SimMachine *machine = world->machines->pdata[i];
+  for (guint i = 0; i < cluster->machines->len; i++) {
+    SimMachine *machine = cluster->machines->pdata[i];
     if (machine->up && !machine->gone && (!trouble->zone || machine->zone + 1 == trouble->zone))
       g_ptr_array_add (up, machine);
   }
-  trouble_shuffle (world, up);
+  trouble_shuffle (cluster, up);
   guint n = trouble->count       ? trouble->count
             : trouble->share > 0 ? (guint)(trouble->share * up->len + 0.5)
                                  : up->len;
@@ -79,19 +80,19 @@
       if ((machine->tasks->len > 0) == busy)
         g_ptr_array_add (picked, machine);
     }
-  world->troubles.played[trouble->kind] += picked->len;
+  cluster->troubles.played[trouble->kind] += picked->len;
   return picked;
 }
 
 static gboolean
-is_hit (World *world, HrWho who, int node)
+is_hit (SimCluster *cluster, HrWho who, int node)
 {
-  int leader = MAX (0, store_leader (world));
+  int leader = MAX (0, store_leader (cluster));
   switch (who) {
   case WHO_LEADER:
     return node == leader;
   case WHO_OTHER:
-    return node == (leader + 1) % world->n;
+    return node == (leader + 1) % cluster->n;
   case WHO_OTHERS:
     return node != leader;
   case WHO_ALL:
@@ -103,143 +104,144 @@
 /* ---- beginnings ---- */
 
 static void
-hit_node (World *world, const HrTrouble *trouble, int i, gboolean first)
+hit_node (SimCluster *cluster, const HrTrouble *trouble, int i, gboolean first)
 {
-  Node *n = &world->nodes[i];
-  double until = world->now + trouble->for_s;
-  world->troubles.played[trouble->kind]++;
+  SimNode *n = &cluster->nodes[i];
+  double until = cluster->now + trouble->for_s;
+  cluster->troubles.played[trouble->kind]++;
   if (trouble->kind == TROUBLE_NODE_CRASH) {
     double back = first && trouble->first_back_s > 0 ? trouble->first_back_s
                   : trouble->back_s > 0              ? trouble->back_s
-                                                     : trouble_rand (world, BACK_MIN_S, BACK_MAX_S);
-    node_kill (world, i);
-    node_start_at (world, i, world->now + back);
+                                        : trouble_rand (cluster, BACK_MIN_S, BACK_MAX_S);
+    node_kill (cluster, i);
+    node_start_at (cluster, i, cluster->now + back);
   } else if (trouble->kind == TROUBLE_NODE_FREEZE)
-    node_freeze (world, i, trouble->for_s);
+    node_freeze (cluster, i, trouble->for_s);
   else if (trouble->kind == TROUBLE_STATE_REFUSES)
-    n->refused = until;
+    n->store_refuses_until = until;
   else {
-    n->hold = trouble->hold;
+    n->cut_holds_messages = trouble->hold;
     if (trouble->from_state)
-      n->cut_store = until;
+      n->cut_store_until = until;
     if (trouble->from_peers)
-      n->cut_peers = until;
+      n->cut_peers_until = until;
     if (trouble->from_workers)
-      n->cut_workers = until;
+      n->cut_workers_until = until;
     if (trouble->from_users)
-      n->cut_users = until;
+      n->cut_users_until = until;
     if (trouble->from_state && trouble->from_peers)
-      n->alone_at = world->now;
+      n->isolated_at = cluster->now;
   }
 }
 
 static void
-hit_nodes (World *world, const HrTrouble *trouble)
+hit_nodes (SimCluster *cluster, const HrTrouble *trouble)
 {
   gboolean hit[MAX_NODES] = {FALSE};
-  for (int i = 0; i < world->n; i++)
-    hit[i] = is_hit (world, trouble->who, i);
+  for (int i = 0; i < cluster->n; i++)
+    hit[i] = is_hit (cluster, trouble->who, i);
   gboolean first = TRUE;
-  for (int i = 0; i < world->n; i++)
+  for (int i = 0; i < cluster->n; i++)
     if (hit[i]) {
-      hit_node (world, trouble, i, first);
+      hit_node (cluster, trouble, i, first);
       first = FALSE;
     }
 }
 
 static void
-hit_machines (World *world, const HrTrouble *trouble)
+hit_machines (SimCluster *cluster, const HrTrouble *trouble)
 {
-  g_autoptr (GPtrArray) list = pick_machines (world, trouble);
-  double until = world->now + trouble->for_s;
+  g_autoptr (GPtrArray) list = pick_machines (cluster, trouble);
+  double until = cluster->now + trouble->for_s;
   for (guint i = 0; i < list->len; i++) {
     SimMachine *machine = list->pdata[i];
     if (trouble->kind == TROUBLE_MACHINE_DEAF)
-      machine->inbound_cut = until;
+      machine->inbound_cut_until = until;
     else if (trouble->kind == TROUBLE_MACHINE_MUTE)
-      machine->outbound_cut = until;
+      machine->outbound_cut_until = until;
     else if (trouble->kind == TROUBLE_MACHINE_HANG)
-      machine->hang = until;
+      machine->hang_until = until;
     else if (trouble->kind == TROUBLE_MACHINE_CRASH)
-      machine_end (world, machine);
+      machine_terminate (cluster, machine);
     else {
-      machine->cut = until;
-      machine->hold = trouble->hold;
+      machine->cut_until = until;
+      machine->cut_holds_messages = trouble->hold;
     }
   }
 }
 
 static void
-cut_zone (World *world, const HrTrouble *trouble)
+cut_zone (SimCluster *cluster, const HrTrouble *trouble)
 {
-  HrTroubles *troubles = &world->troubles;
+  HrTroubles *troubles = &cluster->troubles;
   troubles->zone_cut = trouble->zone ? trouble->zone - 1 : 0;
-  troubles->zone_cut_until = world->now + trouble->for_s;
+  troubles->zone_cut_until = cluster->now + trouble->for_s;
   troubles->zone_hold = trouble->hold;
   troubles->zone_nodes = 0;
-  for (int i = 0; i < world->n; i++)
-    if (is_hit (world, trouble->who, i))
+  for (int i = 0; i < cluster->n; i++)
+    if (is_hit (cluster, trouble->who, i))
       troubles->zone_nodes |= 1u << i;
-  for (int i = 0; i < world->n; i++)
-    if (trouble_inside (world, i)) {
-      Node *n = &world->nodes[i];
-      n->cut_store = n->cut_peers = n->cut_users = troubles->zone_cut_until;
-      n->alone_at = world->now;
-      n->hold = trouble->hold;
+  for (int i = 0; i < cluster->n; i++)
+    if (trouble_inside (cluster, i)) {
+      SimNode *n = &cluster->nodes[i];
+      n->cut_store_until = n->cut_peers_until = n->cut_users_until = troubles->zone_cut_until;
+      n->isolated_at = cluster->now;
+      n->cut_holds_messages = trouble->hold;
     }
   troubles->played[TROUBLE_ZONE_CUT]++;
 }
 
 static void
-turn_on (World *world, HrSwitch *trouble_switch, const HrTrouble *trouble)
+turn_on (SimCluster *cluster, HrSwitch *trouble_switch, const HrTrouble *trouble)
 {
-  *trouble_switch = (HrSwitch){world->now + trouble->for_s, trouble->share};
+  *trouble_switch = (HrSwitch){cluster->now + trouble->for_s, trouble->share};
 }
 
 static void
-begin_reports (World *world, const HrTrouble *trouble)
+begin_reports (SimCluster *cluster, const HrTrouble *trouble)
 {
-  HrTroubles *troubles = &world->troubles;
+  HrTroubles *troubles = &cluster->troubles;
   if (trouble->for_next) {
     troubles->leaders_acted = troubles->leaders;
-    turn_on (world, &troubles->reports_for_next, trouble);
+    turn_on (cluster, &troubles->reports_for_next, trouble);
   } else
-    turn_on (world, trouble->to_all ? &troubles->reports_to_all : &troubles->late_reports, trouble);
+    turn_on (cluster, trouble->to_all ? &troubles->reports_to_all : &troubles->late_reports,
+             trouble);
 }
 
 /* Troubles of the services around the controllers, and of users. */
 static void
-begin_outside (World *world, const HrTrouble *trouble)
+begin_outside (SimCluster *cluster, const HrTrouble *trouble)
 {
-  HrTroubles *troubles = &world->troubles;
+  HrTroubles *troubles = &cluster->troubles;
   switch (trouble->kind) {
   case TROUBLE_STATE_OUTAGE:
-    world->outage = MAX (world->outage, world->now + trouble->for_s);
+    cluster->store_outage_until = MAX (cluster->store_outage_until, cluster->now + trouble->for_s);
     troubles->played[TROUBLE_STATE_OUTAGE]++;
     break;
   case TROUBLE_STATE_SLOW:
-    troubles->state_slow_until = world->now + trouble->for_s;
+    troubles->state_slow_until = cluster->now + trouble->for_s;
     troubles->state_slow_s = trouble->delay_s;
     troubles->played[TROUBLE_STATE_SLOW]++;
     break;
   case TROUBLE_FAST_BOOT:
-    troubles->fast_boot_until = world->now + trouble->for_s;
+    troubles->fast_boot_until = cluster->now + trouble->for_s;
     break;
   case TROUBLE_ZONE_CUT:
-    cut_zone (world, trouble);
+    cut_zone (cluster, trouble);
     break;
   case TROUBLE_SLOW_LINKS:
-    troubles->links_slow_until = world->now + trouble->for_s;
+    troubles->links_slow_until = cluster->now + trouble->for_s;
     troubles->links_slow_s = trouble->delay_s;
     troubles->played[TROUBLE_SLOW_LINKS]++;
     break;
   case TROUBLE_CLOUD_OUTAGE:
-    world->cloud_outage = MAX (world->cloud_outage, world->now + trouble->for_s);
+    cluster->cloud_outage_until = MAX (cluster->cloud_outage_until, cluster->now + trouble->for_s);
     troubles->played[TROUBLE_CLOUD_OUTAGE]++;
     break;
   case TROUBLE_ODD_REQUESTS:
-    troubles->odd_until = world->now + trouble->for_s;
-    malformed_requests_begin (world);
+    troubles->odd_until = cluster->now + trouble->for_s;
+    malformed_requests_begin (cluster);
     break;
   default:
     break;
@@ -247,37 +249,37 @@
 }
 
 static void
-begin (World *world, gpointer data)
+begin (SimCluster *cluster, gpointer data)
 {
   g_autofree HrTrouble *trouble = data;
-  HrTroubles *troubles = &world->troubles;
-  sim_log_time = world->now;
+  HrTroubles *troubles = &cluster->troubles;
+  sim_log_time = cluster->now;
   g_debug ("trouble %d for %.1f s", trouble->kind, trouble->for_s);
   switch (trouble->kind) {
   case TROUBLE_LATE_WRITES:
-    turn_on (world, trouble->at_once ? &troubles->lost_answers : &troubles->late_writes, trouble);
+    turn_on (cluster, trouble->at_once ? &troubles->lost_answers : &troubles->late_writes, trouble);
     break;
   case TROUBLE_LATE_REPORTS:
-    begin_reports (world, trouble);
+    begin_reports (cluster, trouble);
     break;
   case TROUBLE_LATE_COMMANDS:
-    turn_on (world, &troubles->late_commands, trouble);
+    turn_on (cluster, &troubles->late_commands, trouble);
     break;
   case TROUBLE_MACHINE_DEAF:
   case TROUBLE_MACHINE_MUTE:
   case TROUBLE_MACHINE_HANG:
   case TROUBLE_MACHINE_CUT:
   case TROUBLE_MACHINE_CRASH:
-    hit_machines (world, trouble);
+    hit_machines (cluster, trouble);
     break;
   case TROUBLE_CANCEL_NOW:
-    trouble_cancel_now (world, trouble);
+    trouble_cancel_now (cluster, trouble);
     break;
   case TROUBLE_CANCEL_AT_END:
-    turn_on (world, &troubles->cancel_at_end, trouble);
+    turn_on (cluster, &troubles->cancel_at_end, trouble);
     break;
   case TROUBLE_CLOSE_LOOKS:
-    turn_on (world, &troubles->close_looks, trouble);
+    turn_on (cluster, &troubles->close_looks, trouble);
     if (trouble->share <= 0)
       troubles->close_looks.share = LOOK_CANCEL_SHARE;
     break;
@@ -285,17 +287,17 @@
   case TROUBLE_NODE_CRASH:
   case TROUBLE_NODE_FREEZE:
   case TROUBLE_STATE_REFUSES:
-    hit_nodes (world, trouble);
+    hit_nodes (cluster, trouble);
     break;
   default:
-    begin_outside (world, trouble);
+    begin_outside (cluster, trouble);
     break;
   }
 }
 
 /* How long after its end it may still have an effect. */
 static double
-after_effect (const World *world, const HrTrouble *trouble)
+after_effect (const SimCluster *cluster, const HrTrouble *trouble)
 {
   switch (trouble->kind) {
   case TROUBLE_LATE_WRITES:
@@ -303,7 +305,7 @@
   case TROUBLE_LATE_COMMANDS:
     return LATE_COMMAND_MAX_S;
   case TROUBLE_LATE_REPORTS:
-    return LATE_REPORT_MAX_LEASES * world->lease_s;
+    return LATE_REPORT_MAX_LEASES * cluster->lease_s;
   case TROUBLE_NODE_CRASH:
     return trouble->back_s > 0 ? trouble->back_s : BACK_MAX_S;
   default:
@@ -312,82 +314,84 @@
 }
 
 static void
-arm (World *world, gpointer trouble)
+arm (SimCluster *cluster, gpointer trouble)
 {
-  g_ptr_array_add (world->troubles.armed, trouble);
+  g_ptr_array_add (cluster->troubles.armed, trouble);
 }
 
 void
-troubles_moment (World *world, HrMoment moment)
+troubles_moment (SimCluster *cluster, HrMoment moment)
 {
-  GPtrArray *armed = world->troubles.armed;
-  for (guint i = armed->len; i > 0 && !world->calm; i--) {
+  GPtrArray *armed = cluster->troubles.armed;
+  for (guint i = armed->len; i > 0 && !cluster->faults_ended; i--) {
     HrTrouble *trouble = armed->pdata[i - 1];
     if (trouble->on != moment)
       continue;
     g_ptr_array_steal_index_fast (armed, i - 1);
-    world->troubles.over_at =
-        MAX (world->troubles.over_at, world->now + trouble->for_s + after_effect (world, trouble));
-    w_at (world, world->now, begin, trouble);
-    w_at (world, world->troubles.over_at, world_calm, NULL);
+    cluster->troubles.over_at = MAX (
+        cluster->troubles.over_at, cluster->now + trouble->for_s + after_effect (cluster, trouble));
+    sim_schedule (cluster, cluster->now, begin, trouble);
+    sim_schedule (cluster, cluster->troubles.over_at, world_calm, NULL);
   }
 }
 
 void
-troubles_plan (World *world, const HrTrouble *day, guint n)
+troubles_plan (SimCluster *cluster, const HrTrouble *day, guint n)
 {
-  HrTroubles *troubles = &world->troubles;
+  HrTroubles *troubles = &cluster->troubles;
   for (guint i = 0; i < n; i++)
     for (guint k = 0; k < MAX (day[i].times, 1); k++) {
       double at = day[i].at_s + k * day[i].every_s;
-      w_at (world, at, day[i].on ? arm : begin, g_memdup2 (&day[i], sizeof day[i]));
+      sim_schedule (cluster, at, day[i].on ? arm : begin, g_memdup2 (&day[i], sizeof day[i]));
       troubles->over_at =
-          MAX (troubles->over_at, at + day[i].for_s + after_effect (world, &day[i]));
+          MAX (troubles->over_at, at + day[i].for_s + after_effect (cluster, &day[i]));
     }
-  w_at (world, troubles->over_at, world_calm, NULL);
+  sim_schedule (cluster, troubles->over_at, world_calm, NULL);
 }
 
 static gboolean
-machine_troubled (const World *world, const SimMachine *machine)
+machine_troubled (const SimCluster *cluster, const SimMachine *machine)
 {
   return !machine->gone &&
-         (machine->cut > world->now || machine->hang > world->now ||
-          machine->inbound_cut > world->now || machine->outbound_cut > world->now);
+         (machine->cut_until > cluster->now || machine->hang_until > cluster->now ||
+          machine->inbound_cut_until > cluster->now || machine->outbound_cut_until > cluster->now);
 }
 
 gboolean
-world_troubled (const World *world)
+world_troubled (const SimCluster *cluster)
 {
-  if (!world->calm || world->stray_until > world->now || world->outage > world->now ||
-      world->cloud_outage > world->now || world->troubles.zone_cut_until > world->now)
+  if (!cluster->faults_ended || cluster->late_messages_until > cluster->now ||
+      cluster->store_outage_until > cluster->now || cluster->cloud_outage_until > cluster->now ||
+      cluster->troubles.zone_cut_until > cluster->now)
     return TRUE;
-  for (int i = 0; i < world->n; i++) {
-    const Node *n = &world->nodes[i];
-    double cut = MAX (MAX (n->cut_workers, n->cut_store), MAX (n->cut_peers, n->cut_users));
-    if (!n->up || MAX (cut, MAX (n->refused, n->frozen)) > world->now)
+  for (int i = 0; i < cluster->n; i++) {
+    const SimNode *n = &cluster->nodes[i];
+    double cut = MAX (MAX (n->cut_workers_until, n->cut_store_until),
+                      MAX (n->cut_peers_until, n->cut_users_until));
+    if (!n->up || MAX (cut, MAX (n->store_refuses_until, n->frozen_until)) > cluster->now)
       return TRUE;
   }
-  for (guint i = 0; i < world->machines->len; i++)
-    if (machine_troubled (world, world->machines->pdata[i]))
+  for (guint i = 0; i < cluster->machines->len; i++)
+    if (machine_troubled (cluster, cluster->machines->pdata[i]))
       return TRUE;
   return FALSE;
 }
 
 void
-troubles_init (World *world, guint32 seed)
+troubles_init (SimCluster *cluster, guint32 seed)
 {
-  world->troubles.rand = g_rand_new_with_seed (seed ^ STREAM);
-  world->troubles.kept_next = g_ptr_array_new_with_free_func ((GDestroyNotify)req_unref);
-  world->troubles.armed = g_ptr_array_new_with_free_func (g_free);
-  world->troubles.kept_all = g_ptr_array_new_with_free_func ((GDestroyNotify)req_unref);
+  cluster->troubles.rand = g_rand_new_with_seed (seed ^ STREAM);
+  cluster->troubles.kept_next = g_ptr_array_new_with_free_func ((GDestroyNotify)req_unref);
+  cluster->troubles.armed = g_ptr_array_new_with_free_func (g_free);
+  cluster->troubles.kept_all = g_ptr_array_new_with_free_func ((GDestroyNotify)req_unref);
 }
 
 void
-troubles_free (World *world)
+troubles_free (SimCluster *cluster)
 {
-  g_rand_free (world->troubles.rand);
-  g_ptr_array_unref (world->troubles.kept_next);
-  g_ptr_array_unref (world->troubles.kept_all);
-  g_ptr_array_unref (world->troubles.armed);
-  g_free (world->troubles.leader_process);
+  g_rand_free (cluster->troubles.rand);
+  g_ptr_array_unref (cluster->troubles.kept_next);
+  g_ptr_array_unref (cluster->troubles.kept_all);
+  g_ptr_array_unref (cluster->troubles.armed);
+  g_free (cluster->troubles.leader_process);
 }
--- a/tests/sim/troubles.h
+++ b/tests/sim/troubles.h
@@ -1,12 +1,12 @@
 /* Troubles that a day plans: what, when, how long and whom it hits. A day is a table of
- * HrTrouble, handed to troubles_plan() before the world runs. All that is drawn for them comes
+ * HrTrouble, handed to troubles_plan() before the cluster runs. All that is drawn for them comes
  * from a random stream of their own, so that days without them stay as they are.
  *
  * All times are simulated seconds; for_s counts from at_s; shares go from 0 to 1. */
 #pragma once
 #include <glib.h>
 
-typedef struct World World;
+typedef struct SimCluster SimCluster;
 
 typedef enum {
   /* A share of the transactions to the state service gets no answer. Without at_once each is
@@ -150,9 +150,9 @@
 } HrTroubles;
 
 /* Plans them; when the last one is over the day is calm. Call it once a day. */
-void troubles_plan (World *world, const HrTrouble *day, guint n);
+void troubles_plan (SimCluster *cluster, const HrTrouble *day, guint n);
 /* It is this moment: what waits for it begins. */
-void troubles_moment (World *world, HrMoment moment);
+void troubles_moment (SimCluster *cluster, HrMoment moment);
 
 /* ---- trouble_text.c ---- */
 
--- a/tests/sim/upgrade.c
+++ b/tests/sim/upgrade.c
@@ -3,44 +3,45 @@
 #include "coordination/core.h"
 #include "sim/store.h"
 #include "sim/upgrade.h"
-#include "sim/world.h"
+#include "sim/cluster.h"
 
 /* Down for so long in its turn. */
 #define DOWN_S 5.0
 
 void
-upgrade_init (World *world)
+upgrade_init (SimCluster *cluster)
 {
-  world->production = TRUE;
-  store_format (world, FALSE);
-  for (int i = 0; i < world->n; i++)
-    world->nodes[i].speaks = 0;
-  world_restart (world);
+  cluster->production = TRUE;
+  store_set_format (cluster, FALSE);
+  for (int i = 0; i < cluster->n; i++)
+    cluster->nodes[i].record_format = 0;
+  sim_cluster_restart_nodes (cluster);
 }
 
 /* Its process ends, if it is there; from now on it comes back new. */
 static void
-turn (World *world, gpointer data)
+turn (SimCluster *cluster, gpointer data)
 {
   int i = GPOINTER_TO_INT (data);
-  node_kill (world, i);
-  world->nodes[i].speaks = HR_FORMAT;
-  world->nodes[i].upgraded = TRUE;
-  node_start_at (world, GPOINTER_TO_INT (data), world->now + (i == 0 ? world->last_down : DOWN_S));
+  node_kill (cluster, i);
+  cluster->nodes[i].record_format = HR_FORMAT;
+  cluster->nodes[i].upgraded = TRUE;
+  node_start_at (cluster, GPOINTER_TO_INT (data),
+                 cluster->now + (i == 0 ? cluster->last_node_down_s : DOWN_S));
 }
 
 /* The first node's turn is the last. */
 double
-upgrade_roll (World *world, double from, double gap, double last_down)
+upgrade_roll (SimCluster *cluster, double from, double gap, double last_down)
 {
-  world->last_down = last_down;
-  for (int i = 0; i < world->n; i++)
-    w_at (world, from + i * gap, turn, GINT_TO_POINTER ((i + 1) % world->n));
-  return from + (world->n - 1) * gap;
+  cluster->last_node_down_s = last_down;
+  for (int i = 0; i < cluster->n; i++)
+    sim_schedule (cluster, from + i * gap, turn, GINT_TO_POINTER ((i + 1) % cluster->n));
+  return from + (cluster->n - 1) * gap;
 }
 
 void
-upgrade_limits_fall (World *world, double at)
+upgrade_limits_fall (SimCluster *cluster, double at)
 {
-  world->limits_fall = at;
+  cluster->limits_drop_at = at;
 }
