--- a/tests/sim/user.c
+++ b/tests/sim/user.c
@@ -1,4 +1,4 @@
-/* Users: what they ask, and the jobs of a usual day. */
+/* Simulated users: their requests, and the jobs of an ordinary day. */
 #include "coordination/command.h"
 #include "protocol/json_util.h"
 #include "sim/answer_checks.h"
@@ -10,196 +10,199 @@
 #define LARGE_ARRAY_EVERY_S 15
 
 SimJob *
-job_by_id (World *world, const char *id, guint32 *index)
+job_by_id (SimCluster *cluster, const char *id, guint32 *index)
 {
-  guint place = GPOINTER_TO_UINT (g_hash_table_lookup (world->job_index, id));
+  guint place = GPOINTER_TO_UINT (g_hash_table_lookup (cluster->job_index, id));
   if (!place)
     return NULL;
   *index = place - 1;
-  return world->jobs->pdata[place - 1];
+  return cluster->jobs->pdata[place - 1];
 }
 
-static void submit (World *world, gpointer data);
-static void poll (World *world, gpointer data);
-static void cancel (World *world, gpointer data);
+static void submit (SimCluster *cluster, gpointer data);
+static void poll (SimCluster *cluster, gpointer data);
+static void cancel (SimCluster *cluster, gpointer data);
 
 static int
-any_node (World *world)
+any_node (SimCluster *cluster)
 {
-  return g_rand_int_range (world->rand, 0, world->n);
+  return g_rand_int_range (cluster->rand, 0, cluster->n);
 }
 
-/* ---- one question each ---- */
+/* ---- requests ---- */
 
 static void
-on_poll (World *world, int status, json_t *body, gpointer data)
+on_poll (SimCluster *cluster, int status, json_t *body, gpointer data)
 {
-  Question *question = data;
+  SimUserRequest *request = data;
   if (status == 200)
-    answer_check (world, question, status, body);
+    check_user_response (cluster, request, status, body);
   else if (status == 404)
-    answer_unknown (world, question, "a question", status);
-  g_free (question);
+    check_user_error (cluster, request, "a poll", status);
+  g_free (request);
 }
 
 static void
-on_regular_poll (World *world, int status, json_t *body, gpointer data)
+on_regular_poll (SimCluster *cluster, int status, json_t *body, gpointer data)
 {
-  SimJob *job = ((Question *)data)->job;
-  on_poll (world, status, body, data);
-  if (!world->calm && w_rand (world, 0, 1) < 0.02)
-    w_at (world, world->now + w_rand (world, 1, 20), submit,
-          job); /* a late retry of the submission */
-  w_at (world, world->now + (job->told_done || job->told_cancelled ? 15 : 5), poll, job);
+  SimJob *job = ((SimUserRequest *)data)->job;
+  on_poll (cluster, status, body, data);
+  if (!cluster->faults_ended && sim_rand_range (cluster, 0, 1) < 0.02)
+    sim_schedule (cluster, cluster->now + sim_rand_range (cluster, 1, 20), submit,
+                  job); /* a late retry of the submission */
+  sim_schedule (cluster, cluster->now + (job->done_reply_at || job->cancelled_reply_at ? 15 : 5),
+                poll, job);
 }
 
 static void
-ask_at (World *world, SimJob *job, int node, void (*done) (World *, int, json_t *, gpointer))
+send_poll (SimCluster *cluster, SimJob *job, int node,
+           void (*done) (SimCluster *, int, json_t *, gpointer))
 {
   g_autofree char *path = g_strconcat ("/v1/jobs/", job->id, NULL);
-  w_ask (world, node, -1, HR_GET, path, NULL, 2, done, question_new (world, job));
+  sim_send_request (cluster, node, -1, HR_GET, path, NULL, 2, done,
+                    sim_user_request_new (cluster, job));
 }
 
 void
-user_poll_at (World *world, SimJob *job, int node)
+user_poll_at (SimCluster *cluster, SimJob *job, int node)
 {
-  ask_at (world, job, node < 0 ? any_node (world) : node, on_poll);
+  send_poll (cluster, job, node < 0 ? any_node (cluster) : node, on_poll);
 }
 
 static void
-poll (World *world, gpointer data)
+poll (SimCluster *cluster, gpointer data)
 {
-  ask_at (world, data, any_node (world), on_regular_poll);
+  send_poll (cluster, data, any_node (cluster), on_regular_poll);
 }
 
 static void
-on_submit (World *world, int status, json_t *body, gpointer data)
+on_submit (SimCluster *cluster, int status, json_t *body, gpointer data)
 {
-  Question *question = data;
-  SimJob *job = question->job;
+  SimUserRequest *request = data;
+  SimJob *job = request->job;
   if (status == 201 || status == 200) {
     if (!job->accepted) {
-      w_at (world, world->now + 1, poll, job);
+      sim_schedule (cluster, cluster->now + 1, poll, job);
       if (job->cancel)
-        w_at (world, job->due_cancel, cancel, job);
-      job->accepted_at = world->now;
+        sim_schedule (cluster, job->cancel_at, cancel, job);
+      job->accepted_at = cluster->now;
     }
     job->accepted = TRUE;
-    answer_check (world, question, status, body);
+    check_user_response (cluster, request, status, body);
   } else if (status == 400 || status == 422) {
-    answer_unknown (world, question, "its submission", status);
+    check_user_error (cluster, request, "its submission", status);
   } else if (!job->accepted)
-    w_at (world, world->now + 1, submit, job);
-  g_free (question);
+    sim_schedule (cluster, cluster->now + 1, submit, job);
+  g_free (request);
 }
 
 void
-user_submit_at (World *world, SimJob *job, int node)
+user_submit_at (SimCluster *cluster, SimJob *job, int node)
 {
   job->submitted = TRUE;
-  w_ask (world, node < 0 ? any_node (world) : node, -1, HR_POST, "/v1/jobs", g_strdup (job->body),
-         5, on_submit, question_new (world, job));
+  sim_send_request (cluster, node < 0 ? any_node (cluster) : node, -1, HR_POST, "/v1/jobs",
+                    g_strdup (job->body), 5, on_submit, sim_user_request_new (cluster, job));
 }
 
 static void
-submit (World *world, gpointer data)
+submit (SimCluster *cluster, gpointer data)
 {
-  user_submit_at (world, data, -1);
+  user_submit_at (cluster, data, -1);
 }
 
 static void
-on_cancel (World *world, int status, json_t *body, gpointer data)
+on_cancel (SimCluster *cluster, int status, json_t *body, gpointer data)
 {
-  Question *question = data;
+  SimUserRequest *request = data;
   if (status == 200)
-    answer_check (world, question, status, body);
+    check_user_response (cluster, request, status, body);
   else if (status == 404)
-    answer_unknown (world, question, "its cancellation", status);
+    check_user_error (cluster, request, "its cancellation", status);
   else
-    w_at (world, world->now + 1, cancel, question->job);
-  g_free (question);
+    sim_schedule (cluster, cluster->now + 1, cancel, request->job);
+  g_free (request);
 }
 
 void
-user_cancel_at (World *world, SimJob *job, int node)
+user_cancel_at (SimCluster *cluster, SimJob *job, int node)
 {
-  if (!job->asked_cancel)
-    job->asked_cancel_at = world->now;
-  job->asked_cancel = TRUE;
+  if (!job->cancel_requested)
+    job->cancel_requested_at = cluster->now;
+  job->cancel_requested = TRUE;
   g_autofree char *path = g_strconcat ("/v1/jobs/", job->id, "/abort", NULL);
-  w_ask (world, node < 0 ? any_node (world) : node, -1, HR_POST, path, NULL, 5, on_cancel,
-         question_new (world, job));
+  sim_send_request (cluster, node < 0 ? any_node (cluster) : node, -1, HR_POST, path, NULL, 5,
+                    on_cancel, sim_user_request_new (cluster, job));
 }
 
 static void
-cancel (World *world, gpointer data)
+cancel (SimCluster *cluster, gpointer data)
 {
-  user_cancel_at (world, data, -1);
+  user_cancel_at (cluster, data, -1);
 }
 
 void
-users_cancel_service_at (World *world, int node)
+users_cancel_service_at (SimCluster *cluster, int node)
 {
-  for (guint i = 0; i < world->jobs->len; i++) {
-    SimJob *job = world->jobs->pdata[i];
+  for (guint i = 0; i < cluster->jobs->len; i++) {
+    SimJob *job = cluster->jobs->pdata[i];
     if (job->shape != HR_SERVICE || !job->started || job->cancel)
       continue;
     job->cancel = TRUE;
-    user_cancel_at (world, job, node);
+    user_cancel_at (cluster, job, node);
     return;
   }
 }
 
 static void
-on_stranger (World *world, int status, json_t *body G_GNUC_UNUSED, gpointer data G_GNUC_UNUSED)
+on_poll_unknown (SimCluster *cluster, int status, json_t *body G_GNUC_UNUSED,
+                 gpointer data G_GNUC_UNUSED)
 {
   if (status == 200)
-    w_broken (world, "invented", "a job that nobody submitted gets 200");
+    sim_report_violation (cluster, "invented", "a poll of a job that was never submitted gets 200");
 }
 
 static void
-stranger (World *world, gpointer data G_GNUC_UNUSED)
+poll_unknown (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  g_autofree char *path = g_strdup_printf ("/v1/jobs/job-x%u", ++world->invented_asked);
-  w_ask (world, any_node (world), -1, HR_GET, path, NULL, 2, on_stranger, NULL);
-  w_at (world, world->now + 7, stranger, NULL);
+  g_autofree char *path = g_strdup_printf ("/v1/jobs/job-x%u", ++cluster->unknown_jobs_polled);
+  sim_send_request (cluster, any_node (cluster), -1, HR_GET, path, NULL, 2, on_poll_unknown, NULL);
+  sim_schedule (cluster, cluster->now + 7, poll_unknown, NULL);
 }
 
 static void
-on_probe (World *world, int status, json_t *body G_GNUC_UNUSED, gpointer data)
+on_probe (SimCluster *cluster, int status, json_t *body G_GNUC_UNUSED, gpointer data)
 {
   int i = GPOINTER_TO_INT (data);
-  if (status == 200 && node_alone (world, i))
-    w_broken (world, "alone", "c%d, cut off, calls itself ready", i);
+  if (status == 200 && node_isolated (cluster, i))
+    sim_report_violation (cluster, "alone", "c%d answers /ready with 200 though it is isolated", i);
 }
 
 static void
-probe (World *world, gpointer data G_GNUC_UNUSED)
+probe (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  for (int i = 0; i < world->n; i++)
-    w_ask (world, i, -1, HR_GET, "/ready", NULL, 1, on_probe, GINT_TO_POINTER (i));
-  w_at (world, world->now + 1, probe, NULL);
+  for (int i = 0; i < cluster->n; i++)
+    sim_send_request (cluster, i, -1, HR_GET, "/ready", NULL, 1, on_probe, GINT_TO_POINTER (i));
+  sim_schedule (cluster, cluster->now + 1, probe, NULL);
 }
 
 void
-users_probe (World *world)
+users_probe (SimCluster *cluster)
 {
-  w_at (world, 1, probe, NULL);
+  sim_schedule (cluster, 1, probe, NULL);
 }
 
-/* ---- what is submitted ---- */
+/* ---- jobs ---- */
 
 SimJob *
-job_new (World *world)
+job_new (SimCluster *cluster)
 {
   SimJob *job = g_new0 (SimJob, 1);
-  job->id = g_strdup_printf ("job-%06u", 7919 * ++world->named % 1000000);
+  job->id = g_strdup_printf ("job-%06u", 7919 * ++cluster->named_jobs % 1000000);
   return job;
 }
 
-/* The job is complete: its user submits it. */
 void
-job_submit (World *world, SimJob *job)
+job_submit (SimCluster *cluster, SimJob *job)
 {
   job->done = g_new0 (guint, job->tasks);
   job->progress = g_new0 (double, job->tasks);
@@ -207,15 +210,15 @@
   static const char *const priority_names[] = {"normal", "urgent", "production"};
   static const char *const classes[] = {"array", "gang", "live"};
   g_autofree char *image = g_strdup_printf ("img-%u", job->image);
-  json_t *object =
-      json_pack ("{sssssssssssisfsfsfsssfsnsnsbsbsbsfsfsf}", "name_id", job->id, "jobclass",
-                 classes[job->shape], "crew", job->team ? job->team : "crew", "shape",
-                 shapes[job->shape], "rank", job->rank ? job->rank : priority_names[job->shape],
-                 "pieces", (int)job->tasks, "vcpus", job->cpus, "accelerators", job->gpus,
-                 "memory_gb", job->mem, "bundle", image, "size_gb", job->image_gb, "hulls",
-                 "quarry", "together", job->one_zone, "apart", job->spread, "loaners", job->spot,
-                 "guess_s", job->shape == HR_SERVICE ? 0 : job->run * w_rand (world, 0.5, 2),
-                 "cairn_s", job->checkpoint, "stash_s", job->save);
+  json_t *object = json_pack (
+      "{sssssssssssisfsfsfsssfsnsnsbsbsbsfsfsf}", "name_id", job->id, "jobclass",
+      classes[job->shape], "crew", job->team ? job->team : "crew", "shape", shapes[job->shape],
+      "rank", job->rank ? job->rank : priority_names[job->shape], "pieces", (int)job->tasks,
+      "vcpus", job->cpus, "accelerators", job->gpus, "memory_gb", job->mem, "bundle", image,
+      "size_gb", job->image_gb, "hulls", "quarry", "together", job->one_zone, "apart", job->spread,
+      "loaners", job->spot, "guess_s",
+      job->shape == HR_SERVICE ? 0 : job->run * sim_rand_range (cluster, 0.5, 2), "cairn_s",
+      job->checkpoint, "stash_s", job->save);
   for (guint i = 0; job->awaits && i < job->awaits->len; i++) {
     if (!i)
       json_object_set_new (object, "awaits", json_array ());
@@ -227,53 +230,55 @@
   if (job->zone)
     json_object_set_new (object, "quarry", json_string (job->zone == 1 ? "z0" : "z1"));
   job->body = hr_json_take_text (object);
-  g_ptr_array_add (world->jobs, job);
-  g_hash_table_insert (world->job_index, job->id, GUINT_TO_POINTER (world->jobs->len));
-  submit (world, job);
+  g_ptr_array_add (cluster->jobs, job);
+  g_hash_table_insert (cluster->job_index, job->id, GUINT_TO_POINTER (cluster->jobs->len));
+  submit (cluster, job);
 }
 
 static void
-new_job (World *world, gpointer data G_GNUC_UNUSED)
+new_job (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  SimJob *job = job_new (world);
-  guint n = world->jobs->len;
-  double dice = w_rand (world, 0, 1);
+  SimJob *job = job_new (cluster);
+  guint n = cluster->jobs->len;
+  double dice = sim_rand_range (cluster, 0, 1);
   job->shape = dice < 0.2 ? HR_SERVICE : dice < 0.45 ? HR_GANG : HR_BATCH;
   if (n == 5)
     job->shape = HR_BATCH;
-  job->tasks = job->shape == HR_SERVICE ? g_rand_int_range (world->rand, 1, 4)
-               : job->shape == HR_GANG  ? g_rand_int_range (world->rand, 1, 4)
-                                        : g_rand_int_range (world->rand, 1, 9);
+  job->tasks = job->shape == HR_SERVICE ? g_rand_int_range (cluster->rand, 1, 4)
+               : job->shape == HR_GANG  ? g_rand_int_range (cluster->rand, 1, 4)
+                                        : g_rand_int_range (cluster->rand, 1, 9);
   if (n == 5)
-    job->tasks = 140; /* stands in pages */
+    job->tasks = 140; /* its record has its tasks in pages */
   job->cpus = job->shape == HR_GANG ? 10 : 4;
   job->gpus = job->shape == HR_GANG ? 2 : 1;
   job->mem = 30;
-  job->image = world->fickle ? 0 : g_rand_int_range (world->rand, 0, 4); /* one: it is there */
+  job->image =
+      cluster->cancels_most_jobs
+          ? 0
+          : g_rand_int_range (cluster->rand, 0, 4); /* a single image, which machines have cached */
   job->image_gb = 1 + job->image;
-  job->run = n == 5 ? 5 : w_rand (world, 5, 60);
-  job->checkpoint = w_rand (world, 0, 1) < 0.5 ? 10 : 0;
+  job->run = n == 5 ? 5 : sim_rand_range (cluster, 5, 60);
+  job->checkpoint = sim_rand_range (cluster, 0, 1) < 0.5 ? 10 : 0;
   job->save = job->checkpoint > 0 ? 2 : 0;
-  job->one_zone = job->shape == HR_GANG && w_rand (world, 0, 1) < 0.6;
-  job->spread = job->shape == HR_SERVICE && w_rand (world, 0, 1) < 0.5;
+  job->one_zone = job->shape == HR_GANG && sim_rand_range (cluster, 0, 1) < 0.6;
+  job->spread = job->shape == HR_SERVICE && sim_rand_range (cluster, 0, 1) < 0.5;
   job->spot = job->shape == HR_BATCH;
-  job->broken = job->shape == HR_BATCH && n != 5 && w_rand (world, 0, 1) < 0.04;
-  job->cancel = job->broken || w_rand (world, 0, 1) < 0.2;
-  if (world->quota_gpus > 0 && job->shape == HR_SERVICE)
-    job->cancel = TRUE; /* or the limit would be used up for good */
-  job->due_cancel = world->now + w_rand (world, 1, 80);
-  if (world->fickle && n != 5 && w_rand (world, 0, 1) < 0.8) {
+  job->always_fails = job->shape == HR_BATCH && n != 5 && sim_rand_range (cluster, 0, 1) < 0.04;
+  job->cancel = job->always_fails || sim_rand_range (cluster, 0, 1) < 0.2;
+  if (cluster->quota_gpus > 0 && job->shape == HR_SERVICE)
+    job->cancel = TRUE; /* services would use up the quota permanently */
+  job->cancel_at = cluster->now + sim_rand_range (cluster, 1, 80);
+  if (cluster->cancels_most_jobs && n != 5 && sim_rand_range (cluster, 0, 1) < 0.8) {
     job->cancel = TRUE;
-    job->due_cancel = world->now + w_rand (world, 0.5, 12);
+    job->cancel_at = cluster->now + sim_rand_range (cluster, 0.5, 12);
   }
-  job_submit (world, job);
+  job_submit (cluster, job);
 }
 
-/* A gang whose tasks each want a whole machine. */
 SimJob *
-job_gang (World *world, guint tasks, double image_gb, double run)
+job_new_gang (SimCluster *cluster, guint tasks, double image_gb, double run)
 {
-  SimJob *job = job_new (world);
+  SimJob *job = job_new (cluster);
   job->shape = HR_GANG;
   job->tasks = tasks;
   job->cpus = 10;
@@ -284,11 +289,11 @@
   return job;
 }
 
-/* An array, of which two tasks fit on a machine. */
+/* Returns an array of which two tasks fit on a machine. */
 static SimJob *
-batch_of (World *world, guint tasks, double run)
+job_new_array (SimCluster *cluster, guint tasks, double run)
 {
-  SimJob *job = job_new (world);
+  SimJob *job = job_new (cluster);
   job->shape = HR_BATCH;
   job->tasks = tasks;
   job->cpus = 4;
@@ -300,99 +305,100 @@
 }
 
 static void
-paged_job (World *world, gpointer data G_GNUC_UNUSED)
+paged_job (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  job_submit (world, batch_of (world, 140, 40));
+  job_submit (cluster, job_new_array (cluster, 140, 40));
 }
 
-/* Of the sizes that production writes inline and in pages. */
+/* Arrays of both sizes: the release in production writes 60 tasks inline and 140 in pages. */
 static void
-large_array (World *world, gpointer data)
+large_array (SimCluster *cluster, gpointer data)
 {
   guint n = GPOINTER_TO_UINT (data);
-  SimJob *job = batch_of (world, n % 2 ? 60 : 140, w_rand (world, 15, 35));
+  SimJob *job = job_new_array (cluster, n % 2 ? 60 : 140, sim_rand_range (cluster, 15, 35));
   job->spot = n % 3 == 0;
   job->cancel = n % 4 == 3;
-  job->due_cancel = world->now + w_rand (world, 20, 50);
-  job_submit (world, job);
+  job->cancel_at = cluster->now + sim_rand_range (cluster, 20, 50);
+  job_submit (cluster, job);
 }
 
-/* Its record is large as long as it runs. */
+/* A service whose record is large as long as it runs. */
 static void
-large_service (World *world, gpointer data)
+large_service (SimCluster *cluster, gpointer data)
 {
-  SimJob *job = batch_of (world, 46, 0);
+  SimJob *job = job_new_array (cluster, 46, 0);
   job->shape = HR_SERVICE;
   job->cancel = TRUE;
-  job->due_cancel = world->now + (data ? w_rand (world, 75, 140) : w_rand (world, 180, 220));
-  job_submit (world, job);
+  job->cancel_at = cluster->now +
+                   (data ? sim_rand_range (cluster, 75, 140) : sim_rand_range (cluster, 180, 220));
+  job_submit (cluster, job);
 }
 
 void
-users_arrays (World *world, double from, double to)
+users_large_jobs (SimCluster *cluster, double from, double to)
 {
-  w_at (world, from, large_service, NULL);
-  w_at (world, from + 1, large_service, GINT_TO_POINTER (TRUE));
+  sim_schedule (cluster, from, large_service, NULL);
+  sim_schedule (cluster, from + 1, large_service, GINT_TO_POINTER (TRUE));
   guint n = 0;
   double at = from;
   while (at < to) {
-    w_at (world, at, large_array, GUINT_TO_POINTER (n++));
+    sim_schedule (cluster, at, large_array, GUINT_TO_POINTER (n++));
     at += LARGE_ARRAY_EVERY_S;
   }
 }
 
 void
-users_paged (World *world, double at)
+users_paged_array (SimCluster *cluster, double at)
 {
-  users_init (world, 0, 0);
-  w_at (world, at, paged_job, NULL);
+  users_init (cluster, 0, 0);
+  sim_schedule (cluster, at, paged_job, NULL);
 }
 
 typedef struct {
   guint tasks;
   double run, cancel_at;
-} ArrayWanted;
+} ArrayToSubmit;
 
 static void
-array_wanted (World *world, gpointer data)
+submit_array (SimCluster *cluster, gpointer data)
 {
-  g_autofree ArrayWanted *wanted = data;
-  SimJob *job = batch_of (world, wanted->tasks, wanted->run);
+  g_autofree ArrayToSubmit *wanted = data;
+  SimJob *job = job_new_array (cluster, wanted->tasks, wanted->run);
   job->cancel = wanted->cancel_at > 0;
-  job->due_cancel = wanted->cancel_at;
-  job_submit (world, job);
+  job->cancel_at = wanted->cancel_at;
+  job_submit (cluster, job);
 }
 
 void
-users_array (World *world, guint tasks, double run, double at, double cancel_at)
+users_array (SimCluster *cluster, guint tasks, double run, double at, double cancel_at)
 {
-  ArrayWanted *wanted = g_new (ArrayWanted, 1);
-  *wanted = (ArrayWanted){tasks, run, cancel_at};
-  w_at (world, at, array_wanted, wanted);
+  ArrayToSubmit *wanted = g_new (ArrayToSubmit, 1);
+  *wanted = (ArrayToSubmit){tasks, run, cancel_at};
+  sim_schedule (cluster, at, submit_array, wanted);
 }
 
 static void
-borrower (World *world, gpointer data G_GNUC_UNUSED)
+borrowing_array (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  job_submit (world, batch_of (world, 60, 300));
+  job_submit (cluster, job_new_array (cluster, 60, 300));
 }
 
 static void
-guaranteed (World *world, gpointer data)
+guaranteed_job (SimCluster *cluster, gpointer data)
 {
-  SimJob *job = data ? job_gang (world, 2, 1, 25) : batch_of (world, 6, 25);
+  SimJob *job = data ? job_new_gang (cluster, 2, 1, 25) : job_new_array (cluster, 6, 25);
   job->team = "guests";
-  job_submit (world, job);
+  job_submit (cluster, job);
 }
 
 void
-users_two_teams (World *world, double later)
+users_two_teams (SimCluster *cluster, double later)
 {
-  users_init (world, 0, 0);
+  users_init (cluster, 0, 0);
   for (guint i = 0; i < 3; i++)
-    w_at (world, 5 + i, borrower, NULL);
-  w_at (world, later, guaranteed, NULL);
-  w_at (world, later + 60, guaranteed, GUINT_TO_POINTER (1));
+    sim_schedule (cluster, 5 + i, borrowing_array, NULL);
+  sim_schedule (cluster, later, guaranteed_job, NULL);
+  sim_schedule (cluster, later + 60, guaranteed_job, GUINT_TO_POINTER (1));
 }
 
 static void
@@ -409,18 +415,18 @@
 }
 
 void
-users_init (World *world, guint jobs, double span)
+users_init (SimCluster *cluster, guint jobs, double span)
 {
-  world->jobs = g_ptr_array_new_with_free_func (job_free);
-  world->job_index = g_hash_table_new (g_str_hash, g_str_equal);
+  cluster->jobs = g_ptr_array_new_with_free_func (job_free);
+  cluster->job_index = g_hash_table_new (g_str_hash, g_str_equal);
   for (guint i = 0; i < jobs; i++)
-    w_at (world, w_rand (world, 2, span), new_job, NULL);
-  w_at (world, 5, stranger, NULL);
+    sim_schedule (cluster, sim_rand_range (cluster, 2, span), new_job, NULL);
+  sim_schedule (cluster, 5, poll_unknown, NULL);
 }
 
 void
-users_free (World *world)
+users_free (SimCluster *cluster)
 {
-  g_hash_table_unref (world->job_index);
-  g_ptr_array_unref (world->jobs);
+  g_hash_table_unref (cluster->job_index);
+  g_ptr_array_unref (cluster->jobs);
 }
--- a/tests/sim/worker.h
+++ b/tests/sim/worker.h
@@ -1,8 +1,8 @@
-/* The simulated workers and their machines: heartbeats, leases, incarnations, direct orders and the
- * life of tasks. Times in seconds of the day. */
+/* The simulated workers and their machines: reports, leases, incarnations, direct orders and the
+ * states of tasks. Times in simulated seconds. */
 #pragma once
 #include "sim/request.h"
-#include "sim/world.h"
+#include "sim/cluster.h"
 
 typedef enum {
   SIM_TASK_FETCH,
@@ -15,11 +15,12 @@
   guint32 job, task, try;
   SimTaskState state;
   const char *cause;
-  gboolean kept, failing;
-  double ready, until; /* image there; saved by */
+  gboolean saved, failing;
+  double ready, until; /* when its image is there; when its checkpoint is saved, or a gang's task
+                          ends after a peer was lost */
   double since;        /* gathering or running since */
-  double base;         /* progress when it began to run */
-  gboolean on;         /* has its image, not exited */
+  double progress_at_start; /* progress when it began to run */
+  gboolean active;          /* has its image and has not exited */
 } SimTask;
 
 typedef struct {
@@ -28,25 +29,28 @@
   guint zone;
   gboolean spot, up, gone, failed, listed_gone;
   double rented, boots, gone_at;
-  double asked_gone; /* its deletion was first asked for then; 0: never */
-  double named_at;   /* when a record last ceased to name it, after it went */
-  guint tenure, tally;
+  double delete_requested_at; /* when a controller first asked to delete it; 0: never */
+  double last_referenced_at;  /* after it was gone: when the last record that named it was
+                                 rewritten */
+  guint incarnation, sequence;
   guint64 token;
-  double lease_at; /* sent time of the last report that got an answer */
-  int node;        /* reports to */
-  gboolean out;    /* a report is on its way */
-  guint report;    /* number of the report on its way */
-  double report_sent, token_told;
-  double cut, hang;    /* until when */
-  double inbound_cut;  /* until when answers and commands do not reach it; reports leave */
-  double outbound_cut; /* until when it reaches no controller; commands reach it */
-  gboolean hold;
-  double warned; /* taken at; 0: no notice */
+  double lease_at;           /* sending time of the last report that got an answer */
+  int node;                  /* controller that it reports to */
+  gboolean report_in_flight; /* a report is sent and not answered */
+  guint report;              /* number of that report */
+  double report_sent, token_reported_at;
+  double cut_until, hang_until;
+  double inbound_cut_until;    /* answers and commands do not reach it; its reports arrive */
+  double outbound_cut_until;   /* it reaches no controller; commands reach it */
+  gboolean cut_holds_messages; /* as in SimNode */
+  double reclaim_at;           /* the cloud takes the spot machine back then; 0: no notice */
   gboolean faulty, through_cut;
   GArray *tasks; /* SimTask */
   GHashTable *images;
 } SimMachine;
 
-void worker_request (World *world, SimRequest *request);
-void worker_boot (World *world, SimMachine *machine);
-void machine_stop_all (World *world, SimMachine *machine);
+/* Handles a direct order. */
+void worker_request (SimCluster *cluster, SimRequest *request);
+void worker_boot (SimCluster *cluster, SimMachine *machine);
+/* Ends all tasks because the machine or its incarnation has ended; nothing reports them. */
+void machine_discard_tasks (SimCluster *cluster, SimMachine *machine);
--- a/tests/sim/workloads.c
+++ b/tests/sim/workloads.c
@@ -1,25 +1,25 @@
-/* Workloads of single days: streams, gangs, services, a crowd. */
+/* Workloads of simulated days. */
 #include "sim/user.h"
 #include "sim/workloads.h"
-#include "sim/world.h"
+#include "sim/cluster.h"
 
-/* One small gang of the stream, and the next one in a while. */
+/* Submits one small gang of the stream and schedules the next one. */
 static void
-stream_job (World *world, gpointer data)
+stream_job (SimCluster *cluster, gpointer data)
 {
   double *to = data;
-  guint tasks = 1 + world->streamed++ % 2;
-  job_submit (world, job_gang (world, tasks, 1, w_rand (world, 15, 30)));
-  if (world->now < *to)
-    w_at (world, world->now + w_rand (world, 4, 6.5), stream_job, data);
+  guint tasks = 1 + cluster->streamed_gangs++ % 2;
+  job_submit (cluster, job_new_gang (cluster, tasks, 1, sim_rand_range (cluster, 15, 30)));
+  if (cluster->now < *to)
+    sim_schedule (cluster, cluster->now + sim_rand_range (cluster, 4, 6.5), stream_job, data);
   else
     g_free (data);
 }
 
 static void
-large_job (World *world, gpointer data)
+large_job (SimCluster *cluster, gpointer data)
 {
-  SimJob *job = job_new (world);
+  SimJob *job = job_new (cluster);
   job->shape = GPOINTER_TO_INT (data);
   job->large = TRUE;
   job->tasks = job->shape == HR_GANG ? 8 : 40;
@@ -28,76 +28,78 @@
   job->mem = 30;
   job->image_gb = 1;
   job->run = 25;
-  job_submit (world, job);
+  job_submit (cluster, job);
 }
 
 /* A gang of two, for which two machines are enough. */
 static void
-small_gang (World *world, gpointer data G_GNUC_UNUSED)
+small_gang (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  SimJob *job = job_gang (world, 2, world->gang_image > 0 ? world->gang_image : 1, 40);
-  job->image = world->jobs->len; /* its own, to be fetched */
-  job_submit (world, job);
+  SimJob *job =
+      job_new_gang (cluster, 2, cluster->gang_image_gb > 0 ? cluster->gang_image_gb : 1, 40);
+  job->image = cluster->jobs->len; /* its own image, which no machine has cached */
+  job_submit (cluster, job);
 }
 
-/* Of one image, which takes longer than the tasks of a gang wait for one another. */
+/* All of these gangs use one image, whose fetch takes longer than gang_wait_s. */
 static void
-long_fetch (World *world, gpointer data)
+long_fetch (SimCluster *cluster, gpointer data)
 {
-  job_submit (world, job_gang (world, GPOINTER_TO_UINT (data), 40, 20));
+  job_submit (cluster, job_new_gang (cluster, GPOINTER_TO_UINT (data), 40, 20));
 }
 
 static void
-give_up (World *world, gpointer data G_GNUC_UNUSED)
+cancel_newest (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  SimJob *job = world->jobs->pdata[world->jobs->len - 1];
+  SimJob *job = cluster->jobs->pdata[cluster->jobs->len - 1];
   job->cancel = TRUE;
-  user_cancel_at (world, job, -1);
+  user_cancel_at (cluster, job, -1);
 }
 
 void
-users_long_fetches (World *world, gboolean fickle)
+users_long_fetches (SimCluster *cluster, gboolean with_cancelled)
 {
-  users_init (world, 0, 0);
-  w_at (world, 5, long_fetch, GUINT_TO_POINTER (1));
-  if (fickle) {
-    w_at (world, 70, long_fetch, GUINT_TO_POINTER (3));
-    w_at (world, 115, give_up, NULL);
+  users_init (cluster, 0, 0);
+  sim_schedule (cluster, 5, long_fetch, GUINT_TO_POINTER (1));
+  if (with_cancelled) {
+    sim_schedule (cluster, 70, long_fetch, GUINT_TO_POINTER (3));
+    sim_schedule (cluster, 115, cancel_newest, NULL);
   }
-  /* When it ends one machine has the image, and the others have not. */
+  /* When the first gang ends, one machine has the image cached and the others do not. */
   for (guint i = 0; i < 3; i++)
-    w_at (world, (fickle ? 119 : 80) + 100 * i, long_fetch, GUINT_TO_POINTER (2 + i));
+    sim_schedule (cluster, (with_cancelled ? 119 : 80) + 100 * i, long_fetch,
+                  GUINT_TO_POINTER (2 + i));
 }
 
 static void
-service (World *world, gpointer data)
+service (SimCluster *cluster, gpointer data)
 {
-  SimJob *job = job_new (world);
+  SimJob *job = job_new (cluster);
   job->shape = HR_SERVICE;
   job->tasks = GPOINTER_TO_UINT (data);
   job->cpus = 4;
   job->gpus = 1;
   job->mem = 30;
-  job->image = world->jobs->len % 4;
+  job->image = cluster->jobs->len % 4;
   job->image_gb = 1 + job->image;
-  job_submit (world, job);
+  job_submit (cluster, job);
 }
 
 void
-users_services (World *world, guint n, guint tasks, double at)
+users_services (SimCluster *cluster, guint n, guint tasks, double at)
 {
-  users_init (world, 0, 0);
+  users_init (cluster, 0, 0);
   for (guint i = 0; i < n; i++)
-    w_at (world, at + 0.05 * i, service, GUINT_TO_POINTER (tasks));
+    sim_schedule (cluster, at + 0.05 * i, service, GUINT_TO_POINTER (tasks));
 }
 
-/* Of all shapes, in about the proportions of a large deployment. */
+/* Jobs of all shapes, in about the proportions of a large deployment. */
 static void
-crowd_job (World *world, gpointer data)
+mixed_job (SimCluster *cluster, gpointer data)
 {
   guint i = GPOINTER_TO_UINT (data);
   static const guint replicas[] = {2, 4, 6}, gangs[] = {1, 2, 4, 8};
-  SimJob *job = job_new (world);
+  SimJob *job = job_new (cluster);
   job->shape = i % 5 < 2 ? HR_SERVICE : i % 5 < 4 ? HR_GANG : HR_BATCH;
   job->tasks = job->shape == HR_SERVICE ? replicas[i % 3]
                : job->shape == HR_GANG  ? gangs[i / 5 % 4]
@@ -107,53 +109,54 @@
   job->mem = 30;
   job->image = i % 8;
   job->image_gb = 1 + job->image;
-  job->run = w_rand (world, 20, 90);
+  job->run = sim_rand_range (cluster, 20, 90);
   job->checkpoint = 10;
   job->save = 2;
   job->one_zone = job->shape == HR_GANG;
   job->spread = job->shape == HR_SERVICE && i % 2;
   job->spot = job->shape == HR_BATCH;
   job->cancel = i % 9 == 0;
-  job->due_cancel = world->now + w_rand (world, 20, 200);
-  job_submit (world, job);
+  job->cancel_at = cluster->now + sim_rand_range (cluster, 20, 200);
+  job_submit (cluster, job);
 }
 
 void
-users_crowd (World *world, guint jobs, double span)
+users_mixed_workload (SimCluster *cluster, guint jobs, double span)
 {
-  users_init (world, 0, 0);
-  /* Most are there at the start, the others come one by one. */
+  users_init (cluster, 0, 0);
+  /* Two thirds are submitted at the start, the others at random times. */
   for (guint i = 0; i < jobs; i++)
-    w_at (world, i % 3 ? 2 + 0.01 * i : w_rand (world, 10, span), crowd_job, GUINT_TO_POINTER (i));
+    sim_schedule (cluster, i % 3 ? 2 + 0.01 * i : sim_rand_range (cluster, 10, span), mixed_job,
+                  GUINT_TO_POINTER (i));
 }
 
 static void
-oversized_gang (World *world, gpointer data G_GNUC_UNUSED)
+oversized_gang (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  job_submit (world, job_gang (world, 500, 1, 20));
+  job_submit (cluster, job_new_gang (cluster, 500, 1, 20));
 }
 
 void
-users_oversized (World *world, double at)
+users_oversized_gang (SimCluster *cluster, double at)
 {
-  w_at (world, at, oversized_gang, NULL);
+  sim_schedule (cluster, at, oversized_gang, NULL);
 }
 
 void
-users_gangs (World *world, guint n, double from, double gap)
+users_gangs (SimCluster *cluster, guint n, double from, double gap)
 {
-  users_init (world, 0, 0);
+  users_init (cluster, 0, 0);
   for (guint i = 0; i < n; i++)
-    w_at (world, from + i * gap, small_gang, NULL);
+    sim_schedule (cluster, from + i * gap, small_gang, NULL);
 }
 
 void
-users_stream (World *world, HrShape large, double from, double to)
+users_gang_stream (SimCluster *cluster, HrShape large, double from, double to)
 {
   double *end = g_new (double, 1);
   *end = to;
-  users_init (world, 0, 0);
-  w_at (world, from, stream_job, end);
+  users_init (cluster, 0, 0);
+  sim_schedule (cluster, from, stream_job, end);
   for (int i = 1; i < 4; i++)
-    w_at (world, from + i * (to - from) / 5, large_job, GINT_TO_POINTER (large));
+    sim_schedule (cluster, from + i * (to - from) / 5, large_job, GINT_TO_POINTER (large));
 }
--- a/tests/sim/workloads.h
+++ b/tests/sim/workloads.h
@@ -1,18 +1,17 @@
-/* Workloads of single days: streams, gangs, services. */
+/* Workloads of simulated days: streams of gangs, gangs, services, a mix of all. */
 #pragma once
-#include "sim/world.h"
+#include "sim/cluster.h"
 
-/* Gangs of which one task has its image at once, and others after more than gang_wait_s.
- * fickle: one more is cancelled while it fetches. */
-void users_long_fetches (World *world, gboolean fickle);
-/* Services that run until the end, of small images. */
-void users_services (World *world, guint n, guint tasks, double at);
+/* Gangs of which one task has its image cached, and the others fetch it for longer than
+ * gang_wait_s. with_cancelled: one more gang is cancelled while it fetches. */
+void users_long_fetches (SimCluster *cluster, gboolean with_cancelled);
+/* Services with small images that run until the end of the day. */
+void users_services (SimCluster *cluster, guint n, guint tasks, double at);
 /* Jobs of all shapes for a fleet of hundreds. */
-void users_crowd (World *world, guint jobs, double span);
-/* A gang that no fleet of this cloud can hold. */
-void users_oversized (World *world, double at);
-/* Gangs of two tasks, one after the other. */
-void users_gangs (World *world, guint n, double from, double gap);
-/* A stream of small urgent gangs that alone would nearly fill the fleet, beside a few large jobs.
- */
-void users_stream (World *world, HrShape large, double from, double to);
+void users_mixed_workload (SimCluster *cluster, guint jobs, double span);
+/* A gang that is larger than the cloud's capacity. */
+void users_oversized_gang (SimCluster *cluster, double at);
+/* Gangs of two tasks, one every `gap` seconds. */
+void users_gangs (SimCluster *cluster, guint n, double from, double gap);
+/* A stream of small urgent gangs that nearly fills the fleet by itself, and three large jobs. */
+void users_gang_stream (SimCluster *cluster, HrShape large, double from, double to);
--- a/tests/soak.c
+++ b/tests/soak.c
@@ -106,17 +106,18 @@
 /* ---- one run ---- */
 
 static void
-check_end (World *world)
+check_end (SimCluster *cluster)
 {
-  if (!world->starts)
-    w_broken (world, "nothing_ran", "no task was started");
-  for (guint i = 0; i < world->jobs->len; i++) {
-    const SimJob *job = world->jobs->pdata[i];
-    if (job->accepted && world->now - MAX (job->ok_at, world->calm_at) > ANSWERED_WITHIN_S)
-      w_broken (world, "forgotten", "no question about %s is answered", job->id);
-    if (job->asked_cancel && job->accepted && !job->told_cancelled && !job->told_done &&
-        world->now - MAX (job->asked_cancel_at, world->calm_at) > ANSWERED_WITHIN_S)
-      w_broken (world, "liveness", "%s was not withdrawn", job->id);
+  if (!cluster->task_starts)
+    sim_report_violation (cluster, "nothing_ran", "no task was started");
+  for (guint i = 0; i < cluster->jobs->len; i++) {
+    const SimJob *job = cluster->jobs->pdata[i];
+    if (job->accepted &&
+        cluster->now - MAX (job->answered_at, cluster->faults_ended_at) > ANSWERED_WITHIN_S)
+      sim_report_violation (cluster, "forgotten", "no question about %s is answered", job->id);
+    if (job->cancel_requested && job->accepted && !job->cancelled_reply_at && !job->done_reply_at &&
+        cluster->now - MAX (job->cancel_requested_at, cluster->faults_ended_at) > ANSWERED_WITHIN_S)
+      sim_report_violation (cluster, "liveness", "%s was not withdrawn", job->id);
   }
 }
 
@@ -143,30 +144,30 @@
 static void
 report (Live *live, guint32 seed, const HrTrouble *day, guint n)
 {
-  World *world = live->world;
+  SimCluster *cluster = live->cluster;
   guint cancelled = 0;
-  for (guint i = 0; i < world->jobs->len; i++)
-    cancelled += ((SimJob *)world->jobs->pdata[i])->told_cancelled > 0;
+  for (guint i = 0; i < cluster->jobs->len; i++)
+    cancelled += ((SimJob *)cluster->jobs->pdata[i])->cancelled_reply_at > 0;
   printf ("seed %u: %d controllers, %.0f s, %u jobs, %u withdrawn, %u starts, %u after a "
           "confirmed cancellation, %u terms, %u kills, %u pauses, %u requests: %s\n",
-          seed, world->n, world->now, world->jobs->len, cancelled, world->starts,
-          world->started_cancelled, world->troubles.leaders, live->kills, live->freezes,
+          seed, cluster->n, cluster->now, cluster->jobs->len, cancelled, cluster->task_starts,
+          cluster->started_cancelled, cluster->troubles.leaders, live->kills, live->freezes,
           live->requests,
-          is_void (live)       ? "VOID"
-          : world->broken->len ? "BROKEN"
-                               : "ok");
+          is_void (live)             ? "VOID"
+          : cluster->violations->len ? "BROKEN"
+                                     : "ok");
   if (is_void (live))
     printf ("seed %u: no verdict, since this program stood still for %.1f s\n", seed,
             live->longest_gap);
   fflush (stdout);
-  if (!world->broken->len)
+  if (!cluster->violations->len)
     return;
-  for (guint i = 0; i < MIN (world->broken->len, 12); i++)
-    fprintf (stderr, "  broken: %s\n", (char *)world->broken->pdata[i]);
+  for (guint i = 0; i < MIN (cluster->violations->len, 12); i++)
+    fprintf (stderr, "  broken: %s\n", (char *)cluster->violations->pdata[i]);
   fprintf (stderr, "  troubles of seed %u:\n", seed);
   for (guint i = 0; i < n; i++)
     print_trouble (&day[i]);
-  for (int i = 0; i < world->n; i++)
+  for (int i = 0; i < cluster->n; i++)
     print_tail (&live->nodes[i], i);
 }
 
@@ -188,52 +189,53 @@
 
 /* Each one comes back in the version that it has by then. */
 static void
-end_all (World *world, gpointer unused G_GNUC_UNUSED)
+end_all (SimCluster *cluster, gpointer unused G_GNUC_UNUSED)
 {
-  for (int i = 0; i < world->n; i++) {
-    node_kill (world, i);
-    node_start_at (world, i, world->now + END_ALL_BACK_S);
+  for (int i = 0; i < cluster->n; i++) {
+    node_kill (cluster, i);
+    node_start_at (cluster, i, cluster->now + END_ALL_BACK_S);
   }
 }
 
 /* The controllers' turns, and users of pipelines beside the usual ones, until `end`. */
 static void
-plan_upgrade (World *world, GRand *rand, double end)
+plan_upgrade (SimCluster *cluster, GRand *rand, double end)
 {
   double first = FIRST_TURN_SHARE * end, last = LAST_TURN_SHARE * end;
-  double gap = world->n > 1 ? (last - first) / (world->n - 1) : 0;
-  upgrade_roll (world, first, gap, TURN_DOWN_S);
-  upgrade_limits_fall (world, last + TURN_DOWN_S + g_rand_double_range (rand, 0, LIMITS_FALL_S));
+  double gap = cluster->n > 1 ? (last - first) / (cluster->n - 1) : 0;
+  upgrade_roll (cluster, first, gap, TURN_DOWN_S);
+  upgrade_limits_fall (cluster, last + TURN_DOWN_S + g_rand_double_range (rand, 0, LIMITS_FALL_S));
   if (g_rand_double (rand) < END_ALL_SHARE)
-    w_at (world, first + (g_rand_int_range (rand, 0, world->n) + 0.5) * gap, end_all, NULL);
+    sim_schedule (cluster, first + (g_rand_int_range (rand, 0, cluster->n) + 0.5) * gap, end_all,
+                  NULL);
   /* Nothing new is asked for before all have the new version; pipelines are new to those that know
    * no format of records. */
-  double from = world->production ? last + TURN_DOWN_S + 1 : 1;
+  double from = cluster->production ? last + TURN_DOWN_S + 1 : 1;
   const PipelineDay day = {(end - from) / PIPELINE_EVERY_S, from, end, PIPELINES_CANCELLED, FALSE};
-  users_pipelines_beside (world, &day);
+  users_pipelines_beside (cluster, &day);
 }
 
 /* All controllers begin old. */
 static void
-begin_old (World *world, guint format)
+begin_old (SimCluster *cluster, guint format)
 {
-  for (int i = 0; i < world->n; i++) {
-    world->nodes[i].upgraded = FALSE;
-    world->nodes[i].speaks = format;
+  for (int i = 0; i < cluster->n; i++) {
+    cluster->nodes[i].upgraded = FALSE;
+    cluster->nodes[i].record_format = format;
   }
   if (format)
     return;
-  world->production = TRUE;
-  store_format (world, FALSE);
+  cluster->production = TRUE;
+  store_set_format (cluster, FALSE);
 }
 
 /* Did every controller come to run the new version? */
 static void
-check_upgrade (World *world)
+check_upgrade (SimCluster *cluster)
 {
-  for (int i = 0; i < world->n; i++)
-    if (!world->nodes[i].upgraded)
-      w_broken (world, "upgrade", "c%d was not upgraded", i);
+  for (int i = 0; i < cluster->n; i++)
+    if (!cluster->nodes[i].upgraded)
+      sim_report_violation (cluster, "upgrade", "c%d was not upgraded", i);
 }
 
 typedef enum { RUN_OK, RUN_BROKEN, RUN_VOID } Verdict;
@@ -248,19 +250,19 @@
   live_row->policy = options->policy;
   live_row->old_daemon = options->old_daemon;
   live_prepare (live_row, seed, nodes);
-  World *world = live_row->world;
-  world->report_s = REPORT_S;
-  world->lease_s = LEASE_S;
-  world->cancel_s = CANCEL_S;
-  world->capacity = CAPACITY;
-  world->fickle = g_rand_boolean (rand);
+  SimCluster *cluster = live_row->cluster;
+  cluster->report_s = REPORT_S;
+  cluster->lease_s = LEASE_S;
+  cluster->cancel_s = CANCEL_S;
+  cluster->capacity = CAPACITY;
+  cluster->cancels_most_jobs = g_rand_boolean (rand);
   if (options->old_daemon)
-    begin_old (world, options->old_format);
+    begin_old (cluster, options->old_format);
   live_begin (live_row);
-  users_init (world, options->seconds * 3 / 4, options->seconds - CALM_S);
-  users_probe (world);
+  users_init (cluster, options->seconds * 3 / 4, options->seconds - CALM_S);
+  users_probe (cluster);
   if (options->old_daemon)
-    plan_upgrade (world, rand, options->seconds - CALM_S);
+    plan_upgrade (cluster, rand, options->seconds - CALM_S);
   HrTrouble day[MOST_TROUBLES] = {{.kind = TROUBLE_FAST_BOOT, .for_s = options->seconds}};
   guint n = 1;
   double last = options->seconds - CALM_S - 1.3 * LEASE_S;
@@ -270,13 +272,13 @@
       n += draw_cancels_across_terms (rand, at, day + n);
     else
       day[n++] = trouble_draw (rand, draw_kind (rand), at, LEASE_S);
-  troubles_plan (world, day, n);
+  troubles_plan (cluster, day, n);
   live_run (live_row, options->seconds);
-  check_end (world);
+  check_end (cluster);
   if (options->old_daemon)
-    check_upgrade (world);
+    check_upgrade (cluster);
   report (live_row, seed, day, n);
-  Verdict verdict = is_void (live_row) ? RUN_VOID : world->broken->len ? RUN_BROKEN : RUN_OK;
+  Verdict verdict = is_void (live_row) ? RUN_VOID : cluster->violations->len ? RUN_BROKEN : RUN_OK;
   live_row->remove_files = verdict != RUN_BROKEN;
   live_end (live_row);
   end_callbacks ();
--- a/tests/test_awaits.c
+++ b/tests/test_awaits.c
@@ -22,15 +22,15 @@
   assert_int_equal (single_node_submit (n, "job-1", NULL, NULL), 201);
   assert_int_equal (single_node_submit (n, "job-2", "[]", NULL), 201);
   assert_int_equal (single_node_submit (n, "job-3", "null", NULL), 201);
-  assert_null (strstr (fake_store_job (store, "job-2"), "\"a\":"));
+  assert_null (strstr (fake_store_job_record (store, "job-2"), "\"a\":"));
   assert_int_equal (single_node_submit (n, "job-4", "[\"job-9\"]", NULL), 422);
   assert_non_null (strstr (hr_json_str (n->body, "error"), "job-9"));
   assert_int_equal (single_node_submit (n, "job-4", "[\"job-1\",\"job-4\"]", NULL), 422);
-  assert_null (fake_store_job (store, "job-4"));
+  assert_null (fake_store_job_record (store, "job-4"));
   assert_string_equal (single_node_poll (n, "job-4"), "unknown");
   assert_string_equal (single_node_poll (n, "job-9"), "unknown");
   assert_int_equal (single_node_submit (n, "job-5", "[\"job-1\",\"job-2\",\"job-1\"]", NULL), 201);
-  assert_non_null (strstr (fake_store_job (store, "job-5"), "\"a\":[\"job-1\",\"job-2\"]"));
+  assert_non_null (strstr (fake_store_job_record (store, "job-5"), "\"a\":[\"job-1\",\"job-2\"]"));
   /* A repeat is compared by its id alone. */
   assert_int_equal (single_node_submit (n, "job-5", "[\"job-9\"]", NULL), 200);
   single_node_free (n);
@@ -64,7 +64,7 @@
   for (guint i = 0; i < G_N_ELEMENTS (rows); i++) {
     assert_int_equal (single_node_submit (n, "job-odd", rows[i].awaits, NULL), rows[i].status);
     assert_non_null (strstr (hr_json_str (n->body, "error"), rows[i].says));
-    assert_null (fake_store_job (store, "job-odd"));
+    assert_null (fake_store_job_record (store, "job-odd"));
     assert_string_equal (single_node_poll (n, "job-odd"), "unknown");
     /* A repetition of what was accepted is known by its id, whatever it holds now. */
     assert_int_equal (single_node_submit (n, "job-1", rows[i].awaits, NULL), 200);
@@ -88,7 +88,7 @@
   store->down = FALSE;
   single_node_run (n, 10);
   /* Accepted elsewhere just now: a reading finds it. */
-  g_autofree char *text = g_strdup (fake_store_job (store, "job-1"));
+  g_autofree char *text = g_strdup (fake_store_job_record (store, "job-1"));
   store->epoch++;
   fake_store_set (store, "h/j/job-9", text);
   assert_int_equal (single_node_submit (n, "job-2", "[\"job-9\"]", NULL), 201);
@@ -113,7 +113,7 @@
   FakeStore *store = fake_store_new ();
   SingleNode *n = single_node_leading (store);
   assert_int_equal (single_node_submit (n, "job-1", NULL, NULL), 201);
-  g_autofree char *text = g_strdup (fake_store_job (store, "job-1"));
+  g_autofree char *text = g_strdup (fake_store_job_record (store, "job-1"));
   g_autofree char *many = many_ids (320);
   assert_int_equal (single_node_submit_service (n, "job-svc"), 201);
   const char *const awaits[] = {"[\"job-9\"]", many, "[\"job-svc\"]"};
@@ -148,7 +148,7 @@
       if (status == 400)
         assert_non_null (strstr (hr_json_str (n->body, "error"), "awaits"));
       if (status == 201) {
-        assert_true (strlen (fake_store_job (store, id)) <= (k ? 2048 : 4096));
+        assert_true (strlen (fake_store_job_record (store, id)) <= (k ? 2048 : 4096));
         assert_true (most[k] == i - 10); /* never one that is larger than a refused one */
         most[k] = i;
       }
@@ -178,7 +178,7 @@
 cancelled_at (const FakeStore *store, const char *path)
 {
   for (guint i = 0; i < store->log->len; i++) {
-    const Change *change = &g_array_index (store->log, Change, i);
+    const FakeStoreChange *change = &g_array_index (store->log, FakeStoreChange, i);
     if (strcmp (change->path, path) == 0 && strstr (change->text, "\"s\":2"))
       return change->stamp;
   }
@@ -210,13 +210,13 @@
   for (guint k = 0; k < 2; k++) {
     FakeStore *past = fake_store_new (); /* without what the leader wrote since */
     for (guint i = 0; i < store->log->len; i++) {
-      const Change *change = &g_array_index (store->log, Change, i);
+      const FakeStoreChange *change = &g_array_index (store->log, FakeStoreChange, i);
       past->epoch = change->stamp;
       if (change->stamp <= told || strstr (change->path, "job-late"))
         fake_store_set (past, change->path, change->text);
     }
-    past->backwards = k;
-    assert_non_null (strstr (fake_store_job (past, "job-c599"), "\"s\":0"));
+    past->newest_first = k;
+    assert_non_null (strstr (fake_store_job_record (past, "job-c599"), "\"s\":0"));
     SingleNode *other = single_node_new (past, "");
     single_node_run (other, 1.5);
     assert_string_equal (single_node_poll (other, "job-c599"), "withdrawn");
@@ -227,8 +227,8 @@
   }
   /* In the end every record says so by itself. */
   single_node_run (n, 120);
-  assert_null (strstr (fake_store_job (store, "job-c599"), "\"j\":"));
-  assert_null (strstr (fake_store_job (store, "job-late"), "\"j\":"));
+  assert_null (strstr (fake_store_job_record (store, "job-c599"), "\"j\":"));
+  assert_null (strstr (fake_store_job_record (store, "job-late"), "\"j\":"));
   SingleNode *last = single_node_new (store, "");
   single_node_run (last, 3);
   assert_string_equal (single_node_poll (last, "job-c300"), "withdrawn");
@@ -242,7 +242,7 @@
 static void
 submit_many (FakeStore *store, guint n)
 {
-  g_autofree char *root = g_strdup (fake_store_job (store, "job-r"));
+  g_autofree char *root = g_strdup (fake_store_job_record (store, "job-r"));
   for (guint i = 0; i < n; i++) {
     g_autofree char *path = g_strdup_printf ("h/j/job-b%u", i);
     json_t *object = json_loads (root, 0, NULL);
@@ -285,7 +285,7 @@
   assert_int_equal (single_node_submit (n, "job-e", NULL, NULL), 201);
   submit_many (store, 1000);
   HrJob *job = hr_job_find (&n->core->store.tables, "job-e");
-  HrMachine *machine = single_node_machine (n);
+  HrMachine *machine = single_node_add_machine (n);
   for (guint i = 0; i < job->n_tasks; i++)
     hr_task_assign (n->core, job, i, machine, 1);
   single_node_run (n, 3);
--- a/tests/test_exhaustive.c
+++ b/tests/test_exhaustive.c
@@ -16,7 +16,7 @@
 #include "sim/store.h"
 #include "sim/user.h"
 #include "sim/worker.h"
-#include "sim/world.h"
+#include "sim/cluster.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -82,54 +82,56 @@
 /* What is recorded, what is on the machines and what users were told: not the cores' memory, so
  * equal digests do not end a search, they are only counted. */
 static char *
-digest (World *world)
+digest (SimCluster *cluster)
 {
   g_autoptr (GChecksum) sum = g_checksum_new (G_CHECKSUM_SHA256);
-  g_autoptr (GList) keys = g_list_sort (g_hash_table_get_keys (world->keys), (GCompareFunc)strcmp);
+  g_autoptr (GList) keys =
+      g_list_sort (g_hash_table_get_keys (cluster->keys), (GCompareFunc)strcmp);
   for (GList *k = keys; k; k = k->next) {
-    const char *text = store_text (world, k->data);
+    const char *text = store_text (cluster, k->data);
     g_checksum_update (sum, k->data, -1);
     g_checksum_update (sum, (const guchar *)text, -1);
   }
-  for (guint i = 0; i < world->machines->len; i++) {
-    SimMachine *machine = world->machines->pdata[i];
+  for (guint i = 0; i < cluster->machines->len; i++) {
+    SimMachine *machine = cluster->machines->pdata[i];
     for (guint team = 0; team < machine->tasks->len; team++) {
       const SimTask *task = &g_array_index (machine->tasks, SimTask, team);
-      guint32 facts[] = {i, machine->tenure, task->job, task->task, task->try, task->state};
+      guint32 facts[] = {i, machine->incarnation, task->job, task->task, task->try, task->state};
       g_checksum_update (sum, (const guchar *)facts, sizeof facts);
     }
   }
-  for (guint i = 0; i < world->jobs->len; i++) {
-    const SimJob *job = world->jobs->pdata[i];
-    guint32 told[] = {job->accepted, job->told_done > 0, job->told_cancelled > 0};
+  for (guint i = 0; i < cluster->jobs->len; i++) {
+    const SimJob *job = cluster->jobs->pdata[i];
+    guint32 told[] = {job->accepted, job->done_reply_at > 0, job->cancelled_reply_at > 0};
     g_checksum_update (sum, (const guchar *)told, sizeof told);
   }
   return g_strdup (g_checksum_get_string (sum));
 }
 
 static void
-user_acts (World *world, gpointer choice)
+user_acts (SimCluster *cluster, gpointer choice)
 {
-  SimJob *job = world->jobs->pdata[world->jobs->len - 1];
+  SimJob *job = cluster->jobs->pdata[cluster->jobs->len - 1];
   guint action = GPOINTER_TO_UINT (choice);
   if (action != USER_ASKS_ALL) {
-    user_cancel_at (world, job, action - USER_WITHDRAWS_AT_0);
+    user_cancel_at (cluster, job, action - USER_WITHDRAWS_AT_0);
     return;
   }
-  for (int node = 0; node < world->n; node++) {
-    user_poll_at (world, job, node);
-    user_submit_at (world, job, node);
+  for (int node = 0; node < cluster->n; node++) {
+    user_poll_at (cluster, job, node);
+    user_submit_at (cluster, job, node);
   }
 }
 
 static SimOutcome
-choose (World *world, const SimRequest *request, gpointer data)
+choose (SimCluster *cluster, const SimRequest *request, gpointer data)
 {
   Play *play = data;
-  if (world->now < play->scenario->from || world->now > play->scenario->to || !is_point (request))
+  if (cluster->now < play->scenario->from || cluster->now > play->scenario->to ||
+      !is_point (request))
     return OUTCOME_DELIVERED;
   guint point = play->points++;
-  g_hash_table_add (play->states, digest (world));
+  g_hash_table_add (play->states, digest (cluster));
   for (guint i = 0; i < play->schedule->depth; i++) {
     const Deviation *deviation = &play->schedule->deviations[i];
     if (deviation->point != point)
@@ -137,31 +139,31 @@
     if (deviation->choice < OUTCOME_COUNT)
       return deviation->choice;
     /* The request on its way comes first or second, as the network has it. */
-    w_at (world, world->now, user_acts, GUINT_TO_POINTER (deviation->choice));
+    sim_schedule (cluster, cluster->now, user_acts, GUINT_TO_POINTER (deviation->choice));
   }
   return OUTCOME_DELIVERED;
 }
 
 static void
-show (const Scenario *scenario, const Schedule *schedule, const World *world)
+show (const Scenario *scenario, const Schedule *schedule, const SimCluster *cluster)
 {
   fprintf (stderr, "%s replay", scenario->name);
   for (guint i = 0; i < schedule->depth; i++)
     fprintf (stderr, " %u:%u", schedule->deviations[i].point, schedule->deviations[i].choice);
-  for (guint i = 0; i < MIN (world->broken->len, 4); i++)
-    fprintf (stderr, "\n    %s", (char *)world->broken->pdata[i]);
+  for (guint i = 0; i < MIN (cluster->violations->len, 4); i++)
+    fprintf (stderr, "\n    %s", (char *)cluster->violations->pdata[i]);
   fprintf (stderr, "\n");
 }
 
 static void
-check_ends (World *world)
+check_ends (SimCluster *cluster)
 {
-  for (guint i = 0; i < world->jobs->len; i++) {
-    const SimJob *job = world->jobs->pdata[i];
+  for (guint i = 0; i < cluster->jobs->len; i++) {
+    const SimJob *job = cluster->jobs->pdata[i];
     if (!job->accepted)
-      w_broken (world, "liveness", "%s was never accepted", job->id);
-    else if (!job->told_done && !job->told_cancelled)
-      w_broken (world, "liveness", "%s came to no end", job->id);
+      sim_report_violation (cluster, "liveness", "%s was never accepted", job->id);
+    else if (!job->done_reply_at && !job->cancelled_reply_at)
+      sim_report_violation (cluster, "liveness", "%s came to no end", job->id);
   }
 }
 
@@ -170,23 +172,23 @@
 play_schedule (const Scenario *scenario, const Schedule *schedule, Totals *totals)
 {
   Play play = {scenario, schedule, 0, totals->states};
-  World *world = world_new (SEED, 2);
-  world->loss = world->dup = 0;
-  world->capacity = 1;
-  world->choose = choose;
-  world->choose_data = &play;
-  users_init (world, 0, 0);
-  users_probe (world);
-  world->troubles.close_looks = (HrSwitch){END_S, 0};
-  users_array (world, 1, 8, 1, 0);
-  users_array (world, scenario->tasks, scenario->run, scenario->at, scenario->cancel_at);
-  world_run (world, END_S);
-  check_ends (world);
-  if (world->broken->len)
-    show (scenario, schedule, world);
-  totals->broken += world->broken->len > 0;
+  SimCluster *cluster = sim_cluster_new (SEED, 2);
+  cluster->loss_share = cluster->duplicate_share = 0;
+  cluster->capacity = 1;
+  cluster->choose_outcome = choose;
+  cluster->choose_outcome_data = &play;
+  users_init (cluster, 0, 0);
+  users_probe (cluster);
+  cluster->troubles.close_looks = (HrSwitch){END_S, 0};
+  users_array (cluster, 1, 8, 1, 0);
+  users_array (cluster, scenario->tasks, scenario->run, scenario->at, scenario->cancel_at);
+  sim_cluster_run (cluster, END_S);
+  check_ends (cluster);
+  if (cluster->violations->len)
+    show (scenario, schedule, cluster);
+  totals->broken += cluster->violations->len > 0;
   totals->schedules++;
-  world_free (world);
+  sim_cluster_free (cluster);
   return play.points;
 }
 
--- a/tests/test_fault_scenarios_fleet.c
+++ b/tests/test_fault_scenarios_fleet.c
@@ -21,9 +21,9 @@
 }
 
 static void
-four_a_second (World *world)
+four_a_second (SimCluster *cluster)
 {
-  users_singles (world, 5, 185, 4, 0.25);
+  users_single_task_jobs (cluster, 5, 185, 4, 0.25);
 }
 
 /* One-task jobs come four a second for minutes, a quarter of them cancelled; leaders change
@@ -87,9 +87,9 @@
 }
 
 static void
-bound_to_zones (World *world)
+bound_to_zones (SimCluster *cluster)
 {
-  users_bound (world, 32, 200);
+  users_zone_bound_jobs (cluster, 32, 200);
 }
 
 /* Jobs bound to one zone, arrays too, lose machines. */
@@ -106,15 +106,15 @@
 }
 
 static void
-too_much (World *world)
+too_much (SimCluster *cluster)
 {
-  users_overload (world, 5);
+  users_overload (cluster, 5);
 }
 
 static void
-at_their_limit (World *world)
+at_their_limit (SimCluster *cluster)
 {
-  users_at_limit (world, 5);
+  users_at_limit (cluster, 5);
 }
 
 /* A team is near its limit, a gang waits for more of it than there is left, and the leader
--- a/tests/test_fixtures.c
+++ b/tests/test_fixtures.c
@@ -8,7 +8,7 @@
 #include "sim/request.h"
 #include "sim/store.h"
 #include "sim/user.h"
-#include "sim/world.h"
+#include "sim/cluster.h"
 #include "transport/peer.h"
 #include <gio/gio.h>
 #include <setjmp.h>
@@ -190,7 +190,7 @@
 } Polls;
 
 static void
-on_poll (World *world G_GNUC_UNUSED, int status, json_t *body, gpointer data)
+on_poll (SimCluster *cluster G_GNUC_UNUSED, int status, json_t *body, gpointer data)
 {
   Polls *polls = data;
   polls->left--;
@@ -202,45 +202,45 @@
 {
   g_autofree char *all = fixture (file);
   g_auto (GStrv) lines = g_strsplit (all, "\n", -1);
-  World *world = world_new (7, 3);
+  SimCluster *cluster = sim_cluster_new (7, 3);
   guint jobs = 0;
   Polls polls = {0};
-  world->production = !format;
-  world->calm = TRUE;
-  store_format (world, FALSE);
-  users_init (world, 0, 0);
+  cluster->production = !format;
+  cluster->faults_ended = TRUE;
+  store_set_format (cluster, FALSE);
+  users_init (cluster, 0, 0);
   for (guint i = 0; lines[i]; i++) {
     g_auto (GStrv) row = g_strsplit (lines[i], "\t", 2);
-    store_put (world, row[0], row[1]);
+    store_preload (cluster, row[0], row[1]);
   }
-  world_restart (world);
-  world_run (world, 20);
+  sim_cluster_restart_nodes (cluster);
+  sim_cluster_run (cluster, 20);
   for (guint i = 0; lines[i]; i++) {
     if (!g_str_has_prefix (lines[i], "h/j/"))
       continue;
     jobs++;
     g_auto (GStrv) row = g_strsplit (lines[i], "\t", 2);
     g_autofree char *path = g_strconcat ("/v1/jobs/", row[0] + strlen ("h/j/"), NULL);
-    for (int n = 0; n < world->n; n++) {
+    for (int n = 0; n < cluster->n; n++) {
       polls.left++;
-      w_ask (world, n, -1, HR_GET, path, NULL, 2, on_poll, &polls);
+      sim_send_request (cluster, n, -1, HR_GET, path, NULL, 2, on_poll, &polls);
     }
   }
-  world_run (world, 25);
+  sim_cluster_run (cluster, 25);
   assert_int_equal (polls.left, 0);
-  assert_int_equal (polls.known, jobs * world->n);
+  assert_int_equal (polls.known, jobs * cluster->n);
   /* The same cloud's machine types are written as production wrote them; the leader record has its
    * form. */
   for (guint i = 0; lines[i]; i++) {
     g_auto (GStrv) row = g_strsplit (lines[i], "\t", 2);
     if (strcmp (row[0], "h/types") == 0)
-      assert_string_equal (store_text (world, row[0]), row[1]);
+      assert_string_equal (store_text (cluster, row[0]), row[1]);
   }
   assert_true (g_regex_match_simple ("^\\{\"b\":[0-9]+,\"o\":\"c[0-2]\",\"i\":\"[0-2]-2\"\\}$",
-                                     store_text (world, "h/map"), 0, 0));
+                                     store_text (cluster, "h/map"), 0, 0));
   assert_true (g_regex_match_simple ("^\\{\"b\":0,\"o\":\"c[0-2]\",\"i\":\"[0-2]-2\"\\}$",
-                                     store_text (world, "h/leader"), 0, 0));
-  world_free (world);
+                                     store_text (cluster, "h/leader"), 0, 0));
+  sim_cluster_free (cluster);
 }
 
 static void
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -16,46 +16,46 @@
 #define MACHINE_GPUS 2.0
 #define DAY_S 900.0
 
-static World *
+static SimCluster *
 world_with_limit (guint32 seed, double gpus)
 {
-  World *world = world_new (seed, 3);
-  world->quota_gpus = gpus;
-  world->capacity = 200;
-  world_restart (world);
-  users_init (world, 0, 0);
-  return world;
+  SimCluster *cluster = sim_cluster_new (seed, 3);
+  cluster->quota_gpus = gpus;
+  cluster->capacity = 200;
+  sim_cluster_restart_nodes (cluster);
+  users_init (cluster, 0, 0);
+  return cluster;
 }
 
 static guint
-verdict (World *world, guint32 seed)
+verdict (SimCluster *cluster, guint32 seed)
 {
-  guint broken = world->broken->len;
+  guint broken = cluster->violations->len;
   for (guint i = 0; i < MIN (broken, 12); i++)
-    fprintf (stderr, "seed %u: %s\n", seed, (char *)world->broken->pdata[i]);
+    fprintf (stderr, "seed %u: %s\n", seed, (char *)cluster->violations->pdata[i]);
   if (g_getenv ("HR_SIM_VERBOSE"))
-    fprintf (stderr, "seed %u: %u jobs, %u starts, %u machines\n", seed, world->jobs->len,
-             world->starts, world->machines->len);
-  world_free (world);
+    fprintf (stderr, "seed %u: %u jobs, %u starts, %u machines\n", seed, cluster->jobs->len,
+             cluster->task_starts, cluster->machines->len);
+  sim_cluster_free (cluster);
   return broken;
 }
 
 static void
-check_done (World *world)
+check_done (SimCluster *cluster)
 {
-  for (guint i = 0; i < world->jobs->len; i++) {
-    SimJob *job = world->jobs->pdata[i];
-    if (job->asked_cancel ? !job->told_cancelled && !job->told_done
-                          : job->shape != HR_SERVICE && !job->told_done)
-      w_broken (world, "liveness", "%s (%d, %u tasks) is not done", job->id, job->shape,
-                job->tasks);
+  for (guint i = 0; i < cluster->jobs->len; i++) {
+    SimJob *job = cluster->jobs->pdata[i];
+    if (job->cancel_requested ? !job->cancelled_reply_at && !job->done_reply_at
+                              : job->shape != HR_SERVICE && !job->done_reply_at)
+      sim_report_violation (cluster, "liveness", "%s (%d, %u tasks) is not done", job->id,
+                            job->shape, job->tasks);
   }
 }
 
 static double
-waited (const World *world, const SimJob *job)
+waited (const SimCluster *cluster, const SimJob *job)
 {
-  return (job->first > 0 ? job->first : world->now) - job->accepted_at;
+  return (job->first_run_at > 0 ? job->first_run_at : cluster->now) - job->accepted_at;
 }
 
 /* Far more work than the limit lets run: machines are rented for what may start, and are not
@@ -72,14 +72,14 @@
   const guint needed = LIMIT_GPUS / MACHINE_GPUS;
   guint broken = 0;
   for (guint32 incarnation = 1200; incarnation < 1204; incarnation++) {
-    World *world = world_with_limit (incarnation, LIMIT_GPUS);
-    limits_submit (world, work, G_N_ELEMENTS (work));
-    world_run (world, DAY_S);
-    check_done (world);
-    if (world->machines->len > 2 * needed)
-      w_broken (world, "rented", "%u machines where %u hold all that may run", world->machines->len,
-                needed);
-    broken += verdict (world, incarnation);
+    SimCluster *cluster = world_with_limit (incarnation, LIMIT_GPUS);
+    limits_submit (cluster, work, G_N_ELEMENTS (work));
+    sim_cluster_run (cluster, DAY_S);
+    check_done (cluster);
+    if (cluster->machines->len > 2 * needed)
+      sim_report_violation (cluster, "rented", "%u machines where %u hold all that may run",
+                            cluster->machines->len, needed);
+    broken += verdict (cluster, incarnation);
   }
   assert_int_equal (broken, 0);
 }
@@ -94,15 +94,16 @@
   for (guint i = 0; i < G_N_ELEMENTS (work); i++)
     work[i] = (HrLimitJob){5 + 4 * i, HR_SERVICE, 4, 0, NULL, 0, FALSE, NULL};
   for (guint32 incarnation = 1260; incarnation < 1264; incarnation++) {
-    World *world = world_with_limit (incarnation, LIMIT_GPUS);
-    limits_submit (world, work, G_N_ELEMENTS (work));
-    world_run (world, 200);
+    SimCluster *cluster = world_with_limit (incarnation, LIMIT_GPUS);
+    limits_submit (cluster, work, G_N_ELEMENTS (work));
+    sim_cluster_run (cluster, 200);
     guint up = 0;
-    for (guint i = 0; i < world->machines->len; i++)
-      up += !((SimMachine *)world->machines->pdata[i])->gone;
+    for (guint i = 0; i < cluster->machines->len; i++)
+      up += !((SimMachine *)cluster->machines->pdata[i])->gone;
     if (up > needed + needed / 4)
-      w_broken (world, "rented", "%u machines are kept where %u hold all that may run", up, needed);
-    broken += verdict (world, incarnation);
+      sim_report_violation (cluster, "rented",
+                            "%u machines are kept where %u hold all that may run", up, needed);
+    broken += verdict (cluster, incarnation);
   }
   assert_int_equal (broken, 0);
 }
@@ -114,18 +115,18 @@
   static const HrLimitJob gang[] = {{60, HR_GANG, 6, 25, NULL, 0, TRUE, NULL}};
   guint broken = 0;
   for (guint32 incarnation = 1210; incarnation < 1214; incarnation++) {
-    World *world = world_with_limit (incarnation, LIMIT_GPUS / 2);
-    limits_stream (world, 5, 500, 4.5, 20);
-    limits_submit (world, gang, G_N_ELEMENTS (gang));
-    world_run (world, DAY_S);
-    check_done (world);
-    for (guint i = 0; i < world->jobs->len; i++) {
-      SimJob *job = world->jobs->pdata[i];
-      if (waited (world, job) > (job->large ? 180 : 240))
-        w_broken (world, "starved", "%s of %u tasks begins after %.0f s", job->id, job->tasks,
-                  waited (world, job));
+    SimCluster *cluster = world_with_limit (incarnation, LIMIT_GPUS / 2);
+    limits_stream (cluster, 5, 500, 4.5, 20);
+    limits_submit (cluster, gang, G_N_ELEMENTS (gang));
+    sim_cluster_run (cluster, DAY_S);
+    check_done (cluster);
+    for (guint i = 0; i < cluster->jobs->len; i++) {
+      SimJob *job = cluster->jobs->pdata[i];
+      if (waited (cluster, job) > (job->large ? 180 : 240))
+        sim_report_violation (cluster, "starved", "%s of %u tasks begins after %.0f s", job->id,
+                              job->tasks, waited (cluster, job));
     }
-    broken += verdict (world, incarnation);
+    broken += verdict (cluster, incarnation);
   }
   assert_int_equal (broken, 0);
 }
@@ -144,30 +145,31 @@
   };
   guint broken = 0;
   for (guint32 incarnation = 1220; incarnation < 1224; incarnation++) {
-    World *world = world_with_limit (incarnation, LIMIT_GPUS);
-    limits_submit (world, work, G_N_ELEMENTS (work));
-    world_run (world, 1500);
-    check_done (world);
+    SimCluster *cluster = world_with_limit (incarnation, LIMIT_GPUS);
+    limits_submit (cluster, work, G_N_ELEMENTS (work));
+    sim_cluster_run (cluster, 1500);
+    check_done (cluster);
     for (guint i = 1; i < 5; i++)
-      if (waited (world, limits_job (world, i)) > 45)
-        w_broken (world, "order", "%s, of a higher rank, begins after %.0f s",
-                  limits_job (world, i)->id, waited (world, limits_job (world, i)));
-    if (limits_job (world, 4)->done_at > limits_job (world, 3)->done_at)
-      w_broken (world, "order", "the later deadline is done first");
-    broken += verdict (world, incarnation);
+      if (waited (cluster, limits_job (cluster, i)) > 45)
+        sim_report_violation (cluster, "order", "%s, of a higher rank, begins after %.0f s",
+                              limits_job (cluster, i)->id,
+                              waited (cluster, limits_job (cluster, i)));
+    if (limits_job (cluster, 4)->done_at > limits_job (cluster, 3)->done_at)
+      sim_report_violation (cluster, "order", "the later deadline is done first");
+    broken += verdict (cluster, incarnation);
   }
   assert_int_equal (broken, 0);
 }
 
 /* How many starts of the job's tasks were recorded. */
 static guint
-attempts (const World *world, const SimJob *job)
+attempts (const SimCluster *cluster, const SimJob *job)
 {
   g_autofree char *prefix = g_strdup_printf ("%s/", job->id);
   GHashTableIter iter;
   gpointer key;
   guint n = 0;
-  g_hash_table_iter_init (&iter, world->assigned);
+  g_hash_table_iter_init (&iter, cluster->assignment_recorders);
   while (g_hash_table_iter_next (&iter, &key, NULL))
     n += g_str_has_prefix (key, prefix);
   return n;
@@ -187,15 +189,15 @@
   const guint short_tasks = 60;
   guint broken = 0;
   for (guint32 incarnation = 1270; incarnation < 1276; incarnation++) {
-    World *world = world_with_limit (incarnation, LIMIT_GPUS / 2);
-    limits_submit (world, work, G_N_ELEMENTS (work));
-    world_run (world, 1500);
-    check_done (world);
+    SimCluster *cluster = world_with_limit (incarnation, LIMIT_GPUS / 2);
+    limits_submit (cluster, work, G_N_ELEMENTS (work));
+    sim_cluster_run (cluster, 1500);
+    check_done (cluster);
     /* Of the short work alone: a gang that loses a machine begins anew with all its tasks. */
-    guint starts = attempts (world, limits_job (world, 3));
+    guint starts = attempts (cluster, limits_job (cluster, 3));
     if (starts > short_tasks + short_tasks / 4)
-      w_broken (world, "churn", "%u starts of %u short tasks", starts, short_tasks);
-    broken += verdict (world, incarnation);
+      sim_report_violation (cluster, "churn", "%u starts of %u short tasks", starts, short_tasks);
+    broken += verdict (cluster, incarnation);
   }
   assert_int_equal (broken, 0);
 }
@@ -211,17 +213,18 @@
   };
   guint broken = 0;
   for (guint32 incarnation = 1230; incarnation < 1234; incarnation++) {
-    World *world = world_with_limit (incarnation, LIMIT_GPUS);
-    world->capacity = 6;
-    limits_submit (world, work, G_N_ELEMENTS (work));
-    world_run (world, DAY_S);
-    for (guint i = 0; i < world->jobs->len; i++) {
-      SimJob *job = world->jobs->pdata[i];
-      if (!job->large && waited (world, job) > 90)
-        w_broken (world, "idle", "%s waits %.0f s beside a machine with room, under the limit",
-                  job->id, waited (world, job));
+    SimCluster *cluster = world_with_limit (incarnation, LIMIT_GPUS);
+    cluster->capacity = 6;
+    limits_submit (cluster, work, G_N_ELEMENTS (work));
+    sim_cluster_run (cluster, DAY_S);
+    for (guint i = 0; i < cluster->jobs->len; i++) {
+      SimJob *job = cluster->jobs->pdata[i];
+      if (!job->large && waited (cluster, job) > 90)
+        sim_report_violation (cluster, "idle",
+                              "%s waits %.0f s beside a machine with room, under the limit",
+                              job->id, waited (cluster, job));
     }
-    broken += verdict (world, incarnation);
+    broken += verdict (cluster, incarnation);
   }
   assert_int_equal (broken, 0);
 }
@@ -239,20 +242,20 @@
   };
   guint broken = 0;
   for (guint32 incarnation = 1250; incarnation < 1254; incarnation++) {
-    World *world = world_new (incarnation, 3);
-    world->guarantee_gpus = 8;
-    world->capacity = 2;
-    world_restart (world);
-    users_init (world, 0, 0);
-    limits_submit (world, work, G_N_ELEMENTS (work));
-    world_run (world, DAY_S);
-    for (guint i = 0; i < world->jobs->len; i++) {
-      SimJob *job = world->jobs->pdata[i];
-      if (!job->large && waited (world, job) > 90)
-        w_broken (world, "idle", "%s waits %.0f s beside a machine with room", job->id,
-                  waited (world, job));
+    SimCluster *cluster = sim_cluster_new (incarnation, 3);
+    cluster->guarantee_gpus = 8;
+    cluster->capacity = 2;
+    sim_cluster_restart_nodes (cluster);
+    users_init (cluster, 0, 0);
+    limits_submit (cluster, work, G_N_ELEMENTS (work));
+    sim_cluster_run (cluster, DAY_S);
+    for (guint i = 0; i < cluster->jobs->len; i++) {
+      SimJob *job = cluster->jobs->pdata[i];
+      if (!job->large && waited (cluster, job) > 90)
+        sim_report_violation (cluster, "idle", "%s waits %.0f s beside a machine with room",
+                              job->id, waited (cluster, job));
     }
-    broken += verdict (world, incarnation);
+    broken += verdict (cluster, incarnation);
   }
   assert_int_equal (broken, 0);
 }
@@ -281,13 +284,13 @@
   };
   guint broken = 0;
   for (guint32 incarnation = 1240; incarnation < 1248; incarnation++) {
-    World *world = world_with_limit (incarnation, LIMIT_GPUS);
-    users_probe (world);
-    limits_submit (world, work, G_N_ELEMENTS (work));
-    troubles_plan (world, day, G_N_ELEMENTS (day));
-    world_run (world, DAY_S);
-    check_done (world);
-    broken += verdict (world, incarnation);
+    SimCluster *cluster = world_with_limit (incarnation, LIMIT_GPUS);
+    users_probe (cluster);
+    limits_submit (cluster, work, G_N_ELEMENTS (work));
+    troubles_plan (cluster, day, G_N_ELEMENTS (day));
+    sim_cluster_run (cluster, DAY_S);
+    check_done (cluster);
+    broken += verdict (cluster, incarnation);
   }
   assert_int_equal (broken, 0);
 }
--- a/tests/test_pairs.c
+++ b/tests/test_pairs.c
@@ -11,7 +11,7 @@
 #include "sim/fault_scenario.h"
 #include "sim/log.h"
 #include "sim/user.h"
-#include "sim/world.h"
+#include "sim/cluster.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -72,33 +72,33 @@
   return day;
 }
 
-/* Returns the world at the day's end, to be freed. */
-static World *
+/* Returns the cluster at the day's end, to be freed. */
+static SimCluster *
 play (const Day *day)
 {
-  World *world = world_new (day->seed, day->seed % 3 == 2 ? 5 : 3);
-  users_init (world, 40, 260);
-  users_probe (world);
-  troubles_plan (world, day->troubles, day->n);
-  world_run (world, DAY_S);
-  for (guint i = 0; i < world->jobs->len; i++) {
-    const SimJob *job = world->jobs->pdata[i];
+  SimCluster *cluster = sim_cluster_new (day->seed, day->seed % 3 == 2 ? 5 : 3);
+  users_init (cluster, 40, 260);
+  users_probe (cluster);
+  troubles_plan (cluster, day->troubles, day->n);
+  sim_cluster_run (cluster, DAY_S);
+  for (guint i = 0; i < cluster->jobs->len; i++) {
+    const SimJob *job = cluster->jobs->pdata[i];
     if (!job->accepted)
-      w_broken (world, "liveness", "%s was never accepted", job->id);
-    else if (job->asked_cancel && !job->told_cancelled && !job->told_done)
-      w_broken (world, "liveness", "%s was not withdrawn", job->id);
-    else if (!job->asked_cancel && job->shape != HR_SERVICE && !job->told_done)
-      w_broken (world, "liveness", "%s is not done", job->id);
+      sim_report_violation (cluster, "liveness", "%s was never accepted", job->id);
+    else if (job->cancel_requested && !job->cancelled_reply_at && !job->done_reply_at)
+      sim_report_violation (cluster, "liveness", "%s was not withdrawn", job->id);
+    else if (!job->cancel_requested && job->shape != HR_SERVICE && !job->done_reply_at)
+      sim_report_violation (cluster, "liveness", "%s is not done", job->id);
   }
-  return world;
+  return cluster;
 }
 
 static gboolean
 breaks (const Day *day)
 {
-  World *world = play (day);
-  gboolean broken = world->broken->len > 0;
-  world_free (world);
+  SimCluster *cluster = play (day);
+  gboolean broken = cluster->violations->len > 0;
+  sim_cluster_free (cluster);
   return broken;
 }
 
@@ -153,10 +153,10 @@
 }
 
 static void
-print_broken (const World *world)
+print_broken (const SimCluster *cluster)
 {
-  for (guint i = 0; i < MIN (world->broken->len, 8); i++)
-    fprintf (stderr, "broken: %s\n", (char *)world->broken->pdata[i]);
+  for (guint i = 0; i < MIN (cluster->violations->len, 8); i++)
+    fprintf (stderr, "broken: %s\n", (char *)cluster->violations->pdata[i]);
 }
 
 /* ---- the search ---- */
@@ -165,11 +165,11 @@
 
 /* Both took effect on something that day. */
 static void
-note_met (const World *world, const Day *day)
+note_met (const SimCluster *cluster, const Day *day)
 {
   for (guint i = 0; i + 1 < day->n; i += 2) {
     HrTroubleKind first = day->troubles[i].kind, second = day->troubles[i + 1].kind;
-    if (world->troubles.played[first] && world->troubles.played[second]) {
+    if (cluster->troubles.played[first] && cluster->troubles.played[second]) {
       met[first][second]++;
       if (first != second)
         met[second][first]++;
@@ -197,14 +197,14 @@
 search_day (guint number)
 {
   Day day = draw_day (number);
-  World *world = play (&day);
-  gboolean broken = world->broken->len > 0;
-  note_met (world, &day);
+  SimCluster *cluster = play (&day);
+  gboolean broken = cluster->violations->len > 0;
+  note_met (cluster, &day);
   if (broken) {
     fprintf (stderr, "day %u breaks a rule:\n", number);
-    print_broken (world);
+    print_broken (cluster);
   }
-  world_free (world);
+  sim_cluster_free (cluster);
   if (broken) {
     Day least = shrink (day);
     fprintf (stderr, "with these troubles alone (test_pairs replay FILE):\n");
@@ -263,10 +263,10 @@
   if (argc == 3 && g_str_equal (argv[1], "replay")) {
     if (!read_day (argv[2], &day))
       return 2;
-    World *world = play (&day);
-    guint broken = world->broken->len;
-    print_broken (world);
-    world_free (world);
+    SimCluster *cluster = play (&day);
+    guint broken = cluster->violations->len;
+    print_broken (cluster);
+    sim_cluster_free (cluster);
     printf ("%u rules broken\n", broken);
     return broken > 0;
   }
--- a/tests/test_pipelines.c
+++ b/tests/test_pipelines.c
@@ -19,41 +19,44 @@
 #define DAY_ENDS 800
 
 static guint
-verdict (World *world, guint32 seed)
+verdict (SimCluster *cluster, guint32 seed)
 {
-  for (guint i = 0; i < MIN (world->broken->len, 12); i++)
-    fprintf (stderr, "seed %u: %s\n", seed, (char *)world->broken->pdata[i]);
+  for (guint i = 0; i < MIN (cluster->violations->len, 12); i++)
+    fprintf (stderr, "seed %u: %s\n", seed, (char *)cluster->violations->pdata[i]);
   if (g_getenv ("HR_SIM_VERBOSE"))
-    fprintf (stderr, "seed %u: %u jobs, %u starts, %u machines\n", seed, world->jobs->len,
-             world->starts, world->machines->len);
-  guint broken = world->broken->len;
-  world_free (world);
+    fprintf (stderr, "seed %u: %u jobs, %u starts, %u machines\n", seed, cluster->jobs->len,
+             cluster->task_starts, cluster->machines->len);
+  guint broken = cluster->violations->len;
+  sim_cluster_free (cluster);
   return broken;
 }
 
 static guint
-play (World *world, guint32 seed, guint faults, gboolean shock)
+play (SimCluster *cluster, guint32 seed, guint faults, gboolean shock)
 {
   const PipelineDay day = {25, 3, 250, 0.6, shock};
-  users_pipelines (world, &day);
-  users_probe (world);
-  faults_init (world, faults, 20, CALM_AT);
-  world_run (world, DAY_ENDS);
+  users_pipelines (cluster, &day);
+  users_probe (cluster);
+  faults_init (cluster, faults, 20, CALM_AT);
+  sim_cluster_run (cluster, DAY_ENDS);
   guint cancelled = 0, done = 0;
-  for (guint i = 0; i < world->jobs->len; i++) {
-    const SimJob *job = world->jobs->pdata[i];
-    cancelled += job->told_cancelled && !job->asked_cancel;
-    done += job->told_done && job->awaits->len;
+  for (guint i = 0; i < cluster->jobs->len; i++) {
+    const SimJob *job = cluster->jobs->pdata[i];
+    cancelled += job->cancelled_reply_at && !job->cancel_requested;
+    done += job->done_reply_at && job->awaits->len;
   }
   /* A day on which nothing was taken along, or nothing came after another, shows nothing. */
   if (cancelled < 4 || done < 20)
-    w_broken (world, "day", "%u jobs were taken along, %u are done after others", cancelled, done);
-  pipelines_verdict (world);
-  if (world->limits_fall > 0 && store_large (world))
-    w_broken (world, "large", "%u records are too large", store_large (world));
-  if (store_garbage (world))
-    w_broken (world, "garbage", "%u pages of final jobs are kept", store_garbage (world));
-  return verdict (world, seed);
+    sim_report_violation (cluster, "day", "%u jobs were taken along, %u are done after others",
+                          cancelled, done);
+  pipelines_verdict (cluster);
+  if (cluster->limits_drop_at > 0 && store_count_oversized_records (cluster))
+    sim_report_violation (cluster, "large", "%u records are too large",
+                          store_count_oversized_records (cluster));
+  if (store_count_obsolete_pages (cluster))
+    sim_report_violation (cluster, "garbage", "%u pages of final jobs are kept",
+                          store_count_obsolete_pages (cluster));
+  return verdict (cluster, seed);
 }
 
 static void
@@ -61,7 +64,7 @@
 {
   guint broken = 0;
   for (guint seed = 2000; seed < 2003; seed++)
-    broken += play (world_new (seed, 3), seed, 0, FALSE);
+    broken += play (sim_cluster_new (seed, 3), seed, 0, FALSE);
   assert_int_equal (broken, 0);
 }
 
@@ -70,7 +73,7 @@
 {
   guint broken = 0;
   for (guint seed = 2010; seed < 2026; seed++)
-    broken += play (world_new (seed, 3), seed, 6, FALSE);
+    broken += play (sim_cluster_new (seed, 3), seed, 6, FALSE);
   assert_int_equal (broken, 0);
 }
 
@@ -80,9 +83,9 @@
 {
   guint broken = 0;
   for (guint seed = 2030; seed < 2036; seed++) {
-    World *world = world_new (seed, 3);
-    faults_leaders (world, 25, CALM_AT);
-    broken += play (world, seed, 0, FALSE);
+    SimCluster *cluster = sim_cluster_new (seed, 3);
+    faults_leaders (cluster, 25, CALM_AT);
+    broken += play (cluster, seed, 0, FALSE);
   }
   assert_int_equal (broken, 0);
 }
@@ -93,7 +96,7 @@
 {
   guint broken = 0;
   for (guint seed = 2040; seed < 2050; seed++)
-    broken += play (world_new (seed, 3), seed, seed % 2 ? 3 : 0, TRUE);
+    broken += play (sim_cluster_new (seed, 3), seed, seed % 2 ? 3 : 0, TRUE);
   assert_int_equal (broken, 0);
 }
 
@@ -102,10 +105,10 @@
 {
   guint broken = 0;
   for (guint seed = 2050; seed < 2054; seed++) {
-    World *world = world_new (seed, 3);
-    world->quota_gpus = 3;
-    world_restart (world);
-    broken += play (world, seed, 3, FALSE);
+    SimCluster *cluster = sim_cluster_new (seed, 3);
+    cluster->quota_gpus = 3;
+    sim_cluster_restart_nodes (cluster);
+    broken += play (cluster, seed, 3, FALSE);
   }
   assert_int_equal (broken, 0);
 }
@@ -115,7 +118,7 @@
 {
   guint broken = 0;
   for (guint seed = 2060; seed < 2066; seed++)
-    broken += play (world_new (seed, seed % 2 ? 5 : 1), seed, 4, seed % 3 == 0);
+    broken += play (sim_cluster_new (seed, seed % 2 ? 5 : 1), seed, 4, seed % 3 == 0);
   assert_int_equal (broken, 0);
 }
 
@@ -127,18 +130,18 @@
 play_upgrade (guint32 seed, int nodes)
 {
   static const double fall_after_turn[] = {-4, 0.1, 2, 8};
-  World *world = world_new (seed, nodes);
-  world->capacity = 101;
-  world->long_names = TRUE;
+  SimCluster *cluster = sim_cluster_new (seed, nodes);
+  cluster->capacity = 101;
+  cluster->long_names = TRUE;
   if (seed % 4) {
-    store_format (world, FALSE);
-    world_restart (world);
+    store_set_format (cluster, FALSE);
+    sim_cluster_restart_nodes (cluster);
   }
-  double last = upgrade_roll (world, 60, seed % 2 ? 12 : 25, 4);
-  upgrade_limits_fall (world, last + fall_after_turn[seed % G_N_ELEMENTS (fall_after_turn)]);
+  double last = upgrade_roll (cluster, 60, seed % 2 ? 12 : 25, 4);
+  upgrade_limits_fall (cluster, last + fall_after_turn[seed % G_N_ELEMENTS (fall_after_turn)]);
   if (seed % 3 == 0)
-    faults_leaders (world, 20, CALM_AT);
-  return play (world, seed, seed % 3, FALSE);
+    faults_leaders (cluster, 20, CALM_AT);
+  return play (cluster, seed, seed % 3, FALSE);
 }
 
 static void
@@ -157,8 +160,8 @@
   if (argc == 4) { /* a sweep by hand: test_pipelines FROM TO FAULTS */
     guint broken = 0;
     for (int incarnation = atoi (argv[1]); incarnation < atoi (argv[2]); incarnation++)
-      broken +=
-          play (world_new (incarnation, 3), incarnation, atoi (argv[3]), incarnation % 3 == 0);
+      broken += play (sim_cluster_new (incarnation, 3), incarnation, atoi (argv[3]),
+                      incarnation % 3 == 0);
     return broken != 0;
   }
   static const char *const parts[] = {"quiet", "troubles", "owners", "shock",
--- a/tests/test_readiness.c
+++ b/tests/test_readiness.c
@@ -34,11 +34,11 @@
   HrJob *job = hr_job_find (&n->core->store.tables, "job-3");
   assert_false (job->run.arrival_counted);
   double since = n->now;
-  fake_store_done (store, "job-2");
+  fake_store_finish_job (store, "job-2");
   single_node_run (n, 2);
   assert_false (single_node_lists_open (n, "job-3"));
   single_node_run (n, 40);
-  fake_store_done (store, "job-1");
+  fake_store_finish_job (store, "job-1");
   single_node_run (n, 2);
   assert_true (single_node_lists_open (n, "job-3"));
   assert_true (job->run.arrival_counted); /* it arrives now */
@@ -60,7 +60,7 @@
   assert_int_equal (single_node_submit (n, "job-2", "[\"job-1\"]", NULL), 201);
   HrJob *first = hr_job_find (&n->core->store.tables, "job-1"),
         *second = hr_job_find (&n->core->store.tables, "job-2");
-  HrMachine *machine = single_node_machine (n);
+  HrMachine *machine = single_node_add_machine (n);
   for (guint i = 0; i < first->n_tasks; i++)
     hr_task_assign (n->core, first, i, machine, 1);
   single_node_run (n, 1);
@@ -90,8 +90,8 @@
     assert_int_equal (single_node_submit (n, "job-1", NULL, NULL), 201);
     assert_int_equal (single_node_submit (n, "job-2", "[\"job-1\"]", NULL), 201);
     assert_int_equal (single_node_submit (n, "job-3", "[\"job-2\"]", NULL), 201);
-    fake_store_done (store, "job-1");
-    store->backwards = k;
+    fake_store_finish_job (store, "job-1");
+    store->newest_first = k;
     SingleNode *other = single_node_new (store, "");
     single_node_run (other, 5);
     for (guint again = 0; again < 2; again++) {
@@ -114,7 +114,7 @@
   FakeStore *store = fake_store_new ();
   SingleNode *n = single_node_leading (store);
   assert_int_equal (single_node_submit (n, "job-1", NULL, NULL), 201);
-  json_t *object = json_loads (fake_store_job (store, "job-1"), 0, NULL);
+  json_t *object = json_loads (fake_store_job_record (store, "job-1"), 0, NULL);
   json_object_set_new (object, "a", json_pack ("[s]", "job-77"));
   g_autofree char *text = hr_json_take_text (object);
   store->epoch++;
@@ -123,7 +123,7 @@
   assert_false (single_node_lists_open (n, "job-2"));
   assert_string_equal (single_node_poll (n, "job-2"), "queued");
   assert_string_equal (single_node_poll (n, "job-77"), "unknown");
-  fake_store_done (store, "job-77");
+  fake_store_finish_job (store, "job-77");
   single_node_run (n, 2);
   assert_true (single_node_lists_open (n, "job-2"));
   single_node_free (n);
@@ -135,7 +135,7 @@
 static HrTask *
 misplace (SingleNode *n, HrJob *job)
 {
-  hr_task_assign (n->core, job, 0, single_node_machine (n), 1);
+  hr_task_assign (n->core, job, 0, single_node_add_machine (n), 1);
   return &job->tasks[0];
 }
 
@@ -151,12 +151,12 @@
   const HrTask *task = misplace (n, job);
   single_node_run (n, 3);
   assert_int_equal (task->state, HR_TASK_ASSIGNING);
-  assert_null (strstr (fake_store_job (store, "job-2"), "m-1"));
-  fake_store_done (store, "job-1");
+  assert_null (strstr (fake_store_job_record (store, "job-2"), "m-1"));
+  fake_store_finish_job (store, "job-1");
   single_node_run (n, 1);
   hr_record_writer_mark (&n->core->store, job, 0);
   single_node_run (n, 1);
-  assert_non_null (strstr (fake_store_job (store, "job-2"), "m-1"));
+  assert_non_null (strstr (fake_store_job_record (store, "job-2"), "m-1"));
   single_node_free (n);
   fake_store_free (store);
 }
@@ -185,7 +185,7 @@
   task->state = HR_TASK_BOUND;
   assert_int_equal (orders (n, 1), 0);
   assert_int_equal (orders (n, 2), 0);
-  fake_store_done (store, "job-1");
+  fake_store_finish_job (store, "job-1");
   single_node_run (n, 1);
   assert_true (orders (n, 3) > 0); /* its other task is planned by now, too */
   single_node_free (n);
@@ -331,7 +331,7 @@
     submit_drawn (n, &drawn);
     check_drawn (n, &drawn, gone);
     /* A later leader derives the same, whatever the order in which it reads. */
-    store->backwards = round % 2;
+    store->newest_first = round % 2;
     hr_replica_reset (&n->core->store);
     single_node_run (n, 3);
     check_drawn (n, &drawn, gone);
@@ -384,7 +384,7 @@
   FakeStore *store = fake_store_new ();
   SingleNode *n = single_node_leading (store);
   assert_int_equal (single_node_submit (n, "job-1", NULL, LAST_STEP), 201);
-  g_autofree char *record = g_strdup (fake_store_job (store, "job-1"));
+  g_autofree char *record = g_strdup (fake_store_job_record (store, "job-1"));
   for (guint i = 0; i < G_N_ELEMENTS (ids); i++) {
     json_t *object = json_loads (record, 0, NULL);
     json_object_set_new (object, "a", json_pack ("[s]", ids[(i + 1) % G_N_ELEMENTS (ids)]));
@@ -414,7 +414,7 @@
   assert_int_equal (single_node_submit (n, "job-1", NULL, NULL), 201);
   assert_int_equal (single_node_submit (n, "job-2", "[\"job-1\"]", NULL), 201);
   assert_int_equal (single_node_submit (n, "job-3", NULL, NULL), 201);
-  HrMachine *machine = single_node_machine (n);
+  HrMachine *machine = single_node_add_machine (n);
   static const char *const ids[] = {"job-1", "job-3"};
   for (guint i = 0; i < 4; i++)
     hr_task_assign (n->core, hr_job_find (&n->core->store.tables, ids[i / 2]), i % 2, machine, 1);
@@ -454,7 +454,7 @@
   hr_job_find (&n->core->store.tables, "job-1")->spec.cpus =
       12; /* the whole machine, for each task */
   hr_job_find (&n->core->store.tables, "job-2")->spec.cpus = 12;
-  const HrMachine *machine = single_node_machine (n);
+  const HrMachine *machine = single_node_add_machine (n);
   assert_string_equal (first_in_list (n, machine), "job-2");
   assert_int_equal (
       single_node_submit (n, "job-3", "[\"job-1\"]", ",\"due_s\":60,\"rank\":\"low\""), 201);
@@ -479,7 +479,7 @@
   SingleNode *n = single_node_leading (store);
   assert_int_equal (single_node_submit (n, "job-1", NULL, ",\"due_s\":900,\"rank\":\"low\""), 201);
   HrJob *job = hr_job_find (&n->core->store.tables, "job-1");
-  HrMachine *machine = single_node_machine (n);
+  HrMachine *machine = single_node_add_machine (n);
   job->spec.estimate_s = runs_s;
   for (guint i = 0; i < job->n_tasks; i++) {
     hr_task_assign (n->core, job, i, machine, 1);
--- a/tests/test_record_split.c
+++ b/tests/test_record_split.c
@@ -40,7 +40,7 @@
 static gboolean
 split (const FakeStore *store)
 {
-  return strstr (fake_store_job (store, JOB), "\"u\":1") != NULL;
+  return strstr (fake_store_job_record (store, JOB), "\"u\":1") != NULL;
 }
 
 static void
@@ -65,7 +65,7 @@
   store->epoch++;
   fake_store_set (store, MAIN, cancelled);
   single_node_run (n, 10);
-  assert_non_null (strstr (fake_store_job (store, JOB), "\"s\":2"));
+  assert_non_null (strstr (fake_store_job_record (store, JOB), "\"s\":2"));
   assert_true (split (store)); /* and the record is split all the same */
   single_node_free (n);
   fake_store_free (store);
@@ -83,7 +83,7 @@
   until_staged (n);
   single_node_run (n, 10);
   assert_true (split (store));
-  assert_non_null (strstr (fake_store_job (store, JOB), "\"s\":0"));
+  assert_non_null (strstr (fake_store_job_record (store, JOB), "\"s\":0"));
   single_node_free (n);
   fake_store_free (store);
 }
--- a/tests/test_sim.c
+++ b/tests/test_sim.c
@@ -7,7 +7,7 @@
 #include "sim/user.h"
 #include "sim/worker.h"
 #include "sim/workloads.h"
-#include "sim/world.h"
+#include "sim/cluster.h"
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -17,59 +17,61 @@
 
 /* What broke is shown, and counted. */
 static guint
-verdict (World *world, guint32 seed)
+verdict (SimCluster *cluster, guint32 seed)
 {
-  for (guint i = 0; i < MIN (world->broken->len, 12); i++)
-    fprintf (stderr, "seed %u: %s\n", seed, (char *)world->broken->pdata[i]);
+  for (guint i = 0; i < MIN (cluster->violations->len, 12); i++)
+    fprintf (stderr, "seed %u: %s\n", seed, (char *)cluster->violations->pdata[i]);
   if (g_getenv ("HR_SIM_VERBOSE"))
     fprintf (stderr, "seed %u: %u jobs, %u starts, %u machines, epoch %" G_GUINT64_FORMAT "\n",
-             seed, world->jobs->len, world->starts, world->machines->len, world->epoch);
-  guint broken = world->broken->len;
-  world_free (world);
+             seed, cluster->jobs->len, cluster->task_starts, cluster->machines->len,
+             cluster->epoch);
+  guint broken = cluster->violations->len;
+  sim_cluster_free (cluster);
   return broken;
 }
 
 /* No job may have stayed behind. */
 static guint
-check_end_of_day (World *world, guint32 seed)
-{
-  if (store_garbage (world))
-    w_broken (world, "garbage", "%u pages of final jobs are kept", store_garbage (world));
-  if (world->starts == 0)
-    w_broken (world, "nothing_ran", "no task was started");
-  for (guint i = 0; i < world->jobs->len; i++) {
-    SimJob *job = world->jobs->pdata[i];
+check_end_of_day (SimCluster *cluster, guint32 seed)
+{
+  if (store_count_obsolete_pages (cluster))
+    sim_report_violation (cluster, "garbage", "%u pages of final jobs are kept",
+                          store_count_obsolete_pages (cluster));
+  if (cluster->task_starts == 0)
+    sim_report_violation (cluster, "nothing_ran", "no task was started");
+  for (guint i = 0; i < cluster->jobs->len; i++) {
+    SimJob *job = cluster->jobs->pdata[i];
     if (!job->accepted)
-      w_broken (world, "liveness", "%s was never accepted", job->id);
-    else if (job->asked_cancel && !job->told_cancelled && !job->told_done)
-      w_broken (world, "liveness", "%s was not withdrawn", job->id);
-    else if (!job->asked_cancel && job->shape != HR_SERVICE && !job->told_done)
-      w_broken (world, "liveness", "%s (%d, %u tasks) is not done", job->id, job->shape,
-                job->tasks);
-    else if (!job->asked_cancel && job->shape == HR_SERVICE && !job->started)
-      w_broken (world, "liveness", "%s never ran", job->id);
+      sim_report_violation (cluster, "liveness", "%s was never accepted", job->id);
+    else if (job->cancel_requested && !job->cancelled_reply_at && !job->done_reply_at)
+      sim_report_violation (cluster, "liveness", "%s was not withdrawn", job->id);
+    else if (!job->cancel_requested && job->shape != HR_SERVICE && !job->done_reply_at)
+      sim_report_violation (cluster, "liveness", "%s (%d, %u tasks) is not done", job->id,
+                            job->shape, job->tasks);
+    else if (!job->cancel_requested && job->shape == HR_SERVICE && !job->started)
+      sim_report_violation (cluster, "liveness", "%s never ran", job->id);
   }
-  return verdict (world, seed);
+  return verdict (cluster, seed);
 }
 
 static guint
-play_on (World *world, guint32 seed, guint faults, double quota, double per_part)
+play_on (SimCluster *cluster, guint32 seed, guint faults, double quota, double per_part)
 {
-  world->quota_gpus = quota;
-  world->machines_per_part = per_part;
+  cluster->quota_gpus = quota;
+  cluster->machines_per_part = per_part;
   if (quota > 0 || per_part > 0)
-    world_restart (world);
-  users_init (world, 40, 300);
-  users_probe (world);
-  faults_init (world, faults, 30, 320);
-  world_run (world, 1000);
-  return check_end_of_day (world, seed);
+    sim_cluster_restart_nodes (cluster);
+  users_init (cluster, 40, 300);
+  users_probe (cluster);
+  faults_init (cluster, faults, 30, 320);
+  sim_cluster_run (cluster, 1000);
+  return check_end_of_day (cluster, seed);
 }
 
 static guint
 play (guint32 seed, guint faults, double quota, double per_part)
 {
-  return play_on (world_new (seed, 3), seed, faults, quota, per_part);
+  return play_on (sim_cluster_new (seed, 3), seed, faults, quota, per_part);
 }
 
 static void
@@ -116,7 +118,7 @@
 {
   guint broken = 0;
   for (guint seed = 600; seed < 612; seed++)
-    broken += play_on (world_new (seed, seed % 2 ? 5 : 1), seed, 5, 0, 0);
+    broken += play_on (sim_cluster_new (seed, seed % 2 ? 5 : 1), seed, 5, 0, 0);
   assert_int_equal (broken, 0);
 }
 
@@ -127,10 +129,10 @@
 {
   guint broken = 0;
   for (guint seed = 800; seed < 806; seed++) {
-    World *world = world_new (seed, seed % 2 ? 3 : 1);
-    faults_inbound_cut (world, 60);
-    faults_inbound_cut (world, 150);
-    broken += play_on (world, seed, 0, 0, 0);
+    SimCluster *cluster = sim_cluster_new (seed, seed % 2 ? 3 : 1);
+    faults_inbound_cut (cluster, 60);
+    faults_inbound_cut (cluster, 150);
+    broken += play_on (cluster, seed, 0, 0, 0);
   }
   assert_int_equal (broken, 0);
 }
@@ -140,9 +142,9 @@
 {
   guint broken = 0;
   for (guint seed = 850; seed < 856; seed++) {
-    World *world = world_new (seed, 3);
-    faults_held_cut (world, 150);
-    broken += play_on (world, seed, 0, 0, 0);
+    SimCluster *cluster = sim_cluster_new (seed, 3);
+    faults_held_cut (cluster, 150);
+    broken += play_on (cluster, seed, 0, 0, 0);
   }
   assert_int_equal (broken, 0);
 }
@@ -154,14 +156,14 @@
 {
   guint broken = 0;
   for (guint seed = 870; seed < 884; seed++) {
-    World *world = world_new (seed, seed % 2 ? 3 : 5);
+    SimCluster *cluster = sim_cluster_new (seed, seed % 2 ? 3 : 5);
     if (seed < 874)
-      faults_cut_from_store (world, 150);
+      faults_cut_from_store (cluster, 150);
     else
-      faults_missed_cancellation (world, 150, seed < 877);
+      faults_missed_cancellation (cluster, 150, seed < 877);
     if (seed >= 880) /* on waking it hears first what its members said before the cancellation */
-      faults_freeze (world, 147.5, FREEZE_LEADER, 12);
-    broken += play_on (world, seed, 0, 0, 0);
+      faults_freeze (cluster, 147.5, FREEZE_LEADER, 12);
+    broken += play_on (cluster, seed, 0, 0, 0);
   }
   assert_int_equal (broken, 0);
 }
@@ -173,29 +175,31 @@
 {
   guint broken = 0;
   for (guint seed = 1100; seed < 1110; seed++) {
-    World *world = world_new (seed, seed % 2 ? 3 : 5);
-    faults_cancellation_gap (world, 120);
-    faults_cancellation_gap (world, 220);
+    SimCluster *cluster = sim_cluster_new (seed, seed % 2 ? 3 : 5);
+    faults_cancellation_gap (cluster, 120);
+    faults_cancellation_gap (cluster, 220);
     if (seed >= 1106) {
-      world->fickle = TRUE;
-      world->late_orders = 0.1;
+      cluster->cancels_most_jobs = TRUE;
+      cluster->late_order_share = 0.1;
     }
-    broken += play_on (world, seed, 0, 0, 0);
+    broken += play_on (cluster, seed, 0, 0, 0);
   }
   assert_int_equal (broken, 0);
 }
 
 static guint
-play_services (World *world, guint32 seed)
+play_services (SimCluster *cluster, guint32 seed)
 {
-  world->capacity = 100;
-  world->loss = world->dup = 0; /* a report lost here and there would cost single machines */
-  users_services (world, 16, 3, 2);
-  world_run (world, 320);
-  for (guint i = 0; i < world->jobs->len; i++)
-    if (!((SimJob *)world->jobs->pdata[i])->started)
-      w_broken (world, "liveness", "%s never ran", ((SimJob *)world->jobs->pdata[i])->id);
-  return verdict (world, seed);
+  cluster->capacity = 100;
+  cluster->loss_share = cluster->duplicate_share =
+      0; /* a report lost here and there would cost single machines */
+  users_services (cluster, 16, 3, 2);
+  sim_cluster_run (cluster, 320);
+  for (guint i = 0; i < cluster->jobs->len; i++)
+    if (!((SimJob *)cluster->jobs->pdata[i])->started)
+      sim_report_violation (cluster, "liveness", "%s never ran",
+                            ((SimJob *)cluster->jobs->pdata[i])->id);
+  return verdict (cluster, seed);
 }
 
 /* Another owner is there, and nobody is served: by the members' attestation the earlier one would
@@ -205,9 +209,9 @@
 {
   guint broken = 0;
   for (guint seed = 1080; seed < 1088; seed++) {
-    World *world = world_new (seed, seed % 2 ? 3 : 5);
-    faults_two_leaders (world, 120);
-    broken += play_services (world, seed);
+    SimCluster *cluster = sim_cluster_new (seed, seed % 2 ? 3 : 5);
+    faults_two_leaders (cluster, 120);
+    broken += play_services (cluster, seed);
   }
   assert_int_equal (broken, 0);
 }
@@ -219,20 +223,20 @@
 {
   guint broken = 0;
   for (guint seed = 985; seed < 988; seed++) {
-    World *world = world_new (seed, 3);
-    users_gangs (world, 8, 40, 60);
-    users_oversized (world, 10);
-    world_run (world, 900);
-    for (guint i = 0; i < world->jobs->len; i++) {
-      SimJob *job = world->jobs->pdata[i];
-      if (job->tasks < 500 && !job->told_done)
-        w_broken (world, "liveness", "%s is not done", job->id);
-      if (!job->accepted || world->now - job->ok_at > 30)
-        w_broken (world, "forgotten", "%s is not answered", job->id);
+    SimCluster *cluster = sim_cluster_new (seed, 3);
+    users_gangs (cluster, 8, 40, 60);
+    users_oversized_gang (cluster, 10);
+    sim_cluster_run (cluster, 900);
+    for (guint i = 0; i < cluster->jobs->len; i++) {
+      SimJob *job = cluster->jobs->pdata[i];
+      if (job->tasks < 500 && !job->done_reply_at)
+        sim_report_violation (cluster, "liveness", "%s is not done", job->id);
+      if (!job->accepted || cluster->now - job->answered_at > 30)
+        sim_report_violation (cluster, "forgotten", "%s is not answered", job->id);
     }
-    if (world->machines->len > 7 * world->capacity)
-      w_broken (world, "rented", "%u machines", world->machines->len);
-    broken += verdict (world, seed);
+    if (cluster->machines->len > 7 * cluster->capacity)
+      sim_report_violation (cluster, "rented", "%u machines", cluster->machines->len);
+    broken += verdict (cluster, seed);
   }
   assert_int_equal (broken, 0);
 }
@@ -243,18 +247,20 @@
 {
   guint broken = 0;
   for (guint seed = 990; seed < 1000; seed++) {
-    World *world = world_new (seed, 3);
-    users_long_fetches (world, seed >= 994);
+    SimCluster *cluster = sim_cluster_new (seed, 3);
+    users_long_fetches (cluster, seed >= 994);
     if (seed >= 994) /* the next owner knows images from the records alone */
-      faults_leader_ends (world, 116.5);
-    world_run (world, 600);
-    for (guint i = 0; i < world->jobs->len; i++) {
-      SimJob *job = world->jobs->pdata[i];
-      if (!job->asked_cancel && (!job->told_done || job->first - job->accepted_at > 150))
-        w_broken (world, "liveness", "%s of %u tasks begins after %.0f s", job->id, job->tasks,
-                  (job->first ? job->first : world->now) - job->accepted_at);
+      faults_leader_ends (cluster, 116.5);
+    sim_cluster_run (cluster, 600);
+    for (guint i = 0; i < cluster->jobs->len; i++) {
+      SimJob *job = cluster->jobs->pdata[i];
+      if (!job->cancel_requested &&
+          (!job->done_reply_at || job->first_run_at - job->accepted_at > 150))
+        sim_report_violation (
+            cluster, "liveness", "%s of %u tasks begins after %.0f s", job->id, job->tasks,
+            (job->first_run_at ? job->first_run_at : cluster->now) - job->accepted_at);
     }
-    broken += verdict (world, seed);
+    broken += verdict (cluster, seed);
   }
   assert_int_equal (broken, 0);
 }
@@ -266,20 +272,20 @@
 {
   guint broken = 0, lost = 0, anew = 0;
   for (guint seed = 960; seed < 964; seed++) {
-    World *world = world_new (seed, 3);
-    world->gang_image = 8;
-    faults_lost_places (world, 5, 250);
-    users_gangs (world, 6, 5, 30);
-    world_run (world, 450);
-    for (guint i = 0; i < world->jobs->len; i++) {
-      SimJob *job = world->jobs->pdata[i];
+    SimCluster *cluster = sim_cluster_new (seed, 3);
+    cluster->gang_image_gb = 8;
+    faults_lost_places (cluster, 5, 250);
+    users_gangs (cluster, 6, 5, 30);
+    sim_cluster_run (cluster, 450);
+    for (guint i = 0; i < cluster->jobs->len; i++) {
+      SimJob *job = cluster->jobs->pdata[i];
       g_autofree char *again = g_strdup_printf ("%s/0/2", job->id);
       lost += job->lost_place;
-      if (!job->told_done)
-        w_broken (world, "liveness", "%s is not done", job->id);
-      anew += g_hash_table_contains (world->assigned, again);
+      if (!job->done_reply_at)
+        sim_report_violation (cluster, "liveness", "%s is not done", job->id);
+      anew += g_hash_table_contains (cluster->assignment_recorders, again);
     }
-    broken += verdict (world, seed);
+    broken += verdict (cluster, seed);
   }
   assert_int_equal (broken, 0);
   assert_true (lost >= 16);
@@ -292,10 +298,10 @@
 {
   guint broken = 0;
   for (guint seed = 900; seed < 908; seed++) {
-    World *world = world_new (seed, 3);
-    world->copies = 0.5;
-    faults_leaders (world, 40, 320);
-    broken += play_on (world, seed, 0, 0, 0);
+    SimCluster *cluster = sim_cluster_new (seed, 3);
+    cluster->late_copy_share = 0.5;
+    faults_leaders (cluster, 40, 320);
+    broken += play_on (cluster, seed, 0, 0, 0);
   }
   assert_int_equal (broken, 0);
 }
@@ -307,18 +313,19 @@
 {
   guint broken = 0;
   for (guint seed = 700; seed < 706; seed++) {
-    World *world = world_new (seed, 3);
-    world->capacity = 10;
-    users_stream (world, seed % 2 ? HR_GANG : HR_BATCH, 5, 500);
-    world_run (world, 1100);
-    for (guint i = 0; i < world->jobs->len; i++) {
-      SimJob *job = world->jobs->pdata[i];
-      if (!job->first || job->first - job->accepted_at > 240)
-        w_broken (world, "starved", "%s, %s of %u tasks, begins after %.0f s", job->id,
-                  job->large ? "large" : "small", job->tasks,
-                  (job->first ? job->first : world->now) - job->accepted_at);
+    SimCluster *cluster = sim_cluster_new (seed, 3);
+    cluster->capacity = 10;
+    users_gang_stream (cluster, seed % 2 ? HR_GANG : HR_BATCH, 5, 500);
+    sim_cluster_run (cluster, 1100);
+    for (guint i = 0; i < cluster->jobs->len; i++) {
+      SimJob *job = cluster->jobs->pdata[i];
+      if (!job->first_run_at || job->first_run_at - job->accepted_at > 240)
+        sim_report_violation (cluster, "starved", "%s, %s of %u tasks, begins after %.0f s",
+                              job->id, job->large ? "large" : "small", job->tasks,
+                              (job->first_run_at ? job->first_run_at : cluster->now) -
+                                  job->accepted_at);
     }
-    broken += verdict (world, seed);
+    broken += verdict (cluster, seed);
   }
   assert_int_equal (broken, 0);
 }
@@ -329,17 +336,19 @@
 {
   guint broken = 0;
   for (guint seed = 950; seed < 954; seed++) {
-    World *world = world_new (seed, 3);
+    SimCluster *cluster = sim_cluster_new (seed, 3);
     const guint gangs = 8;
-    world->capacity = 200;
-    users_gangs (world, gangs, 5, 25);
-    world_run (world, 400);
-    for (guint i = 0; i < world->jobs->len; i++)
-      if (!((SimJob *)world->jobs->pdata[i])->told_done)
-        w_broken (world, "liveness", "%s is not done", ((SimJob *)world->jobs->pdata[i])->id);
-    if (world->machines->len > 4 * gangs)
-      w_broken (world, "rented", "%u machines for %u gangs of two", world->machines->len, gangs);
-    broken += verdict (world, seed);
+    cluster->capacity = 200;
+    users_gangs (cluster, gangs, 5, 25);
+    sim_cluster_run (cluster, 400);
+    for (guint i = 0; i < cluster->jobs->len; i++)
+      if (!((SimJob *)cluster->jobs->pdata[i])->done_reply_at)
+        sim_report_violation (cluster, "liveness", "%s is not done",
+                              ((SimJob *)cluster->jobs->pdata[i])->id);
+    if (cluster->machines->len > 4 * gangs)
+      sim_report_violation (cluster, "rented", "%u machines for %u gangs of two",
+                            cluster->machines->len, gangs);
+    broken += verdict (cluster, seed);
   }
   assert_int_equal (broken, 0);
 }
@@ -350,11 +359,11 @@
 {
   guint broken = 0;
   for (guint seed = 500; seed < 512; seed++) {
-    World *world = world_new (seed, 3);
-    world->dup = 0.15;
-    world->loss = 0.06;
-    world->copies = 0.5;
-    broken += play_on (world, seed, 3, 0, 0);
+    SimCluster *cluster = sim_cluster_new (seed, 3);
+    cluster->duplicate_share = 0.15;
+    cluster->loss_share = 0.06;
+    cluster->late_copy_share = 0.5;
+    broken += play_on (cluster, seed, 3, 0, 0);
   }
   assert_int_equal (broken, 0);
 }
@@ -366,10 +375,10 @@
 {
   guint broken = 0;
   for (guint seed = 970; seed < 982; seed++) {
-    World *world = world_new (seed, 3);
-    world->late_orders = 0.3;
-    world->fickle = TRUE;
-    broken += play_on (world, seed, 0, 0, 0);
+    SimCluster *cluster = sim_cluster_new (seed, 3);
+    cluster->late_order_share = 0.3;
+    cluster->cancels_most_jobs = TRUE;
+    broken += play_on (cluster, seed, 0, 0, 0);
   }
   assert_int_equal (broken, 0);
 }
@@ -381,11 +390,11 @@
 {
   guint broken = 0;
   for (guint seed = 1100; seed < 1108; seed++) {
-    World *world = world_new (seed, 3);
-    world->late_orders = 0.5;
-    world->fickle = TRUE;
-    faults_changes_gone (world, 20, 300);
-    broken += play_on (world, seed, 0, 0, 0);
+    SimCluster *cluster = sim_cluster_new (seed, 3);
+    cluster->late_order_share = 0.5;
+    cluster->cancels_most_jobs = TRUE;
+    faults_changes_gone (cluster, 20, 300);
+    broken += play_on (cluster, seed, 0, 0, 0);
   }
   assert_int_equal (broken, 0);
 }
@@ -399,13 +408,13 @@
   static const double lengths[] = {2.5, 4.5, 9, 16, 25, 40};
   guint broken = 0;
   for (guint seed = 1000; seed < 1018; seed++) {
-    World *world = world_new (seed, seed % 3 == 2 ? 5 : 3);
+    SimCluster *cluster = sim_cluster_new (seed, seed % 3 == 2 ? 5 : 3);
     double for_s = lengths[seed % G_N_ELEMENTS (lengths)];
     FreezeWho who = seed / 6 % 3;
-    faults_freeze (world, 60, who, for_s);
-    faults_freeze (world, 60 + for_s + 0.6, who, for_s);
-    faults_freeze (world, 190, FREEZE_LEADER, for_s);
-    broken += play_on (world, seed, seed % 2 ? 3 : 0, 0, 0);
+    faults_freeze (cluster, 60, who, for_s);
+    faults_freeze (cluster, 60 + for_s + 0.6, who, for_s);
+    faults_freeze (cluster, 190, FREEZE_LEADER, for_s);
+    broken += play_on (cluster, seed, seed % 2 ? 3 : 0, 0, 0);
   }
   assert_int_equal (broken, 0);
 }
@@ -417,9 +426,9 @@
 {
   guint broken = 0;
   for (guint seed = 1030; seed < 1036; seed++) {
-    World *world = world_new (seed, seed % 2 ? 5 : 3);
-    faults_leader_unreached (world, 120, seed < 1033);
-    broken += play_services (world, seed);
+    SimCluster *cluster = sim_cluster_new (seed, seed % 2 ? 5 : 3);
+    faults_leader_unreached (cluster, 120, seed < 1033);
+    broken += play_services (cluster, seed);
   }
   assert_int_equal (broken, 0);
 }
@@ -430,9 +439,9 @@
 {
   guint broken = 0;
   for (guint seed = 1040; seed < 1046; seed++) {
-    World *world = world_new (seed, seed % 2 ? 5 : 3);
-    faults_half_gone (world, 120);
-    broken += play_services (world, seed);
+    SimCluster *cluster = sim_cluster_new (seed, seed % 2 ? 5 : 3);
+    faults_half_gone (cluster, 120);
+    broken += play_services (cluster, seed);
   }
   assert_int_equal (broken, 0);
 }
@@ -444,18 +453,19 @@
 {
   guint broken = 0;
   for (guint seed = 1070; seed < 1074; seed++) {
-    World *world = world_new (seed, 3);
-    world->guarantee_gpus = 8;
-    world_restart (world);
-    users_two_teams (world, 120);
-    world_run (world, 330);
-    for (guint i = 0; i < world->jobs->len; i++) {
-      SimJob *job = world->jobs->pdata[i];
-      if (job->team && (!job->told_done || job->told_done - job->accepted_at > 75))
-        w_broken (world, "guarantee", "%s of %u tasks is done after %.0f s", job->id, job->tasks,
-                  (job->told_done ? job->told_done : world->now) - job->accepted_at);
+    SimCluster *cluster = sim_cluster_new (seed, 3);
+    cluster->guarantee_gpus = 8;
+    sim_cluster_restart_nodes (cluster);
+    users_two_teams (cluster, 120);
+    sim_cluster_run (cluster, 330);
+    for (guint i = 0; i < cluster->jobs->len; i++) {
+      SimJob *job = cluster->jobs->pdata[i];
+      if (job->team && (!job->done_reply_at || job->done_reply_at - job->accepted_at > 75))
+        sim_report_violation (
+            cluster, "guarantee", "%s of %u tasks is done after %.0f s", job->id, job->tasks,
+            (job->done_reply_at ? job->done_reply_at : cluster->now) - job->accepted_at);
     }
-    broken += verdict (world, seed);
+    broken += verdict (cluster, seed);
   }
   assert_int_equal (broken, 0);
 }
@@ -467,13 +477,13 @@
 {
   guint broken = 0;
   for (guint seed = 1060; seed < 1064; seed++) {
-    World *world = world_new (seed, 3);
-    users_paged (world, 5);
-    faults_unreadable_pages (world, 60);
-    world_run (world, 600);
-    if (!((SimJob *)world->jobs->pdata[0])->told_done)
-      w_broken (world, "liveness", "the job is not done");
-    broken += verdict (world, seed);
+    SimCluster *cluster = sim_cluster_new (seed, 3);
+    users_paged_array (cluster, 5);
+    faults_unreadable_pages (cluster, 60);
+    sim_cluster_run (cluster, 600);
+    if (!((SimJob *)cluster->jobs->pdata[0])->done_reply_at)
+      sim_report_violation (cluster, "liveness", "the job is not done");
+    broken += verdict (cluster, seed);
   }
   assert_int_equal (broken, 0);
 }
@@ -482,36 +492,36 @@
 static void
 play_large (guint32 seed, int nodes)
 {
-  World *world = world_new (seed, nodes);
+  SimCluster *cluster = sim_cluster_new (seed, nodes);
   guint most = 0;
-  world->capacity = 1500;
-  world->report_s = 5;
-  world->lease_s = 26.5;
-  world->cancel_s = 56.5;
-  world->loss = 0.001;
-  world->dup = 0.01; /* what was carried out comes again, up to a minute later */
-  world->copies = 0.05;
-  world_restart (world);
-  users_crowd (world, 620, 250);
-  users_probe (world);
-  faults_mass (world, 100);
-  faults_init (world, 0, 0, 330);
-  world_run (world, 90);
-  for (guint i = 0; i < world->machines->len; i++) {
-    SimMachine *machine = world->machines->pdata[i];
+  cluster->capacity = 1500;
+  cluster->report_s = 5;
+  cluster->lease_s = 26.5;
+  cluster->cancel_s = 56.5;
+  cluster->loss_share = 0.001;
+  cluster->duplicate_share = 0.01; /* what was carried out comes again, up to a minute later */
+  cluster->late_copy_share = 0.05;
+  sim_cluster_restart_nodes (cluster);
+  users_mixed_workload (cluster, 620, 250);
+  users_probe (cluster);
+  faults_mass (cluster, 100);
+  faults_init (cluster, 0, 0, 330);
+  sim_cluster_run (cluster, 90);
+  for (guint i = 0; i < cluster->machines->len; i++) {
+    SimMachine *machine = cluster->machines->pdata[i];
     most += machine->up && !machine->gone;
   }
-  world_run (world, 640);
+  sim_cluster_run (cluster, 640);
   if (most < 1300)
-    w_broken (world, "small", "only %u machines are up", most);
-  for (guint i = 0; i < world->jobs->len; i++) {
-    SimJob *job = world->jobs->pdata[i];
-    if (!job->accepted ||
-        (!job->asked_cancel && (job->shape == HR_SERVICE ? !job->started : !job->told_done)))
-      w_broken (world, "liveness", "%s (%d, %u tasks) is not done", job->id, job->shape,
-                job->tasks);
+    sim_report_violation (cluster, "small", "only %u machines are up", most);
+  for (guint i = 0; i < cluster->jobs->len; i++) {
+    SimJob *job = cluster->jobs->pdata[i];
+    if (!job->accepted || (!job->cancel_requested &&
+                           (job->shape == HR_SERVICE ? !job->started : !job->done_reply_at)))
+      sim_report_violation (cluster, "liveness", "%s (%d, %u tasks) is not done", job->id,
+                            job->shape, job->tasks);
   }
-  assert_int_equal (verdict (world, seed), 0);
+  assert_int_equal (verdict (cluster, seed), 0);
 }
 
 static void
@@ -531,22 +541,23 @@
 static guint
 play_upgrade (guint32 seed, int nodes, guint faults, gboolean late)
 {
-  World *world = world_new (seed, nodes);
-  world->capacity = 101; /* so that the cloud lists them all at once */
-  world->long_names = TRUE;
-  upgrade_init (world);
-  users_init (world, 15, 250);
-  users_arrays (world, 10, 150);
-  users_probe (world);
-  double last = upgrade_roll (world, 75, seed % 2 ? 9 : 15, late ? 45 : 5);
-  upgrade_limits_fall (world, last + (late ? 3 : 5) + w_rand (world, 0.2, 3));
-  faults_init (world, faults, 30, 320);
-  world_run (world, 900);
-  if (!store_has (world, "h/format"))
-    w_broken (world, "format", "the new format was never recorded");
-  if (store_large (world))
-    w_broken (world, "large", "%u records are too large", store_large (world));
-  return check_end_of_day (world, seed);
+  SimCluster *cluster = sim_cluster_new (seed, nodes);
+  cluster->capacity = 101; /* so that the cloud lists them all at once */
+  cluster->long_names = TRUE;
+  upgrade_init (cluster);
+  users_init (cluster, 15, 250);
+  users_large_jobs (cluster, 10, 150);
+  users_probe (cluster);
+  double last = upgrade_roll (cluster, 75, seed % 2 ? 9 : 15, late ? 45 : 5);
+  upgrade_limits_fall (cluster, last + (late ? 3 : 5) + sim_rand_range (cluster, 0.2, 3));
+  faults_init (cluster, faults, 30, 320);
+  sim_cluster_run (cluster, 900);
+  if (!store_has_key (cluster, "h/format"))
+    sim_report_violation (cluster, "format", "the new format was never recorded");
+  if (store_count_oversized_records (cluster))
+    sim_report_violation (cluster, "large", "%u records are too large",
+                          store_count_oversized_records (cluster));
+  return check_end_of_day (cluster, seed);
 }
 
 static void
--- a/tests/test_users_days.c
+++ b/tests/test_users_days.c
@@ -4,7 +4,7 @@
 #include "sim/log.h"
 #include "sim/user.h"
 #include "sim/workloads.h"
-#include "sim/world.h"
+#include "sim/cluster.h"
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -15,17 +15,17 @@
 #define DAY_S 700.0 /* long enough after the last trouble for all work to end */
 
 static void
-check_end (World *world)
+check_end (SimCluster *cluster)
 {
-  for (guint i = 0; i < world->jobs->len; i++) {
-    SimJob *job = world->jobs->pdata[i];
+  for (guint i = 0; i < cluster->jobs->len; i++) {
+    SimJob *job = cluster->jobs->pdata[i];
     if (!job->accepted)
-      w_broken (world, "liveness", "%s was never accepted", job->id);
-    else if (job->asked_cancel && !job->told_cancelled && !job->told_done)
-      w_broken (world, "liveness", "%s was not withdrawn", job->id);
-    else if (!job->asked_cancel && job->shape != HR_SERVICE && !job->told_done)
-      w_broken (world, "liveness", "%s (%d, %u tasks) is not done", job->id, job->shape,
-                job->tasks);
+      sim_report_violation (cluster, "liveness", "%s was never accepted", job->id);
+    else if (job->cancel_requested && !job->cancelled_reply_at && !job->done_reply_at)
+      sim_report_violation (cluster, "liveness", "%s was not withdrawn", job->id);
+    else if (!job->cancel_requested && job->shape != HR_SERVICE && !job->done_reply_at)
+      sim_report_violation (cluster, "liveness", "%s (%d, %u tasks) is not done", job->id,
+                            job->shape, job->tasks);
   }
 }
 
@@ -36,20 +36,20 @@
 {
   guint broken = 0;
   for (guint seed = from; seed < to; seed++) {
-    World *world = world_new (seed, seed % 3 == 2 ? 5 : 3);
-    users_services (world, 6, 2, 2); /* so that there is always something to call off */
-    users_init (world, 40, 300);
-    users_probe (world);
-    troubles_plan (world, day, n);
-    world_run (world, DAY_S);
-    check_end (world);
+    SimCluster *cluster = sim_cluster_new (seed, seed % 3 == 2 ? 5 : 3);
+    users_services (cluster, 6, 2, 2); /* so that there is always something to call off */
+    users_init (cluster, 40, 300);
+    users_probe (cluster);
+    troubles_plan (cluster, day, n);
+    sim_cluster_run (cluster, DAY_S);
+    check_end (cluster);
     for (guint i = 0; i < n; i++)
-      if (!world->troubles.played[day[i].kind])
-        w_broken (world, "played", "trouble %u took no effect", i);
-    for (guint i = 0; i < MIN (world->broken->len, 12); i++)
-      fprintf (stderr, "seed %u: %s\n", seed, (char *)world->broken->pdata[i]);
-    broken += world->broken->len;
-    world_free (world);
+      if (!cluster->troubles.played[day[i].kind])
+        sim_report_violation (cluster, "played", "trouble %u took no effect", i);
+    for (guint i = 0; i < MIN (cluster->violations->len, 12); i++)
+      fprintf (stderr, "seed %u: %s\n", seed, (char *)cluster->violations->pdata[i]);
+    broken += cluster->violations->len;
+    sim_cluster_free (cluster);
   }
   assert_int_equal (broken, 0);
 }
