--- a/tests/sim/cloud.c
+++ b/tests/sim/cloud.c
@@ -58,23 +58,23 @@
 rent (SimCluster *cluster, SimRequest *request)
 {
   json_t *object = json_loads (request->body, 0, NULL);
-  const char *ask = json_string_value (json_object_get (object, "ask"));
+  const char *request_id = json_string_value (json_object_get (object, "ask"));
   const char *zone = json_string_value (json_object_get (object, "quarry"));
   guint n = json_integer_value (json_object_get (object, "count"));
   gboolean spot = json_is_true (json_object_get (object, "loaners"));
-  char *known = g_hash_table_lookup (cluster->rentals, ask);
-  if (known) {
-    sim_send_response (cluster, request, 200, g_strdup (known));
+  char *previous = g_hash_table_lookup (cluster->rentals, request_id);
+  if (previous) {
+    sim_send_response (cluster, request, 200, g_strdup (previous));
     json_decref (object);
     return;
   }
-  guint live = 0;
+  guint rented = 0;
   for (guint i = 0; i < cluster->machines->len; i++) {
     SimMachine *machine = cluster->machines->pdata[i];
-    live += !machine->gone && machine->spot == spot;
+    rented += !machine->gone && machine->spot == spot;
   }
   guint capacity = spot ? cluster->capacity / 3 : cluster->capacity;
-  n = MIN (n, capacity > live ? capacity - live : 0);
+  n = MIN (n, capacity > rented ? capacity - rented : 0);
   if (!n) {
     sim_send_response (cluster, request, 503, g_strdup ("{\"error\":\"no capacity\"}"));
     json_decref (object);
@@ -91,27 +91,27 @@
                         : g_strdup_printf ("10.1.0.%u:9000", cluster->machines->len);
     machine->zone = strcmp (zone, "z1") == 0;
     machine->spot = spot;
-    machine->rented = cluster->now;
+    machine->rented_at = cluster->now;
     machine->faulty = sim_rand_range (cluster, 0, 1) < 0.03;
     machine->tasks = g_array_new (FALSE, TRUE, sizeof (SimTask));
     machine->images = g_hash_table_new (g_direct_hash, g_direct_equal);
     double boot_s = sim_rand_range (cluster, 0, 1) < 0.05 ? 1 : sim_rand_range (cluster, 12, 30);
-    machine->boots = troubles_boots (
+    machine->up_at = troubles_boots (
         cluster, sim_rand_range (cluster, 0, 1) < 0.04 ? 1e9 : cluster->now + boot_s);
     g_ptr_array_add (cluster->machines, machine);
     json_array_append_new (names, json_string (machine->name));
-    if (machine->boots < 1e8)
-      sim_schedule (cluster, machine->boots, boot, machine);
+    if (machine->up_at < 1e8)
+      sim_schedule (cluster, machine->up_at, boot, machine);
   }
   json_t *array = json_pack ("{so}", "rockhands", names);
   char *text = hr_json_take_text (array);
-  g_hash_table_insert (cluster->rentals, g_strdup (ask), g_strdup (text));
+  g_hash_table_insert (cluster->rentals, g_strdup (request_id), g_strdup (text));
   json_decref (object);
   sim_send_response (cluster, request, 200, text);
 }
 
 static void
-del (SimCluster *cluster, SimRequest *request)
+delete_rentals (SimCluster *cluster, SimRequest *request)
 {
   json_t *object = json_loads (request->body, 0, NULL), *entry;
   size_t i;
@@ -138,7 +138,7 @@
 }
 
 static void
-list (SimCluster *cluster, SimRequest *request)
+list_rentals (SimCluster *cluster, SimRequest *request)
 {
   double at = cluster->now - sim_rand_range (cluster, 0.5, 2) * LIST_LAG_S;
   const char *after = strstr (request->path, "after=");
@@ -147,7 +147,7 @@
   gboolean more = FALSE;
   for (guint i = 0; i < cluster->machines->len; i++) {
     SimMachine *machine = cluster->machines->pdata[i];
-    if (machine->rented > at || (machine->gone && machine->gone_at < at) ||
+    if (machine->rented_at > at || (machine->gone && machine->gone_at < at) ||
         strcmp (machine->name, from) <= 0)
       continue;
     if (json_array_size (rows) == (cluster->capacity > 100 ? 500 : 10)) {
@@ -157,8 +157,8 @@
     json_array_append_new (rows, json_pack ("{sssssssssbsssf}", "name_id", machine->name, "addr",
                                             machine->addr, "hull", "g2", "quarry",
                                             zones[machine->zone], "loaners", machine->spot,
-                                            "stance", machine->boots > at ? "starting" : "running",
-                                            "age_s", at - machine->rented));
+                                            "stance", machine->up_at > at ? "starting" : "running",
+                                            "age_s", at - machine->rented_at));
   }
   json_t *array = json_pack ("{sosb}", "rockhands", rows, "more", more);
   sim_send_response (cluster, request, 200, hr_json_take_text (array));
@@ -196,9 +196,9 @@
   else if (strcmp (request->path, "/rentals") == 0)
     rent (cluster, request);
   else if (strcmp (request->path, "/rentals/delete") == 0)
-    del (cluster, request);
+    delete_rentals (cluster, request);
   else if (g_str_has_prefix (request->path, "/rentals?"))
-    list (cluster, request);
+    list_rentals (cluster, request);
   else
     sim_report_violation (cluster, "protocol", "the cloud was asked for %s", request->path);
 }
--- a/tests/sim/cluster.h
+++ b/tests/sim/cluster.h
@@ -26,7 +26,7 @@
 
 /* The order of a worker's reports: by incarnation, then by sequence number. */
 typedef struct {
-  guint64 session, number;
+  guint64 incarnation, number;
 } SimReportOrder;
 
 /* An answer of the state service to a controller. */
--- a/tests/sim/faults.c
+++ b/tests/sim/faults.c
@@ -276,8 +276,8 @@
   *all = 0;
   for (guint i = 0; i < cluster->machines->len; i++) {
     const SimMachine *machine = cluster->machines->pdata[i];
-    *all += machine->through_cut;
-    n += machine->through_cut && is_so (machine);
+    *all += machine->tracked_by_fault;
+    n += machine->tracked_by_fault && is_so (machine);
   }
   return n;
 }
@@ -304,7 +304,7 @@
 {
   for (guint i = 0; i < cluster->machines->len; i++) {
     SimMachine *machine = cluster->machines->pdata[i];
-    machine->through_cut =
+    machine->tracked_by_fault =
         machine->up && !machine->gone && machine->tasks->len == 0 && machine->incarnation > 1;
   }
 }
--- a/tests/sim/faults_fleet.c
+++ b/tests/sim/faults_fleet.c
@@ -32,8 +32,8 @@
   guint n = 0;
   for (guint i = 0; i < cluster->machines->len; i++) {
     SimMachine *machine = cluster->machines->pdata[i];
-    machine->through_cut = machine->up && !machine->gone && machine->tasks->len && n++ % 2;
-    if (machine->through_cut)
+    machine->tracked_by_fault = machine->up && !machine->gone && machine->tasks->len && n++ % 2;
+    if (machine->tracked_by_fault)
       machine_terminate (cluster, machine);
   }
   if (leader >= 0)
--- a/tests/sim/faults_members.c
+++ b/tests/sim/faults_members.c
@@ -20,8 +20,8 @@
   guint up = 0, lost = 0;
   for (guint i = 0; i < cluster->machines->len; i++) {
     SimMachine *machine = cluster->machines->pdata[i];
-    up += machine->through_cut && !machine->gone;
-    lost += machine->through_cut && !machine->gone && machine->incarnation > 1;
+    up += machine->tracked_by_fault && !machine->gone;
+    lost += machine->tracked_by_fault && !machine->gone && machine->incarnation > 1;
   }
   if (!up || lost)
     sim_report_violation (cluster, "attestation",
@@ -42,7 +42,7 @@
 {
   for (guint i = 0; i < cluster->machines->len; i++) {
     SimMachine *machine = cluster->machines->pdata[i];
-    machine->through_cut =
+    machine->tracked_by_fault =
         machine->up && !machine->gone && !machine->spot && machine->incarnation == 1;
   }
   sim_schedule (cluster, cluster->now + CUT_ALL_S - 2, still_held, NULL);
@@ -158,7 +158,7 @@
   cluster->nodes[leader].cut_holds_messages = data != NULL;
   for (guint i = 0; i < cluster->machines->len; i++) {
     SimMachine *machine = cluster->machines->pdata[i];
-    machine->through_cut =
+    machine->tracked_by_fault =
         machine->up && !machine->gone && machine->incarnation == 1 && machine->tasks->len;
   }
   sim_schedule (cluster, cluster->now + 39, reached_again, NULL);
--- a/tests/sim/node_checks.c
+++ b/tests/sim/node_checks.c
@@ -102,14 +102,15 @@
   const char *name = json_string_value (json_object_get (reported, "rockhand"));
   SimReportOrder *newest = newest_answered (cluster, i, name);
   SimReportOrder before = answered_before (cluster, i, id, newest);
-  if (incarnation < before.session)
+  if (incarnation < before.incarnation)
     sim_report_violation (cluster, "order",
                           "c%d answers a report of %s from an earlier incarnation", i, name);
-  else if (incarnation == before.session && n < before.number &&
+  else if (incarnation == before.incarnation && n < before.number &&
            !only_final_stops (cluster, json_object_get (array, "orders")))
     sim_report_violation (cluster, "order",
                           "c%d sends orders in the answer to a superseded report of %s", i, name);
-  if (incarnation > newest->session || (incarnation == newest->session && n > newest->number))
+  if (incarnation > newest->incarnation ||
+      (incarnation == newest->incarnation && n > newest->number))
     *newest = (SimReportOrder){incarnation, n};
   json_decref (reported);
   json_decref (array);
--- a/tests/sim/store.c
+++ b/tests/sim/store.c
@@ -14,24 +14,24 @@
 
 typedef struct {
   char *text; /* the value */
-  guint64 stamp, claim;
+  guint64 revision, lease_id;
 } StoreKey;
 
 typedef struct {
   char *path, *text; /* text NULL: deleted */
-  guint64 stamp;
+  guint64 revision;
 } StoreChange;
 
 typedef struct {
   guint64 id;
-  double ends, life;
+  double expires_at, duration_s;
 } StoreLease;
 
 typedef struct {
   SimRequest *request;
   char *prefix;
   guint64 after;
-  double ends;
+  double expires_at;
 } StoreWatch;
 
 static void
@@ -55,7 +55,7 @@
 }
 
 static void
-change (SimCluster *cluster, const char *path, char *text, guint64 lease_id)
+apply_change (SimCluster *cluster, const char *path, char *text, guint64 lease_id)
 {
   note_last_reference (cluster, path);
   StoreChange entry = {g_strdup (path), g_strdup (text), cluster->epoch};
@@ -66,8 +66,8 @@
   }
   StoreKey *k = g_new0 (StoreKey, 1);
   k->text = text;
-  k->stamp = cluster->epoch;
-  k->claim = lease_id;
+  k->revision = cluster->epoch;
+  k->lease_id = lease_id;
   g_hash_table_replace (cluster->keys, g_strdup (path), k);
 }
 
@@ -78,10 +78,10 @@
   *n = 0;
   for (guint i = 0; i < cluster->log->len; i++) {
     StoreChange *entry = &g_array_index (cluster->log, StoreChange, i);
-    if (entry->stamp <= after || !g_str_has_prefix (entry->path, prefix))
+    if (entry->revision <= after || !g_str_has_prefix (entry->path, prefix))
       continue;
     json_t *object = json_pack ("{sssI}", entry->text ? "set" : "delete", entry->path, "stamp",
-                                (json_int_t)entry->stamp);
+                                (json_int_t)entry->revision);
     if (entry->text)
       json_object_set_new (object, "value", json_loads (entry->text, JSON_DECODE_ANY, NULL));
     json_array_append_new (log, object);
@@ -101,7 +101,7 @@
     guint n;
     g_autofree char *text = changes_text (cluster, watch->prefix, watch->after, &n);
     SimNode *node = &cluster->nodes[watch->request->node];
-    if ((!n && watch->ends > cluster->now) || node->store_refuses_until > cluster->now) {
+    if ((!n && watch->expires_at > cluster->now) || node->store_refuses_until > cluster->now) {
       i++;
       continue;
     }
@@ -123,9 +123,10 @@
   while (g_hash_table_iter_next (&iter, NULL, &value)) {
     StoreLease *lease = value;
     if (cluster->store_outage_until > cluster->now)
-      lease->ends = cluster->store_outage_until +
-                    lease->life; /* after an outage every lease gets its full duration again */
-    else if (lease->ends < cluster->now)
+      lease->expires_at =
+          cluster->store_outage_until +
+          lease->duration_s; /* after an outage every lease gets its full duration again */
+    else if (lease->expires_at < cluster->now)
       g_ptr_array_add (expired, lease);
   }
   for (guint i = 0; i < expired->len; i++) {
@@ -134,12 +135,12 @@
     gpointer k;
     g_hash_table_iter_init (&iter, cluster->keys);
     while (g_hash_table_iter_next (&iter, &k, &value))
-      if (((StoreKey *)value)->claim == lease->id)
+      if (((StoreKey *)value)->lease_id == lease->id)
         g_ptr_array_add (paths, g_strdup (k));
     if (paths->len)
       cluster->epoch++;
     for (guint d = 0; d < paths->len; d++)
-      change (cluster, paths->pdata[d], NULL, 0);
+      apply_change (cluster, paths->pdata[d], NULL, 0);
     g_hash_table_remove (cluster->leases, &lease->id);
   }
   answer_watches (cluster);
@@ -367,7 +368,7 @@
   {
     const char *path = json_string_value (json_object_get (entry, "path"));
     StoreKey *key = g_hash_table_lookup (cluster->keys, path);
-    if ((guint64)json_integer_value (json_object_get (entry, "stamp")) != (key ? key->stamp : 0))
+    if ((guint64)json_integer_value (json_object_get (entry, "stamp")) != (key ? key->revision : 0))
       json_array_append_new (failed, json_string (path));
   }
   return failed;
@@ -392,10 +393,10 @@
     if (g_strcmp0 (path, "h/map") == 0)
       troubles_map (cluster, value);
     if (path)
-      change (cluster, path, hr_json_take_text (json_incref (value)),
-              json_integer_value (json_object_get (entry, "claim")));
+      apply_change (cluster, path, hr_json_take_text (json_incref (value)),
+                    json_integer_value (json_object_get (entry, "claim")));
     else
-      change (cluster, json_string_value (json_object_get (entry, "delete")), NULL, 0);
+      apply_change (cluster, json_string_value (json_object_get (entry, "delete")), NULL, 0);
   }
 }
 
@@ -499,7 +500,7 @@
 store_preload (SimCluster *cluster, const char *path, const char *text)
 {
   cluster->epoch++;
-  change (cluster, path, g_strdup (text), 0);
+  apply_change (cluster, path, g_strdup (text), 0);
 }
 
 gboolean
@@ -538,7 +539,7 @@
 }
 
 static void
-range (SimCluster *cluster, SimRequest *request)
+list_keys (SimCluster *cluster, SimRequest *request)
 {
   g_autofree char *prefix = query (request->path, "starts"),
                   *after = query (request->path, "after");
@@ -557,7 +558,7 @@
     StoreKey *key = g_hash_table_lookup (cluster->keys, keys->pdata[i]);
     json_array_append_new (rows, json_pack ("{sssosI}", "path", keys->pdata[i], "value",
                                             json_loads (key->text, JSON_DECODE_ANY, NULL), "stamp",
-                                            (json_int_t)key->stamp));
+                                            (json_int_t)key->revision));
   }
   sim_send_response (cluster, request, 200,
                      hr_json_take_text (json_pack ("{sosbsI}", "rows", rows, "more", keys->len > 7,
@@ -572,8 +573,8 @@
     json_t *object = json_loads (request->body, 0, NULL);
     StoreLease *lease = g_new0 (StoreLease, 1);
     lease->id = ++cluster->last_lease_id;
-    lease->life = json_integer_value (json_object_get (object, "life_ms")) / 1000.0;
-    lease->ends = cluster->now + lease->life;
+    lease->duration_s = json_integer_value (json_object_get (object, "life_ms")) / 1000.0;
+    lease->expires_at = cluster->now + lease->duration_s;
     json_decref (object);
     g_hash_table_insert (cluster->leases, &lease->id, lease);
     sim_send_response (cluster, request, 200,
@@ -586,7 +587,8 @@
     sim_send_response (cluster, request, 404, g_strdup ("{}"));
     return;
   }
-  lease->ends = request->method == HR_DELETE ? cluster->now - 1 : cluster->now + lease->life;
+  lease->expires_at =
+      request->method == HR_DELETE ? cluster->now - 1 : cluster->now + lease->duration_s;
   sim_send_response (cluster, request, 200, g_strdup ("{}"));
 }
 
@@ -601,7 +603,7 @@
   else if (g_str_has_prefix (request->path, "/leases"))
     lease_request (cluster, request);
   else if (g_str_has_prefix (request->path, "/kv?"))
-    range (cluster, request);
+    list_keys (cluster, request);
   else if (g_str_has_prefix (request->path, "/kv/")) {
     StoreKey *k = g_hash_table_lookup (cluster->keys, request->path + 4);
     if (!k)
@@ -612,7 +614,7 @@
           cluster, request, 200,
           hr_json_take_text (json_pack ("{sssosI}", "path", request->path + 4, "value",
                                         json_loads (k->text, JSON_DECODE_ANY, NULL), "stamp",
-                                        (json_int_t)k->stamp)));
+                                        (json_int_t)k->revision)));
   } else if (g_str_has_prefix (request->path, "/changes?")) {
     g_autofree char *after = query (request->path, "after"),
                     *hold = query (request->path, "hold_ms");
@@ -626,7 +628,7 @@
     request->refs++;
     watch->prefix = query (request->path, "starts");
     watch->after = g_ascii_strtoull (after, NULL, 10);
-    watch->ends = cluster->now + g_ascii_strtod (hold, NULL) / 1000;
+    watch->expires_at = cluster->now + g_ascii_strtod (hold, NULL) / 1000;
     g_ptr_array_add (cluster->watches, watch);
     answer_watches (cluster);
   } else
@@ -650,7 +652,7 @@
   }
   StoreKey *k = g_new0 (StoreKey, 1);
   k->text = g_strdup_printf ("{\"f\":%d}", HR_FORMAT);
-  k->stamp = ++cluster->epoch;
+  k->revision = ++cluster->epoch;
   g_hash_table_replace (cluster->keys, g_strdup ("h/format"), k);
 }
 
--- a/tests/sim/user.h
+++ b/tests/sim/user.h
@@ -18,16 +18,16 @@
   guint64 accepted_heard_at, done_heard_at, cancelled_heard_at;
   double accepted_at;
   double cancelled_at; /* when its record was first written as cancelled; 0: it was not */
-  gboolean large, reported_unanswered, lost_place;
-  const char *team;     /* NULL: the first one */
-  GPtrArray *awaits;    /* SimJob, or NULL */
-  gboolean no_deadline; /* also as an array */
-  guint zone;           /* index of the only allowed zone, plus one; 0: any zone */
-  double fits_since;    /* waits since then although machines have room for it; 0: it does not */
-  const char *rank;     /* priority; NULL: the default of its shape */
-  double due;           /* an array's deadline, s after its submission; 0: by its run time */
-  guint *done;          /* per task */
-  double *progress;     /* per task: seconds of work in its last checkpoint */
+  gboolean large, reported_unanswered, lost_place; /* lost_place: set by faults_lost_places() */
+  const char *team;                                /* NULL: the first one */
+  GPtrArray *awaits;                               /* SimJob, or NULL */
+  gboolean no_deadline;                            /* also as an array */
+  guint zone;        /* index of the only allowed zone, plus one; 0: any zone */
+  double fits_since; /* waits since then although machines have room for it; 0: it does not */
+  const char *rank;  /* priority; NULL: the default of its shape */
+  double due;        /* an array's deadline, s after its submission; 0: by its run time */
+  guint *done;       /* per task */
+  double *progress;  /* per task: seconds of work in its last checkpoint */
 } SimJob;
 
 /* Submits large arrays and services, some of which are cancelled. */
--- a/tests/sim/worker.c
+++ b/tests/sim/worker.c
@@ -289,7 +289,7 @@
 } ReportInFlight;
 
 static void
-report_later (SimCluster *cluster, gpointer data)
+report_if_not_recent (SimCluster *cluster, gpointer data)
 {
   SimMachine *machine = data;
   if (!machine->gone && !machine->report_in_flight &&
@@ -331,7 +331,7 @@
       machine->lease_at = out->sent;
       execute_orders (cluster, machine, json_object_get (body, "orders"));
     }
-    sim_schedule (cluster, next, report_later, machine);
+    sim_schedule (cluster, next, report_if_not_recent, machine);
   } else {
     const char *foreman = json_string_value (json_object_get (body, "foreman"));
     int to = foreman ? foreman[1] - '0' : -1;
--- a/tests/sim/worker.h
+++ b/tests/sim/worker.h
@@ -28,10 +28,10 @@
   int type_boot; /* ms */
   guint zone;
   gboolean spot, up, gone, failed, listed_gone;
-  double rented, boots, gone_at;
-  double delete_requested_at; /* when a controller first asked to delete it; 0: never */
-  double last_referenced_at;  /* after it was gone: when the last record that named it was
-                                 rewritten */
+  double rented_at, up_at, gone_at; /* up_at: when it finishes booting */
+  double delete_requested_at;       /* when a controller first asked to delete it; 0: never */
+  double last_referenced_at;        /* after it was gone: when the last record that named it was
+                                       rewritten */
   guint incarnation, sequence;
   guint64 token;
   double lease_at;           /* sending time of the last report that got an answer */
@@ -44,7 +44,8 @@
   double outbound_cut_until;   /* it reaches no controller; commands reach it */
   gboolean cut_holds_messages; /* as in SimNode */
   double reclaim_at;           /* the cloud takes the spot machine back then; 0: no notice */
-  gboolean faulty, through_cut;
+  /* tracked_by_fault: one of the machines whose loss a fault's check counts. */
+  gboolean faulty, tracked_by_fault;
   GArray *tasks; /* SimTask */
   GHashTable *images;
 } SimMachine;
