--- a/tests/sim/answer_checks.c
+++ b/tests/sim/answer_checks.c
@@ -26,9 +26,9 @@
 }
 
 static gboolean
-known_before (guint64 heard_at, const SimUserRequest *request)
+known_before (guint64 known_at, const SimUserRequest *request)
 {
-  return heard_at && heard_at < request->sent;
+  return known_at && known_at < request->sent;
 }
 
 /* A job ends either done or cancelled: no controller may report both, in whatever order. */
@@ -89,12 +89,13 @@
 }
 
 void
-check_user_error (SimCluster *cluster, const SimUserRequest *request, const char *what, int status)
+check_user_error (SimCluster *cluster, const SimUserRequest *request, const char *request_kind,
+                  int status)
 {
   SimJob *job = request->job;
   cluster->message_clock++;
   if (known_before (job->accepted_heard_at, request))
-    sim_report_violation (cluster, "forgotten", "%s: %s gets %d", job->id, what, status);
+    sim_report_violation (cluster, "forgotten", "%s: %s gets %d", job->id, request_kind, status);
   else if (status != 404)
-    sim_report_violation (cluster, "status", "%s: %s gets %d", job->id, what, status);
+    sim_report_violation (cluster, "status", "%s: %s gets %d", job->id, request_kind, status);
 }
--- a/tests/sim/answer_checks.h
+++ b/tests/sim/answer_checks.h
@@ -17,5 +17,5 @@
 void check_user_response (SimCluster *cluster, const SimUserRequest *request, int status,
                           json_t *body);
 /* Checks an answer of 404, 400 or 422 to this kind of request. */
-void check_user_error (SimCluster *cluster, const SimUserRequest *request, const char *what,
+void check_user_error (SimCluster *cluster, const SimUserRequest *request, const char *request_kind,
                        int status);
--- a/tests/sim/cluster.c
+++ b/tests/sim/cluster.c
@@ -45,9 +45,10 @@
 {
   va_list arguments;
   va_start (arguments, fmt);
-  g_autofree char *what = g_strdup_vprintf (fmt, arguments);
+  g_autofree char *description = g_strdup_vprintf (fmt, arguments);
   va_end (arguments);
-  g_ptr_array_add (cluster->violations, g_strdup_printf ("%.3f %s: %s", cluster->now, rule, what));
+  g_ptr_array_add (cluster->violations,
+                   g_strdup_printf ("%.3f %s: %s", cluster->now, rule, description));
 }
 
 double
@@ -67,8 +68,8 @@
     return;
   }
   g_ptr_array_add (n->queue, command);
-  if (!n->stepping) {
-    n->stepping = TRUE;
+  if (!n->step_scheduled) {
+    n->step_scheduled = TRUE;
     sim_schedule (cluster, cluster->now + 0.002, run_node,
                   GINT_TO_POINTER (i + (int)n->generation * MAX_NODES));
   }
@@ -213,7 +214,7 @@
     sim_schedule (cluster, n->frozen_until, run_node, data);
     return;
   }
-  n->stepping = FALSE;
+  n->step_scheduled = FALSE;
   g_autoptr (GPtrArray) batch = n->queue;
   n->queue = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_command_free);
   g_autoptr (GPtrArray) out = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_effect_free);
@@ -291,12 +292,12 @@
   json_t *root = node_settings (cluster, i);
   g_autoptr (GError) error = NULL;
   hr_names_init (&n->names);
-  n->set = hr_settings_parse (root, &n->names, &error);
-  if (!n->set)
+  n->settings = hr_settings_parse (root, &n->names, &error);
+  if (!n->settings)
     g_error ("the simulated settings: %s", error->message);
   json_decref (root);
   g_autoptr (GHashTable) vars = hr_policy_vars_new ();
-  hr_core_policy_vars (n->set, vars);
+  hr_core_policy_vars (n->settings, vars);
   if (!hr_policy_load (SOURCE_ROOT "/deploy/policy.hop", vars, &cluster->policy, &error))
     g_error ("the policy: %s", error->message);
   if (cluster->machines_per_part > 0)
@@ -308,10 +309,10 @@
 {
   SimNode *n = &cluster->nodes[i];
   n->queue = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_command_free);
-  n->stepping = FALSE;
+  n->step_scheduled = FALSE;
   n->incarnation = g_strdup_printf ("%d-%u", i, n->generation);
-  n->core =
-      hr_core_new (n->set, &cluster->policy, &n->names, n->incarnation, g_rand_int (cluster->rand));
+  n->core = hr_core_new (n->settings, &cluster->policy, &n->names, n->incarnation,
+                         g_rand_int (cluster->rand));
   hr_core_set_supported_format (n->core, n->record_format);
   node_tick (cluster, GINT_TO_POINTER (i + (int)n->generation * MAX_NODES));
 }
@@ -374,7 +375,7 @@
     g_ptr_array_unref (n->queue);
     hr_core_free (n->core);
   }
-  hr_settings_free (n->set);
+  hr_settings_free (n->settings);
   hr_names_clear (&n->names);
 }
 
--- a/tests/sim/cluster.h
+++ b/tests/sim/cluster.h
@@ -40,14 +40,14 @@
   char *incarnation; /* of its process; NULL: a separate process has not written the leader record
                         yet */
   HrNames names;
-  HrSettings *set;
+  HrSettings *settings;
   gboolean up;
   guint generation;    /* counts its processes */
   guint record_format; /* newest record format that its next process supports; 0: that of release
                           ecb9b3c */
   gboolean upgraded;   /* its next process is of the new version */
   GPtrArray *queue;
-  gboolean stepping;
+  gboolean step_scheduled;
   GHashTable *open;                 /* request id -> SimRequest */
   GHashTable *newest_answered;      /* machine -> SimReportOrder of the newest answered report */
   GHashTable *answered_at_handover; /* request id -> SimReportOrder that was the newest answered
@@ -108,8 +108,8 @@
   GHashTable *rentals; /* rental request -> its answer */
   double cloud_outage_until;
   double cloud_calls, cloud_called_at; /* level of the rate limit's leaky bucket, as of then */
-  guint capacity;                      /* machines */
-  gboolean long_names;                 /* of machines */
+  guint capacity;      /* machines that the cloud has, and a third as many spot machines */
+  gboolean long_names; /* of machines */
   /* users */
   GPtrArray *jobs; /* SimJob */
   GHashTable *job_index;
--- a/tests/sim/single_node.c
+++ b/tests/sim/single_node.c
@@ -136,16 +136,16 @@
   g_autofree char *text = g_strdup_printf (SETTINGS, state_more);
   json_t *root = json_loads (text, 0, NULL);
   hr_names_init (&n->names);
-  n->set = hr_settings_parse (root, &n->names, &error);
+  n->settings = hr_settings_parse (root, &n->names, &error);
   json_decref (root);
-  assert_non_null (n->set);
+  assert_non_null (n->settings);
   g_autoptr (GHashTable) vars = hr_policy_vars_new ();
   HrPolicy policy;
-  hr_core_policy_vars (n->set, vars);
+  hr_core_policy_vars (n->settings, vars);
   assert_true (hr_policy_load (SOURCE_ROOT "/deploy/policy.hop", vars, &policy, &error));
   n->store = store;
   n->now = 100;
-  n->core = hr_core_new (n->set, &policy, &n->names, "inc", 7);
+  n->core = hr_core_new (n->settings, &policy, &n->names, "inc", 7);
   n->inbox = g_ptr_array_new_with_free_func ((GDestroyNotify)hr_command_free);
   n->answers = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, NULL);
   return n;
@@ -155,7 +155,7 @@
 single_node_free (SingleNode *n)
 {
   hr_core_free (n->core);
-  hr_settings_free (n->set);
+  hr_settings_free (n->settings);
   hr_names_clear (&n->names);
   g_ptr_array_unref (n->inbox);
   g_hash_table_unref (n->answers);
--- a/tests/sim/single_node.h
+++ b/tests/sim/single_node.h
@@ -27,7 +27,7 @@
   FakeStore *store;
   HrCore *core;
   HrNames names;
-  HrSettings *set;
+  HrSettings *settings;
   double now;
   GPtrArray *inbox;
   guint64 next;
--- a/tests/sim/store.c
+++ b/tests/sim/store.c
@@ -151,13 +151,13 @@
  * copies of its reports say: longer than the machine may appear alive, than an outage, and than a
  * write may take. */
 static void
-check_placement (SimCluster *cluster, const char *what, const char *machine)
+check_placement (SimCluster *cluster, const char *task, const char *machine)
 {
   for (guint i = 0; machine && i < cluster->machines->len; i++) {
     SimMachine *host = cluster->machines->pdata[i];
     if (host->gone && cluster->now - host->gone_at > 45 && strcmp (host->name, machine) == 0)
       sim_report_violation (cluster, "stale", "%s is placed on %s, which has been gone for %.0f s",
-                            what, machine, cluster->now - host->gone_at);
+                            task, machine, cluster->now - host->gone_at);
   }
 }
 
--- a/tests/sim/user.c
+++ b/tests/sim/user.c
@@ -252,10 +252,10 @@
   job->cpus = job->shape == HR_GANG ? 10 : 4;
   job->gpus = job->shape == HR_GANG ? 2 : 1;
   job->mem = 30;
-  job->image =
-      cluster->cancels_most_jobs
-          ? 0
-          : g_rand_int_range (cluster->rand, 0, 4); /* a single image, which machines have cached */
+  job->image = cluster->cancels_most_jobs
+                   ? 0
+                   : g_rand_int_range (cluster->rand, 0,
+                                       4); /* a single image, which is soon cached everywhere */
   job->image_gb = 1 + job->image;
   job->run = n == 5 ? 5 : sim_rand_range (cluster, 5, 60);
   job->checkpoint = sim_rand_range (cluster, 0, 1) < 0.5 ? 10 : 0;
