--- a/src/emulator/balancer.h
+++ b/src/emulator/balancer.h
@@ -1,5 +1,5 @@
 /* The load balancer: one address through which users reach all controllers. It forwards requests to
- * controllers that answer /ready, and records the submitted jobs in the simulated world. */
+ * controllers that answer /ready, and records the submitted jobs in the simulated cluster. */
 #pragma once
 #include "emulator/live.h"
 
@@ -18,6 +18,6 @@
 /**
  * balancer_free:
  *
- * Closes all connections. The world must not run afterwards.
+ * Closes all connections. The cluster must not run afterwards.
  */
 void balancer_free (Balancer *balancer);
--- a/src/emulator/live.c
+++ b/src/emulator/live.c
@@ -2,15 +2,15 @@
 #include <errno.h>
 #include <glib/gstdio.h>
 
-/* Interval between two updates of the world. */
+/* Interval between two updates of the cluster. */
 #define STEP_INTERVAL_MS 4
 
 void
 emulator_catch_up (Emulator *emulator)
 {
   double now = (g_get_monotonic_time () - emulator->started_us) / 1e6;
-  emulator->longest_gap = MAX (emulator->longest_gap, now - emulator->world->now);
-  world_run (emulator->world, now);
+  emulator->longest_gap = MAX (emulator->longest_gap, now - emulator->cluster->now);
+  sim_cluster_run (emulator->cluster, now);
 }
 
 void
@@ -20,9 +20,9 @@
   emulator->dir = g_dir_make_tmp ("hoprock-live-XXXXXX", &error);
   if (!emulator->dir)
     g_error ("emulator: %s", error->message);
-  emulator->world = world_prepare (seed, nodes);
-  emulator->world->controllers = &emulator_controllers;
-  emulator->world->controllers_data = emulator;
+  emulator->cluster = sim_cluster_new_stopped (seed, nodes);
+  emulator->cluster->controllers = &emulator_controllers;
+  emulator->cluster->controllers_data = emulator;
   emulator_wire_prepare (emulator);
   emulator_processes_prepare (emulator);
 }
@@ -31,7 +31,7 @@
 emulator_begin (Emulator *emulator)
 {
   emulator->started_us = g_get_monotonic_time ();
-  world_begin (emulator->world);
+  sim_cluster_start (emulator->cluster);
 }
 
 static gboolean
@@ -45,7 +45,7 @@
 emulator_run (Emulator *emulator, double until)
 {
   guint step = g_timeout_add (STEP_INTERVAL_MS, on_step, emulator);
-  while (emulator->world->now < until && !emulator->stop)
+  while (emulator->cluster->now < until && !emulator->stop)
     g_main_context_iteration (NULL, TRUE);
   g_source_remove (step);
 }
@@ -53,8 +53,8 @@
 void
 emulator_end (Emulator *emulator)
 {
-  for (int i = 0; i < emulator->world->n; i++)
-    node_kill (emulator->world, i);
+  for (int i = 0; i < emulator->cluster->n; i++)
+    node_kill (emulator->cluster, i);
   emulator_wire_end (emulator);
   emulator_processes_end (emulator);
   if (emulator->remove_files && g_rmdir (emulator->dir) != 0)
--- a/src/emulator/live.h
+++ b/src/emulator/live.h
@@ -32,7 +32,7 @@
 } EmulatorNode;
 
 struct Emulator {
-  World *world;
+  SimCluster *cluster;
   gint64 started_us; /* monotonic time, in microseconds */
   const char *daemon, *policy;
   const char *old_daemon; /* program of the controllers not upgraded yet; NULL: none */
@@ -44,7 +44,7 @@
   GHashTable *pending; /* id of a call -> SoupServerMessage */
   guint64 last_call_id;
   gboolean stop;        /* makes emulator_run() return */
-  double longest_gap;   /* longest time between two updates of the world, in seconds */
+  double longest_gap;   /* longest time between two updates of the cluster, in seconds */
   guint kills, freezes; /* of controllers */
   guint requests;       /* that the simulated servers received */
 };
@@ -54,10 +54,10 @@
 /**
  * emulator_prepare:
  * @emulator: zero-initialized except for the programs and the policy
- * @seed: seed of the simulated world
+ * @seed: seed of the simulated cluster
  * @nodes: number of controllers
  *
- * Creates the world and all addresses. The world's parameters may be changed until
+ * Creates the cluster and all addresses. The cluster's parameters may be changed until
  * emulator_begin().
  */
 void emulator_prepare (Emulator *emulator, guint32 seed, int nodes);
@@ -80,20 +80,20 @@
 /**
  * emulator_end:
  *
- * Kills all controllers and frees the emulator's resources. The world stays valid.
+ * Kills all controllers and frees the emulator's resources. The cluster stays valid.
  */
 void emulator_end (Emulator *emulator);
 
 /**
  * emulator_catch_up:
  *
- * Advances the world to the present. Called before an external event is passed to the world.
+ * Advances the cluster to the present. Called before an external event is passed to the cluster.
  */
 void emulator_catch_up (Emulator *emulator);
 
 /* ---- processes.c: controllers as processes ---- */
 
-/* Callbacks with which the world starts, kills and freezes controllers. */
+/* Callbacks with which the cluster starts, kills and freezes controllers. */
 extern const SimControllers emulator_controllers;
 
 /**
@@ -111,7 +111,7 @@
  */
 void emulator_processes_end (Emulator *emulator);
 
-/* ---- wire.c: HTTP between controllers and the simulated world ---- */
+/* ---- wire.c: HTTP between controllers and the simulated cluster ---- */
 
 /**
  * emulator_wire_prepare:
@@ -147,16 +147,16 @@
  * emulator_push:
  * @command: (transfer full): a request, or the result of a call
  *
- * Sends a message of the world to a controller.
+ * Sends a message of the cluster to a controller.
  */
-void emulator_push (World *world, int node, HrCommand *command);
+void emulator_push (SimCluster *cluster, int node, HrCommand *command);
 
 /**
  * emulator_worker_address:
  *
  * Returns: (transfer full): IP:PORT of a new server for that machine's worker
  */
-char *emulator_worker_address (World *world, guint machine);
+char *emulator_worker_address (SimCluster *cluster, guint machine);
 
 /* ---- relay.c: connections between controllers, which network partitions cut ---- */
 
--- a/src/emulator/main.c
+++ b/src/emulator/main.c
@@ -107,13 +107,14 @@
 }
 
 static void
-apply_settings (World *world, const NumericSettings *settings)
+apply_settings (SimCluster *cluster, const NumericSettings *settings)
 {
-  world->capacity = (guint)settings->machines;
-  world->report_s = settings->report_s;
-  world->lease_s = settings->lease_s;
-  world->cancel_s = settings->cancel_s;
-  world->loss = world->dup = 0; /* the only faults are those of the --troubles file */
+  cluster->capacity = (guint)settings->machines;
+  cluster->report_s = settings->report_s;
+  cluster->lease_s = settings->lease_s;
+  cluster->cancel_s = settings->cancel_s;
+  cluster->loss_share = cluster->duplicate_share =
+      0; /* the only faults are those of the --troubles file */
 }
 
 static gboolean
@@ -136,7 +137,7 @@
 {
   g_autoptr (GError) error = NULL;
   const char *listen = options->listen ? options->listen : "127.0.0.1:8080";
-  users_init (emulator->world, 0, 0);
+  users_init (emulator->cluster, 0, 0);
   Balancer *balancer = balancer_new (emulator, listen, &error);
   if (!balancer) {
     fprintf (stderr, "hoprock-emulator: %s\n", error->message);
@@ -144,14 +145,14 @@
   }
   if (!plan_file (emulator, options->troubles))
     return 2;
-  printf ("%d controllers; users at %s; logs in %s\n", emulator->world->n, listen, emulator->dir);
+  printf ("%d controllers; users at %s; logs in %s\n", emulator->cluster->n, listen, emulator->dir);
   fflush (stdout);
   emulator_run (emulator, options->seconds > 0 ? options->seconds : FOREVER_S);
-  guint broken = emulator->world->broken->len;
+  guint broken = emulator->cluster->violations->len;
   for (guint i = 0; i < broken; i++)
-    printf ("broken rule: %s\n", (char *)emulator->world->broken->pdata[i]);
-  printf ("ended after %.0f s: %u starts, %u rules broken\n", emulator->world->now,
-          emulator->world->starts, broken);
+    printf ("broken rule: %s\n", (char *)emulator->cluster->violations->pdata[i]);
+  printf ("ended after %.0f s: %u starts, %u rules broken\n", emulator->cluster->now,
+          emulator->cluster->task_starts, broken);
   balancer_free (balancer);
   return broken > 0;
 }
@@ -169,7 +170,7 @@
   emulator.daemon = options.daemon;
   emulator.policy = options.policy;
   emulator_prepare (&emulator, (guint32)settings.seed, (int)settings.controllers);
-  apply_settings (emulator.world, &settings);
+  apply_settings (emulator.cluster, &settings);
   emulator_begin (&emulator);
   g_unix_signal_add (SIGTERM, on_signal, &emulator);
   g_unix_signal_add (SIGINT, on_signal, &emulator);
--- a/src/emulator/processes.c
+++ b/src/emulator/processes.c
@@ -30,13 +30,13 @@
 emulator_processes_prepare (Emulator *emulator)
 {
   emulator->relays = g_ptr_array_new_with_free_func (emulator_relay_free);
-  for (int i = 0; i < emulator->world->n; i++) {
+  for (int i = 0; i < emulator->cluster->n; i++) {
     emulator->nodes[i].reserved[0] = reserve_port (&emulator->nodes[i].front);
     emulator->nodes[i].reserved[1] = reserve_port (&emulator->nodes[i].back);
     emulator->nodes[i].log = g_strdup_printf ("%s/c%d.log", emulator->dir, i);
   }
-  for (int i = 0; i < emulator->world->n; i++)
-    for (int k = 0; k < emulator->world->n; k++)
+  for (int i = 0; i < emulator->cluster->n; i++)
+    for (int k = 0; k < emulator->cluster->n; k++)
       if (k != i)
         emulator->nodes[i].peers[k] = emulator_relay (emulator, i, k);
 }
@@ -51,7 +51,7 @@
 write_settings (Emulator *emulator, int i)
 {
   const EmulatorNode *node = &emulator->nodes[i];
-  json_t *root = node_settings (emulator->world, i), *member;
+  json_t *root = node_settings (emulator->cluster, i), *member;
   json_object_set_new (root, "front", json_string (node->front));
   json_object_set_new (root, "back", json_string (node->back));
   json_object_set_new (json_object_get (root, "outside"), "cloud",
@@ -90,16 +90,16 @@
   g_autofree WatchedProcess *watched = data;
   Emulator *emulator = watched->emulator;
   g_subprocess_wait_finish (G_SUBPROCESS (source), result, NULL);
-  if (!emulator->world || emulator->nodes[watched->node].process != G_SUBPROCESS (source))
+  if (!emulator->cluster || emulator->nodes[watched->node].process != G_SUBPROCESS (source))
     return; /* this program killed it */
   emulator_catch_up (emulator);
-  w_broken (emulator->world, "ended", "c%d exited unexpectedly", watched->node);
-  node_kill (emulator->world, watched->node);
-  node_start_at (emulator->world, watched->node, emulator->world->now + 1);
+  sim_report_violation (emulator->cluster, "ended", "c%d exited unexpectedly", watched->node);
+  node_kill (emulator->cluster, watched->node);
+  node_start_at (emulator->cluster, watched->node, emulator->cluster->now + 1);
 }
 
 /* Waits until the killed process has exited, so that its ports are free. Called only when the ports
- * are needed: a process with sanitizers takes a while to exit, and the simulated world must keep
+ * are needed: a process with sanitizers takes a while to exit, and the simulated cluster must keep
  * running in the meantime. */
 static void
 await_termination (EmulatorNode *node)
@@ -113,14 +113,14 @@
 static const char *
 program_of (const Emulator *emulator, int i)
 {
-  return emulator->old_daemon && !emulator->world->nodes[i].upgraded ? emulator->old_daemon
-                                                                     : emulator->daemon;
+  return emulator->old_daemon && !emulator->cluster->nodes[i].upgraded ? emulator->old_daemon
+                                                                       : emulator->daemon;
 }
 
 static void
-start_process (World *world, int i)
+start_process (SimCluster *cluster, int i)
 {
-  Emulator *emulator = world->controllers_data;
+  Emulator *emulator = cluster->controllers_data;
   EmulatorNode *node = &emulator->nodes[i];
   g_autofree char *settings = write_settings (emulator, i);
   await_termination (node);
@@ -142,9 +142,9 @@
 }
 
 static void
-kill_process (World *world, int i)
+kill_process (SimCluster *cluster, int i)
 {
-  Emulator *emulator = world->controllers_data;
+  Emulator *emulator = cluster->controllers_data;
   GSubprocess *process = g_steal_pointer (&emulator->nodes[i].process);
   if (!process)
     return;
@@ -161,23 +161,23 @@
 } FrozenProcess;
 
 static void
-resume (World *world, gpointer data)
+resume (SimCluster *cluster, gpointer data)
 {
   g_autofree FrozenProcess *frozen = data;
-  Emulator *emulator = world->controllers_data;
-  if (world->nodes[frozen->node].up && world->nodes[frozen->node].gen == frozen->gen)
+  Emulator *emulator = cluster->controllers_data;
+  if (cluster->nodes[frozen->node].up && cluster->nodes[frozen->node].generation == frozen->gen)
     g_subprocess_send_signal (emulator->nodes[frozen->node].process, SIGCONT);
 }
 
 static void
-freeze (World *world, int i, double for_s)
+freeze (SimCluster *cluster, int i, double for_s)
 {
-  Emulator *emulator = world->controllers_data;
+  Emulator *emulator = cluster->controllers_data;
   emulator->freezes++;
   g_subprocess_send_signal (emulator->nodes[i].process, SIGSTOP);
   FrozenProcess *frozen = g_new (FrozenProcess, 1);
-  *frozen = (FrozenProcess){i, world->nodes[i].gen};
-  w_at (world, world->now + for_s, resume, frozen);
+  *frozen = (FrozenProcess){i, cluster->nodes[i].generation};
+  sim_schedule (cluster, cluster->now + for_s, resume, frozen);
 }
 
 const SimControllers emulator_controllers = {start_process, kill_process, emulator_push, freeze,
@@ -201,12 +201,12 @@
 void
 emulator_processes_end (Emulator *emulator)
 {
-  for (int i = 0; i < emulator->world->n; i++) {
+  for (int i = 0; i < emulator->cluster->n; i++) {
     EmulatorNode *node = &emulator->nodes[i];
     await_termination (node);
     for (int k = 0; k < 2; k++)
       g_object_unref (node->reserved[k]);
-    for (int k = 0; k < emulator->world->n; k++)
+    for (int k = 0; k < emulator->cluster->n; k++)
       g_free (node->peers[k]);
     if (emulator->remove_files)
       remove_files (emulator, i);
--- a/src/emulator/wire.c
+++ b/src/emulator/wire.c
@@ -1,6 +1,6 @@
 /* HTTP between the controllers and the simulated services and workers. A request of either side
- * becomes a message of the simulated world, which delays, drops or duplicates it according to the
- * planned faults. Messages that the world delivers are sent over real HTTP. */
+ * becomes a message of the simulated cluster, which delays, drops or duplicates it according to the
+ * planned faults. Messages that the cluster delivers are sent over real HTTP. */
 #include "emulator/live.h"
 #include "sim/request.h"
 #include <string.h>
@@ -8,7 +8,7 @@
 /* Timeout of calls by controllers: longer than every timeout of the controllers themselves, the
  * longest of which is that of watches. */
 #define CALL_TIMEOUT_S 30.0
-/* Timeout of requests to controllers, in seconds: no client in the world waits longer. Abandoned
+/* Timeout of requests to controllers, in seconds: no client in the cluster waits longer. Abandoned
  * requests must leave the SoupSession, because its cost per message grows with the number of open
  * messages. */
 #define REQUEST_TIMEOUT_S 6
@@ -34,7 +34,7 @@
   guint64 token = json_integer_value (json_object_get (object, "baton"));
   json_decref (object);
   gpointer node;
-  if (!g_hash_table_lookup_extended (emulator->world->token_nodes, &token, NULL, &node))
+  if (!g_hash_table_lookup_extended (emulator->cluster->token_nodes, &token, NULL, &node))
     return -1;
   return GPOINTER_TO_INT (node);
 }
@@ -58,7 +58,7 @@
   g_autoptr (GBytes) bytes = soup_message_body_flatten (received);
   g_autofree char *body = g_strndup (g_bytes_get_data (bytes, NULL), g_bytes_get_size (bytes));
   int node = listener->node >= 0 ? listener->node : node_of_token (emulator, body);
-  if (node < 0 || !emulator->world->nodes[node].up) { /* sent by a process that has just exited */
+  if (node < 0 || !emulator->cluster->nodes[node].up) { /* sent by a process that has just exited */
     soup_server_message_set_status (msg, 503, NULL);
     return;
   }
@@ -75,11 +75,11 @@
                        g_object_ref (msg));
   g_signal_connect (msg, "disconnected", G_CALLBACK (on_disconnected), NULL);
   soup_server_message_pause (msg);
-  node_perform (emulator->world, node, &effect);
+  node_perform (emulator->cluster, node, &effect);
   g_free (effect.call.path);
 }
 
-/* Sends the world's answer to a call. Status 0 stands for no answer and closes the connection. */
+/* Sends the cluster's answer to a call. Status 0 stands for no answer and closes the connection. */
 static void
 answer_call (Emulator *emulator, const HrCommand *command)
 {
@@ -134,9 +134,9 @@
 }
 
 char *
-emulator_worker_address (World *world, guint machine G_GNUC_UNUSED)
+emulator_worker_address (SimCluster *cluster, guint machine G_GNUC_UNUSED)
 {
-  Emulator *emulator = world->controllers_data;
+  Emulator *emulator = cluster->controllers_data;
   EmulatorListener *listener = emulator_listen (emulator, -1, HR_TO_WORKER);
   g_ptr_array_add (emulator->workers, listener);
   return g_strdup (listener->address);
@@ -148,7 +148,7 @@
 typedef struct {
   Emulator *emulator;
   int node;
-  guint64 id; /* id of the request in the world */
+  guint64 id; /* id of the request in the cluster */
   SoupMessage *msg;
 } ForwardedRequest;
 
@@ -156,11 +156,11 @@
 static void
 no_answer (Emulator *emulator, int node, guint64 id)
 {
-  Node *n = &emulator->world->nodes[node];
+  SimNode *n = &emulator->cluster->nodes[node];
   SimRequest *request = n->up ? g_hash_table_lookup (n->open, &id) : NULL;
   if (!request)
     return;
-  w_answer (emulator->world, request, 0, NULL);
+  sim_send_response (emulator->cluster, request, 0, NULL);
   g_hash_table_remove (n->open, &id);
 }
 
@@ -173,7 +173,7 @@
   g_autoptr (SoupMessage) msg = forwarded->msg;
   g_autoptr (GBytes) bytes =
       soup_session_send_and_read_finish (SOUP_SESSION (source), result, &error);
-  if (!emulator->world)
+  if (!emulator->cluster)
     return;
   emulator_catch_up (emulator);
   if (!bytes) {
@@ -183,8 +183,8 @@
   HrEffect effect = {
       .kind = HR_EFFECT_REPLY, .id = forwarded->id, .reply.status = soup_message_get_status (msg)};
   effect.body = g_strndup (g_bytes_get_data (bytes, NULL), g_bytes_get_size (bytes));
-  if (emulator->world->nodes[forwarded->node].up)
-    node_perform (emulator->world, forwarded->node, &effect);
+  if (emulator->cluster->nodes[forwarded->node].up)
+    node_perform (emulator->cluster, forwarded->node, &effect);
   g_free (effect.body);
 }
 
@@ -206,9 +206,9 @@
 }
 
 void
-emulator_push (World *world, int node, HrCommand *command)
+emulator_push (SimCluster *cluster, int node, HrCommand *command)
 {
-  Emulator *emulator = world->controllers_data;
+  Emulator *emulator = cluster->controllers_data;
   if (command->kind == HR_COMMAND_REQUEST)
     forward_request (emulator, node, command);
   else if (command->kind == HR_COMMAND_RESULT)
@@ -223,7 +223,7 @@
 {
   emulator->pending = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_object_unref);
   emulator->workers = g_ptr_array_new_with_free_func ((GDestroyNotify)emulator_listener_free);
-  for (int i = 0; i < emulator->world->n; i++) {
+  for (int i = 0; i < emulator->cluster->n; i++) {
     emulator->nodes[i].session =
         soup_session_new_with_options ("max-conns", MAX_CONNECTIONS, "max-conns-per-host",
                                        MAX_CONNECTIONS, "timeout", REQUEST_TIMEOUT_S, NULL);
@@ -235,7 +235,7 @@
 void
 emulator_wire_end (Emulator *emulator)
 {
-  for (int i = 0; i < emulator->world->n; i++) {
+  for (int i = 0; i < emulator->cluster->n; i++) {
     soup_session_abort (emulator->nodes[i].session);
     g_object_unref (emulator->nodes[i].session);
     emulator_listener_free (emulator->nodes[i].state);
--- a/tests/sim/faults.c
+++ b/tests/sim/faults.c
@@ -35,21 +35,23 @@
 };
 
 void
-fault_crash (World *world, int i)
+fault_crash (SimCluster *cluster, int i)
 {
-  node_kill (world, i);
+  node_kill (cluster, i);
   /* Sometimes the restart takes only a fraction of a second. */
-  node_start_at (
-      world, i,
-      world->now + (w_rand (world, 0, 1) < 0.3 ? w_rand (world, 0.05, 0.5) : w_rand (world, 3, 7)));
+  node_start_at (cluster, i,
+                 cluster->now + (sim_rand_range (cluster, 0, 1) < 0.3
+                                     ? sim_rand_range (cluster, 0.05, 0.5)
+                                     : sim_rand_range (cluster, 3, 7)));
 }
 
 void
-fault_restart_quickly (World *world, gpointer data)
+fault_restart_quickly (SimCluster *cluster, gpointer data)
 {
   int i = GPOINTER_TO_INT (data);
-  node_kill (world, i);
-  node_start_at (world, GPOINTER_TO_INT (data), world->now + w_rand (world, 0.05, 0.5));
+  node_kill (cluster, i);
+  node_start_at (cluster, GPOINTER_TO_INT (data),
+                 cluster->now + sim_rand_range (cluster, 0.05, 0.5));
 }
 
 /* Targets and duration of a drawn fault. */
@@ -61,152 +63,153 @@
 } DrawnFault;
 
 static void
-crash_all_nodes (World *world)
+crash_all_nodes (SimCluster *cluster)
 {
-  for (int k = 0; k < world->n; k++)
-    fault_crash (world, k);
+  for (int k = 0; k < cluster->n; k++)
+    fault_crash (cluster, k);
 }
 
 static void
-reclaim_spot_machines (World *world)
+reclaim_spot_machines (SimCluster *cluster)
 {
-  for (guint k = 0; k < world->machines->len; k++) {
-    SimMachine *machine = world->machines->pdata[k];
-    if (machine->spot && w_rand (world, 0, 1) < 0.5)
-      machine_take (world, machine);
+  for (guint k = 0; k < cluster->machines->len; k++) {
+    SimMachine *machine = cluster->machines->pdata[k];
+    if (machine->spot && sim_rand_range (cluster, 0, 1) < 0.5)
+      machine_reclaim (cluster, machine);
   }
 }
 
 /* With `others` several machines are affected, so that the failure looks like one of the
  * controller. */
 static void
-cut_inbound (World *world, const DrawnFault *fault, gboolean others)
+cut_inbound (SimCluster *cluster, const DrawnFault *fault, gboolean others)
 {
-  for (guint k = 0; fault->machine && k < world->machines->len; k++) {
-    SimMachine *machine = world->machines->pdata[k];
-    if (machine == fault->machine || (others && w_rand (world, 0, 1) < 0.3))
-      machine->inbound_cut = world->now + fault->for_s;
+  for (guint k = 0; fault->machine && k < cluster->machines->len; k++) {
+    SimMachine *machine = cluster->machines->pdata[k];
+    if (machine == fault->machine || (others && sim_rand_range (cluster, 0, 1) < 0.3))
+      machine->inbound_cut_until = cluster->now + fault->for_s;
   }
 }
 
 /* Restarts `count` controllers, starting with `node`, again and again for six seconds. */
 static void
-restart_repeatedly (World *world, int node, int count)
+restart_repeatedly (SimCluster *cluster, int node, int count)
 {
   for (int k = 0; k < count; k++) {
     double after = 0;
     while (after < 6) {
-      w_at (world, world->now + after, fault_restart_quickly,
-            GINT_TO_POINTER ((node + k) % world->n));
-      after += w_rand (world, 0.6, 2.5);
+      sim_schedule (cluster, cluster->now + after, fault_restart_quickly,
+                    GINT_TO_POINTER ((node + k) % cluster->n));
+      after += sim_rand_range (cluster, 0.6, 2.5);
     }
   }
 }
 
 static void
-freeze_nodes (World *world, int node, int count, double for_s)
+freeze_nodes (SimCluster *cluster, int node, int count, double for_s)
 {
   for (int k = 0; k < count; k++)
-    node_freeze (world, (node + k) % world->n, for_s);
+    node_freeze (cluster, (node + k) % cluster->n, for_s);
 }
 
 /* Cuts the controller off from the peers, services or users that the kind selects. */
 static void
-cut_node (World *world, const DrawnFault *fault, int kind)
+cut_node (SimCluster *cluster, const DrawnFault *fault, int kind)
 {
-  Node *n = &world->nodes[fault->node];
-  double until = world->now + fault->for_s;
-  n->hold = fault->hold;
+  SimNode *n = &cluster->nodes[fault->node];
+  double until = cluster->now + fault->for_s;
+  n->cut_holds_messages = fault->hold;
   if (kind == DRAWN_CUT_WORKERS || kind == DRAWN_CUT_ALL)
-    n->cut_workers = until;
+    n->cut_workers_until = until;
   if (kind != DRAWN_CUT_WORKERS)
-    n->cut_store = until;
+    n->cut_store_until = until;
   if (kind == DRAWN_CUT_ALL)
-    n->cut_users = until;
+    n->cut_users_until = until;
   if (kind == DRAWN_CUT_ALL || kind == DRAWN_CUT_STORE_AND_PEERS) {
-    n->cut_peers = until;
-    n->alone_at = world->now;
+    n->cut_peers_until = until;
+    n->isolated_at = cluster->now;
   }
 }
 
 static void
-apply_machine_fault (World *world, const DrawnFault *fault, int kind)
+apply_machine_fault (SimCluster *cluster, const DrawnFault *fault, int kind)
 {
   if (!fault->machine)
     return;
   if (kind == DRAWN_MACHINE_HANG) {
-    fault->machine->hang = world->now + fault->for_s;
+    fault->machine->hang_until = cluster->now + fault->for_s;
     return;
   }
-  fault->machine->cut = world->now + fault->for_s;
-  fault->machine->hold = fault->hold;
+  fault->machine->cut_until = cluster->now + fault->for_s;
+  fault->machine->cut_holds_messages = fault->hold;
 }
 
 static void
-apply_fault (World *world, const DrawnFault *fault, int kind)
+apply_fault (SimCluster *cluster, const DrawnFault *fault, int kind)
 {
   switch (kind) {
   case DRAWN_CRASH:
   case DRAWN_CRASH_AGAIN:
-    fault_crash (world, fault->node);
+    fault_crash (cluster, fault->node);
     break;
   case DRAWN_CRASH_ALL:
-    crash_all_nodes (world);
+    crash_all_nodes (cluster);
     break;
   case DRAWN_OUTAGE:
-    world->outage = world->now + MIN (fault->for_s, OUTAGE_MAX_S);
+    cluster->store_outage_until = cluster->now + MIN (fault->for_s, OUTAGE_MAX_S);
     break;
   case DRAWN_REFUSED:
-    world->nodes[fault->node].refused = world->now + fault->for_s;
+    cluster->nodes[fault->node].store_refuses_until = cluster->now + fault->for_s;
     break;
   case DRAWN_CUT_WORKERS:
   case DRAWN_CUT_STORE:
   case DRAWN_CUT_ALL:
   case DRAWN_CUT_STORE_AND_PEERS:
-    cut_node (world, fault, kind);
+    cut_node (cluster, fault, kind);
     break;
   case DRAWN_MACHINE_CUT:
   case DRAWN_MACHINE_HANG:
-    apply_machine_fault (world, fault, kind);
+    apply_machine_fault (cluster, fault, kind);
     break;
   case DRAWN_SPOT_RECLAIMED:
-    reclaim_spot_machines (world);
+    reclaim_spot_machines (cluster);
     break;
   case DRAWN_CLOUD_OUTAGE:
-    world->cloud_outage = world->now + fault->for_s;
+    cluster->cloud_outage_until = cluster->now + fault->for_s;
     break;
   case DRAWN_OUTAGE_AND_CRASH_ALL:
-    world->outage = world->now + MIN (fault->for_s, OUTAGE_MAX_S);
-    crash_all_nodes (world);
+    cluster->store_outage_until = cluster->now + MIN (fault->for_s, OUTAGE_MAX_S);
+    crash_all_nodes (cluster);
     break;
   case DRAWN_INBOUND_CUT:
   case DRAWN_INBOUND_CUTS:
-    cut_inbound (world, fault, kind == DRAWN_INBOUND_CUTS);
+    cut_inbound (cluster, fault, kind == DRAWN_INBOUND_CUTS);
     break;
   case DRAWN_RESTARTS:
   case DRAWN_RESTARTS_ALL:
-    restart_repeatedly (world, fault->node, kind == DRAWN_RESTARTS_ALL ? world->n : 1);
+    restart_repeatedly (cluster, fault->node, kind == DRAWN_RESTARTS_ALL ? cluster->n : 1);
     break;
   case DRAWN_FREEZE:
   case DRAWN_FREEZE_ALL:
-    freeze_nodes (world, fault->node, kind == DRAWN_FREEZE_ALL ? world->n : 1, fault->for_s);
+    freeze_nodes (cluster, fault->node, kind == DRAWN_FREEZE_ALL ? cluster->n : 1, fault->for_s);
     break;
   }
 }
 
 static void
-inject_drawn_fault (World *world, gpointer data G_GNUC_UNUSED)
+inject_drawn_fault (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  DrawnFault drawn = {.node = g_rand_int_range (world->rand, 0, world->n)};
-  if (world->machines->len)
-    drawn.machine = world->machines->pdata[g_rand_int_range (world->rand, 0, world->machines->len)];
-  drawn.for_s = w_rand (world, 3, 40);
-  drawn.hold = w_rand (world, 0, 1) < 0.5;
-  int kind = g_rand_int_range (world->rand, 0, DRAWN_KINDS);
-  sim_log_time = world->now;
+  DrawnFault drawn = {.node = g_rand_int_range (cluster->rand, 0, cluster->n)};
+  if (cluster->machines->len)
+    drawn.machine =
+        cluster->machines->pdata[g_rand_int_range (cluster->rand, 0, cluster->machines->len)];
+  drawn.for_s = sim_rand_range (cluster, 3, 40);
+  drawn.hold = sim_rand_range (cluster, 0, 1) < 0.5;
+  int kind = g_rand_int_range (cluster->rand, 0, DRAWN_KINDS);
+  sim_log_time = cluster->now;
   g_debug ("fault %d on c%d or %s for %.1f s, %s", kind, drawn.node,
            drawn.machine ? drawn.machine->name : "-", drawn.for_s, drawn.hold ? "held" : "lost");
-  apply_fault (world, &drawn, kind);
+  apply_fault (cluster, &drawn, kind);
 }
 
 typedef struct {
@@ -215,65 +218,66 @@
 } Freeze;
 
 static void
-freeze (World *world, gpointer data)
+freeze (SimCluster *cluster, gpointer data)
 {
   Freeze *freeze_plan = data;
-  int leader = MAX (0, store_leader (world));
-  for (int k = 0; k < world->n; k++)
+  int leader = MAX (0, store_leader (cluster));
+  for (int k = 0; k < cluster->n; k++)
     if (freeze_plan->who == FREEZE_ALL || (freeze_plan->who == FREEZE_LEADER) == (k == leader))
-      node_freeze (world, k, freeze_plan->for_s);
+      node_freeze (cluster, k, freeze_plan->for_s);
   g_free (freeze_plan);
 }
 
 void
-faults_freeze (World *world, double at, FreezeTarget who, double for_s)
+faults_freeze (SimCluster *cluster, double at, FreezeTarget who, double for_s)
 {
   Freeze *freeze_plan = g_new (Freeze, 1);
   *freeze_plan = (Freeze){who, for_s};
-  w_at (world, at, freeze, freeze_plan);
+  sim_schedule (cluster, at, freeze, freeze_plan);
 }
 
 /* A machine that receives nothing for a long time must be deleted well before that time is over;
  * otherwise tasks placed on it never run. */
 static void
-check_deleted (World *world, gpointer data)
+check_deleted (SimCluster *cluster, gpointer data)
 {
   SimMachine *machine = data;
   if (!machine->gone)
-    w_broken (world, "deaf", "%s receives nothing but was not deleted", machine->name);
+    sim_report_violation (cluster, "deaf", "%s receives nothing but was not deleted",
+                          machine->name);
 }
 
 static void
-cut_inbound_of_busiest (World *world, gpointer data G_GNUC_UNUSED)
+cut_inbound_of_busiest (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
   SimMachine *machine = NULL;
-  for (guint i = 0; i < world->machines->len; i++) {
-    SimMachine *other = world->machines->pdata[i];
-    if (other->up && !other->gone && !other->warned &&
+  for (guint i = 0; i < cluster->machines->len; i++) {
+    SimMachine *other = cluster->machines->pdata[i];
+    if (other->up && !other->gone && !other->reclaim_at &&
         (!machine || other->tasks->len > machine->tasks->len))
       machine = other;
   }
   if (!machine)
     return;
-  machine->inbound_cut = world->now + 200;
-  w_at (world, world->now + 60, check_deleted, machine);
+  machine->inbound_cut_until = cluster->now + 200;
+  sim_schedule (cluster, cluster->now + 60, check_deleted, machine);
 }
 
 void
-faults_inbound_cut (World *world, double at)
+faults_inbound_cut (SimCluster *cluster, double at)
 {
-  w_at (world, at, cut_inbound_of_busiest, NULL);
+  sim_schedule (cluster, at, cut_inbound_of_busiest, NULL);
 }
 
 guint
-fault_count_marked (World *world, gboolean (*predicate) (const SimMachine *), guint *all)
+fault_count_marked (SimCluster *cluster, gboolean (*predicate) (const SimMachine *), guint *all)
 {
   guint n = 0;
   *all = 0;
-  for (guint i = 0; i < world->machines->len; i++) {
-    const SimMachine *machine = world->machines->pdata[i];
-    *all += machine->through_cut;
-    n += machine->through_cut && predicate (machine);
+  for (guint i = 0; i < cluster->machines->len; i++) {
+    const SimMachine *machine = cluster->machines->pdata[i];
+    *all += machine->tracked_by_fault;
+    n += machine->tracked_by_fault && predicate (machine);
   }
   return n;
 }
@@ -287,55 +291,56 @@
 /* After a partition that delayed all messages to the controllers, while they reached one another:
  * no machine that was up before should have been deleted because of it; a third is tolerated. */
 static void
-check_kept_after_cut (World *world, gpointer data G_GNUC_UNUSED)
+check_kept_after_cut (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  guint up, lost = fault_count_marked (world, is_gone, &up);
+  guint up, lost = fault_count_marked (cluster, is_gone, &up);
   if (!up || lost * 3 > up)
-    w_broken (world, "kept", "%u of %u machines were deleted after a partition", lost, up);
+    sim_report_violation (cluster, "kept", "%u of %u machines were deleted after a partition", lost,
+                          up);
 }
 
 static void
-mark_before_cut_ends (World *world, gpointer data G_GNUC_UNUSED)
+mark_before_cut_ends (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  for (guint i = 0; i < world->machines->len; i++) {
-    SimMachine *machine = world->machines->pdata[i];
-    machine->through_cut =
-        machine->up && !machine->gone && machine->tasks->len == 0 && machine->tenure > 1;
+  for (guint i = 0; i < cluster->machines->len; i++) {
+    SimMachine *machine = cluster->machines->pdata[i];
+    machine->tracked_by_fault =
+        machine->up && !machine->gone && machine->tasks->len == 0 && machine->incarnation > 1;
   }
 }
 
 static void
-cut_all (World *world, gpointer data G_GNUC_UNUSED)
+cut_all (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  for (int k = 0; k < world->n; k++) {
-    Node *n = &world->nodes[k];
-    n->cut_workers = n->cut_store = n->cut_users = world->now + 30;
-    n->hold = TRUE;
+  for (int k = 0; k < cluster->n; k++) {
+    SimNode *n = &cluster->nodes[k];
+    n->cut_workers_until = n->cut_store_until = n->cut_users_until = cluster->now + 30;
+    n->cut_holds_messages = TRUE;
   }
-  w_at (world, world->now + 29.5, mark_before_cut_ends, NULL);
-  w_at (world, world->now + 42, check_kept_after_cut, NULL);
+  sim_schedule (cluster, cluster->now + 29.5, mark_before_cut_ends, NULL);
+  sim_schedule (cluster, cluster->now + 42, check_kept_after_cut, NULL);
 }
 
 void
-faults_cut_all_holding_packets (World *world, double at)
+faults_cut_all_holding_packets (SimCluster *cluster, double at)
 {
-  w_at (world, at, cut_all, NULL);
+  sim_schedule (cluster, at, cut_all, NULL);
 }
 
 void
-world_end_faults (World *world, gpointer unused G_GNUC_UNUSED)
+world_end_faults (SimCluster *cluster, gpointer unused G_GNUC_UNUSED)
 {
-  if (world->now < MAX (world->faults_to, world->troubles.ends_at))
+  if (cluster->now < MAX (cluster->faults_to, cluster->troubles.ends_at))
     return;
-  world->calm = TRUE;
-  world->calm_at = world->now;
+  cluster->faults_ended = TRUE;
+  cluster->faults_ended_at = cluster->now;
 }
 
 void
-faults_init (World *world, guint n, double from, double to)
+faults_init (SimCluster *cluster, guint n, double from, double to)
 {
   for (guint i = 0; i < n; i++)
-    w_at (world, w_rand (world, from, to), inject_drawn_fault, NULL);
-  world->faults_to = to;
-  w_at (world, to, world_end_faults, NULL);
+    sim_schedule (cluster, sim_rand_range (cluster, from, to), inject_drawn_fault, NULL);
+  cluster->faults_to = to;
+  sim_schedule (cluster, to, world_end_faults, NULL);
 }
--- a/tests/sim/faults_fleet.c
+++ b/tests/sim/faults_fleet.c
@@ -11,136 +11,137 @@
 static gboolean
 is_kept (const SimMachine *machine)
 {
-  return !machine->asked_gone;
+  return !machine->delete_requested_at;
 }
 
 /* To a new leader half of the machines being silent looks like a failure of its own. Proving by
  * elapsed time that they are gone takes it hold_s and a lease; the cloud's list shows it earlier.
  * Checks that the leader has asked to delete all of them. */
 static void
-check_deletion_requested (World *world, gpointer data G_GNUC_UNUSED)
+check_deletion_requested (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  guint gone, kept = fault_count_marked (world, is_kept, &gone);
+  guint gone, kept = fault_count_marked (cluster, is_kept, &gone);
   if (!gone || kept)
-    w_broken (world, "proof", "no deletion requested for %u of %u crashed machines", kept, gone);
+    sim_report_violation (cluster, "proof", "no deletion requested for %u of %u crashed machines",
+                          kept, gone);
 }
 
 static void
-crash_half_of_machines (World *world, gpointer data G_GNUC_UNUSED)
+crash_half_of_machines (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  int leader = store_leader (world);
+  int leader = store_leader (cluster);
   guint n = 0;
-  for (guint i = 0; i < world->machines->len; i++) {
-    SimMachine *machine = world->machines->pdata[i];
-    machine->through_cut = machine->up && !machine->gone && machine->tasks->len && n++ % 2;
-    if (machine->through_cut)
-      machine_end (world, machine);
+  for (guint i = 0; i < cluster->machines->len; i++) {
+    SimMachine *machine = cluster->machines->pdata[i];
+    machine->tracked_by_fault = machine->up && !machine->gone && machine->tasks->len && n++ % 2;
+    if (machine->tracked_by_fault)
+      machine_terminate (cluster, machine);
   }
   if (leader >= 0)
-    fault_crash (world, leader);
-  w_at (world, world->now + 26, check_deletion_requested, NULL);
+    fault_crash (cluster, leader);
+  sim_schedule (cluster, cluster->now + 26, check_deletion_requested, NULL);
 }
 
 void
-faults_crash_half_of_machines (World *world, double at)
+faults_crash_half_of_machines (SimCluster *cluster, double at)
 {
-  w_at (world, at, crash_half_of_machines, NULL);
+  sim_schedule (cluster, at, crash_half_of_machines, NULL);
 }
 
 static void
-crash_leader (World *world, gpointer data G_GNUC_UNUSED)
+crash_leader (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  int leader = store_leader (world);
+  int leader = store_leader (cluster);
   if (leader >= 0)
-    fault_crash (world, leader);
+    fault_crash (cluster, leader);
 }
 
 static void
-crash_all_nodes (World *world, gpointer data G_GNUC_UNUSED)
+crash_all_nodes (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  for (int k = 0; k < world->n; k++)
-    fault_crash (world, k);
+  for (int k = 0; k < cluster->n; k++)
+    fault_crash (cluster, k);
 }
 
 static void
-cut_all_from_store (World *world, gpointer data G_GNUC_UNUSED)
+cut_all_from_store (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  for (int k = 0; k < world->n; k++)
-    fault_cut_node_from_store (world, k);
+  for (int k = 0; k < cluster->n; k++)
+    fault_cut_node_from_store (cluster, k);
 }
 
 static void
-two_leaders (World *world, gpointer data G_GNUC_UNUSED)
+two_leaders (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  int leader = store_leader (world);
+  int leader = store_leader (cluster);
   if (leader < 0)
     return;
-  Node *n = &world->nodes[leader];
-  n->cut_store = n->cut_peers = world->now + 7.9;
-  n->alone_at = world->now;
-  n->hold = FALSE;
-  w_at (world, world->now + 5, cut_all_from_store, NULL);
+  SimNode *n = &cluster->nodes[leader];
+  n->cut_store_until = n->cut_peers_until = cluster->now + 7.9;
+  n->isolated_at = cluster->now;
+  n->cut_holds_messages = FALSE;
+  sim_schedule (cluster, cluster->now + 5, cut_all_from_store, NULL);
 }
 
 void
-faults_two_leaders (World *world, double at)
+faults_two_leaders (SimCluster *cluster, double at)
 {
-  w_at (world, at, two_leaders, NULL);
+  sim_schedule (cluster, at, two_leaders, NULL);
 }
 
 static void
-corrupt_pages (World *world, gpointer data G_GNUC_UNUSED)
+corrupt_pages (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  crash_all_nodes (world, NULL);
-  if (!store_corrupt_pages (world))
-    w_broken (world, "unreadable", "no record page exists");
+  crash_all_nodes (cluster, NULL);
+  if (!store_corrupt_pages (cluster))
+    sim_report_violation (cluster, "unreadable", "no record page exists");
 }
 
 void
-faults_unreadable_pages (World *world, double at)
+faults_unreadable_pages (SimCluster *cluster, double at)
 {
-  w_at (world, at, corrupt_pages, NULL);
+  sim_schedule (cluster, at, corrupt_pages, NULL);
 }
 
 static void
-mass_failure (World *world, gpointer data G_GNUC_UNUSED)
+mass_failure (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
   guint n = 0, dead = 0, hung = 0;
-  for (guint i = 0; i < world->machines->len; i++) {
-    SimMachine *machine = world->machines->pdata[i];
+  for (guint i = 0; i < cluster->machines->len; i++) {
+    SimMachine *machine = cluster->machines->pdata[i];
     if (!machine->up || machine->gone)
       continue;
     n++;
     if (n % 4 == 0) {
-      machine->cut = world->now + 45;
-      machine->hold = TRUE;
+      machine->cut_until = cluster->now + 45;
+      machine->cut_holds_messages = TRUE;
     } else if (n % 4 == 1 && dead++ < 100)
-      machine_end (world, machine);
+      machine_terminate (cluster, machine);
     else if (n % 4 == 2 && hung++ < 100) /* some for longer than their lease */
-      machine->hang = world->now + (n % 8 < 4 ? 20 : 35);
+      machine->hang_until = cluster->now + (n % 8 < 4 ? 20 : 35);
   }
 }
 
 void
-faults_mass_failure (World *world, double at)
+faults_mass_failure (SimCluster *cluster, double at)
 {
-  w_at (world, at, mass_failure, NULL);
-  w_at (world, at + 4, crash_leader, NULL);
-  w_at (world, at + 80, crash_all_nodes, NULL);
-  w_at (world, at + 130, crash_all_nodes, NULL);
-  faults_freeze (world, at + 170, FREEZE_LEADER, 20);
+  sim_schedule (cluster, at, mass_failure, NULL);
+  sim_schedule (cluster, at + 4, crash_leader, NULL);
+  sim_schedule (cluster, at + 80, crash_all_nodes, NULL);
+  sim_schedule (cluster, at + 130, crash_all_nodes, NULL);
+  faults_freeze (cluster, at + 170, FREEZE_LEADER, 20);
 }
 
 static void
-crash_gang_machines (World *world, gpointer data)
+crash_gang_machines (SimCluster *cluster, gpointer data)
 {
   double *to = data;
-  for (guint i = 0; world->jobs && i < world->jobs->len; i++) {
-    SimJob *job = world->jobs->pdata[i];
+  for (guint i = 0; cluster->jobs && i < cluster->jobs->len; i++) {
+    SimJob *job = cluster->jobs->pdata[i];
     SimMachine *last = NULL;
     guint here = 0;
-    for (guint k = 0; k < world->machines->len; k++) {
-      SimMachine *machine = world->machines->pdata[k];
+    for (guint k = 0; k < cluster->machines->len; k++) {
+      SimMachine *machine = cluster->machines->pdata[k];
       for (guint n = 0; !machine->gone && n < machine->tasks->len; n++) {
         SimTask *task = &g_array_index (machine->tasks, SimTask, n);
         if (task->job == i && task->state == SIM_TASK_FETCH) {
@@ -151,66 +152,66 @@
     }
     if (here == job->tasks && !job->lost_place) {
       job->lost_place = TRUE;
-      machine_end (world, last);
+      machine_terminate (cluster, last);
     }
   }
-  if (world->now < *to)
-    w_at (world, world->now + 0.5, crash_gang_machines, data);
+  if (cluster->now < *to)
+    sim_schedule (cluster, cluster->now + 0.5, crash_gang_machines, data);
   else
     g_free (data);
 }
 
 void
-faults_crash_gang_machines (World *world, double from, double to)
+faults_crash_gang_machines (SimCluster *cluster, double from, double to)
 {
-  w_at (world, from, crash_gang_machines, g_memdup2 (&to, sizeof to));
+  sim_schedule (cluster, from, crash_gang_machines, g_memdup2 (&to, sizeof to));
 }
 
 void
-faults_crash_leader (World *world, double at)
+faults_crash_leader (SimCluster *cluster, double at)
 {
-  w_at (world, at, crash_leader, NULL);
+  sim_schedule (cluster, at, crash_leader, NULL);
 }
 
 static void
-change_leader (World *world, gpointer data G_GNUC_UNUSED)
+change_leader (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
   /* Crashes all controllers but one, whichever of them leads, so that a node without any state
    * leads next. */
-  int i = g_rand_int_range (world->rand, 0, world->n);
-  for (int k = 0; k < world->n - 1; k++)
-    fault_crash (world, (i + k) % world->n);
-  for (guint k = 0; k < world->machines->len; k++) {
-    SimMachine *machine = world->machines->pdata[k];
-    if (machine->up && !machine->gone && w_rand (world, 0, 1) < 0.2)
-      machine_end (world, machine);
+  int i = g_rand_int_range (cluster->rand, 0, cluster->n);
+  for (int k = 0; k < cluster->n - 1; k++)
+    fault_crash (cluster, (i + k) % cluster->n);
+  for (guint k = 0; k < cluster->machines->len; k++) {
+    SimMachine *machine = cluster->machines->pdata[k];
+    if (machine->up && !machine->gone && sim_rand_range (cluster, 0, 1) < 0.2)
+      machine_terminate (cluster, machine);
   }
 }
 
 static void
-compact_changes (World *world, gpointer data G_GNUC_UNUSED)
+compact_changes (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  int leader = store_leader (world);
+  int leader = store_leader (cluster);
   if (leader >= 0)
-    world->nodes[leader].too_old = world->epoch;
+    cluster->nodes[leader].compacted_epoch = cluster->epoch;
 }
 
 void
-faults_compact_changes (World *world, double from, double to)
+faults_compact_changes (SimCluster *cluster, double from, double to)
 {
   double at = from;
   while (at < to) {
-    w_at (world, at, compact_changes, NULL);
+    sim_schedule (cluster, at, compact_changes, NULL);
     at += COMPACTION_INTERVAL_S;
   }
 }
 
 void
-faults_change_leaders (World *world, double from, double to)
+faults_change_leaders (SimCluster *cluster, double from, double to)
 {
   double at = from;
   while (at < to) {
-    w_at (world, at, change_leader, NULL);
+    sim_schedule (cluster, at, change_leader, NULL);
     at += LEADER_CHANGE_INTERVAL_S;
   }
 }
--- a/tests/sim/faults_members.c
+++ b/tests/sim/faults_members.c
@@ -7,7 +7,7 @@
 static gboolean
 is_lost (const SimMachine *machine)
 {
-  return machine->gone || machine->tenure > 1;
+  return machine->gone || machine->incarnation > 1;
 }
 
 /* ---- attestations of members to the leader while all of them are cut off ---- */
@@ -15,155 +15,157 @@
 #define CUT_ALL_S 50.0
 
 static void
-check_leases_held (World *world, gpointer data G_GNUC_UNUSED)
+check_leases_held (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
   guint up = 0, lost = 0;
-  for (guint i = 0; i < world->machines->len; i++) {
-    SimMachine *machine = world->machines->pdata[i];
-    up += machine->through_cut && !machine->gone;
-    lost += machine->through_cut && !machine->gone && machine->tenure > 1;
+  for (guint i = 0; i < cluster->machines->len; i++) {
+    SimMachine *machine = cluster->machines->pdata[i];
+    up += machine->tracked_by_fault && !machine->gone;
+    lost += machine->tracked_by_fault && !machine->gone && machine->incarnation > 1;
   }
   if (!up || lost)
-    w_broken (world, "attestation",
-              "%u of %u machines lost their lease although no member reached the state store", lost,
-              up);
+    sim_report_violation (
+        cluster, "attestation",
+        "%u of %u machines lost their lease although no member reached the state store", lost, up);
 }
 
 void
-fault_cut_node_from_store (World *world, int node)
+fault_cut_node_from_store (SimCluster *cluster, int node)
 {
-  world->nodes[node].cut_store = world->now + CUT_ALL_S;
-  world->nodes[node].hold = FALSE;
+  cluster->nodes[node].cut_store_until = cluster->now + CUT_ALL_S;
+  cluster->nodes[node].cut_holds_messages = FALSE;
 }
 
 /* Schedules a check that leases last until just before the partition ends. */
 static void
-schedule_lease_check (World *world)
+schedule_lease_check (SimCluster *cluster)
 {
-  for (guint i = 0; i < world->machines->len; i++) {
-    SimMachine *machine = world->machines->pdata[i];
-    machine->through_cut = machine->up && !machine->gone && !machine->spot && machine->tenure == 1;
+  for (guint i = 0; i < cluster->machines->len; i++) {
+    SimMachine *machine = cluster->machines->pdata[i];
+    machine->tracked_by_fault =
+        machine->up && !machine->gone && !machine->spot && machine->incarnation == 1;
   }
-  w_at (world, world->now + CUT_ALL_S - 2, check_leases_held, NULL);
+  sim_schedule (cluster, cluster->now + CUT_ALL_S - 2, check_leases_held, NULL);
 }
 
 static void
-cut_all_from_store (World *world, gpointer data G_GNUC_UNUSED)
+cut_all_from_store (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  for (int k = 0; k < world->n; k++)
-    fault_cut_node_from_store (world, k);
-  schedule_lease_check (world);
+  for (int k = 0; k < cluster->n; k++)
+    fault_cut_node_from_store (cluster, k);
+  schedule_lease_check (cluster);
 }
 
 void
-faults_cut_from_store (World *world, double at)
+faults_cut_from_store (SimCluster *cluster, double at)
 {
-  w_at (world, at, cut_all_from_store, NULL);
+  sim_schedule (cluster, at, cut_all_from_store, NULL);
 }
 
 /* All nodes but one miss a cancellation. That node confirms it just before it is cut off as well,
  * and may then restart. Its attestation must not extend the leases of the cancelled job's tasks,
  * but must extend those of other jobs as long as it can name that job to the leader. */
 static void
-cut_remaining_from_store (World *world, gpointer data)
+cut_remaining_from_store (SimCluster *cluster, gpointer data)
 {
   int other = GPOINTER_TO_INT (data) % MAX_NODES;
-  for (int k = 0; k < world->n; k++)
-    if (world->nodes[k].cut_store < world->now)
-      fault_cut_node_from_store (world, k);
+  for (int k = 0; k < cluster->n; k++)
+    if (cluster->nodes[k].cut_store_until < cluster->now)
+      fault_cut_node_from_store (cluster, k);
   if (GPOINTER_TO_INT (data) >= MAX_NODES)
-    fault_restart_quickly (world, GINT_TO_POINTER (other));
-  else if (world->nodes[store_leader (world)].frozen <=
-           world->now) /* a freeze of the leader would cost leases by itself */
-    schedule_lease_check (world);
+    fault_restart_quickly (cluster, GINT_TO_POINTER (other));
+  else if (cluster->nodes[store_leader (cluster)].frozen_until <=
+           cluster->now) /* a freeze of the leader would cost leases by itself */
+    schedule_lease_check (cluster);
 }
 
 static void
-missed_cancellation (World *world, gpointer data)
+missed_cancellation (SimCluster *cluster, gpointer data)
 {
-  int leader = store_leader (world);
+  int leader = store_leader (cluster);
   if (leader < 0)
     return;
-  int other = (leader + 1) % world->n;
-  for (int k = 0; k < world->n; k++)
+  int other = (leader + 1) % cluster->n;
+  for (int k = 0; k < cluster->n; k++)
     if (k != other)
-      fault_cut_node_from_store (world, k);
-  users_cancel_service_at (world, other);
-  w_at (world, world->now + 0.8, cut_remaining_from_store,
-        GINT_TO_POINTER (other + (data ? MAX_NODES : 0)));
+      fault_cut_node_from_store (cluster, k);
+  users_cancel_service_at (cluster, other);
+  sim_schedule (cluster, cluster->now + 0.8, cut_remaining_from_store,
+                GINT_TO_POINTER (other + (data ? MAX_NODES : 0)));
 }
 
 void
-faults_missed_cancellation (World *world, double at, gboolean restart)
+faults_missed_cancellation (SimCluster *cluster, double at, gboolean restart)
 {
-  w_at (world, at, missed_cancellation, GINT_TO_POINTER (restart));
+  sim_schedule (cluster, at, missed_cancellation, GINT_TO_POINTER (restart));
 }
 
 static void
-cancel_at_other_nodes (World *world, gpointer data G_GNUC_UNUSED)
+cancel_at_other_nodes (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  int leader = store_leader (world);
-  for (int k = 0; k < world->n; k++)
+  int leader = store_leader (cluster);
+  for (int k = 0; k < cluster->n; k++)
     if (k != leader)
-      users_cancel_service_at (world, k);
+      users_cancel_service_at (cluster, k);
 }
 
 static void
-store_outage (World *world, gpointer data G_GNUC_UNUSED)
+store_outage (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  world->outage = world->now + CUT_ALL_S;
-  schedule_lease_check (world);
+  cluster->store_outage_until = cluster->now + CUT_ALL_S;
+  schedule_lease_check (cluster);
 }
 
 static void
-cancellation_gap (World *world, gpointer data G_GNUC_UNUSED)
+cancellation_gap (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  int leader = store_leader (world);
+  int leader = store_leader (cluster);
   if (leader < 0)
     return;
-  world->nodes[leader].refused = world->now + 14;
+  cluster->nodes[leader].store_refuses_until = cluster->now + 14;
   double after = 0.3;
   while (after < 1.5) {
-    w_at (world, world->now + after, cancel_at_other_nodes, NULL);
+    sim_schedule (cluster, cluster->now + after, cancel_at_other_nodes, NULL);
     after += 0.4;
   }
-  w_at (world, world->now + 2, store_outage, NULL);
+  sim_schedule (cluster, cluster->now + 2, store_outage, NULL);
 }
 
 void
-faults_cancellation_gap (World *world, double at)
+faults_cancellation_gap (SimCluster *cluster, double at)
 {
-  w_at (world, at, cancellation_gap, NULL);
+  sim_schedule (cluster, at, cancellation_gap, NULL);
 }
 
 /* No machine with running tasks may be given up because its reports do not reach the leader. */
 static void
-check_workers_kept (World *world, gpointer data G_GNUC_UNUSED)
+check_workers_kept (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  guint up, lost = fault_count_marked (world, is_lost, &up);
+  guint up, lost = fault_count_marked (cluster, is_lost, &up);
   if (!up || lost)
-    w_broken (world, "kept", "%u of %u machines lost after the leader was cut off from its workers",
-              lost, up);
+    sim_report_violation (cluster, "kept",
+                          "%u of %u machines lost after the leader was cut off from its workers",
+                          lost, up);
 }
 
 static void
-cut_leader_from_workers (World *world, gpointer data)
+cut_leader_from_workers (SimCluster *cluster, gpointer data)
 {
-  int leader = store_leader (world);
+  int leader = store_leader (cluster);
   if (leader < 0)
     return;
-  world->nodes[leader].cut_workers = world->now + 40;
-  world->nodes[leader].hold = data != NULL;
-  for (guint i = 0; i < world->machines->len; i++) {
-    SimMachine *machine = world->machines->pdata[i];
-    machine->through_cut =
-        machine->up && !machine->gone && machine->tenure == 1 && machine->tasks->len;
+  cluster->nodes[leader].cut_workers_until = cluster->now + 40;
+  cluster->nodes[leader].cut_holds_messages = data != NULL;
+  for (guint i = 0; i < cluster->machines->len; i++) {
+    SimMachine *machine = cluster->machines->pdata[i];
+    machine->tracked_by_fault =
+        machine->up && !machine->gone && machine->incarnation == 1 && machine->tasks->len;
   }
-  w_at (world, world->now + 39, check_workers_kept, NULL);
+  sim_schedule (cluster, cluster->now + 39, check_workers_kept, NULL);
 }
 
 void
-faults_cut_leader_from_workers (World *world, double at, gboolean hold)
+faults_cut_leader_from_workers (SimCluster *cluster, double at, gboolean hold)
 {
-  w_at (world, at, cut_leader_from_workers, GINT_TO_POINTER (hold));
+  sim_schedule (cluster, at, cut_leader_from_workers, GINT_TO_POINTER (hold));
 }
--- a/tests/sim/limits.h
+++ b/tests/sim/limits.h
@@ -1,8 +1,8 @@
-/* Workloads for days on which a team is at its limit (world.h: quota_gpus). Each task of an array
+/* Workloads for days on which a team is at its limit (cluster.h: quota_gpus). Each task of an array
  * and each replica takes one GPU; each task of a gang takes a machine with both of its GPUs. */
 #pragma once
 #include "sim/user.h"
-#include "sim/world.h"
+#include "sim/cluster.h"
 
 /* One job. due_s: an array's deadline, in seconds from its submission; 0: derived from its run
  * time. */
@@ -17,8 +17,8 @@
   const char *team; /* NULL: the first one */
 } HrLimitJob;
 
-void limits_submit (World *world, const HrLimitJob *jobs, guint n);
+void limits_submit (SimCluster *cluster, const HrLimitJob *jobs, guint n);
 /* Submits gangs of one task at intervals of gap_s. */
-void limits_stream (World *world, double from, double to, double gap_s, double run_s);
+void limits_stream (SimCluster *cluster, double from, double to, double gap_s, double run_s);
 /* Returns the nth submitted job of the day. */
-SimJob *limits_job (World *world, guint n);
+SimJob *limits_job (SimCluster *cluster, guint n);
--- a/tests/sim/log.c
+++ b/tests/sim/log.c
@@ -1,6 +1,6 @@
 /* Log output of the controllers of a simulated day. */
 #include "sim/log.h"
-#include "sim/world.h"
+#include "sim/cluster.h"
 #include <stdio.h>
 
 /* Writes all messages, with simulated time and node, if HR_SIM_VERBOSE is set; otherwise only fatal
--- a/tests/sim/log.h
+++ b/tests/sim/log.h
@@ -1,6 +1,6 @@
 /* The log of the simulated controllers, with simulated time and node. */
 #pragma once
-#include "sim/world.h"
+#include "sim/cluster.h"
 
 /* Time and node of the running controller, for log lines. */
 extern double sim_log_time;
--- a/tests/sim/malformed_requests.c
+++ b/tests/sim/malformed_requests.c
@@ -12,7 +12,7 @@
 #include "sim/store.h"
 #include "sim/trouble_hooks.h"
 #include "sim/user.h"
-#include "sim/world.h"
+#include "sim/cluster.h"
 #include <string.h>
 
 #define ROUND_INTERVAL_S 1.5
@@ -28,7 +28,7 @@
   char *path, *body;
   guint tries;
   SimJob *job; /* the existing job that the request names; NULL: none */
-  Question *question;
+  SimUserRequest *question;
 } MalformedRequest;
 
 static void
@@ -43,52 +43,53 @@
 }
 
 static void
-check_not_recorded (World *world, gpointer data)
+check_not_recorded (SimCluster *cluster, gpointer data)
 {
   MalformedRequest *request = data;
-  if (request->mark && store_names (world, request->mark))
-    w_broken (world, "recorded", "%s of a request with the expected status %d is recorded: %s",
-              request->mark, request->expected, request->what);
+  if (request->mark && store_references_machine (cluster, request->mark))
+    sim_report_violation (cluster, "recorded",
+                          "%s of a request with the expected status %d is recorded: %s",
+                          request->mark, request->expected, request->what);
   malformed_free (request);
 }
 
 static void
-check_body (World *world, const MalformedRequest *request, json_t *body)
+check_body (SimCluster *cluster, const MalformedRequest *request, json_t *body)
 {
   if (request->expected >= 400 && !json_string_length (json_object_get (body, "error")))
-    w_broken (world, "odd", "%s: answer %d without an error text", request->what,
-              request->expected);
+    sim_report_violation (cluster, "odd", "%s: answer %d without an error text", request->what,
+                          request->expected);
 }
 
-static void retry (World *world, gpointer data);
+static void retry (SimCluster *cluster, gpointer data);
 
 static int
-any_node (World *world)
+any_node (SimCluster *cluster)
 {
-  return g_rand_int_range (world->troubles.rand, 0, world->n);
+  return g_rand_int_range (cluster->troubles.rand, 0, cluster->n);
 }
 
 static void
-on_answer (World *world, int status, json_t *body, gpointer data)
+on_answer (SimCluster *cluster, int status, json_t *body, gpointer data)
 {
   MalformedRequest *request = data;
   gboolean undecided = status == 0 || status == 503 || status == 429;
   gboolean names_no_job = request->expected == 400 && !request->mark;
   if (undecided && (status == 0 || !names_no_job) && request->tries < MAX_TRIES) {
-    w_at (world, world->now + RETRY_INTERVAL_S, retry, request);
+    sim_schedule (cluster, cluster->now + RETRY_INTERVAL_S, retry, request);
     return;
   }
   if (status == request->expected)
-    check_body (world, request, body);
+    check_body (cluster, request, body);
   else
-    w_broken (world, status == 200 || status == 201 ? "accepted" : "odd",
-              "%s gets %d instead of %d", request->what, status, request->expected);
+    sim_report_violation (cluster, status == 200 || status == 201 ? "accepted" : "odd",
+                          "%s gets %d instead of %d", request->what, status, request->expected);
   if (request->job && (status == 200 || status == 201))
-    answer_check (world, request->question, status, body);
+    check_user_response (cluster, request->question, status, body);
   else if (request->job && (status == 400 || status == 404 || status == 422))
-    answer_unknown (world, request->question, request->what, status);
-  world->troubles.effects[FAULT_ODD_REQUESTS]++;
-  w_at (world, world->now + RECORDED_AFTER_S, check_not_recorded, request);
+    check_user_error (cluster, request->question, request->what, status);
+  cluster->troubles.effects[FAULT_ODD_REQUESTS]++;
+  sim_schedule (cluster, cluster->now + RECORDED_AFTER_S, check_not_recorded, request);
 }
 
 static MalformedRequest *
@@ -103,32 +104,32 @@
 
 /* Takes ownership of the body. */
 static void
-post (World *world, MalformedRequest *request, int node, const char *path, char *body)
+post (SimCluster *cluster, MalformedRequest *request, int node, const char *path, char *body)
 {
   request->path = g_strdup (path);
   request->body = body;
-  w_ask (world, node, -1, HR_POST, path, g_strdup (body), 5, on_answer, request);
+  sim_send_request (cluster, node, -1, HR_POST, path, g_strdup (body), 5, on_answer, request);
 }
 
 static void
-retry (World *world, gpointer data)
+retry (SimCluster *cluster, gpointer data)
 {
   MalformedRequest *request = data;
   request->tries++;
   if (request->question) { /* what users learned in the meantime applies to this answer too */
     g_free (request->question);
-    request->question = question_new (world, request->job);
+    request->question = sim_user_request_new (cluster, request->job);
   }
-  w_ask (world, any_node (world), -1, HR_POST, request->path, g_strdup (request->body), 5,
-         on_answer, request);
+  sim_send_request (cluster, any_node (cluster), -1, HR_POST, request->path,
+                    g_strdup (request->body), 5, on_answer, request);
 }
 
 /* ---- submissions ---- */
 
 static json_t *
-valid_job (World *world, char **mark)
+valid_job (SimCluster *cluster, char **mark)
 {
-  *mark = g_strdup_printf ("job-odd-%u", ++world->troubles.malformed_sent);
+  *mark = g_strdup_printf ("job-odd-%u", ++cluster->troubles.malformed_sent);
   g_autofree char *image = g_strconcat ("img-", *mark, NULL);
   return json_pack ("{sssssssssssisfsfsfsssfsnsnsbsbsbsfsfsfsn}", "name_id", *mark, "jobclass",
                     "array", "crew", "crew", "shape", "batch", "rank", "normal", "pieces", 1,
@@ -139,36 +140,36 @@
 
 /* value: NULL leaves the field out. */
 static void
-submit_with_field (World *world, const char *field, json_t *value, int expected)
+submit_with_field (SimCluster *cluster, const char *field, json_t *value, int expected)
 {
   g_autofree char *mark = NULL, *text = value ? json_dumps (value, JSON_ENCODE_ANY) : NULL;
-  json_t *job = valid_job (world, &mark);
+  json_t *job = valid_job (cluster, &mark);
   g_autofree char *what = g_strdup_printf ("a job with %s %s", field, text ? text : "missing");
   if (value)
     json_object_set_new (job, field, value);
   else
     json_object_del (job, field);
-  post (world, malformed_new (mark, what, expected), any_node (world), "/v1/jobs",
+  post (cluster, malformed_new (mark, what, expected), any_node (cluster), "/v1/jobs",
         hr_json_take_text (job));
 }
 
 /* Fields that must not be null must not be missing either. */
 static void
-submit_missing_fields (World *world)
+submit_missing_fields (SimCluster *cluster)
 {
   static const char *const fields[] = {
       "name_id", "jobclass",     "crew",      "shape",   "rank",    "pieces",
       "vcpus",   "accelerators", "memory_gb", "bundle",  "size_gb", "together",
       "apart",   "loaners",      "guess_s",   "cairn_s", "stash_s"};
   for (guint i = 0; i < G_N_ELEMENTS (fields); i++) {
-    submit_with_field (world, fields[i], NULL, 400);
-    submit_with_field (world, fields[i], json_null (), 400);
-    submit_with_field (world, fields[i], json_object (), 400);
+    submit_with_field (cluster, fields[i], NULL, 400);
+    submit_with_field (cluster, fields[i], json_null (), 400);
+    submit_with_field (cluster, fields[i], json_object (), 400);
   }
 }
 
 static void
-submit_wrong_values (World *world)
+submit_wrong_values (SimCluster *cluster)
 {
   static const char *const texts[] = {"name_id", "jobclass", "crew",  "shape",
                                       "rank",    "bundle",   "hulls", "quarry"};
@@ -176,44 +177,44 @@
                                         "guess_s", "cairn_s",      "stash_s",   "due_s"};
   static const char *const flags[] = {"together", "apart", "loaners"};
   for (guint i = 0; i < G_N_ELEMENTS (texts); i++)
-    submit_with_field (world, texts[i], json_integer (7), 400);
+    submit_with_field (cluster, texts[i], json_integer (7), 400);
   for (guint i = 0; i < G_N_ELEMENTS (amounts); i++) {
-    submit_with_field (world, amounts[i], json_string ("4.0"), 400);
-    submit_with_field (world, amounts[i], json_real (-1), 400);
+    submit_with_field (cluster, amounts[i], json_string ("4.0"), 400);
+    submit_with_field (cluster, amounts[i], json_real (-1), 400);
   }
   for (guint i = 0; i < G_N_ELEMENTS (flags); i++)
-    submit_with_field (world, flags[i], json_integer (1), 400);
-  submit_with_field (world, "pieces", json_string ("3"), 400);
-  submit_with_field (world, "pieces", json_real (2.5), 400);
-  submit_with_field (world, "pieces", json_integer (0), 400);
-  submit_with_field (world, "pieces", json_integer (-1), 400);
-  submit_with_field (world, "pieces", json_integer (100001), 400);
-  submit_with_field (world, "shape", json_string ("swarm"), 400);
-  submit_with_field (world, "rank", json_string ("highest"), 400);
-  submit_with_field (world, "name_id", json_string ("odd-1"), 400);
-  submit_with_field (world, "name_id", json_string ("job-a/b"), 400);
-  submit_with_field (world, "hulls", json_string ("g2"), 400);
-  submit_with_field (world, "hulls", json_pack ("[i]", 2), 400);
+    submit_with_field (cluster, flags[i], json_integer (1), 400);
+  submit_with_field (cluster, "pieces", json_string ("3"), 400);
+  submit_with_field (cluster, "pieces", json_real (2.5), 400);
+  submit_with_field (cluster, "pieces", json_integer (0), 400);
+  submit_with_field (cluster, "pieces", json_integer (-1), 400);
+  submit_with_field (cluster, "pieces", json_integer (100001), 400);
+  submit_with_field (cluster, "shape", json_string ("swarm"), 400);
+  submit_with_field (cluster, "rank", json_string ("highest"), 400);
+  submit_with_field (cluster, "name_id", json_string ("odd-1"), 400);
+  submit_with_field (cluster, "name_id", json_string ("job-a/b"), 400);
+  submit_with_field (cluster, "hulls", json_string ("g2"), 400);
+  submit_with_field (cluster, "hulls", json_pack ("[i]", 2), 400);
 }
 
 static void
-submit_unplaceable (World *world)
+submit_unplaceable (SimCluster *cluster)
 {
-  submit_with_field (world, "crew", json_string ("nobody"), 422);
-  submit_with_field (world, "vcpus", json_real (13), 422);
-  submit_with_field (world, "accelerators", json_real (3), 422);
-  submit_with_field (world, "memory_gb", json_real (97), 422);
-  submit_with_field (world, "hulls", json_pack ("[s]", "none"), 422);
-  submit_with_field (world, "quarry", json_string ("z9"), 422);
+  submit_with_field (cluster, "crew", json_string ("nobody"), 422);
+  submit_with_field (cluster, "vcpus", json_real (13), 422);
+  submit_with_field (cluster, "accelerators", json_real (3), 422);
+  submit_with_field (cluster, "memory_gb", json_real (97), 422);
+  submit_with_field (cluster, "hulls", json_pack ("[s]", "none"), 422);
+  submit_with_field (cluster, "quarry", json_string ("z9"), 422);
 }
 
 static void
-submit_non_objects (World *world)
+submit_non_objects (SimCluster *cluster)
 {
   static const char *const bodies[] = {"", "{", "[]", "7", "null", "\"job-odd\"", "{\"a\":1}x"};
   for (guint i = 0; i < G_N_ELEMENTS (bodies); i++) {
     g_autofree char *what = g_strdup_printf ("a submission of '%s'", bodies[i]);
-    post (world, malformed_new (NULL, what, 400), any_node (world), "/v1/jobs",
+    post (cluster, malformed_new (NULL, what, 400), any_node (cluster), "/v1/jobs",
           g_strdup (bodies[i]));
   }
 }
@@ -221,25 +222,25 @@
 /* ---- existing and unknown jobs ---- */
 
 static void
-cancel_unknown_job (World *world)
+cancel_unknown_job (SimCluster *cluster)
 {
-  g_autofree char *mark = g_strdup_printf ("job-odd-%u", ++world->troubles.malformed_sent);
+  g_autofree char *mark = g_strdup_printf ("job-odd-%u", ++cluster->troubles.malformed_sent);
   g_autofree char *path = g_strconcat ("/v1/jobs/", mark, "/abort", NULL);
-  post (world, malformed_new (mark, "a cancellation of an unknown job", 404), any_node (world),
+  post (cluster, malformed_new (mark, "a cancellation of an unknown job", 404), any_node (cluster),
         path, NULL);
 }
 
 /* Cancels a job that is done and one that is already cancelled; their states must not change. */
 static void
-cancel_final_jobs (World *world)
+cancel_final_jobs (SimCluster *cluster)
 {
   SimJob *chosen[2] = {NULL, NULL};
-  for (guint i = 0, seen[2] = {0}; i < world->jobs->len; i++) {
-    SimJob *job = world->jobs->pdata[i];
-    if (!job->told_done && !job->told_cancelled)
+  for (guint i = 0, seen[2] = {0}; i < cluster->jobs->len; i++) {
+    SimJob *job = cluster->jobs->pdata[i];
+    if (!job->done_reply_at && !job->cancelled_reply_at)
       continue;
-    int k = job->told_cancelled > 0;
-    if (g_rand_int_range (world->troubles.rand, 0, ++seen[k]) == 0)
+    int k = job->cancelled_reply_at > 0;
+    if (g_rand_int_range (cluster->troubles.rand, 0, ++seen[k]) == 0)
       chosen[k] = job;
   }
   for (int k = 0; k < 2; k++) {
@@ -250,8 +251,8 @@
     MalformedRequest *request =
         malformed_new (NULL, k ? "a second cancellation" : "a cancellation of a done job", 200);
     request->job = job;
-    request->question = question_new (world, job);
-    post (world, request, any_node (world), path, NULL);
+    request->question = sim_user_request_new (cluster, job);
+    post (cluster, request, any_node (cluster), path, NULL);
   }
 }
 
@@ -280,65 +281,66 @@
 
 /* Repeats a submission with other content; the controller recognizes it by its id alone. */
 static void
-submit_repeat (World *world, gpointer data)
+submit_repeat (SimCluster *cluster, gpointer data)
 {
   g_autofree Repeat *plan = data;
   static const char *const names[] = {"smaller", "of no team", "for no machine"};
-  g_autofree char *mark = g_strdup_printf ("job-odd-%u", ++world->troubles.malformed_sent);
+  g_autofree char *mark = g_strdup_printf ("job-odd-%u", ++cluster->troubles.malformed_sent);
   g_autofree char *what =
       g_strdup_printf ("a repeated submission with other content (%s)", names[plan->content]);
   MalformedRequest *request = malformed_new (mark, what, 200);
   request->job = plan->job;
-  request->question = question_new (world, plan->job);
-  post (world, request, plan->node, "/v1/jobs", other_content (plan->job, plan->content, mark));
+  request->question = sim_user_request_new (cluster, plan->job);
+  post (cluster, request, plan->node, "/v1/jobs", other_content (plan->job, plan->content, mark));
 }
 
 static void
-plan_repeat (World *world, SimJob *job, int node)
+plan_repeat (SimCluster *cluster, SimJob *job, int node)
 {
   Repeat *plan = g_new (Repeat, 1);
-  *plan = (Repeat){job, node, g_rand_int_range (world->troubles.rand, 0, CONTENT_KINDS)};
-  w_at (world, world->now + fault_rand (world, 0, REPEAT_SPAN_S), submit_repeat, plan);
+  *plan = (Repeat){job, node, g_rand_int_range (cluster->troubles.rand, 0, CONTENT_KINDS)};
+  sim_schedule (cluster, cluster->now + fault_rand (cluster, 0, REPEAT_SPAN_S), submit_repeat,
+                plan);
 }
 
 void
-malformed_requests_repeat (World *world, SimJob *job)
+malformed_requests_repeat (SimCluster *cluster, SimJob *job)
 {
-  for (int node = 0; node < world->n; node++)
-    plan_repeat (world, job, node);
+  for (int node = 0; node < cluster->n; node++)
+    plan_repeat (cluster, job, node);
 }
 
 static void
-repeat_unfinished_job (World *world)
+repeat_unfinished_job (SimCluster *cluster)
 {
   SimJob *chosen = NULL;
-  for (guint i = 0, seen = 0; i < world->jobs->len; i++) {
-    SimJob *job = world->jobs->pdata[i];
-    if (job->accepted && !job->told_done && !job->told_cancelled &&
-        g_rand_int_range (world->troubles.rand, 0, ++seen) == 0)
+  for (guint i = 0, seen = 0; i < cluster->jobs->len; i++) {
+    SimJob *job = cluster->jobs->pdata[i];
+    if (job->accepted && !job->done_reply_at && !job->cancelled_reply_at &&
+        g_rand_int_range (cluster->troubles.rand, 0, ++seen) == 0)
       chosen = job;
   }
   if (chosen)
-    plan_repeat (world, chosen, any_node (world));
+    plan_repeat (cluster, chosen, any_node (cluster));
 }
 
 static void
-send_round (World *world, gpointer data G_GNUC_UNUSED)
+send_round (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  if (world->troubles.malformed_until <= world->now)
+  if (cluster->troubles.malformed_until <= cluster->now)
     return;
-  submit_missing_fields (world);
-  submit_wrong_values (world);
-  submit_unplaceable (world);
-  submit_non_objects (world);
-  cancel_unknown_job (world);
-  cancel_final_jobs (world);
-  repeat_unfinished_job (world);
-  w_at (world, world->now + ROUND_INTERVAL_S, send_round, NULL);
+  submit_missing_fields (cluster);
+  submit_wrong_values (cluster);
+  submit_unplaceable (cluster);
+  submit_non_objects (cluster);
+  cancel_unknown_job (cluster);
+  cancel_final_jobs (cluster);
+  repeat_unfinished_job (cluster);
+  sim_schedule (cluster, cluster->now + ROUND_INTERVAL_S, send_round, NULL);
 }
 
 void
-malformed_requests_begin (World *world)
+malformed_requests_begin (SimCluster *cluster)
 {
-  send_round (world, NULL);
+  send_round (cluster, NULL);
 }
--- a/tests/sim/pipeline.c
+++ b/tests/sim/pipeline.c
@@ -24,7 +24,8 @@
   double first = 0;
   for (guint i = 0; job->awaits && i < job->awaits->len; i++) {
     const SimJob *before = job->awaits->pdata[i];
-    double told = before->told_cancelled ? before->told_cancelled : ancestor_cancelled_at (before);
+    double told =
+        before->cancelled_reply_at ? before->cancelled_reply_at : ancestor_cancelled_at (before);
     if (told && (!first || told < first))
       first = told;
   }
@@ -43,7 +44,7 @@
 gboolean
 pipeline_cancel_asked (const SimJob *job)
 {
-  gboolean asked = job->asked_cancel;
+  gboolean asked = job->cancel_requested;
   for (guint i = 0; job->awaits && i < job->awaits->len; i++)
     asked |= pipeline_cancel_asked (job->awaits->pdata[i]);
   return asked;
@@ -59,42 +60,43 @@
 }
 
 void
-pipeline_on_task_start (World *world, const SimJob *job, guint32 task_index)
+pipeline_on_task_start (SimCluster *cluster, const SimJob *job, guint32 task_index)
 {
   for (guint i = 0; job->awaits && i < job->awaits->len; i++) {
     const SimJob *before = job->awaits->pdata[i];
     for (guint k = 0; k < before->tasks; k++)
       if (!before->done[k]) {
-        w_broken (world, "too_early", "%s/%u starts before %s/%u is done", job->id, task_index,
-                  before->id, k);
+        sim_report_violation (cluster, "too_early", "%s/%u starts before %s/%u is done", job->id,
+                              task_index, before->id, k);
         break;
       }
   }
-  pipeline_on_machine (world, job, task_index);
+  pipeline_on_machine (cluster, job, task_index);
 }
 
 void
-pipeline_on_machine (World *world, const SimJob *job, guint32 task_index)
+pipeline_on_machine (SimCluster *cluster, const SimJob *job, guint32 task_index)
 {
   double since = orphaned_since (job);
-  if (since && world->now > since + world->cancel_s)
-    w_broken (world, "orphaned", "%s/%u is still on a machine", job->id, task_index);
+  if (since && cluster->now > since + cluster->cancel_s)
+    sim_report_violation (cluster, "orphaned", "%s/%u is still on a machine", job->id, task_index);
 }
 
 /* Crashes all controllers; anything that is not in the state store yet is lost. */
 static void
-crash_all_nodes (World *world)
+crash_all_nodes (SimCluster *cluster)
 {
-  if (w_rand (world, 0, 1) < 0.5)
-    world->outage = MAX (world->outage, world->now + w_rand (world, 3, 15));
-  for (int k = 0; k < world->n; k++) {
-    node_kill (world, k);
-    node_start_at (world, k, world->now + w_rand (world, 0.1, 5));
+  if (sim_rand_range (cluster, 0, 1) < 0.5)
+    cluster->store_outage_until =
+        MAX (cluster->store_outage_until, cluster->now + sim_rand_range (cluster, 3, 15));
+  for (int k = 0; k < cluster->n; k++) {
+    node_kill (cluster, k);
+    node_start_at (cluster, k, cluster->now + sim_rand_range (cluster, 0.1, 5));
   }
 }
 
 void
-pipeline_state_reported (World *world, SimJob *job, const char *state, double sent)
+pipeline_state_reported (SimCluster *cluster, SimJob *job, const char *state, double sent)
 {
   gboolean ended = strcmp (state, "withdrawn") == 0 || strcmp (state, "done") == 0;
   double since = orphaned_since (job);
@@ -102,32 +104,34 @@
    * everything that users learned before. Only the first answer to a submission needs no such read.
    */
   if (since && since < sent && !ended)
-    w_broken (world, "orphaned",
-              "%s is reported as %s %.1f s after a job before it was reported as withdrawn",
-              job->id, state, sent - since);
-  if (world->shock && !world->calm && strcmp (state, "withdrawn") == 0 && !job->told_cancelled &&
-      world->now - world->shocked_at > 20) {
-    world->shocked_at = world->now;
-    crash_all_nodes (world);
+    sim_report_violation (
+        cluster, "orphaned",
+        "%s is reported as %s %.1f s after a job before it was reported as withdrawn", job->id,
+        state, sent - since);
+  if (cluster->crash_after_cancel && !cluster->faults_ended && strcmp (state, "withdrawn") == 0 &&
+      !job->cancelled_reply_at && cluster->now - cluster->crashed_after_cancel_at > 20) {
+    cluster->crashed_after_cancel_at = cluster->now;
+    crash_all_nodes (cluster);
   }
 }
 
 void
-pipelines_check_end (World *world)
+pipelines_check_end (SimCluster *cluster)
 {
-  for (guint i = 0; i < world->jobs->len; i++) {
-    const SimJob *job = world->jobs->pdata[i];
+  for (guint i = 0; i < cluster->jobs->len; i++) {
+    const SimJob *job = cluster->jobs->pdata[i];
     if (!job->submitted)
       continue;
     if (!job->accepted)
-      w_broken (world, "liveness", "%s was never accepted", job->id);
-    else if (job->asked_cancel && !job->told_cancelled && !job->told_done)
-      w_broken (world, "liveness", "%s was not withdrawn", job->id);
-    else if (ancestor_cancelled_at (job) && !job->told_cancelled)
-      w_broken (world, "orphaned", "%s was never reported as withdrawn", job->id);
-    else if (!job->told_cancelled && (job->shape == HR_SERVICE ? !job->started : !job->told_done))
-      w_broken (world, "liveness", "%s (%d, %u tasks) is not done", job->id, job->shape,
-                job->tasks);
+      sim_report_violation (cluster, "liveness", "%s was never accepted", job->id);
+    else if (job->cancel_requested && !job->cancelled_reply_at && !job->done_reply_at)
+      sim_report_violation (cluster, "liveness", "%s was not withdrawn", job->id);
+    else if (ancestor_cancelled_at (job) && !job->cancelled_reply_at)
+      sim_report_violation (cluster, "orphaned", "%s was never reported as withdrawn", job->id);
+    else if (!job->cancelled_reply_at &&
+             (job->shape == HR_SERVICE ? !job->started : !job->done_reply_at))
+      sim_report_violation (cluster, "liveness", "%s (%d, %u tasks) is not done", job->id,
+                            job->shape, job->tasks);
   }
 }
 
@@ -136,11 +140,11 @@
 static gboolean
 has_ended (const SimJob *job)
 {
-  return job->told_done || job->told_cancelled;
+  return job->done_reply_at || job->cancelled_reply_at;
 }
 
 static void
-submit_next_step (World *world, gpointer data)
+submit_next_step (SimCluster *cluster, gpointer data)
 {
   Pipeline *pipeline = data;
   SimJob *next = pipeline->steps[pipeline->sent];
@@ -150,27 +154,28 @@
     now &= before->accepted && (!last || !pipeline->late || has_ended (before));
   }
   if (now) {
-    job_submit (world, next);
+    job_submit (cluster, next);
     pipeline->sent++;
   }
   if (pipeline->sent < pipeline->nsteps)
-    w_at (world, world->now + w_rand (world, 0.1, now ? 3 : POLL_S), submit_next_step, pipeline);
+    sim_schedule (cluster, cluster->now + sim_rand_range (cluster, 0.1, now ? 3 : POLL_S),
+                  submit_next_step, pipeline);
   else
     g_free (pipeline);
 }
 
 static SimJob *
-new_step (World *world, HrShape shape, guint tasks)
+new_step (SimCluster *cluster, HrShape shape, guint tasks)
 {
-  SimJob *job = job_new (world);
+  SimJob *job = job_new (cluster);
   job->shape = shape;
   job->tasks = tasks;
   job->cpus = shape == HR_GANG ? 4 : 1;
   job->gpus = shape == HR_GANG ? 1 : 0;
   job->mem = 5;
-  job->image = g_rand_int_range (world->rand, 0, 3);
+  job->image = g_rand_int_range (cluster->rand, 0, 3);
   job->image_gb = 1;
-  job->run = w_rand (world, 4, 15);
+  job->run = sim_rand_range (cluster, 4, 15);
   job->spot = shape == HR_BATCH;
   job->one_zone = shape == HR_GANG;
   job->no_deadline = TRUE;
@@ -188,50 +193,51 @@
 /* Creates a pipeline: one array, a few arrays that await it, a gang that awaits those, and a last
  * job with the deadline of the pipeline, mostly an array and sometimes a service. */
 static void
-new_pipeline (World *world, gpointer data G_GNUC_UNUSED)
+new_pipeline (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  double cancelled = world->pipelines_cancelled;
+  double cancelled = cluster->pipelines_cancelled;
   Pipeline *pipeline = g_new0 (Pipeline, 1);
-  guint middle = g_rand_int_range (world->rand, 1, 4);
-  pipeline->steps[0] = new_step (world, HR_BATCH, g_rand_int_range (world->rand, 1, 5));
+  guint middle = g_rand_int_range (cluster->rand, 1, 4);
+  pipeline->steps[0] = new_step (cluster, HR_BATCH, g_rand_int_range (cluster->rand, 1, 5));
   for (guint i = 1; i <= middle; i++) { /* some are stored in pages */
-    guint tasks = w_rand (world, 0, 1) < 0.1 ? 90 : g_rand_int_range (world->rand, 1, 12);
-    pipeline->steps[i] = new_step (world, HR_BATCH, tasks);
+    guint tasks =
+        sim_rand_range (cluster, 0, 1) < 0.1 ? 90 : g_rand_int_range (cluster->rand, 1, 12);
+    pipeline->steps[i] = new_step (cluster, HR_BATCH, tasks);
     await_steps (pipeline->steps[i], pipeline, 0, 1);
   }
-  pipeline->steps[middle + 1] = new_step (world, HR_GANG, g_rand_int_range (world->rand, 1, 3));
+  pipeline->steps[middle + 1] = new_step (cluster, HR_GANG, g_rand_int_range (cluster->rand, 1, 3));
   await_steps (pipeline->steps[middle + 1], pipeline, 1, middle + 1);
-  HrShape last = w_rand (world, 0, 1) < 0.1 ? HR_SERVICE : HR_BATCH;
-  pipeline->steps[middle + 2] = new_step (world, last, g_rand_int_range (world->rand, 1, 4));
+  HrShape last = sim_rand_range (cluster, 0, 1) < 0.1 ? HR_SERVICE : HR_BATCH;
+  pipeline->steps[middle + 2] = new_step (cluster, last, g_rand_int_range (cluster->rand, 1, 4));
   pipeline->steps[middle + 2]->no_deadline = last == HR_SERVICE;
-  await_steps (pipeline->steps[middle + 2], pipeline, w_rand (world, 0, 1) < 0.2 ? 0 : middle + 1,
-               middle + 2);
+  await_steps (pipeline->steps[middle + 2], pipeline,
+               sim_rand_range (cluster, 0, 1) < 0.2 ? 0 : middle + 1, middle + 2);
   pipeline->nsteps = middle + 3;
-  pipeline->late = w_rand (world, 0, 1) < 0.25;
-  if (w_rand (world, 0, 1) < cancelled) {
-    SimJob *root = pipeline->steps[g_rand_int_range (world->rand, 0, pipeline->nsteps - 1)];
+  pipeline->late = sim_rand_range (cluster, 0, 1) < 0.25;
+  if (sim_rand_range (cluster, 0, 1) < cancelled) {
+    SimJob *root = pipeline->steps[g_rand_int_range (cluster->rand, 0, pipeline->nsteps - 1)];
     root->cancel = TRUE;
-    root->due_cancel = world->now + w_rand (world, 1, 40);
+    root->cancel_at = cluster->now + sim_rand_range (cluster, 1, 40);
   }
-  submit_next_step (world, pipeline);
+  submit_next_step (cluster, pipeline);
 }
 
 /* A job that awaits a job that nobody submitted must never be accepted. */
 static void
-on_unknown_dependency (World *world, int status, json_t *body G_GNUC_UNUSED,
+on_unknown_dependency (SimCluster *cluster, int status, json_t *body G_GNUC_UNUSED,
                        gpointer data G_GNUC_UNUSED)
 {
   if (status == 200 || status == 201)
-    w_broken (world, "invented", "a job that awaits an unknown job is accepted");
+    sim_report_violation (cluster, "invented", "a job that awaits an unknown job is accepted");
   else if (status == 400)
-    w_broken (world, "status", "a job that awaits an unknown job gets 400");
+    sim_report_violation (cluster, "status", "a job that awaits an unknown job gets 400");
 }
 
 static void
-submit_with_unknown_dependency (World *world, gpointer data G_GNUC_UNUSED)
+submit_with_unknown_dependency (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  guint n = ++world->invented_asked;
-  int node = g_rand_int_range (world->rand, 0, world->n);
+  guint n = ++cluster->unknown_jobs_polled;
+  int node = g_rand_int_range (cluster->rand, 0, cluster->n);
   char *body = g_strdup_printf (
       "{\"name_id\":\"job-y%u\",\"jobclass\":\"array\",\"crew\":\"crew\",\"shape\":\"batch\","
       "\"rank\":\"normal\",\"pieces\":1,\"vcpus\":1,\"accelerators\":0,\"memory_gb\":1,"
@@ -240,24 +246,24 @@
       "\"due_s\":null,\"awaits\":[\"job-x%u\"]}",
       n, n);
   g_autofree char *path = g_strdup_printf ("/v1/jobs/job-y%u", n - 1);
-  w_ask (world, node, -1, HR_POST, "/v1/jobs", body, 5, on_unknown_dependency, NULL);
-  w_ask (world, node, -1, HR_GET, path, NULL, 2, on_unknown_dependency, NULL);
-  w_at (world, world->now + 6, submit_with_unknown_dependency, NULL);
+  sim_send_request (cluster, node, -1, HR_POST, "/v1/jobs", body, 5, on_unknown_dependency, NULL);
+  sim_send_request (cluster, node, -1, HR_GET, path, NULL, 2, on_unknown_dependency, NULL);
+  sim_schedule (cluster, cluster->now + 6, submit_with_unknown_dependency, NULL);
 }
 
 void
-users_pipelines (World *world, const PipelineDay *day)
+users_pipelines (SimCluster *cluster, const PipelineDay *day)
 {
-  users_init (world, 0, 0);
-  users_add_pipelines (world, day);
+  users_init (cluster, 0, 0);
+  users_add_pipelines (cluster, day);
 }
 
 void
-users_add_pipelines (World *world, const PipelineDay *day)
+users_add_pipelines (SimCluster *cluster, const PipelineDay *day)
 {
-  world->pipelines_cancelled = day->cancelled;
-  world->shock = day->crash_after_cancellation;
+  cluster->pipelines_cancelled = day->cancelled;
+  cluster->crash_after_cancel = day->crash_after_cancellation;
   for (guint i = 0; i < day->pipelines; i++)
-    w_at (world, w_rand (world, day->from, day->to), new_pipeline, NULL);
-  w_at (world, MAX (6, day->from), submit_with_unknown_dependency, NULL);
+    sim_schedule (cluster, sim_rand_range (cluster, day->from, day->to), new_pipeline, NULL);
+  sim_schedule (cluster, MAX (6, day->from), submit_with_unknown_dependency, NULL);
 }
--- a/tests/sim/pipeline.h
+++ b/tests/sim/pipeline.h
@@ -2,7 +2,7 @@
  * apply to them: too_early and orphaned. */
 #pragma once
 #include "sim/user.h"
-#include "sim/world.h"
+#include "sim/cluster.h"
 
 /* The pipelines of a day. */
 typedef struct {
@@ -14,11 +14,11 @@
                                         state store */
 } PipelineDay;
 
-void users_pipelines (World *world, const PipelineDay *day);
+void users_pipelines (SimCluster *cluster, const PipelineDay *day);
 /* Adds pipelines to the day's other users; called after users_init(). */
-void users_add_pipelines (World *world, const PipelineDay *day);
+void users_add_pipelines (SimCluster *cluster, const PipelineDay *day);
 /* Checks at the end of a day that every job has reached its required final state. */
-void pipelines_check_end (World *world);
+void pipelines_check_end (SimCluster *cluster);
 
 /* Returns whether a user has asked to cancel the job or one that it awaits, directly or
  * indirectly. */
@@ -29,7 +29,7 @@
 gboolean pipeline_ready (const SimJob *job);
 
 /* Hooks of the simulated workers and users. */
-void pipeline_on_task_start (World *world, const SimJob *job, guint32 task_index);
-void pipeline_on_machine (World *world, const SimJob *job, guint32 task_index);
+void pipeline_on_task_start (SimCluster *cluster, const SimJob *job, guint32 task_index);
+void pipeline_on_machine (SimCluster *cluster, const SimJob *job, guint32 task_index);
 /* The job's user receives its state. sent: when the user's request was sent. */
-void pipeline_state_reported (World *world, SimJob *job, const char *state, double sent);
+void pipeline_state_reported (SimCluster *cluster, SimJob *job, const char *state, double sent);
--- a/tests/sim/troubles.c
+++ b/tests/sim/troubles.c
@@ -17,40 +17,40 @@
 #define RESTART_MAX_S 7.0
 
 double
-fault_rand (World *world, double lo, double hi)
+fault_rand (SimCluster *cluster, double lo, double hi)
 {
-  return g_rand_double_range (world->troubles.rand, lo, hi);
+  return g_rand_double_range (cluster->troubles.rand, lo, hi);
 }
 
 gboolean
-fault_window_active (const World *world, const HrFaultWindow *window)
+fault_window_active (const SimCluster *cluster, const HrFaultWindow *window)
 {
-  return window->until > world->now;
+  return window->until > cluster->now;
 }
 
 gboolean
-fault_window_hits (World *world, const HrFaultWindow *window)
+fault_window_hits (SimCluster *cluster, const HrFaultWindow *window)
 {
-  return fault_window_active (world, window) && fault_rand (world, 0, 1) < window->share;
+  return fault_window_active (cluster, window) && fault_rand (cluster, 0, 1) < window->share;
 }
 
 gboolean
-fault_in_cut_zone (const World *world, int node)
+fault_in_cut_zone (const SimCluster *cluster, int node)
 {
-  return world->troubles.zone_nodes >> node & 1;
+  return cluster->troubles.zone_nodes >> node & 1;
 }
 
 int
-fault_random_node (World *world)
+fault_random_node (SimCluster *cluster)
 {
-  return g_rand_int_range (world->troubles.rand, 0, world->n);
+  return g_rand_int_range (cluster->troubles.rand, 0, cluster->n);
 }
 
 void
-fault_shuffle (World *world, GPtrArray *list)
+fault_shuffle (SimCluster *cluster, GPtrArray *list)
 {
   for (guint i = list->len; i > 1; i--) {
-    guint k = g_rand_int_range (world->troubles.rand, 0, i);
+    guint k = g_rand_int_range (cluster->troubles.rand, 0, i);
     gpointer swapped = list->pdata[k];
     list->pdata[k] = list->pdata[i - 1];
     list->pdata[i - 1] = swapped;
@@ -61,16 +61,16 @@
 
 /* Returns random machines that are up, those with tasks first. */
 static GPtrArray *
-pick_machines (World *world, const HrFault *fault)
+pick_machines (SimCluster *cluster, const HrFault *fault)
 {
   g_autoptr (GPtrArray) up = g_ptr_array_new ();
   GPtrArray *picked = g_ptr_array_new ();
-  for (guint i = 0; i < world->machines->len; i++) {
-    SimMachine *machine = world->machines->pdata[i];
+  for (guint i = 0; i < cluster->machines->len; i++) {
+    SimMachine *machine = cluster->machines->pdata[i];
     if (machine->up && !machine->gone && (!fault->zone || machine->zone + 1 == fault->zone))
       g_ptr_array_add (up, machine);
   }
-  fault_shuffle (world, up);
+  fault_shuffle (cluster, up);
   guint n = fault->count       ? fault->count
             : fault->share > 0 ? (guint)(fault->share * up->len + 0.5)
                                : up->len;
@@ -80,19 +80,19 @@
       if ((machine->tasks->len > 0) == busy)
         g_ptr_array_add (picked, machine);
     }
-  world->troubles.effects[fault->kind] += picked->len;
+  cluster->troubles.effects[fault->kind] += picked->len;
   return picked;
 }
 
 static gboolean
-is_target (World *world, HrFaultTarget who, int node)
+is_target (SimCluster *cluster, HrFaultTarget who, int node)
 {
-  int leader = MAX (0, store_leader (world));
+  int leader = MAX (0, store_leader (cluster));
   switch (who) {
   case WHO_LEADER:
     return node == leader;
   case WHO_OTHER:
-    return node == (leader + 1) % world->n;
+    return node == (leader + 1) % cluster->n;
   case WHO_OTHERS:
     return node != leader;
   case WHO_ALL:
@@ -104,143 +104,143 @@
 /* ---- begin ---- */
 
 static void
-inject_node_fault (World *world, const HrFault *fault, int i, gboolean first)
+inject_node_fault (SimCluster *cluster, const HrFault *fault, int i, gboolean first)
 {
-  Node *n = &world->nodes[i];
-  double until = world->now + fault->for_s;
-  world->troubles.effects[fault->kind]++;
+  SimNode *n = &cluster->nodes[i];
+  double until = cluster->now + fault->for_s;
+  cluster->troubles.effects[fault->kind]++;
   if (fault->kind == FAULT_NODE_CRASH) {
     double back = first && fault->first_back_s > 0 ? fault->first_back_s
                   : fault->back_s > 0              ? fault->back_s
-                                      : fault_rand (world, RESTART_MIN_S, RESTART_MAX_S);
-    node_kill (world, i);
-    node_start_at (world, i, world->now + back);
+                                      : fault_rand (cluster, RESTART_MIN_S, RESTART_MAX_S);
+    node_kill (cluster, i);
+    node_start_at (cluster, i, cluster->now + back);
   } else if (fault->kind == FAULT_NODE_FREEZE)
-    node_freeze (world, i, fault->for_s);
+    node_freeze (cluster, i, fault->for_s);
   else if (fault->kind == FAULT_STATE_REFUSES)
-    n->refused = until;
+    n->store_refuses_until = until;
   else {
-    n->hold = fault->hold;
+    n->cut_holds_messages = fault->hold;
     if (fault->from_state)
-      n->cut_store = until;
+      n->cut_store_until = until;
     if (fault->from_peers)
-      n->cut_peers = until;
+      n->cut_peers_until = until;
     if (fault->from_workers)
-      n->cut_workers = until;
+      n->cut_workers_until = until;
     if (fault->from_users)
-      n->cut_users = until;
+      n->cut_users_until = until;
     if (fault->from_state && fault->from_peers)
-      n->alone_at = world->now;
+      n->isolated_at = cluster->now;
   }
 }
 
 static void
-inject_node_faults (World *world, const HrFault *fault)
+inject_node_faults (SimCluster *cluster, const HrFault *fault)
 {
   gboolean hit[MAX_NODES] = {FALSE};
-  for (int i = 0; i < world->n; i++)
-    hit[i] = is_target (world, fault->who, i);
+  for (int i = 0; i < cluster->n; i++)
+    hit[i] = is_target (cluster, fault->who, i);
   gboolean first = TRUE;
-  for (int i = 0; i < world->n; i++)
+  for (int i = 0; i < cluster->n; i++)
     if (hit[i]) {
-      inject_node_fault (world, fault, i, first);
+      inject_node_fault (cluster, fault, i, first);
       first = FALSE;
     }
 }
 
 static void
-inject_machine_faults (World *world, const HrFault *fault)
+inject_machine_faults (SimCluster *cluster, const HrFault *fault)
 {
-  g_autoptr (GPtrArray) list = pick_machines (world, fault);
-  double until = world->now + fault->for_s;
+  g_autoptr (GPtrArray) list = pick_machines (cluster, fault);
+  double until = cluster->now + fault->for_s;
   for (guint i = 0; i < list->len; i++) {
     SimMachine *machine = list->pdata[i];
     if (fault->kind == FAULT_MACHINE_DEAF)
-      machine->inbound_cut = until;
+      machine->inbound_cut_until = until;
     else if (fault->kind == FAULT_MACHINE_MUTE)
-      machine->outbound_cut = until;
+      machine->outbound_cut_until = until;
     else if (fault->kind == FAULT_MACHINE_HANG)
-      machine->hang = until;
+      machine->hang_until = until;
     else if (fault->kind == FAULT_MACHINE_CRASH)
-      machine_end (world, machine);
+      machine_terminate (cluster, machine);
     else {
-      machine->cut = until;
-      machine->hold = fault->hold;
+      machine->cut_until = until;
+      machine->cut_holds_messages = fault->hold;
     }
   }
 }
 
 static void
-cut_zone (World *world, const HrFault *fault)
+cut_zone (SimCluster *cluster, const HrFault *fault)
 {
-  HrFaultState *faults = &world->troubles;
+  HrFaultState *faults = &cluster->troubles;
   faults->zone_cut = fault->zone ? fault->zone - 1 : 0;
-  faults->zone_cut_until = world->now + fault->for_s;
+  faults->zone_cut_until = cluster->now + fault->for_s;
   faults->zone_hold = fault->hold;
   faults->zone_nodes = 0;
-  for (int i = 0; i < world->n; i++)
-    if (is_target (world, fault->who, i))
+  for (int i = 0; i < cluster->n; i++)
+    if (is_target (cluster, fault->who, i))
       faults->zone_nodes |= 1u << i;
-  for (int i = 0; i < world->n; i++)
-    if (fault_in_cut_zone (world, i)) {
-      Node *n = &world->nodes[i];
-      n->cut_store = n->cut_peers = n->cut_users = faults->zone_cut_until;
-      n->alone_at = world->now;
-      n->hold = fault->hold;
+  for (int i = 0; i < cluster->n; i++)
+    if (fault_in_cut_zone (cluster, i)) {
+      SimNode *n = &cluster->nodes[i];
+      n->cut_store_until = n->cut_peers_until = n->cut_users_until = faults->zone_cut_until;
+      n->isolated_at = cluster->now;
+      n->cut_holds_messages = fault->hold;
     }
   faults->effects[FAULT_ZONE_CUT]++;
 }
 
 static void
-open_window (World *world, HrFaultWindow *window, const HrFault *fault)
+open_window (SimCluster *cluster, HrFaultWindow *window, const HrFault *fault)
 {
-  *window = (HrFaultWindow){world->now + fault->for_s, fault->share};
+  *window = (HrFaultWindow){cluster->now + fault->for_s, fault->share};
 }
 
 static void
-begin_late_reports (World *world, const HrFault *fault)
+begin_late_reports (SimCluster *cluster, const HrFault *fault)
 {
-  HrFaultState *faults = &world->troubles;
+  HrFaultState *faults = &cluster->troubles;
   if (fault->for_next) {
     faults->leaders_released = faults->leaders;
-    open_window (world, &faults->reports_for_next, fault);
+    open_window (cluster, &faults->reports_for_next, fault);
   } else
-    open_window (world, fault->to_all ? &faults->reports_to_all : &faults->late_reports, fault);
+    open_window (cluster, fault->to_all ? &faults->reports_to_all : &faults->late_reports, fault);
 }
 
 /* Begins faults of the services around the controllers, of the network and of users. */
 static void
-begin_environment_fault (World *world, const HrFault *fault)
+begin_environment_fault (SimCluster *cluster, const HrFault *fault)
 {
-  HrFaultState *faults = &world->troubles;
+  HrFaultState *faults = &cluster->troubles;
   switch (fault->kind) {
   case FAULT_STATE_OUTAGE:
-    world->outage = MAX (world->outage, world->now + fault->for_s);
+    cluster->store_outage_until = MAX (cluster->store_outage_until, cluster->now + fault->for_s);
     faults->effects[FAULT_STATE_OUTAGE]++;
     break;
   case FAULT_STATE_SLOW:
-    faults->state_slow_until = world->now + fault->for_s;
+    faults->state_slow_until = cluster->now + fault->for_s;
     faults->state_slow_s = fault->delay_s;
     faults->effects[FAULT_STATE_SLOW]++;
     break;
   case FAULT_FAST_BOOT:
-    faults->fast_boot_until = world->now + fault->for_s;
+    faults->fast_boot_until = cluster->now + fault->for_s;
     break;
   case FAULT_ZONE_CUT:
-    cut_zone (world, fault);
+    cut_zone (cluster, fault);
     break;
   case FAULT_SLOW_LINKS:
-    faults->links_slow_until = world->now + fault->for_s;
+    faults->links_slow_until = cluster->now + fault->for_s;
     faults->links_slow_s = fault->delay_s;
     faults->effects[FAULT_SLOW_LINKS]++;
     break;
   case FAULT_CLOUD_OUTAGE:
-    world->cloud_outage = MAX (world->cloud_outage, world->now + fault->for_s);
+    cluster->cloud_outage_until = MAX (cluster->cloud_outage_until, cluster->now + fault->for_s);
     faults->effects[FAULT_CLOUD_OUTAGE]++;
     break;
   case FAULT_ODD_REQUESTS:
-    faults->malformed_until = world->now + fault->for_s;
-    malformed_requests_begin (world);
+    faults->malformed_until = cluster->now + fault->for_s;
+    malformed_requests_begin (cluster);
     break;
   default:
     break;
@@ -248,37 +248,37 @@
 }
 
 static void
-begin (World *world, gpointer data)
+begin (SimCluster *cluster, gpointer data)
 {
   g_autofree HrFault *fault = data;
-  HrFaultState *faults = &world->troubles;
-  sim_log_time = world->now;
+  HrFaultState *faults = &cluster->troubles;
+  sim_log_time = cluster->now;
   g_debug ("planned fault %d for %.1f s", fault->kind, fault->for_s);
   switch (fault->kind) {
   case FAULT_LATE_WRITES:
-    open_window (world, fault->at_once ? &faults->lost_answers : &faults->late_writes, fault);
+    open_window (cluster, fault->at_once ? &faults->lost_answers : &faults->late_writes, fault);
     break;
   case FAULT_LATE_REPORTS:
-    begin_late_reports (world, fault);
+    begin_late_reports (cluster, fault);
     break;
   case FAULT_LATE_COMMANDS:
-    open_window (world, &faults->late_commands, fault);
+    open_window (cluster, &faults->late_commands, fault);
     break;
   case FAULT_MACHINE_DEAF:
   case FAULT_MACHINE_MUTE:
   case FAULT_MACHINE_HANG:
   case FAULT_MACHINE_CUT:
   case FAULT_MACHINE_CRASH:
-    inject_machine_faults (world, fault);
+    inject_machine_faults (cluster, fault);
     break;
   case FAULT_CANCEL_NOW:
-    fault_cancel_now (world, fault);
+    fault_cancel_now (cluster, fault);
     break;
   case FAULT_CANCEL_AT_END:
-    open_window (world, &faults->cancel_at_end, fault);
+    open_window (cluster, &faults->cancel_at_end, fault);
     break;
   case FAULT_CLOSE_LOOKS:
-    open_window (world, &faults->close_looks, fault);
+    open_window (cluster, &faults->close_looks, fault);
     if (fault->share <= 0)
       faults->close_looks.share = CLOSE_LOOKS_CANCEL_SHARE;
     break;
@@ -286,17 +286,17 @@
   case FAULT_NODE_CRASH:
   case FAULT_NODE_FREEZE:
   case FAULT_STATE_REFUSES:
-    inject_node_faults (world, fault);
+    inject_node_faults (cluster, fault);
     break;
   default:
-    begin_environment_fault (world, fault);
+    begin_environment_fault (cluster, fault);
     break;
   }
 }
 
 /* Returns for how long after its end the fault may still have an effect, in seconds. */
 static double
-after_effect (const World *world, const HrFault *fault)
+after_effect (const SimCluster *cluster, const HrFault *fault)
 {
   switch (fault->kind) {
   case FAULT_LATE_WRITES:
@@ -304,7 +304,7 @@
   case FAULT_LATE_COMMANDS:
     return LATE_COMMAND_MAX_S;
   case FAULT_LATE_REPORTS:
-    return LATE_REPORT_MAX_LEASES * world->lease_s;
+    return LATE_REPORT_MAX_LEASES * cluster->lease_s;
   case FAULT_NODE_CRASH:
     return fault->back_s > 0 ? fault->back_s : RESTART_MAX_S;
   default:
@@ -313,81 +313,83 @@
 }
 
 static void
-arm (World *world, gpointer fault)
+arm (SimCluster *cluster, gpointer fault)
 {
-  g_ptr_array_add (world->troubles.armed, fault);
+  g_ptr_array_add (cluster->troubles.armed, fault);
 }
 
 void
-faults_trigger (World *world, HrFaultTrigger event)
+faults_trigger (SimCluster *cluster, HrFaultTrigger event)
 {
-  GPtrArray *armed = world->troubles.armed;
-  for (guint i = armed->len; i > 0 && !world->calm; i--) {
+  GPtrArray *armed = cluster->troubles.armed;
+  for (guint i = armed->len; i > 0 && !cluster->faults_ended; i--) {
     HrFault *fault = armed->pdata[i - 1];
     if (fault->on != event)
       continue;
     g_ptr_array_steal_index_fast (armed, i - 1);
-    world->troubles.ends_at =
-        MAX (world->troubles.ends_at, world->now + fault->for_s + after_effect (world, fault));
-    w_at (world, world->now, begin, fault);
-    w_at (world, world->troubles.ends_at, world_end_faults, NULL);
+    cluster->troubles.ends_at = MAX (cluster->troubles.ends_at,
+                                     cluster->now + fault->for_s + after_effect (cluster, fault));
+    sim_schedule (cluster, cluster->now, begin, fault);
+    sim_schedule (cluster, cluster->troubles.ends_at, world_end_faults, NULL);
   }
 }
 
 void
-faults_plan (World *world, const HrFault *day, guint n)
+faults_plan (SimCluster *cluster, const HrFault *day, guint n)
 {
-  HrFaultState *faults = &world->troubles;
+  HrFaultState *faults = &cluster->troubles;
   for (guint i = 0; i < n; i++)
     for (guint k = 0; k < MAX (day[i].times, 1); k++) {
       double at = day[i].at_s + k * day[i].every_s;
-      w_at (world, at, day[i].on ? arm : begin, g_memdup2 (&day[i], sizeof day[i]));
-      faults->ends_at = MAX (faults->ends_at, at + day[i].for_s + after_effect (world, &day[i]));
+      sim_schedule (cluster, at, day[i].on ? arm : begin, g_memdup2 (&day[i], sizeof day[i]));
+      faults->ends_at = MAX (faults->ends_at, at + day[i].for_s + after_effect (cluster, &day[i]));
     }
-  w_at (world, faults->ends_at, world_end_faults, NULL);
+  sim_schedule (cluster, faults->ends_at, world_end_faults, NULL);
 }
 
 static gboolean
-machine_has_active_fault (const World *world, const SimMachine *machine)
+machine_has_active_fault (const SimCluster *cluster, const SimMachine *machine)
 {
   return !machine->gone &&
-         (machine->cut > world->now || machine->hang > world->now ||
-          machine->inbound_cut > world->now || machine->outbound_cut > world->now);
+         (machine->cut_until > cluster->now || machine->hang_until > cluster->now ||
+          machine->inbound_cut_until > cluster->now || machine->outbound_cut_until > cluster->now);
 }
 
 gboolean
-world_has_active_fault (const World *world)
+world_has_active_fault (const SimCluster *cluster)
 {
-  if (!world->calm || world->stray_until > world->now || world->outage > world->now ||
-      world->cloud_outage > world->now || world->troubles.zone_cut_until > world->now)
+  if (!cluster->faults_ended || cluster->late_messages_until > cluster->now ||
+      cluster->store_outage_until > cluster->now || cluster->cloud_outage_until > cluster->now ||
+      cluster->troubles.zone_cut_until > cluster->now)
     return TRUE;
-  for (int i = 0; i < world->n; i++) {
-    const Node *n = &world->nodes[i];
-    double cut = MAX (MAX (n->cut_workers, n->cut_store), MAX (n->cut_peers, n->cut_users));
-    if (!n->up || MAX (cut, MAX (n->refused, n->frozen)) > world->now)
+  for (int i = 0; i < cluster->n; i++) {
+    const SimNode *n = &cluster->nodes[i];
+    double cut = MAX (MAX (n->cut_workers_until, n->cut_store_until),
+                      MAX (n->cut_peers_until, n->cut_users_until));
+    if (!n->up || MAX (cut, MAX (n->store_refuses_until, n->frozen_until)) > cluster->now)
       return TRUE;
   }
-  for (guint i = 0; i < world->machines->len; i++)
-    if (machine_has_active_fault (world, world->machines->pdata[i]))
+  for (guint i = 0; i < cluster->machines->len; i++)
+    if (machine_has_active_fault (cluster, cluster->machines->pdata[i]))
       return TRUE;
   return FALSE;
 }
 
 void
-fault_injection_init (World *world, guint32 seed)
+fault_injection_init (SimCluster *cluster, guint32 seed)
 {
-  world->troubles.rand = g_rand_new_with_seed (seed ^ STREAM_SEED_XOR);
-  world->troubles.kept_for_next = g_ptr_array_new_with_free_func ((GDestroyNotify)req_unref);
-  world->troubles.armed = g_ptr_array_new_with_free_func (g_free);
-  world->troubles.kept_for_all = g_ptr_array_new_with_free_func ((GDestroyNotify)req_unref);
+  cluster->troubles.rand = g_rand_new_with_seed (seed ^ STREAM_SEED_XOR);
+  cluster->troubles.kept_for_next = g_ptr_array_new_with_free_func ((GDestroyNotify)req_unref);
+  cluster->troubles.armed = g_ptr_array_new_with_free_func (g_free);
+  cluster->troubles.kept_for_all = g_ptr_array_new_with_free_func ((GDestroyNotify)req_unref);
 }
 
 void
-fault_injection_free (World *world)
+fault_injection_free (SimCluster *cluster)
 {
-  g_rand_free (world->troubles.rand);
-  g_ptr_array_unref (world->troubles.kept_for_next);
-  g_ptr_array_unref (world->troubles.kept_for_all);
-  g_ptr_array_unref (world->troubles.armed);
-  g_free (world->troubles.leader_process);
+  g_rand_free (cluster->troubles.rand);
+  g_ptr_array_unref (cluster->troubles.kept_for_next);
+  g_ptr_array_unref (cluster->troubles.kept_for_all);
+  g_ptr_array_unref (cluster->troubles.armed);
+  g_free (cluster->troubles.leader_process);
 }
--- a/tests/sim/troubles.h
+++ b/tests/sim/troubles.h
@@ -1,5 +1,5 @@
 /* Planned faults: which fault begins when, how long it lasts and what it affects. A simulated day
- * is a table of HrFault that is passed to faults_plan() before the world runs. In the text format
+ * is a table of HrFault that is passed to faults_plan() before the cluster runs. In the text format
  * and in the names of files and options these faults are called troubles. Their random numbers come
  * from a separate stream, so that days without planned faults do not change.
  *
@@ -7,7 +7,7 @@
 #pragma once
 #include <glib.h>
 
-typedef struct World World;
+typedef struct SimCluster SimCluster;
 
 typedef enum {
   /* A share of the transactions to the state store gets no answer. Without at_once each of them is
@@ -154,9 +154,9 @@
 
 /* Plans the faults of a day. No fault begins after the last planned one has ended. Called once a
  * day. */
-void faults_plan (World *world, const HrFault *day, guint n);
+void faults_plan (SimCluster *cluster, const HrFault *day, guint n);
 /* Begins the faults that wait for this event. */
-void faults_trigger (World *world, HrFaultTrigger event);
+void faults_trigger (SimCluster *cluster, HrFaultTrigger event);
 
 /* ---- trouble_text.c ---- */
 
--- a/tests/test_awaits.c
+++ b/tests/test_awaits.c
@@ -23,15 +23,15 @@
   assert_int_equal (single_node_submit (n, "job-1", NULL, NULL), 201);
   assert_int_equal (single_node_submit (n, "job-2", "[]", NULL), 201);
   assert_int_equal (single_node_submit (n, "job-3", "null", NULL), 201);
-  assert_null (strstr (fake_store_job (store, "job-2"), "\"a\":"));
+  assert_null (strstr (fake_store_job_record (store, "job-2"), "\"a\":"));
   assert_int_equal (single_node_submit (n, "job-4", "[\"job-9\"]", NULL), 422);
   assert_non_null (strstr (hr_json_str (n->body, "error"), "job-9"));
   assert_int_equal (single_node_submit (n, "job-4", "[\"job-1\",\"job-4\"]", NULL), 422);
-  assert_null (fake_store_job (store, "job-4"));
+  assert_null (fake_store_job_record (store, "job-4"));
   assert_string_equal (single_node_poll (n, "job-4"), "unknown");
   assert_string_equal (single_node_poll (n, "job-9"), "unknown");
   assert_int_equal (single_node_submit (n, "job-5", "[\"job-1\",\"job-2\",\"job-1\"]", NULL), 201);
-  assert_non_null (strstr (fake_store_job (store, "job-5"), "\"a\":[\"job-1\",\"job-2\"]"));
+  assert_non_null (strstr (fake_store_job_record (store, "job-5"), "\"a\":[\"job-1\",\"job-2\"]"));
   /* A resubmission is recognized by its id alone. */
   assert_int_equal (single_node_submit (n, "job-5", "[\"job-9\"]", NULL), 200);
   single_node_free (n);
@@ -65,7 +65,7 @@
   for (guint i = 0; i < G_N_ELEMENTS (cases); i++) {
     assert_int_equal (single_node_submit (n, "job-odd", cases[i].awaits, NULL), cases[i].status);
     assert_non_null (strstr (hr_json_str (n->body, "error"), cases[i].error));
-    assert_null (fake_store_job (store, "job-odd"));
+    assert_null (fake_store_job_record (store, "job-odd"));
     assert_string_equal (single_node_poll (n, "job-odd"), "unknown");
     /* A resubmission of an accepted job is recognized by its id, whatever its members are now. */
     assert_int_equal (single_node_submit (n, "job-1", cases[i].awaits, NULL), 200);
@@ -89,7 +89,7 @@
   store->down = FALSE;
   single_node_run (n, 10);
   /* Another controller has just accepted the job: the read triggered by the submission finds it. */
-  g_autofree char *text = g_strdup (fake_store_job (store, "job-1"));
+  g_autofree char *text = g_strdup (fake_store_job_record (store, "job-1"));
   store->epoch++;
   fake_store_set (store, "h/j/job-9", text);
   assert_int_equal (single_node_submit (n, "job-2", "[\"job-9\"]", NULL), 201);
@@ -115,7 +115,7 @@
   FakeStore *store = fake_store_new ();
   SingleNode *n = single_node_leading (store);
   assert_int_equal (single_node_submit (n, "job-1", NULL, NULL), 201);
-  g_autofree char *text = g_strdup (fake_store_job (store, "job-1"));
+  g_autofree char *text = g_strdup (fake_store_job_record (store, "job-1"));
   g_autofree char *long_list = id_list (320);
   assert_int_equal (single_node_submit_service (n, "job-svc"), 201);
   const char *const awaits[] = {"[\"job-9\"]", long_list, "[\"job-svc\"]"};
@@ -151,7 +151,7 @@
       if (status == 400)
         assert_non_null (strstr (hr_json_str (n->body, "error"), "awaits"));
       if (status == 201) {
-        assert_true (strlen (fake_store_job (store, id)) <= (k ? 2048 : 4096));
+        assert_true (strlen (fake_store_job_record (store, id)) <= (k ? 2048 : 4096));
         /* No list larger than a rejected one is accepted. */
         assert_true (max_accepted[k] == i - 10);
         max_accepted[k] = i;
@@ -182,7 +182,7 @@
 cancellation_epoch (const FakeStore *store, const char *path)
 {
   for (guint i = 0; i < store->log->len; i++) {
-    const Change *change = &g_array_index (store->log, Change, i);
+    const FakeStoreChange *change = &g_array_index (store->log, FakeStoreChange, i);
     if (strcmp (change->path, path) == 0 && strstr (change->text, "\"s\":2"))
       return change->stamp;
   }
@@ -214,13 +214,13 @@
   for (guint k = 0; k < 2; k++) {
     FakeStore *partial = fake_store_new (); /* without the leader's later writes */
     for (guint i = 0; i < store->log->len; i++) {
-      const Change *change = &g_array_index (store->log, Change, i);
+      const FakeStoreChange *change = &g_array_index (store->log, FakeStoreChange, i);
       partial->epoch = change->stamp;
       if (change->stamp <= cancelled_epoch || strstr (change->path, "job-late"))
         fake_store_set (partial, change->path, change->text);
     }
     partial->backwards = k;
-    assert_non_null (strstr (fake_store_job (partial, "job-c599"), "\"s\":0"));
+    assert_non_null (strstr (fake_store_job_record (partial, "job-c599"), "\"s\":0"));
     SingleNode *other = single_node_new (partial, "");
     single_node_run (other, 1.5);
     assert_string_equal (single_node_poll (other, "job-c599"), "withdrawn");
@@ -231,8 +231,8 @@
   }
   /* Eventually every record states the cancellation itself. */
   single_node_run (n, 120);
-  assert_null (strstr (fake_store_job (store, "job-c599"), "\"j\":"));
-  assert_null (strstr (fake_store_job (store, "job-late"), "\"j\":"));
+  assert_null (strstr (fake_store_job_record (store, "job-c599"), "\"j\":"));
+  assert_null (strstr (fake_store_job_record (store, "job-late"), "\"j\":"));
   SingleNode *later = single_node_new (store, "");
   single_node_run (later, 3);
   assert_string_equal (single_node_poll (later, "job-c300"), "withdrawn");
@@ -246,7 +246,7 @@
 static void
 store_dependents (FakeStore *store, guint n)
 {
-  g_autofree char *root = g_strdup (fake_store_job (store, "job-r"));
+  g_autofree char *root = g_strdup (fake_store_job_record (store, "job-r"));
   for (guint i = 0; i < n; i++) {
     g_autofree char *path = g_strdup_printf ("h/j/job-b%u", i);
     json_t *object = json_loads (root, 0, NULL);
@@ -290,7 +290,7 @@
   assert_int_equal (single_node_submit (n, "job-e", NULL, NULL), 201);
   store_dependents (store, 1000);
   HrJob *job = hr_job_find (&n->core->store.tables, "job-e");
-  HrMachine *machine = single_node_machine (n);
+  HrMachine *machine = single_node_add_machine (n);
   for (guint i = 0; i < job->n_tasks; i++)
     hr_task_assign (n->core, job, i, machine, 1);
   single_node_run (n, 3);
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -16,46 +16,46 @@
 #define MACHINE_GPUS 2.0
 #define DAY_S 900.0
 
-static World *
+static SimCluster *
 world_with_limit (guint32 seed, double gpus)
 {
-  World *world = world_new (seed, 3);
-  world->quota_gpus = gpus;
-  world->capacity = 200;
-  world_restart (world);
-  users_init (world, 0, 0);
-  return world;
+  SimCluster *cluster = sim_cluster_new (seed, 3);
+  cluster->quota_gpus = gpus;
+  cluster->capacity = 200;
+  sim_cluster_restart_nodes (cluster);
+  users_init (cluster, 0, 0);
+  return cluster;
 }
 
 static guint
-report_violations (World *world, guint32 seed)
+report_violations (SimCluster *cluster, guint32 seed)
 {
-  guint broken = world->broken->len;
+  guint broken = cluster->violations->len;
   for (guint i = 0; i < MIN (broken, 12); i++)
-    fprintf (stderr, "seed %u: %s\n", seed, (char *)world->broken->pdata[i]);
+    fprintf (stderr, "seed %u: %s\n", seed, (char *)cluster->violations->pdata[i]);
   if (g_getenv ("HR_SIM_VERBOSE"))
-    fprintf (stderr, "seed %u: %u jobs, %u starts, %u machines\n", seed, world->jobs->len,
-             world->starts, world->machines->len);
-  world_free (world);
+    fprintf (stderr, "seed %u: %u jobs, %u starts, %u machines\n", seed, cluster->jobs->len,
+             cluster->task_starts, cluster->machines->len);
+  sim_cluster_free (cluster);
   return broken;
 }
 
 static void
-check_jobs_done (World *world)
+check_jobs_done (SimCluster *cluster)
 {
-  for (guint i = 0; i < world->jobs->len; i++) {
-    SimJob *job = world->jobs->pdata[i];
-    if (job->asked_cancel ? !job->told_cancelled && !job->told_done
-                          : job->shape != HR_SERVICE && !job->told_done)
-      w_broken (world, "liveness", "%s (%d, %u tasks) is not done", job->id, job->shape,
-                job->tasks);
+  for (guint i = 0; i < cluster->jobs->len; i++) {
+    SimJob *job = cluster->jobs->pdata[i];
+    if (job->cancel_requested ? !job->cancelled_reply_at && !job->done_reply_at
+                              : job->shape != HR_SERVICE && !job->done_reply_at)
+      sim_report_violation (cluster, "liveness", "%s (%d, %u tasks) is not done", job->id,
+                            job->shape, job->tasks);
   }
 }
 
 static double
-wait_s (const World *world, const SimJob *job)
+wait_s (const SimCluster *cluster, const SimJob *job)
 {
-  return (job->first > 0 ? job->first : world->now) - job->accepted_at;
+  return (job->first_run_at > 0 ? job->first_run_at : cluster->now) - job->accepted_at;
 }
 
 /* Guards against machines rented for tasks that the limit keeps from starting, and against machines
@@ -72,14 +72,14 @@
   const guint needed = LIMIT_GPUS / MACHINE_GPUS;
   guint broken = 0;
   for (guint32 seed = 1200; seed < 1204; seed++) {
-    World *world = world_with_limit (seed, LIMIT_GPUS);
-    limits_submit (world, work, G_N_ELEMENTS (work));
-    world_run (world, DAY_S);
-    check_jobs_done (world);
-    if (world->machines->len > 2 * needed)
-      w_broken (world, "rented", "%u machines rented where %u hold all that may run",
-                world->machines->len, needed);
-    broken += report_violations (world, seed);
+    SimCluster *cluster = world_with_limit (seed, LIMIT_GPUS);
+    limits_submit (cluster, work, G_N_ELEMENTS (work));
+    sim_cluster_run (cluster, DAY_S);
+    check_jobs_done (cluster);
+    if (cluster->machines->len > 2 * needed)
+      sim_report_violation (cluster, "rented", "%u machines rented where %u hold all that may run",
+                            cluster->machines->len, needed);
+    broken += report_violations (cluster, seed);
   }
   assert_int_equal (broken, 0);
 }
@@ -95,15 +95,16 @@
   for (guint i = 0; i < G_N_ELEMENTS (work); i++)
     work[i] = (HrLimitJob){5 + 4 * i, HR_SERVICE, 4, 0, NULL, 0, FALSE, NULL};
   for (guint32 seed = 1260; seed < 1264; seed++) {
-    World *world = world_with_limit (seed, LIMIT_GPUS);
-    limits_submit (world, work, G_N_ELEMENTS (work));
-    world_run (world, 200);
+    SimCluster *cluster = world_with_limit (seed, LIMIT_GPUS);
+    limits_submit (cluster, work, G_N_ELEMENTS (work));
+    sim_cluster_run (cluster, 200);
     guint up = 0;
-    for (guint i = 0; i < world->machines->len; i++)
-      up += !((SimMachine *)world->machines->pdata[i])->gone;
+    for (guint i = 0; i < cluster->machines->len; i++)
+      up += !((SimMachine *)cluster->machines->pdata[i])->gone;
     if (up > needed + needed / 4)
-      w_broken (world, "rented", "%u machines are kept where %u hold all that may run", up, needed);
-    broken += report_violations (world, seed);
+      sim_report_violation (cluster, "rented",
+                            "%u machines are kept where %u hold all that may run", up, needed);
+    broken += report_violations (cluster, seed);
   }
   assert_int_equal (broken, 0);
 }
@@ -116,18 +117,18 @@
   static const HrLimitJob gang[] = {{60, HR_GANG, 6, 25, NULL, 0, TRUE, NULL}};
   guint broken = 0;
   for (guint32 seed = 1210; seed < 1214; seed++) {
-    World *world = world_with_limit (seed, LIMIT_GPUS / 2);
-    limits_stream (world, 5, 500, 4.5, 20);
-    limits_submit (world, gang, G_N_ELEMENTS (gang));
-    world_run (world, DAY_S);
-    check_jobs_done (world);
-    for (guint i = 0; i < world->jobs->len; i++) {
-      SimJob *job = world->jobs->pdata[i];
-      if (wait_s (world, job) > (job->large ? 180 : 240))
-        w_broken (world, "starved", "%s of %u tasks starts after %.0f s", job->id, job->tasks,
-                  wait_s (world, job));
+    SimCluster *cluster = world_with_limit (seed, LIMIT_GPUS / 2);
+    limits_stream (cluster, 5, 500, 4.5, 20);
+    limits_submit (cluster, gang, G_N_ELEMENTS (gang));
+    sim_cluster_run (cluster, DAY_S);
+    check_jobs_done (cluster);
+    for (guint i = 0; i < cluster->jobs->len; i++) {
+      SimJob *job = cluster->jobs->pdata[i];
+      if (wait_s (cluster, job) > (job->large ? 180 : 240))
+        sim_report_violation (cluster, "starved", "%s of %u tasks starts after %.0f s", job->id,
+                              job->tasks, wait_s (cluster, job));
     }
-    broken += report_violations (world, seed);
+    broken += report_violations (cluster, seed);
   }
   assert_int_equal (broken, 0);
 }
@@ -146,30 +147,31 @@
   };
   guint broken = 0;
   for (guint32 seed = 1220; seed < 1224; seed++) {
-    World *world = world_with_limit (seed, LIMIT_GPUS);
-    limits_submit (world, work, G_N_ELEMENTS (work));
-    world_run (world, 1500);
-    check_jobs_done (world);
+    SimCluster *cluster = world_with_limit (seed, LIMIT_GPUS);
+    limits_submit (cluster, work, G_N_ELEMENTS (work));
+    sim_cluster_run (cluster, 1500);
+    check_jobs_done (cluster);
     for (guint i = 1; i < 5; i++)
-      if (wait_s (world, limits_job (world, i)) > 45)
-        w_broken (world, "order", "%s starts after %.0f s, although its priority is higher",
-                  limits_job (world, i)->id, wait_s (world, limits_job (world, i)));
-    if (limits_job (world, 4)->done_at > limits_job (world, 3)->done_at)
-      w_broken (world, "order", "the job with the later deadline is done first");
-    broken += report_violations (world, seed);
+      if (wait_s (cluster, limits_job (cluster, i)) > 45)
+        sim_report_violation (
+            cluster, "order", "%s starts after %.0f s, although its priority is higher",
+            limits_job (cluster, i)->id, wait_s (cluster, limits_job (cluster, i)));
+    if (limits_job (cluster, 4)->done_at > limits_job (cluster, 3)->done_at)
+      sim_report_violation (cluster, "order", "the job with the later deadline is done first");
+    broken += report_violations (cluster, seed);
   }
   assert_int_equal (broken, 0);
 }
 
 /* Returns how many starts of the job's tasks were recorded. */
 static guint
-recorded_starts (const World *world, const SimJob *job)
+recorded_starts (const SimCluster *cluster, const SimJob *job)
 {
   g_autofree char *prefix = g_strdup_printf ("%s/", job->id);
   GHashTableIter iter;
   gpointer key;
   guint n = 0;
-  g_hash_table_iter_init (&iter, world->assigned);
+  g_hash_table_iter_init (&iter, cluster->assignment_recorders);
   while (g_hash_table_iter_next (&iter, &key, NULL))
     n += g_str_has_prefix (key, prefix);
   return n;
@@ -190,15 +192,15 @@
   const guint short_tasks = 60;
   guint broken = 0;
   for (guint32 seed = 1270; seed < 1276; seed++) {
-    World *world = world_with_limit (seed, LIMIT_GPUS / 2);
-    limits_submit (world, work, G_N_ELEMENTS (work));
-    world_run (world, 1500);
-    check_jobs_done (world);
+    SimCluster *cluster = world_with_limit (seed, LIMIT_GPUS / 2);
+    limits_submit (cluster, work, G_N_ELEMENTS (work));
+    sim_cluster_run (cluster, 1500);
+    check_jobs_done (cluster);
     /* Counts the short tasks only: a gang that loses a machine restarts all its tasks. */
-    guint starts = recorded_starts (world, limits_job (world, 3));
+    guint starts = recorded_starts (cluster, limits_job (cluster, 3));
     if (starts > short_tasks + short_tasks / 4)
-      w_broken (world, "churn", "%u starts of %u short tasks", starts, short_tasks);
-    broken += report_violations (world, seed);
+      sim_report_violation (cluster, "churn", "%u starts of %u short tasks", starts, short_tasks);
+    broken += report_violations (cluster, seed);
   }
   assert_int_equal (broken, 0);
 }
@@ -215,17 +217,18 @@
   };
   guint broken = 0;
   for (guint32 seed = 1230; seed < 1234; seed++) {
-    World *world = world_with_limit (seed, LIMIT_GPUS);
-    world->capacity = 6;
-    limits_submit (world, work, G_N_ELEMENTS (work));
-    world_run (world, DAY_S);
-    for (guint i = 0; i < world->jobs->len; i++) {
-      SimJob *job = world->jobs->pdata[i];
-      if (!job->large && wait_s (world, job) > 90)
-        w_broken (world, "idle", "%s waits %.0f s under the limit, although a machine has room",
-                  job->id, wait_s (world, job));
+    SimCluster *cluster = world_with_limit (seed, LIMIT_GPUS);
+    cluster->capacity = 6;
+    limits_submit (cluster, work, G_N_ELEMENTS (work));
+    sim_cluster_run (cluster, DAY_S);
+    for (guint i = 0; i < cluster->jobs->len; i++) {
+      SimJob *job = cluster->jobs->pdata[i];
+      if (!job->large && wait_s (cluster, job) > 90)
+        sim_report_violation (cluster, "idle",
+                              "%s waits %.0f s under the limit, although a machine has room",
+                              job->id, wait_s (cluster, job));
     }
-    broken += report_violations (world, seed);
+    broken += report_violations (cluster, seed);
   }
   assert_int_equal (broken, 0);
 }
@@ -243,20 +246,20 @@
   };
   guint broken = 0;
   for (guint32 seed = 1250; seed < 1254; seed++) {
-    World *world = world_new (seed, 3);
-    world->guarantee_gpus = 8;
-    world->capacity = 2;
-    world_restart (world);
-    users_init (world, 0, 0);
-    limits_submit (world, work, G_N_ELEMENTS (work));
-    world_run (world, DAY_S);
-    for (guint i = 0; i < world->jobs->len; i++) {
-      SimJob *job = world->jobs->pdata[i];
-      if (!job->large && wait_s (world, job) > 90)
-        w_broken (world, "idle", "%s waits %.0f s although a machine has room", job->id,
-                  wait_s (world, job));
+    SimCluster *cluster = sim_cluster_new (seed, 3);
+    cluster->guarantee_gpus = 8;
+    cluster->capacity = 2;
+    sim_cluster_restart_nodes (cluster);
+    users_init (cluster, 0, 0);
+    limits_submit (cluster, work, G_N_ELEMENTS (work));
+    sim_cluster_run (cluster, DAY_S);
+    for (guint i = 0; i < cluster->jobs->len; i++) {
+      SimJob *job = cluster->jobs->pdata[i];
+      if (!job->large && wait_s (cluster, job) > 90)
+        sim_report_violation (cluster, "idle", "%s waits %.0f s although a machine has room",
+                              job->id, wait_s (cluster, job));
     }
-    broken += report_violations (world, seed);
+    broken += report_violations (cluster, seed);
   }
   assert_int_equal (broken, 0);
 }
@@ -287,13 +290,13 @@
   };
   guint broken = 0;
   for (guint32 seed = 1240; seed < 1248; seed++) {
-    World *world = world_with_limit (seed, LIMIT_GPUS);
-    users_probe (world);
-    limits_submit (world, work, G_N_ELEMENTS (work));
-    faults_plan (world, day, G_N_ELEMENTS (day));
-    world_run (world, DAY_S);
-    check_jobs_done (world);
-    broken += report_violations (world, seed);
+    SimCluster *cluster = world_with_limit (seed, LIMIT_GPUS);
+    users_probe (cluster);
+    limits_submit (cluster, work, G_N_ELEMENTS (work));
+    faults_plan (cluster, day, G_N_ELEMENTS (day));
+    sim_cluster_run (cluster, DAY_S);
+    check_jobs_done (cluster);
+    broken += report_violations (cluster, seed);
   }
   assert_int_equal (broken, 0);
 }
--- a/tests/test_readiness.c
+++ b/tests/test_readiness.c
@@ -35,11 +35,11 @@
   HrJob *job = hr_job_find (&n->core->store.tables, "job-3");
   assert_false (job->run.arrival_counted);
   double submitted_at = n->now;
-  fake_store_done (store, "job-2");
+  fake_store_finish_job (store, "job-2");
   single_node_run (n, 2);
   assert_false (single_node_lists_open (n, "job-3"));
   single_node_run (n, 40);
-  fake_store_done (store, "job-1");
+  fake_store_finish_job (store, "job-1");
   single_node_run (n, 2);
   assert_true (single_node_lists_open (n, "job-3"));
   assert_true (job->run.arrival_counted); /* the job counts as an arrival only now */
@@ -62,7 +62,7 @@
   assert_int_equal (single_node_submit (n, "job-2", "[\"job-1\"]", NULL), 201);
   HrJob *first = hr_job_find (&n->core->store.tables, "job-1"),
         *second = hr_job_find (&n->core->store.tables, "job-2");
-  HrMachine *machine = single_node_machine (n);
+  HrMachine *machine = single_node_add_machine (n);
   for (guint i = 0; i < first->n_tasks; i++)
     hr_task_assign (n->core, first, i, machine, 1);
   single_node_run (n, 1);
@@ -92,8 +92,8 @@
     assert_int_equal (single_node_submit (n, "job-1", NULL, NULL), 201);
     assert_int_equal (single_node_submit (n, "job-2", "[\"job-1\"]", NULL), 201);
     assert_int_equal (single_node_submit (n, "job-3", "[\"job-2\"]", NULL), 201);
-    fake_store_done (store, "job-1");
-    store->backwards = k;
+    fake_store_finish_job (store, "job-1");
+    store->newest_first = k;
     SingleNode *other = single_node_new (store, "");
     single_node_run (other, 5);
     for (guint read = 0; read < 2; read++) {
@@ -117,7 +117,7 @@
   FakeStore *store = fake_store_new ();
   SingleNode *n = single_node_leading (store);
   assert_int_equal (single_node_submit (n, "job-1", NULL, NULL), 201);
-  json_t *object = json_loads (fake_store_job (store, "job-1"), 0, NULL);
+  json_t *object = json_loads (fake_store_job_record (store, "job-1"), 0, NULL);
   json_object_set_new (object, "a", json_pack ("[s]", "job-77"));
   g_autofree char *text = hr_json_take_text (object);
   store->epoch++;
@@ -126,7 +126,7 @@
   assert_false (single_node_lists_open (n, "job-2"));
   assert_string_equal (single_node_poll (n, "job-2"), "queued");
   assert_string_equal (single_node_poll (n, "job-77"), "unknown");
-  fake_store_done (store, "job-77");
+  fake_store_finish_job (store, "job-77");
   single_node_run (n, 2);
   assert_true (single_node_lists_open (n, "job-2"));
   single_node_free (n);
@@ -138,7 +138,7 @@
 static HrTask *
 assign_waiting_task (SingleNode *n, HrJob *job)
 {
-  hr_task_assign (n->core, job, 0, single_node_machine (n), 1);
+  hr_task_assign (n->core, job, 0, single_node_add_machine (n), 1);
   return &job->tasks[0];
 }
 
@@ -155,12 +155,12 @@
   const HrTask *task = assign_waiting_task (n, job);
   single_node_run (n, 3);
   assert_int_equal (task->state, HR_TASK_ASSIGNING);
-  assert_null (strstr (fake_store_job (store, "job-2"), "m-1"));
-  fake_store_done (store, "job-1");
+  assert_null (strstr (fake_store_job_record (store, "job-2"), "m-1"));
+  fake_store_finish_job (store, "job-1");
   single_node_run (n, 1);
   hr_record_writer_mark (&n->core->store, job, 0);
   single_node_run (n, 1);
-  assert_non_null (strstr (fake_store_job (store, "job-2"), "m-1"));
+  assert_non_null (strstr (fake_store_job_record (store, "job-2"), "m-1"));
   single_node_free (n);
   fake_store_free (store);
 }
@@ -191,7 +191,7 @@
   task->state = HR_TASK_BOUND;
   assert_int_equal (send_heartbeat (n, 1), 0);
   assert_int_equal (send_heartbeat (n, 2), 0);
-  fake_store_done (store, "job-1");
+  fake_store_finish_job (store, "job-1");
   single_node_run (n, 1);
   /* By now the planner has assigned the other task as well. */
   assert_true (send_heartbeat (n, 3) > 0);
@@ -339,7 +339,7 @@
     pipeline_submit (n, &pipeline);
     pipeline_check (n, &pipeline, cancelled);
     /* A full read of the store, in either order, yields the same deadlines and priorities. */
-    store->backwards = round % 2;
+    store->newest_first = round % 2;
     hr_replica_reset (&n->core->store);
     single_node_run (n, 3);
     pipeline_check (n, &pipeline, cancelled);
@@ -392,7 +392,7 @@
   FakeStore *store = fake_store_new ();
   SingleNode *n = single_node_leading (store);
   assert_int_equal (single_node_submit (n, "job-1", NULL, URGENT_DUE_IN_500_S), 201);
-  g_autofree char *record = g_strdup (fake_store_job (store, "job-1"));
+  g_autofree char *record = g_strdup (fake_store_job_record (store, "job-1"));
   for (guint i = 0; i < G_N_ELEMENTS (ids); i++) {
     json_t *object = json_loads (record, 0, NULL);
     json_object_set_new (object, "a", json_pack ("[s]", ids[(i + 1) % G_N_ELEMENTS (ids)]));
@@ -423,7 +423,7 @@
   assert_int_equal (single_node_submit (n, "job-1", NULL, NULL), 201);
   assert_int_equal (single_node_submit (n, "job-2", "[\"job-1\"]", NULL), 201);
   assert_int_equal (single_node_submit (n, "job-3", NULL, NULL), 201);
-  HrMachine *machine = single_node_machine (n);
+  HrMachine *machine = single_node_add_machine (n);
   static const char *const ids[] = {"job-1", "job-3"};
   for (guint i = 0; i < 4; i++)
     hr_task_assign (n->core, hr_job_find (&n->core->store.tables, ids[i / 2]), i % 2, machine, 1);
@@ -464,7 +464,7 @@
   /* Each task needs the whole machine. */
   hr_job_find (&n->core->store.tables, "job-1")->spec.cpus = 12;
   hr_job_find (&n->core->store.tables, "job-2")->spec.cpus = 12;
-  const HrMachine *machine = single_node_machine (n);
+  const HrMachine *machine = single_node_add_machine (n);
   assert_string_equal (first_listed_job (n, machine), "job-2");
   assert_int_equal (
       single_node_submit (n, "job-3", "[\"job-1\"]", ",\"due_s\":60,\"rank\":\"low\""), 201);
@@ -489,7 +489,7 @@
   SingleNode *n = single_node_leading (store);
   assert_int_equal (single_node_submit (n, "job-1", NULL, ",\"due_s\":900,\"rank\":\"low\""), 201);
   HrJob *job = hr_job_find (&n->core->store.tables, "job-1");
-  HrMachine *machine = single_node_machine (n);
+  HrMachine *machine = single_node_add_machine (n);
   job->spec.estimate_s = estimate_s;
   for (guint i = 0; i < job->n_tasks; i++) {
     hr_task_assign (n->core, job, i, machine, 1);
--- a/tests/test_record_split.c
+++ b/tests/test_record_split.c
@@ -42,7 +42,7 @@
 static gboolean
 is_split (const FakeStore *store)
 {
-  return strstr (fake_store_job (store, JOB), "\"u\":1") != NULL;
+  return strstr (fake_store_job_record (store, JOB), "\"u\":1") != NULL;
 }
 
 static void
@@ -68,7 +68,7 @@
   store->epoch++;
   fake_store_set (store, MAIN, cancelled);
   single_node_run (n, 10);
-  assert_non_null (strstr (fake_store_job (store, JOB), "\"s\":2"));
+  assert_non_null (strstr (fake_store_job_record (store, JOB), "\"s\":2"));
   assert_true (is_split (store)); /* the split completes nevertheless */
   single_node_free (n);
   fake_store_free (store);
@@ -86,7 +86,7 @@
   run_until_staged (n);
   single_node_run (n, 10);
   assert_true (is_split (store));
-  assert_non_null (strstr (fake_store_job (store, JOB), "\"s\":0"));
+  assert_non_null (strstr (fake_store_job_record (store, JOB), "\"s\":0"));
   single_node_free (n);
   fake_store_free (store);
 }
