--- a/tests/test_awaits.c
+++ b/tests/test_awaits.c
@@ -219,7 +219,7 @@
       if (change->stamp <= cancelled_epoch || strstr (change->path, "job-late"))
         fake_store_set (partial, change->path, change->text);
     }
-    partial->backwards = k;
+    partial->newest_first = k;
     assert_non_null (strstr (fake_store_job_record (partial, "job-c599"), "\"s\":0"));
     SingleNode *other = single_node_new (partial, "");
     single_node_run (other, 1.5);
