--- a/tests/scripted_cluster.c
+++ b/tests/scripted_cluster.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 #define TICK_S 0.05
-#define WALL_AT_0 1e9 /* the time of day when the clock shows 0 */
+#define REAL_TIME_AT_START 1e9 /* real time when the test's clock is 0, in seconds */
 
 /* ---- calls ---- */
 
@@ -45,7 +45,7 @@
 }
 
 static void
-take_effect (Cluster *cluster, int node, HrEffect *effect)
+handle_effect (Cluster *cluster, int node, HrEffect *effect)
 {
   ClusterNode *n = &cluster->nodes[node];
   if (effect->kind == HR_EFFECT_PEER_STATUS) {
@@ -86,12 +86,13 @@
   g_ptr_array_add (commands, command);
   if (!cluster->nodes[node].core)
     return;
-  hr_core_step (cluster->nodes[node].core, cluster->now, WALL_AT_0 + cluster->now, commands, out);
+  hr_core_step (cluster->nodes[node].core, cluster->now, REAL_TIME_AT_START + cluster->now,
+                commands, out);
   for (guint i = 0; i < out->len; i++)
-    take_effect (cluster, node, out->pdata[i]);
+    handle_effect (cluster, node, out->pdata[i]);
 }
 
-/* What the server answers now; NULL: nothing yet. */
+/* Returns the present answer of the call's target; NULL: a watch without changes so far. */
 static char *
 serve_call (Cluster *cluster, const ClusterCall *call, int *status)
 {
@@ -103,8 +104,8 @@
     ClusterWorker *worker = cluster->workers->pdata[i];
     if (strcmp (worker->name, call->addr) != 0)
       continue;
-    *status = cluster_direct (worker, call);
-    return cluster_worker_text (worker);
+    *status = cluster_deliver_direct_call (worker, call);
+    return cluster_worker_report_text (worker);
   }
   *status = 0;
   return g_strdup ("");
@@ -120,7 +121,7 @@
 }
 
 static void
-give_result (Cluster *cluster, ClusterCall *call, int status, const char *body)
+deliver_result (Cluster *cluster, ClusterCall *call, int status, const char *body)
 {
   guint at;
   HrCommand *command = hr_command_new (HR_COMMAND_RESULT);
@@ -141,8 +142,9 @@
 void
 cluster_answer_with (Cluster *cluster, ClusterCall *call, int status, const char *body)
 {
-  g_autofree char *text = g_strdup (body); /* it may be the call's own */
-  give_result (cluster, call, status, text);
+  g_autofree char *text =
+      g_strdup (body); /* body may be the call's answer, which deliver_result() frees */
+  deliver_result (cluster, call, status, text);
 }
 
 void
@@ -156,7 +158,7 @@
 void
 cluster_lose (Cluster *cluster, ClusterCall *call)
 {
-  give_result (cluster, call, 0, NULL);
+  deliver_result (cluster, call, 0, NULL);
 }
 
 ClusterCall *
@@ -174,7 +176,7 @@
 }
 
 int
-cluster_late (Cluster *cluster, ClusterCall *call)
+cluster_carry_out_delayed (Cluster *cluster, ClusterCall *call)
 {
   int status = 0;
   g_autofree char *answer = serve_call (cluster, call, &status);
@@ -205,7 +207,7 @@
 }
 
 ClusterCall *
-cluster_call (Cluster *cluster, int node, const char *path, const char *text)
+cluster_find_call (Cluster *cluster, int node, const char *path, const char *text)
 {
   for (guint i = 0; i < cluster->calls->len; i++)
     if (matches (cluster->calls->pdata[i], node, path, text))
@@ -214,7 +216,7 @@
 }
 
 guint
-cluster_count (Cluster *cluster, int node, const char *path, const char *text)
+cluster_count_calls (Cluster *cluster, int node, const char *path, const char *text)
 {
   guint n = 0;
   for (guint i = 0; i < cluster->calls->len; i++)
@@ -222,15 +224,15 @@
   return n;
 }
 
-/* ---- time ---- */
+/* ---- clock ---- */
 
 void
 cluster_serve (Cluster *cluster)
 {
   for (guint i = 0; i < cluster->calls->len;) {
     ClusterCall *call = cluster->calls->pdata[i];
-    gboolean wait =
-        call->held || (call->target == HR_TO_STORE && cluster->now - call->sent < cluster->slow);
+    gboolean wait = call->held || (call->target == HR_TO_STORE &&
+                                   cluster->now - call->sent < cluster->store_delay_s);
     if (!wait)
       cluster_carry_out (cluster, call);
     if (wait || !call->done) {
@@ -238,7 +240,7 @@
       continue;
     }
     cluster_answer (cluster, call);
-    i = 0; /* the answer may have led to more, and a change wakes watches */
+    i = 0; /* the answer may have caused further calls, and a change wakes watches */
   }
 }
 
@@ -268,9 +270,9 @@
   send_statuses (cluster);
 }
 
-/* Calls that have been out for longer than their callers wait, served or not. */
+/* Times out the calls whose callers no longer wait. They are carried out all the same. */
 static void
-end_overdue (Cluster *cluster)
+time_out_calls (Cluster *cluster)
 {
   for (guint i = 0; i < cluster->calls->len;) {
     ClusterCall *call = cluster->calls->pdata[i];
@@ -290,7 +292,7 @@
   double until = cluster->now + seconds;
   while (cluster->now < until - 1e-9) {
     cluster_tick (cluster, MIN (TICK_S, until - cluster->now));
-    end_overdue (cluster);
+    time_out_calls (cluster);
     cluster_serve (cluster);
   }
 }
@@ -307,10 +309,10 @@
   return id;
 }
 
-/* ---- beginning and end ---- */
+/* ---- construction ---- */
 
 static HrSettings *
-settings_of (Cluster *cluster, int node, HrNames *names)
+settings_new (Cluster *cluster, int node, HrNames *names)
 {
   json_t *members = json_array ();
   for (int i = 0; i < cluster->n; i++) {
@@ -334,40 +336,40 @@
   HrSettings *settings = hr_settings_parse (root, names, &error);
   json_decref (root);
   if (!settings)
-    g_error ("script: %s", error->message);
+    g_error ("scripted cluster: %s", error->message);
   return settings;
 }
 
 void
-cluster_start (Cluster *cluster, int node)
+cluster_start_node (Cluster *cluster, int node)
 {
   ClusterNode *n = &cluster->nodes[node];
   g_assert (!n->core);
   n->process++;
   hr_names_init (&n->names);
-  n->set = settings_of (cluster, node, &n->names);
-  if (cluster->pol.hold_s == 0) {
+  n->settings = settings_new (cluster, node, &n->names);
+  if (cluster->policy.hold_s == 0) {
     g_autoptr (GHashTable) vars = hr_policy_vars_new ();
     g_autoptr (GError) error = NULL;
-    hr_core_policy_vars (n->set, vars);
-    if (!hr_policy_load (SOURCE_ROOT "/deploy/policy.hop", vars, &cluster->pol, &error))
-      g_error ("script: %s", error->message);
+    hr_core_policy_vars (n->settings, vars);
+    if (!hr_policy_load (SOURCE_ROOT "/deploy/policy.hop", vars, &cluster->policy, &error))
+      g_error ("scripted cluster: %s", error->message);
   }
   g_autofree char *incarnation = g_strdup_printf ("i%d-%u", node, n->process);
-  n->core = hr_core_new (n->set, &cluster->pol, &n->names, incarnation, 1 + node);
+  n->core = hr_core_new (n->settings, &cluster->policy, &n->names, incarnation, 1 + node);
 }
 
 void
-cluster_end (Cluster *cluster, int node)
+cluster_stop_node (Cluster *cluster, int node)
 {
   ClusterNode *n = &cluster->nodes[node];
   if (!n->core)
     return;
   hr_core_free (n->core);
   hr_names_clear (&n->names);
-  hr_settings_free (n->set);
+  hr_settings_free (n->settings);
   n->core = NULL;
-  n->process++; /* whatever is still on its way finds nobody */
+  n->process++; /* answers that are still in flight are dropped */
 }
 
 Cluster *
@@ -382,10 +384,10 @@
   cluster->workers = g_ptr_array_new_with_free_func (cluster_worker_free);
   cluster_store_init (cluster);
   for (int i = 0; i < nodes; i++) {
-    cluster->nodes[i].served = TRUE;
+    cluster->nodes[i].store_available = TRUE;
     cluster->nodes[i].replies =
         g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, reply_free);
-    cluster_start (cluster, i);
+    cluster_start_node (cluster, i);
   }
   return cluster;
 }
@@ -394,20 +396,20 @@
 cluster_limit_writes (Cluster *cluster, double write_rps)
 {
   cluster->write_rps = cluster->write_tokens = write_rps;
-  cluster->write_at = cluster->now;
+  cluster->write_tokens_at = cluster->now;
   for (int i = 0; i < cluster->n; i++) {
-    cluster_end (cluster, i);
-    cluster_start (cluster, i);
+    cluster_stop_node (cluster, i);
+    cluster_start_node (cluster, i);
   }
 }
 
 Cluster *
-cluster_led (int nodes)
+cluster_new_with_leader (int nodes)
 {
   Cluster *cluster = cluster_new (nodes);
   cluster_run (cluster, 6);
   if (cluster_leader (cluster) < 0)
-    g_error ("script: nobody leads");
+    g_error ("scripted cluster: no controller leads after 6 s");
   return cluster;
 }
 
@@ -415,7 +417,7 @@
 cluster_free (Cluster *cluster)
 {
   for (int i = 0; i < cluster->n; i++) {
-    cluster_end (cluster, i);
+    cluster_stop_node (cluster, i);
     g_hash_table_unref (cluster->nodes[i].replies);
   }
   g_ptr_array_unref (cluster->calls);
@@ -426,7 +428,8 @@
 }
 
 GLogWriterOutput
-cluster_log (GLogLevelFlags level, const GLogField *fields, gsize n, gpointer data G_GNUC_UNUSED)
+cluster_log_writer (GLogLevelFlags level, const GLogField *fields, gsize n,
+                    gpointer data G_GNUC_UNUSED)
 {
   if (level & G_LOG_FLAG_FATAL)
     return g_log_writer_default (level, fields, n, NULL);
--- a/tests/scripted_cluster.h
+++ b/tests/scripted_cluster.h
@@ -1,15 +1,16 @@
 /* Controllers driven by hand: every message of a scenario is sent, carried out, answered, lost or
- * held at the step that the test names. No seed and no wall clock: one clock, moved by the test.
- * The controllers are the real ones (hr_core_step); the state service (scripted_cluster_store.c)
- * carries a call out when it is told to, which may be long after its caller has given up.
+ * held at the step that the test names. There is no seed and no real time: the test advances the
+ * only clock. The controllers are the real ones (hr_core_step); the simulated state service
+ * (scripted_cluster_store.c) carries a call out when the test says so, possibly long after the
+ * caller's timeout.
  *
  *   Cluster *cluster = cluster_new (2);                   two controllers, c0 and c1
  *   cluster_run (cluster, 5);                             all calls are answered: one leads
  *   cluster_hold (cluster, 0, "/commit", "job-a");        such calls of c0 wait for the test
  *   guint64 id = cluster_submit (cluster, 1, "job-a", 1); a user's request to c1
- *   ClusterCall *call = cluster_call (cluster, 0, "/commit", "job-a");
- *   cluster_carry_out (cluster, call);                    carried out, its answer still on the way
- *   cluster_lose (cluster, call);                         the caller hears nothing
+ *   ClusterCall *call = cluster_find_call (cluster, 0, "/commit", "job-a");
+ *   cluster_carry_out (cluster, call);                    carried out, its answer still pending
+ *   cluster_lose (cluster, call);                         the caller gets no answer
  */
 #pragma once
 #include "coordination/core.h"
@@ -17,17 +18,17 @@
 
 #define CLUSTER_NODES 5
 
-/* A call of a controller that the test has not ended yet. */
+/* An open call of a controller. */
 typedef struct {
   int node;
-  guint process; /* of the node's processes, the one that called */
+  guint process; /* process number of the caller, see ClusterNode */
   guint64 id;
   HrTarget target;
   HrMethod method;
   char *addr, *path, *body;
-  double sent, timeout; /* when it was made; how long its caller waits, in seconds */
+  double sent, timeout; /* time at which it was made; timeout of its caller, in seconds */
   gboolean held;        /* waits for the test */
-  gboolean done;        /* carried out; this is what it answers: */
+  gboolean done;        /* carried out, with this status and answer: */
   int status;
   char *answer;
 } ClusterCall;
@@ -39,7 +40,8 @@
   double at;
 } ClusterReply;
 
-/* Calls that wait for the test: path and text stand anywhere in theirs; NULL: any. */
+/* Selects calls that wait for the test: path and text are substrings of the call's path and body;
+ * NULL: any. */
 typedef struct {
   int node;
   char *path, *text;
@@ -48,129 +50,138 @@
 typedef struct {
   HrCore *core; /* NULL: no process runs */
   HrNames names;
-  HrSettings *set;
-  guint process;       /* counts them */
-  gboolean served;     /* by the state service; else it answers 503 to this node alone */
-  HrPeerStatus status; /* the latest one that it sent */
+  HrSettings *settings;
+  guint process;            /* number of the process; changes with every start and stop */
+  gboolean store_available; /* FALSE: the state service answers 503 to this node alone */
+  HrPeerStatus status;      /* the latest one that it sent */
   gboolean status_sent;
   GHashTable *replies; /* request id -> ClusterReply */
 } ClusterNode;
 
 typedef struct {
   char *name;
-  guint tenure, tally;
-  guint64 token;
-  GPtrArray *tasks; /* json_t: as they stand in its reports */
+  guint incarnation, sequence; /* sequence: number of the latest report */
+  guint64 token;               /* highest fencing token received */
+  GPtrArray *tasks;            /* json_t, in the form that reports have */
 } ClusterWorker;
 
 typedef struct {
   double now;
   int n;
   ClusterNode nodes[CLUSTER_NODES];
-  HrPolicy pol;
+  HrPolicy policy;
   GPtrArray *calls; /* ClusterCall, in the order in which they were made */
   GPtrArray *holds; /* ClusterHold */
   GPtrArray *workers;
   guint64 next_request;
-  gboolean exchange_statuses; /* the controllers hear one another; default TRUE */
+  gboolean exchange_statuses; /* the controllers receive each other's statuses; default TRUE */
   /* The state service. */
-  gboolean outage;
+  gboolean store_outage;
   GHashTable *keys, *leases;
   GArray *log;
-  guint64 epoch, claims, oldest; /* changes up to `oldest` are no longer kept */
-  guint carried_out;             /* transactions that changed something */
-  double slow;                   /* seconds until it answers, in cluster_run */
-  double write_rps;              /* allowance of changes a second; 0: no end of it */
-  double write_tokens, write_at;
-  guint refused_writes; /* transactions beyond it */
+  guint64 store_revision, last_lease_id;
+  guint64 compacted_revision;   /* changes up to this revision are no longer kept */
+  guint committed_transactions; /* transactions that changed something */
+  double store_delay_s;         /* delay of its answers in cluster_run() */
+  double write_rps;             /* allowance of changes per second; 0: unlimited */
+  double write_tokens, write_tokens_at;
+  guint refused_writes; /* transactions refused for exceeding the allowance */
 } Cluster;
 
-/* Controllers c0, c1, ... that have started and know of one another. */
+/* Returns a cluster of started controllers c0, c1, ... that know of one another. */
 Cluster *cluster_new (int nodes);
-/* The same after some seconds: one of them leads, all follow. */
-Cluster *cluster_led (int nodes);
+/* Returns a cluster some seconds later, when one of the controllers leads and all follow. */
+Cluster *cluster_new_with_leader (int nodes);
 void cluster_free (Cluster *cluster);
-void cluster_start (Cluster *cluster, int node); /* a new process */
-void cluster_end (Cluster *cluster, int node);   /* its calls stay on their way */
+/* Starts a new process. */
+void cluster_start_node (Cluster *cluster, int node);
+/* Ends the process; its calls stay in flight. */
+void cluster_stop_node (Cluster *cluster, int node);
 
-/* From now on so many changes a second; all controllers start anew, for they read it then. */
+/* Sets the allowance of changes per second and restarts all controllers, which read it at start. */
 void cluster_limit_writes (Cluster *cluster, double write_rps);
-/* Moves the clock and lets every controller look at it; answers nothing. */
+/* Advances the clock and sends every controller a tick; answers no calls. */
 void cluster_tick (Cluster *cluster, double seconds);
 /* Carries out and answers all calls that are not held, and those that follow from them. */
 void cluster_serve (Cluster *cluster);
-/* Ticks of 50 ms, each with all calls served that are at least s->slow old; whoever has waited for
- * longer than its timeout hears nothing, whether it was carried out or not. */
+/* Runs ticks of 50 ms and serves all calls that are at least store_delay_s old in each. A caller
+ * whose timeout has passed gets no answer, whether its call was carried out or not. */
 void cluster_run (Cluster *cluster, double seconds);
 
-/* Such calls wait for the test, those that are open and those to come. */
+/* Holds matching calls, open and future ones, until the test serves them. */
 void cluster_hold (Cluster *cluster, int node, const char *path, const char *text);
-/* Nothing is held any more; what was is served as it comes. */
+/* Ends all holds; the held calls are served as usual. */
 void cluster_release (Cluster *cluster);
-/* The oldest open call like this, or NULL. It stays valid until it is answered or lost. */
-ClusterCall *cluster_call (Cluster *cluster, int node, const char *path, const char *text);
-guint cluster_count (Cluster *cluster, int node, const char *path, const char *text);
-/* The service takes the call now; its answer waits for cluster_answer. */
+/* Returns the oldest open call that matches, or NULL. It stays valid until it is answered or
+ * lost. */
+ClusterCall *cluster_find_call (Cluster *cluster, int node, const char *path, const char *text);
+guint cluster_count_calls (Cluster *cluster, int node, const char *path, const char *text);
+/* Carries the call out now; the answer waits for cluster_answer(). */
 void cluster_carry_out (Cluster *cluster, ClusterCall *call);
-/* The answer reaches the caller; carries the call out first if that was not done. */
+/* Delivers the answer to the caller; carries the call out first if that was not done. */
 void cluster_answer (Cluster *cluster, ClusterCall *call);
-/* The caller gets this answer, whatever was done. */
+/* Delivers this answer to the caller, regardless of what was carried out. */
 void cluster_answer_with (Cluster *cluster, ClusterCall *call, int status, const char *body);
-/* The caller's time runs out. Carried out or not: that stays as it is. */
+/* Lets the caller time out. Does not carry the call out, nor undo it. */
 void cluster_lose (Cluster *cluster, ClusterCall *call);
-/* The caller's time runs out, and the call stays on its way: to be carried out with
- * cluster_late, which frees it. */
+/* Lets the caller time out while the call stays in flight. Returns the call, to be carried out with
+ * cluster_carry_out_delayed(), which frees it. */
 ClusterCall *cluster_delay (Cluster *cluster, ClusterCall *call);
-/* Returns the status with which it was carried out; nobody hears it. */
-int cluster_late (Cluster *cluster, ClusterCall *call);
+/* Carries the delayed call out and frees it. Returns its status, which the caller never gets. */
+int cluster_carry_out_delayed (Cluster *cluster, ClusterCall *call);
 
-/* One batch of a single command (taken). */
+/* Runs hr_core_step() of the node with a single command. @command: (transfer full) */
 void cluster_step (Cluster *cluster, int node, HrCommand *command);
 guint64 cluster_request (Cluster *cluster, int node, HrMethod method, const char *path,
                          const char *body);
 guint64 cluster_submit (Cluster *cluster, int node, const char *id, guint tasks);
 guint64 cluster_poll (Cluster *cluster, int node, const char *id);
-guint64 cluster_abort (Cluster *cluster, int node, const char *id);
-/* NULL: not answered yet. */
+guint64 cluster_cancel (Cluster *cluster, int node, const char *id);
+/* Returns NULL while the request is not answered. */
 const ClusterReply *cluster_reply (Cluster *cluster, int node, guint64 request);
-int cluster_status (Cluster *cluster, int node, guint64 request); /* 0: not answered yet */
-const char *cluster_job_state (Cluster *cluster, int node, guint64 request); /* NULL: none given */
-/* Asks and waits for the answer (at most 0.5 s): the stance, or NULL when none was given. */
-const char *cluster_asked (Cluster *cluster, int node, const char *id);
-/* The body of a submission: one task that fits the only machine type, a batch. */
-json_t *cluster_job (const char *id, guint tasks);
+/* Returns 0 while the request is not answered. */
+int cluster_reply_status (Cluster *cluster, int node, guint64 request);
+/* Returns the job's state in the reply, or NULL when there is none. */
+const char *cluster_job_state (Cluster *cluster, int node, guint64 request);
+/* Polls the job and waits for the answer (at most 0.5 s). Returns its state, or NULL when the reply
+ * has none. */
+const char *cluster_poll_state (Cluster *cluster, int node, const char *id);
+/* Returns the body of a submission: a batch job whose tasks fit the only machine type. */
+json_t *cluster_job_body (const char *id, guint tasks);
 
-/* A machine with one worker, known to the cloud's list. */
+/* Adds a machine with one worker; the cloud lists it. */
 ClusterWorker *cluster_worker (Cluster *cluster, const char *name);
-/* It reports to the node, and obeys the answer if its token counts. Returns the status. */
+/* Sends a report to the node and carries out the answer unless its token is outdated. Returns the
+ * status. */
 int cluster_report (Cluster *cluster, ClusterWorker *worker, int node);
 /* Submits a job of one task at the node and waits until the worker runs it. */
-void cluster_place (Cluster *cluster, ClusterWorker *worker, int node, const char *id);
-/* A direct call reaches the worker now; whether it counts depends on token and incarnation. */
-int cluster_direct (ClusterWorker *worker, const ClusterCall *call);
-/* All its tasks have ended with this cause. */
-void cluster_worker_ends (ClusterWorker *worker, const char *cause);
-gboolean cluster_worker_has (const ClusterWorker *worker, const char *job_id);
+void cluster_submit_and_start (Cluster *cluster, ClusterWorker *worker, int node, const char *id);
+/* Delivers a direct call to the worker now. Returns 200, or 409 when the worker rejects its token
+ * or incarnation. */
+int cluster_deliver_direct_call (ClusterWorker *worker, const ClusterCall *call);
+/* Ends all tasks of the worker with this cause. */
+void cluster_worker_exit_tasks (ClusterWorker *worker, const char *cause);
+gboolean cluster_worker_runs (const ClusterWorker *worker, const char *job_id);
 
-/* The node that the leader record names; -1: none. */
+/* Returns the node that the leader record names; -1: none. */
 int cluster_leader (Cluster *cluster);
-/* What is recorded under the key, or NULL; the text of its value. */
+/* Returns the text of the value that is stored under the key, or NULL. */
 const char *cluster_value (Cluster *cluster, const char *key);
-guint64 cluster_stamp (Cluster *cluster, const char *key);
-/* The value is there, whoever wrote it. */
-void cluster_write (Cluster *cluster, const char *key, const char *text);
-/* The changes so far are forgotten: a reading that builds on older ones gets 410. */
+guint64 cluster_key_revision (Cluster *cluster, const char *key);
+/* Stores the value directly, without a transaction of a controller. */
+void cluster_set_value (Cluster *cluster, const char *key, const char *text);
+/* Drops the changes so far: reading changes from before this revision gets 410. */
 void cluster_forget_changes (Cluster *cluster);
 
-/* Shows the controllers' log with HR_SIM_VERBOSE=1, and fatal messages always. */
-GLogWriterOutput cluster_log (GLogLevelFlags level, const GLogField *fields, gsize n,
-                              gpointer data);
+/* Prints the controllers' log with HR_SIM_VERBOSE=1, and fatal messages always. */
+GLogWriterOutput cluster_log_writer (GLogLevelFlags level, const GLogField *fields, gsize n,
+                                     gpointer data);
 
-/* For scripted_cluster.c alone. */
+/* Shared by the scripted_cluster*.c files; not for tests. */
 void cluster_worker_free (gpointer worker);
-char *cluster_worker_text (ClusterWorker *worker); /* its next report */
+char *cluster_worker_report_text (ClusterWorker *worker); /* its next report */
 void cluster_store_init (Cluster *cluster);
 void cluster_store_free (Cluster *cluster);
-/* Answers a request to the state service. NULL: a watch that has nothing to tell yet. */
+/* Answers a request to the state service. Returns NULL for a watch that has no changes yet. */
 char *cluster_store_request (Cluster *cluster, const ClusterCall *call, int *status);
 char *cluster_cloud_request (Cluster *cluster, const ClusterCall *call, int *status);
--- a/tests/scripted_cluster_user.c
+++ b/tests/scripted_cluster_user.c
@@ -1,11 +1,11 @@
-/* What the users of tests/scripted_cluster.h ask. */
+/* User requests of tests/scripted_cluster.h. */
 #include "coordination/command.h"
 #include "protocol/json_util.h"
 #include "scripted_cluster.h"
 #include <string.h>
 
 json_t *
-cluster_job (const char *id, guint tasks)
+cluster_job_body (const char *id, guint tasks)
 {
   return json_pack ("{sssssssssssisfsfsfsssfsnsnsbsbsbsfsfsfsn}", "name_id", id, "jobclass",
                     "array", "crew", "crew", "shape", "batch", "rank", "normal", "pieces",
@@ -17,7 +17,7 @@
 guint64
 cluster_submit (Cluster *cluster, int node, const char *id, guint tasks)
 {
-  g_autofree char *body = hr_json_take_text (cluster_job (id, tasks));
+  g_autofree char *body = hr_json_take_text (cluster_job_body (id, tasks));
   return cluster_request (cluster, node, HR_POST, HR_JOBS_PATH, body);
 }
 
@@ -29,7 +29,7 @@
 }
 
 guint64
-cluster_abort (Cluster *cluster, int node, const char *id)
+cluster_cancel (Cluster *cluster, int node, const char *id)
 {
   g_autofree char *path = g_strconcat (HR_JOBS_PATH "/", id, "/abort", NULL);
   return cluster_request (cluster, node, HR_POST, path, NULL);
@@ -42,7 +42,7 @@
 }
 
 int
-cluster_status (Cluster *cluster, int node, guint64 request)
+cluster_reply_status (Cluster *cluster, int node, guint64 request)
 {
   const ClusterReply *reply = cluster_reply (cluster, node, request);
   return reply ? reply->status : 0;
@@ -56,7 +56,7 @@
 }
 
 const char *
-cluster_asked (Cluster *cluster, int node, const char *id)
+cluster_poll_state (Cluster *cluster, int node, const char *id)
 {
   guint64 request = cluster_poll (cluster, node, id);
   for (int i = 0; i < 10 && !cluster_reply (cluster, node, request); i++)
--- a/tests/scripted_fleet.h
+++ b/tests/scripted_fleet.h
@@ -1,19 +1,19 @@
-/* Machines and their workers for tests/scripted_cluster.h, as the protocol has them: incarnations,
- * leases, tokens, reports, direct orders, deletion. A test says who reaches whom, and may keep any
- * message back. The rules about tasks on machines are checked at every event.
+/* Machines and their workers for tests/scripted_cluster.h, as the protocol defines them:
+ * incarnations, leases, fencing tokens, reports, direct calls, deletion. A test controls which node
+ * reaches which machine and may delay any message. The rules about tasks on machines are checked at
+ * every event.
  *
  *   Fleet *fleet = fleet_new (2);                       controllers c0 and c1, one of which leads
  *   FleetMachine *machine = fleet_machine (fleet, "m-1", "z0");
- *   fleet_run (fleet, 5);                               all report, and obey what they are told
- *   machine->reports = FALSE;                                 from now on it reaches no controller
- *   char *text = fleet_write (machine);                       a report, to arrive whenever the test
- * says
+ *   fleet_run (fleet, 5);                               workers report and carry out their orders
+ *   machine->sends_reports = FALSE;                     its reports reach no controller from now on
+ *   char *text = fleet_report_text (machine);           a report for the test to deliver later
  */
 #pragma once
 #include "scripted_cluster.h"
 
 typedef struct {
-  char *piece; /* "job-a/0" */
+  char *task_id; /* "job-a/0" */
   guint attempt;
   gboolean exited;
   const char *cause;
@@ -25,87 +25,89 @@
   Fleet *fleet;
   char *name;
   const char *zone;
-  guint tenure, tally;
-  guint64 token;
-  double lease_at; /* when the latest report that got an answer was sent */
-  double report_at;
-  double token_told; /* when a higher token last made it report at once */
-  int node;          /* that it reports to */
-  gboolean gone;
-  gboolean reports; /* its reports leave */
-  gboolean hears;   /* the answers to its reports arrive */
-  gboolean reached; /* direct orders arrive, and their answers */
-  gboolean hangs;
-  int only;         /* the one controller that it reaches; -1: any */
-  double notice;    /* told by the cloud that it goes in so many seconds; 0: no */
-  GPtrArray *tasks; /* FleetTask */
+  guint incarnation, sequence; /* sequence: number of the latest report */
+  guint64 token;               /* highest fencing token received */
+  double lease_renewed_at;     /* when the latest report that got an answer was sent */
+  double next_report_at;
+  double token_report_at; /* when a higher token last triggered an immediate report */
+  int node;               /* the controller that it reports to */
+  gboolean deleted;
+  gboolean sends_reports;         /* FALSE: its reports are lost */
+  gboolean receives_answers;      /* FALSE: the answers to its reports are lost */
+  gboolean receives_direct_calls; /* FALSE: direct calls and their answers are lost */
+  gboolean is_hung;
+  int only_node;          /* the only controller that it can reach; -1: all */
+  double preemption_in_s; /* seconds until the cloud takes it, as announced; 0: not announced */
+  GPtrArray *tasks;       /* FleetTask */
 } FleetMachine;
 
-/* What the rules need to know of a job. */
+/* The properties of a job that the rules depend on. */
 typedef struct {
-  guint tasks, ended; /* ended: tasks that exited as done */
+  guint tasks, n_done; /* n_done: tasks that exited as done */
   double cpus;
   gboolean together, apart;
-  GHashTable *done; /* pieces */
+  GHashTable *done; /* ids of the tasks that exited as done */
 } FleetJob;
 
 struct Fleet {
   Cluster *cluster;
   GPtrArray *machines;
-  GHashTable *cancelled_jobs; /* job -> double *: when a user was told so */
+  GHashTable *cancelled_jobs; /* job -> double *: when a user was told that it is cancelled */
   GHashTable *jobs;           /* job -> FleetJob */
-  double cpus_max;            /* of the only team; 0: no limit */
-  GPtrArray *broken;          /* rules, as text */
-  guint starts, deletions;
-  gboolean cloud_deletes; /* the cloud carries out deletions, and answers */
+  double cpus_max;            /* limit of the only team; 0: no limit */
+  GPtrArray *violations;      /* messages */
+  guint task_starts, deletions;
+  gboolean cloud_deletes; /* the cloud carries out deletions and answers; else the calls are lost */
   double lease_s, cancel_s, report_s;
 };
 
-/* A leader is there and has read the machine types. */
+/* Returns a fleet whose leader is elected and has read the machine types. */
 Fleet *fleet_new (int nodes);
-/* Fails the test when a rule was broken, and frees all. */
-void fleet_end (Fleet *fleet);
+/* Fails the test when a rule was broken, and frees the fleet. */
+void fleet_check_and_free (Fleet *fleet);
 FleetMachine *fleet_machine (Fleet *fleet, const char *name, const char *zone);
-/* Machines report and obey, leases run, the clock moves: steps of 50 ms. */
+/* Advances the clock in steps of 50 ms; workers report and carry out orders, leases expire. */
 void fleet_run (Fleet *fleet, double seconds);
 /* Runs until the condition holds; fails the test when it does not within that time. */
 typedef gboolean (*FleetCheck) (Fleet *fleet, gpointer data);
-void fleet_until (Fleet *fleet, FleetCheck check, gpointer data, double seconds);
+void fleet_run_until (Fleet *fleet, FleetCheck check, gpointer data, double seconds);
 
-/* Tells the rules of a job that is about to be submitted. */
-void fleet_know (Fleet *fleet, const char *id, const json_t *body);
-/* A user was told so, then. */
-void fleet_answered (Fleet *fleet, const char *id, const char *state, double at);
-/* Submits, and waits until it is accepted. body: taken; NULL: cluster_job of one task. */
+/* Registers a job that is about to be submitted, so that the rules cover it. */
+void fleet_register_job (Fleet *fleet, const char *id, const json_t *body);
+/* Checks the state that a user was told at that time, and records a cancellation. */
+void fleet_check_answer (Fleet *fleet, const char *id, const char *state, double at);
+/* Submits the job and waits until it is accepted. @body: (transfer full) (nullable): NULL:
+ * cluster_job_body() with one task. */
 void fleet_submit (Fleet *fleet, int node, const char *id, json_t *body);
-/* Withdraws, and waits until the user is told so. */
+/* Cancels the job and waits until the user is told so. */
 void fleet_cancel (Fleet *fleet, int node, const char *id);
 const char *fleet_job_state (Fleet *fleet, int node, const char *id);
 
-/* A report as it is now, sent now. */
-char *fleet_write (FleetMachine *machine);
-/* It arrives at the node; the answer is lost. Returns its status. */
-int fleet_deliver (Fleet *fleet, int node, const char *text);
-/* Reports to the node now; the answer arrives if it hears. */
+/* Returns a report of the machine's present state without sending it. */
+char *fleet_report_text (FleetMachine *machine);
+/* Delivers the report to the node; the answer is lost. Returns the status of the answer. */
+int fleet_deliver_report (Fleet *fleet, int node, const char *text);
+/* Reports to the node now; the answer arrives if the machine receives answers. */
 int fleet_report (FleetMachine *machine, int node);
 
-/* The oldest open direct call to the machine, or NULL. */
-ClusterCall *fleet_direct (FleetMachine *machine, int node);
-/* Submits a job at the leader and waits for the direct call that launches it; no direct order
+/* Returns the oldest open direct call to the machine, or NULL. */
+ClusterCall *fleet_find_direct_call (FleetMachine *machine, int node);
+/* Submits a job at the leader and waits for the direct call that launches it; no direct call
  * reaches the machine from here on. */
 ClusterCall *fleet_launch_call (Fleet *fleet, FleetMachine *machine, int leader, const char *id);
 /* Carries out the body of a direct call. Returns 200 or 409. */
-int fleet_obey_direct (FleetMachine *machine, const char *body);
-/* The task is on the machine and has not exited. */
-gboolean fleet_has (const FleetMachine *machine, const char *piece);
-guint fleet_count (const Fleet *fleet, const char *piece); /* machines that it is on */
-void fleet_exit (FleetMachine *machine, const char *piece, const char *cause);
-/* The machine that a job's record names, as text in it. */
-gboolean fleet_recorded (Fleet *fleet, const char *job_id, const char *text);
+int fleet_apply_direct_call (FleetMachine *machine, const char *body);
+/* Returns whether the task is on the machine and has not exited. */
+gboolean fleet_machine_runs (const FleetMachine *machine, const char *task_id);
+/* Returns the number of machines that run the task. */
+guint fleet_count_running (const Fleet *fleet, const char *task_id);
+void fleet_exit_task (FleetMachine *machine, const char *task_id, const char *cause);
+/* Returns whether the job's record contains the text, such as a machine's name. */
+gboolean fleet_job_record_contains (Fleet *fleet, const char *job_id, const char *text);
 
-/* What the test held with cluster_hold is served as it comes. */
-void fleet_release (Fleet *fleet);
+/* Ends the test's cluster_hold(); the held calls are served as usual. */
+void fleet_release_calls (Fleet *fleet);
 
-/* A process stands still, or goes on; what was on its way to it waits. */
+/* Suspends or resumes the node's process; messages to it wait meanwhile. */
 void fleet_freeze (Fleet *fleet, int node);
 void fleet_thaw (Fleet *fleet, int node);
--- a/tests/test_allowance.c
+++ b/tests/test_allowance.c
@@ -30,15 +30,16 @@
   for (int round = 0; round < 2; round++)
     for (guint i = 0; i < cluster->workers->len; i++)
       cluster_report (cluster, cluster->workers->pdata[i], 0);
-  guint before = cluster->carried_out;
+  guint before = cluster->committed_transactions;
   cluster_run (cluster, 0.2);
   guint64 id = cluster_submit (cluster, 0, "job-late", 1);
   cluster_run (cluster, 0.6);
-  assert_int_equal (cluster_status (cluster, 0, id), 201);
-  id = cluster_abort (cluster, 0, "job-89");
+  assert_int_equal (cluster_reply_status (cluster, 0, id), 201);
+  id = cluster_cancel (cluster, 0, "job-89");
   cluster_run (cluster, 0.6);
   assert_string_equal (cluster_job_state (cluster, 0, id), "withdrawn");
-  assert_in_range (cluster->carried_out - before, 10, 60); /* the launches are still going out */
+  assert_in_range (cluster->committed_transactions - before, 10,
+                   60); /* the launches are still going out */
   cluster_free (cluster);
 }
 
@@ -58,7 +59,7 @@
   guint before = cluster->refused_writes;
   cluster_run (cluster, 2.5);
   for (guint i = 0; i < G_N_ELEMENTS (asked); i++)
-    assert_in_range (cluster_status (cluster, i % 3, asked[i]), 200, 201);
+    assert_in_range (cluster_reply_status (cluster, i % 3, asked[i]), 200, 201);
   print_message ("30 submissions at once: %u transactions refused\n",
                  cluster->refused_writes - before);
   assert_in_range (cluster->refused_writes - before, 1, 45);
@@ -94,7 +95,7 @@
   Cluster *cluster = stream->s;
   for (guint i = 0; i < stream->jobs->len; i++) {
     StreamJob *job = &g_array_index (stream->jobs, StreamJob, i);
-    int status = cluster_status (cluster, job->node, job->submission);
+    int status = cluster_reply_status (cluster, job->node, job->submission);
     if (!job->accepted && status) {
       if (status != 201 && status != 200) { /* asked again, as users do */
         if (cluster->now - job->sent > 1) {
@@ -109,7 +110,7 @@
     if (!job->accepted || job->cancelled || job->told)
       continue;
     if (job->to_cancel && !job->abort && cluster->now - job->accepted > i % 8) {
-      job->abort = cluster_abort (cluster, (job->node + 1) % cluster->n, job->id);
+      job->abort = cluster_cancel (cluster, (job->node + 1) % cluster->n, job->id);
       job->abort_sent = cluster->now;
     }
     const char *job_state =
@@ -117,7 +118,8 @@
     if (job_state) {
       job->cancelled = cluster->now;
       stream->worst_cancel = MAX (stream->worst_cancel, cluster->now - job->abort_sent);
-    } else if (job->abort && cluster_status (cluster, (job->node + 1) % cluster->n, job->abort))
+    } else if (job->abort &&
+               cluster_reply_status (cluster, (job->node + 1) % cluster->n, job->abort))
       job->abort = 0;
     if (!job->to_cancel && job->ends && cluster->now > job->ends) {
       job_state =
@@ -202,7 +204,7 @@
   print_message ("%u jobs: accepted within %.2f s, cancelled within %.2f s, told within %.2f s; "
                  "%u changes, %u transactions refused\n",
                  stream.jobs->len, stream.worst_accept, stream.worst_cancel, stream.worst_told,
-                 cluster->carried_out, cluster->refused_writes);
+                 cluster->committed_transactions, cluster->refused_writes);
   assert_int_equal (open, 0);
   assert_true (stream.worst_accept < 2);
   assert_true (stream.worst_cancel < 2.5);
@@ -228,33 +230,33 @@
     for (int i = 0; i < 2; i++)
       if (told[i])
         assert_string_equal (told[i], "withdrawn");
-    assert_int_not_equal (cluster_status (cluster, node, poll), 404);
-    assert_int_not_equal (cluster_status (cluster, node, again), 201);
+    assert_int_not_equal (cluster_reply_status (cluster, node, poll), 404);
+    assert_int_not_equal (cluster_reply_status (cluster, node, again), 201);
   }
 }
 
 static void
 slow_service (Cluster *cluster, int next, int third)
 {
-  cluster->slow = 0.8;
+  cluster->store_delay_s = 0.8;
   guint64 id = cluster_submit (cluster, next, "job-e", 1);
   cluster_run (cluster,
                2.5); /* a first try given up too early, one more, and a look at the record */
-  assert_in_range (cluster_status (cluster, next, id), 200, 201);
+  assert_in_range (cluster_reply_status (cluster, next, id), 200, 201);
   id = cluster_submit (cluster, third, "job-c", 1);
   cluster_run (cluster, 1); /* by now it is known to be slow */
-  assert_int_equal (cluster_status (cluster, third, id), 201);
+  assert_int_equal (cluster_reply_status (cluster, third, id), 201);
   guint64 polls[3];
   for (int i = 0; i < 3; i++)
     polls[i] = cluster_poll (cluster, i, "job-c");
   cluster_run (cluster, 1.95); /* users wait two seconds */
   for (int i = 0; i < 3; i++)
     assert_non_null (cluster_job_state (cluster, i, polls[i]));
-  guint64 abort = cluster_abort (cluster, third, "job-a");
+  guint64 abort = cluster_cancel (cluster, third, "job-a");
   cluster_run (cluster, 3);
   assert_string_equal (cluster_job_state (cluster, third, abort), "withdrawn");
   nobody_says_otherwise (cluster, "job-a");
-  cluster->slow = 0;
+  cluster->store_delay_s = 0;
   cluster_run (cluster, 2);
 }
 
@@ -262,9 +264,9 @@
 refused_leader (Cluster *cluster, int leader, int next)
 {
   /* The leader alone is refused, and others confirm. */
-  cluster->nodes[leader].served = FALSE;
+  cluster->nodes[leader].store_available = FALSE;
   cluster_run (cluster, 0.2);
-  guint64 abort = cluster_abort (cluster, next, "job-b");
+  guint64 abort = cluster_cancel (cluster, next, "job-b");
   cluster_run (cluster, 0.3);
   assert_string_equal (cluster_job_state (cluster, next, abort), "withdrawn");
   nobody_says_otherwise (cluster, "job-b");
@@ -275,7 +277,7 @@
 outage (Cluster *cluster, int next)
 {
   /* A second later it is out for all, for longer than cancel_s. */
-  cluster->outage = TRUE;
+  cluster->store_outage = TRUE;
   double until = cluster->now + 42;
   while (cluster->now < until) {
     nobody_says_otherwise (cluster, "job-a");
@@ -283,35 +285,35 @@
     cluster_run (cluster, 1);
   }
   guint64 id = cluster_submit (cluster, next, "job-d", 1);
-  guint64 abort = cluster_abort (cluster, next, "job-c");
+  guint64 abort = cluster_cancel (cluster, next, "job-c");
   cluster_run (cluster, 0.3);
-  assert_int_equal (cluster_status (cluster, next, id), 503);
+  assert_int_equal (cluster_reply_status (cluster, next, id), 503);
   assert_int_equal (cluster_reply (cluster, next, id)->retry_after, 2);
-  assert_int_equal (cluster_status (cluster, next, abort), 503);
-  assert_string_equal (cluster_asked (cluster, next, "job-b"),
+  assert_int_equal (cluster_reply_status (cluster, next, abort), 503);
+  assert_string_equal (cluster_poll_state (cluster, next, "job-b"),
                        "withdrawn"); /* final: it may be told */
 }
 
 static void
 a_slow_service_then_a_refused_leader_then_an_outage (void **state G_GNUC_UNUSED)
 {
-  Cluster *cluster = cluster_led (3);
+  Cluster *cluster = cluster_new_with_leader (3);
   int leader = cluster_leader (cluster), next = (leader + 1) % 3, third = (leader + 2) % 3;
   ClusterWorker *worker = cluster_worker (cluster, "m-000001");
   cluster_report (cluster, worker, leader);
   cluster_report (cluster, worker, leader);
-  cluster_place (cluster, worker, next, "job-a");
-  cluster_place (cluster, worker, next, "job-b");
+  cluster_submit_and_start (cluster, worker, next, "job-a");
+  cluster_submit_and_start (cluster, worker, next, "job-b");
   slow_service (cluster, next, third);
   refused_leader (cluster, leader, next);
   outage (cluster, next);
-  cluster->outage = FALSE;
-  cluster->nodes[leader].served = TRUE;
+  cluster->store_outage = FALSE;
+  cluster->nodes[leader].store_available = TRUE;
   cluster_run (cluster, 10);
   for (int i = 0; i < 3; i++) {
-    assert_string_equal (cluster_asked (cluster, i, "job-a"), "withdrawn");
-    assert_string_equal (cluster_asked (cluster, i, "job-b"), "withdrawn");
-    assert_non_null (cluster_asked (cluster, i, "job-c"));
+    assert_string_equal (cluster_poll_state (cluster, i, "job-a"), "withdrawn");
+    assert_string_equal (cluster_poll_state (cluster, i, "job-b"), "withdrawn");
+    assert_non_null (cluster_poll_state (cluster, i, "job-c"));
   }
   assert_null (cluster_value (cluster, "h/j/job-d"));
   cluster_free (cluster);
@@ -326,6 +328,6 @@
       cmocka_unit_test (a_stream_of_small_jobs_fits_the_allowance),
       cmocka_unit_test (a_slow_service_then_a_refused_leader_then_an_outage),
   };
-  g_log_set_writer_func (cluster_log, NULL, NULL);
+  g_log_set_writer_func (cluster_log_writer, NULL, NULL);
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/test_pacing.c
+++ b/tests/test_pacing.c
@@ -13,7 +13,7 @@
 static guint
 passes (double took)
 {
-  Cluster *cluster = cluster_led (2);
+  Cluster *cluster = cluster_new_with_leader (2);
   HrCore *leader = cluster->nodes[cluster_leader (cluster)].core;
   guint n = 0;
   double run_for = 0;
@@ -45,6 +45,6 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {cmocka_unit_test (long_passes_are_spaced)};
-  g_log_set_writer_func (cluster_log, NULL, NULL);
+  g_log_set_writer_func (cluster_log_writer, NULL, NULL);
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/test_renewals.c
+++ b/tests/test_renewals.c
@@ -16,7 +16,7 @@
 static gboolean
 runs_somewhere (Fleet *fleet, gpointer piece)
 {
-  return fleet_count (fleet, piece) > 0;
+  return fleet_count_running (fleet, piece) > 0;
 }
 
 static FleetMachine *
@@ -26,7 +26,7 @@
   FleetMachine *machine = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
   fleet_submit (fleet, 0, job_id, NULL);
-  fleet_until (fleet, runs_somewhere, piece, 8);
+  fleet_run_until (fleet, runs_somewhere, piece, 8);
   fleet_run (fleet, 3);
   return machine;
 }
@@ -52,9 +52,9 @@
 change_leader (Fleet *fleet, FleetMachine *machine)
 {
   guint64 before = token (fleet);
-  machine->reports = FALSE;
-  cluster_end (fleet->cluster, cluster_leader (fleet->cluster));
-  fleet_until (fleet, another_leads, &before, 12);
+  machine->sends_reports = FALSE;
+  cluster_stop_node (fleet->cluster, cluster_leader (fleet->cluster));
+  fleet_run_until (fleet, another_leads, &before, 12);
   fleet_run (fleet, 0.5);
 }
 
@@ -98,22 +98,22 @@
   Fleet *fleet = fleet_new (3);
   Cluster *cluster = fleet->cluster;
   FleetMachine *machine = machine_running (fleet, "job-a");
-  machine->reached = machine->reports = FALSE;
+  machine->receives_direct_calls = machine->sends_reports = FALSE;
   fleet_cancel (fleet, (cluster_leader (cluster) + 1) % 3, "job-a");
   double told = cluster->now;
-  while (cluster->now < told + fleet->cancel_s + 2 && !fleet->broken->len) {
+  while (cluster->now < told + fleet->cancel_s + 2 && !fleet->violations->len) {
     int leader = cluster_leader (cluster);
     guint64 before = token (fleet);
-    cluster_end (cluster, leader);
-    fleet_until (fleet, another_leads, &before, 10);
-    cluster_start (cluster, leader);
-    machine->reports = TRUE;
+    cluster_stop_node (cluster, leader);
+    fleet_run_until (fleet, another_leads, &before, 10);
+    cluster_start_node (cluster, leader);
+    machine->sends_reports = TRUE;
     machine->node = cluster_leader (cluster);
-    machine->report_at = cluster->now;
-    fleet_until (fleet, answered_by_the_leader, machine, 5);
+    machine->next_report_at = cluster->now;
+    fleet_run_until (fleet, answered_by_the_leader, machine, 5);
   }
-  assert_int_equal (machine->tenure, 1); /* its lease never ran out */
-  fleet_end (fleet);
+  assert_int_equal (machine->incarnation, 1); /* its lease never ran out */
+  fleet_check_and_free (fleet);
 }
 
 static void
@@ -121,16 +121,16 @@
 {
   Fleet *fleet = fleet_new (2);
   FleetMachine *machine = machine_running (fleet, "job-a");
-  machine->reached = machine->reports = FALSE;
+  machine->receives_direct_calls = machine->sends_reports = FALSE;
   fleet_cancel (fleet, 0, "job-a");
   change_leader (fleet, machine);
-  g_autofree char *report = fleet_write (machine);
+  g_autofree char *report = fleet_report_text (machine);
   json_t *orders = renewed_with (fleet, cluster_leader (fleet->cluster), report);
   assert_non_null (orders);
   assert_true (names_stop (orders, "job-a/0", 1));
   /* Nothing else: how old the report is nobody knows. */
   assert_int_equal (json_array_size (orders), 1);
-  fleet_end (fleet);
+  fleet_check_and_free (fleet);
 }
 
 static void
@@ -138,15 +138,15 @@
 {
   Fleet *fleet = fleet_new (2);
   FleetMachine *machine = machine_running (fleet, "job-a");
-  machine->reached = machine->reports = FALSE;
+  machine->receives_direct_calls = machine->sends_reports = FALSE;
   fleet_cancel (fleet, 0, "job-a");
   int leader = cluster_leader (fleet->cluster);
-  g_autofree char *older = fleet_write (machine), *newer = fleet_write (machine);
+  g_autofree char *older = fleet_report_text (machine), *newer = fleet_report_text (machine);
   assert_true (names_stop (renewed_with (fleet, leader, newer), "job-a/0", 1));
   json_t *orders = renewed_with (fleet, leader, older);
   assert_true (names_stop (orders, "job-a/0", 1));
   assert_int_equal (json_array_size (orders), 1);
-  fleet_end (fleet);
+  fleet_check_and_free (fleet);
 }
 
 /* The report left before the direct launch arrived, and its answer comes after the cancellation. */
@@ -156,15 +156,15 @@
   Fleet *fleet = fleet_new (2);
   FleetMachine *machine = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
-  machine->reports = FALSE;
-  g_autofree char *before = fleet_write (machine);
+  machine->sends_reports = FALSE;
+  g_autofree char *before = fleet_report_text (machine);
   fleet_submit (fleet, 0, "job-a", NULL);
-  fleet_until (fleet, runs_somewhere, "job-a/0", 8);
-  machine->reached = FALSE;
+  fleet_run_until (fleet, runs_somewhere, "job-a/0", 8);
+  machine->receives_direct_calls = FALSE;
   fleet_cancel (fleet, 0, "job-a");
   json_t *orders = renewed_with (fleet, cluster_leader (fleet->cluster), before);
   assert_true (names_stop (orders, "job-a/0", 1));
-  fleet_end (fleet);
+  fleet_check_and_free (fleet);
 }
 
 /* ---- a launch that may still come ---- */
@@ -180,23 +180,23 @@
   FleetMachine *machine = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
   int leader = cluster_leader (cluster);
-  machine->reports = fleet->cloud_deletes = FALSE;
+  machine->sends_reports = fleet->cloud_deletes = FALSE;
   ClusterCall *late = cluster_delay (cluster, fleet_launch_call (fleet, machine, leader, "job-a"));
   fleet_cancel (fleet, 1 - leader, "job-a");
   double told = cluster->now;
   cluster_hold (cluster, leader, "/commit", "h/map");
-  machine->reports = TRUE;
+  machine->sends_reports = TRUE;
   while (cluster->now < told + fleet->cancel_s - fleet->lease_s + 3) {
     fleet_run (fleet, 0.5);
-    ClusterCall *raise = cluster_call (cluster, leader, "/commit", "h/map");
+    ClusterCall *raise = cluster_find_call (cluster, leader, "/commit", "h/map");
     if (raise && cluster->now - raise->sent > raise->timeout)
       cluster_lose (cluster, raise);
   }
-  fleet_obey_direct (machine, late->body);
-  cluster_late (cluster, late);
-  machine->reports = FALSE;
+  fleet_apply_direct_call (machine, late->body);
+  cluster_carry_out_delayed (cluster, late);
+  machine->sends_reports = FALSE;
   fleet_run (fleet, fleet->lease_s + 2);
-  fleet_end (fleet);
+  fleet_check_and_free (fleet);
 }
 
 /* ---- generated reports ---- */
@@ -252,13 +252,13 @@
   Fleet *fleet = fleet_new (2);
   FleetMachine *machine = machine_running (fleet, "job-a");
   fleet_submit (fleet, 0, "job-b", NULL);
-  fleet_until (fleet, runs_somewhere, "job-b/0", 8);
-  fleet_exit (machine, "job-b/0", "done");
+  fleet_run_until (fleet, runs_somewhere, "job-b/0", 8);
+  fleet_exit_task (machine, "job-b/0", "done");
   fleet_submit (fleet, 0, "job-c", NULL);
-  fleet_until (fleet, runs_somewhere, "job-c/0", 8);
+  fleet_run_until (fleet, runs_somewhere, "job-c/0", 8);
   fleet_run (fleet, 6);
   assert_string_equal (fleet_job_state (fleet, 0, "job-b"), "done");
-  machine->reports = machine->reached = FALSE;
+  machine->sends_reports = machine->receives_direct_calls = FALSE;
   fleet_submit (fleet, 0, "job-d", NULL);
   fleet_cancel (fleet, 0, "job-c");
   change_leader (fleet, machine);
@@ -275,7 +275,7 @@
     json_decref (report);
   }
   assert_true (renewed > REPORTS / 20);
-  fleet_end (fleet);
+  fleet_check_and_free (fleet);
 }
 
 /* ---- the check itself ---- */
@@ -288,13 +288,13 @@
 {
   Fleet *fleet = fleet_new (2);
   FleetMachine *machine_row = machine_running (fleet, "job-a");
-  machine_row->reached = machine_row->reports = FALSE;
+  machine_row->receives_direct_calls = machine_row->sends_reports = FALSE;
   fleet_cancel (fleet, 0, "job-a");
   HrCore *core = fleet->cluster->nodes[cluster_leader (fleet->cluster)].core;
   HrMachine *machine = hr_machine_find (&core->store.tables, "m-1");
-  g_autofree char *shown = fleet_write (machine_row);
+  g_autofree char *shown = fleet_report_text (machine_row);
   g_ptr_array_set_size (machine_row->tasks, 0);
-  g_autofree char *empty = fleet_write (machine_row);
+  g_autofree char *empty = fleet_report_text (machine_row);
   g_autoptr (HrHeartbeat) with = hr_heartbeat_parse (shown, strlen (shown), NULL);
   g_autoptr (HrHeartbeat) without = hr_heartbeat_parse (empty, strlen (empty), NULL);
   g_autoptr (GArray) orders = hr_order_list_new ();
@@ -312,7 +312,7 @@
   hr_invariant_violated (core, "%s", "as a test has it");
   hr_invariant_set_fatal (TRUE);
   assert_int_equal (core->metrics.counters.invariants_violated, 1);
-  fleet_end (fleet);
+  fleet_check_and_free (fleet);
 }
 
 int
@@ -327,6 +327,6 @@
       cmocka_unit_test (generated_reports_get_their_stops),
       cmocka_unit_test (a_stop_that_is_missing_is_found),
   };
-  g_log_set_writer_func (cluster_log, NULL, NULL);
+  g_log_set_writer_func (cluster_log_writer, NULL, NULL);
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/test_requests.c
+++ b/tests/test_requests.c
@@ -28,9 +28,9 @@
 static int
 submit_text (Cluster *cluster, const char *body)
 {
-  guint before = cluster->carried_out;
+  guint before = cluster->committed_transactions;
   int status = status_of (cluster, 1, HR_POST, HR_JOBS_PATH, body);
-  assert_int_equal (cluster->carried_out - before, status == 201);
+  assert_int_equal (cluster->committed_transactions - before, status == 201);
   return status;
 }
 
@@ -38,7 +38,7 @@
 static int
 submit_with (Cluster *cluster, const char *field, const char *value)
 {
-  json_t *job = cluster_job ("job-odd", 1);
+  json_t *job = cluster_job_body ("job-odd", 1);
   json_object_del (job, field);
   if (value) {
     json_t *member = json_loads (value, JSON_DECODE_ANY, NULL);
@@ -57,7 +57,7 @@
       "vcpus",   "accelerators", "memory_gb", "bundle", "size_gb", "guess_s",
       "cairn_s", "stash_s",      "together",  "apart",  "loaners"};
   static const char *const optional[] = {"hulls", "quarry", "due_s"};
-  Cluster *cluster = cluster_led (2);
+  Cluster *cluster = cluster_new_with_leader (2);
   for (guint i = 0; i < G_N_ELEMENTS (required); i++) {
     assert_int_equal (submit_with (cluster, required[i], NULL), 400);
     assert_int_equal (submit_with (cluster, required[i], "null"), 400);
@@ -68,7 +68,7 @@
   for (guint i = 0; i < G_N_ELEMENTS (optional); i++) {
     for (int null = 0; null < 2; null++) {
       g_autofree char *id = g_strdup_printf ("job-%u-%d", i, null);
-      json_t *job = cluster_job (id, 1);
+      json_t *job = cluster_job_body (id, 1);
       json_object_del (job, optional[i]);
       if (null)
         json_object_set_new (job, optional[i], json_null ());
@@ -147,7 +147,7 @@
 static void
 wrong_values_are_refused (void **state G_GNUC_UNUSED)
 {
-  Cluster *cluster = cluster_led (2);
+  Cluster *cluster = cluster_new_with_leader (2);
   for (guint i = 0; i < G_N_ELEMENTS (wrong_values); i++) {
     int status = submit_with (cluster, wrong_values[i].field, wrong_values[i].value);
     if (status != wrong_values[i].status)
@@ -178,7 +178,7 @@
                                        "{\"name_id\":\"job-\\u0000odd\"}",
                                        "{\"name_id\":\"job-\xff\xfe\"}",
                                        "\xef\xbb\xbf{}"};
-  Cluster *cluster = cluster_led (2);
+  Cluster *cluster = cluster_new_with_leader (2);
   for (guint i = 0; i < G_N_ELEMENTS (bodies); i++)
     assert_int_equal (submit_text (cluster, bodies[i]), 400);
   assert_int_equal (submit_text (cluster, deep), 400);
@@ -190,9 +190,9 @@
   command->request.path = g_strdup (HR_JOBS_PATH);
   command->request.is_too_large = TRUE;
   cluster_step (cluster, 1, command);
-  assert_int_equal (cluster_status (cluster, 1, cluster->next_request), 400);
+  assert_int_equal (cluster_reply_status (cluster, 1, cluster->next_request), 400);
   /* Within the limit, and with fields that nobody knows. */
-  json_t *job = cluster_job ("job-large", 1);
+  json_t *job = cluster_job_body ("job-large", 1);
   g_autofree char *padding = g_strnfill (64000, 'x');
   json_object_set_new (job, "remark", json_string (padding));
   g_autofree char *body = hr_json_take_text (job);
@@ -213,9 +213,9 @@
               {"daemon", "job-3", 101, 422},
               {"daemon", "job-4", 100, 201},
               {"batch", "job-5", 101, 201}};
-  Cluster *cluster = cluster_led (2);
+  Cluster *cluster = cluster_new_with_leader (2);
   for (guint i = 0; i < G_N_ELEMENTS (jobs); i++) {
-    json_t *job = cluster_job (jobs[i].id, jobs[i].pieces);
+    json_t *job = cluster_job_body (jobs[i].id, jobs[i].pieces);
     json_object_set_new (job, "shape", json_string (jobs[i].shape));
     json_object_set_new (job, "accelerators", json_real (1));
     g_autofree char *body = hr_json_take_text (job);
@@ -236,9 +236,9 @@
               {"job-3", NULL, 2, 0, 201},
               {"job-4", "z0", 1, 1, 201},
               {"job-5", "z0", 3, 1, 422}};
-  Cluster *cluster = cluster_led (2);
+  Cluster *cluster = cluster_new_with_leader (2);
   for (guint i = 0; i < G_N_ELEMENTS (jobs); i++) {
-    json_t *job = cluster_job (jobs[i].id, jobs[i].pieces);
+    json_t *job = cluster_job_body (jobs[i].id, jobs[i].pieces);
     json_object_set_new (job, "shape", json_string ("ensemble"));
     json_object_set_new (job, "apart", json_true ());
     json_object_set_new (job, "together", json_boolean (jobs[i].together));
@@ -258,16 +258,16 @@
   static const char *const other[][2] = {{"pieces", "7"},       {"crew", "\"strangers\""},
                                          {"vcpus", "1e9"},      {"rank", NULL},
                                          {"pieces", "\"one\""}, {"hulls", "[]"}};
-  Cluster *cluster = cluster_led (2);
+  Cluster *cluster = cluster_new_with_leader (2);
   int leader = cluster_leader (cluster), node = 1 - leader;
   cluster_hold (cluster, node, "/changes", NULL);
   cluster_submit (cluster, leader, "job-odd", 1);
   cluster_serve (cluster);
-  guint64 revision = cluster_stamp (cluster, "h/j/job-odd");
+  guint64 revision = cluster_key_revision (cluster, "h/j/job-odd");
   guint64 asked[G_N_ELEMENTS (other)];
   for (int round = 0; round < 2; round++) {
     for (guint i = 0; i < G_N_ELEMENTS (other); i++) {
-      json_t *job = cluster_job ("job-odd", 1);
+      json_t *job = cluster_job_body ("job-odd", 1);
       json_object_del (job, other[i][0]);
       if (other[i][1])
         json_object_set_new (job, other[i][0], json_loads (other[i][1], JSON_DECODE_ANY, NULL));
@@ -275,16 +275,16 @@
       asked[i] = cluster_request (cluster, node, HR_POST, HR_JOBS_PATH, body);
       /* Nothing was read since, so nothing can be said. */
       if (round == 0)
-        assert_int_equal (cluster_status (cluster, node, asked[i]), 0);
+        assert_int_equal (cluster_reply_status (cluster, node, asked[i]), 0);
     }
     cluster_release (cluster);
     cluster_run (cluster, 0.5);
     for (guint i = 0; i < G_N_ELEMENTS (other); i++) {
-      assert_int_equal (cluster_status (cluster, node, asked[i]), 200);
+      assert_int_equal (cluster_reply_status (cluster, node, asked[i]), 200);
       assert_string_equal (cluster_job_state (cluster, node, asked[i]), "queued");
     }
   }
-  assert_int_equal (cluster_stamp (cluster, "h/j/job-odd"), revision);
+  assert_int_equal (cluster_key_revision (cluster, "h/j/job-odd"), revision);
   cluster_free (cluster);
 }
 
@@ -292,13 +292,13 @@
 static void
 an_odd_submission_waits_for_the_state_service (void **state G_GNUC_UNUSED)
 {
-  Cluster *cluster = cluster_led (2);
-  cluster->outage = TRUE;
+  Cluster *cluster = cluster_new_with_leader (2);
+  cluster->store_outage = TRUE;
   cluster_run (cluster, 5);
   assert_int_equal (submit_with (cluster, "rank", NULL), 503);
   assert_int_equal (submit_with (cluster, "crew", "\"strangers\""), 503);
   assert_int_equal (submit_with (cluster, "name_id", NULL), 400); /* no job could be meant */
-  cluster->outage = FALSE;
+  cluster->store_outage = FALSE;
   cluster_run (cluster, 3);
   assert_int_equal (submit_with (cluster, "rank", NULL), 400);
   assert_int_equal (submit_with (cluster, "crew", "\"strangers\""), 422);
@@ -308,30 +308,30 @@
 static void
 cancellations_of_done_and_unknown_jobs (void **state G_GNUC_UNUSED)
 {
-  Cluster *cluster = cluster_led (2);
+  Cluster *cluster = cluster_new_with_leader (2);
   int leader = cluster_leader (cluster), other = 1 - leader;
   ClusterWorker *worker = cluster_worker (cluster, "m-000001");
   cluster_report (cluster, worker, leader);
   cluster_report (cluster, worker, leader);
-  cluster_place (cluster, worker, other, "job-done");
-  cluster_worker_ends (worker, "done");
+  cluster_submit_and_start (cluster, worker, other, "job-done");
+  cluster_worker_exit_tasks (worker, "done");
   cluster_report (cluster, worker, leader);
   cluster_run (cluster, 1);
-  guint64 revision = cluster_stamp (cluster, "h/j/job-done");
+  guint64 revision = cluster_key_revision (cluster, "h/j/job-done");
   for (int i = 0; i < 2; i++) {
-    guint64 id = cluster_abort (cluster, i, "job-done");
+    guint64 id = cluster_cancel (cluster, i, "job-done");
     cluster_run (cluster, 0.2);
-    assert_int_equal (cluster_status (cluster, i, id), 200);
+    assert_int_equal (cluster_reply_status (cluster, i, id), 200);
     assert_string_equal (cluster_job_state (cluster, i, id), "done");
     id = cluster_submit (cluster, i, "job-done", 3);
     cluster_run (cluster, 0.2);
-    assert_int_equal (cluster_status (cluster, i, id), 200);
+    assert_int_equal (cluster_reply_status (cluster, i, id), 200);
     assert_string_equal (cluster_job_state (cluster, i, id), "done");
     assert_int_equal (status_of (cluster, i, HR_POST, "/v1/jobs/job-never/abort", NULL), 404);
     assert_int_equal (status_of (cluster, i, HR_POST, "/v1/jobs/job-never/abort", "{\"x\":1}"),
                       404);
   }
-  assert_int_equal (cluster_stamp (cluster, "h/j/job-done"), revision);
+  assert_int_equal (cluster_key_revision (cluster, "h/j/job-done"), revision);
   assert_null (cluster_value (cluster, "h/j/job-never"));
   cluster_free (cluster);
 }
@@ -362,10 +362,10 @@
       {HR_GET, "/hello", 405},
       {HR_GET, "", 404},
   };
-  Cluster *cluster = cluster_led (2);
+  Cluster *cluster = cluster_new_with_leader (2);
   cluster_submit (cluster, 0, "job-a", 1);
   cluster_run (cluster, 0.5);
-  guint before = cluster->carried_out;
+  guint before = cluster->committed_transactions;
   for (guint i = 0; i < G_N_ELEMENTS (asked); i++) {
     int status = status_of (cluster, 1, asked[i].method, asked[i].path, NULL);
     if (status != asked[i].status)
@@ -374,7 +374,7 @@
   g_autofree char *long_id = g_strnfill (5000, '7');
   g_autofree char *path = g_strconcat ("/v1/jobs/job-", long_id, NULL);
   assert_int_equal (status_of (cluster, 1, HR_GET, path, NULL), 404);
-  assert_int_equal (cluster->carried_out, before);
+  assert_int_equal (cluster->committed_transactions, before);
   cluster_free (cluster);
 }
 
@@ -383,11 +383,11 @@
 static void
 a_record_that_cannot_be_read_is_not_forgotten (void **state G_GNUC_UNUSED)
 {
-  Cluster *cluster = cluster_led (2);
+  Cluster *cluster = cluster_new_with_leader (2);
   cluster_submit (cluster, 0, "job-a", 1);
   cluster_run (cluster, 0.5);
-  cluster_write (cluster, "h/j/job-a", "{\"w\":\"x\",\"s\":0,\"form\":9}");
-  cluster_write (cluster, "h/j/job-b", "[]");
+  cluster_set_value (cluster, "h/j/job-a", "{\"w\":\"x\",\"s\":0,\"form\":9}");
+  cluster_set_value (cluster, "h/j/job-b", "[]");
   cluster_run (cluster, 2);
   for (int i = 0; i < 2; i++) {
     assert_int_equal (status_of (cluster, i, HR_GET, "/v1/jobs/job-a", NULL), 503);
@@ -395,11 +395,11 @@
     assert_int_equal (status_of (cluster, i, HR_POST, "/v1/jobs/job-b/abort", NULL), 503);
     guint64 id = cluster_submit (cluster, i, "job-b", 1);
     cluster_run (cluster, 0.5);
-    assert_int_equal (cluster_status (cluster, i, id), 503);
+    assert_int_equal (cluster_reply_status (cluster, i, id), 503);
   }
-  cluster_write (cluster, "h/j/job-b", "{\"w\":\"x\",\"s\":2,\"n\":1,\"d\":0}");
+  cluster_set_value (cluster, "h/j/job-b", "{\"w\":\"x\",\"s\":2,\"n\":1,\"d\":0}");
   cluster_run (cluster, 1);
-  assert_string_equal (cluster_asked (cluster, 0, "job-b"), "withdrawn");
+  assert_string_equal (cluster_poll_state (cluster, 0, "job-b"), "withdrawn");
   cluster_free (cluster);
 }
 
@@ -418,6 +418,6 @@
       cmocka_unit_test (odd_paths_and_methods),
       cmocka_unit_test (a_record_that_cannot_be_read_is_not_forgotten),
   };
-  g_log_set_writer_func (cluster_log, NULL, NULL);
+  g_log_set_writer_func (cluster_log_writer, NULL, NULL);
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/test_watching.c
+++ b/tests/test_watching.c
@@ -50,11 +50,11 @@
 static void
 metrics_count_what_happened (void **state G_GNUC_UNUSED)
 {
-  Cluster *cluster = cluster_led (2);
+  Cluster *cluster = cluster_new_with_leader (2);
   ClusterWorker *worker = cluster_worker (cluster, "m-1");
   int leader = cluster_leader (cluster);
   cluster_report (cluster, worker, leader);
-  cluster_place (cluster, worker, leader, "job-a");
+  cluster_submit_and_start (cluster, worker, leader, "job-a");
   g_autofree char *running = hr_metrics_text (cluster->nodes[leader].core);
   check_format (running);
   assert_true (sample (running, "hoprock_leads") == 1);
@@ -68,7 +68,7 @@
                     sample (running, "hoprock_reports_before_token_total") +
                     sample (running, "hoprock_reports_overtaken_total");
   assert_true (sample (running, "hoprock_renewal_reading_age_seconds_count") == renewals);
-  cluster_abort (cluster, 1 - leader, "job-a");
+  cluster_cancel (cluster, 1 - leader, "job-a");
   cluster_run (cluster, 2);
   cluster_report (cluster, worker, leader);
   g_autofree char *stopped = hr_metrics_text (cluster->nodes[leader].core);
@@ -147,6 +147,6 @@
       cmocka_unit_test (fields_become_members),
       cmocka_unit_test (any_message_is_one_line),
   };
-  g_log_set_writer_func (cluster_log, NULL, NULL);
+  g_log_set_writer_func (cluster_log_writer, NULL, NULL);
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/test_windows.c
+++ b/tests/test_windows.c
@@ -1,7 +1,9 @@
-/* Meetings of workers and leaders that are drawn from seeds, on the machines of scripted_fleet.h:
- * each second something ends, is cut off, stands still or is kept back, to arrive later. Every rule
- * is checked at every event; once all is well again every job has to run. test_windows [FROM TO]
- * another range of seeds */
+/* Random interleavings of worker and leader messages on the machines of scripted_fleet.h, drawn
+ * from seeds: every second a process or task ends, a machine or node is cut off or hangs, or a
+ * message is delayed. Every rule is checked at every event; once the faults are over every job has
+ * to finish.
+ *
+ *   test_windows [FROM TO]        another range of seeds */
 #include "coordination/command.h"
 #include "protocol/json_util.h"
 #include "scripted_fleet.h"
@@ -14,18 +16,18 @@
 
 #define NODES 3
 #define MACHINES 6
-#define TROUBLES_S 110
-#define CALM_S 90
+#define FAULTS_S 110
+#define RECOVERY_S 90
 #define CPUS_MAX 30.0
 
-/* A message that was kept back. */
+/* A delayed message: one of write, report and orders. */
 typedef struct {
-  double at;
-  ClusterCall *write; /* a transaction, or NULL */
+  double at;          /* when it arrives */
+  ClusterCall *write; /* a transaction */
   FleetMachine *machine;
-  char *report, *orders; /* one of them, for or to the machine */
+  char *report, *orders; /* a report from the machine; orders to it */
   int node;
-} Late;
+} DelayedMessage;
 
 typedef struct {
   guint64 request;
@@ -33,18 +35,18 @@
   guint process;
   char *id;
   gboolean submission;
-} Asked;
+} UserRequest;
 
 typedef struct {
   Fleet *fleet;
   GRand *rand;
   FleetMachine *machines[MACHINES];
-  double flag_until[MACHINES], node_until[NODES], outage_until, apart_until, cloud_until;
+  double machine_until[MACHINES], node_until[NODES], outage_until, peers_cut_until, cloud_until;
   gboolean frozen[NODES];
-  GPtrArray *late;  /* Late */
-  GPtrArray *asked; /* Asked */
+  GPtrArray *delayed;  /* DelayedMessage */
+  GPtrArray *requests; /* UserRequest */
   GPtrArray *accepted;
-  GHashTable *cancelled; /* jobs that a user asked to cancel, whatever he heard */
+  GHashTable *cancelled; /* jobs that a user asked to cancel, whatever the answer was */
   guint jobs;
 } Day;
 
@@ -61,40 +63,40 @@
 }
 
 static void
-late_free (gpointer data)
+delayed_message_free (gpointer data)
 {
-  Late *late = data;
-  g_free (late->report);
-  g_free (late->orders);
-  g_free (late);
+  DelayedMessage *message = data;
+  g_free (message->report);
+  g_free (message->orders);
+  g_free (message);
 }
 
 static void
-asked_free (gpointer data)
+user_request_free (gpointer data)
 {
-  Asked *asked = data;
-  g_free (asked->id);
-  g_free (asked);
+  UserRequest *user_request = data;
+  g_free (user_request->id);
+  g_free (user_request);
 }
 
 /* ---- users ---- */
 
 static void
-ask (Day *day, const char *id, const char *body, gboolean abort)
+send_user_request (Day *day, const char *id, const char *body, gboolean abort)
 {
   Cluster *cluster = day->fleet->cluster;
   int node = pick (day, NODES);
   if (!cluster->nodes[node].core)
     return;
-  Asked *asked = g_new0 (Asked, 1);
-  asked->node = node;
-  asked->process = cluster->nodes[node].process;
-  asked->id = g_strdup (id);
-  asked->submission = body != NULL;
-  asked->request = body    ? cluster_request (cluster, node, HR_POST, HR_JOBS_PATH, body)
-                   : abort ? cluster_abort (cluster, node, id)
-                           : cluster_poll (cluster, node, id);
-  g_ptr_array_add (day->asked, asked);
+  UserRequest *user_request = g_new0 (UserRequest, 1);
+  user_request->node = node;
+  user_request->process = cluster->nodes[node].process;
+  user_request->id = g_strdup (id);
+  user_request->submission = body != NULL;
+  user_request->request = body    ? cluster_request (cluster, node, HR_POST, HR_JOBS_PATH, body)
+                          : abort ? cluster_cancel (cluster, node, id)
+                                  : cluster_poll (cluster, node, id);
+  g_ptr_array_add (day->requests, user_request);
   if (abort)
     g_hash_table_add (day->cancelled, g_strdup (id));
 }
@@ -103,44 +105,45 @@
 submit (Day *day)
 {
   g_autofree char *id = g_strdup_printf ("job-%u", day->jobs++);
-  json_t *body = cluster_job (id, 1 + pick (day, 4));
+  json_t *body = cluster_job_body (id, 1 + pick (day, 4));
   json_object_set_new (body, "vcpus", json_real (1 + pick (day, 6)));
   guint kind = pick (day, 4);
   if (kind == 1)
     json_object_set_new (body, "together", json_true ());
   if (kind == 2)
     json_object_set_new (body, "apart", json_true ());
-  fleet_know (day->fleet, id, body);
+  fleet_register_job (day->fleet, id, body);
   g_autofree char *text = hr_json_take_text (body);
-  ask (day, id, text, FALSE);
+  send_user_request (day, id, text, FALSE);
 }
 
 static void
-hear_answers (Day *day)
+receive_answers (Day *day)
 {
   Cluster *cluster = day->fleet->cluster;
-  for (guint i = 0; i < day->asked->len;) {
-    Asked *asked = day->asked->pdata[i];
-    const ClusterReply *reply = asked->process == cluster->nodes[asked->node].process
-                                    ? cluster_reply (cluster, asked->node, asked->request)
-                                    : NULL;
-    if (!reply && asked->process == cluster->nodes[asked->node].process) {
+  for (guint i = 0; i < day->requests->len;) {
+    UserRequest *user_request = day->requests->pdata[i];
+    const ClusterReply *reply =
+        user_request->process == cluster->nodes[user_request->node].process
+            ? cluster_reply (cluster, user_request->node, user_request->request)
+            : NULL;
+    if (!reply && user_request->process == cluster->nodes[user_request->node].process) {
       i++;
       continue;
     }
     const char *state = reply ? hr_json_str (reply->body, "stance") : NULL;
-    if (reply && asked->submission && (reply->status == 201 || reply->status == 200))
-      g_ptr_array_add (day->accepted, g_strdup (asked->id));
+    if (reply && user_request->submission && (reply->status == 201 || reply->status == 200))
+      g_ptr_array_add (day->accepted, g_strdup (user_request->id));
     if (state && reply->status < 300)
-      fleet_answered (day->fleet, asked->id, state, reply->at);
-    g_ptr_array_remove_index (day->asked, i);
+      fleet_check_answer (day->fleet, user_request->id, state, reply->at);
+    g_ptr_array_remove_index (day->requests, i);
   }
 }
 
-/* ---- troubles ---- */
+/* ---- faults ---- */
 
 static void
-trouble_of_node (Day *day)
+inject_node_fault (Day *day)
 {
   Cluster *cluster = day->fleet->cluster;
   int node = pick (day, 2) ? MAX (0, cluster_leader (cluster)) : (int)pick (day, NODES);
@@ -148,7 +151,7 @@
     return;
   switch (pick (day, 3)) {
   case 0:
-    cluster_end (cluster, node);
+    cluster_stop_node (cluster, node);
     day->node_until[node] = cluster->now + (pick (day, 2) ? 0.3 : draw (day, 3, 20));
     break;
   case 1:
@@ -157,96 +160,98 @@
     day->node_until[node] = cluster->now + draw (day, 1, 15);
     break;
   default:
-    cluster->nodes[node].served = FALSE;
+    cluster->nodes[node].store_available = FALSE;
     day->node_until[node] = cluster->now + draw (day, 2, 40);
   }
 }
 
 static void
-trouble_of_machine (Day *day)
+inject_machine_fault (Day *day)
 {
   guint i = pick (day, MACHINES);
   FleetMachine *machine = day->machines[i];
-  if (day->flag_until[i] > day->fleet->cluster->now)
+  if (day->machine_until[i] > day->fleet->cluster->now)
     return;
-  day->flag_until[i] = day->fleet->cluster->now + draw (day, 2, 30);
+  day->machine_until[i] = day->fleet->cluster->now + draw (day, 2, 30);
   switch (pick (day, 5)) {
   case 0:
-    machine->reports = FALSE; /* mute */
+    machine->sends_reports = FALSE; /* reaches no controller */
     break;
   case 1:
-    machine->hears = machine->reached = FALSE; /* deaf */
+    machine->receives_answers = machine->receives_direct_calls = FALSE; /* hears no controller */
     break;
   case 2:
-    machine->hangs = TRUE;
+    machine->is_hung = TRUE;
     break;
   case 3:
-    machine->reports = machine->reached = FALSE; /* cut off */
+    machine->sends_reports = machine->receives_direct_calls = FALSE; /* cut off */
     break;
   default:
-    machine->only = pick (day, NODES);
+    machine->only_node = pick (day, NODES);
   }
 }
 
 static void
-keep_back (Day *day)
+delay_message (Day *day)
 {
   Cluster *cluster = day->fleet->cluster;
   FleetMachine *machine = day->machines[pick (day, MACHINES)];
   int leader = MAX (0, cluster_leader (cluster));
-  Late *late = g_new0 (Late, 1);
-  late->at = cluster->now + (pick (day, 2) ? draw (day, 1, 16) : draw (day, 10, 60));
-  late->machine = machine;
-  late->node = pick (day, NODES);
-  gboolean hears =
-      cluster->nodes[leader].core != NULL; /* one that stands still hears nothing now */
-  ClusterCall *call = hears && pick (day, 2) ? fleet_direct (machine, leader) : NULL;
+  DelayedMessage *message = g_new0 (DelayedMessage, 1);
+  message->at = cluster->now + (pick (day, 2) ? draw (day, 1, 16) : draw (day, 10, 60));
+  message->machine = machine;
+  message->node = pick (day, NODES);
+  gboolean leader_runs =
+      cluster->nodes[leader].core != NULL; /* a frozen leader receives nothing now */
+  ClusterCall *call =
+      leader_runs && pick (day, 2) ? fleet_find_direct_call (machine, leader) : NULL;
   if (call) {
-    late->orders = g_strdup (call->body);
-    if (pick (day, 2)) /* it is carried out now, too: a copy */
+    message->orders = g_strdup (call->body);
+    if (pick (day, 2)) /* else the call is also carried out now, and this is a duplicate */
       cluster_lose (cluster, call);
-  } else if (hears && pick (day, 2) && (call = cluster_call (cluster, leader, "/commit", NULL)) &&
-             call->held)
-    late->write = cluster_delay (cluster, call);
-  else if (!machine->gone)
-    late->report = fleet_write (machine);
-  g_ptr_array_add (day->late, late);
+  } else if (leader_runs && pick (day, 2) &&
+             (call = cluster_find_call (cluster, leader, "/commit", NULL)) && call->held)
+    message->write = cluster_delay (cluster, call);
+  else if (!machine->deleted)
+    message->report = fleet_report_text (machine);
+  g_ptr_array_add (day->delayed, message);
 }
 
 static void
-arrive (Day *day, gboolean all)
+deliver_delayed (Day *day, gboolean all)
 {
   Cluster *cluster = day->fleet->cluster;
-  for (guint i = 0; i < day->late->len;) {
-    Late *late = day->late->pdata[i];
-    if (late->at > cluster->now && !all) {
+  for (guint i = 0; i < day->delayed->len;) {
+    DelayedMessage *message = day->delayed->pdata[i];
+    if (message->at > cluster->now && !all) {
       i++;
       continue;
     }
-    if (late->write)
-      cluster_late (cluster, late->write);
-    if (late->orders)
-      fleet_obey_direct (late->machine, late->orders);
-    if (late->report && cluster->nodes[late->node].core)
-      fleet_deliver (day->fleet, pick (day, 2) ? MAX (0, cluster_leader (cluster)) : late->node,
-                     late->report);
-    g_ptr_array_remove_index (day->late, i);
+    if (message->write)
+      cluster_carry_out_delayed (cluster, message->write);
+    if (message->orders)
+      fleet_apply_direct_call (message->machine, message->orders);
+    if (message->report && cluster->nodes[message->node].core)
+      fleet_deliver_report (day->fleet,
+                            pick (day, 2) ? MAX (0, cluster_leader (cluster)) : message->node,
+                            message->report);
+    g_ptr_array_remove_index (day->delayed, i);
   }
 }
 
 static void
-end_tasks (Day *day, gboolean well)
+end_tasks (Day *day, gboolean all_done)
 {
   FleetMachine *machine = day->machines[pick (day, MACHINES)];
-  if (!machine->tasks->len || machine->hangs)
+  if (!machine->tasks->len || machine->is_hung)
     return;
   FleetTask *task = machine->tasks->pdata[pick (day, machine->tasks->len)];
-  g_autofree char *piece = g_strdup (task->piece);
-  fleet_exit (machine, piece, well || pick (day, 5) ? "done" : "error");
+  g_autofree char *task_id = g_strdup (task->task_id);
+  fleet_exit_task (machine, task_id, all_done || pick (day, 5) ? "done" : "error");
 }
 
 static void
-mend (Day *day, gboolean all)
+end_faults (Day *day, gboolean all)
 {
   Cluster *cluster = day->fleet->cluster;
   for (int i = 0; i < NODES; i++) {
@@ -255,52 +260,52 @@
     if (day->frozen[i])
       fleet_thaw (day->fleet, i);
     day->frozen[i] = FALSE;
-    cluster->nodes[i].served = TRUE;
+    cluster->nodes[i].store_available = TRUE;
     if (!cluster->nodes[i].core)
-      cluster_start (cluster, i);
-    g_array_index (cluster->nodes[i].set->teams, HrTeam, 0).cpus_max = CPUS_MAX;
+      cluster_start_node (cluster, i);
+    g_array_index (cluster->nodes[i].settings->teams, HrTeam, 0).cpus_max = CPUS_MAX;
   }
   for (int i = 0; i < MACHINES; i++) {
     FleetMachine *machine = day->machines[i];
-    if (day->flag_until[i] > cluster->now && !all)
+    if (day->machine_until[i] > cluster->now && !all)
       continue;
-    machine->reports = machine->hears = machine->reached = TRUE;
-    machine->hangs = FALSE;
-    machine->only = -1;
-    if (machine->gone) { /* rented anew */
+    machine->sends_reports = machine->receives_answers = machine->receives_direct_calls = TRUE;
+    machine->is_hung = FALSE;
+    machine->only_node = -1;
+    if (machine->deleted) { /* its replacement is rented */
       g_autofree char *name = g_strdup_printf ("m-%u", 100 + day->fleet->machines->len);
       day->machines[i] = fleet_machine (day->fleet, name, i % 2 ? "z1" : "z0");
       day->machines[i]->node = pick (day, NODES);
     }
   }
-  cluster->outage = cluster->now < day->outage_until && !all;
-  cluster->exchange_statuses = cluster->now >= day->apart_until || all;
+  cluster->store_outage = cluster->now < day->outage_until && !all;
+  cluster->exchange_statuses = cluster->now >= day->peers_cut_until || all;
   day->fleet->cloud_deletes = cluster->now >= day->cloud_until || all;
 }
 
 static void
-something_happens (Day *day)
+inject_event (Day *day)
 {
   Cluster *cluster = day->fleet->cluster;
   switch (pick (day, 12)) {
   case 0:
-    trouble_of_node (day);
+    inject_node_fault (day);
     break;
   case 1:
   case 2:
   case 3:
-    trouble_of_machine (day);
+    inject_machine_fault (day);
     break;
   case 4:
   case 5:
-    keep_back (day);
+    delay_message (day);
     break;
   case 6:
     if (cluster->now > day->outage_until + 20)
       day->outage_until = cluster->now + draw (day, 2, 45);
     break;
   case 7:
-    day->apart_until = cluster->now + draw (day, 1, 12);
+    day->peers_cut_until = cluster->now + draw (day, 1, 12);
     break;
   case 8:
     day->cloud_until = cluster->now + draw (day, 1, 25);
@@ -310,7 +315,7 @@
     end_tasks (day, FALSE);
     break;
   default:
-    fleet_release (day->fleet);
+    fleet_release_calls (day->fleet);
     if (pick (day, 2))
       cluster_hold (cluster, MAX (0, cluster_leader (cluster)), "/commit", NULL);
   }
@@ -323,100 +328,100 @@
   day->rand = g_rand_new_with_seed (seed);
   day->fleet = fleet_new (NODES);
   day->fleet->cpus_max = CPUS_MAX;
-  day->late = g_ptr_array_new_with_free_func (late_free);
-  day->asked = g_ptr_array_new_with_free_func (asked_free);
+  day->delayed = g_ptr_array_new_with_free_func (delayed_message_free);
+  day->requests = g_ptr_array_new_with_free_func (user_request_free);
   day->accepted = g_ptr_array_new_with_free_func (g_free);
   day->cancelled = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   for (int i = 0; i < MACHINES; i++) {
     g_autofree char *name = g_strdup_printf ("m-%d", i);
     day->machines[i] = fleet_machine (day->fleet, name, i % 2 ? "z1" : "z0");
   }
-  mend (day, TRUE);
+  end_faults (day, TRUE);
   fleet_run (day->fleet, 3);
 }
 
-/* All its tasks have ended, or its user cancelled it. */
+/* Returns whether the job is done, or cancelled at its user's request; prints its state if not. */
 static gboolean
-ended_well (Day *day, const char *id, guint seed)
+job_finished (Day *day, const char *id, guint seed)
 {
   const FleetJob *job = g_hash_table_lookup (day->fleet->jobs, id);
   const char *state = fleet_job_state (day->fleet, pick (day, NODES), id);
   gboolean cancelled = g_hash_table_contains (day->cancelled, id);
   if (g_strcmp0 (state, "done") == 0 || (cancelled && g_strcmp0 (state, "withdrawn") == 0))
     return TRUE;
-  print_message ("seed %u: %s ends as %s, %u of %u tasks done\n", seed, id,
-                 state ? state : "unknown", job->ended, job->tasks);
+  print_message ("seed %u: at the end %s is %s, %u of %u tasks done\n", seed, id,
+                 state ? state : "unknown", job->n_done, job->tasks);
   return FALSE;
 }
 
 static guint
 play (guint seed)
 {
-  Day day, *day_row = &day;
-  day_begin (day_row, seed);
-  Cluster *cluster = day_row->fleet->cluster;
-  double calm = cluster->now + TROUBLES_S;
-  while (cluster->now < calm) {
-    mend (day_row, FALSE);
-    something_happens (day_row);
-    if (!pick (day_row, 5) && day_row->jobs < 25)
-      submit (day_row);
-    for (int i = 0; i < 2 && day_row->jobs; i++) {
-      g_autofree char *id = g_strdup_printf ("job-%u", pick (day_row, day_row->jobs));
-      ask (day_row, id, NULL, !pick (day_row, 8));
+  Day storage, *day = &storage;
+  day_begin (day, seed);
+  Cluster *cluster = day->fleet->cluster;
+  double faults_end = cluster->now + FAULTS_S;
+  while (cluster->now < faults_end) {
+    end_faults (day, FALSE);
+    inject_event (day);
+    if (!pick (day, 5) && day->jobs < 25)
+      submit (day);
+    for (int i = 0; i < 2 && day->jobs; i++) {
+      g_autofree char *id = g_strdup_printf ("job-%u", pick (day, day->jobs));
+      send_user_request (day, id, NULL, !pick (day, 8));
     }
-    fleet_run (day_row->fleet, draw (day_row, 0.1, 1));
-    arrive (day_row, FALSE);
-    hear_answers (day_row);
+    fleet_run (day->fleet, draw (day, 0.1, 1));
+    deliver_delayed (day, FALSE);
+    receive_answers (day);
   }
-  fleet_release (day_row->fleet);
-  mend (day_row, TRUE);
-  arrive (day_row, TRUE);
-  for (int i = 0; i < CALM_S; i++) {
-    mend (day_row, TRUE);
-    for (int k = 0; k < MACHINES; k++) /* what runs ends soon, so that all have their turn */
-      end_tasks (day_row, TRUE);
-    fleet_run (day_row->fleet, 1);
-    hear_answers (day_row);
+  fleet_release_calls (day->fleet);
+  end_faults (day, TRUE);
+  deliver_delayed (day, TRUE);
+  for (int i = 0; i < RECOVERY_S; i++) {
+    end_faults (day, TRUE);
+    for (int k = 0; k < MACHINES; k++) /* tasks end soon, so that queued jobs can run */
+      end_tasks (day, TRUE);
+    fleet_run (day->fleet, 1);
+    receive_answers (day);
   }
-  guint broken = 0;
-  for (guint i = 0; i < day_row->accepted->len; i++)
-    broken += !ended_well (day_row, day_row->accepted->pdata[i], seed);
-  for (guint i = 0; i < MIN (day_row->fleet->broken->len, 4); i++)
-    print_message ("seed %u: %s\n", seed, (char *)day_row->fleet->broken->pdata[i]);
-  broken += day_row->fleet->broken->len;
+  guint violations = 0;
+  for (guint i = 0; i < day->accepted->len; i++)
+    violations += !job_finished (day, day->accepted->pdata[i], seed);
+  for (guint i = 0; i < MIN (day->fleet->violations->len, 4); i++)
+    print_message ("seed %u: %s\n", seed, (char *)day->fleet->violations->pdata[i]);
+  violations += day->fleet->violations->len;
   if (g_getenv ("HR_SIM_VERBOSE"))
-    print_message ("seed %u: %u jobs, %u starts, epoch %" G_GUINT64_FORMAT "\n", seed,
-                   day_row->jobs, day_row->fleet->starts, cluster->epoch);
-  g_ptr_array_set_size (day_row->fleet->broken, 0);
-  g_ptr_array_unref (day_row->late);
-  g_ptr_array_unref (day_row->asked);
-  g_ptr_array_unref (day_row->accepted);
-  g_hash_table_unref (day_row->cancelled);
-  g_rand_free (day_row->rand);
-  fleet_end (day_row->fleet);
-  return broken;
+    print_message ("seed %u: %u jobs, %u starts, epoch %" G_GUINT64_FORMAT "\n", seed, day->jobs,
+                   day->fleet->task_starts, cluster->store_revision);
+  g_ptr_array_set_size (day->fleet->violations, 0);
+  g_ptr_array_unref (day->delayed);
+  g_ptr_array_unref (day->requests);
+  g_ptr_array_unref (day->accepted);
+  g_hash_table_unref (day->cancelled);
+  g_rand_free (day->rand);
+  fleet_check_and_free (day->fleet);
+  return violations;
 }
 
 static guint first = 1, last = 61;
 
 static void
-drawn_days_keep_the_rules (void **state G_GNUC_UNUSED)
+random_fault_days_break_no_rule (void **state G_GNUC_UNUSED)
 {
-  guint broken = 0;
+  guint violations = 0;
   for (guint seed = first; seed < last; seed++)
-    broken += play (seed);
-  assert_int_equal (broken, 0);
+    violations += play (seed);
+  assert_int_equal (violations, 0);
 }
 
 int
 main (int argc, char **argv)
 {
-  const struct CMUnitTest tests[] = {cmocka_unit_test (drawn_days_keep_the_rules)};
+  const struct CMUnitTest tests[] = {cmocka_unit_test (random_fault_days_break_no_rule)};
   if (argc > 2) {
     first = strtoul (argv[1], NULL, 10);
     last = strtoul (argv[2], NULL, 10);
   }
-  g_log_set_writer_func (cluster_log, NULL, NULL);
+  g_log_set_writer_func (cluster_log_writer, NULL, NULL);
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/test_workers.c
+++ b/tests/test_workers.c
@@ -16,13 +16,13 @@
 static gboolean
 on_machine (Fleet *fleet, gpointer piece)
 {
-  return fleet_count (fleet, piece) > 0;
+  return fleet_count_running (fleet, piece) > 0;
 }
 
 static gboolean
 on_none (Fleet *fleet, gpointer piece)
 {
-  return fleet_count (fleet, piece) == 0;
+  return fleet_count_running (fleet, piece) == 0;
 }
 
 static gboolean
@@ -39,9 +39,9 @@
   Cluster *cluster = fleet->cluster;
   for (int i = 0; cluster_leader (cluster) != 0 && i < 10; i++) {
     int leader = cluster_leader (cluster);
-    cluster_end (cluster, leader);
+    cluster_stop_node (cluster, leader);
     fleet_run (fleet, 6);
-    cluster_start (cluster, leader);
+    cluster_start_node (cluster, leader);
     fleet_run (fleet, 3);
   }
   assert_int_equal (cluster_leader (cluster), 0);
@@ -54,8 +54,8 @@
 {
   g_autofree char *piece = g_strconcat (id, "/0", NULL);
   fleet_submit (fleet, 0, id, NULL);
-  fleet_until (fleet, on_machine, piece, 8);
-  assert_true (fleet_has (machine, piece));
+  fleet_run_until (fleet, on_machine, piece, 8);
+  assert_true (fleet_machine_runs (machine, piece));
   fleet_run (fleet, 3);
 }
 
@@ -63,14 +63,14 @@
 static void
 cut_off (Fleet *fleet, int node)
 {
-  fleet->cluster->nodes[node].served = FALSE;
+  fleet->cluster->nodes[node].store_available = FALSE;
   fleet->cluster->exchange_statuses = FALSE;
 }
 
 static json_t *
 whole_machine (const char *id)
 {
-  json_t *body = cluster_job (id, 1);
+  json_t *body = cluster_job_body (id, 1);
   json_object_set_new (body, "vcpus", json_real (12));
   return body;
 }
@@ -95,29 +95,29 @@
   Cluster *cluster = fleet->cluster;
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0"),
                *second = fleet_machine (fleet, "m-2", "z0");
-  second->reports = FALSE;
+  second->sends_reports = FALSE;
   fleet_run (fleet, 4);
   cluster_hold (cluster, 0, "/changes", NULL);
-  first->reports = FALSE;
+  first->sends_reports = FALSE;
   guint64 before = token_of (fleet);
   ClusterCall *late = cluster_delay (cluster, fleet_launch_call (fleet, first, 0, "job-a"));
   /* Its next reading finds that the changes since the last one are gone. */
   fleet_submit (fleet, 1, "job-b", NULL);
   cluster_forget_changes (cluster);
-  fleet_release (fleet);
+  fleet_release_calls (fleet);
   fleet_run (fleet, 1);
   /* Its machine lacks the task, and is soon taken: the task goes elsewhere. */
   fleet->cloud_deletes = FALSE;
-  second->reports = first->reports = TRUE;
-  first->notice = 60;
+  second->sends_reports = first->sends_reports = TRUE;
+  first->preemption_in_s = 60;
   fleet_run (fleet, 9);
-  fleet_obey_direct (first, late->body);
-  cluster_late (cluster, late);
+  fleet_apply_direct_call (first, late->body);
+  cluster_carry_out_delayed (cluster, late);
   fleet_run (fleet, 8);
-  assert_true (fleet_has (second, "job-a/0"));
+  assert_true (fleet_machine_runs (second, "job-a/0"));
   assert_int_equal (cluster_leader (cluster), 0);
   gboolean raised = token_of (fleet) > before;
-  fleet_end (fleet);
+  fleet_check_and_free (fleet);
   assert_true (raised);
 }
 
@@ -130,24 +130,24 @@
   Cluster *cluster = fleet->cluster;
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0"),
                *second = fleet_machine (fleet, "m-2", "z0");
-  second->reports = FALSE;
+  second->sends_reports = FALSE;
   fleet_run (fleet, 4);
-  first->reports = FALSE;
+  first->sends_reports = FALSE;
   guint64 before = token_of (fleet);
   ClusterCall *late = cluster_delay (cluster, fleet_launch_call (fleet, first, 0, "job-a"));
-  cluster_end (cluster, 0);
+  cluster_stop_node (cluster, 0);
   fleet_run (fleet, 0.3);
-  cluster_start (cluster, 0);
+  cluster_start_node (cluster, 0);
   fleet->cloud_deletes = FALSE;
-  first->notice = 60;
-  first->reports = second->reports = TRUE;
+  first->preemption_in_s = 60;
+  first->sends_reports = second->sends_reports = TRUE;
   fleet_run (fleet, 12);
   assert_int_equal (cluster_leader (cluster), 0);
-  assert_true (fleet_has (second, "job-a/0"));
+  assert_true (fleet_machine_runs (second, "job-a/0"));
   gboolean raised = token_of (fleet) > before;
-  int status = fleet_obey_direct (first, late->body);
-  cluster_late (cluster, late);
-  fleet_end (fleet);
+  int status = fleet_apply_direct_call (first, late->body);
+  cluster_carry_out_delayed (cluster, late);
+  fleet_check_and_free (fleet);
   assert_true (raised);
   assert_int_equal (status, 409);
 }
@@ -161,20 +161,20 @@
   Cluster *cluster = fleet->cluster;
   FleetMachine *machine = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
-  machine->reports = FALSE;
+  machine->sends_reports = FALSE;
   guint64 before = token_of (fleet);
   ClusterCall *late = cluster_delay (cluster, fleet_launch_call (fleet, machine, 0, "job-a"));
   fleet_cancel (fleet, 1, "job-a");
   fleet_run (fleet, 1);
-  machine->reports = TRUE;
+  machine->sends_reports = TRUE;
   machine->node = 0;
   fleet_run (fleet, 10);
   assert_true (token_of (fleet) > before);
-  guint starts = fleet->starts;
-  assert_int_equal (fleet_obey_direct (machine, late->body), 409);
-  cluster_late (cluster, late);
-  assert_int_equal (fleet->starts, starts);
-  fleet_end (fleet);
+  guint starts = fleet->task_starts;
+  assert_int_equal (fleet_apply_direct_call (machine, late->body), 409);
+  cluster_carry_out_delayed (cluster, late);
+  assert_int_equal (fleet->task_starts, starts);
+  fleet_check_and_free (fleet);
 }
 
 /* A launch was carried out, and a copy of it comes long after the task's end. While the worker
@@ -188,17 +188,17 @@
   fleet_run (fleet, 4);
   ClusterCall *call = fleet_launch_call (fleet, machine, 0, "job-a");
   g_autofree char *copy = g_strdup (call->body);
-  machine->reached = TRUE;
+  machine->receives_direct_calls = TRUE;
   fleet_run (fleet, 3);
-  assert_true (fleet_has (machine, "job-a/0"));
-  fleet_exit (machine, "job-a/0", "done");
+  assert_true (fleet_machine_runs (machine, "job-a/0"));
+  fleet_exit_task (machine, "job-a/0", "done");
   fleet_run (fleet, 8);
   assert_string_equal (fleet_job_state (fleet, 1, "job-a"), "done");
-  guint starts = fleet->starts;
-  fleet_obey_direct (machine, copy);
-  assert_int_equal (fleet->starts, starts);
+  guint starts = fleet->task_starts;
+  fleet_apply_direct_call (machine, copy);
+  assert_int_equal (fleet->task_starts, starts);
   (void)cluster;
-  fleet_end (fleet);
+  fleet_check_and_free (fleet);
 }
 
 /* ---- leases ---- */
@@ -214,22 +214,23 @@
   fleet_run (fleet, 4);
   running (fleet, first, "job-a");
   running (fleet, first, "job-b");
-  first->only = 0;
+  first->only_node = 0;
   FleetMachine *second = fleet_machine (fleet, "m-2", "z0");
-  second->only = 1;
+  second->only_node = 1;
   fleet->cloud_deletes = FALSE;
   cut_off (fleet, 0);
-  fleet_until (fleet, led_by_1, NULL, 12);
+  fleet_run_until (fleet, led_by_1, NULL, 12);
   fleet_run (fleet, 0.5);
-  assert_true (fleet_has (first, "job-a/0"));
+  assert_true (fleet_machine_runs (first, "job-a/0"));
   fleet_cancel (fleet, 1, "job-a");
-  fleet_run (fleet, fleet->cluster->pol.alone_s + fleet->lease_s);
-  assert_true (first->tenure > 1); /* it hears of no outage, so it is cut off, and lets go early */
+  fleet_run (fleet, fleet->cluster->policy.alone_s + fleet->lease_s);
+  assert_true (first->incarnation >
+               1); /* it hears of no outage, so it is cut off, and lets go early */
   fleet_run (fleet, fleet->cancel_s);
-  assert_false (fleet_has (first, "job-a/0"));
-  fleet_until (fleet, on_machine, "job-b/0", 40);
-  assert_true (fleet_has (second, "job-b/0"));
-  fleet_end (fleet);
+  assert_false (fleet_machine_runs (first, "job-a/0"));
+  fleet_run_until (fleet, on_machine, "job-b/0", 40);
+  assert_true (fleet_machine_runs (second, "job-b/0"));
+  fleet_check_and_free (fleet);
 }
 
 /* The leader ends while several machines with long tasks reach only a former leader, which goes on
@@ -249,16 +250,16 @@
   }
   cut_off (fleet, 0);
   for (guint i = 0; i < G_N_ELEMENTS (machines); i++)
-    machines[i]->only = 0;
+    machines[i]->only_node = 0;
   FleetMachine *spare = fleet_machine (fleet, "m-9", "z0");
-  spare->only = 1;
-  fleet_until (fleet, led_by_1, NULL, 12);
-  guint starts = fleet->starts;
+  spare->only_node = 1;
+  fleet_run_until (fleet, led_by_1, NULL, 12);
+  guint starts = fleet->task_starts;
   fleet_run (fleet, 10);
-  assert_int_equal (fleet->starts, starts); /* nothing is proven yet */
+  assert_int_equal (fleet->task_starts, starts); /* nothing is proven yet */
   fleet_run (fleet, 40);
-  assert_true (fleet->starts > starts);
-  fleet_end (fleet);
+  assert_true (fleet->task_starts > starts);
+  fleet_check_and_free (fleet);
 }
 
 /* What a new leader answers does not reach a machine, whose reports arrive. Its task is placed anew
@@ -274,13 +275,13 @@
   FleetMachine *second = fleet_machine (fleet, "m-2", "z0");
   fleet_run (fleet, 4);
   fleet->cloud_deletes = FALSE;
-  first->hears = first->reached = FALSE;
-  cluster_end (fleet->cluster, 0);
-  fleet_until (fleet, led_by_1, NULL, 12);
-  fleet_run (fleet, fleet->cluster->pol.silent_s + 8);
-  assert_true (first->tenure > 1);
-  assert_true (fleet_has (second, "job-a/0"));
-  fleet_end (fleet);
+  first->receives_answers = first->receives_direct_calls = FALSE;
+  cluster_stop_node (fleet->cluster, 0);
+  fleet_run_until (fleet, led_by_1, NULL, 12);
+  fleet_run (fleet, fleet->cluster->policy.silent_s + 8);
+  assert_true (first->incarnation > 1);
+  assert_true (fleet_machine_runs (second, "job-a/0"));
+  fleet_check_and_free (fleet);
 }
 
 /* A machine reaches no controller, while direct orders reach it. A cancelled job's task is stopped
@@ -296,14 +297,14 @@
   FleetMachine *second = fleet_machine (fleet, "m-2", "z0");
   fleet_run (fleet, 4);
   fleet->cloud_deletes = FALSE;
-  first->reports = FALSE;
+  first->sends_reports = FALSE;
   fleet_cancel (fleet, 1, "job-a");
-  fleet_until (fleet, on_none, "job-a/0", 2);
-  assert_int_equal (first->tenure, 1);
+  fleet_run_until (fleet, on_none, "job-a/0", 2);
+  assert_int_equal (first->incarnation, 1);
   fleet_run (fleet, 20);
-  assert_true (first->tenure > 1);
-  assert_true (fleet_has (second, "job-b/0"));
-  fleet_end (fleet);
+  assert_true (first->incarnation > 1);
+  assert_true (fleet_machine_runs (second, "job-b/0"));
+  fleet_check_and_free (fleet);
 }
 
 /* The cloud answers no deletion. What a machine held that is being returned waits no longer than
@@ -318,11 +319,11 @@
   FleetMachine *second = fleet_machine (fleet, "m-2", "z0");
   fleet_run (fleet, 4);
   fleet->cloud_deletes = FALSE;
-  first->reports = FALSE; /* silent, and so returned */
+  first->sends_reports = FALSE; /* silent, and so returned */
   fleet_run (fleet, fleet->lease_s + 6);
-  assert_true (first->tenure > 1);
-  assert_true (fleet_has (second, "job-a/0"));
-  fleet_end (fleet);
+  assert_true (first->incarnation > 1);
+  assert_true (fleet_machine_runs (second, "job-a/0"));
+  fleet_check_and_free (fleet);
 }
 
 /* A hanging machine resumes within its lease, after its job was cancelled: it is stopped then, and
@@ -336,18 +337,18 @@
   running (fleet, first, "job-a");
   fleet->cloud_deletes = FALSE;
   fleet_report (first, 0);
-  first->hangs = TRUE;
+  first->is_hung = TRUE;
   first->node = 0;
   fleet_cancel (fleet, 1, "job-a");
   fleet_run (fleet, 5);
-  assert_true (fleet_has (first, "job-a/0"));
-  assert_true (fleet_recorded (fleet, "job-a", "\"x\""));
-  first->hangs = FALSE;
+  assert_true (fleet_machine_runs (first, "job-a/0"));
+  assert_true (fleet_job_record_contains (fleet, "job-a", "\"x\""));
+  first->is_hung = FALSE;
   fleet_run (fleet, 3);
-  assert_false (fleet_has (first, "job-a/0"));
-  assert_int_equal (first->tenure, 1); /* not by its lease */
-  assert_false (fleet_recorded (fleet, "job-a", "\"x\""));
-  fleet_end (fleet);
+  assert_false (fleet_machine_runs (first, "job-a/0"));
+  assert_int_equal (first->incarnation, 1); /* not by its lease */
+  assert_false (fleet_job_record_contains (fleet, "job-a", "\"x\""));
+  fleet_check_and_free (fleet);
 }
 
 /* The leader launches what another controller has confirmed as cancelled a moment before: the task
@@ -361,9 +362,9 @@
   fleet_run (fleet, 4);
   cluster_hold (cluster, 0, "/commit", "m-1");
   fleet_submit (fleet, 1, "job-a", NULL);
-  for (int i = 0; i < 60 && !cluster_call (cluster, 0, "/commit", "m-1"); i++)
+  for (int i = 0; i < 60 && !cluster_find_call (cluster, 0, "/commit", "m-1"); i++)
     fleet_run (fleet, 0.05);
-  ClusterCall *write = cluster_call (cluster, 0, "/commit", "m-1");
+  ClusterCall *write = cluster_find_call (cluster, 0, "/commit", "m-1");
   assert_non_null (write);
   cluster_carry_out (cluster, write);
   cluster_hold (cluster, 0, "/changes", NULL);
@@ -371,12 +372,12 @@
   cluster_answer (cluster,
                   write); /* the assignment is in the state store, as far as the leader knows */
   fleet_run (fleet, 0.5);
-  assert_int_equal (fleet->starts, 1);
-  fleet_release (fleet);
-  fleet_until (fleet, on_none, "job-a/0", 2);
+  assert_int_equal (fleet->task_starts, 1);
+  fleet_release_calls (fleet);
+  fleet_run_until (fleet, on_none, "job-a/0", 2);
   fleet_run (fleet, 10);
-  assert_int_equal (fleet->starts, 1);
-  fleet_end (fleet);
+  assert_int_equal (fleet->task_starts, 1);
+  fleet_check_and_free (fleet);
 }
 
 /* The state service refuses the leader alone, another controller confirms a cancellation, and a
@@ -389,15 +390,15 @@
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
   running (fleet, first, "job-a");
-  first->only = 0;
-  fleet->cluster->nodes[0].served = FALSE;
+  first->only_node = 0;
+  fleet->cluster->nodes[0].store_available = FALSE;
   fleet_run (fleet, 0.5);
   fleet->cluster->exchange_statuses = named;
   fleet_cancel (fleet, 1, "job-a");
-  fleet->cluster->outage = TRUE;
+  fleet->cluster->store_outage = TRUE;
   fleet_run (fleet, fleet->cancel_s + 6);
-  assert_false (fleet_has (first, "job-a/0"));
-  fleet_end (fleet);
+  assert_false (fleet_machine_runs (first, "job-a/0"));
+  fleet_check_and_free (fleet);
 }
 
 static void
@@ -416,14 +417,14 @@
   Fleet *fleet = fleet_led (2);
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
-  first->reports = FALSE;
+  first->sends_reports = FALSE;
   fleet_launch_call (fleet, first, 0, "job-a");
   cut_off (fleet, 0);
   fleet_cancel (fleet, 1, "job-a");
   fleet_run (fleet, 6);
   assert_int_equal (fleet_report (first, 0), 200);
-  assert_int_equal (fleet->starts, 0);
-  fleet_end (fleet);
+  assert_int_equal (fleet->task_starts, 0);
+  fleet_check_and_free (fleet);
 }
 
 /* A zone with a worker and a controller that does not lead is cut off for longer than a lease:
@@ -438,13 +439,13 @@
   FleetMachine *second = fleet_machine (fleet, "m-2", "z0");
   fleet_run (fleet, 4);
   fleet->cloud_deletes = FALSE;
-  first->only = 2;
-  first->reached = FALSE;
-  fleet->cluster->nodes[2].served = FALSE;
+  first->only_node = 2;
+  first->receives_direct_calls = FALSE;
+  fleet->cluster->nodes[2].store_available = FALSE;
   fleet_run (fleet, fleet->lease_s + 8);
-  assert_true (first->tenure > 1);
-  assert_true (fleet_has (second, "job-a/0"));
-  fleet_end (fleet);
+  assert_true (first->incarnation > 1);
+  assert_true (fleet_machine_runs (second, "job-a/0"));
+  fleet_check_and_free (fleet);
 }
 
 /* The leader stands still, wakes, and finds a report before anything else, of a worker that has
@@ -456,18 +457,18 @@
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
   running (fleet, first, "job-a");
-  first->only = 0;
+  first->only_node = 0;
   fleet_freeze (fleet, 0);
-  fleet_run (fleet, fleet->cluster->pol.alone_s + 2);
+  fleet_run (fleet, fleet->cluster->policy.alone_s + 2);
   assert_int_equal (cluster_leader (fleet->cluster), 1);
   assert_true (first->token < token_of (fleet));
-  g_autofree char *report = fleet_write (first);
+  g_autofree char *report = fleet_report_text (first);
   fleet_thaw (fleet, 0);
-  assert_int_not_equal (fleet_deliver (fleet, 0, report), 200);
-  first->only = -1;
+  assert_int_not_equal (fleet_deliver_report (fleet, 0, report), 200);
+  first->only_node = -1;
   fleet_run (fleet, 10);
-  assert_int_equal (fleet_count (fleet, "job-a/0"), 1);
-  fleet_end (fleet);
+  assert_int_equal (fleet_count_running (fleet, "job-a/0"), 1);
+  fleet_check_and_free (fleet);
 }
 
 /* Late copies of what a member told before it ended, while the state service is out: they are as
@@ -480,18 +481,18 @@
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
   running (fleet, first, "job-a");
-  cluster->outage = TRUE;
+  cluster->store_outage = TRUE;
   fleet_run (fleet, 5);
   HrPeerStatus copy = cluster->nodes[1].status;
-  cluster_end (cluster, 1);
-  for (int i = 0; i < cluster->pol.hold_s + 2; i++) {
+  cluster_stop_node (cluster, 1);
+  for (int i = 0; i < cluster->policy.hold_s + 2; i++) {
     HrCommand *command = hr_command_new (HR_COMMAND_PEER_STATUS);
     *command->peer_status = copy;
     cluster_step (cluster, 0, command);
     fleet_run (fleet, 1);
   }
   assert_int_not_equal (fleet_report (first, 0), 200);
-  fleet_end (fleet);
+  fleet_check_and_free (fleet);
 }
 
 /* ---- reports ---- */
@@ -505,16 +506,16 @@
   FleetMachine *first = fleet_machine (fleet, "m-1", "z1");
   fleet_run (fleet, 6);
   assert_true (first->token > 0);
-  g_autofree char *report = fleet_write (first);
-  first->gone = TRUE;
-  cluster_end (fleet->cluster, 0);
-  fleet_until (fleet, led_by_1, NULL, 12);
+  g_autofree char *report = fleet_report_text (first);
+  first->deleted = TRUE;
+  cluster_stop_node (fleet->cluster, 0);
+  fleet_run_until (fleet, led_by_1, NULL, 12);
   fleet_run (fleet, 3);
   fleet_submit (fleet, 1, "job-a", NULL);
-  fleet_deliver (fleet, 1, report);
+  fleet_deliver_report (fleet, 1, report);
   fleet_run (fleet, 5);
-  assert_false (fleet_recorded (fleet, "job-a", "m-1"));
-  fleet_end (fleet);
+  assert_false (fleet_job_record_contains (fleet, "job-a", "m-1"));
+  fleet_check_and_free (fleet);
 }
 
 /* An old report that lacks a task arrives after newer ones that showed it: the cancelled job's
@@ -526,33 +527,33 @@
   Fleet *fleet = fleet_led (2);
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
-  g_autofree char *report = fleet_write (first);
+  g_autofree char *report = fleet_report_text (first);
   if (session) { /* numbers alone would not tell them apart */
-    first->tally += 100;
+    first->sequence += 100;
     g_free (report);
-    report = fleet_write (first);
-    first->tally -= 101;
-    first->reports = FALSE;
-    first->lease_at -= fleet->lease_s;
+    report = fleet_report_text (first);
+    first->sequence -= 101;
+    first->sends_reports = FALSE;
+    first->lease_renewed_at -= fleet->lease_s;
     fleet_run (fleet, 0.1);
-    first->reports = TRUE;
+    first->sends_reports = TRUE;
     fleet_run (fleet, 3);
-    assert_int_equal (first->tenure, 2);
+    assert_int_equal (first->incarnation, 2);
   }
   running (fleet, first, "job-a");
   fleet_report (first, 0);
-  first->hangs = TRUE;
+  first->is_hung = TRUE;
   fleet_cancel (fleet, 1, "job-a");
   fleet_run (fleet, 3.5); /* its direct stop is unanswered by now */
-  fleet_deliver (fleet, 0, report);
+  fleet_deliver_report (fleet, 0, report);
   fleet_run (fleet, 1);
-  assert_true (fleet_has (first, "job-a/0"));
-  assert_true (fleet_recorded (fleet, "job-a", "\"x\""));
-  first->hangs = FALSE;
+  assert_true (fleet_machine_runs (first, "job-a/0"));
+  assert_true (fleet_job_record_contains (fleet, "job-a", "\"x\""));
+  first->is_hung = FALSE;
   fleet_run (fleet, 6);
-  assert_false (fleet_has (first, "job-a/0"));
-  assert_false (fleet_recorded (fleet, "job-a", "\"x\""));
-  fleet_end (fleet);
+  assert_false (fleet_machine_runs (first, "job-a/0"));
+  assert_false (fleet_job_record_contains (fleet, "job-a", "\"x\""));
+  fleet_check_and_free (fleet);
 }
 
 static void
@@ -581,22 +582,22 @@
   guint64 request = cluster_submit (cluster, 1, "job-a", 1);
   cluster_hold (cluster, 0, "/commit", "m-1");
   fleet_run (fleet, 3);
-  assert_int_equal (cluster_status (cluster, 1, request), 201);
-  ClusterCall *write = cluster_call (cluster, 0, "/commit", "m-1");
+  assert_int_equal (cluster_reply_status (cluster, 1, request), 201);
+  ClusterCall *write = cluster_find_call (cluster, 0, "/commit", "m-1");
   assert_non_null (write);
-  assert_null (fleet_direct (first, 0));
-  assert_int_equal (fleet->starts, 0);
+  assert_null (fleet_find_direct_call (first, 0));
+  assert_int_equal (fleet->task_starts, 0);
   ClusterCall *late = cluster_delay (cluster, write);
-  cluster_end (cluster, 0);
-  first->only = 1;
+  cluster_stop_node (cluster, 0);
+  first->only_node = 1;
   FleetMachine *second = fleet_machine (fleet, "m-2", "z0");
   (void)second;
-  fleet_until (fleet, led_by_1, NULL, 12);
+  fleet_run_until (fleet, led_by_1, NULL, 12);
   fleet_run (fleet, 1);
-  assert_int_equal (cluster_late (cluster, late), 409); /* of a former owner */
-  fleet_until (fleet, on_machine, "job-a/0", 20);
-  assert_int_equal (fleet->starts, 1);
-  fleet_end (fleet);
+  assert_int_equal (cluster_carry_out_delayed (cluster, late), 409); /* of a former owner */
+  fleet_run_until (fleet, on_machine, "job-a/0", 20);
+  assert_int_equal (fleet->task_starts, 1);
+  fleet_check_and_free (fleet);
 }
 
 /* Orders go out with the answers to reports alone. */
@@ -604,10 +605,10 @@
 launch_with_reports (Fleet *fleet)
 {
   Cluster *cluster = fleet->cluster;
-  cluster->pol.direct_launch = 0;
+  cluster->policy.direct_launch = 0;
   for (int i = cluster->n - 1; i >= 0; i--) {
-    cluster_end (cluster, i);
-    cluster_start (cluster, i);
+    cluster_stop_node (cluster, i);
+    cluster_start_node (cluster, i);
   }
   fleet_run (fleet, 8);
   assert_int_equal (cluster_leader (cluster), 0);
@@ -623,29 +624,29 @@
   launch_with_reports (fleet);
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
-  fleet_submit (fleet, 0, "job-a", cluster_job ("job-a", 2));
-  fleet_until (fleet, on_machine, "job-a/0", 8);
-  fleet_until (fleet, on_machine, "job-a/1", 8);
+  fleet_submit (fleet, 0, "job-a", cluster_job_body ("job-a", 2));
+  fleet_run_until (fleet, on_machine, "job-a/0", 8);
+  fleet_run_until (fleet, on_machine, "job-a/1", 8);
   fleet_run (fleet, 3);
   cluster_hold (cluster, 0, "/commit", "job-a");
-  fleet_exit (first, "job-a/0", "done");
+  fleet_exit_task (first, "job-a/0", "done");
   fleet_run (fleet, 6);
   assert_int_equal (first->tasks->len, 2);
-  ClusterCall *write = cluster_call (cluster, 0, "/commit", "job-a");
+  ClusterCall *write = cluster_find_call (cluster, 0, "/commit", "job-a");
   assert_non_null (write);
   ClusterCall *late = cluster_delay (cluster, write);
-  cluster_end (cluster, 0);
-  fleet_until (fleet, led_by_1, NULL, 12);
+  cluster_stop_node (cluster, 0);
+  fleet_run_until (fleet, led_by_1, NULL, 12);
   fleet_run (fleet, 1);
-  cluster_late (cluster, late);
+  cluster_carry_out_delayed (cluster, late);
   fleet_run (fleet, 10);
-  assert_int_equal (fleet->starts, 2);
+  assert_int_equal (fleet->task_starts, 2);
   assert_string_not_equal (fleet_job_state (fleet, 1, "job-a"), "done");
-  fleet_exit (first, "job-a/1", "done");
+  fleet_exit_task (first, "job-a/1", "done");
   fleet_run (fleet, 8);
   assert_string_equal (fleet_job_state (fleet, 1, "job-a"), "done");
-  assert_int_equal (fleet->starts, 2);
-  fleet_end (fleet);
+  assert_int_equal (fleet->task_starts, 2);
+  fleet_check_and_free (fleet);
 }
 
 /* ---- limits and zones ---- */
@@ -655,7 +656,7 @@
 {
   for (int i = 0; i < fleet->cluster->n; i++)
     if (fleet->cluster->nodes[i].core)
-      g_array_index (fleet->cluster->nodes[i].set->teams, HrTeam, 0).cpus_max = cpus;
+      g_array_index (fleet->cluster->nodes[i].settings->teams, HrTeam, 0).cpus_max = cpus;
 }
 
 /* A team is at its limit, its job is cancelled, the leader changes, and the machine cannot be
@@ -668,23 +669,24 @@
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
   fleet_submit (fleet, 0, "job-a", whole_machine ("job-a"));
-  fleet_until (fleet, on_machine, "job-a/0", 8);
+  fleet_run_until (fleet, on_machine, "job-a/0", 8);
   fleet_run (fleet, 3);
   FleetMachine *second = fleet_machine (fleet, "m-2", "z0");
   fleet_run (fleet, 4);
   fleet->cloud_deletes = FALSE;
   fleet_report (first, 0);
-  first->reports = first->reached = FALSE;
+  first->sends_reports = first->receives_direct_calls = FALSE;
   fleet_cancel (fleet, 1, "job-a");
-  cluster_end (fleet->cluster, 0);
-  fleet_until (fleet, led_by_1, NULL, 12);
+  cluster_stop_node (fleet->cluster, 0);
+  fleet_run_until (fleet, led_by_1, NULL, 12);
   fleet_submit (fleet, 1, "job-b", whole_machine ("job-b"));
-  for (int i = 0; i < 60 && !fleet_has (second, "job-b/0"); i++) {
+  for (int i = 0; i < 60 && !fleet_machine_runs (second, "job-b/0"); i++) {
     fleet_run (fleet, 1);
-    assert_true (fleet_count (fleet, "job-a/0") + fleet_count (fleet, "job-b/0") <= 1);
+    assert_true (fleet_count_running (fleet, "job-a/0") + fleet_count_running (fleet, "job-b/0") <=
+                 1);
   }
-  assert_true (fleet_has (second, "job-b/0"));
-  fleet_end (fleet);
+  assert_true (fleet_machine_runs (second, "job-b/0"));
+  fleet_check_and_free (fleet);
 }
 
 /* An array of two bound to one zone, or spread over two, has a task on a machine that cannot be
@@ -696,26 +698,26 @@
   Fleet *fleet = fleet_led (2);
   FleetMachine *first = fleet_machine (fleet, "m-1", "z1");
   fleet_run (fleet, 4);
-  json_t *body = cluster_job ("job-a", 2);
+  json_t *body = cluster_job_body ("job-a", 2);
   json_object_set_new (body, rule, json_true ());
   json_object_set_new (body, "vcpus", json_real (12));
   fleet_submit (fleet, 0, "job-a", body);
-  fleet_until (fleet, on_machine, "job-a/0", 8);
+  fleet_run_until (fleet, on_machine, "job-a/0", 8);
   fleet_run (fleet, 3);
   fleet->cloud_deletes = FALSE;
-  first->reports = first->reached = FALSE;
+  first->sends_reports = first->receives_direct_calls = FALSE;
   fleet_report (first, 0);
   if (after) {
-    cluster_end (fleet->cluster, 0);
-    fleet_until (fleet, led_by_1, NULL, 12);
+    cluster_stop_node (fleet->cluster, 0);
+    fleet_run_until (fleet, led_by_1, NULL, 12);
   }
   FleetMachine *second = fleet_machine (fleet, "m-2", other);
   for (int i = 0; i < 60 && !second->tasks->len; i++) {
     fleet_run (fleet, 1);
-    assert_true (!fleet_has (first, "job-a/0") || !second->tasks->len);
+    assert_true (!fleet_machine_runs (first, "job-a/0") || !second->tasks->len);
   }
   assert_true (second->tasks->len > 0);
-  fleet_end (fleet);
+  fleet_check_and_free (fleet);
 }
 
 static void
@@ -781,41 +783,41 @@
     machines[i] = fleet_machine (fleet, name, "z0");
   }
   fleet_run (fleet, 4);
-  fleet_submit (fleet, 1, "job-a", cluster_job ("job-a", 6));
-  fleet_submit (fleet, 2, "job-b", cluster_job ("job-b", 6));
+  fleet_submit (fleet, 1, "job-a", cluster_job_body ("job-a", 6));
+  fleet_submit (fleet, 2, "job-b", cluster_job_body ("job-b", 6));
   fleet_run (fleet, 8);
   for (int i = 0; i < 10; i++) {
     int leader = cluster_leader (cluster);
     guint64 before = token_of (fleet);
-    g_autofree char *report = fleet_write (machines[i % 5]);
-    machines[(i + 1) % 5]->hangs = i % 3 == 0;
-    machines[(i + 2) % 5]->hears = i % 4 != 1;
-    cluster_end (cluster, leader);
-    cluster->outage = i == 5;
+    g_autofree char *report = fleet_report_text (machines[i % 5]);
+    machines[(i + 1) % 5]->is_hung = i % 3 == 0;
+    machines[(i + 2) % 5]->receives_answers = i % 4 != 1;
+    cluster_stop_node (cluster, leader);
+    cluster->store_outage = i == 5;
     fleet_run (fleet, 5);
     if (i == 4)
       fleet_cancel (fleet, (leader + 1) % 3, "job-b");
-    cluster_start (cluster, leader);
+    cluster_start_node (cluster, leader);
     fleet_run (fleet, 6);
-    cluster->outage = FALSE;
+    cluster->store_outage = FALSE;
     for (int k = 0; k < 3; k++)
       if (cluster->nodes[k].core)
-        fleet_deliver (fleet, k, report);
+        fleet_deliver_report (fleet, k, report);
     fleet_run (fleet, 1);
     assert_true (i == 5 || token_of (fleet) > before);
   }
   for (guint i = 0; i < G_N_ELEMENTS (machines); i++) {
-    machines[i]->hears = TRUE;
-    machines[i]->hangs = FALSE;
+    machines[i]->receives_answers = TRUE;
+    machines[i]->is_hung = FALSE;
   }
   fleet_run (fleet, 60);
   guint runs = 0;
   for (int i = 0; i < 6; i++) {
     g_autofree char *piece = g_strdup_printf ("job-a/%d", i);
-    runs += fleet_count (fleet, piece);
+    runs += fleet_count_running (fleet, piece);
   }
   assert_int_equal (runs, 6);
-  fleet_end (fleet);
+  fleet_check_and_free (fleet);
 }
 
 /* All controllers are away for longer than a lease; one returns, ends, and is back within a second,
@@ -828,29 +830,29 @@
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0"),
                *second = fleet_machine (fleet, "m-2", "z0");
   fleet_run (fleet, 4);
-  fleet_submit (fleet, 0, "job-a", cluster_job ("job-a", 4));
+  fleet_submit (fleet, 0, "job-a", cluster_job_body ("job-a", 4));
   fleet_run (fleet, 6);
-  g_autofree char *report = fleet_write (first);
+  g_autofree char *report = fleet_report_text (first);
   for (int i = 0; i < 3; i++)
-    cluster_end (cluster, i);
+    cluster_stop_node (cluster, i);
   fleet_run (fleet, fleet->lease_s + 3);
   assert_int_equal (first->tasks->len + second->tasks->len, 0);
-  cluster_start (cluster, 1);
+  cluster_start_node (cluster, 1);
   fleet_run (fleet, 2);
-  cluster_end (cluster, 1);
+  cluster_stop_node (cluster, 1);
   fleet_run (fleet, 0.4);
-  cluster_start (cluster, 1);
+  cluster_start_node (cluster, 1);
   fleet_run (fleet, 2);
-  fleet_deliver (fleet, 1, report);
+  fleet_deliver_report (fleet, 1, report);
   fleet_run (fleet, 1);
-  fleet_deliver (fleet, 1, report);
+  fleet_deliver_report (fleet, 1, report);
   fleet_run (fleet, 30);
   assert_int_equal (first->tasks->len + second->tasks->len, 4);
-  assert_int_equal (fleet->starts, 8);
-  cluster_start (cluster, 0);
-  cluster_start (cluster, 2);
+  assert_int_equal (fleet->task_starts, 8);
+  cluster_start_node (cluster, 0);
+  cluster_start_node (cluster, 2);
   fleet_run (fleet, 2);
-  fleet_end (fleet);
+  fleet_check_and_free (fleet);
 }
 
 int
@@ -886,6 +888,6 @@
       cmocka_unit_test (ten_leaders_in_two_minutes),
       cmocka_unit_test (all_are_away_longer_than_a_lease),
   };
-  g_log_set_writer_func (cluster_log, NULL, NULL);
+  g_log_set_writer_func (cluster_log_writer, NULL, NULL);
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/test_writes.c
+++ b/tests/test_writes.c
@@ -22,7 +22,7 @@
 static ControllerPair
 controller_pair (void)
 {
-  ControllerPair pair = {.cluster = cluster_led (2)};
+  ControllerPair pair = {.cluster = cluster_new_with_leader (2)};
   pair.leader = cluster_leader (pair.cluster);
   pair.other = 1 - pair.leader;
   pair.worker = cluster_worker (pair.cluster, "m-000001");
@@ -35,7 +35,7 @@
 assert_answered (ControllerPair *pair, const char *id, const char *state)
 {
   for (int i = 0; i < pair->cluster->n; i++)
-    assert_string_equal (cluster_asked (pair->cluster, i, id), state);
+    assert_string_equal (cluster_poll_state (pair->cluster, i, id), state);
 }
 
 /* The leader's key lapses and the other takes over. Its own calls are held, so that it does not
@@ -59,9 +59,9 @@
 lose_all (Cluster *cluster, int node, const char *text, guint64 request)
 {
   cluster_hold (cluster, node, "/commit", text);
-  for (int i = 0; i < 100 && !cluster_status (cluster, node, request); i++) {
-    ClusterCall *call = cluster_call (cluster, node, "/commit", text);
-    ClusterCall *reading = cluster_call (cluster, node, READING, NULL);
+  for (int i = 0; i < 100 && !cluster_reply_status (cluster, node, request); i++) {
+    ClusterCall *call = cluster_find_call (cluster, node, "/commit", text);
+    ClusterCall *reading = cluster_find_call (cluster, node, READING, NULL);
     if (call)
       cluster_lose (cluster, call);
     if (reading && reading->held)
@@ -75,13 +75,13 @@
 static void
 a_submission_without_answer_is_known_everywhere (void **state G_GNUC_UNUSED)
 {
-  Cluster *cluster = cluster_led (2);
+  Cluster *cluster = cluster_new_with_leader (2);
   ControllerPair pair = {cluster, cluster_leader (cluster), 1 - cluster_leader (cluster),
                          NULL}; /* no machine: it waits */
   cluster_hold (cluster, pair.other, "/commit", NULL);
   guint64 id = cluster_submit (cluster, pair.other, "job-a", 1);
   cluster_tick (cluster, 0.05);
-  ClusterCall *write = cluster_call (cluster, pair.other, "/commit", "job-a");
+  ClusterCall *write = cluster_find_call (cluster, pair.other, "/commit", "job-a");
   cluster_carry_out (cluster, write);
   cluster_release (cluster);
   write->held = TRUE;
@@ -89,12 +89,12 @@
   cluster_hold (cluster, pair.other, READING, NULL); /* or it would learn of it at once */
   cluster_lose (cluster, write);
   lose_all (cluster, pair.other, "job-a", id);
-  assert_int_equal (cluster_status (cluster, pair.other, id), 503);
+  assert_int_equal (cluster_reply_status (cluster, pair.other, id), 503);
   cluster_release (cluster);
   cluster_run (cluster, 1.5);
   id = cluster_submit (cluster, pair.other, "job-a", 1);
   cluster_run (cluster, 0.3);
-  assert_int_equal (cluster_status (cluster, pair.other, id), 200);
+  assert_int_equal (cluster_reply_status (cluster, pair.other, id), 200);
   assert_string_equal (cluster_job_state (cluster, pair.other, id), "queued");
   cluster_free (pair.cluster);
 }
@@ -111,25 +111,25 @@
   cluster_hold (cluster, pair.other, WATCH, NULL);
   guint64 id = cluster_submit (cluster, pair.other, "job-a", 1);
   cluster_tick (cluster, 0.05);
-  ClusterCall *write = cluster_call (cluster, pair.other, "/commit", "job-a");
+  ClusterCall *write = cluster_find_call (cluster, pair.other, "/commit", "job-a");
   cluster_carry_out (cluster, write);
-  guint64 revision = cluster_stamp (cluster, "h/j/job-a");
+  guint64 revision = cluster_key_revision (cluster, "h/j/job-a");
   lose_all (cluster, pair.other, "job-a", id);
-  assert_int_equal (cluster_status (cluster, pair.other, id), 503);
-  guint64 abort = cluster_abort (cluster, pair.leader, "job-a");
+  assert_int_equal (cluster_reply_status (cluster, pair.other, id), 503);
+  guint64 abort = cluster_cancel (cluster, pair.leader, "job-a");
   cluster_run (cluster, 0.3);
   assert_string_equal (cluster_job_state (cluster, pair.leader, abort), "withdrawn");
   id = cluster_submit (cluster, pair.other, "job-a", 2);
   cluster_tick (cluster, 0.05);
-  write = cluster_call (cluster, pair.other, "/commit", "job-a");
+  write = cluster_find_call (cluster, pair.other, "/commit", "job-a");
   assert_non_null (write); /* it knows of none, and tries */
   cluster_answer (cluster, write);
-  assert_int_equal (cluster_status (cluster, pair.other, id), 0);
+  assert_int_equal (cluster_reply_status (cluster, pair.other, id), 0);
   cluster_release (cluster);
   cluster_run (cluster, 0.3);
-  assert_int_equal (cluster_status (cluster, pair.other, id), 200);
+  assert_int_equal (cluster_reply_status (cluster, pair.other, id), 200);
   assert_string_equal (cluster_job_state (cluster, pair.other, id), "withdrawn");
-  assert_true (cluster_stamp (cluster, "h/j/job-a") > revision);
+  assert_true (cluster_key_revision (cluster, "h/j/job-a") > revision);
   cluster_free (cluster);
 }
 
@@ -140,11 +140,11 @@
     ControllerPair pair = controller_pair ();
     Cluster *cluster = pair.cluster;
     int node = at_leader ? pair.leader : pair.other;
-    cluster_place (cluster, pair.worker, pair.leader, "job-a");
+    cluster_submit_and_start (cluster, pair.worker, pair.leader, "job-a");
     cluster_hold (cluster, node, "/commit", "\"s\":2");
-    guint64 id = cluster_abort (cluster, node, "job-a");
+    guint64 id = cluster_cancel (cluster, node, "job-a");
     cluster_run (cluster, 0.3);
-    ClusterCall *write = cluster_call (cluster, node, "/commit", "\"s\":2");
+    ClusterCall *write = cluster_find_call (cluster, node, "/commit", "\"s\":2");
     assert_non_null (write);
     cluster_carry_out (cluster, write);
     cluster_release (cluster);
@@ -153,14 +153,14 @@
     cluster_hold (cluster, node, READING, NULL);
     cluster_lose (cluster, write);
     lose_all (cluster, node, "\"s\":2", id);
-    assert_int_equal (cluster_status (cluster, node, id), 503);
+    assert_int_equal (cluster_reply_status (cluster, node, id), 503);
     cluster_release (cluster);
     cluster_run (cluster, 1.5);
-    id = cluster_abort (cluster, node, "job-a");
+    id = cluster_cancel (cluster, node, "job-a");
     cluster_run (cluster, 0.3);
     assert_string_equal (cluster_job_state (cluster, node, id), "withdrawn");
     cluster_report (cluster, pair.worker, pair.leader);
-    assert_false (cluster_worker_has (pair.worker, "job-a"));
+    assert_false (cluster_worker_runs (pair.worker, "job-a"));
     cluster_free (cluster);
   }
 }
@@ -171,28 +171,28 @@
 {
   static const char *const wanted[] = {"queued", "withdrawn"};
   for (int carried_out = 0; carried_out < 2; carried_out++) {
-    Cluster *cluster = cluster_led (2);
+    Cluster *cluster = cluster_new_with_leader (2);
     int node = 1 - cluster_leader (cluster);
     for (int cancels = 0; cancels < 2; cancels++) {
       cluster_hold (cluster, node, "/commit", NULL);
-      guint64 id = cancels ? cluster_abort (cluster, node, "job-a")
+      guint64 id = cancels ? cluster_cancel (cluster, node, "job-a")
                            : cluster_submit (cluster, node, "job-a", 1);
       cluster_run (cluster, 0.1);
-      ClusterCall *write = cluster_call (cluster, node, "/commit", "job-a");
+      ClusterCall *write = cluster_find_call (cluster, node, "/commit", "job-a");
       assert_non_null (write);
       assert_true (write->timeout < 0.21);
       if (carried_out)
         cluster_carry_out (cluster, write);
-      guint64 revision = cluster_stamp (cluster, "h/j/job-a");
+      guint64 revision = cluster_key_revision (cluster, "h/j/job-a");
       if (!carried_out)
         cluster_release (cluster); /* else a look at the record has to be enough */
       ClusterCall *late = cluster_delay (cluster, write);
       cluster_run (cluster, 0.15);
       assert_string_equal (cluster_job_state (cluster, node, id), wanted[cancels]);
       if (carried_out && !cancels) /* the leader's tombstone follows a cancellation */
-        assert_int_equal (cluster_stamp (cluster, "h/j/job-a"), revision);
-      assert_int_equal (cluster_late (cluster, late), 409);
-      assert_string_equal (cluster_asked (cluster, node, "job-a"), wanted[cancels]);
+        assert_int_equal (cluster_key_revision (cluster, "h/j/job-a"), revision);
+      assert_int_equal (cluster_carry_out_delayed (cluster, late), 409);
+      assert_string_equal (cluster_poll_state (cluster, node, "job-a"), wanted[cancels]);
       cluster_release (cluster);
     }
     cluster_free (cluster);
@@ -213,30 +213,30 @@
     }
     cluster_submit (cluster, pair.leader, "job-a", 1);
     cluster_run (cluster, 0.5);
-    ClusterCall *write = cluster_call (cluster, pair.leader, "/commit", "m-000001");
+    ClusterCall *write = cluster_find_call (cluster, pair.leader, "/commit", "m-000001");
     assert_non_null (write);
     cluster_carry_out (cluster, write);
-    guint64 revision = cluster_stamp (cluster, "h/j/job-a");
+    guint64 revision = cluster_key_revision (cluster, "h/j/job-a");
     cluster_run (cluster, 0.5);
     if (by_reading) /* it has read its own tag */
-      assert_true (cluster_worker_has (pair.worker, "job-a"));
+      assert_true (cluster_worker_runs (pair.worker, "job-a"));
     else
-      assert_false (cluster_worker_has (pair.worker, "job-a"));
+      assert_false (cluster_worker_runs (pair.worker, "job-a"));
     cluster_lose (cluster, write);
     if (!by_reading) { /* sent again, and refused: it looks before it writes anything else */
       cluster_run (cluster, 0.2);
-      write = cluster_call (cluster, pair.leader, "/commit", "m-000001");
+      write = cluster_find_call (cluster, pair.leader, "/commit", "m-000001");
       assert_non_null (write);
       cluster_answer (cluster, write);
       cluster_run (cluster, 0.5);
-      assert_null (cluster_call (cluster, pair.leader, "/commit", "m-000001"));
+      assert_null (cluster_find_call (cluster, pair.leader, "/commit", "m-000001"));
     }
     cluster_release (cluster);
     cluster_run (cluster, 1);
     cluster_report (cluster, pair.worker, pair.leader);
-    assert_true (cluster_worker_has (pair.worker, "job-a"));
+    assert_true (cluster_worker_runs (pair.worker, "job-a"));
     assert_int_equal (pair.worker->tasks->len, 1);
-    assert_int_equal (cluster_stamp (cluster, "h/j/job-a"), revision);
+    assert_int_equal (cluster_key_revision (cluster, "h/j/job-a"), revision);
     cluster_free (cluster);
   }
 }
@@ -247,24 +247,24 @@
 {
   ControllerPair pair = controller_pair ();
   Cluster *cluster = pair.cluster;
-  cluster_place (cluster, pair.worker, pair.leader, "job-a");
+  cluster_submit_and_start (cluster, pair.worker, pair.leader, "job-a");
   cluster_hold (cluster, pair.leader, "/commit", "\"s\":1");
-  cluster_worker_ends (pair.worker, "done");
+  cluster_worker_exit_tasks (pair.worker, "done");
   cluster_report (cluster, pair.worker, pair.leader);
   cluster_run (cluster, 0.5);
-  ClusterCall *write = cluster_call (cluster, pair.leader, "/commit", "\"s\":1");
+  ClusterCall *write = cluster_find_call (cluster, pair.leader, "/commit", "\"s\":1");
   assert_non_null (write);
   for (int i = 0; i < 2; i++) /* done in the leader's memory alone */
-    assert_string_not_equal (cluster_asked (cluster, i, "job-a"), "done");
+    assert_string_not_equal (cluster_poll_state (cluster, i, "job-a"), "done");
   cluster_carry_out (cluster, write);
-  guint64 revision = cluster_stamp (cluster, "h/j/job-a");
-  assert_string_equal (cluster_asked (cluster, pair.other, "job-a"), "done");
-  assert_string_equal (cluster_asked (cluster, pair.leader, "job-a"), "done");
+  guint64 revision = cluster_key_revision (cluster, "h/j/job-a");
+  assert_string_equal (cluster_poll_state (cluster, pair.other, "job-a"), "done");
+  assert_string_equal (cluster_poll_state (cluster, pair.leader, "job-a"), "done");
   cluster_lose (cluster, write);
   cluster_release (cluster);
   cluster_run (cluster, 1);
   assert_answered (&pair, "job-a", "done");
-  assert_int_equal (cluster_stamp (cluster, "h/j/job-a"), revision);
+  assert_int_equal (cluster_key_revision (cluster, "h/j/job-a"), revision);
   cluster_free (cluster);
 }
 
@@ -275,9 +275,9 @@
   Cluster *cluster = cluster_new (2);
   cluster_hold (cluster, 0, "/commit", "h/leader");
   cluster_hold (cluster, 1, "/commit", "h/leader");
-  for (int i = 0; i < 100 && !cluster_call (cluster, 0, "/commit", "h/leader"); i++)
+  for (int i = 0; i < 100 && !cluster_find_call (cluster, 0, "/commit", "h/leader"); i++)
     cluster_run (cluster, 0.05);
-  ClusterCall *write = cluster_call (cluster, 0, "/commit", "h/leader");
+  ClusterCall *write = cluster_find_call (cluster, 0, "/commit", "h/leader");
   assert_non_null (write);
   cluster_carry_out (cluster, write);
   cluster_run (cluster, 0.2);
@@ -303,15 +303,15 @@
   cluster_submit (cluster, pair.other, "job-a", 1);
   cluster_tick (cluster, 0.05);
   ClusterCall *late =
-      cluster_delay (cluster, cluster_call (cluster, pair.other, "/commit", "job-a"));
+      cluster_delay (cluster, cluster_find_call (cluster, pair.other, "/commit", "job-a"));
   cluster_release (cluster);
-  cluster_place (cluster, pair.worker, pair.other,
-                 "job-a"); /* by the next try, and by a repetition */
-  cluster_worker_ends (pair.worker, "done");
+  cluster_submit_and_start (cluster, pair.worker, pair.other,
+                            "job-a"); /* by the next try, and by a repetition */
+  cluster_worker_exit_tasks (pair.worker, "done");
   cluster_report (cluster, pair.worker, pair.leader);
   cluster_run (cluster, 1);
   assert_answered (&pair, "job-a", "done");
-  assert_int_equal (cluster_late (cluster, late), 409);
+  assert_int_equal (cluster_carry_out_delayed (cluster, late), 409);
   cluster_run (cluster, 1);
   assert_answered (&pair, "job-a", "done");
   cluster_free (cluster);
@@ -323,20 +323,20 @@
 {
   ControllerPair pair = controller_pair ();
   Cluster *cluster = pair.cluster;
-  cluster_place (cluster, pair.worker, pair.leader, "job-a");
+  cluster_submit_and_start (cluster, pair.worker, pair.leader, "job-a");
   cluster_hold (cluster, pair.other, "/commit", NULL);
-  guint64 id = cluster_abort (cluster, pair.other, "job-a");
+  guint64 id = cluster_cancel (cluster, pair.other, "job-a");
   cluster_run (cluster, 0.3);
   ClusterCall *late =
-      cluster_delay (cluster, cluster_call (cluster, pair.other, "/commit", "job-a"));
+      cluster_delay (cluster, cluster_find_call (cluster, pair.other, "/commit", "job-a"));
   lose_all (cluster, pair.other, "job-a", id);
-  assert_int_equal (cluster_status (cluster, pair.other, id), 503);
+  assert_int_equal (cluster_reply_status (cluster, pair.other, id), 503);
   cluster_release (cluster);
-  cluster_worker_ends (pair.worker, "done");
+  cluster_worker_exit_tasks (pair.worker, "done");
   cluster_report (cluster, pair.worker, pair.leader);
   cluster_run (cluster, 1);
   assert_answered (&pair, "job-a", "done");
-  assert_int_equal (cluster_late (cluster, late), 409);
+  assert_int_equal (cluster_carry_out_delayed (cluster, late), 409);
   cluster_run (cluster, 1);
   assert_answered (&pair, "job-a", "done");
   cluster_free (cluster);
@@ -351,13 +351,13 @@
   cluster_hold (cluster, pair.leader, "/commit", "m-000001");
   cluster_submit (cluster, pair.leader, "job-a", 1);
   cluster_run (cluster, 0.5);
-  ClusterCall *write = cluster_call (cluster, pair.leader, "/commit", "m-000001");
+  ClusterCall *write = cluster_find_call (cluster, pair.leader, "/commit", "m-000001");
   assert_non_null (write);
   depose_unaware (&pair);
-  guint64 revision = cluster_stamp (cluster, "h/j/job-a");
+  guint64 revision = cluster_key_revision (cluster, "h/j/job-a");
   cluster_carry_out (cluster, write);
   assert_int_equal (write->status, 409);
-  assert_int_equal (cluster_stamp (cluster, "h/j/job-a"), revision);
+  assert_int_equal (cluster_key_revision (cluster, "h/j/job-a"), revision);
   cluster_free (cluster);
 }
 
@@ -367,15 +367,15 @@
 {
   ControllerPair pair = controller_pair ();
   Cluster *cluster = pair.cluster;
-  cluster_place (cluster, pair.worker, pair.leader, "job-a");
+  cluster_submit_and_start (cluster, pair.worker, pair.leader, "job-a");
   cluster_hold (cluster, pair.leader, "/commit", "\"s\":1");
-  cluster_worker_ends (pair.worker, "done");
+  cluster_worker_exit_tasks (pair.worker, "done");
   cluster_report (cluster, pair.worker, pair.leader);
   cluster_run (cluster, 0.5);
-  ClusterCall *write = cluster_call (cluster, pair.leader, "/commit", "\"s\":1");
+  ClusterCall *write = cluster_find_call (cluster, pair.leader, "/commit", "\"s\":1");
   assert_non_null (write);
   depose_unaware (&pair);
-  guint64 abort = cluster_abort (cluster, pair.other, "job-a");
+  guint64 abort = cluster_cancel (cluster, pair.other, "job-a");
   cluster_run (cluster, 0.3);
   assert_string_equal (cluster_job_state (cluster, pair.other, abort), "withdrawn");
   cluster_carry_out (cluster, write);
@@ -398,26 +398,26 @@
   cluster_hold (cluster, pair.leader, "/touch", NULL);
   cluster_hold (cluster, pair.leader, "/commit", "h/leader");
   cluster_hold (cluster, pair.other, "/commit", "h/leader");
-  for (int i = 0; i < 200 && !cluster_call (cluster, pair.other, "/commit", "h/leader"); i++)
+  for (int i = 0; i < 200 && !cluster_find_call (cluster, pair.other, "/commit", "h/leader"); i++)
     cluster_run (cluster, 0.05);
   ClusterCall *late =
-      cluster_delay (cluster, cluster_call (cluster, pair.other, "/commit", "h/leader"));
-  for (int i = 0; i < 200 && !cluster_call (cluster, pair.other, "/commit", "h/leader"); i++)
+      cluster_delay (cluster, cluster_find_call (cluster, pair.other, "/commit", "h/leader"));
+  for (int i = 0; i < 200 && !cluster_find_call (cluster, pair.other, "/commit", "h/leader"); i++)
     cluster_run (cluster, 0.05);
   ClusterCall *later =
-      cluster_delay (cluster, cluster_call (cluster, pair.other, "/commit", "h/leader"));
+      cluster_delay (cluster, cluster_find_call (cluster, pair.other, "/commit", "h/leader"));
   cluster_release (cluster);
   for (int i = 0; i < 200 && cluster_leader (cluster) != pair.other; i++)
     cluster_run (cluster, 0.05);
-  guint64 map = cluster_stamp (cluster, "h/map");
-  assert_int_equal (cluster_late (cluster, late), 409);
-  assert_int_equal (cluster_stamp (cluster, "h/map"), map);
+  guint64 map = cluster_key_revision (cluster, "h/map");
+  assert_int_equal (cluster_carry_out_delayed (cluster, late), 409);
+  assert_int_equal (cluster_key_revision (cluster, "h/map"), map);
   /* The process ends; its claim lapses; its write comes then. */
-  cluster_end (cluster, pair.other);
+  cluster_stop_node (cluster, pair.other);
   cluster_hold (cluster, pair.leader, "/commit", "h/leader");
   cluster_run (cluster, 10);
   assert_null (cluster_value (cluster, "h/leader"));
-  assert_int_equal (cluster_late (cluster, later), 400);
+  assert_int_equal (cluster_carry_out_delayed (cluster, later), 400);
   assert_null (cluster_value (cluster, "h/leader"));
   cluster_free (cluster);
 }
@@ -433,15 +433,15 @@
     ControllerPair pair = controller_pair ();
     Cluster *cluster = pair.cluster;
     int node = at_leader ? pair.leader : pair.other;
-    cluster_place (cluster, pair.worker, pair.leader, "job-a");
+    cluster_submit_and_start (cluster, pair.worker, pair.leader, "job-a");
     cluster_hold (cluster, pair.leader, "/commit", "\"s\":1");
     cluster_hold (cluster, node, "/commit", "\"s\":2");
-    cluster_worker_ends (pair.worker, "done");
+    cluster_worker_exit_tasks (pair.worker, "done");
     cluster_report (cluster, pair.worker, pair.leader);
-    guint64 abort = cluster_abort (cluster, node, "job-a");
+    guint64 abort = cluster_cancel (cluster, node, "job-a");
     cluster_run (cluster, 0.5);
-    ClusterCall *end = cluster_call (cluster, pair.leader, "/commit", "\"s\":1");
-    ClusterCall *cancellation = cluster_call (cluster, node, "/commit", "\"s\":2");
+    ClusterCall *end = cluster_find_call (cluster, pair.leader, "/commit", "\"s\":1");
+    ClusterCall *cancellation = cluster_find_call (cluster, node, "/commit", "\"s\":2");
     assert_non_null (end);
     assert_non_null (cancellation);
     cluster_carry_out (cluster, end_first ? end : cancellation);
@@ -475,11 +475,11 @@
     ControllerPair pair = controller_pair ();
     Cluster *cluster = pair.cluster;
     int node = at_leader ? pair.leader : pair.other;
-    cluster_place (cluster, pair.worker, pair.leader, "job-a");
-    guint64 abort = cluster_abort (cluster, node, "job-a");
+    cluster_submit_and_start (cluster, pair.worker, pair.leader, "job-a");
+    guint64 abort = cluster_cancel (cluster, node, "job-a");
     cluster_run (cluster, 0.5);
     assert_string_equal (cluster_job_state (cluster, node, abort), "withdrawn");
-    assert_false (cluster_worker_has (pair.worker, "job-a"));
+    assert_false (cluster_worker_runs (pair.worker, "job-a"));
     cluster_report (cluster, pair.worker, pair.leader);
     cluster_report (cluster, pair.worker, pair.leader);
     cluster_run (cluster, 1);
@@ -497,26 +497,27 @@
 {
   ControllerPair pair = controller_pair ();
   Cluster *cluster = pair.cluster;
-  cluster_place (cluster, pair.worker, pair.leader, "job-a");
+  cluster_submit_and_start (cluster, pair.worker, pair.leader, "job-a");
   depose_unaware (&pair);
   assert_int_equal (cluster_report (cluster, pair.worker, pair.other), 200);
   assert_int_equal (cluster_report (cluster, pair.worker, pair.other), 200);
-  assert_true (cluster_worker_has (pair.worker, "job-a"));
-  guint64 abort = cluster_abort (cluster, pair.leader, "job-a");
+  assert_true (cluster_worker_runs (pair.worker, "job-a"));
+  guint64 abort = cluster_cancel (cluster, pair.leader, "job-a");
   cluster_tick (cluster, 0.05); /* one reading of its own, which does not bring the leader record */
-  ClusterCall *reading = cluster_call (cluster, pair.leader, READING, NULL);
+  ClusterCall *reading = cluster_find_call (cluster, pair.leader, READING, NULL);
   g_autofree char *nothing = g_strdup_printf ("{\"epoch\":0,\"log\":[]}");
   cluster_answer_with (cluster, reading, 200, nothing);
   cluster_run (cluster, 0.3);
-  if (!cluster_status (cluster, pair.leader, abort)) {
+  if (!cluster_reply_status (cluster, pair.leader, abort)) {
     cluster_tick (cluster, 0.05);
-    cluster_answer_with (cluster, cluster_call (cluster, pair.leader, READING, NULL), 200, nothing);
+    cluster_answer_with (cluster, cluster_find_call (cluster, pair.leader, READING, NULL), 200,
+                         nothing);
     cluster_run (cluster, 0.3);
   }
   assert_string_equal (cluster_job_state (cluster, pair.leader, abort), "withdrawn");
   cluster_run (cluster, 0.5);
   cluster_report (cluster, pair.worker, pair.other);
-  assert_false (cluster_worker_has (pair.worker, "job-a"));
+  assert_false (cluster_worker_runs (pair.worker, "job-a"));
   cluster->exchange_statuses = TRUE;
   cluster_release (cluster);
   cluster_run (cluster, 2);
@@ -528,28 +529,28 @@
 static void
 a_cancellation_falls_into_the_hand_over (void **state G_GNUC_UNUSED)
 {
-  Cluster *cluster = cluster_led (3);
+  Cluster *cluster = cluster_new_with_leader (3);
   int old = cluster_leader (cluster);
   ClusterWorker *worker = cluster_worker (cluster, "m-000001");
   cluster_report (cluster, worker, old);
   cluster_report (cluster, worker, old);
-  cluster_place (cluster, worker, old, "job-a");
+  cluster_submit_and_start (cluster, worker, old, "job-a");
   for (int i = 0; i < 3; i++)
     cluster_hold (cluster, i, "/commit", "h/leader");
-  cluster_end (cluster, old);
+  cluster_stop_node (cluster, old);
   int next = -1;
   for (int i = 0; i < 400 && next < 0; i++) {
     cluster_run (cluster, 0.05);
     for (int k = 0; k < 3; k++)
-      if (k != old && cluster_call (cluster, k, "/commit", "h/leader"))
+      if (k != old && cluster_find_call (cluster, k, "/commit", "h/leader"))
         next = k;
   }
   int third = 3 - old - next;
   cluster_hold (cluster, next, READING, NULL);
   cluster_hold (cluster, next, WATCH, NULL);
-  ClusterCall *write = cluster_call (cluster, next, "/commit", "h/leader");
+  ClusterCall *write = cluster_find_call (cluster, next, "/commit", "h/leader");
   cluster_carry_out (cluster, write);
-  guint64 abort = cluster_abort (cluster, third, "job-a");
+  guint64 abort = cluster_cancel (cluster, third, "job-a");
   cluster_run (cluster, 0.3);
   assert_string_equal (cluster_job_state (cluster, third, abort), "withdrawn");
   cluster_answer (cluster, write);
@@ -558,9 +559,9 @@
   assert_int_equal (cluster_leader (cluster), next);
   for (int i = 0; i < 3; i++)
     cluster_report (cluster, worker, next);
-  assert_false (cluster_worker_has (worker, "job-a"));
+  assert_false (cluster_worker_runs (worker, "job-a"));
   cluster_run (cluster, 1);
-  assert_string_equal (cluster_asked (cluster, next, "job-a"), "withdrawn");
+  assert_string_equal (cluster_poll_state (cluster, next, "job-a"), "withdrawn");
   cluster_free (cluster);
 }
 
@@ -576,7 +577,7 @@
   cluster_hold (cluster, pair.leader, "/do", NULL);
   cluster_submit (cluster, pair.other, "job-a", 1);
   cluster_run (cluster, 0.5);
-  ClusterCall *order = cluster_call (cluster, pair.leader, "/do", "job-a");
+  ClusterCall *order = cluster_find_call (cluster, pair.leader, "/do", "job-a");
   assert_non_null (order); /* still on its way */
   cluster_hold (cluster, pair.leader, READING, NULL);
   cluster_hold (cluster, pair.leader, WATCH, NULL);
@@ -584,7 +585,7 @@
   cluster_submit (cluster, pair.other, "job-b", 1); /* so that there is a change to miss */
   cluster_serve (cluster);
   cluster_forget_changes (cluster);
-  cluster_answer (cluster, cluster_call (cluster, pair.leader, READING, NULL));
+  cluster_answer (cluster, cluster_find_call (cluster, pair.leader, READING, NULL));
   cluster_release (cluster);
   order->held = TRUE;
   for (int i = 0; i < 40; i++) {
@@ -593,8 +594,8 @@
     if (cluster_report (cluster, pair.worker, leader) == 200 && i > 2)
       cluster_report (cluster, other, leader);
   }
-  assert_true (cluster_worker_has (pair.worker, "job-a") || cluster_worker_has (other, "job-a"));
-  assert_int_equal (cluster_direct (pair.worker, order), 409);
+  assert_true (cluster_worker_runs (pair.worker, "job-a") || cluster_worker_runs (other, "job-a"));
+  assert_int_equal (cluster_deliver_direct_call (pair.worker, order), 409);
   cluster_free (cluster);
 }
 
@@ -620,6 +621,6 @@
       cmocka_unit_test (a_cancellation_falls_into_the_hand_over),
       cmocka_unit_test (a_leader_that_reads_anew_voids_its_orders),
   };
-  g_log_set_writer_func (cluster_log, NULL, NULL);
+  g_log_set_writer_func (cluster_log_writer, NULL, NULL);
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
