--- a/tests/test_fault_scenarios.c
+++ b/tests/test_fault_scenarios.c
@@ -1,11 +1,11 @@
-/* Days of the simulated cluster on which two troubles meet. One function for each meeting, with
- * a table of its troubles; it is played with several seeds. Every rule of the protocol is
- * asserted at every event, and all work is done once the troubles are over. Machines and load:
- * test_fault_scenarios_fleet.c. */
+/* Fault scenarios: days of the simulated cluster on which two kinds of faults overlap. Each test
+ * has a table of its faults and is played with several seeds. Every rule of the protocol is checked
+ * at every event, and all work must be done once the faults are over. Scenarios of machines and
+ * load are in test_fault_scenarios_fleet.c. */
 #include "fault_scenarios.h"
 
-/* A transaction is carried out late, after newer ones of the same controller, while users look
- * closely. */
+/* A transaction is carried out late, after newer ones of the same controller, while users poll all
+ * nodes within milliseconds. */
 static void
 late_writes_and_looks (void **state G_GNUC_UNUSED)
 {
@@ -17,8 +17,8 @@
   PLAY (2000, 2004, day);
 }
 
-/* Users call jobs off within milliseconds after they were accepted, and look closely. Launches that
- * are on their way then still start a task here and there. */
+/* Users cancel jobs within milliseconds after they were accepted, and poll all nodes. Launches that
+ * are in flight at that time may still start a few tasks. */
 static void
 cancels_at_once_and_looks (void **state G_GNUC_UNUSED)
 {
@@ -42,12 +42,12 @@
   PLAY (2010, 2014, day);
 }
 
-/* A report is held back until a new leader has acted, and then arrives there. */
+/* A report is delayed until a new leader has acted, and then arrives there. */
 static void
 reports_for_the_next_leader (void **state G_GNUC_UNUSED)
 {
   static const HrTrouble day[] = {
-      /* Some are of machines that go, and are gone for long when the copies come. */
+      /* Some are from machines that crash long before their delayed reports arrive. */
       {.at_s = 35, .kind = TROUBLE_LATE_REPORTS, .for_s = 24, .share = 0.7, .for_next = TRUE},
       {.at_s = 59.5, .kind = TROUBLE_MACHINE_CRASH, .share = 0.5},
       {.at_s = 106, .kind = TROUBLE_CANCEL_NOW, .count = 8, .hang_s = 11},
@@ -55,7 +55,7 @@
   PLAY (2020, 2024, day);
 }
 
-/* An old report reaches every controller just as a new leader begins. */
+/* An old report reaches every controller just as a new leader takes over. */
 static void
 reports_as_a_leader_begins (void **state G_GNUC_UNUSED)
 {
@@ -69,8 +69,8 @@
   PLAY (2030, 2034, day);
 }
 
-/* A direct order is held up for seconds, unanswered, while its job is called off and machines do
- * not hear their controllers. */
+/* A direct call is delayed for seconds without an answer, while its job is cancelled and machines
+ * receive nothing from the controllers. */
 static void
 late_commands_and_deaf_machines (void **state G_GNUC_UNUSED)
 {
@@ -82,8 +82,8 @@
   PLAY (2040, 2044, day);
 }
 
-/* Workers reach no controller while direct orders reach them; jobs are called off meanwhile, and
- * the leader ends. */
+/* Workers reach no controller while direct calls reach them; jobs are cancelled meanwhile, and the
+ * leader crashes. */
 static void
 mute_machines_and_cancels (void **state G_GNUC_UNUSED)
 {
@@ -96,8 +96,8 @@
   PLAY (2050, 2054, day);
 }
 
-/* A leader is cut from the state service and the other controllers, not from workers and users,
- * and jobs are called off through the new one. */
+/* A leader is cut off from the state service and the other controllers, but not from workers and
+ * users, and jobs are cancelled through the new leader. */
 static void
 cut_leaders_and_cancels (void **state G_GNUC_UNUSED)
 {
@@ -122,8 +122,8 @@
   PLAY (2060, 2064, day);
 }
 
-/* Jobs are called off at the very moment at which the state service refuses the leader alone; a
- * second later it is out for longer than cancel_s. */
+/* Jobs are cancelled at the moment at which the state service begins to refuse the leader alone; a
+ * second later the state service is down for longer than cancel_s. */
 static void
 refused_leaders_and_outages (void **state G_GNUC_UNUSED)
 {
@@ -137,7 +137,7 @@
   PLAY (2070, 2076, day);
 }
 
-/* The state service answers slowly while users cancel and look closely. */
+/* The state service answers slowly while users cancel jobs and poll all nodes. */
 static void
 slow_state_and_looks (void **state G_GNUC_UNUSED)
 {
@@ -150,8 +150,8 @@
   PLAY (2080, 2084, day);
 }
 
-/* Requests that must be turned away or change nothing, while writes lose their answers and the
- * leader changes. */
+/* Users send malformed requests, which must be rejected or change nothing, while answers to writes
+ * are lost and the leader changes. */
 static void
 odd_requests_and_new_leaders (void **state G_GNUC_UNUSED)
 {
@@ -164,7 +164,7 @@
   PLAY (2090, 2093, day);
 }
 
-/* Leaders change ten times in two minutes, also inside an outage. */
+/* The leader crashes ten times in two minutes, also during an outage of the state service. */
 static void
 ten_leaders_and_an_outage (void **state G_GNUC_UNUSED)
 {
@@ -175,8 +175,8 @@
   PLAY (2120, 2124, day);
 }
 
-/* The leader ends while machines hear nothing, or cannot be reached, and copies of their reports
- * are kept for the next one. */
+/* The leader crashes while machines receive nothing or are cut off, and copies of their reports are
+ * delayed until the next leader has taken over. */
 static void
 deaf_machines_and_the_next_leader (void **state G_GNUC_UNUSED)
 {
@@ -191,8 +191,8 @@
   PLAY (2300, 2304, day);
 }
 
-/* A leader stands still for seconds and goes on with what it believed, is refused by the state
- * service alone, and the service is out for all. */
+/* A leader is suspended for seconds and continues with outdated state; the state service refuses
+ * the leader alone, and is then down for all. */
 static void
 standing_leaders_and_refusals (void **state G_GNUC_UNUSED)
 {
--- a/tests/test_fault_scenarios_fleet.c
+++ b/tests/test_fault_scenarios_fleet.c
@@ -1,12 +1,12 @@
-/* Days of the simulated cluster on which two troubles meet. One function for each meeting, with
- * a table of its troubles; it is played with several seeds. Every rule of the protocol is
- * asserted at every event, and all work is done once the troubles are over. Users, messages and
- * leaders: test_fault_scenarios.c. */
+/* Fault scenarios: days of the simulated cluster on which two kinds of faults overlap. Each test
+ * has a table of its faults and is played with several seeds. Every rule of the protocol is checked
+ * at every event, and all work must be done once the faults are over. Scenarios of users, messages
+ * and leaders are in test_fault_scenarios.c. */
 #include "fault_scenarios.h"
 #include "sim/workloads_large.h"
 
-/* New machines are up within two seconds and get work at once while writes lag, and the leader
- * ends. */
+/* New machines are up within two seconds and get work at once while writes are delayed, and the
+ * leader crashes. */
 static void
 fast_boots_and_late_writes (void **state G_GNUC_UNUSED)
 {
@@ -21,13 +21,13 @@
 }
 
 static void
-four_a_second (World *world)
+four_jobs_per_second (World *world)
 {
   users_singles (world, 5, 185, 4, 0.25);
 }
 
-/* One-task jobs come four a second for minutes, a quarter of them cancelled; leaders change
- * meanwhile and answers to writes are lost. */
+/* Four one-task jobs are submitted per second for minutes and a quarter of them is cancelled; the
+ * leader changes meanwhile and answers to writes are lost. */
 static void
 single_jobs_and_new_leaders (void **state G_GNUC_UNUSED)
 {
@@ -37,10 +37,11 @@
       {.at_s = 60, .kind = TROUBLE_NODE_CRASH, .who = WHO_LEADER},
       {.at_s = 100, .kind = TROUBLE_LATE_WRITES, .for_s = 30, .share = 0.2, .at_once = TRUE},
       {.at_s = 140, .kind = TROUBLE_NODE_CRASH, .who = WHO_LEADER, .back_s = 0.4}};
-  PLAY_SET (2110, 2112, day, .users = four_a_second, .until = 500);
+  PLAY_SET (2110, 2112, day, .users = four_jobs_per_second, .until = 500);
 }
 
-/* A zone with workers and a controller is cut off for longer than lease_s; leading or not. */
+/* A zone with workers and a controller is cut off for longer than lease_s; once the controller is
+ * the leader, once it is not. */
 static void
 cut_zones_and_cancels (void **state G_GNUC_UNUSED)
 {
@@ -57,8 +58,8 @@
   PLAY (2130, 2134, day);
 }
 
-/* Every team is at its limit while jobs are called off whose machines are cut off or hang, and
- * the leader changes. */
+/* Every team is at its limit while jobs are cancelled whose machines are cut off or hang, and the
+ * leader changes. */
 static void
 full_teams_and_cut_machines (void **state G_GNUC_UNUSED)
 {
@@ -72,8 +73,8 @@
   PLAY_SET (2140, 2144, day, .quota_gpus = 12, .until = 1100);
 }
 
-/* All controllers are away for longer than lease_s; a zone's machines are cut off as they come
- * back. */
+/* All controllers are down for longer than lease_s; a zone's machines are still cut off as the
+ * controllers come back. */
 static void
 no_controllers_and_cut_machines (void **state G_GNUC_UNUSED)
 {
@@ -87,12 +88,12 @@
 }
 
 static void
-bound_to_zones (World *world)
+zone_bound_jobs (World *world)
 {
   users_bound (world, 32, 200);
 }
 
-/* Jobs bound to one zone, arrays too, lose machines. */
+/* Jobs bound to one zone, also arrays, lose machines. */
 static void
 bound_jobs_and_lost_machines (void **state G_GNUC_UNUSED)
 {
@@ -102,33 +103,33 @@
       {.at_s = 120, .kind = TROUBLE_MACHINE_HANG, .zone = ZONE (1), .share = 0.5, .for_s = 18},
       {.at_s = 125, .kind = TROUBLE_CANCEL_NOW, .count = 6},
       {.at_s = 170, .kind = TROUBLE_MACHINE_CUT, .zone = ZONE (0), .for_s = 25}};
-  PLAY_SET (2160, 2164, day, .users = bound_to_zones);
+  PLAY_SET (2160, 2164, day, .users = zone_bound_jobs);
 }
 
 static void
-too_much (World *world)
+overload (World *world)
 {
   users_overload (world, 5);
 }
 
 static void
-at_their_limit (World *world)
+jobs_near_limit (World *world)
 {
   users_at_limit (world, 5);
 }
 
-/* A team is near its limit, a gang waits for more of it than there is left, and the leader
- * changes: arrays for which there is room beside it run. */
+/* A team is near its limit, a gang needs more than the rest of the limit, and the leader changes:
+ * arrays that fit into the rest run while the gang waits. */
 static void
 a_gang_beyond_the_limit_and_new_leaders (void **state G_GNUC_UNUSED)
 {
   static const HrTrouble day[] = {
       {.at_s = 60, .kind = TROUBLE_NODE_CRASH, .who = WHO_LEADER},
       {.at_s = 70, .kind = TROUBLE_NODE_CRASH, .who = WHO_LEADER, .back_s = 0.4}};
-  PLAY_SET (2190, 2192, day, .users = at_their_limit, .quota_gpus = 12);
+  PLAY_SET (2190, 2192, day, .users = jobs_near_limit, .quota_gpus = 12);
 }
 
-/* There is more work than room, urgent and not, over slow links. */
+/* There is more urgent and normal work than capacity, and links are slow. */
 static void
 overload_and_slow_links (void **state G_GNUC_UNUSED)
 {
@@ -141,11 +142,11 @@
        .hang_s = 12,
        .times = 3,
        .every_s = 9}};
-  PLAY_SET (2170, 2174, day, .users = too_much, .capacity = 8, .until = 900);
+  PLAY_SET (2170, 2174, day, .users = overload, .capacity = 8, .until = 900);
 }
 
-/* Tasks of a job end far apart, across changes of the leader; machines go before their ends are
- * recorded, and only the answers to writes are lost. */
+/* Tasks of a job end far apart, across changes of the leader; machines crash before the tasks' ends
+ * are recorded, and answers to writes are lost although the writes are carried out. */
 static void
 ends_far_apart_and_new_leaders (void **state G_GNUC_UNUSED)
 {
@@ -158,8 +159,8 @@
   PLAY (2320, 2324, day);
 }
 
-/* The cloud is in trouble while machines go, and the leader ends: when that is over machines are
- * returned and rented at once again. */
+/* The cloud is down while machines crash, and the leader crashes: after the outage machines are
+ * returned and others rented at once. */
 static void
 cloud_outages_and_lost_machines (void **state G_GNUC_UNUSED)
 {
--- a/tests/test_pairs.c
+++ b/tests/test_pairs.c
@@ -1,13 +1,12 @@
-/* Search: all pairs of kinds of troubles, the second one in the first one's critical window.
+/* Search over all pairs of fault kinds, the second one in the critical window of the first.
  *
- *   test_pairs FROM TO        plays the days numbered so (DAYS in all), prints which pairs met
- *   test_pairs replay FILE    plays a day again that a search has printed
+ *   test_pairs FROM TO        plays days FROM to TO - 1, prints which pairs overlapped
+ *   test_pairs replay FILE    replays a day that a search has printed
  *
- * A day has PAIRS_A_DAY pairs, one after the other. The second trouble of a pair begins at a moment
- * after the first one has begun: as a write leaves its controller, is carried out or answered, as a
- * worker is answered, or as the leader record names a new leader. A day that breaks a rule is
- * compacted: troubles are taken out, and shortened, while it still breaks one; what is left is
- * printed. */
+ * A day has PAIRS_A_DAY pairs, one after the other. The second fault of a pair is triggered by an
+ * event after the beginning of the first: a write leaves its controller, is carried out or
+ * answered, a worker is answered, or the leader record names a new leader. A day that breaks a rule
+ * is shrunk: faults are removed and shortened while it still breaks a rule; the rest is printed. */
 #include "sim/fault_scenario.h"
 #include "sim/log.h"
 #include "sim/user.h"
@@ -22,16 +21,16 @@
 #define DAYS ((PAIRS * MOMENTS + PAIRS_A_DAY - 1) / PAIRS_A_DAY)
 #define FIRST_AT_S 50.0
 #define PAIR_EVERY_S 45.0
-/* The second one waits for its moment from so long after the first one's beginning. */
+/* The second fault waits for its trigger from up to this time after the first one's start. */
 #define WITHIN_S 3.0
 #define SEED 71000
 #define DAY_S 800.0
-#define MOST 32
+#define MAX_FAULTS 32
 #define SHRINK_PLAYS 120
 
 typedef struct {
   guint32 seed;
-  HrTrouble troubles[MOST];
+  HrTrouble faults[MAX_FAULTS];
   guint n;
 } Day;
 
@@ -40,7 +39,7 @@
   HrMoment moment;
 } Pair;
 
-/* The pair with this number: pairs of kinds go through all moments in turn. */
+/* Returns the pair with this number. Each pair of kinds is combined with every trigger in turn. */
 static Pair
 pair_of (guint number)
 {
@@ -64,7 +63,7 @@
   for (guint i = 0; i < PAIRS_A_DAY; i++) {
     Pair pair = pair_of (number * PAIRS_A_DAY + i);
     double at = FIRST_AT_S + i * PAIR_EVERY_S;
-    HrTrouble *first = &day.troubles[day.n++], *second = &day.troubles[day.n++];
+    HrTrouble *first = &day.faults[day.n++], *second = &day.faults[day.n++];
     *first = trouble_draw (rand, pair.first, at, 14);
     *second = trouble_draw (rand, pair.second, at + g_rand_double_range (rand, 0, WITHIN_S), 14);
     second->on = pair.moment;
@@ -72,14 +71,14 @@
   return day;
 }
 
-/* Returns the world at the day's end, to be freed. */
+/* Returns the simulation at the day's end: (transfer full). */
 static World *
 play (const Day *day)
 {
   World *world = world_new (day->seed, day->seed % 3 == 2 ? 5 : 3);
   users_init (world, 40, 260);
   users_probe (world);
-  troubles_plan (world, day->troubles, day->n);
+  troubles_plan (world, day->faults, day->n);
   world_run (world, DAY_S);
   for (guint i = 0; i < world->jobs->len; i++) {
     const SimJob *job = world->jobs->pdata[i];
@@ -107,13 +106,14 @@
 static Day
 without (const Day *day, guint at)
 {
-  Day less = *day;
-  memmove (less.troubles + at, less.troubles + at + 1, (less.n - at - 1) * sizeof less.troubles[0]);
-  less.n--;
-  return less;
+  Day smaller = *day;
+  memmove (smaller.faults + at, smaller.faults + at + 1,
+           (smaller.n - at - 1) * sizeof smaller.faults[0]);
+  smaller.n--;
+  return smaller;
 }
 
-/* The fewest troubles, each as short as may be, that still break a rule, within a bounded number of
+/* Returns the day with as few and as short faults as still break a rule, after at most SHRINK_PLAYS
  * plays. */
 static Day
 shrink (Day day)
@@ -123,21 +123,21 @@
   while (changed && plays < SHRINK_PLAYS) {
     changed = FALSE;
     for (guint i = 0; i < day.n && plays < SHRINK_PLAYS; i++, plays++) {
-      Day less = without (&day, i);
-      if (!breaks (&less))
+      Day smaller = without (&day, i);
+      if (!breaks (&smaller))
         continue;
-      day = less;
+      day = smaller;
       changed = TRUE;
       i--;
     }
   }
   for (guint i = 0; i < day.n && plays < SHRINK_PLAYS; i++)
-    while (day.troubles[i].for_s > 1 && plays++ < SHRINK_PLAYS) {
-      Day less = day;
-      less.troubles[i].for_s /= 2;
-      if (!breaks (&less))
+    while (day.faults[i].for_s > 1 && plays++ < SHRINK_PLAYS) {
+      Day smaller = day;
+      smaller.faults[i].for_s /= 2;
+      if (!breaks (&smaller))
         break;
-      day = less;
+      day = smaller;
     }
   return day;
 }
@@ -147,7 +147,7 @@
 {
   fprintf (stderr, "seed=%u\n", day->seed);
   for (guint i = 0; i < day->n; i++) {
-    g_autofree char *text = trouble_text (&day->troubles[i]);
+    g_autofree char *text = trouble_text (&day->faults[i]);
     fprintf (stderr, "%s\n", text);
   }
 }
@@ -161,18 +161,18 @@
 
 /* ---- the search ---- */
 
-static guint met[TROUBLE_KINDS][TROUBLE_KINDS];
+static guint overlaps[TROUBLE_KINDS][TROUBLE_KINDS];
 
-/* Both took effect on something that day. */
+/* Counts the pairs whose faults both had an effect that day. */
 static void
-note_met (const World *world, const Day *day)
+count_overlaps (const World *world, const Day *day)
 {
   for (guint i = 0; i + 1 < day->n; i += 2) {
-    HrTroubleKind first = day->troubles[i].kind, second = day->troubles[i + 1].kind;
+    HrTroubleKind first = day->faults[i].kind, second = day->faults[i + 1].kind;
     if (world->troubles.played[first] && world->troubles.played[second]) {
-      met[first][second]++;
+      overlaps[first][second]++;
       if (first != second)
-        met[second][first]++;
+        overlaps[second][first]++;
     }
   }
 }
@@ -181,16 +181,16 @@
 print_coverage (void)
 {
   guint pairs = 0;
-  printf ("%-14s how often each pair of troubles took effect on one day\n", "");
-  for (int attempt = 0; attempt < TROUBLE_KINDS; attempt++) {
-    printf ("%-14s", trouble_kind_name (attempt));
-    for (int b = 0; b <= attempt; b++) {
-      printf (" %2u", met[attempt][b]);
-      pairs += met[attempt][b] > 0;
+  printf ("%-14s days on which both faults of a pair had an effect\n", "");
+  for (int a = 0; a < TROUBLE_KINDS; a++) {
+    printf ("%-14s", trouble_kind_name (a));
+    for (int b = 0; b <= a; b++) {
+      printf (" %2u", overlaps[a][b]);
+      pairs += overlaps[a][b] > 0;
     }
     printf ("\n");
   }
-  printf ("%u of %d pairs met\n", pairs, PAIRS);
+  printf ("%u of %d pairs overlapped\n", pairs, PAIRS);
 }
 
 static gboolean
@@ -199,16 +199,16 @@
   Day day = draw_day (number);
   World *world = play (&day);
   gboolean broken = world->broken->len > 0;
-  note_met (world, &day);
+  count_overlaps (world, &day);
   if (broken) {
     fprintf (stderr, "day %u breaks a rule:\n", number);
     print_broken (world);
   }
   world_free (world);
   if (broken) {
-    Day least = shrink (day);
-    fprintf (stderr, "with these troubles alone (test_pairs replay FILE):\n");
-    print_day (&least);
+    Day smallest = shrink (day);
+    fprintf (stderr, "shrunk to these faults (test_pairs replay FILE):\n");
+    print_day (&smallest);
   }
   return broken;
 }
@@ -227,27 +227,28 @@
   for (guint i = 0; lines[i]; i++) {
     if (g_str_has_prefix (lines[i], "seed="))
       day->seed = g_ascii_strtoull (lines[i] + strlen ("seed="), NULL, 10);
-    else if (*lines[i] && (day->n == MOST || !trouble_parse (lines[i], &day->troubles[day->n++]))) {
-      fprintf (stderr, "test_pairs: %s:%u is no trouble\n", file, i + 1);
+    else if (*lines[i] &&
+             (day->n == MAX_FAULTS || !trouble_parse (lines[i], &day->faults[day->n++]))) {
+      fprintf (stderr, "test_pairs: %s:%u is not a valid fault\n", file, i + 1);
       return FALSE;
     }
   }
   return TRUE;
 }
 
-/* Every drawn trouble reads back as it was written. */
+/* Returns whether the text of every drawn fault parses to the same fault. */
 static gboolean
-texts_are_whole (void)
+fault_texts_round_trip (void)
 {
   for (guint number = 0; number < DAYS; number++) {
     Day day = draw_day (number);
     for (guint i = 0; i < day.n; i++) {
       HrTrouble again;
-      g_autofree char *text = trouble_text (&day.troubles[i]);
+      g_autofree char *text = trouble_text (&day.faults[i]);
       gboolean read = trouble_parse (text, &again);
       g_autofree char *second = read ? trouble_text (&again) : NULL;
       if (g_strcmp0 (text, second) != 0) {
-        fprintf (stderr, "read back otherwise: %s\n", text);
+        fprintf (stderr, "text does not survive parsing: %s\n", text);
         return FALSE;
       }
     }
@@ -271,7 +272,7 @@
     return broken > 0;
   }
   guint from = argc == 3 ? atoi (argv[1]) : 0, to = argc == 3 ? atoi (argv[2]) : DAYS, bad = 0;
-  if (!texts_are_whole ())
+  if (!fault_texts_round_trip ())
     return 1;
   for (guint number = from; number < MIN (to, DAYS); number++)
     bad += search_day (number);
--- a/tests/test_pipelines.c
+++ b/tests/test_pipelines.c
@@ -1,6 +1,7 @@
-/* Days of a simulated cluster whose users submit pipelines of jobs that await one another, some
- * late, some cancelled, some after that. The stand-ins check `too_early` and `orphaned` at every
- * start, answer and half second, beside all other rules. */
+/* Days of a simulated cluster whose users submit pipelines: jobs that await one another. Some jobs
+ * are submitted late, some are cancelled, some submitted after that. The simulation checks the
+ * rules `too_early` and `orphaned` at every start, at every answer and twice per second, besides
+ * all other rules. */
 #include "sim/faults.h"
 #include "sim/log.h"
 #include "sim/pipeline.h"
@@ -15,118 +16,119 @@
 #include <string.h>
 #include <cmocka.h>
 
-#define CALM_AT 320
-#define DAY_ENDS 800
+#define FAULTS_END_S 320
+#define DAY_S 800
 
 static guint
-verdict (World *world, guint32 seed)
+finish_day (World *world, guint32 seed)
 {
   for (guint i = 0; i < MIN (world->broken->len, 12); i++)
     fprintf (stderr, "seed %u: %s\n", seed, (char *)world->broken->pdata[i]);
   if (g_getenv ("HR_SIM_VERBOSE"))
     fprintf (stderr, "seed %u: %u jobs, %u starts, %u machines\n", seed, world->jobs->len,
              world->starts, world->machines->len);
-  guint broken = world->broken->len;
+  guint violations = world->broken->len;
   world_free (world);
-  return broken;
+  return violations;
 }
 
 static guint
-play (World *world, guint32 seed, guint faults, gboolean shock)
+play (World *world, guint32 seed, guint faults, gboolean crash_after_cancel)
 {
-  const PipelineDay day = {25, 3, 250, 0.6, shock};
+  const PipelineDay day = {25, 3, 250, 0.6, crash_after_cancel};
   users_pipelines (world, &day);
   users_probe (world);
-  faults_init (world, faults, 20, CALM_AT);
-  world_run (world, DAY_ENDS);
+  faults_init (world, faults, 20, FAULTS_END_S);
+  world_run (world, DAY_S);
   guint cancelled = 0, done = 0;
   for (guint i = 0; i < world->jobs->len; i++) {
     const SimJob *job = world->jobs->pdata[i];
     cancelled += job->told_cancelled && !job->asked_cancel;
     done += job->told_done && job->awaits->len;
   }
-  /* A day on which nothing was taken along, or nothing came after another, shows nothing. */
+  /* Without cancelled and completed dependents the day would test nothing. */
   if (cancelled < 4 || done < 20)
-    w_broken (world, "day", "%u jobs were taken along, %u are done after others", cancelled, done);
+    w_broken (world, "day", "%u dependent jobs were cancelled, %u are done", cancelled, done);
   pipelines_verdict (world);
   if (world->limits_fall > 0 && store_large (world))
     w_broken (world, "large", "%u records are too large", store_large (world));
   if (store_garbage (world))
     w_broken (world, "garbage", "%u pages of final jobs are kept", store_garbage (world));
-  return verdict (world, seed);
+  return finish_day (world, seed);
 }
 
 static void
-quiet_days (void **state G_GNUC_UNUSED)
+days_without_faults (void **state G_GNUC_UNUSED)
 {
-  guint broken = 0;
+  guint violations = 0;
   for (guint seed = 2000; seed < 2003; seed++)
-    broken += play (world_new (seed, 3), seed, 0, FALSE);
-  assert_int_equal (broken, 0);
+    violations += play (world_new (seed, 3), seed, 0, FALSE);
+  assert_int_equal (violations, 0);
 }
 
 static void
-days_with_troubles (void **state G_GNUC_UNUSED)
+days_with_faults (void **state G_GNUC_UNUSED)
 {
-  guint broken = 0;
+  guint violations = 0;
   for (guint seed = 2010; seed < 2026; seed++)
-    broken += play (world_new (seed, 3), seed, 6, FALSE);
-  assert_int_equal (broken, 0);
+    violations += play (world_new (seed, 3), seed, 6, FALSE);
+  assert_int_equal (violations, 0);
 }
 
-/* Again and again another node leads, which knows what it read alone. */
+/* The leader changes repeatedly; a new leader knows only what it has read from the state store. */
 static void
 days_of_new_leaders (void **state G_GNUC_UNUSED)
 {
-  guint broken = 0;
+  guint violations = 0;
   for (guint seed = 2030; seed < 2036; seed++) {
     World *world = world_new (seed, 3);
-    faults_leaders (world, 25, CALM_AT);
-    broken += play (world, seed, 0, FALSE);
+    faults_leaders (world, 25, FAULTS_END_S);
+    violations += play (world, seed, 0, FALSE);
   }
-  assert_int_equal (broken, 0);
+  assert_int_equal (violations, 0);
 }
 
-/* All controllers end right after a cancellation was told, and the state service goes away. */
+/* All controllers crash right after a user was told of a cancellation, half of the time together
+ * with an outage of the state service. */
 static void
-days_of_shocks (void **state G_GNUC_UNUSED)
+days_with_crashes_after_cancellations (void **state G_GNUC_UNUSED)
 {
-  guint broken = 0;
+  guint violations = 0;
   for (guint seed = 2040; seed < 2050; seed++)
-    broken += play (world_new (seed, 3), seed, seed % 2 ? 3 : 0, TRUE);
-  assert_int_equal (broken, 0);
+    violations += play (world_new (seed, 3), seed, seed % 2 ? 3 : 0, TRUE);
+  assert_int_equal (violations, 0);
 }
 
 static void
 days_with_a_team_limit (void **state G_GNUC_UNUSED)
 {
-  guint broken = 0;
+  guint violations = 0;
   for (guint seed = 2050; seed < 2054; seed++) {
     World *world = world_new (seed, 3);
     world->quota_gpus = 3;
     world_restart (world);
-    broken += play (world, seed, 3, FALSE);
+    violations += play (world, seed, 3, FALSE);
   }
-  assert_int_equal (broken, 0);
+  assert_int_equal (violations, 0);
 }
 
 static void
 days_with_one_or_five_controllers (void **state G_GNUC_UNUSED)
 {
-  guint broken = 0;
+  guint violations = 0;
   for (guint seed = 2060; seed < 2066; seed++)
-    broken += play (world_new (seed, seed % 2 ? 5 : 1), seed, 4, seed % 3 == 0);
-  assert_int_equal (broken, 0);
+    violations += play (world_new (seed, seed % 2 ? 5 : 1), seed, 4, seed % 3 == 0);
+  assert_int_equal (violations, 0);
 }
 
-/* Controllers that know formats and pipelines (764e988 and later) come back one after the other
- * while pipelines are under way, mostly before the format stands in the state store, and the limits
- * of the state service fall: before the last turn, right after it, or as a leader ends. Wherever
- * the fall comes nothing is sent again and again, and in the end no record is too large. */
+/* Controllers that know record formats and pipelines (764e988 and later) are restarted in turn
+ * while pipelines run, mostly before the format is recorded in the state store. The limits of the
+ * state service are lowered before the last restart, right after it, or as a leader crashes.
+ * Whenever that happens, no write is repeated endlessly, and in the end no record is too large. */
 static guint
 play_upgrade (guint32 seed, int nodes)
 {
-  static const double fall_after_turn[] = {-4, 0.1, 2, 8};
+  static const double limits_drop_after_restart_s[] = {-4, 0.1, 2, 8};
   World *world = world_new (seed, nodes);
   world->capacity = 101;
   world->long_names = TRUE;
@@ -135,39 +137,39 @@
     world_restart (world);
   }
   double last = upgrade_roll (world, 60, seed % 2 ? 12 : 25, 4);
-  upgrade_limits_fall (world, last + fall_after_turn[seed % G_N_ELEMENTS (fall_after_turn)]);
+  upgrade_limits_fall (
+      world, last + limits_drop_after_restart_s[seed % G_N_ELEMENTS (limits_drop_after_restart_s)]);
   if (seed % 3 == 0)
-    faults_leaders (world, 20, CALM_AT);
+    faults_leaders (world, 20, FAULTS_END_S);
   return play (world, seed, seed % 3, FALSE);
 }
 
 static void
 days_of_an_upgrade (void **state G_GNUC_UNUSED)
 {
-  guint broken = 0;
+  guint violations = 0;
   for (guint seed = 2070; seed < 2078; seed++)
-    broken += play_upgrade (seed, seed % 4 == 3 ? 5 : 3);
-  assert_int_equal (broken, 0);
+    violations += play_upgrade (seed, seed % 4 == 3 ? 5 : 3);
+  assert_int_equal (violations, 0);
 }
 
 int
 main (int argc, char **argv)
 {
   sim_log_init ();
-  if (argc == 4) { /* a sweep by hand: test_pipelines FROM TO FAULTS */
-    guint broken = 0;
-    for (int incarnation = atoi (argv[1]); incarnation < atoi (argv[2]); incarnation++)
-      broken +=
-          play (world_new (incarnation, 3), incarnation, atoi (argv[3]), incarnation % 3 == 0);
-    return broken != 0;
+  if (argc == 4) { /* manual runs: test_pipelines FROM TO FAULTS */
+    guint violations = 0;
+    for (int seed = atoi (argv[1]); seed < atoi (argv[2]); seed++)
+      violations += play (world_new (seed, 3), seed, atoi (argv[3]), seed % 3 == 0);
+    return violations != 0;
   }
   static const char *const parts[] = {"quiet", "troubles", "owners", "shock",
                                       "limit", "nodes",    "upgrade"};
   const struct CMUnitTest tests[] = {
-      cmocka_unit_test (quiet_days),
-      cmocka_unit_test (days_with_troubles),
+      cmocka_unit_test (days_without_faults),
+      cmocka_unit_test (days_with_faults),
       cmocka_unit_test (days_of_new_leaders),
-      cmocka_unit_test (days_of_shocks),
+      cmocka_unit_test (days_with_crashes_after_cancellations),
       cmocka_unit_test (days_with_a_team_limit),
       cmocka_unit_test (days_with_one_or_five_controllers),
       cmocka_unit_test (days_of_an_upgrade),
@@ -178,7 +180,7 @@
       return cmocka_run_group_tests_name (argv[1], part, NULL, NULL);
     }
   if (argc == 2) {
-    fprintf (stderr, "no part %s\n", argv[1]);
+    fprintf (stderr, "no test is named %s\n", argv[1]);
     return 2;
   }
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/test_sim.c
+++ b/tests/test_sim.c
@@ -1,5 +1,5 @@
-/* Days of a simulated cluster, with troubles drawn from seeds. Each asserts every
- * rule of the protocol, and that all work is done once the troubles are over. */
+/* Days of a simulated cluster with faults drawn from seeds. Each day checks every rule of the
+ * protocol, and that all work is done once the faults are over. */
 #include "sim/faults.h"
 #include "sim/log.h"
 #include "sim/store.h"
@@ -15,21 +15,21 @@
 #include <stdlib.h>
 #include <cmocka.h>
 
-/* What broke is shown, and counted. */
+/* Prints the day's violations, frees the simulation and returns the number of violations. */
 static guint
-verdict (World *world, guint32 seed)
+finish_day (World *world, guint32 seed)
 {
   for (guint i = 0; i < MIN (world->broken->len, 12); i++)
     fprintf (stderr, "seed %u: %s\n", seed, (char *)world->broken->pdata[i]);
   if (g_getenv ("HR_SIM_VERBOSE"))
     fprintf (stderr, "seed %u: %u jobs, %u starts, %u machines, epoch %" G_GUINT64_FORMAT "\n",
              seed, world->jobs->len, world->starts, world->machines->len, world->epoch);
-  guint broken = world->broken->len;
+  guint violations = world->broken->len;
   world_free (world);
-  return broken;
+  return violations;
 }
 
-/* No job may have stayed behind. */
+/* Checks that every job reached its final state, or ran if it is a service. */
 static guint
 check_end_of_day (World *world, guint32 seed)
 {
@@ -49,7 +49,7 @@
     else if (!job->asked_cancel && job->shape == HR_SERVICE && !job->started)
       w_broken (world, "liveness", "%s never ran", job->id);
   }
-  return verdict (world, seed);
+  return finish_day (world, seed);
 }
 
 static guint
@@ -75,26 +75,26 @@
 static void
 play_seeds (guint from, guint to, guint faults, double quota, double per_part)
 {
-  guint broken = 0;
+  guint violations = 0;
   for (guint seed = from; seed < to; seed++)
-    broken += play (seed, faults, quota, per_part);
-  assert_int_equal (broken, 0);
+    violations += play (seed, faults, quota, per_part);
+  assert_int_equal (violations, 0);
 }
 
 static void
-quiet_days (void **state G_GNUC_UNUSED)
+days_without_faults (void **state G_GNUC_UNUSED)
 {
   play_seeds (1, 4, 0, 0, 0);
 }
 
 static void
-days_with_one_trouble (void **state G_GNUC_UNUSED)
+days_with_one_fault (void **state G_GNUC_UNUSED)
 {
   play_seeds (100, 112, 1, 0, 0);
 }
 
 static void
-days_with_many_troubles (void **state G_GNUC_UNUSED)
+days_with_many_faults (void **state G_GNUC_UNUSED)
 {
   play_seeds (200, 224, 8, 0, 0);
 }
@@ -114,64 +114,66 @@
 static void
 days_with_one_or_five_controllers (void **state G_GNUC_UNUSED)
 {
-  guint broken = 0;
+  guint violations = 0;
   for (guint seed = 600; seed < 612; seed++)
-    broken += play_on (world_new (seed, seed % 2 ? 5 : 1), seed, 5, 0, 0);
-  assert_int_equal (broken, 0);
+    violations += play_on (world_new (seed, seed % 2 ? 5 : 1), seed, 5, 0, 0);
+  assert_int_equal (violations, 0);
 }
 
-/* Of the troubles that the users added, each alone and long. With a single controller a
- * deaf machine never falls silent: it asks the same node again and again. */
+/* Messages to machines are lost for long, without other faults. With a single controller such a
+ * machine never falls silent: it reports to the same node again and again. */
 static void
 days_with_inbound_loss (void **state G_GNUC_UNUSED)
 {
-  guint broken = 0;
+  guint violations = 0;
   for (guint seed = 800; seed < 806; seed++) {
     World *world = world_new (seed, seed % 2 ? 3 : 1);
     faults_inbound_cut (world, 60);
     faults_inbound_cut (world, 150);
-    broken += play_on (world, seed, 0, 0, 0);
+    violations += play_on (world, seed, 0, 0, 0);
   }
-  assert_int_equal (broken, 0);
+  assert_int_equal (violations, 0);
 }
 
 static void
-days_with_a_held_cut (void **state G_GNUC_UNUSED)
+days_with_a_cut_that_holds_packets (void **state G_GNUC_UNUSED)
 {
-  guint broken = 0;
+  guint violations = 0;
   for (guint seed = 850; seed < 856; seed++) {
     World *world = world_new (seed, 3);
     faults_held_cut (world, 150);
-    broken += play_on (world, seed, 0, 0, 0);
+    violations += play_on (world, seed, 0, 0, 0);
   }
-  assert_int_equal (broken, 0);
+  assert_int_equal (violations, 0);
 }
 
-/* No controller is served for longer than a leader alone may go on: its members' attestation lets
- * tasks live, but not those of a job that one of them withdrew meanwhile. */
+/* The state service refuses all controllers for longer than a leader may renew leases by itself.
+ * Its peers' attestation keeps tasks running, but not those of a job that a peer cancelled
+ * meanwhile. */
 static void
-days_of_members_word (void **state G_GNUC_UNUSED)
+days_with_peer_attestation (void **state G_GNUC_UNUSED)
 {
-  guint broken = 0;
+  guint violations = 0;
   for (guint seed = 870; seed < 884; seed++) {
     World *world = world_new (seed, seed % 2 ? 3 : 5);
     if (seed < 874)
       faults_cut_from_store (world, 150);
     else
       faults_missed_cancellation (world, 150, seed < 877);
-    if (seed >= 880) /* on waking it hears first what its members said before the cancellation */
+    if (seed >= 880) /* the resumed leader first receives statuses that its peers sent before the
+                        cancellation */
       faults_freeze (world, 147.5, FREEZE_LEADER, 12);
-    broken += play_on (world, seed, 0, 0, 0);
+    violations += play_on (world, seed, 0, 0, 0);
   }
-  assert_int_equal (broken, 0);
+  assert_int_equal (violations, 0);
 }
 
-/* Cancellations that the leader cannot read are named to it, so that no lease has to run out; the
- * cancelled jobs' tasks are gone in time all the same, whatever orders come late. */
+/* Peers name to the leader the cancellations that it cannot read, so that no lease has to expire.
+ * The cancelled jobs' tasks still end in time, whatever orders arrive late. */
 static void
-days_of_cancellation_gaps (void **state G_GNUC_UNUSED)
+days_with_unread_cancellations (void **state G_GNUC_UNUSED)
 {
-  guint broken = 0;
+  guint violations = 0;
   for (guint seed = 1100; seed < 1110; seed++) {
     World *world = world_new (seed, seed % 2 ? 3 : 5);
     faults_cancellation_gap (world, 120);
@@ -180,44 +182,44 @@
       world->fickle = TRUE;
       world->late_orders = 0.1;
     }
-    broken += play_on (world, seed, 0, 0, 0);
+    violations += play_on (world, seed, 0, 0, 0);
   }
-  assert_int_equal (broken, 0);
+  assert_int_equal (violations, 0);
 }
 
 static guint
 play_services (World *world, guint32 seed)
 {
   world->capacity = 100;
-  world->loss = world->dup = 0; /* a report lost here and there would cost single machines */
+  world->loss = world->dup = 0; /* single lost reports would lose machines */
   users_services (world, 16, 3, 2);
   world_run (world, 320);
   for (guint i = 0; i < world->jobs->len; i++)
     if (!((SimJob *)world->jobs->pdata[i])->started)
       w_broken (world, "liveness", "%s never ran", ((SimJob *)world->jobs->pdata[i])->id);
-  return verdict (world, seed);
+  return finish_day (world, seed);
 }
 
-/* Another owner is there, and nobody is served: by the members' attestation the earlier one would
- * keep tasks alive that the other takes for gone. */
+/* A new leader takes over and the state service then refuses every node. By its peers' attestation
+ * the earlier leader would keep tasks running that the new leader regards as terminated. */
 static void
 days_of_two_leaders (void **state G_GNUC_UNUSED)
 {
-  guint broken = 0;
+  guint violations = 0;
   for (guint seed = 1080; seed < 1088; seed++) {
     World *world = world_new (seed, seed % 2 ? 3 : 5);
     faults_two_leaders (world, 120);
-    broken += play_services (world, seed);
+    violations += play_services (world, seed);
   }
-  assert_int_equal (broken, 0);
+  assert_int_equal (violations, 0);
 }
 
-/* A gang that no fleet can hold stays known, and neither keeps others from their machines nor
- * has the whole cloud rented and returned again and again. */
+/* A gang that is larger than any possible fleet stays known. It must neither keep other jobs from
+ * their machines nor cause the whole cloud to be rented and returned again and again. */
 static void
 days_of_an_oversized_gang (void **state G_GNUC_UNUSED)
 {
-  guint broken = 0;
+  guint violations = 0;
   for (guint seed = 985; seed < 988; seed++) {
     World *world = world_new (seed, 3);
     users_gangs (world, 8, 40, 60);
@@ -228,43 +230,43 @@
       if (job->tasks < 500 && !job->told_done)
         w_broken (world, "liveness", "%s is not done", job->id);
       if (!job->accepted || world->now - job->ok_at > 30)
-        w_broken (world, "forgotten", "%s is not answered", job->id);
+        w_broken (world, "forgotten", "polls of %s are not answered", job->id);
     }
     if (world->machines->len > 7 * world->capacity)
       w_broken (world, "rented", "%u machines", world->machines->len);
-    broken += verdict (world, seed);
+    violations += finish_day (world, seed);
   }
-  assert_int_equal (broken, 0);
+  assert_int_equal (violations, 0);
 }
 
-/* One task of a gang has its image, the others fetch it for longer than the first would wait. */
+/* One task of a gang has its image; the others fetch it for longer than the first one waits. */
 static void
 days_of_long_fetches (void **state G_GNUC_UNUSED)
 {
-  guint broken = 0;
+  guint violations = 0;
   for (guint seed = 990; seed < 1000; seed++) {
     World *world = world_new (seed, 3);
     users_long_fetches (world, seed >= 994);
-    if (seed >= 994) /* the next owner knows images from the records alone */
+    if (seed >= 994) /* the next leader knows cached images from the records alone */
       faults_leader_ends (world, 116.5);
     world_run (world, 600);
     for (guint i = 0; i < world->jobs->len; i++) {
       SimJob *job = world->jobs->pdata[i];
       if (!job->asked_cancel && (!job->told_done || job->first - job->accepted_at > 150))
-        w_broken (world, "liveness", "%s of %u tasks begins after %.0f s", job->id, job->tasks,
+        w_broken (world, "liveness", "%s of %u tasks starts after %.0f s", job->id, job->tasks,
                   (job->first ? job->first : world->now) - job->accepted_at);
     }
-    broken += verdict (world, seed);
+    violations += finish_day (world, seed);
   }
-  assert_int_equal (broken, 0);
+  assert_int_equal (violations, 0);
 }
 
-/* A gang that loses a task before its start is completed, not begun anew; that may come too
- * late where a machine must boot for it first. */
+/* A gang that loses a machine before its start gets a replacement for it and keeps its other
+ * machines; it starts a new attempt only where the replacement must boot and is too late. */
 static void
-days_of_lost_places (void **state G_GNUC_UNUSED)
+days_with_lost_gang_machines (void **state G_GNUC_UNUSED)
 {
-  guint broken = 0, lost = 0, anew = 0;
+  guint violations = 0, lost = 0, restarted = 0;
   for (guint seed = 960; seed < 964; seed++) {
     World *world = world_new (seed, 3);
     world->gang_image = 8;
@@ -277,35 +279,35 @@
       lost += job->lost_place;
       if (!job->told_done)
         w_broken (world, "liveness", "%s is not done", job->id);
-      anew += g_hash_table_contains (world->assigned, again);
+      restarted += g_hash_table_contains (world->assigned, again);
     }
-    broken += verdict (world, seed);
+    violations += finish_day (world, seed);
   }
-  assert_int_equal (broken, 0);
+  assert_int_equal (violations, 0);
   assert_true (lost >= 16);
-  assert_true (anew * 2 < lost);
+  assert_true (restarted * 2 < lost);
 }
 
-/* Machines go and owners change while copies of reports are still on their way. */
+/* Machines crash and leaders change while duplicates of reports are in flight. */
 static void
-days_with_copies_and_new_leaders (void **state G_GNUC_UNUSED)
+days_with_duplicates_and_new_leaders (void **state G_GNUC_UNUSED)
 {
-  guint broken = 0;
+  guint violations = 0;
   for (guint seed = 900; seed < 908; seed++) {
     World *world = world_new (seed, 3);
     world->copies = 0.5;
     faults_leaders (world, 40, 320);
-    broken += play_on (world, seed, 0, 0, 0);
+    violations += play_on (world, seed, 0, 0, 0);
   }
-  assert_int_equal (broken, 0);
+  assert_int_equal (violations, 0);
 }
 
-/* Small urgent gangs that alone would nearly fill the fleet must not keep a large job from
- * beginning, nor a large job them: each begins within four minutes. */
+/* A stream of small urgent gangs that nearly fill the fleet must not starve a large job, nor the
+ * large job the gangs: each starts within four minutes. */
 static void
-days_of_a_stream (void **state G_GNUC_UNUSED)
+days_with_a_gang_stream (void **state G_GNUC_UNUSED)
 {
-  guint broken = 0;
+  guint violations = 0;
   for (guint seed = 700; seed < 706; seed++) {
     World *world = world_new (seed, 3);
     world->capacity = 10;
@@ -314,20 +316,20 @@
     for (guint i = 0; i < world->jobs->len; i++) {
       SimJob *job = world->jobs->pdata[i];
       if (!job->first || job->first - job->accepted_at > 240)
-        w_broken (world, "starved", "%s, %s of %u tasks, begins after %.0f s", job->id,
+        w_broken (world, "starved", "%s, %s of %u tasks, starts after %.0f s", job->id,
                   job->large ? "large" : "small", job->tasks,
                   (job->first ? job->first : world->now) - job->accepted_at);
     }
-    broken += verdict (world, seed);
+    violations += finish_day (world, seed);
   }
-  assert_int_equal (broken, 0);
+  assert_int_equal (violations, 0);
 }
 
-/* A gang that waits for machines that boot is no reason to rent more in every pass. */
+/* A gang that waits for booting machines must not cause more rentals in every scheduling pass. */
 static void
 days_of_few_gangs (void **state G_GNUC_UNUSED)
 {
-  guint broken = 0;
+  guint violations = 0;
   for (guint seed = 950; seed < 954; seed++) {
     World *world = world_new (seed, 3);
     const guint gangs = 8;
@@ -339,65 +341,65 @@
         w_broken (world, "liveness", "%s is not done", ((SimJob *)world->jobs->pdata[i])->id);
     if (world->machines->len > 4 * gangs)
       w_broken (world, "rented", "%u machines for %u gangs of two", world->machines->len, gangs);
-    broken += verdict (world, seed);
+    violations += finish_day (world, seed);
   }
-  assert_int_equal (broken, 0);
+  assert_int_equal (violations, 0);
 }
 
-/* Messages lost and carried out again, far more often than anywhere. */
+/* Messages are lost or duplicated far more often than on the other days. */
 static void
-days_with_late_copies (void **state G_GNUC_UNUSED)
+days_with_late_duplicates (void **state G_GNUC_UNUSED)
 {
-  guint broken = 0;
+  guint violations = 0;
   for (guint seed = 500; seed < 512; seed++) {
     World *world = world_new (seed, 3);
     world->dup = 0.15;
     world->loss = 0.06;
     world->copies = 0.5;
-    broken += play_on (world, seed, 3, 0, 0);
+    violations += play_on (world, seed, 3, 0, 0);
   }
-  assert_int_equal (broken, 0);
+  assert_int_equal (violations, 0);
 }
 
-/* Direct orders that get no answer and are carried out half a minute or more later, for jobs
- * that are cancelled meanwhile: that their worker does not show a task proves nothing. */
+/* Direct calls get no answer and are carried out half a minute or more later, for jobs that are
+ * cancelled meanwhile. That the worker's report lacks a task does not prove that it won't start. */
 static void
-days_with_late_orders (void **state G_GNUC_UNUSED)
+days_with_late_direct_calls (void **state G_GNUC_UNUSED)
 {
-  guint broken = 0;
+  guint violations = 0;
   for (guint seed = 970; seed < 982; seed++) {
     World *world = world_new (seed, 3);
     world->late_orders = 0.3;
     world->fickle = TRUE;
-    broken += play_on (world, seed, 0, 0, 0);
+    violations += play_on (world, seed, 0, 0, 0);
   }
-  assert_int_equal (broken, 0);
+  assert_int_equal (violations, 0);
 }
 
-/* The leader lags so far behind that it has to read the state store anew, while direct orders of
- * its are still on their way: it forgets them, so its token must not stay what they carry. */
+/* The leader lags so far behind that it has to reread the whole state store while its direct calls
+ * are in flight. It no longer knows of these calls, so it needs a higher token than they carry. */
 static void
-days_with_changes_gone (void **state G_GNUC_UNUSED)
+days_with_compacted_changes (void **state G_GNUC_UNUSED)
 {
-  guint broken = 0;
+  guint violations = 0;
   for (guint seed = 1100; seed < 1108; seed++) {
     World *world = world_new (seed, 3);
     world->late_orders = 0.5;
     world->fickle = TRUE;
     faults_changes_gone (world, 20, 300);
-    broken += play_on (world, seed, 0, 0, 0);
+    violations += play_on (world, seed, 0, 0, 0);
   }
-  assert_int_equal (broken, 0);
+  assert_int_equal (violations, 0);
 }
 
-/* Controllers stand still while their clocks run on: for a moment, for longer than their
- * leadership, than hold_s and than a lease; the leader, the others, or all; also repeated,
- * and beside other troubles. */
+/* Controllers are suspended while their clocks run on: briefly, for longer than their leadership,
+ * than hold_s and than a lease; the leader, the others, or all; also repeatedly, and during other
+ * faults. */
 static void
 days_with_frozen_controllers (void **state G_GNUC_UNUSED)
 {
   static const double lengths[] = {2.5, 4.5, 9, 16, 25, 40};
-  guint broken = 0;
+  guint violations = 0;
   for (guint seed = 1000; seed < 1018; seed++) {
     World *world = world_new (seed, seed % 3 == 2 ? 5 : 3);
     double for_s = lengths[seed % G_N_ELEMENTS (lengths)];
@@ -405,44 +407,45 @@
     faults_freeze (world, 60, who, for_s);
     faults_freeze (world, 60 + for_s + 0.6, who, for_s);
     faults_freeze (world, 190, FREEZE_LEADER, for_s);
-    broken += play_on (world, seed, seed % 2 ? 3 : 0, 0, 0);
+    violations += play_on (world, seed, seed % 2 ? 3 : 0, 0, 0);
   }
-  assert_int_equal (broken, 0);
+  assert_int_equal (violations, 0);
 }
 
-/* The leader loses its way to the workers, which others still have. Their reports come spread
- * over a period: it must not delete the machines a few at a time as each falls silent. */
+/* The leader is cut off from the workers, which other controllers still reach. The workers' last
+ * reports are spread over a report period: the leader must not delete machines a few at a time as
+ * each falls silent. */
 static void
-days_of_unreached_leaders (void **state G_GNUC_UNUSED)
+days_with_leaders_cut_from_workers (void **state G_GNUC_UNUSED)
 {
-  guint broken = 0;
+  guint violations = 0;
   for (guint seed = 1030; seed < 1036; seed++) {
     World *world = world_new (seed, seed % 2 ? 5 : 3);
     faults_leader_unreached (world, 120, seed < 1033);
-    broken += play_services (world, seed);
+    violations += play_services (world, seed);
   }
-  assert_int_equal (broken, 0);
+  assert_int_equal (violations, 0);
 }
 
-/* Half of the fleet ends together with the leader. */
+/* Half of the fleet crashes together with the leader. */
 static void
-days_of_half_fleets (void **state G_GNUC_UNUSED)
+days_with_half_of_the_fleet_lost (void **state G_GNUC_UNUSED)
 {
-  guint broken = 0;
+  guint violations = 0;
   for (guint seed = 1040; seed < 1046; seed++) {
     World *world = world_new (seed, seed % 2 ? 5 : 3);
     faults_half_gone (world, 120);
-    broken += play_services (world, seed);
+    violations += play_services (world, seed);
   }
-  assert_int_equal (broken, 0);
+  assert_int_equal (violations, 0);
 }
 
-/* A team that wants no more than it is guaranteed does not wait for another one's long work,
- * also where that has the earlier deadlines and fills the whole fleet. */
+/* A team that needs no more than its guarantee does not wait for another team's long jobs, even if
+ * those have earlier deadlines and fill the whole fleet. */
 static void
 days_of_a_guarantee (void **state G_GNUC_UNUSED)
 {
-  guint broken = 0;
+  guint violations = 0;
   for (guint seed = 1070; seed < 1074; seed++) {
     World *world = world_new (seed, 3);
     world->guarantee_gpus = 8;
@@ -455,17 +458,17 @@
         w_broken (world, "guarantee", "%s of %u tasks is done after %.0f s", job->id, job->tasks,
                   (job->told_done ? job->told_done : world->now) - job->accepted_at);
     }
-    broken += verdict (world, seed);
+    violations += finish_day (world, seed);
   }
-  assert_int_equal (broken, 0);
+  assert_int_equal (violations, 0);
 }
 
-/* Pages that cannot be read name no machine, but their tasks are on some: none is placed twice,
- * and all are done in the end. */
+/* Pages of a job's record cannot be read, so the leader does not know the machines of their tasks:
+ * no task may be placed twice, and all must be done in the end. */
 static void
 days_of_unreadable_pages (void **state G_GNUC_UNUSED)
 {
-  guint broken = 0;
+  guint violations = 0;
   for (guint seed = 1060; seed < 1064; seed++) {
     World *world = world_new (seed, 3);
     users_paged (world, 5);
@@ -473,23 +476,23 @@
     world_run (world, 600);
     if (!((SimJob *)world->jobs->pdata[0])->told_done)
       w_broken (world, "liveness", "the job is not done");
-    broken += verdict (world, seed);
+    violations += finish_day (world, seed);
   }
-  assert_int_equal (broken, 0);
+  assert_int_equal (violations, 0);
 }
 
-/* Hundreds of machines, long leases, and troubles that hit a good part of them at once. */
+/* Hundreds of machines, long leases, and faults that hit a large part of them at once. */
 static void
 play_large (guint32 seed, int nodes)
 {
   World *world = world_new (seed, nodes);
-  guint most = 0;
+  guint most_up = 0;
   world->capacity = 1500;
   world->report_s = 5;
   world->lease_s = 26.5;
   world->cancel_s = 56.5;
   world->loss = 0.001;
-  world->dup = 0.01; /* what was carried out comes again, up to a minute later */
+  world->dup = 0.01; /* duplicates of carried-out messages arrive up to a minute later */
   world->copies = 0.05;
   world_restart (world);
   users_crowd (world, 620, 250);
@@ -499,11 +502,11 @@
   world_run (world, 90);
   for (guint i = 0; i < world->machines->len; i++) {
     SimMachine *machine = world->machines->pdata[i];
-    most += machine->up && !machine->gone;
+    most_up += machine->up && !machine->gone;
   }
   world_run (world, 640);
-  if (most < 1300)
-    w_broken (world, "small", "only %u machines are up", most);
+  if (most_up < 1300)
+    w_broken (world, "small", "only %u machines are up", most_up);
   for (guint i = 0; i < world->jobs->len; i++) {
     SimJob *job = world->jobs->pdata[i];
     if (!job->accepted ||
@@ -511,7 +514,7 @@
       w_broken (world, "liveness", "%s (%d, %u tasks) is not done", job->id, job->shape,
                 job->tasks);
   }
-  assert_int_equal (verdict (world, seed), 0);
+  assert_int_equal (finish_day (world, seed), 0);
 }
 
 static void
@@ -526,13 +529,13 @@
   play_large (1051, 5);
 }
 
-/* Production's processes come back new one after the other, amid troubles; then the limits of
- * the state service fall, now and then while the last one is still away. */
+/* The version in production is upgraded node by node during faults. Then the limits of the state
+ * service are lowered, on some days while the last node is still down. */
 static guint
 play_upgrade (guint32 seed, int nodes, guint faults, gboolean late)
 {
   World *world = world_new (seed, nodes);
-  world->capacity = 101; /* so that the cloud lists them all at once */
+  world->capacity = 101; /* so that one page of the cloud's list holds all machines */
   world->long_names = TRUE;
   upgrade_init (world);
   users_init (world, 15, 250);
@@ -552,55 +555,55 @@
 static void
 days_of_an_upgrade (void **state G_GNUC_UNUSED)
 {
-  guint broken = 0;
+  guint violations = 0;
   for (guint seed = 1100; seed < 1106; seed++)
-    broken += play_upgrade (seed, seed % 4 == 3 ? 5 : 3, seed < 1102 ? 0 : 6, seed % 3 == 2);
-  assert_int_equal (broken, 0);
+    violations += play_upgrade (seed, seed % 4 == 3 ? 5 : 3, seed < 1102 ? 0 : 6, seed % 3 == 2);
+  assert_int_equal (violations, 0);
 }
 
 int
 main (int argc, char **argv)
 {
-  /* A sweep by hand: test_sim FROM TO FAULTS LIMIT */
+  /* Manual runs: test_sim FROM TO FAULTS LIMIT */
   if (argc == 5) {
-    guint broken = 0;
+    guint violations = 0;
     sim_log_init ();
-    for (int incarnation = atoi (argv[1]); incarnation < atoi (argv[2]); incarnation++)
-      broken += play (incarnation, atoi (argv[3]), atof (argv[4]), incarnation % 5 == 0 ? 4 : 0);
-    return broken != 0;
+    for (int seed = atoi (argv[1]); seed < atoi (argv[2]); seed++)
+      violations += play (seed, atoi (argv[3]), atof (argv[4]), seed % 5 == 0 ? 4 : 0);
+    return violations != 0;
   }
   sim_log_init ();
   const struct CMUnitTest tests[] = {
-      cmocka_unit_test (quiet_days),
-      cmocka_unit_test (days_with_one_trouble),
-      cmocka_unit_test (days_with_many_troubles),
+      cmocka_unit_test (days_without_faults),
+      cmocka_unit_test (days_with_one_fault),
+      cmocka_unit_test (days_with_many_faults),
       cmocka_unit_test (days_with_a_team_limit),
       cmocka_unit_test (days_with_several_parts),
-      cmocka_unit_test (days_with_late_copies),
+      cmocka_unit_test (days_with_late_duplicates),
       cmocka_unit_test (days_with_one_or_five_controllers),
-      cmocka_unit_test (days_of_a_stream),
+      cmocka_unit_test (days_with_a_gang_stream),
       cmocka_unit_test (days_with_inbound_loss),
-      cmocka_unit_test (days_with_copies_and_new_leaders),
-      cmocka_unit_test (days_with_a_held_cut),
+      cmocka_unit_test (days_with_duplicates_and_new_leaders),
+      cmocka_unit_test (days_with_a_cut_that_holds_packets),
       cmocka_unit_test (days_of_few_gangs),
-      cmocka_unit_test (days_of_members_word),
-      cmocka_unit_test (days_of_lost_places),
-      cmocka_unit_test (days_with_late_orders),
+      cmocka_unit_test (days_with_peer_attestation),
+      cmocka_unit_test (days_with_lost_gang_machines),
+      cmocka_unit_test (days_with_late_direct_calls),
       cmocka_unit_test (days_of_an_oversized_gang),
       cmocka_unit_test (days_of_long_fetches),
       cmocka_unit_test (days_with_frozen_controllers),
-      cmocka_unit_test (days_of_unreached_leaders),
-      cmocka_unit_test (days_of_half_fleets),
+      cmocka_unit_test (days_with_leaders_cut_from_workers),
+      cmocka_unit_test (days_with_half_of_the_fleet_lost),
       cmocka_unit_test (a_large_day_of_three),
       cmocka_unit_test (a_large_day_of_five),
       cmocka_unit_test (days_of_unreadable_pages),
       cmocka_unit_test (days_of_a_guarantee),
       cmocka_unit_test (days_of_two_leaders),
-      cmocka_unit_test (days_with_changes_gone),
-      cmocka_unit_test (days_of_cancellation_gaps),
+      cmocka_unit_test (days_with_compacted_changes),
+      cmocka_unit_test (days_with_unread_cancellations),
       cmocka_unit_test (days_of_an_upgrade),
   };
-  if (argc == 2) { /* one part */
+  if (argc == 2) { /* a single test */
     static const char *const parts[] = {
         "quiet",       "one",          "many",        "limit",     "parts",      "copies",
         "nodes",       "stream",       "deaf",        "owners",    "cut",        "gangs",
@@ -612,7 +615,7 @@
         const struct CMUnitTest part[] = {tests[i]};
         return cmocka_run_group_tests_name (argv[1], part, NULL, NULL);
       }
-    fprintf (stderr, "no part %s\n", argv[1]);
+    fprintf (stderr, "no test is named %s\n", argv[1]);
     return 2;
   }
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/test_users_days.c
+++ b/tests/test_users_days.c
@@ -1,6 +1,7 @@
-/* Simulated days on which users' requests meet two troubles of the state store. Every rule is
- * asserted at every event, and all work is done once the troubles are over. The same meetings
- * message by message: test_store_reads.c, test_writes.c, test_allowance.c. */
+/* Simulated days on which users send requests during two overlapping faults of the state store.
+ * Every rule is checked at every event, and all work must be done once the faults are over. The
+ * same cases are tested message by message in test_store_reads.c, test_writes.c and
+ * test_allowance.c. */
 #include "sim/log.h"
 #include "sim/user.h"
 #include "sim/workloads.h"
@@ -12,7 +13,7 @@
 #include <stdlib.h>
 #include <cmocka.h>
 
-#define DAY_S 700.0 /* long enough after the last trouble for all work to end */
+#define DAY_S 700.0 /* long enough after the last fault for all work to end */
 
 static void
 check_end (World *world)
@@ -34,10 +35,10 @@
 static void
 play_seeds (guint from, guint to, const HrTrouble *day, guint n)
 {
-  guint broken = 0;
+  guint violations = 0;
   for (guint seed = from; seed < to; seed++) {
     World *world = world_new (seed, seed % 3 == 2 ? 5 : 3);
-    users_services (world, 6, 2, 2); /* so that there is always something to call off */
+    users_services (world, 6, 2, 2); /* services, so that there is always a job to cancel */
     users_init (world, 40, 300);
     users_probe (world);
     troubles_plan (world, day, n);
@@ -45,17 +46,17 @@
     check_end (world);
     for (guint i = 0; i < n; i++)
       if (!world->troubles.played[day[i].kind])
-        w_broken (world, "played", "trouble %u took no effect", i);
+        w_broken (world, "played", "fault %u had no effect", i);
     for (guint i = 0; i < MIN (world->broken->len, 12); i++)
       fprintf (stderr, "seed %u: %s\n", seed, (char *)world->broken->pdata[i]);
-    broken += world->broken->len;
+    violations += world->broken->len;
     world_free (world);
   }
-  assert_int_equal (broken, 0);
+  assert_int_equal (violations, 0);
 }
 
-/* Answers are lost while users look closely and the leader's work changes hands, again and again,
- * jobs being called off in those seconds. */
+/* Answers to writes are lost while users poll all nodes and the leader changes repeatedly; jobs are
+ * cancelled during the changes. */
 static void
 lost_answers_over_hand_overs (void **state G_GNUC_UNUSED)
 {
@@ -71,7 +72,7 @@
   PLAY (2200, 2204, day);
 }
 
-/* Transactions are carried out after newer ones while jobs are called off at their end. */
+/* Transactions are carried out after newer ones while jobs are cancelled as they end. */
 static void
 late_writes_at_the_end (void **state G_GNUC_UNUSED)
 {
@@ -85,8 +86,8 @@
   PLAY (2210, 2214, day);
 }
 
-/* The state service is slow, refuses the leader alone, and is then out for longer than cancel_s;
- * users cancel and ask all the while. */
+/* The state service is slow, refuses the leader alone, and is then down for longer than cancel_s;
+ * users cancel and poll jobs throughout. */
 static void
 slow_refused_and_away (void **state G_GNUC_UNUSED)
 {
@@ -110,7 +111,7 @@
       cmocka_unit_test (slow_refused_and_away),
   };
   sim_log_init ();
-  if (argc == 2) /* one part: the name of a day's function */
+  if (argc == 2) /* a single test, by the name of its function */
     cmocka_set_test_filter (argv[1]);
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
