--- a/tests/test_exhaustive.c
+++ b/tests/test_exhaustive.c
@@ -1,10 +1,9 @@
-/* Bounded exhaustive search over the fates of single requests, on a small cluster: two controllers,
- * one machine, one job at a time. The default schedule delivers everything; a schedule of depth d
- * gives d requests of the window another fate (lost, answer lost, late, copied, a controller ends),
- * or lets the user cancel the job at one controller in that instant, or ask or submit again at
- * all of them.
- * All schedules up to the depth are played through the real hr_core_step, and every rule of the
- * protocol is asserted at every event.
+/* Bounded exhaustive search over the outcomes of single requests on a small cluster: two
+ * controllers, one machine, one job at a time. The default schedule delivers everything. A schedule
+ * of depth d gives d requests of the window another outcome (lost, answer lost, late, duplicated, a
+ * controller crashes), or at that moment lets the user cancel the job at one controller, or poll
+ * and resubmit it at all of them. All schedules up to the depth are played through the real
+ * hr_core_step, and every rule of the protocol is checked at every event.
  *
  *   test_exhaustive SCENARIO DEPTH [STRIDE]   plays every STRIDE-th schedule of the last depth
  *   test_exhaustive SCENARIO replay P:C ...   one schedule: choice C at the request number P
@@ -25,8 +24,8 @@
 #define SEED 7
 #define END_S 190.0
 
-/* What users do in the instant of a request: counted on from the fates. */
-enum { USER_WITHDRAWS_AT_0 = OUTCOME_COUNT, USER_WITHDRAWS_AT_1, USER_ASKS_ALL, CHOICES };
+/* Actions of users at the moment of a request. The numbers continue those of SimOutcome. */
+enum { USER_CANCELS_AT_0 = OUTCOME_COUNT, USER_CANCELS_AT_1, USER_POLLS_ALL, CHOICES };
 
 typedef struct {
   guint point;  /* number of the request within the window */
@@ -42,10 +41,10 @@
   const char *name;
   double from, to; /* the window, s */
   guint tasks;
-  double run, at, cancel_at;
+  double run, at, cancel_at; /* duration; time of submission; time of cancellation, 0: none (s) */
 } Scenario;
 
-/* An earlier array has a machine up by 40 s. */
+/* An earlier array ensures that a machine is up at 40 s. */
 static const Scenario scenarios[] = {
     {"accept", 39.9, 42.0, 1, 4, 40, 0},
     {"end", 43.0, 47.0, 1, 4, 40, 0},
@@ -57,7 +56,8 @@
   const Scenario *scenario;
   const Schedule *schedule;
   guint points;
-  GHashTable *states; /* text digests of the outside world at the requests of the window */
+  /* Digests of the state outside the controllers at the requests of the window. */
+  GHashTable *states;
 } Play;
 
 typedef struct {
@@ -65,10 +65,11 @@
   guint64 schedules, broken;
 } Totals;
 
-/* Renewals, lists and the readings that someone waits for always reach: a reading that is lost is
- * made again, one that a follower holds open leaves it behind. Users' own questions do too. */
+/* Returns whether the search varies the request's outcome. Lease renewals, list requests, short
+ * reads of the store and users' polls are always delivered: a lost short read is only repeated,
+ * while a lost watch leaves a follower behind. */
 static gboolean
-is_point (const SimRequest *request)
+is_choice_point (const SimRequest *request)
 {
   if (request->node < 0)
     return request->method == HR_POST;
@@ -79,8 +80,8 @@
           (request->target == HR_TO_STORE && strcmp (request->path, "/commit") == 0));
 }
 
-/* What is recorded, what is on the machines and what users were told: not the cores' memory, so
- * equal digests do not end a search, they are only counted. */
+/* Returns a digest of the store's records, the machines' tasks and the answers to users. It does
+ * not cover the cores' memory, so equal digests do not end a search; they are only counted. */
 static char *
 digest (World *world)
 {
@@ -93,8 +94,8 @@
   }
   for (guint i = 0; i < world->machines->len; i++) {
     SimMachine *machine = world->machines->pdata[i];
-    for (guint team = 0; team < machine->tasks->len; team++) {
-      const SimTask *task = &g_array_index (machine->tasks, SimTask, team);
+    for (guint k = 0; k < machine->tasks->len; k++) {
+      const SimTask *task = &g_array_index (machine->tasks, SimTask, k);
       guint32 facts[] = {i, machine->tenure, task->job, task->task, task->try, task->state};
       g_checksum_update (sum, (const guchar *)facts, sizeof facts);
     }
@@ -112,8 +113,8 @@
 {
   SimJob *job = world->jobs->pdata[world->jobs->len - 1];
   guint action = GPOINTER_TO_UINT (choice);
-  if (action != USER_ASKS_ALL) {
-    user_cancel_at (world, job, action - USER_WITHDRAWS_AT_0);
+  if (action != USER_POLLS_ALL) {
+    user_cancel_at (world, job, action - USER_CANCELS_AT_0);
     return;
   }
   for (int node = 0; node < world->n; node++) {
@@ -126,7 +127,8 @@
 choose (World *world, const SimRequest *request, gpointer data)
 {
   Play *play = data;
-  if (world->now < play->scenario->from || world->now > play->scenario->to || !is_point (request))
+  if (world->now < play->scenario->from || world->now > play->scenario->to ||
+      !is_choice_point (request))
     return OUTCOME_DELIVERED;
   guint point = play->points++;
   g_hash_table_add (play->states, digest (world));
@@ -136,14 +138,14 @@
       continue;
     if (deviation->choice < OUTCOME_COUNT)
       return deviation->choice;
-    /* The request on its way comes first or second, as the network has it. */
+    /* The simulated network decides whether the request or the user's action arrives first. */
     w_at (world, world->now, user_acts, GUINT_TO_POINTER (deviation->choice));
   }
   return OUTCOME_DELIVERED;
 }
 
 static void
-show (const Scenario *scenario, const Schedule *schedule, const World *world)
+print_violations (const Scenario *scenario, const Schedule *schedule, const World *world)
 {
   fprintf (stderr, "%s replay", scenario->name);
   for (guint i = 0; i < schedule->depth; i++)
@@ -161,11 +163,11 @@
     if (!job->accepted)
       w_broken (world, "liveness", "%s was never accepted", job->id);
     else if (!job->told_done && !job->told_cancelled)
-      w_broken (world, "liveness", "%s came to no end", job->id);
+      w_broken (world, "liveness", "%s is neither done nor withdrawn", job->id);
   }
 }
 
-/* Plays one schedule; gives the number of requests in the window. */
+/* Plays one schedule. Returns the number of requests in the window. */
 static guint
 play_schedule (const Scenario *scenario, const Schedule *schedule, Totals *totals)
 {
@@ -183,14 +185,14 @@
   world_run (world, END_S);
   check_ends (world);
   if (world->broken->len)
-    show (scenario, schedule, world);
+    print_violations (scenario, schedule, world);
   totals->broken += world->broken->len > 0;
   totals->schedules++;
   world_free (world);
   return play.points;
 }
 
-/* All schedules that begin as this one does and go to `depth`; of the deepest each stride-th. */
+/* Plays all schedules with this prefix up to `depth`; of the deepest, every stride-th. */
 static void
 search (const Scenario *scenario, const Schedule *schedule, guint depth, guint stride,
         Totals *totals, guint64 *number)
@@ -242,7 +244,7 @@
   g_autoptr (GHashTable) states = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   Totals totals = {states, 0, 0};
   Schedule schedule = {0};
-  gint64 began = g_get_monotonic_time ();
+  gint64 started_us = g_get_monotonic_time ();
   guint depth = 0;
   if (strcmp (argv[2], "replay") == 0) {
     if (!parse_schedule (argv + 3, &schedule))
@@ -256,6 +258,6 @@
   printf ("%s: depth %u, %" G_GUINT64_FORMAT " schedules, %u states, %.1f s, %" G_GUINT64_FORMAT
           " broken\n",
           scenario->name, depth, totals.schedules, g_hash_table_size (states),
-          (g_get_monotonic_time () - began) / (double)G_USEC_PER_SEC, totals.broken);
+          (g_get_monotonic_time () - started_us) / (double)G_USEC_PER_SEC, totals.broken);
   return totals.broken != 0;
 }
