--- a/tests/check_digests.sh
+++ b/tests/check_digests.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# check_digests.sh EXPECTED FOLDER: compares the digests of the simulated days that the tests have just
-# written to FOLDER, a file a test, with those written down. --write EXPECTED FOLDER writes them down:
-# for a change of behaviour that is meant, and said in its commit.
+# check_digests.sh EXPECTED FOLDER: compares the digests of simulated days that the tests have written to
+# FOLDER, one file per test, with the file EXPECTED.
+# check_digests.sh --write EXPECTED FOLDER: overwrites EXPECTED, for an intended change of behaviour that its
+# commit message states.
 set -euo pipefail
 write=no
 if [ "$1" = --write ]; then
--- a/tests/check_docs.sh
+++ b/tests/check_docs.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# check_docs.sh [ROOT]: fails when a page for readers of the code names a file or a function that is not
-# there: paths (src/, tests/, docs/, deploy/), sources by their bare name (replica.c), and functions hr_*; or a
-# function with another file than that which defines it (replica.c:hr_replica_read).
-# A function counts as there where a source or header of src/ or tests/ declares or defines it; a mention in a
-# comment does not count.
+# check_docs.sh [ROOT]: fails when a documentation page names a file or function that does not exist: paths
+# (src/, tests/, docs/, deploy/), sources by their bare name (replica.c) and functions hr_*; or names a function
+# with a file that does not define it (replica.c:hr_replica_read).
+# A function exists if a source or header of src/ or tests/ declares or defines it; a mention in a comment does
+# not count.
 set -euo pipefail
 export LC_ALL=C
 cd "${1:-$(dirname "$0")/..}"
@@ -16,7 +16,7 @@
   missing=$((missing + 1))
 }
 
-# Every word of a page that matches the pattern, once.
+# Prints the distinct matches of the pattern in a page.
 words () {
   grep -oE "$2" "$1" | sort -u || true
 }
--- a/tests/check_includes.py
+++ b/tests/check_includes.py
@@ -1,24 +1,23 @@
 #!/usr/bin/env python3
-"""check_includes.py SOURCES: keeps the shape of the source tree.
+"""check_includes.py SOURCES: checks the dependencies between folders and files.
 
 Fails when, below SOURCES,
-  * a file includes a header of a folder that its own folder may not know (ALLOWED_FOLDERS,
+  * a file includes a header of a folder that its own folder may not include (ALLOWED_FOLDERS,
     ALLOWED_HEADERS);
-  * headers include each other in a circle;
-  * more .c files call each other in a circle than the ceilings below allow.
+  * headers include each other in a cycle;
+  * a cycle of calls spans more .c files than the limits below allow.
 
-Who calls whom is read from the text: a file depends on another one when it names a function that the
-other one defines without `static`. A function that is only handed on as a pointer counts too.
-Prints the sizes that it measured.
+Calls are found in the text: a file depends on another one when it names a function that the other one
+defines without `static`, even if it only passes it on as a pointer. Prints the sizes of the cycles.
 """
 import collections
 import pathlib
 import re
 import sys
 
-# The most .c files that may depend on each other in a circle.
+# Maximum number of .c files in a dependency cycle.
 MAX_CYCLE_FILES = 6
-# The same where COORDINATION_MODULES take part, as measured. May only go down.
+# The same for cycles with files of COORDINATION_MODULES. It may only be lowered.
 MAX_COORDINATION_CYCLE_FILES = 6
 COORDINATION_MODULES = (
     "coordination/agents/",
@@ -38,10 +37,10 @@
     "coordination": COORDINATION_FOLDERS,
     "transport": ("protocol", "transport"),
     "client": ("protocol", "client"),
-    "emulator": None,  # any, the tests' simulated machines included
+    "emulator": None,  # any, including the tests' simulated machines
     "": COORDINATION_FOLDERS + ("transport",),
 }
-# Single headers beyond those: what the transport carries between users, controllers and the core.
+# Further single headers: the messages that the transport carries between users, controllers and the core.
 ALLOWED_HEADERS = {
     "transport": ("coordination/command.h", "coordination/membership/peer_status.h", "peer.pb-c.h"),
 }
@@ -50,17 +49,17 @@
 COMMENT_OR_TEXT = re.compile(r'/\*.*?\*/|//[^\n]*|"(?:\\.|[^"\\\n])*"|\'(?:\\.|[^\'\\\n])*\'', re.DOTALL)
 # GNU layout: the return type on its own line, the name at the start of the next one.
 DEFINITION = re.compile(r"^(\w[^\n;}]*)\n([a-z_]\w*) \(", re.MULTILINE)
-# Names that are no member of a struct or union.
+# Names that are not members of a struct or union.
 IDENTIFIER = re.compile(r"(?<![\w.>])[A-Za-z_]\w*")
 
 
 def folder_of(path):
-    """The folder of ALLOWED_FOLDERS that a path relative to the sources belongs to."""
+    """Returns the folder of ALLOWED_FOLDERS that a path relative to the sources belongs to."""
     return path.split("/")[0] if "/" in path else ""
 
 
 def components(graph):
-    """The strongly connected components of a graph {node: set of nodes} (Tarjan)."""
+    """Returns the strongly connected components of a graph {node: set of nodes} (Tarjan)."""
     index, low, stack, on_stack, found = {}, {}, [], set(), []
 
     def visit(node):
@@ -87,7 +86,7 @@
 
 
 def forbidden_includes(texts):
-    """One line for each include that ALLOWED_FOLDERS and ALLOWED_HEADERS don't allow."""
+    """Returns a message for each include that ALLOWED_FOLDERS and ALLOWED_HEADERS don't allow."""
     problems = []
     for path, text in sorted(texts.items()):
         folder = folder_of(path)
@@ -103,16 +102,16 @@
     return problems
 
 
-def header_circles(texts):
-    """The groups of headers that include each other."""
+def header_cycles(texts):
+    """Returns the groups of headers that include each other."""
     headers = {path for path in texts if path.endswith(".h")}
     graph = {path: set(INCLUDE.findall(texts[path])) & headers for path in headers}
-    circles = [group for group in components(graph) if len(group) > 1]
-    return circles + [[path] for path in sorted(headers) if path in graph[path]]
+    cycles = [group for group in components(graph) if len(group) > 1]
+    return cycles + [[path] for path in sorted(headers) if path in graph[path]]
 
 
 def call_graph(texts):
-    """{.c file: the .c files that define functions which it names}."""
+    """Returns {.c file: the .c files that define functions which it names}."""
     code = {path: COMMENT_OR_TEXT.sub(" ", text) for path, text in texts.items() if path.endswith(".c")}
     definers = collections.defaultdict(set)
     own_names = collections.defaultdict(set)
@@ -138,21 +137,21 @@
         for path in sorted(sources.rglob("*.[ch]"))
     }
     problems = forbidden_includes(texts)
-    problems += ["headers in a circle: " + ", ".join(group) for group in header_circles(texts)]
+    problems += ["headers include each other in a cycle: " + ", ".join(group) for group in header_cycles(texts)]
 
     largest = {"coordination": 0, "elsewhere": 0}
     for group in components(call_graph(texts)):
         coordination = any(path.startswith(COORDINATION_MODULES) for path in group)
         within = "coordination" if coordination else "elsewhere"
-        ceiling = MAX_COORDINATION_CYCLE_FILES if coordination else MAX_CYCLE_FILES
+        limit = MAX_COORDINATION_CYCLE_FILES if coordination else MAX_CYCLE_FILES
         if len(group) == 1:
             continue
         largest[within] = max(largest[within], len(group))
         print(f"{len(group)} files call each other: {' '.join(group)}")
-        if len(group) > ceiling:
-            problems.append(f"{len(group)} files call each other, above the ceiling of {ceiling}")
+        if len(group) > limit:
+            problems.append(f"{len(group)} files call each other, above the limit of {limit}")
     print(
-        f"{len(texts)} files; the largest circle of .c files has {largest['coordination']} in"
+        f"{len(texts)} files; the largest cycle of .c files has {largest['coordination']} in"
         f" coordination (at most {MAX_COORDINATION_CYCLE_FILES}) and {largest['elsewhere']} elsewhere"
         f" (at most {MAX_CYCLE_FILES})"
     )
--- a/tests/command_line.sh
+++ b/tests/command_line.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# What an operator sees of wrong settings, policies and arguments. $1: hoprockd, $2: a policy
+# Checks hoprockd's messages for invalid settings, policies and arguments. $1: hoprockd, $2: a policy
 set -u
 tmp=$(mktemp -d)
 trap 'rm -rf "$tmp"' EXIT
--- a/tests/expect.sh
+++ b/tests/expect.sh
@@ -1,5 +1,5 @@
 # shellcheck shell=sh
-# For shell tests, to be sourced: counts in $fails what did not come out as expected.
+# To be sourced by shell tests: expect counts in $fails the commands with unexpected results.
 fails=0
 expect() { # expected status, text in the output, command...
   want=$1 text=$2
