--- a/tests/test_watching.c
+++ b/tests/test_watching.c
@@ -51,11 +51,11 @@
 static void
 metrics_reflect_cluster_events (void **state G_GNUC_UNUSED)
 {
-  Cluster *cluster = cluster_led (2);
+  Cluster *cluster = cluster_new_with_leader (2);
   ClusterWorker *worker = cluster_worker (cluster, "m-1");
   int leader = cluster_leader (cluster);
   cluster_report (cluster, worker, leader);
-  cluster_place (cluster, worker, leader, "job-a");
+  cluster_submit_and_start (cluster, worker, leader, "job-a");
   g_autofree char *while_running = hr_metrics_text (cluster->nodes[leader].core);
   check_format (while_running);
   assert_true (sample_value (while_running, "hoprock_leads") == 1);
@@ -70,7 +70,7 @@
                     sample_value (while_running, "hoprock_reports_overtaken_total");
   assert_true (sample_value (while_running, "hoprock_renewal_reading_age_seconds_count") ==
                renewals);
-  cluster_abort (cluster, 1 - leader, "job-a");
+  cluster_cancel (cluster, 1 - leader, "job-a");
   cluster_run (cluster, 2);
   cluster_report (cluster, worker, leader);
   g_autofree char *after_stop = hr_metrics_text (cluster->nodes[leader].core);
@@ -150,6 +150,6 @@
       cmocka_unit_test (log_fields_become_json_members),
       cmocka_unit_test (any_message_is_one_json_line),
   };
-  g_log_set_writer_func (cluster_log, NULL, NULL);
+  g_log_set_writer_func (cluster_log_writer, NULL, NULL);
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/test_workers.c
+++ b/tests/test_workers.c
@@ -10,18 +10,18 @@
 #include <string.h>
 #include <cmocka.h>
 
-/* ---- conditions for fleet_until ---- */
+/* ---- conditions for fleet_run_until ---- */
 
 static gboolean
 task_runs (Fleet *fleet, gpointer piece)
 {
-  return fleet_count (fleet, piece) > 0;
+  return fleet_count_running (fleet, piece) > 0;
 }
 
 static gboolean
 task_runs_nowhere (Fleet *fleet, gpointer piece)
 {
-  return fleet_count (fleet, piece) == 0;
+  return fleet_count_running (fleet, piece) == 0;
 }
 
 static gboolean
@@ -38,9 +38,9 @@
   Cluster *cluster = fleet->cluster;
   for (int i = 0; cluster_leader (cluster) != 0 && i < 10; i++) {
     int leader = cluster_leader (cluster);
-    cluster_end (cluster, leader);
+    cluster_stop_node (cluster, leader);
     fleet_run (fleet, 6);
-    cluster_start (cluster, leader);
+    cluster_start_node (cluster, leader);
     fleet_run (fleet, 3);
   }
   assert_int_equal (cluster_leader (cluster), 0);
@@ -53,8 +53,8 @@
 {
   g_autofree char *piece = g_strconcat (id, "/0", NULL);
   fleet_submit (fleet, 0, id, NULL);
-  fleet_until (fleet, task_runs, piece, 8);
-  assert_true (fleet_has (machine, piece));
+  fleet_run_until (fleet, task_runs, piece, 8);
+  assert_true (fleet_machine_runs (machine, piece));
   fleet_run (fleet, 3);
 }
 
@@ -63,14 +63,14 @@
 static void
 cut_off_controller (Fleet *fleet, int node)
 {
-  fleet->cluster->nodes[node].served = FALSE;
+  fleet->cluster->nodes[node].store_available = FALSE;
   fleet->cluster->exchange_statuses = FALSE;
 }
 
 static json_t *
 whole_machine (const char *id)
 {
-  json_t *body = cluster_job (id, 1);
+  json_t *body = cluster_job_body (id, 1);
   json_object_set_new (body, "vcpus", json_real (12));
   return body;
 }
@@ -95,30 +95,30 @@
   Cluster *cluster = fleet->cluster;
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0"),
                *second = fleet_machine (fleet, "m-2", "z0");
-  second->reports = FALSE;
+  second->sends_reports = FALSE;
   fleet_run (fleet, 4);
   cluster_hold (cluster, 0, "/changes", NULL);
-  first->reports = FALSE;
+  first->sends_reports = FALSE;
   guint64 before = current_token (fleet);
   ClusterCall *late = cluster_delay (cluster, fleet_launch_call (fleet, first, 0, "job-a"));
   /* The leader's next read of changes finds that those since its last read are discarded. */
   fleet_submit (fleet, 1, "job-b", NULL);
   cluster_forget_changes (cluster);
-  fleet_release (fleet);
+  fleet_release_calls (fleet);
   fleet_run (fleet, 1);
   /* The machine's reports lack the task, and the machine is about to be preempted: the task is
    * placed on another machine. */
   fleet->cloud_deletes = FALSE;
-  second->reports = first->reports = TRUE;
-  first->notice = 60;
+  second->sends_reports = first->sends_reports = TRUE;
+  first->preemption_in_s = 60;
   fleet_run (fleet, 9);
-  fleet_obey_direct (first, late->body);
-  cluster_late (cluster, late);
+  fleet_apply_direct_call (first, late->body);
+  cluster_carry_out_delayed (cluster, late);
   fleet_run (fleet, 8);
-  assert_true (fleet_has (second, "job-a/0"));
+  assert_true (fleet_machine_runs (second, "job-a/0"));
   assert_int_equal (cluster_leader (cluster), 0);
   gboolean raised = current_token (fleet) > before;
-  fleet_end (fleet);
+  fleet_check_and_free (fleet);
   assert_true (raised);
 }
 
@@ -131,24 +131,24 @@
   Cluster *cluster = fleet->cluster;
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0"),
                *second = fleet_machine (fleet, "m-2", "z0");
-  second->reports = FALSE;
+  second->sends_reports = FALSE;
   fleet_run (fleet, 4);
-  first->reports = FALSE;
+  first->sends_reports = FALSE;
   guint64 before = current_token (fleet);
   ClusterCall *late = cluster_delay (cluster, fleet_launch_call (fleet, first, 0, "job-a"));
-  cluster_end (cluster, 0);
+  cluster_stop_node (cluster, 0);
   fleet_run (fleet, 0.3);
-  cluster_start (cluster, 0);
+  cluster_start_node (cluster, 0);
   fleet->cloud_deletes = FALSE;
-  first->notice = 60;
-  first->reports = second->reports = TRUE;
+  first->preemption_in_s = 60;
+  first->sends_reports = second->sends_reports = TRUE;
   fleet_run (fleet, 12);
   assert_int_equal (cluster_leader (cluster), 0);
-  assert_true (fleet_has (second, "job-a/0"));
+  assert_true (fleet_machine_runs (second, "job-a/0"));
   gboolean raised = current_token (fleet) > before;
-  int status = fleet_obey_direct (first, late->body);
-  cluster_late (cluster, late);
-  fleet_end (fleet);
+  int status = fleet_apply_direct_call (first, late->body);
+  cluster_carry_out_delayed (cluster, late);
+  fleet_check_and_free (fleet);
   assert_true (raised);
   assert_int_equal (status, 409);
 }
@@ -162,20 +162,20 @@
   Cluster *cluster = fleet->cluster;
   FleetMachine *machine = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
-  machine->reports = FALSE;
+  machine->sends_reports = FALSE;
   guint64 before = current_token (fleet);
   ClusterCall *late = cluster_delay (cluster, fleet_launch_call (fleet, machine, 0, "job-a"));
   fleet_cancel (fleet, 1, "job-a");
   fleet_run (fleet, 1);
-  machine->reports = TRUE;
+  machine->sends_reports = TRUE;
   machine->node = 0;
   fleet_run (fleet, 10);
   assert_true (current_token (fleet) > before);
-  guint starts = fleet->starts;
-  assert_int_equal (fleet_obey_direct (machine, late->body), 409);
-  cluster_late (cluster, late);
-  assert_int_equal (fleet->starts, starts);
-  fleet_end (fleet);
+  guint starts = fleet->task_starts;
+  assert_int_equal (fleet_apply_direct_call (machine, late->body), 409);
+  cluster_carry_out_delayed (cluster, late);
+  assert_int_equal (fleet->task_starts, starts);
+  fleet_check_and_free (fleet);
 }
 
 /* A launch was carried out, and a copy of it arrives long after the task's end. Until the worker
@@ -189,17 +189,17 @@
   fleet_run (fleet, 4);
   ClusterCall *call = fleet_launch_call (fleet, machine, 0, "job-a");
   g_autofree char *copy = g_strdup (call->body);
-  machine->reached = TRUE;
+  machine->receives_direct_calls = TRUE;
   fleet_run (fleet, 3);
-  assert_true (fleet_has (machine, "job-a/0"));
-  fleet_exit (machine, "job-a/0", "done");
+  assert_true (fleet_machine_runs (machine, "job-a/0"));
+  fleet_exit_task (machine, "job-a/0", "done");
   fleet_run (fleet, 8);
   assert_string_equal (fleet_job_state (fleet, 1, "job-a"), "done");
-  guint starts = fleet->starts;
-  fleet_obey_direct (machine, copy);
-  assert_int_equal (fleet->starts, starts);
+  guint starts = fleet->task_starts;
+  fleet_apply_direct_call (machine, copy);
+  assert_int_equal (fleet->task_starts, starts);
   (void)cluster;
-  fleet_end (fleet);
+  fleet_check_and_free (fleet);
 }
 
 /* ---- leases ---- */
@@ -215,23 +215,23 @@
   fleet_run (fleet, 4);
   submit_and_run (fleet, first, "job-a");
   submit_and_run (fleet, first, "job-b");
-  first->only = 0;
+  first->only_node = 0;
   FleetMachine *second = fleet_machine (fleet, "m-2", "z0");
-  second->only = 1;
+  second->only_node = 1;
   fleet->cloud_deletes = FALSE;
   cut_off_controller (fleet, 0);
-  fleet_until (fleet, c1_leads, NULL, 12);
+  fleet_run_until (fleet, c1_leads, NULL, 12);
   fleet_run (fleet, 0.5);
-  assert_true (fleet_has (first, "job-a/0"));
+  assert_true (fleet_machine_runs (first, "job-a/0"));
   fleet_cancel (fleet, 1, "job-a");
-  fleet_run (fleet, fleet->cluster->pol.alone_s + fleet->lease_s);
+  fleet_run (fleet, fleet->cluster->policy.alone_s + fleet->lease_s);
   /* No member reports an outage, so c0 stops answering early, after alone_s. */
-  assert_true (first->tenure > 1);
+  assert_true (first->incarnation > 1);
   fleet_run (fleet, fleet->cancel_s);
-  assert_false (fleet_has (first, "job-a/0"));
-  fleet_until (fleet, task_runs, "job-b/0", 40);
-  assert_true (fleet_has (second, "job-b/0"));
-  fleet_end (fleet);
+  assert_false (fleet_machine_runs (first, "job-a/0"));
+  fleet_run_until (fleet, task_runs, "job-b/0", 40);
+  assert_true (fleet_machine_runs (second, "job-b/0"));
+  fleet_check_and_free (fleet);
 }
 
 /* Several machines with long tasks reach only a former leader, which goes on answering them for a
@@ -251,16 +251,16 @@
   }
   cut_off_controller (fleet, 0);
   for (guint i = 0; i < G_N_ELEMENTS (machines); i++)
-    machines[i]->only = 0;
+    machines[i]->only_node = 0;
   FleetMachine *spare = fleet_machine (fleet, "m-9", "z0");
-  spare->only = 1;
-  fleet_until (fleet, c1_leads, NULL, 12);
-  guint starts = fleet->starts;
+  spare->only_node = 1;
+  fleet_run_until (fleet, c1_leads, NULL, 12);
+  guint starts = fleet->task_starts;
   fleet_run (fleet, 10);
-  assert_int_equal (fleet->starts, starts); /* the tasks may still run */
+  assert_int_equal (fleet->task_starts, starts); /* the tasks may still run */
   fleet_run (fleet, 40);
-  assert_true (fleet->starts > starts);
-  fleet_end (fleet);
+  assert_true (fleet->task_starts > starts);
+  fleet_check_and_free (fleet);
 }
 
 /* A machine's reports reach the new leader, but the answers are lost. Its task is placed again only
@@ -276,13 +276,13 @@
   FleetMachine *second = fleet_machine (fleet, "m-2", "z0");
   fleet_run (fleet, 4);
   fleet->cloud_deletes = FALSE;
-  first->hears = first->reached = FALSE;
-  cluster_end (fleet->cluster, 0);
-  fleet_until (fleet, c1_leads, NULL, 12);
-  fleet_run (fleet, fleet->cluster->pol.silent_s + 8);
-  assert_true (first->tenure > 1);
-  assert_true (fleet_has (second, "job-a/0"));
-  fleet_end (fleet);
+  first->receives_answers = first->receives_direct_calls = FALSE;
+  cluster_stop_node (fleet->cluster, 0);
+  fleet_run_until (fleet, c1_leads, NULL, 12);
+  fleet_run (fleet, fleet->cluster->policy.silent_s + 8);
+  assert_true (first->incarnation > 1);
+  assert_true (fleet_machine_runs (second, "job-a/0"));
+  fleet_check_and_free (fleet);
 }
 
 /* A machine reaches no controller, but direct orders reach the machine. They stop the task of a
@@ -299,14 +299,14 @@
   FleetMachine *second = fleet_machine (fleet, "m-2", "z0");
   fleet_run (fleet, 4);
   fleet->cloud_deletes = FALSE;
-  first->reports = FALSE;
+  first->sends_reports = FALSE;
   fleet_cancel (fleet, 1, "job-a");
-  fleet_until (fleet, task_runs_nowhere, "job-a/0", 2);
-  assert_int_equal (first->tenure, 1);
+  fleet_run_until (fleet, task_runs_nowhere, "job-a/0", 2);
+  assert_int_equal (first->incarnation, 1);
   fleet_run (fleet, 20);
-  assert_true (first->tenure > 1);
-  assert_true (fleet_has (second, "job-b/0"));
-  fleet_end (fleet);
+  assert_true (first->incarnation > 1);
+  assert_true (fleet_machine_runs (second, "job-b/0"));
+  fleet_check_and_free (fleet);
 }
 
 /* The cloud answers no deletion. The tasks of a machine that is being returned wait no longer than
@@ -321,11 +321,11 @@
   FleetMachine *second = fleet_machine (fleet, "m-2", "z0");
   fleet_run (fleet, 4);
   fleet->cloud_deletes = FALSE;
-  first->reports = FALSE; /* the leader returns a silent machine */
+  first->sends_reports = FALSE; /* the leader returns a silent machine */
   fleet_run (fleet, fleet->lease_s + 6);
-  assert_true (first->tenure > 1);
-  assert_true (fleet_has (second, "job-a/0"));
-  fleet_end (fleet);
+  assert_true (first->incarnation > 1);
+  assert_true (fleet_machine_runs (second, "job-a/0"));
+  fleet_check_and_free (fleet);
 }
 
 /* A hung machine resumes within its lease, after its job was cancelled. The task is stopped then,
@@ -339,18 +339,18 @@
   submit_and_run (fleet, first, "job-a");
   fleet->cloud_deletes = FALSE;
   fleet_report (first, 0);
-  first->hangs = TRUE;
+  first->is_hung = TRUE;
   first->node = 0;
   fleet_cancel (fleet, 1, "job-a");
   fleet_run (fleet, 5);
-  assert_true (fleet_has (first, "job-a/0"));
-  assert_true (fleet_recorded (fleet, "job-a", "\"x\""));
-  first->hangs = FALSE;
+  assert_true (fleet_machine_runs (first, "job-a/0"));
+  assert_true (fleet_job_record_contains (fleet, "job-a", "\"x\""));
+  first->is_hung = FALSE;
   fleet_run (fleet, 3);
-  assert_false (fleet_has (first, "job-a/0"));
-  assert_int_equal (first->tenure, 1); /* stopped by an order, not by the end of the lease */
-  assert_false (fleet_recorded (fleet, "job-a", "\"x\""));
-  fleet_end (fleet);
+  assert_false (fleet_machine_runs (first, "job-a/0"));
+  assert_int_equal (first->incarnation, 1); /* stopped by an order, not by the end of the lease */
+  assert_false (fleet_job_record_contains (fleet, "job-a", "\"x\""));
+  fleet_check_and_free (fleet);
 }
 
 /* The leader launches a task whose job another controller has just confirmed as cancelled. The task
@@ -364,21 +364,21 @@
   fleet_run (fleet, 4);
   cluster_hold (cluster, 0, "/commit", "m-1");
   fleet_submit (fleet, 1, "job-a", NULL);
-  for (int i = 0; i < 60 && !cluster_call (cluster, 0, "/commit", "m-1"); i++)
+  for (int i = 0; i < 60 && !cluster_find_call (cluster, 0, "/commit", "m-1"); i++)
     fleet_run (fleet, 0.05);
-  ClusterCall *write = cluster_call (cluster, 0, "/commit", "m-1");
+  ClusterCall *write = cluster_find_call (cluster, 0, "/commit", "m-1");
   assert_non_null (write);
   cluster_carry_out (cluster, write);
   cluster_hold (cluster, 0, "/changes", NULL);
   fleet_cancel (fleet, 1, "job-a");
   cluster_answer (cluster, write); /* the leader launches the recorded assignment */
   fleet_run (fleet, 0.5);
-  assert_int_equal (fleet->starts, 1);
-  fleet_release (fleet);
-  fleet_until (fleet, task_runs_nowhere, "job-a/0", 2);
+  assert_int_equal (fleet->task_starts, 1);
+  fleet_release_calls (fleet);
+  fleet_run_until (fleet, task_runs_nowhere, "job-a/0", 2);
   fleet_run (fleet, 10);
-  assert_int_equal (fleet->starts, 1);
-  fleet_end (fleet);
+  assert_int_equal (fleet->task_starts, 1);
+  fleet_check_and_free (fleet);
 }
 
 /* The state service refuses the leader alone, another controller confirms a cancellation, and right
@@ -391,15 +391,15 @@
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
   submit_and_run (fleet, first, "job-a");
-  first->only = 0;
-  fleet->cluster->nodes[0].served = FALSE;
+  first->only_node = 0;
+  fleet->cluster->nodes[0].store_available = FALSE;
   fleet_run (fleet, 0.5);
   fleet->cluster->exchange_statuses = named;
   fleet_cancel (fleet, 1, "job-a");
-  fleet->cluster->outage = TRUE;
+  fleet->cluster->store_outage = TRUE;
   fleet_run (fleet, fleet->cancel_s + 6);
-  assert_false (fleet_has (first, "job-a/0"));
-  fleet_end (fleet);
+  assert_false (fleet_machine_runs (first, "job-a/0"));
+  fleet_check_and_free (fleet);
 }
 
 static void
@@ -418,14 +418,14 @@
   Fleet *fleet = fleet_led_by_c0 (2);
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
-  first->reports = FALSE;
+  first->sends_reports = FALSE;
   fleet_launch_call (fleet, first, 0, "job-a");
   cut_off_controller (fleet, 0);
   fleet_cancel (fleet, 1, "job-a");
   fleet_run (fleet, 6);
   assert_int_equal (fleet_report (first, 0), 200);
-  assert_int_equal (fleet->starts, 0);
-  fleet_end (fleet);
+  assert_int_equal (fleet->task_starts, 0);
+  fleet_check_and_free (fleet);
 }
 
 /* A zone with a worker and a controller that does not lead is partitioned for longer than a lease.
@@ -440,13 +440,13 @@
   FleetMachine *second = fleet_machine (fleet, "m-2", "z0");
   fleet_run (fleet, 4);
   fleet->cloud_deletes = FALSE;
-  first->only = 2;
-  first->reached = FALSE;
-  fleet->cluster->nodes[2].served = FALSE;
+  first->only_node = 2;
+  first->receives_direct_calls = FALSE;
+  fleet->cluster->nodes[2].store_available = FALSE;
   fleet_run (fleet, fleet->lease_s + 8);
-  assert_true (first->tenure > 1);
-  assert_true (fleet_has (second, "job-a/0"));
-  fleet_end (fleet);
+  assert_true (first->incarnation > 1);
+  assert_true (fleet_machine_runs (second, "job-a/0"));
+  fleet_check_and_free (fleet);
 }
 
 /* The leader is paused, resumes, and first receives a report of a worker that knows no newer
@@ -458,18 +458,18 @@
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
   submit_and_run (fleet, first, "job-a");
-  first->only = 0;
+  first->only_node = 0;
   fleet_freeze (fleet, 0);
-  fleet_run (fleet, fleet->cluster->pol.alone_s + 2);
+  fleet_run (fleet, fleet->cluster->policy.alone_s + 2);
   assert_int_equal (cluster_leader (fleet->cluster), 1);
   assert_true (first->token < current_token (fleet));
-  g_autofree char *report = fleet_write (first);
+  g_autofree char *report = fleet_report_text (first);
   fleet_thaw (fleet, 0);
-  assert_int_not_equal (fleet_deliver (fleet, 0, report), 200);
-  first->only = -1;
+  assert_int_not_equal (fleet_deliver_report (fleet, 0, report), 200);
+  first->only_node = -1;
   fleet_run (fleet, 10);
-  assert_int_equal (fleet_count (fleet, "job-a/0"), 1);
-  fleet_end (fleet);
+  assert_int_equal (fleet_count_running (fleet, "job-a/0"), 1);
+  fleet_check_and_free (fleet);
 }
 
 /* During an outage of the state service, copies of a status from before its sender ended keep
@@ -482,18 +482,18 @@
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
   submit_and_run (fleet, first, "job-a");
-  cluster->outage = TRUE;
+  cluster->store_outage = TRUE;
   fleet_run (fleet, 5);
   HrPeerStatus copy = cluster->nodes[1].status;
-  cluster_end (cluster, 1);
-  for (int i = 0; i < cluster->pol.hold_s + 2; i++) {
+  cluster_stop_node (cluster, 1);
+  for (int i = 0; i < cluster->policy.hold_s + 2; i++) {
     HrCommand *command = hr_command_new (HR_COMMAND_PEER_STATUS);
     *command->peer_status = copy;
     cluster_step (cluster, 0, command);
     fleet_run (fleet, 1);
   }
   assert_int_not_equal (fleet_report (first, 0), 200);
-  fleet_end (fleet);
+  fleet_check_and_free (fleet);
 }
 
 /* ---- reports ---- */
@@ -507,16 +507,16 @@
   FleetMachine *first = fleet_machine (fleet, "m-1", "z1");
   fleet_run (fleet, 6);
   assert_true (first->token > 0);
-  g_autofree char *report = fleet_write (first);
-  first->gone = TRUE;
-  cluster_end (fleet->cluster, 0);
-  fleet_until (fleet, c1_leads, NULL, 12);
+  g_autofree char *report = fleet_report_text (first);
+  first->deleted = TRUE;
+  cluster_stop_node (fleet->cluster, 0);
+  fleet_run_until (fleet, c1_leads, NULL, 12);
   fleet_run (fleet, 3);
   fleet_submit (fleet, 1, "job-a", NULL);
-  fleet_deliver (fleet, 1, report);
+  fleet_deliver_report (fleet, 1, report);
   fleet_run (fleet, 5);
-  assert_false (fleet_recorded (fleet, "job-a", "m-1"));
-  fleet_end (fleet);
+  assert_false (fleet_job_record_contains (fleet, "job-a", "m-1"));
+  fleet_check_and_free (fleet);
 }
 
 /* An old report that lacks a task arrives after newer reports that showed it. The cancelled job's
@@ -528,33 +528,33 @@
   Fleet *fleet = fleet_led_by_c0 (2);
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
-  g_autofree char *report = fleet_write (first);
+  g_autofree char *report = fleet_report_text (first);
   if (earlier_incarnation) { /* the sequence number alone does not show that the report is old */
-    first->tally += 100;
+    first->sequence += 100;
     g_free (report);
-    report = fleet_write (first);
-    first->tally -= 101;
-    first->reports = FALSE;
-    first->lease_at -= fleet->lease_s;
+    report = fleet_report_text (first);
+    first->sequence -= 101;
+    first->sends_reports = FALSE;
+    first->lease_renewed_at -= fleet->lease_s;
     fleet_run (fleet, 0.1);
-    first->reports = TRUE;
+    first->sends_reports = TRUE;
     fleet_run (fleet, 3);
-    assert_int_equal (first->tenure, 2);
+    assert_int_equal (first->incarnation, 2);
   }
   submit_and_run (fleet, first, "job-a");
   fleet_report (first, 0);
-  first->hangs = TRUE;
+  first->is_hung = TRUE;
   fleet_cancel (fleet, 1, "job-a");
   fleet_run (fleet, 3.5); /* the direct stop has timed out by now */
-  fleet_deliver (fleet, 0, report);
+  fleet_deliver_report (fleet, 0, report);
   fleet_run (fleet, 1);
-  assert_true (fleet_has (first, "job-a/0"));
-  assert_true (fleet_recorded (fleet, "job-a", "\"x\""));
-  first->hangs = FALSE;
+  assert_true (fleet_machine_runs (first, "job-a/0"));
+  assert_true (fleet_job_record_contains (fleet, "job-a", "\"x\""));
+  first->is_hung = FALSE;
   fleet_run (fleet, 6);
-  assert_false (fleet_has (first, "job-a/0"));
-  assert_false (fleet_recorded (fleet, "job-a", "\"x\""));
-  fleet_end (fleet);
+  assert_false (fleet_machine_runs (first, "job-a/0"));
+  assert_false (fleet_job_record_contains (fleet, "job-a", "\"x\""));
+  fleet_check_and_free (fleet);
 }
 
 static void
@@ -583,22 +583,23 @@
   guint64 request = cluster_submit (cluster, 1, "job-a", 1);
   cluster_hold (cluster, 0, "/commit", "m-1");
   fleet_run (fleet, 3);
-  assert_int_equal (cluster_status (cluster, 1, request), 201);
-  ClusterCall *write = cluster_call (cluster, 0, "/commit", "m-1");
+  assert_int_equal (cluster_reply_status (cluster, 1, request), 201);
+  ClusterCall *write = cluster_find_call (cluster, 0, "/commit", "m-1");
   assert_non_null (write);
-  assert_null (fleet_direct (first, 0));
-  assert_int_equal (fleet->starts, 0);
+  assert_null (fleet_find_direct_call (first, 0));
+  assert_int_equal (fleet->task_starts, 0);
   ClusterCall *late = cluster_delay (cluster, write);
-  cluster_end (cluster, 0);
-  first->only = 1;
+  cluster_stop_node (cluster, 0);
+  first->only_node = 1;
   FleetMachine *second = fleet_machine (fleet, "m-2", "z0");
   (void)second;
-  fleet_until (fleet, c1_leads, NULL, 12);
+  fleet_run_until (fleet, c1_leads, NULL, 12);
   fleet_run (fleet, 1);
-  assert_int_equal (cluster_late (cluster, late), 409); /* a write of a former leader */
-  fleet_until (fleet, task_runs, "job-a/0", 20);
-  assert_int_equal (fleet->starts, 1);
-  fleet_end (fleet);
+  assert_int_equal (cluster_carry_out_delayed (cluster, late),
+                    409); /* a write of a former leader */
+  fleet_run_until (fleet, task_runs, "job-a/0", 20);
+  assert_int_equal (fleet->task_starts, 1);
+  fleet_check_and_free (fleet);
 }
 
 /* Restarts the controllers with direct_launch = 0: orders go out only in the answers to reports. */
@@ -606,10 +607,10 @@
 disable_direct_launch (Fleet *fleet)
 {
   Cluster *cluster = fleet->cluster;
-  cluster->pol.direct_launch = 0;
+  cluster->policy.direct_launch = 0;
   for (int i = cluster->n - 1; i >= 0; i--) {
-    cluster_end (cluster, i);
-    cluster_start (cluster, i);
+    cluster_stop_node (cluster, i);
+    cluster_start_node (cluster, i);
   }
   fleet_run (fleet, 8);
   assert_int_equal (cluster_leader (cluster), 0);
@@ -625,29 +626,29 @@
   disable_direct_launch (fleet);
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
-  fleet_submit (fleet, 0, "job-a", cluster_job ("job-a", 2));
-  fleet_until (fleet, task_runs, "job-a/0", 8);
-  fleet_until (fleet, task_runs, "job-a/1", 8);
+  fleet_submit (fleet, 0, "job-a", cluster_job_body ("job-a", 2));
+  fleet_run_until (fleet, task_runs, "job-a/0", 8);
+  fleet_run_until (fleet, task_runs, "job-a/1", 8);
   fleet_run (fleet, 3);
   cluster_hold (cluster, 0, "/commit", "job-a");
-  fleet_exit (first, "job-a/0", "done");
+  fleet_exit_task (first, "job-a/0", "done");
   fleet_run (fleet, 6);
   assert_int_equal (first->tasks->len, 2);
-  ClusterCall *write = cluster_call (cluster, 0, "/commit", "job-a");
+  ClusterCall *write = cluster_find_call (cluster, 0, "/commit", "job-a");
   assert_non_null (write);
   ClusterCall *late = cluster_delay (cluster, write);
-  cluster_end (cluster, 0);
-  fleet_until (fleet, c1_leads, NULL, 12);
+  cluster_stop_node (cluster, 0);
+  fleet_run_until (fleet, c1_leads, NULL, 12);
   fleet_run (fleet, 1);
-  cluster_late (cluster, late);
+  cluster_carry_out_delayed (cluster, late);
   fleet_run (fleet, 10);
-  assert_int_equal (fleet->starts, 2);
+  assert_int_equal (fleet->task_starts, 2);
   assert_string_not_equal (fleet_job_state (fleet, 1, "job-a"), "done");
-  fleet_exit (first, "job-a/1", "done");
+  fleet_exit_task (first, "job-a/1", "done");
   fleet_run (fleet, 8);
   assert_string_equal (fleet_job_state (fleet, 1, "job-a"), "done");
-  assert_int_equal (fleet->starts, 2);
-  fleet_end (fleet);
+  assert_int_equal (fleet->task_starts, 2);
+  fleet_check_and_free (fleet);
 }
 
 /* ---- limits and zones ---- */
@@ -657,7 +658,7 @@
 {
   for (int i = 0; i < fleet->cluster->n; i++)
     if (fleet->cluster->nodes[i].core)
-      g_array_index (fleet->cluster->nodes[i].set->teams, HrTeam, 0).cpus_max = cpus;
+      g_array_index (fleet->cluster->nodes[i].settings->teams, HrTeam, 0).cpus_max = cpus;
 }
 
 /* A team is at its limit, its job is cancelled, the leader changes, and the machine is unreachable.
@@ -670,23 +671,24 @@
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
   fleet_submit (fleet, 0, "job-a", whole_machine ("job-a"));
-  fleet_until (fleet, task_runs, "job-a/0", 8);
+  fleet_run_until (fleet, task_runs, "job-a/0", 8);
   fleet_run (fleet, 3);
   FleetMachine *second = fleet_machine (fleet, "m-2", "z0");
   fleet_run (fleet, 4);
   fleet->cloud_deletes = FALSE;
   fleet_report (first, 0);
-  first->reports = first->reached = FALSE;
+  first->sends_reports = first->receives_direct_calls = FALSE;
   fleet_cancel (fleet, 1, "job-a");
-  cluster_end (fleet->cluster, 0);
-  fleet_until (fleet, c1_leads, NULL, 12);
+  cluster_stop_node (fleet->cluster, 0);
+  fleet_run_until (fleet, c1_leads, NULL, 12);
   fleet_submit (fleet, 1, "job-b", whole_machine ("job-b"));
-  for (int i = 0; i < 60 && !fleet_has (second, "job-b/0"); i++) {
+  for (int i = 0; i < 60 && !fleet_machine_runs (second, "job-b/0"); i++) {
     fleet_run (fleet, 1);
-    assert_true (fleet_count (fleet, "job-a/0") + fleet_count (fleet, "job-b/0") <= 1);
+    assert_true (fleet_count_running (fleet, "job-a/0") + fleet_count_running (fleet, "job-b/0") <=
+                 1);
   }
-  assert_true (fleet_has (second, "job-b/0"));
-  fleet_end (fleet);
+  assert_true (fleet_machine_runs (second, "job-b/0"));
+  fleet_check_and_free (fleet);
 }
 
 /* An array of two tasks, bound to one zone or spread over two, has a task on an unreachable
@@ -699,26 +701,26 @@
   Fleet *fleet = fleet_led_by_c0 (2);
   FleetMachine *first = fleet_machine (fleet, "m-1", "z1");
   fleet_run (fleet, 4);
-  json_t *body = cluster_job ("job-a", 2);
+  json_t *body = cluster_job_body ("job-a", 2);
   json_object_set_new (body, rule, json_true ());
   json_object_set_new (body, "vcpus", json_real (12));
   fleet_submit (fleet, 0, "job-a", body);
-  fleet_until (fleet, task_runs, "job-a/0", 8);
+  fleet_run_until (fleet, task_runs, "job-a/0", 8);
   fleet_run (fleet, 3);
   fleet->cloud_deletes = FALSE;
-  first->reports = first->reached = FALSE;
+  first->sends_reports = first->receives_direct_calls = FALSE;
   fleet_report (first, 0);
   if (new_leader) {
-    cluster_end (fleet->cluster, 0);
-    fleet_until (fleet, c1_leads, NULL, 12);
+    cluster_stop_node (fleet->cluster, 0);
+    fleet_run_until (fleet, c1_leads, NULL, 12);
   }
   FleetMachine *second = fleet_machine (fleet, "m-2", other_zone);
   for (int i = 0; i < 60 && !second->tasks->len; i++) {
     fleet_run (fleet, 1);
-    assert_true (!fleet_has (first, "job-a/0") || !second->tasks->len);
+    assert_true (!fleet_machine_runs (first, "job-a/0") || !second->tasks->len);
   }
   assert_true (second->tasks->len > 0);
-  fleet_end (fleet);
+  fleet_check_and_free (fleet);
 }
 
 static void
@@ -784,41 +786,41 @@
     machines[i] = fleet_machine (fleet, name, "z0");
   }
   fleet_run (fleet, 4);
-  fleet_submit (fleet, 1, "job-a", cluster_job ("job-a", 6));
-  fleet_submit (fleet, 2, "job-b", cluster_job ("job-b", 6));
+  fleet_submit (fleet, 1, "job-a", cluster_job_body ("job-a", 6));
+  fleet_submit (fleet, 2, "job-b", cluster_job_body ("job-b", 6));
   fleet_run (fleet, 8);
   for (int i = 0; i < 10; i++) {
     int leader = cluster_leader (cluster);
     guint64 before = current_token (fleet);
-    g_autofree char *report = fleet_write (machines[i % 5]);
-    machines[(i + 1) % 5]->hangs = i % 3 == 0;
-    machines[(i + 2) % 5]->hears = i % 4 != 1;
-    cluster_end (cluster, leader);
-    cluster->outage = i == 5;
+    g_autofree char *report = fleet_report_text (machines[i % 5]);
+    machines[(i + 1) % 5]->is_hung = i % 3 == 0;
+    machines[(i + 2) % 5]->receives_answers = i % 4 != 1;
+    cluster_stop_node (cluster, leader);
+    cluster->store_outage = i == 5;
     fleet_run (fleet, 5);
     if (i == 4)
       fleet_cancel (fleet, (leader + 1) % 3, "job-b");
-    cluster_start (cluster, leader);
+    cluster_start_node (cluster, leader);
     fleet_run (fleet, 6);
-    cluster->outage = FALSE;
+    cluster->store_outage = FALSE;
     for (int k = 0; k < 3; k++)
       if (cluster->nodes[k].core)
-        fleet_deliver (fleet, k, report);
+        fleet_deliver_report (fleet, k, report);
     fleet_run (fleet, 1);
     assert_true (i == 5 || current_token (fleet) > before);
   }
   for (guint i = 0; i < G_N_ELEMENTS (machines); i++) {
-    machines[i]->hears = TRUE;
-    machines[i]->hangs = FALSE;
+    machines[i]->receives_answers = TRUE;
+    machines[i]->is_hung = FALSE;
   }
   fleet_run (fleet, 60);
   guint runs = 0;
   for (int i = 0; i < 6; i++) {
     g_autofree char *piece = g_strdup_printf ("job-a/%d", i);
-    runs += fleet_count (fleet, piece);
+    runs += fleet_count_running (fleet, piece);
   }
   assert_int_equal (runs, 6);
-  fleet_end (fleet);
+  fleet_check_and_free (fleet);
 }
 
 /* All controllers are down for longer than a lease. One starts, ends and starts again within a
@@ -831,29 +833,29 @@
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0"),
                *second = fleet_machine (fleet, "m-2", "z0");
   fleet_run (fleet, 4);
-  fleet_submit (fleet, 0, "job-a", cluster_job ("job-a", 4));
+  fleet_submit (fleet, 0, "job-a", cluster_job_body ("job-a", 4));
   fleet_run (fleet, 6);
-  g_autofree char *report = fleet_write (first);
+  g_autofree char *report = fleet_report_text (first);
   for (int i = 0; i < 3; i++)
-    cluster_end (cluster, i);
+    cluster_stop_node (cluster, i);
   fleet_run (fleet, fleet->lease_s + 3);
   assert_int_equal (first->tasks->len + second->tasks->len, 0);
-  cluster_start (cluster, 1);
+  cluster_start_node (cluster, 1);
   fleet_run (fleet, 2);
-  cluster_end (cluster, 1);
+  cluster_stop_node (cluster, 1);
   fleet_run (fleet, 0.4);
-  cluster_start (cluster, 1);
+  cluster_start_node (cluster, 1);
   fleet_run (fleet, 2);
-  fleet_deliver (fleet, 1, report);
+  fleet_deliver_report (fleet, 1, report);
   fleet_run (fleet, 1);
-  fleet_deliver (fleet, 1, report);
+  fleet_deliver_report (fleet, 1, report);
   fleet_run (fleet, 30);
   assert_int_equal (first->tasks->len + second->tasks->len, 4);
-  assert_int_equal (fleet->starts, 8);
-  cluster_start (cluster, 0);
-  cluster_start (cluster, 2);
+  assert_int_equal (fleet->task_starts, 8);
+  cluster_start_node (cluster, 0);
+  cluster_start_node (cluster, 2);
   fleet_run (fleet, 2);
-  fleet_end (fleet);
+  fleet_check_and_free (fleet);
 }
 
 int
@@ -889,6 +891,6 @@
       cmocka_unit_test (ten_leaders_in_two_minutes),
       cmocka_unit_test (all_controllers_are_down_longer_than_a_lease),
   };
-  g_log_set_writer_func (cluster_log, NULL, NULL);
+  g_log_set_writer_func (cluster_log_writer, NULL, NULL);
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
