--- a/src/coordination/agents/direct_orders.c
+++ b/src/coordination/agents/direct_orders.c
@@ -28,7 +28,7 @@
 typedef enum {
   DIRECT_SEND,
   DIRECT_POSTPONE,    /* an earlier call is in flight, or went unanswered a moment ago */
-  DIRECT_NOT_POSSIBLE /* it cannot be called: the answer to its next heartbeat has them */
+  DIRECT_NOT_POSSIBLE /* only with the answer to the next heartbeat: its worker cannot be called */
 } DirectVerdict;
 
 static DirectVerdict
@@ -82,7 +82,7 @@
     record_unanswered_call (core, machine, call);
 }
 
-/* Leaves the machine's urgent orders to a later step. */
+/* Leaves the machine's urgent orders to a later step of the core. */
 static void
 postpone (HrCore *core, HrMachine *machine)
 {
--- a/src/coordination/agents/direct_orders.h
+++ b/src/coordination/agents/direct_orders.h
@@ -1,6 +1,7 @@
 /* Sends orders directly to a worker's address, ahead of its next heartbeat. Direct calls only save
  * time: if a call is not made, not answered or refused, the answer to the worker's next heartbeat
- * has its orders. A launch whose answer is lost may still take effect, see termination_proof.h. */
+ * contains its orders. A launch whose answer is lost may still take effect, see
+ * termination_proof.h. */
 #pragma once
 #include "coordination/state.h"
 
--- a/src/coordination/agents/heartbeats.c
+++ b/src/coordination/agents/heartbeats.c
@@ -13,7 +13,8 @@
 #include "protocol/worker.h"
 #include <string.h>
 
-/* An incarnation that ends at most this many seconds before its lease may have ended with it. */
+/* An incarnation that ends at most this many seconds before its lease may have ended because the
+ * lease expired. */
 #define LEASE_END_MARGIN_S 1
 
 /* Sets the machine's type, zone and address. The type is known: hr_renewal_check_machine() checks
@@ -34,10 +35,11 @@
 admit_machine (HrCore *core, HrMachine *machine)
 {
   if (machine->state == HR_MACHINE_GONE) {
-    g_info ("%s sent a heartbeat but was not in the fleet; adding it", machine->name);
+    g_info ("machine %s sent a heartbeat but was not in the fleet; adding it", machine->name);
     hr_fleet_add (core, machine);
   } else if (machine->state == HR_MACHINE_BOOTING)
-    g_info ("%s is up after %.0f s", machine->name, core->now - machine->instance.requested_at);
+    g_info ("machine %s is up after %.0f s", machine->name,
+            core->now - machine->instance.requested_at);
   machine->state = HR_MACHINE_UP;
   machine->idle_since = machine->tasks->len ? 0 : core->now;
   core->scheduling.plan_is_stale = TRUE;
@@ -112,17 +114,17 @@
       heartbeat->sequence <= machine->agent.sequence)
     return HR_HEARTBEAT_SUPERSEDED;
   /* The heartbeat was sent before the worker heard from this leader, at an unknown time: it may be
-   * a late copy from a machine that is gone. Only its incarnation and sequence number count. A
-   * worker that is alive gets the new token with the answer and then sends another heartbeat, but
-   * at an unknown time, and this leader may be gone by then. So this answer already has to stop the
-   * tasks that must not run. */
+   * a late copy from a machine that no longer exists. Only its incarnation and sequence number
+   * count. A worker that is alive gets the new token with the answer and then sends another
+   * heartbeat, but at an unknown time, and another controller may lead by then. So this answer
+   * already has to stop the tasks that must not run. */
   gboolean is_first_boot = machine->state == HR_MACHINE_BOOTING && machine->instance.requested_here;
   if (heartbeat->fencing_token < core->leadership.term_token && !is_first_boot)
     return HR_HEARTBEAT_BEFORE_TOKEN;
   return HR_HEARTBEAT_CURRENT;
 }
 
-/* Applies a current heartbeat: its list of tasks is what the machine has. */
+/* Applies a current heartbeat, which lists all tasks that the machine has. */
 static void
 apply_current_heartbeat (HrCore *core, HrMachine *machine, const HrHeartbeat *heartbeat,
                          GArray *orders)
@@ -186,7 +188,8 @@
     return;
   verdict = hr_renewal_check_token (core, heartbeat);
   if (verdict != HR_RENEWAL_ALLOWED) {
-    g_info ("%s has seen fencing token %" G_GUINT64_FORMAT ", newer than this node's",
+    g_info ("the worker of machine %s has seen fencing token %" G_GUINT64_FORMAT
+            ", newer than this node's",
             heartbeat->machine, heartbeat->fencing_token);
     hr_lease_renewal_refuse (core, command, heartbeat->machine, verdict);
     return;
--- a/src/coordination/agents/lease_renewal.h
+++ b/src/coordination/agents/lease_renewal.h
@@ -17,7 +17,8 @@
 /**
  * hr_lease_renewal_answer:
  * @heartbeat: has passed the checks of node, token and machine
- * @orders: HrOrder: the orders that follow from the heartbeat's tasks; the others are appended
+ * @orders: HrOrder: the orders that follow from the heartbeat's tasks; all other orders are
+ * appended
  *
  * Answers the heartbeat: 200 with orders, or 503 if the worker's lease has to run out. The answer
  * to a heartbeat that is not current only contains stops of tasks whose jobs are cancelled or done,
--- a/src/coordination/agents/order_verdicts.h
+++ b/src/coordination/agents/order_verdicts.h
@@ -6,12 +6,12 @@
 /* Whether a recorded task is launched on its machine. */
 typedef enum {
   HR_LAUNCH_NOW,
-  HR_LAUNCH_STORE_NOT_READABLE, /* this controller cannot read cancellations that others confirm */
-  HR_LAUNCH_REPORTED_ALREADY,   /* the worker already reports it */
-  HR_LAUNCH_JOB_FINAL,          /* its job is cancelled or done */
+  HR_LAUNCH_STORE_NOT_READABLE,   /* cancellations by other controllers cannot be read */
+  HR_LAUNCH_REPORTED_ALREADY,     /* the worker already reports it */
+  HR_LAUNCH_JOB_FINAL,            /* its job is cancelled or done */
   HR_LAUNCH_DEPENDENCIES_PENDING, /* jobs that its job awaits are not done */
   HR_LAUNCH_STOP_WANTED,
-  HR_LAUNCH_FROM_EARLIER_TERM, /* it may have exited, and its capacity may be in use again */
+  HR_LAUNCH_FROM_EARLIER_TERM, /* an earlier leader placed it, and it may have exited since */
   HR_LAUNCH_GANG_ENDING,
   HR_LAUNCH_GANG_INCOMPLETE, /* not all tasks of the gang are recorded */
   HR_LAUNCH_GANG_TOO_EARLY   /* other tasks of the gang still fetch their image */
--- a/src/coordination/agents/preemption_notice.c
+++ b/src/coordination/agents/preemption_notice.c
@@ -56,7 +56,7 @@
   if (notice_s < 0)
     return;
   if (!machine->instance.preempted_at)
-    g_info ("%s will be preempted in about %.0f s", machine->name, notice_s);
+    g_info ("machine %s will be preempted in about %.0f s", machine->name, notice_s);
   machine->instance.preempted_at = core->now + notice_s;
   machine->is_draining = TRUE;
   for (guint i = 0; i < machine->tasks->len; i++) {
--- a/src/coordination/agents/renewal_checks.h
+++ b/src/coordination/agents/renewal_checks.h
@@ -10,7 +10,7 @@
 typedef enum {
   HR_RENEWAL_ALLOWED,
   HR_RENEWAL_NOT_LEADER,
-  HR_RENEWAL_READ_TOO_OLD, /* others may have confirmed changes since this leader's last read */
+  HR_RENEWAL_READ_TOO_OLD, /* other controllers may have confirmed later changes */
   HR_RENEWAL_NEWER_TOKEN,  /* the worker has heard from a later leader */
   HR_RENEWAL_MACHINE_RETURNED,
   HR_RENEWAL_EARLIER_INCARNATION,
--- a/src/coordination/agents/reported_tasks.c
+++ b/src/coordination/agents/reported_tasks.c
@@ -73,7 +73,7 @@
   task->reported_state = reported->state;
   if (reported->state == HR_REPORTED_RUNNING && !task->running_since) {
     task->running_since = core->now;
-    g_debug ("%s/%u runs on %s", job->id, reported->task, machine->name);
+    g_debug ("task %s/%u runs on machine %s", job->id, reported->task, machine->name);
   }
   if (implies_image_present (reported))
     hr_machine_touch_image (machine, job->spec.image);
--- a/src/coordination/agents/silent_machines.c
+++ b/src/coordination/agents/silent_machines.c
@@ -36,8 +36,9 @@
 }
 
 /* Returns whether the cloud's latest list lacks the machine, although the machine has been known
- * for more than twice the list's lag. The machine is most likely gone. That is no proof, but reason
- * enough to request its deletion, whose confirmation is one. */
+ * for more than twice the list's lag. The machine most likely no longer exists. That does not
+ * prove that its tasks have ended, but it justifies a deletion request, and the confirmation of the
+ * deletion proves it. */
 static gboolean
 is_missing_from_list (const HrCore *core, const HrMachine *machine)
 {
@@ -53,21 +54,21 @@
     return HR_SILENCE_NONE;
   if (is_unreachable_now (core, machine))
     return HR_SILENCE_UNREACHABLE;
-  gboolean is_served = hr_replica_is_current (&core->store);
+  gboolean store_is_current = hr_replica_is_current (&core->store);
   if (silence_s (core, machine) > core->policy.overdue_s && is_missing_from_list (core, machine) &&
-      is_served)
+      store_is_current)
     return HR_SILENCE_NOT_LISTED;
   if (silence_s (core, machine) <= core->policy.silent_s)
     return HR_SILENCE_NONE;
   /* Once its lease has expired, a machine runs no task that its deletion could lose. */
-  if (fleet->is_grace_period || !is_served ||
+  if (fleet->is_grace_period || !store_is_current ||
       (fleet->is_node_isolated && !hr_lease_has_expired (core, machine)))
     return HR_SILENCE_WAIT;
   return HR_SILENCE_LONG;
 }
 
-/* Ends the tasks of a machine that is being returned once its lease has expired. Its heartbeats get
- * no answers that renew the lease, so the lease runs out like that of a silent machine. Until the
+/* If the machine is being returned and its lease has expired, ends its tasks. Its heartbeats get no
+ * answers that renew the lease, so the lease runs out like that of a silent machine. Until the
  * cloud answers the deletion, this is the only proof that its tasks do not run. */
 static void
 expire_returned_lease (HrCore *core, HrMachine *machine)
@@ -122,9 +123,10 @@
    * The machines that are overdue by then are counted, or they would be deleted a few at a time. */
   gboolean is_node_isolated = is_large_share (core, counts->overdue, counts->up);
   /* A new leader first gives workers time to find it. So does a leader that was itself cut off from
-   * the store: it would otherwise return every machine that the same partition kept from it. */
-  double served_since = MAX (core->leadership.term_began_at, core->store.replica.current_since);
-  gboolean is_grace_period = core->now - served_since < core->policy.silent_s + LEADER_DISCOVERY_S;
+   * the store: otherwise it would return every machine from which the same partition cut it off. */
+  double grace_began_at = MAX (core->leadership.term_began_at, core->store.replica.current_since);
+  gboolean is_grace_period =
+      core->now - grace_began_at < core->policy.silent_s + LEADER_DISCOVERY_S;
   return (HrFleetSilence){is_node_isolated, is_grace_period};
 }
 
--- a/src/coordination/core.c
+++ b/src/coordination/core.c
@@ -214,8 +214,8 @@
   core->effects = effects;
   for (guint i = 0; i < commands->len; i++)
     handle_command (core, commands->pdata[i]);
-  core->scheduling.planned_in_this_step = planning_is_due (core);
-  if (core->scheduling.planned_in_this_step)
+  core->scheduling.pass_ran_in_latest_step = planning_is_due (core);
+  if (core->scheduling.pass_ran_in_latest_step)
     run_planning_pass (core);
   hr_replica_tick (&core->store);
   hr_record_writer_tick (&core->store);
@@ -226,6 +226,6 @@
 void
 hr_core_set_step_duration (HrCore *core, double seconds)
 {
-  if (core->scheduling.planned_in_this_step)
+  if (core->scheduling.pass_ran_in_latest_step)
     core->scheduling.pass_duration_s = MIN (seconds, MAX_PASS_DURATION_S);
 }
--- a/src/coordination/core.h
+++ b/src/coordination/core.h
@@ -73,11 +73,11 @@
 /**
  * hr_core_policy_check:
  * @policy: the operators' policy
- * @vars: the platform's figures (hr_core_policy_vars())
+ * @vars: the platform variables (hr_core_policy_vars())
  * @error: return location for the constraint that is violated
  *
- * Checks the constraints between several figures that the protocol depends on, in addition to the
- * range of each tunable.
+ * Checks the constraints between tunables and platform variables that the protocol depends on, in
+ * addition to the range of each tunable.
  *
  * Returns: whether all constraints hold
  */
@@ -88,6 +88,6 @@
  * @settings: (nullable): the platform's settings; %NULL for a sample platform
  * @vars: the table to fill
  *
- * Adds the platform's figures that a policy may use to the table.
+ * Adds the platform variables that a policy may use to the table.
  */
 void hr_core_policy_vars (const HrSettings *settings, GHashTable *vars);
--- a/src/coordination/core_policy.c
+++ b/src/coordination/core_policy.c
@@ -1,11 +1,11 @@
-/* Connects the operators' policy with the platform: the platform's figures that a policy may use,
- * and the constraints between the policy's own figures and the platform's. */
+/* Connects the operators' policy with the platform: the platform variables that a policy may use,
+ * and the constraints between the policy's tunables and the platform variables. */
 #include "coordination/core.h"
 
 /* Workers vary the interval between heartbeats by up to a quarter of report_s. */
 #define LONGEST_HEARTBEAT_GAP 1.25
 
-/* The figures of a sample platform, used to check a policy without settings. */
+/* The variables of a sample platform, used to check a policy without settings. */
 #define SAMPLE_REPORT_S 2.5
 #define SAMPLE_LEASE_S 14
 #define SAMPLE_GANG_WAIT_S 30
@@ -27,15 +27,15 @@
   /* A leader that the store does not answer cannot read a cancellation. It continues to answer
    * workers for hold_s, and the leases that it renews outlast that time. The cancelled tasks must
    * have ended before cancel_s has passed. */
-  double tasks_gone_s = policy->hold_s + *lease_s * HR_LEASE_DRIFT_FACTOR + policy->lease_margin_s;
+  double tasks_ended_s = policy->hold_s + *lease_s * HR_LEASE_DRIFT_FACTOR + policy->lease_margin_s;
   double longest_gap_s = LONGEST_HEARTBEAT_GAP * *report_s;
   const struct {
     gboolean holds;
     const char *expression, *relation;
     double limit, value;
   } constraints[] = {
-      {tasks_gone_s < *cancel_s, "hold_s + lease_s + lease_margin_s", "below cancel_s", *cancel_s,
-       tasks_gone_s},
+      {tasks_ended_s < *cancel_s, "hold_s + lease_s + lease_margin_s", "below cancel_s", *cancel_s,
+       tasks_ended_s},
       {policy->overdue_s > longest_gap_s, "overdue_s", "above 1.25 report_s", longest_gap_s,
        policy->overdue_s},
       {policy->silent_s >= policy->overdue_s, "silent_s", "at least overdue_s", policy->overdue_s,
--- a/src/coordination/jobs/dependencies.c
+++ b/src/coordination/jobs/dependencies.c
@@ -9,9 +9,9 @@
 
 /* Number of awaited jobs that a reason names; further ones are only counted. */
 #define MAX_NAMED_IN_REASON 3
-/* Tombstones for derived cancellations that one tick starts to write, at most. */
+/* Maximum number of tombstones for derived cancellations that one tick marks to be written. */
 #define TOMBSTONES_PER_TICK 2
-/* Share of the write-rate allowance that must be unused for that. */
+/* Share of the write-rate allowance that must be unused before tombstones are written. */
 #define UNUSED_ALLOWANCE_SHARE 0.8
 
 /* ---- edges ---- */
@@ -86,7 +86,7 @@
   job->cancellation.root = root;
   g_debug ("job %s is cancelled through its dependency on job %s", job->id, root->id);
   if (core->leadership.is_leader && job->run.n_live)
-    hr_job_cancelled (core, job); /* a waiting job should have no live task; stops it if it does */
+    hr_job_cancelled (core, job); /* stops its live tasks; a waiting job should have none */
   else
     queue_tombstone (core, job);
 }
--- a/src/coordination/jobs/dependencies.h
+++ b/src/coordination/jobs/dependencies.h
@@ -55,8 +55,8 @@
 /**
  * hr_dependencies_tick:
  *
- * On the leader, marks a few records of jobs that were cancelled while they awaited others to be
- * compacted to tombstones, if no other page is to be written and most of the write-rate allowance
- * is unused.
+ * On the leader, if no other page is to be written and most of the write-rate allowance is unused,
+ * marks a few records to be compacted to tombstones: those of jobs that were cancelled while they
+ * awaited other jobs.
  */
 void hr_dependencies_tick (HrCore *core);
--- a/src/coordination/jobs/failover.c
+++ b/src/coordination/jobs/failover.c
@@ -33,7 +33,8 @@
   machine->free.memory_gb = type ? type->memory_gb : 0;
 }
 
-/* Resets what depends on the term: no heartbeat was answered and no order sent in this term yet. */
+/* Resets the fields that depend on the term: no heartbeat was answered and no order sent in this
+ * term yet. */
 static void
 reset_agent (HrMachineAgent *agent)
 {
@@ -47,7 +48,7 @@
   g_array_set_size (agent->direct_launches, 0);
 }
 
-/* Discards what an earlier term knew of the machine, since it is out of date. */
+/* Discards the machine's state of an earlier term, since it is out of date. */
 static void
 reset_machine (HrCore *core, HrMachine *machine)
 {
@@ -74,8 +75,8 @@
 
 /* ---- 2. recorded tasks ---- */
 
-/* Treats a machine that is known only from a record as up, until it reports or the termination of
- * its tasks is proven. */
+/* Treats a machine that is known only from a record as up, until its worker sends a heartbeat or
+ * the termination of its tasks is proven. */
 static void
 assume_up (HrCore *core, HrMachine *machine, guint32 incarnation)
 {
@@ -144,8 +145,8 @@
   job->run.failures = 0;
   job->plan.n_listed = 0;
   /* Where the machines of the tasks are unknown, new attempts wait until every lease that an
-   * earlier leader may have renewed has expired; workers that report to this leader are ordered to
-   * stop tasks that are not recorded. */
+   * earlier leader may have renewed has expired; workers that send heartbeats to this leader are
+   * ordered to stop tasks that are not recorded. */
   job->run.retry_at =
       job->record.tasks_unreadable
           ? core->leadership.term_began_at + core->policy.hold_s + hr_lease_duration_s (core)
--- a/src/coordination/jobs/gang_scheduling.h
+++ b/src/coordination/jobs/gang_scheduling.h
@@ -29,9 +29,9 @@
  * @task: one of its tasks
  *
  * Decides whether it is too early to launch the task. A task whose image is available at once would
- * wait for the tasks that still fetch it and give up after gang_wait_s; that ends the attempt, and
- * the others lose their fetches, attempt after attempt. So the launch is delayed such that the task
- * has its image gang_wait_s / 2 before the longest fetch is expected to end.
+ * wait for the tasks that still fetch it and give up after gang_wait_s; that ends the attempt and
+ * aborts the fetches of the other tasks, in every attempt. So the launch is delayed such that the
+ * task has its image gang_wait_s / 2 before the longest fetch is expected to end.
  *
  * Returns: whether the launch is delayed.
  */
@@ -42,7 +42,7 @@
  * @job: the job, with the lost task still bound
  * @cause: why the task was lost
  *
- * Returns: what happens to the other tasks of the job.
+ * Returns: the consequences for the other tasks of the job.
  */
 HrGangLoss hr_gang_decide_loss (const HrJob *job, HrExitCause cause);
 
--- a/src/coordination/jobs/open_jobs.c
+++ b/src/coordination/jobs/open_jobs.c
@@ -1,4 +1,4 @@
-/* The list of open jobs, and which of the added jobs count as arrivals. */
+/* Adds jobs to the list of open jobs and decides which of them count as arrivals. */
 #include "coordination/jobs/open_jobs.h"
 #include "coordination/jobs/class_stats.h"
 #include "coordination/jobs/priority_inheritance.h"
--- a/src/coordination/jobs/task_failures.h
+++ b/src/coordination/jobs/task_failures.h
@@ -7,7 +7,8 @@
  * hr_task_failures_note_exit:
  * @job: the job of a task that has left the machine without being done
  * @machine: the machine on which it was
- * @cause: cause of the exit; %HR_EXIT_NONE: the task never started there, or its machine is gone
+ * @cause: cause of the exit; %HR_EXIT_NONE: the task never started there, or its machine was
+ * lost
  *
  * Records the exit. After a failure the job pauses before its next attempt, and the machine is
  * drained if jobs keep failing on it. After a refusal the machine is offered no task for a few
--- a/src/coordination/leadership/leadership.c
+++ b/src/coordination/leadership/leadership.c
@@ -8,8 +8,8 @@
 
 /* Once the lock is free, each member delays its election by a random time up to this. */
 #define MAX_ELECTION_JITTER_S 0.4
-/* A leader that has resigned starts no election for this long, so that another one takes the lock.
- */
+/* A leader that has resigned starts no election for this long, so that another controller takes the
+ * lock. */
 #define RESIGN_BACKOFF_S 15.0
 
 gboolean
--- a/src/coordination/leadership/leadership_decisions.c
+++ b/src/coordination/leadership/leadership_decisions.c
@@ -47,12 +47,13 @@
 hr_leadership_term_verdict (const HrCore *core)
 {
   const HrLeadership *leadership = &core->leadership;
-  gboolean is_ours = leadership->record_revision &&
-                     g_strcmp0 (leadership->leader_incarnation, core->incarnation) == 0 &&
-                     leadership->fencing_token > leadership->resigned_token;
-  if (is_ours == leadership->is_leader)
+  gboolean names_this_process =
+      leadership->record_revision &&
+      g_strcmp0 (leadership->leader_incarnation, core->incarnation) == 0 &&
+      leadership->fencing_token > leadership->resigned_token;
+  if (names_this_process == leadership->is_leader)
     return HR_TERM_UNCHANGED;
-  return is_ours ? HR_TERM_BEGINS : HR_TERM_ENDS;
+  return names_this_process ? HR_TERM_BEGINS : HR_TERM_ENDS;
 }
 
 /* Checks whether the leader that the leader record names is running and has only lost its lock, for
--- a/src/coordination/leadership/leadership_decisions.h
+++ b/src/coordination/leadership/leadership_decisions.h
@@ -14,7 +14,7 @@
   HR_ANSWER_ALLOWED,
   HR_ANSWER_NOT_LEADER,        /* the leader record does not name this process */
   HR_ANSWER_LAST_READ_TOO_OLD, /* no read and no attestation by all members within hold_s */
-  HR_ANSWER_ISOLATED /* none within alone_s, and not known to be an outage for all members */
+  HR_ANSWER_ISOLATED /* neither within alone_s, and no known store outage for all members */
 } HrAnswerVerdict;
 
 /* Whether this node's term begins or ends, now that the store's changes are applied. */
--- a/src/coordination/membership/cancellation_log.c
+++ b/src/coordination/membership/cancellation_log.c
@@ -2,8 +2,8 @@
 #include "coordination/jobs/task_lifecycle.h"
 #include "coordination/state.h"
 
-/* More than the cancellations that arrive while the store does not answer a leader and no other one
- * has replaced it. */
+/* Maximum length of the log: more than the cancellations that arrive after the store stops
+ * answering a leader and before another leader replaces it. */
 #define MAX_LOG_ENTRIES 1024
 /* Number of oldest entries that are dropped together when the log is full. */
 #define FULL_LOG_DROP_COUNT (MAX_LOG_ENTRIES / 4)
@@ -20,8 +20,8 @@
   g_clear_pointer (&log->entries, g_array_unref);
 }
 
-/* Returns the peer that states to be the leader and supports named cancellations; the one with the
- * highest fencing token if there are several; NULL if there is none. */
+/* Returns the peer whose status says that it is the leader and that it supports named
+ * cancellations; if there are several, the one with the highest fencing token; NULL if none. */
 static const HrPeer *
 find_leader (const HrCore *core)
 {
@@ -135,7 +135,7 @@
   job->cancellation.reported_by_peer = TRUE;
   if (!job->is_known)
     return; /* if its submission is read later, the job is already marked as cancelled */
-  g_info ("%s is cancelled according to a peer's status", id);
+  g_info ("job %s is cancelled according to a peer's status", id);
   job->state = HR_JOB_CANCELLED;
   if (job->tasks)
     hr_job_cancelled (core, job);
--- a/src/coordination/membership/membership.c
+++ b/src/coordination/membership/membership.c
@@ -12,8 +12,8 @@
 /* This node states that it reaches the store while its latest successful read is younger than this.
  */
 #define STORE_REACHABLE_MAX_READ_AGE_S 2.5
-/* Interval between two statuses, normally and while there is news for a peer that the store does
- * not answer. */
+/* Interval between two statuses, normally and while named cancellations, or acknowledgements of
+ * them, are to be sent. */
 #define STATUS_INTERVAL_S 1.0
 #define STATUS_SOON_INTERVAL_S 0.2
 
@@ -165,7 +165,8 @@
 hr_membership_status_received (HrCore *core, const HrPeerStatus *status)
 {
   if (!is_member (core, status->label)) {
-    g_info ("dropping a status from %s, which is not a member in the settings", status->label);
+    g_info ("dropping a status from controller %s, which is not a member in the settings",
+            status->label);
     return FALSE;
   }
   HrPeer *peer = hr_membership_peer (core, status->label);
--- a/src/coordination/membership/membership_state.h
+++ b/src/coordination/membership/membership_state.h
@@ -15,7 +15,7 @@
 typedef struct {
   GArray *peers;         /* HrPeer; members that have sent at least one status */
   double status_sent_at; /* latest broadcast; store_events.c sets 0 to send one at the next tick */
-  gboolean status_due_soon; /* there is news for a peer that the store does not answer
+  gboolean status_due_soon; /* named cancellations, or acknowledgements of them, are to be sent
                                (cancellation_log.c) */
   /* Heartbeats, counted in windows of HR_CONTACT_WINDOW_S. agents/heartbeats.c adds to the first
    * count. */
--- a/src/coordination/membership/peer_status.h
+++ b/src/coordination/membership/peer_status.h
@@ -1,7 +1,7 @@
-/* The status that each controller sends to the others about once a second. The struct contains no
- * pointers, so it is copied by assignment. transport/ encodes it (transport/peer_status_frame.h).
- * Times are in seconds of the sender's monotonic clock unless said otherwise; revisions are the
- * store's. */
+/* The status that each controller sends to all other controllers about once a second. The struct
+ * contains no pointers, so it is copied by assignment. transport/ encodes it
+ * (transport/peer_status_frame.h). Times are in seconds of the sender's monotonic clock unless said
+ * otherwise; revisions are the store's. */
 #pragma once
 #include "protocol/jobspec.h"
 #include <glib.h>
@@ -15,7 +15,8 @@
 #define HR_PEER_LABEL_BYTES 64
 #define HR_PEER_INCARNATION_BYTES 40
 
-/* What the sender has received from one other controller. Only that controller uses it. */
+/* Acknowledges the latest status that the sender has received from one other controller. Only that
+ * controller uses it. */
 typedef struct {
   char label[HR_PEER_LABEL_BYTES], incarnation[HR_PEER_INCARNATION_BYTES]; /* of the receiver */
   double clock;                  /* the receiver's, from its latest status */
@@ -49,7 +50,7 @@
   double clock;
   gboolean synced; /* the sender has read the whole store once; otherwise `latest_cancellation` is
                       meaningless */
-  guint64 latest_cancellation; /* revision of the latest one confirmed or read */
+  guint64 latest_cancellation; /* revision of the latest cancellation confirmed or read */
   guint64 applied_revision;    /* up to which the sender has read the store */
   HrNamedCancellations cancellations;
   HrEcho echoes[HR_MAX_ECHOES];
--- a/src/coordination/scaling/capacity_search.h
+++ b/src/coordination/scaling/capacity_search.h
@@ -20,11 +20,11 @@
  * @n: search only the first @n machines of @fleet
  * @cursor: position of the search for tasks with the same needs
  * @job: (nullable): the task's job; %NULL for expected tasks that have no job yet
- * @need: what the task needs
+ * @need: the task's requirements
  *
  * Reserves capacity for one task on a machine where it is free, or will be once a boot or a stop
- * has ended. Prefers busy machines, so that idle ones can be returned, and spot machines to others,
- * as they are cheaper.
+ * has ended. Prefers busy machines, so that idle ones can be returned, and spot machines, as they
+ * are cheaper.
  *
  * Returns: whether capacity was found.
  */
--- a/src/coordination/scaling/demand.h
+++ b/src/coordination/scaling/demand.h
@@ -7,7 +7,7 @@
 #pragma once
 #include "coordination/state.h"
 
-/* What one task requires of a machine. */
+/* The requirements that one task has of a machine. */
 typedef struct {
   HrResources resources;
   guint64 types; /* bit set of allowed machine types, by index; 0: any */
@@ -23,14 +23,14 @@
 /**
  * hr_task_need_of_job:
  *
- * Returns: what a task of the job requires.
+ * Returns: the requirements of a task of the job.
  */
 HrTaskNeed hr_task_need_of_job (const HrJobSpec *spec);
 
 /**
  * hr_task_need_of_class:
  *
- * Returns: what a task of the class is expected to require, judging by its recent jobs.
+ * Returns: the expected requirements of a task of the class, judging by its recent jobs.
  */
 HrTaskNeed hr_task_need_of_class (const HrClassStats *stats);
 
--- a/src/coordination/scaling/fleet.c
+++ b/src/coordination/scaling/fleet.c
@@ -26,7 +26,7 @@
   g_array_set_size (list, 0);
   g_ptr_array_remove_fast (core->scaling.fleet, machine);
   core->scheduling.plan_is_stale = TRUE;
-  g_debug ("%s left the fleet: %s", machine->name, why);
+  g_debug ("machine %s left the fleet: %s", machine->name, why);
 }
 
 void
@@ -34,7 +34,7 @@
 {
   if (machine->state == HR_MACHINE_DELETING || machine->state == HR_MACHINE_GONE)
     return;
-  g_info ("returning %s to the cloud: %s", machine->name, why);
+  g_info ("returning machine %s to the cloud: %s", machine->name, why);
   machine->state = HR_MACHINE_DELETING;
   machine->instance.deletion_in_flight = FALSE;
   core->scheduling.plan_is_stale = TRUE;
--- a/src/coordination/scaling/fleet.h
+++ b/src/coordination/scaling/fleet.h
@@ -1,8 +1,8 @@
 /* The fleet: all machines whose deletion is not confirmed.
  *
  * A machine joins the fleet when the cloud grants it, when the cloud's list of instances shows it,
- * or when its agent reports. It leaves only when the cloud confirms its deletion. Only the leader
- * changes the fleet.
+ * or when its worker sends a heartbeat. It leaves only when the cloud confirms its deletion. Only
+ * the leader changes the fleet.
  */
 #pragma once
 #include "coordination/state.h"
--- a/src/coordination/scaling/instance_list.c
+++ b/src/coordination/scaling/instance_list.c
@@ -13,7 +13,7 @@
 #define FIRST_PASS_GAP_S 1
 #define MIN_PASS_GAP_S 4
 /* An instance that the cloud lists as running counts as having spent at most this share of its boot
- * time, so that its agent has time to find this controller before the boot counts as failed. */
+ * time, so that its worker has time to find this controller before the boot counts as failed. */
 #define MAX_BOOTED_SHARE 0.6
 
 static void on_page (HrCore *core, int status, json_t *body, double sent, gpointer data);
@@ -37,7 +37,8 @@
   hr_fleet_delete (core, machine, "the cloud lists it as failed");
 }
 
-/* Adds a listed machine that was not in the fleet. It counts as booting until its agent reports. */
+/* Adds a listed machine that was not in the fleet. It counts as booting until its worker sends a
+ * heartbeat. */
 static void
 add_unexpected (HrCore *core, HrMachine *machine, const HrMachineType *type,
                 const HrListedInstance *entry)
@@ -50,7 +51,8 @@
   hr_fleet_add (core, machine);
   machine->instance.listed_at = core->scaling.list_requested_at;
   core->scheduling.plan_is_stale = TRUE;
-  g_info ("%s is in the cloud's list of instances but was not in the fleet; added", machine->name);
+  g_info ("machine %s is in the cloud's list of instances but was not in the fleet; added",
+          machine->name);
 }
 
 static void
@@ -67,8 +69,8 @@
   const HrMachineType *type = type_name == HR_NONE ? NULL : hr_machine_type_find (core, type_name);
   if (!type)
     return;
-  /* Machines that are so far only named in records are described too: zone rules for the other
-   * tasks of a job depend on their zones. */
+  /* Machines that are so far only named in records are described too: zone constraints for
+   * the other tasks of a job depend on their zones. */
   hr_machine_set_type (machine, type, hr_intern (&core->names->zones, entry->zone), entry->is_spot);
   if (machine->state == HR_MACHINE_GONE)
     add_unexpected (core, machine, type, entry);
@@ -96,7 +98,7 @@
   }
 }
 
-/* Ends a complete pass. Because the list lags, a pass counts as complete evidence of what earlier
+/* Ends a complete pass. Because the list lags, a pass certainly shows all instances that earlier
  * leaders requested only if it began at least list_lag_s after the term did. */
 static void
 finish_pass (HrCore *core)
--- a/src/coordination/scaling/instance_requests.c
+++ b/src/coordination/scaling/instance_requests.c
@@ -52,7 +52,8 @@
   return status == 400 ? ANSWER_MALFORMED : ANSWER_INCONCLUSIVE;
 }
 
-/* Adds a granted instance to the fleet, unless its agent reported before the answer arrived. */
+/* Adds a granted instance to the fleet, unless its worker sent a heartbeat before the answer
+ * arrived. */
 static void
 add_instance (HrCore *core, const InstanceRequest *request, const char *name, double sent)
 {
--- a/src/coordination/scaling/instance_requests.h
+++ b/src/coordination/scaling/instance_requests.h
@@ -11,8 +11,8 @@
  * hr_instance_requests_send:
  *
  * Requests the instances that the latest dispatch pass demanded, spread over zones. Requests
- * nothing until the cloud's list must show what earlier leaders requested, nor while earlier
- * requests have no conclusive answer. The leader calls it on each tick.
+ * nothing until the cloud's list certainly shows all instances that earlier leaders requested, nor
+ * while earlier requests have no conclusive answer. The leader calls it on each tick.
  */
 void hr_instance_requests_send (HrCore *core);
 
--- a/src/coordination/scaling/scale_out.c
+++ b/src/coordination/scaling/scale_out.c
@@ -69,14 +69,14 @@
   job->plan.scale_out_pause_s =
       CLAMP (2 * job->plan.scale_out_pause_s, SCALE_OUT_PAUSE_S, MAX_SCALE_OUT_PAUSE_S);
   job->plan.next_scale_out_at = core->now + job->plan.scale_out_pause_s;
-  g_message ("%s needs %u machines at once, but only %u are available; no requests for %.0f s",
+  g_message ("job %s needs %u machines at once, but only %u are available; no requests for %.0f s",
              job->id, job->n_tasks, fleet, job->plan.scale_out_pause_s);
   return TRUE;
 }
 
 /* Reserves free capacity of the machine for the tasks at the head of its list, as many as fit at
  * the same time, and returns their number. That capacity is not free for other tasks: if it were
- * counted for two, too few instances would be demanded; if these tasks were not counted, each pass
+ * counted twice, too few instances would be demanded; if these tasks were not counted, each pass
  * would again demand instances for a gang that waits for instances already requested. */
 static guint
 reserve_list (HrCore *core, HrFreeCapacity *capacity)
@@ -93,10 +93,10 @@
 
 /* Returns whether an instance requested now would start the listed task sooner than its list does,
  * and the plan is late: the task ends after its job's deadline, or belongs to a gang. @fits: the
- * machine has free capacity for the task, beside those ahead of it in the list. A task that its
- * team's limit lets start tolerates less wait: it must not wait for other tasks of the team to end,
- * because what these free of the limit goes to the next job, and the task's own share would stay
- * unused. */
+ * machine has free capacity for the task in addition to the tasks ahead of it in the list. A task
+ * that its team's limit lets start tolerates less wait: it must not wait for other tasks of the
+ * team to end, because the quota that these free is granted to the next job, and the task's own
+ * grant would stay unused. */
 static gboolean
 is_late (HrCore *core, const HrListedTask *listed, gboolean fits)
 {
--- a/src/coordination/scaling/scaling.c
+++ b/src/coordination/scaling/scaling.c
@@ -12,8 +12,8 @@
 #define MAX_PLAN_AGE_S 1
 
 /* Returns whether the machine has been booting for much longer than its type takes. Just after this
- * node regains access to the store it cannot tell: the machine may be up, and its agent first has
- * to find this controller. */
+ * node regains access to the store it cannot tell: the machine may be up, and its worker first
+ * has to find this controller. */
 static gboolean
 boot_has_failed (const HrCore *core, const HrMachine *machine)
 {
--- a/src/coordination/scaling/scaling_state.h
+++ b/src/coordination/scaling/scaling_state.h
@@ -6,7 +6,8 @@
 #include "bookkeeping/tables.h"
 #include "bookkeeping/token_bucket.h"
 
-/* A refusal of such instances for lack of capacity; none are requested before `until`. */
+/* A refusal of instances of one kind for lack of capacity; no such instance is requested before
+ * `until`. */
 typedef struct {
   guint32 type, zone;
   gboolean is_spot;
@@ -29,7 +30,7 @@
   double types_requested_at;
   /* instance_list.c */
   gboolean list_in_flight;
-  gboolean list_is_complete; /* a pass of this term shows all that earlier leaders requested */
+  gboolean list_is_complete; /* a pass of this term shows all instances of earlier leaders */
   double list_requested_at;  /* when the latest pass, complete or not, began */
   double listed_at;          /* when the latest complete pass began */
   char *list_cursor;         /* last name of the page before; NULL: none, the first page is next */
--- a/src/coordination/scheduling/estimates.h
+++ b/src/coordination/scheduling/estimates.h
@@ -1,7 +1,7 @@
 /* Estimates of run times, in seconds: the user's estimate, corrected by the run times of earlier
  * tasks of the class, plus the image fetch. Used by the plan, by dispatch and by the code that
- * handles heartbeats. These functions change no state, except that they add missing rows of class
- * statistics.
+ * handles heartbeats. These functions change no state, except that they add missing entries to the
+ * statistics of classes.
  */
 #pragma once
 #include "coordination/state.h"
--- a/src/coordination/scheduling/free_capacity.c
+++ b/src/coordination/scheduling/free_capacity.c
@@ -3,7 +3,8 @@
 #include "coordination/scheduling/lookups.h"
 #include "coordination/scheduling/resources.h"
 
-/* Returns what is free on the machine after the tasks that are being stopped there have ended. */
+/* Returns the capacity that is free on the machine after the tasks that are being stopped there
+ * have ended. */
 static HrResources
 free_after_stops (HrCore *core, const HrMachine *machine)
 {
--- a/src/coordination/scheduling/guarantees.c
+++ b/src/coordination/scheduling/guarantees.c
@@ -98,7 +98,7 @@
 }
 
 static gboolean
-preempts_others (const HrCore *core, const HrJob *job)
+preempts_other_teams (const HrCore *core, const HrJob *job)
 {
   return job->quota.reclaims_guarantee && job->spec.shape != HR_SERVICE &&
          hr_job_is_waiting (core, job);
@@ -112,7 +112,7 @@
     return;
   for (guint i = 0; i < core->store.tables.open_jobs->len; i++) {
     HrJob *job = hr_open_job (core, i);
-    if (!preempts_others (core, job))
+    if (!preempts_other_teams (core, job))
       continue;
     for (guint32 k = job->run.n_live + job->n_done; k < job->n_tasks; k++)
       if (!hr_preempt (core, job, fleet, HR_PREEMPT_OTHER_TEAMS))
--- a/src/coordination/scheduling/mtedf_gang.c
+++ b/src/coordination/scheduling/mtedf_gang.c
@@ -21,7 +21,8 @@
 typedef struct {
   GPtrArray *slots;       /* GangSlot; NULL: too few were found */
   double start;           /* latest start of the slots */
-  double effective_start; /* latest start plus delay, less HR_HOME_ZONE_BONUS_S at home; compared */
+  double effective_start; /* latest start plus delay, less HR_HOME_ZONE_BONUS_S in the home zone;
+                             the placement with the earliest one is chosen */
 } GangPlacement;
 
 /* Returns whether the machine is in the sample of lists for this gang. The sample is hashed rather
--- a/src/coordination/scheduling/placement.h
+++ b/src/coordination/scheduling/placement.h
@@ -7,7 +7,7 @@
 /**
  * hr_machine_is_plannable:
  *
- * Returns: whether the plan may include the machine: it is booting, or it is up and its agent sent
+ * Returns: whether the plan may include the machine: it is booting, or it is up and its worker sent
  * a heartbeat recently or the leader's term began recently; its type is known, and it is not being
  * drained.
  */
@@ -16,7 +16,7 @@
 /**
  * hr_machine_is_reachable:
  *
- * Returns: whether the machine is up and its agent sent this leader a heartbeat recently.
+ * Returns: whether the machine is up and its worker sent this leader a heartbeat recently.
  */
 gboolean hr_machine_is_reachable (const HrCore *core, const HrMachine *machine);
 
--- a/src/coordination/scheduling/preemption.c
+++ b/src/coordination/scheduling/preemption.c
@@ -110,8 +110,8 @@
   for (guint i = 0; i < victims->len; i++) {
     HrTaskRef ref = g_array_index (victims, HrTaskRef, i);
     HrJob *victim = hr_job_of_task (core, ref);
-    g_info ("preempting task %s/%u on %s for %s, whose image is cached there", victim->id, ref.task,
-            best->name, job->id);
+    g_info ("preempting task %s/%u on machine %s for job %s, whose image is cached there",
+            victim->id, ref.task, best->name, job->id);
     hr_task_stop (core, victim, ref.task, 0);
   }
   return best;
@@ -172,7 +172,8 @@
     HrJob *victim = hr_job_of_task (core, ref);
     if (!hr_may_preempt (core, job, scope, victim, ref.task))
       continue;
-    g_info ("preempting task %s/%u on %s for %s", victim->id, ref.task, machine->name, job->id);
+    g_info ("preempting task %s/%u on machine %s for job %s", victim->id, ref.task, machine->name,
+            job->id);
     hr_resources_add (&capacity->free, hr_resources_of_task (&victim->spec));
     hr_preempt_task (core, victim, ref.task);
   }
--- a/src/coordination/scheduling/preemption.h
+++ b/src/coordination/scheduling/preemption.h
@@ -1,6 +1,6 @@
 /* Preemption: decides which running tasks may be stopped for a waiting task, and stops them.
  *
- * Tasks are stopped only if that frees enough capacity. A stop is an order to the agent, so the
+ * Tasks are stopped only if that frees enough capacity. A stop is an order to the worker, so the
  * capacity becomes free some seconds later (%HR_PREEMPTION_S). The stop order is sent before any
  * launch order to the same machine.
  */
@@ -9,7 +9,7 @@
 #include "coordination/state.h"
 
 /* Time from the decision to preempt until the waiting task runs, s: a write to the state store, an
- * order to the agent and a heartbeat. */
+ * order to the worker and a heartbeat. */
 #define HR_PREEMPTION_S 2.0
 
 /* Which tasks may be preempted for a job. */
--- a/src/coordination/scheduling/quota_preemption.c
+++ b/src/coordination/scheduling/quota_preemption.c
@@ -73,8 +73,8 @@
       continue;
     }
     guint n = victim->spec.shape == HR_GANG ? victim->run.n_live : 1;
-    g_info ("preempting task %s/%u on %s for %s, within their team's limit", victim->id, ref.task,
-            machine->name, job->id);
+    g_info ("preempting task %s/%u on machine %s for job %s, within their team's limit", victim->id,
+            ref.task, machine->name, job->id);
     hr_quota_add (pool, hr_quota_of (&victim->spec, n));
     hr_preempt_task (core, victim, ref.task);
     k = 0; /* other tasks of a gang may have been removed from the list */
@@ -108,7 +108,7 @@
       job->spec.shape != HR_SERVICE && usage->shadow_time - core->now <= TOLERATED_WAIT_S;
   hr_quota_subtract (&usage->reclaimed, hr_quota_of (&job->spec, job->quota.granted));
   for (guint n = n_ungranted; n >= unit && !usage->is_exhausted; n -= unit) {
-    /* After this no task is stopped for later jobs either: what that frees would go to this job, or
+    /* After this no task is stopped for later jobs either: the freed quota would go to this job, or
      * to shorter work that would be preempted again. */
     if (!hr_quota_covers (usage->reclaimed, need) &&
         (starts_soon || !preempt_until_covered (core, job, &usage->reclaimed, need)))
@@ -118,7 +118,7 @@
   }
 }
 
-/* Sets what each team's limit leaves once the tasks that are being stopped have ended. */
+/* Sets the quota that each team's limit leaves once the tasks that are being stopped have ended. */
 static void
 reset_reclaimed (HrCore *core)
 {
--- a/src/coordination/scheduling/quota_reservation.c
+++ b/src/coordination/scheduling/quota_reservation.c
@@ -1,4 +1,4 @@
-/* Quota reservation: reserves what a team's limit leaves for the first job that does not fit. */
+/* Quota reservation: reserves the rest of a team's limit for the first job that does not fit. */
 #include "coordination/scheduling/quota_reservation.h"
 #include "coordination/agents/termination_proof.h"
 #include "coordination/scheduling/estimates.h"
--- a/src/coordination/scheduling/quota_reservation.h
+++ b/src/coordination/scheduling/quota_reservation.h
@@ -1,4 +1,4 @@
-/* Quota reservation: reserves what a team's limit leaves for the first job that does not fit.
+/* Quota reservation: reserves the rest of a team's limit for the first job that does not fit.
  *
  * EASY backfilling (Lifka, The ANL/IBM SP scheduling system): later jobs may use the remaining
  * quota only if, by estimate, they end before enough of the limit becomes free for the first job
--- a/src/coordination/scheduling/quotas.c
+++ b/src/coordination/scheduling/quotas.c
@@ -132,8 +132,8 @@
     hr_quota_reserve (core, usage, job);
 }
 
-/* Subtracts the headroom of a class from what its teams' limits leave. Returns how many of the
- * wanted tasks fit. */
+/* Subtracts the headroom of a class from the quota that its teams' limits leave. Returns how many
+ * of the wanted tasks fit. */
 static guint
 allocate_headroom (HrCore *core, const HrClassStats *stats, guint wanted)
 {
@@ -154,7 +154,8 @@
   return n;
 }
 
-/* Limits the headroom of each class to what its teams' limits leave, higher priorities first. */
+/* Limits the headroom of each class to the quota that its teams' limits leave, higher priorities
+ * first. */
 static void
 limit_headroom (HrCore *core)
 {
--- a/src/coordination/scheduling/quotas.h
+++ b/src/coordination/scheduling/quotas.h
@@ -15,8 +15,8 @@
 /**
  * hr_quotas_pass:
  *
- * Counts what each team uses and grants what the limits leave. Called at the beginning of each
- * pass; does nothing before the machine types are known.
+ * Counts the quota that each team uses and grants the rest of its limit. Called at the beginning of
+ * each pass; does nothing before the machine types are known.
  */
 void hr_quotas_pass (HrCore *core);
 
--- a/src/coordination/scheduling/resources.h
+++ b/src/coordination/scheduling/resources.h
@@ -109,7 +109,7 @@
  * hr_machine_unused:
  *
  * Returns: the capacity that is used neither by tasks that are assigned to the machine nor by
- * unrecognized tasks, which the agent reports although they should not be there.
+ * unrecognized tasks, which the worker reports although they should not be there.
  */
 static inline HrResources
 hr_machine_unused (const HrMachine *machine)
--- a/src/coordination/scheduling/scheduling_state.h
+++ b/src/coordination/scheduling/scheduling_state.h
@@ -26,9 +26,9 @@
   gboolean guaranteed_job_waits; /* a job that reclaims its team's guarantee waits for capacity */
   gboolean plan_is_stale;        /* a pass is due */
   guint n_shards;
-  double planned_at; /* start of the latest pass */
-  gboolean planned_in_this_step;
-  double pass_duration_s; /* duration of the latest step with a pass; 0: unknown */
+  double planned_at;                /* start of the latest pass */
+  gboolean pass_ran_in_latest_step; /* a planning pass, in the latest step of the core */
+  double pass_duration_s;           /* duration of the latest step with a pass; 0: unknown */
   double next_starvation_check_at;
   guint booting_machines; /* number at the latest pass, for metrics */
 } HrScheduling;
--- a/src/coordination/scheduling/service_replicas.c
+++ b/src/coordination/scheduling/service_replicas.c
@@ -16,12 +16,10 @@
 #include <math.h>
 
 /* Weights in a machine's score for a replica; the highest score is best. */
-#define SCORE_PER_FETCH_S 10 /* subtracted per second of the image fetch */
-#define SCORE_PER_HOME_S                                                                           \
-  10                         /* added per second of HR_HOME_ZONE_BONUS_S in the controllers' zone  \
-                              */
-#define SCORE_PER_TASK 10    /* added per task on the machine: fuller machines first */
-#define SCORE_LAST_SLOT 1000 /* subtracted if slots are short and a fetch would use the last */
+#define SCORE_PER_FETCH_S 10   /* subtracted per second of the image fetch */
+#define SCORE_PER_HOME_S 10    /* added per second of HR_HOME_ZONE_BONUS_S, in the home zone */
+#define SCORE_PER_TASK 10      /* added per task on the machine: fuller machines first */
+#define SCORE_LAST_SLOT 1000   /* subtracted if slots are short and a fetch would use the last */
 #define SCORE_PER_FREE_CPU 0.1 /* subtracted; a free accelerator counts as ten processors */
 
 /* Returns the time left until the job misses the next start objective of its class that it can
--- a/src/coordination/scheduling/start_check.h
+++ b/src/coordination/scheduling/start_check.h
@@ -12,7 +12,7 @@
   HR_START_RETRY_PAUSE, /* the job failed and is in its pause before the retry */
   HR_START_QUOTA,       /* not allowed by its team's limit or another team's guarantee */
   /* Verdicts on the machine. */
-  HR_START_NO_CAPACITY, /* the task does not fit, or the agent reported that the machine is full */
+  HR_START_NO_CAPACITY, /* the task does not fit, or the worker reported that the machine is full */
   HR_START_UNSUITABLE,  /* the machine is not reachable, or the job may not be placed there */
   HR_START_RESERVED,    /* the task would fit, but the free capacity is reserved for services */
 } HrStartVerdict;
--- a/src/coordination/scheduling/starts.c
+++ b/src/coordination/scheduling/starts.c
@@ -108,8 +108,8 @@
       is_complete = FALSE;
       continue;
     }
-    g_info ("task %s/%u was lost before its gang started; starting it on %s instead", job->id, k,
-            machine->name);
+    g_info ("task %s/%u was lost before its gang started; starting it on machine %s instead",
+            job->id, k, machine->name);
     start_attempt (core, job, k, machine, attempt);
   }
   if (is_complete)
--- a/src/hoprockd.c
+++ b/src/hoprockd.c
@@ -226,7 +226,7 @@
     daemon.server = hr_http_server_new (settings->front, max_server_connections (settings),
                                         enqueue_command, &daemon, &error);
   if (!daemon.server) {
-    fprintf (stderr, "hoprockd: cannot listen: %s\n", error->message);
+    fprintf (stderr, "hoprockd: cannot start: %s\n", error->message);
     return EXIT_WRONG_SETTINGS;
   }
   g_info ("hoprockd %s: %s, incarnation %s", HR_VERSION, settings->label, incarnation);
