--- a/src/coordination/agents/reported_tasks.c
+++ b/src/coordination/agents/reported_tasks.c
@@ -107,7 +107,7 @@
 
 /* Results gathered while the tasks of one message are processed. */
 typedef struct {
-  GHashTable *recorded; /* set of HrTask: reported where they are recorded */
+  GHashTable *recorded; /* set of HrTask: reported by the machine that their record names */
   guint n_uncleared;    /* ended attempts that may not be cleared yet */
 } MessageSummary;
 
--- a/src/coordination/agents/silent_machines.c
+++ b/src/coordination/agents/silent_machines.c
@@ -109,7 +109,8 @@
   return counts;
 }
 
-/* Returns whether @count of @up machines are so many that this node is the likely cause. */
+/* Returns whether @count of @up machines are so many that a fault of this node is the likely
+ * cause. */
 static gboolean
 is_large_share (const HrCore *core, guint count, guint up)
 {
--- a/src/coordination/agents/silent_machines.h
+++ b/src/coordination/agents/silent_machines.h
@@ -16,7 +16,7 @@
 
 /* State of the fleet that the verdict on a single machine depends on. */
 typedef struct {
-  gboolean is_node_isolated; /* so many are overdue that this node is the likelier cause */
+  gboolean is_node_isolated; /* so many machines are overdue that this node is probably at fault */
   gboolean is_grace_period;  /* workers may still be searching for this leader */
 } HrFleetSilence;
 
--- a/src/coordination/core.c
+++ b/src/coordination/core.c
@@ -25,7 +25,8 @@
 #include "protocol/http_method.h"
 #include "protocol/json_util.h"
 
-/* Planning passes begin at least this many times the duration of the latest pass apart. */
+/* Minimum time between the starts of two planning passes, as a multiple of the duration of the
+ * latest pass. */
 #define PASS_INTERVAL_FACTOR 4.0
 /* Limit for the measured duration of a pass, since the process may have been suspended during it.
  */
--- a/src/coordination/jobs/cancellations.c
+++ b/src/coordination/jobs/cancellations.c
@@ -12,7 +12,7 @@
 #include "protocol/store_api.h"
 #include <string.h>
 
-/* Requests a split of the record, which with its tasks exceeds the state service's size limit. The
+/* Requests a split of the record, which with its tasks exceeds the state store's size limit. The
  * user is asked to retry; the leader splits the record meanwhile. */
 static HrVerdict
 refuse_until_split (HrCore *core, HrJob *job)
--- a/src/coordination/jobs/request_routing.c
+++ b/src/coordination/jobs/request_routing.c
@@ -71,7 +71,7 @@
   return refuse (404, "no such path");
 }
 
-/* Returns why this node cannot answer users, or NULL if it can. While the state service answers no
+/* Returns why this node cannot answer users, or NULL if it can. While the state store answers no
  * controller at all, this node counts as ready: no other one could answer better. */
 static const char *
 unready_reason (HrCore *core)
--- a/src/coordination/jobs/request_routing.h
+++ b/src/coordination/jobs/request_routing.h
@@ -12,6 +12,6 @@
  * @core: the controller
  * @command: a HR_COMMAND_REQUEST that is not a heartbeat; borrowed
  *
- * Handles a request. The reply is sent immediately, or once the state service has answered.
+ * Handles a request. The reply is sent immediately, or once the state store has answered.
  */
 void hr_user_request_received (HrCore *core, HrCommand *command);
--- a/src/coordination/jobs/submissions.c
+++ b/src/coordination/jobs/submissions.c
@@ -25,7 +25,7 @@
                             request->received_at, tasks_per_page, tag);
 }
 
-/* Checks whether the ids of the awaited jobs fit into a value of the state service, under its
+/* Checks whether the ids of the awaited jobs fit into a value of the state store, under its
  * present and its planned limits. The main record holds them and is written many times. */
 static gboolean
 awaits_fit_record (const HrCore *core, const HrUserRequest *request)
--- a/src/coordination/jobs/submissions.h
+++ b/src/coordination/jobs/submissions.h
@@ -9,7 +9,7 @@
  * @core: the controller
  * @command: the request, with the job's specification as its body; borrowed
  *
- * Handles a submission. The reply is sent immediately, or once the state service has answered.
+ * Handles a submission. The reply is sent immediately, or once the state store has answered.
  */
 void hr_submission_received (HrCore *core, HrCommand *command);
 
--- a/src/coordination/jobs/task_lifecycle.h
+++ b/src/coordination/jobs/task_lifecycle.h
@@ -5,7 +5,7 @@
  *   from        to          function            when
  *   IDLE        ASSIGNING   hr_task_assign      the scheduler chose a machine; to be recorded
  *   ASSIGNING   BOUND       hr_task_bound       the assignment is recorded; may be launched
- *   ASSIGNING   IDLE        hr_task_unassign    withdrawn before it was recorded; nothing was sent
+ *   ASSIGNING   IDLE        hr_task_unassign    dropped before it was recorded; nothing was sent
  *   BOUND       IDLE        hr_task_terminated  proven absent from its machine, and not done
  *   BOUND       DONE        hr_task_done        its worker reported it done; to be recorded
  *   IDLE        DONE        hr_gang_done        another task of its gang is done
@@ -40,7 +40,7 @@
  * hr_task_unassign:
  * @task_index: index of an assigning task that is not part of a write in flight
  *
- * Withdraws the assignment.
+ * Drops the assignment and releases the capacity allocated for it.
  */
 void hr_task_unassign (HrCore *core, HrJob *job, guint32 task_index);
 
@@ -75,7 +75,7 @@
  * hr_task_cancel:
  * @grace_s: time that the task has to save its state, in seconds
  *
- * Removes the task from its machine: an assignment that is not recorded yet is withdrawn, a bound
+ * Removes the task from its machine: an assignment that is not recorded yet is dropped, a bound
  * task is stopped. A task whose assignment is being written is not changed: it is not launched
  * while its job is cancelled or its attempt is ending, and is released once its absence is proven.
  */
--- a/src/coordination/jobs/user_requests.c
+++ b/src/coordination/jobs/user_requests.c
@@ -9,7 +9,7 @@
 /* Maximum number of writes for one request. */
 #define MAX_WRITES 6
 /* Timeouts of a user's write, in seconds. Most responses arrive within milliseconds, and a lost one
- * never arrives, so the first FIRST_WRITES writes time out early. If the state service is slow,
+ * never arrives, so the first FIRST_WRITES writes time out early. If the state store is slow,
  * retries would only add to its load, so later writes wait longer, and every write waits for at
  * least TIMEOUT_IN_LATENCIES times the recent read latency, up to MAX_TIMEOUT_S. */
 #define FIRST_TIMEOUT_S 0.15
@@ -20,7 +20,7 @@
 /* Age of a request, in seconds, from which no further write is sent for it. Users wait 5 s for the
  * reply. */
 #define LAST_WRITE_AGE_S 2.5
-/* Retry-After of a refusal, in seconds; the second one while the state service does not answer this
+/* Retry-After of a refusal, in seconds: normally, and while the state store does not answer this
  * node. */
 #define RETRY_AFTER_S 1
 #define RETRY_AFTER_OUTAGE_S 2
--- a/src/coordination/leadership/leadership_state.h
+++ b/src/coordination/leadership/leadership_state.h
@@ -28,7 +28,7 @@
   gboolean is_leader;
   guint64 term_token; /* fencing token with which the term began */
   double term_began_at;
-  guint64 resigned_token;      /* this node leads under no token up to this one */
+  guint64 resigned_token;      /* this node never leads again under this token or a lower one */
   double resign_backoff_until; /* no election before then: this node has resigned */
 
   /* Writes of the leader record. */
--- a/src/coordination/membership/membership.h
+++ b/src/coordination/membership/membership.h
@@ -61,8 +61,8 @@
  * partition of its own. It assumes a partition: it reports that it is not ready, so that users go
  * to another controller, and soon stops answering workers.
  *
- * Returns: whether no peer with a recent status is answered by the store, and there is at least one
- * such peer or this node is the only member
+ * Returns: whether the store answers no peer whose status is recent, and there is at least one such
+ * peer or this node is the only member
  */
 gboolean hr_membership_store_outage_for_all (const HrCore *core);
 
--- a/src/coordination/membership/membership_state.h
+++ b/src/coordination/membership/membership_state.h
@@ -7,7 +7,7 @@
 typedef struct {
   HrPeerStatus status;
   double received_at;
-  double attested_at;            /* the peer's attestation is valid as of then (attestation.c) */
+  double attested_at;            /* time as of which its attestation is valid (attestation.c) */
   guint64 cancellations_applied; /* position in the log of its process up to which this node has
                                     applied it (cancellation_log.c) */
 } HrPeer;
--- a/src/coordination/scaling/capacity_refusals.h
+++ b/src/coordination/scaling/capacity_refusals.h
@@ -8,7 +8,7 @@
  * hr_capacity_is_refused:
  * @type: machine type, as an interned name
  * @zone: zone, as an interned name; %HR_NONE to ask whether all zones of the type are refused
- * @spot: whether a spot instance is meant
+ * @spot: whether the instance is a spot instance
  *
  * Returns: whether the cloud has refused such an instance within the last few seconds.
  */
