--- a/src/coordination/membership/membership_state.h
+++ b/src/coordination/membership/membership_state.h
@@ -7,7 +7,7 @@
 typedef struct {
   HrPeerStatus status;
   double received_at;
-  double attested_at;            /* the peer's attestation is valid as of then (attestation.c) */
+  double attested_at;            /* time as of which its attestation is valid (attestation.c) */
   guint64 cancellations_applied; /* position in the log of its process up to which this node has
                                     applied it (cancellation_log.c) */
 } HrPeer;
@@ -15,7 +15,7 @@
 typedef struct {
   GArray *peers;         /* HrPeer; members that have sent at least one status */
   double status_sent_at; /* latest broadcast; store_events.c sets 0 to send one at the next tick */
-  gboolean status_due_soon; /* there is news for a peer that the store does not answer
+  gboolean status_due_soon; /* named cancellations, or acknowledgements of them, are to be sent
                                (cancellation_log.c) */
   /* Heartbeats, counted in windows of HR_CONTACT_WINDOW_S. agents/heartbeats.c adds to the first
    * count. */
