--- a/src/emulator/control.c
+++ b/src/emulator/control.c
@@ -32,7 +32,7 @@
   return json_pack ("{sfsososisisisisi}", "seconds", cluster->now, "controllers_up", nodes,
                     "broken", broken, "machines", (int)up, "tasks", (int)tasks, "jobs",
                     (int)cluster->jobs->len, "jobs_done", (int)done, "terms",
-                    (int)cluster->troubles.leaders);
+                    (int)cluster->faults.leaders);
 }
 
 gboolean
--- a/tests/sim/answer_checks.c
+++ b/tests/sim/answer_checks.c
@@ -35,7 +35,7 @@
 static void
 check_final (SimCluster *cluster, const SimJob *job, gboolean done, gboolean cancelled)
 {
-  if ((done && job->cancelled_heard_at) || (cancelled && job->done_heard_at))
+  if ((done && job->cancelled_reply_clock) || (cancelled && job->done_reply_clock))
     sim_report_violation (cluster, "went_back", "%s is reported %s, and was reported %s", job->id,
                           done ? "done" : "withdrawn", done ? "withdrawn" : "done");
 }
@@ -58,28 +58,29 @@
   gboolean done = strcmp (state, "done") == 0, cancelled = strcmp (state, "withdrawn") == 0;
   if (done && (job->shape == HR_SERVICE || !job_all_done (job)))
     sim_report_violation (cluster, "not_done", "%s is reported done", job->id);
-  if (cancelled && !pipeline_cancel_asked (job))
+  if (cancelled && !pipeline_cancel_requested (job))
     sim_report_violation (cluster, "went_back",
                           "%s is reported withdrawn, though no user cancelled it", job->id);
-  if ((known_before (job->done_heard_at, request) && !done) ||
-      (known_before (job->cancelled_heard_at, request) && !cancelled))
+  if ((known_before (job->done_reply_clock, request) && !done) ||
+      (known_before (job->cancelled_reply_clock, request) && !cancelled))
     sim_report_violation (cluster, "went_back",
                           "%s is reported %s, which is older than a previous answer", job->id,
                           state);
   check_final (cluster, job, done, cancelled);
   pipeline_state_reported (cluster, job, state, request->sent_at);
-  if (status == 201 && known_before (job->accepted_heard_at, request))
+  if (status == 201 && known_before (job->accepted_reply_clock, request))
     sim_report_violation (cluster, "status", "%s is accepted as new a second time", job->id);
-  gboolean first = !job->accepted_heard_at;
-  gboolean news = first || (done && !job->done_heard_at) || (cancelled && !job->cancelled_heard_at);
+  gboolean first = !job->accepted_reply_clock;
+  gboolean news =
+      first || (done && !job->done_reply_clock) || (cancelled && !job->cancelled_reply_clock);
   if (first)
-    job->accepted_heard_at = cluster->message_clock;
+    job->accepted_reply_clock = cluster->message_clock;
   if (done && !job->done_reply_at) {
-    job->done_heard_at = cluster->message_clock;
+    job->done_reply_clock = cluster->message_clock;
     job->done_reply_at = cluster->now;
   }
   if (cancelled && !job->cancelled_reply_at) {
-    job->cancelled_heard_at = cluster->message_clock;
+    job->cancelled_reply_clock = cluster->message_clock;
     job->cancelled_reply_at = cluster->now;
     check_cancelled_job (cluster, job);
   }
@@ -94,7 +95,7 @@
 {
   SimJob *job = request->job;
   cluster->message_clock++;
-  if (known_before (job->accepted_heard_at, request))
+  if (known_before (job->accepted_reply_clock, request))
     sim_report_violation (cluster, "forgotten", "%s: %s gets %d", job->id, request_kind, status);
   else if (status != 404)
     sim_report_violation (cluster, "status", "%s: %s gets %d", job->id, request_kind, status);
--- a/tests/sim/cloud.c
+++ b/tests/sim/cloud.c
@@ -121,8 +121,8 @@
       SimMachine *machine = cluster->machines->pdata[k];
       if (strcmp (machine->name, json_string_value (entry)) != 0)
         continue;
-      /* The machine has been gone and in no record for longer than any outage: the leader acts on
-       * its knowledge from an earlier term. */
+      /* The machine ended, and the last record that named it changed, longer ago than any outage
+       * lasts: the leader acts on its knowledge from an earlier term. */
       if (!request->answered && machine->gone &&
           cluster->now - MAX (machine->gone_at, machine->last_referenced_at) > 90 &&
           !store_references_machine (cluster, machine->name))
--- a/tests/sim/cluster.c
+++ b/tests/sim/cluster.c
@@ -167,7 +167,7 @@
 typedef struct {
   int node;
   guint generation;
-  guint64 epoch; /* that the batch had read */
+  guint64 epoch; /* revision up to which the batch had read */
   GPtrArray *effects;
 } HeldEffects;
 
@@ -210,7 +210,7 @@
   SimNode *n = &cluster->nodes[i];
   if (!n->up || generation != n->generation)
     return;
-  if (n->frozen_until > cluster->now) { /* its sockets buffer what arrives */
+  if (n->frozen_until > cluster->now) { /* its sockets buffer the messages that arrive */
     sim_schedule (cluster, n->frozen_until, run_node, data);
     return;
   }
--- a/tests/sim/cluster.h
+++ b/tests/sim/cluster.h
@@ -1,5 +1,5 @@
 /* A simulated cluster around the real controller core: a clock, a network, and simulations of the
- * state service, the cloud, workers and users. Deterministic: the same seed gives the same run,
+ * state store, the cloud, workers and users. Deterministic: the same seed gives the same run,
  * called a day. The rules of the protocol are checked throughout. */
 #pragma once
 #include "coordination/core.h"
@@ -24,15 +24,15 @@
   char *(*worker_address) (SimCluster *cluster, guint machine);
 } SimControllers;
 
-/* The order of a worker's reports: by incarnation, then by sequence number. */
+/* The place of a heartbeat among those of its worker: by incarnation, then by sequence number. */
 typedef struct {
   guint64 incarnation, number;
 } SimReportOrder;
 
-/* An answer of the state service to a controller. */
+/* An answer of the state store to a controller. */
 typedef struct {
   double at;
-  guint64 epoch; /* the controller knows all changes up to this one */
+  guint64 epoch; /* the controller knows all changes up to this revision */
 } SimStoreRead;
 
 typedef struct {
@@ -49,23 +49,24 @@
   GPtrArray *queue;
   gboolean step_scheduled;
   GHashTable *open;                 /* request id -> SimRequest */
-  GHashTable *newest_answered;      /* machine -> SimReportOrder of the newest answered report */
+  GHashTable *newest_answered;      /* machine -> SimReportOrder of the newest answered heartbeat */
   GHashTable *answered_at_handover; /* request id -> SimReportOrder that was the newest answered
                                        when the request was handed over; separate processes only */
-  guint64 next;
-  double store_answered_at;       /* when the state service last answered it */
-  double unread_leader_change_at; /* when another controller wrote the leader record, if this one
-                                     has not read that yet; 0: it has read all writes */
+  guint64 next;                     /* id of the latest request handed to it */
+  double store_answered_at;         /* when the state store last answered it */
+  double unread_leader_change_at;   /* when another controller wrote the leader record, if this one
+                                       has not read that yet; 0: it has read all writes */
   guint64 unread_leader_change_epoch;
-  /* Ends of its cuts, and of the time in which the state service answers it with 503. */
+  /* Ends of its cuts, and of the time in which the state store answers it with 503. */
   double cut_workers_until, cut_store_until, cut_peers_until, cut_users_until, store_refuses_until;
-  double isolated_at;          /* cut off from state service and peers since */
+  double isolated_at;          /* cut off from state store and peers since */
   gboolean cut_holds_messages; /* cuts delay messages until they end, instead of dropping them */
-  guint64 compacted_epoch;    /* changes up to this one are not available to it any more; 0: all are
-                                 available */
-  double frozen_until;        /* suspended until then, while its clocks run on; 0: it is not */
-  double freeze_next_batch_s; /* is suspended so long in the middle of its next batch */
-  /* Changes of the state service that it was sent, and that earlier batches have read. */
+  guint64 compacted_epoch;     /* the store has discarded the changes up to this revision for it; 0:
+                                  none */
+  double frozen_until;         /* suspended until then, while its clocks run; 0: it is not */
+  double freeze_next_batch_s;  /* duration of a suspension within its next batch; 0: none */
+  /* Revisions up to which it was sent the changes of the state store, and up to which earlier
+   * batches have read them. */
   guint64 epoch_sent, epoch_read;
   guint64 epoch_acting; /* read by the batch whose effects are being performed */
   GArray *store_reads;  /* SimStoreRead of this process, by time */
@@ -90,11 +91,11 @@
   double guarantee_gpus;                /* guarantee of a second team; 0: there is none */
   double quota_gpus, machines_per_part; /* 0: no limit; 0: the policy's value */
   GHashTable *assignment_recorders;     /* "job/task/try" -> process that first recorded it */
-  /* state service */
+  /* state store */
   GHashTable *keys; /* path -> StoreKey */
   GArray *log;      /* StoreChange */
   GHashTable *leases;
-  guint64 epoch, last_lease_id;
+  guint64 epoch, last_lease_id; /* epoch: revision of the latest write, as the wire calls it */
   GPtrArray *watches;
   double store_outage_until;
   double value_kb;         /* largest value, as the settings say */
@@ -118,7 +119,7 @@
   gboolean cancels_most_jobs;  /* users cancel most jobs soon after they submit them */
   double gang_image_gb;        /* image of the gangs of two; 0: 1 GB */
   double pipelines_cancelled;  /* share of pipelines of which some job is cancelled */
-  gboolean crash_after_cancel; /* all nodes crash when a user is told of a cancellation */
+  gboolean crash_after_cancel; /* all nodes crash when a user learns of a cancellation */
   double crashed_after_cancel_at;
   /* results of the checks */
   GPtrArray *violations; /* texts: time, rule, description */
@@ -127,17 +128,17 @@
   double loss_share, duplicate_share, max_late_s;
   double late_order_share;    /* share of direct orders that get no answer and arrive 30 to 75 s
                                  late */
-  double late_copy_share;     /* share of reports of which a copy arrives late */
+  double late_copy_share;     /* share of heartbeats of which a copy arrives late */
   GHashTable *cancelled_jobs; /* job id -> guint64, epoch of its cancellation */
   gboolean faults_ended;
   double faults_ended_at, faults_to;
   double late_messages_until; /* the last delayed or repeated message arrives then */
-  double untroubled_since;    /* no trouble has an effect since then; 0: one has now */
-  HrFaultState troubles;
-  guint64 message_clock;   /* counts users' requests and the answers to them */
-  guint started_cancelled; /* starts after a confirmed cancellation */
+  double no_fault_since;      /* no fault has had an effect since then; 0: one has now */
+  HrFaultState faults;        /* the active planned faults */
+  guint64 message_clock;      /* counts users' requests and the answers to them */
+  guint started_cancelled;    /* starts after a confirmed cancellation */
   guint unknown_jobs_polled;
-  /* A search's choice of the outcome of each request; NULL: losses are random. */
+  /* Chooses the outcome of each request during a search; NULL: losses are random. */
   SimOutcome (*choose_outcome) (SimCluster *cluster, const SimRequest *request, gpointer data);
   gpointer choose_outcome_data;
 };
@@ -148,7 +149,7 @@
  * sim_cluster_start(). */
 SimCluster *sim_cluster_new_stopped (guint32 seed, int nodes);
 void sim_cluster_start (SimCluster *cluster);
-/* Returns a controller's settings, with addresses that nobody listens on. */
+/* Returns a controller's settings, with addresses on which nothing listens. */
 json_t *node_settings (SimCluster *cluster, int node);
 /* Restarts all controllers, which read their settings again. */
 void sim_cluster_restart_nodes (SimCluster *cluster);
@@ -156,8 +157,8 @@
 void sim_cluster_free (SimCluster *cluster);
 /* Schedules a callback at this simulated time. */
 void sim_schedule (SimCluster *cluster, double until, SimCallback callback, gpointer data);
-/* Returns whether the node has been cut off from the state service and its peers for longer than it
- * may go on answering. */
+/* Returns whether the node has been cut off from the state store and its peers for longer than it
+ * may still answer. */
 gboolean node_isolated (SimCluster *cluster, int i);
 /* Records that a rule of the protocol was broken. */
 void sim_report_violation (SimCluster *cluster, const char *rule, const char *fmt, ...)
--- a/tests/sim/fault_scenario.c
+++ b/tests/sim/fault_scenario.c
@@ -22,7 +22,7 @@
       sim_report_violation (cluster, "liveness", "%s never ran", job->id);
   }
   for (guint i = 0; i < n; i++)
-    if (!cluster->troubles.effects[day[i].kind])
+    if (!cluster->faults.effects[day[i].kind])
       sim_report_violation (cluster, "played", "fault %s had no effect",
                             fault_kind_name (day[i].kind));
 }
--- a/tests/sim/faults.c
+++ b/tests/sim/faults.c
@@ -79,8 +79,7 @@
   }
 }
 
-/* With `others` several machines are affected, so that the failure looks like one of the
- * controller. */
+/* others: several machines are affected, so that the failure looks like one of the controller. */
 static void
 cut_inbound (SimCluster *cluster, const DrawnFault *fault, gboolean others)
 {
@@ -236,7 +235,7 @@
   sim_schedule (cluster, at, freeze, freeze_plan);
 }
 
-/* A machine that receives nothing for a long time must be deleted well before that time is over;
+/* Checks that a machine that receives nothing is deleted well before the end of that fault;
  * otherwise tasks placed on it never run. */
 static void
 check_deleted (SimCluster *cluster, gpointer data)
@@ -288,8 +287,8 @@
   return machine->gone;
 }
 
-/* After a partition that delayed all messages to the controllers, while they reached one another:
- * no machine that was up before should have been deleted because of it; a third is tolerated. */
+/* Called after a partition that delayed all messages to the controllers, which reached one another.
+ * Checks that at most a third of the machines that were up before were deleted because of it. */
 static void
 check_kept_after_cut (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
@@ -328,9 +327,9 @@
 }
 
 void
-world_end_faults (SimCluster *cluster, gpointer unused G_GNUC_UNUSED)
+faults_mark_ended (SimCluster *cluster, gpointer unused G_GNUC_UNUSED)
 {
-  if (cluster->now < MAX (cluster->faults_to, cluster->troubles.ends_at))
+  if (cluster->now < MAX (cluster->faults_to, cluster->faults.ends_at))
     return;
   cluster->faults_ended = TRUE;
   cluster->faults_ended_at = cluster->now;
@@ -342,5 +341,5 @@
   for (guint i = 0; i < n; i++)
     sim_schedule (cluster, sim_rand_range (cluster, from, to), inject_drawn_fault, NULL);
   cluster->faults_to = to;
-  sim_schedule (cluster, to, world_end_faults, NULL);
+  sim_schedule (cluster, to, faults_mark_ended, NULL);
 }
--- a/tests/sim/faults.h
+++ b/tests/sim/faults.h
@@ -18,7 +18,7 @@
 
 void faults_init (SimCluster *cluster, guint n, double from, double to);
 /* Marks the end of all faults, unless one is planned for later. */
-void world_end_faults (SimCluster *cluster, gpointer unused);
+void faults_mark_ended (SimCluster *cluster, gpointer unused);
 /* Partitions all controllers from workers, state store and users for 30 s; messages sent during
  * the partition arrive when it ends. */
 void faults_cut_all_holding_packets (SimCluster *cluster, double at);
@@ -55,5 +55,6 @@
 /* Freezes controllers while their clocks keep running: the leader, the other ones, or all. */
 typedef enum { FREEZE_LEADER, FREEZE_OTHER, FREEZE_ALL } FreezeTarget;
 void faults_freeze (SimCluster *cluster, double at, FreezeTarget who, double for_s);
-/* From that time on the busiest machine receives neither answers nor direct orders. */
+/* The busiest machine receives neither answers nor direct orders for 200 s, and has to be deleted
+ * within 60 s. */
 void faults_inbound_cut (SimCluster *cluster, double at);
--- a/tests/sim/faults_fleet.c
+++ b/tests/sim/faults_fleet.c
@@ -2,21 +2,22 @@
 #include "sim/cloud.h"
 #include "sim/faults.h"
 
-#define COMPACTION_INTERVAL_S 10
-#define LEADER_CHANGE_INTERVAL_S 35
 #include "sim/store.h"
 #include "sim/user.h"
 #include "sim/worker.h"
 
+#define COMPACTION_INTERVAL_S 10
+#define LEADER_CHANGE_INTERVAL_S 35
+
 static gboolean
 is_kept (const SimMachine *machine)
 {
   return !machine->delete_requested_at;
 }
 
-/* To a new leader half of the machines being silent looks like a failure of its own. Proving by
- * elapsed time that they are gone takes it hold_s and a lease; the cloud's list shows it earlier.
- * Checks that the leader has asked to delete all of them. */
+/* When half of the machines are silent, a new leader has to suspect its own connections first. To
+ * prove by elapsed time that the machines have ended takes hold_s and a lease; the cloud's list
+ * shows it earlier. Checks that the leader has requested their deletion. */
 static void
 check_deletion_requested (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
@@ -150,8 +151,8 @@
         }
       }
     }
-    if (here == job->tasks && !job->lost_place) {
-      job->lost_place = TRUE;
+    if (here == job->tasks && !job->lost_gang_machine) {
+      job->lost_gang_machine = TRUE;
       machine_terminate (cluster, last);
     }
   }
--- a/tests/sim/faults_members.c
+++ b/tests/sim/faults_members.c
@@ -137,7 +137,8 @@
   sim_schedule (cluster, at, cancellation_gap, NULL);
 }
 
-/* No machine with running tasks may be given up because its reports do not reach the leader. */
+/* Checks that no machine with running tasks was given up because its heartbeats did not reach the
+ * leader. */
 static void
 check_workers_kept (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
--- a/tests/sim/invariant_checks.c
+++ b/tests/sim/invariant_checks.c
@@ -198,12 +198,12 @@
 void
 check_waiting_jobs (SimCluster *cluster)
 {
-  if (world_has_active_fault (cluster)) {
-    cluster->untroubled_since = 0;
+  if (faults_any_active (cluster)) {
+    cluster->no_fault_since = 0;
     return;
   }
-  if (!cluster->untroubled_since)
-    cluster->untroubled_since = cluster->now;
+  if (!cluster->no_fault_since)
+    cluster->no_fault_since = cluster->now;
   for (guint i = 0; i < cluster->jobs->len; i++) {
     SimJob *job = cluster->jobs->pdata[i];
     const SimMachine *where = NULL;
@@ -214,7 +214,7 @@
       job->fits_since = 0;
     else if (!job->fits_since)
       job->fits_since = cluster->now;
-    if (waits && cluster->now - MAX (job->fits_since, cluster->untroubled_since) > MAX_WAIT_S) {
+    if (waits && cluster->now - MAX (job->fits_since, cluster->no_fault_since) > MAX_WAIT_S) {
       sim_report_violation (cluster, "waits",
                             "%s (shape %d, %u tasks) waits since %.1f although it fits, now on %s",
                             job->id, job->shape, job->tasks, job->fits_since, where->name);
@@ -235,10 +235,10 @@
   job->started = cluster->now;
   if (!job->first_run_at && job->shape != HR_GANG) /* a gang begins when all its tasks run */
     job->first_run_at = cluster->now;
-  if (job->cancelled_heard_at) {
+  if (job->cancelled_reply_clock) {
     cluster->started_cancelled++;
-    g_debug ("%s/%u starts on %s %.3f s after its user was told of the cancellation", job->id,
-             task->task, machine->name, cluster->now - job->cancelled_reply_at);
+    g_debug ("%s/%u starts on %s %.3f s after its cancellation was confirmed", job->id, task->task,
+             machine->name, cluster->now - job->cancelled_reply_at);
   }
   if (job->cancelled_reply_at && cluster->now > job->cancelled_reply_at + cluster->cancel_s)
     sim_report_violation (cluster, "ran_cancelled", "%s/%u starts on %s", job->id, task->task,
--- a/tests/sim/invariant_checks.h
+++ b/tests/sim/invariant_checks.h
@@ -9,7 +9,7 @@
 void check_quota (SimCluster *cluster, double starting_gpus);
 /* Checks, every half second, that no job waits although machines have room for it. */
 void check_waiting_jobs (SimCluster *cluster);
-/* Called when a user is told that the job is cancelled: checks after cancel_s that no task runs. */
+/* Called when a user learns that the job is cancelled: checks after cancel_s that no task runs. */
 void check_cancelled_job (SimCluster *cluster, SimJob *job);
 /* Checks the launches that a controller has just decided on with the changes up to the epoch
  * `known`. */
--- a/tests/sim/malformed_requests.c
+++ b/tests/sim/malformed_requests.c
@@ -23,12 +23,12 @@
 
 typedef struct {
   char *mark; /* part of everything that could be recorded of the request; NULL: not checked */
-  char *what;
+  char *what; /* description of the request, for messages */
   int expected;
   char *path, *body;
   guint tries;
-  SimJob *job; /* the existing job that the request names; NULL: none */
-  SimUserRequest *question;
+  SimJob *job;                  /* the existing job that the request names; NULL: none */
+  SimUserRequest *user_request; /* for the checks of the answer; NULL if job is NULL */
 } MalformedRequest;
 
 static void
@@ -38,7 +38,7 @@
   g_free (request->what);
   g_free (request->path);
   g_free (request->body);
-  g_free (request->question);
+  g_free (request->user_request);
   g_free (request);
 }
 
@@ -66,7 +66,7 @@
 static int
 any_node (SimCluster *cluster)
 {
-  return g_rand_int_range (cluster->troubles.rand, 0, cluster->n);
+  return g_rand_int_range (cluster->faults.rand, 0, cluster->n);
 }
 
 static void
@@ -85,10 +85,10 @@
     sim_report_violation (cluster, status == 200 || status == 201 ? "accepted" : "odd",
                           "%s gets %d instead of %d", request->what, status, request->expected);
   if (request->job && (status == 200 || status == 201))
-    check_user_response (cluster, request->question, status, body);
+    check_user_response (cluster, request->user_request, status, body);
   else if (request->job && (status == 400 || status == 404 || status == 422))
-    check_user_error (cluster, request->question, request->what, status);
-  cluster->troubles.effects[FAULT_ODD_REQUESTS]++;
+    check_user_error (cluster, request->user_request, request->what, status);
+  cluster->faults.effects[FAULT_MALFORMED_REQUESTS]++;
   sim_schedule (cluster, cluster->now + RECORDED_AFTER_S, check_not_recorded, request);
 }
 
@@ -116,9 +116,9 @@
 {
   MalformedRequest *request = data;
   request->tries++;
-  if (request->question) { /* what users learned in the meantime applies to this answer too */
-    g_free (request->question);
-    request->question = sim_user_request_new (cluster, request->job);
+  if (request->user_request) { /* states that users learned in the meantime bind this answer too */
+    g_free (request->user_request);
+    request->user_request = sim_user_request_new (cluster, request->job);
   }
   sim_send_request (cluster, any_node (cluster), -1, HR_POST, request->path,
                     g_strdup (request->body), 5, on_answer, request);
@@ -129,7 +129,7 @@
 static json_t *
 valid_job (SimCluster *cluster, char **mark)
 {
-  *mark = g_strdup_printf ("job-odd-%u", ++cluster->troubles.malformed_sent);
+  *mark = g_strdup_printf ("job-odd-%u", ++cluster->faults.malformed_sent);
   g_autofree char *image = g_strconcat ("img-", *mark, NULL);
   return json_pack ("{sssssssssssisfsfsfsssfsnsnsbsbsbsfsfsfsn}", "name_id", *mark, "jobclass",
                     "array", "crew", "crew", "shape", "batch", "rank", "normal", "pieces", 1,
@@ -153,7 +153,7 @@
         hr_json_take_text (job));
 }
 
-/* Fields that must not be null must not be missing either. */
+/* Omits each required field, and sends it with null and with an object. */
 static void
 submit_missing_fields (SimCluster *cluster)
 {
@@ -224,7 +224,7 @@
 static void
 cancel_unknown_job (SimCluster *cluster)
 {
-  g_autofree char *mark = g_strdup_printf ("job-odd-%u", ++cluster->troubles.malformed_sent);
+  g_autofree char *mark = g_strdup_printf ("job-odd-%u", ++cluster->faults.malformed_sent);
   g_autofree char *path = g_strconcat ("/v1/jobs/", mark, "/abort", NULL);
   post (cluster, malformed_new (mark, "a cancellation of an unknown job", 404), any_node (cluster),
         path, NULL);
@@ -240,7 +240,7 @@
     if (!job->done_reply_at && !job->cancelled_reply_at)
       continue;
     int k = job->cancelled_reply_at > 0;
-    if (g_rand_int_range (cluster->troubles.rand, 0, ++seen[k]) == 0)
+    if (g_rand_int_range (cluster->faults.rand, 0, ++seen[k]) == 0)
       chosen[k] = job;
   }
   for (int k = 0; k < 2; k++) {
@@ -251,7 +251,7 @@
     MalformedRequest *request =
         malformed_new (NULL, k ? "a second cancellation" : "a cancellation of a done job", 200);
     request->job = job;
-    request->question = sim_user_request_new (cluster, job);
+    request->user_request = sim_user_request_new (cluster, job);
     post (cluster, request, any_node (cluster), path, NULL);
   }
 }
@@ -285,12 +285,12 @@
 {
   g_autofree Repeat *plan = data;
   static const char *const names[] = {"smaller", "of no team", "for no machine"};
-  g_autofree char *mark = g_strdup_printf ("job-odd-%u", ++cluster->troubles.malformed_sent);
+  g_autofree char *mark = g_strdup_printf ("job-odd-%u", ++cluster->faults.malformed_sent);
   g_autofree char *what =
       g_strdup_printf ("a repeated submission with other content (%s)", names[plan->content]);
   MalformedRequest *request = malformed_new (mark, what, 200);
   request->job = plan->job;
-  request->question = sim_user_request_new (cluster, plan->job);
+  request->user_request = sim_user_request_new (cluster, plan->job);
   post (cluster, request, plan->node, "/v1/jobs", other_content (plan->job, plan->content, mark));
 }
 
@@ -298,7 +298,7 @@
 plan_repeat (SimCluster *cluster, SimJob *job, int node)
 {
   Repeat *plan = g_new (Repeat, 1);
-  *plan = (Repeat){job, node, g_rand_int_range (cluster->troubles.rand, 0, CONTENT_KINDS)};
+  *plan = (Repeat){job, node, g_rand_int_range (cluster->faults.rand, 0, CONTENT_KINDS)};
   sim_schedule (cluster, cluster->now + fault_rand (cluster, 0, REPEAT_SPAN_S), submit_repeat,
                 plan);
 }
@@ -317,7 +317,7 @@
   for (guint i = 0, seen = 0; i < cluster->jobs->len; i++) {
     SimJob *job = cluster->jobs->pdata[i];
     if (job->accepted && !job->done_reply_at && !job->cancelled_reply_at &&
-        g_rand_int_range (cluster->troubles.rand, 0, ++seen) == 0)
+        g_rand_int_range (cluster->faults.rand, 0, ++seen) == 0)
       chosen = job;
   }
   if (chosen)
@@ -327,7 +327,7 @@
 static void
 send_round (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  if (cluster->troubles.malformed_until <= cluster->now)
+  if (cluster->faults.malformed_until <= cluster->now)
     return;
   submit_missing_fields (cluster);
   submit_wrong_values (cluster);
--- a/tests/sim/messages.c
+++ b/tests/sim/messages.c
@@ -50,8 +50,8 @@
   if (store_revision >= n->unread_leader_change_epoch)
     n->unread_leader_change_at = 0;
   n->epoch_sent = MAX (n->epoch_sent, store_revision);
-  SimStoreRead reading = {cluster->now, n->epoch_sent};
-  g_array_append_val (n->store_reads, reading);
+  SimStoreRead store_read = {cluster->now, n->epoch_sent};
+  g_array_append_val (n->store_reads, store_read);
   json_decref (object);
 }
 
@@ -112,7 +112,7 @@
                            : NULL;
   double zone = faults_zone_cut_until (cluster, request, worker);
   if (zone > cluster->now) {
-    *hold = cluster->troubles.zone_hold;
+    *hold = cluster->faults.zone_hold;
     return zone;
   }
   if (request->node < 0) {
@@ -235,8 +235,8 @@
   sim_schedule (cluster, until, req_arrive, request);
 }
 
-/* Sends a copy of a report that arrives between seconds and well over a lease later. Nobody waits
- * for its answer. */
+/* Sends a copy of a heartbeat that arrives between one second and several leases later. Its answer
+ * is dropped. */
 static void
 send_late_copy (SimCluster *cluster, SimRequest *request)
 {
--- a/tests/sim/messages.h
+++ b/tests/sim/messages.h
@@ -10,10 +10,10 @@
 void req_send (SimCluster *cluster, SimRequest *request);
 /* Adds a command to this controller's next batch. Takes ownership. */
 void node_push (SimCluster *cluster, int node, HrCommand *command);
-/* Performs an effect of the controller: an answer, a call or a status. */
+/* Performs an effect of the controller: an answer, a call, or a status for its peers. */
 void node_perform (SimCluster *cluster, int node, HrEffect *effect);
 void node_check_launches (SimCluster *cluster, int i, const char *text);
-/* Records that the report with this id is sent to a controller that is a separate process. */
+/* Records that the heartbeat with this id is sent to a controller that is a separate process. */
 void node_note_report (SimCluster *cluster, int i, guint64 id, const char *machine);
 void node_check_order (SimCluster *cluster, int i, guint64 id, const char *report,
                        const char *answer);
--- a/tests/sim/node_checks.c
+++ b/tests/sim/node_checks.c
@@ -1,4 +1,4 @@
-/* Checks of what controllers send to their workers. */
+/* Checks of the orders that controllers send to their workers. */
 #include "sim/messages.h"
 #include "sim/store.h"
 #include "sim/user.h"
@@ -39,7 +39,7 @@
 }
 
 /* Returns whether all orders are stops of jobs whose records are final: the only orders allowed in
- * the answer to a report whose task list is out of date. */
+ * the answer to a heartbeat whose task list is out of date. */
 static gboolean
 only_final_stops (SimCluster *cluster, json_t *orders)
 {
@@ -54,7 +54,7 @@
   return TRUE;
 }
 
-/* Returns the newest of the worker's reports that the controller has answered; a zero entry is
+/* Returns the newest of the worker's heartbeats that the controller has answered; a zero entry is
  * added if there is none. */
 static SimReportOrder *
 newest_answered (SimCluster *cluster, int i, const char *machine)
@@ -75,9 +75,9 @@
                        g_memdup2 (newest, sizeof *newest));
 }
 
-/* Returns the newest report that the controller had certainly answered when it made this answer.
+/* Returns the newest heartbeat that the controller had certainly answered when it made this answer.
  * Answers of a separate process arrive over several connections, in any order: if it has two
- * reports at the same time, it may answer them in the right order and the answers arrive in the
+ * heartbeats at the same time, it may answer them in the right order and the answers arrive in the
  * other. */
 static SimReportOrder
 answered_before (SimCluster *cluster, int i, guint64 id, const SimReportOrder *newest)
@@ -89,10 +89,10 @@
   return answered;
 }
 
-/* Checks the order of answered reports. Reports are ordered by incarnation and sequence number, not
- * by arrival. A report of an earlier incarnation is not answered with 200; a superseded report, and
- * one from before the leader's token, gets no orders but stops of final jobs, which are right
- * however old the report is. */
+/* Checks the order of answered heartbeats. Heartbeats are ordered by incarnation and sequence
+ * number, not by arrival. A heartbeat of an earlier incarnation is not answered with 200; a
+ * superseded heartbeat, and one from before the leader's token, gets no orders but stops of final
+ * jobs, which are right however old the heartbeat is. */
 void
 node_check_order (SimCluster *cluster, int i, guint64 id, const char *report, const char *answer)
 {
@@ -116,7 +116,7 @@
   json_decref (array);
 }
 
-/* A separate process is taken to know an answer of the state service this many seconds after it was
+/* A separate process is taken to know an answer of the state store this many seconds after it was
  * sent, not counting suspensions: the process handles commands in batches, and its messages wait
  * until this program reads them. */
 #define KNOWN_AFTER_S 2.0
@@ -153,8 +153,9 @@
 }
 
 /* Checks that an answer that renews a worker's lease stops each task of a cancelled job that the
- * report shows not exited, whatever report it answers: an answer of a controller that has read the
- * cancellation, and any answer later than a leader may answer without having read it (hold_s). */
+ * heartbeat shows not exited, whatever heartbeat it answers: an answer of a controller that has
+ * read the cancellation, and any answer later than a leader may answer without having read it
+ * (hold_s). */
 void
 node_check_kills (SimCluster *cluster, int i, const char *report, const char *answer)
 {
--- a/tests/sim/pipeline.c
+++ b/tests/sim/pipeline.c
@@ -12,7 +12,7 @@
 typedef struct {
   SimJob *steps[MAX_STEPS];
   guint nsteps, sent;
-  gboolean late; /* the last step is submitted only when the others have ended */
+  gboolean late; /* the last step is submitted only when all others have ended */
 } Pipeline;
 
 /* ---- the rules ---- */
@@ -24,10 +24,10 @@
   double first = 0;
   for (guint i = 0; job->awaits && i < job->awaits->len; i++) {
     const SimJob *before = job->awaits->pdata[i];
-    double told =
+    double cancelled_at =
         before->cancelled_reply_at ? before->cancelled_reply_at : ancestor_cancelled_at (before);
-    if (told && (!first || told < first))
-      first = told;
+    if (cancelled_at && (!first || cancelled_at < first))
+      first = cancelled_at;
   }
   return first;
 }
@@ -37,17 +37,17 @@
 static double
 orphaned_since (const SimJob *job)
 {
-  double told = ancestor_cancelled_at (job);
-  return told && job->accepted ? MAX (told, job->accepted_at) : 0;
+  double cancelled_at = ancestor_cancelled_at (job);
+  return cancelled_at && job->accepted ? MAX (cancelled_at, job->accepted_at) : 0;
 }
 
 gboolean
-pipeline_cancel_asked (const SimJob *job)
+pipeline_cancel_requested (const SimJob *job)
 {
-  gboolean asked = job->cancel_requested;
+  gboolean requested = job->cancel_requested;
   for (guint i = 0; job->awaits && i < job->awaits->len; i++)
-    asked |= pipeline_cancel_asked (job->awaits->pdata[i]);
-  return asked;
+    requested |= pipeline_cancel_requested (job->awaits->pdata[i]);
+  return requested;
 }
 
 gboolean
--- a/tests/sim/pipeline.h
+++ b/tests/sim/pipeline.h
@@ -1,5 +1,5 @@
-/* Users of pipelines: jobs that await others, submitted one after another, and the two rules that
- * apply to them: too_early and orphaned. */
+/* Users of pipelines (jobs that await other jobs, submitted one after another), and the two rules
+ * that apply to such jobs: too_early and orphaned. */
 #pragma once
 #include "sim/user.h"
 #include "sim/cluster.h"
@@ -20,9 +20,9 @@
 /* Checks at the end of a day that every job has reached its required final state. */
 void pipelines_check_end (SimCluster *cluster);
 
-/* Returns whether a user has asked to cancel the job or one that it awaits, directly or
+/* Returns whether a user has requested to cancel the job or one that it awaits, directly or
  * indirectly. */
-gboolean pipeline_cancel_asked (const SimJob *job);
+gboolean pipeline_cancel_requested (const SimJob *job);
 
 /* Returns whether all jobs that the job awaits are done and no user has learned that one before it
  * is cancelled. */
--- a/tests/sim/request.h
+++ b/tests/sim/request.h
@@ -7,10 +7,10 @@
 
 /* A request to any server of the cluster. */
 typedef struct {
-  int node;         /* asking controller, or -1: a worker or user asks a controller */
-  guint generation; /* of the asking controller's process */
+  int node;         /* controller that sends it; -1: a worker or user sends it */
+  guint generation; /* of the sending controller's process */
   guint64 call;
-  int to; /* controller asked, when node is -1 */
+  int to; /* controller that receives it, if node is -1 */
   HrTarget target;
   HrMethod method;
   char *addr, *path, *body;
@@ -18,7 +18,7 @@
   gboolean answered;
   gboolean answer_lost; /* its answer is dropped */
   int refs;
-  int machine; /* of the asking worker, or -1 */
+  int machine; /* of the worker that sends it, or -1 */
   void (*done) (SimCluster *cluster, int status, json_t *body, gpointer data);
   gpointer data;
 } SimRequest;
@@ -31,9 +31,9 @@
 void sim_send_response (SimCluster *cluster, SimRequest *request, int status, char *body);
 void req_unref (SimRequest *request);
 /* Delivers a request at its destination now: that of a worker or user at a controller, that of a
- * controller at the server that it calls. Takes a reference over. */
+ * controller at the server that it calls. Takes over a reference. */
 void req_arrive (SimCluster *cluster, gpointer req);
-/* Returns a copy of a worker's report for the controller `to`; its answer is dropped. */
+/* Returns a copy of a worker's heartbeat for the controller `to`; its answer is dropped. */
 SimRequest *req_copy (const SimRequest *request, int to);
-/* Delivers the request at this time, later than usual delays. Takes the reference over. */
+/* Delivers the request at this time, later than usual delays. Takes over the reference. */
 void req_arrive_late (SimCluster *cluster, SimRequest *request, double until);
--- a/tests/sim/request_outcomes.c
+++ b/tests/sim/request_outcomes.c
@@ -8,7 +8,7 @@
 /* Long enough for a new leader to act, shorter than a worker's lease. */
 #define COPY_S 9.0
 /* How long a crashed controller is down; DOWN_LONG_S is longer than a leader's lease in the state
- * service. */
+ * store. */
 #define DOWN_S 0.3
 #define DOWN_LONG_S 7.0
 
@@ -57,10 +57,10 @@
   case OUTCOME_COPIED:
     sim_schedule (cluster, arrives_at + COPY_S, req_arrive, copy_request (request));
     break;
-  case OUTCOME_ENDS_BACK:
+  case OUTCOME_CRASH_SHORT:
     crash_and_restart (cluster, request, executed_at, DOWN_S);
     break;
-  case OUTCOME_ENDS_AWAY:
+  case OUTCOME_CRASH_LONG:
     crash_and_restart (cluster, request, executed_at, DOWN_LONG_S);
     break;
   default:
--- a/tests/sim/request_outcomes.h
+++ b/tests/sim/request_outcomes.h
@@ -8,8 +8,9 @@
   OUTCOME_ANSWER_LOST, /* executed at once; its answer is lost */
   OUTCOME_LATE,        /* executed seconds after its sender's timeout */
   OUTCOME_COPIED,      /* executed at once, and again later */
-  OUTCOME_ENDS_BACK,   /* executed; the controller concerned crashes then, and restarts at once */
-  OUTCOME_ENDS_AWAY,   /* the same, and it is down for longer than a leader's lease */
+  OUTCOME_CRASH_SHORT, /* executed; then the controller that sent or received it crashes, and
+                          restarts at once */
+  OUTCOME_CRASH_LONG,  /* the same, and it is down for longer than a leader's lease */
   OUTCOME_COUNT
 } SimOutcome;
 
--- a/tests/sim/single_node.c
+++ b/tests/sim/single_node.c
@@ -22,7 +22,7 @@
   "\"gang_wait_s\":30,\"gang_peer_s\":4,\"cancel_s\":36},\"state\":{\"rps\":5000,"                 \
   "\"write_rps\":5000,\"value_kb\":4,\"txn_ops\":12%s},\"cloud\":{\"rps\":8,\"list_lag_s\":3}}}"
 
-/* ---- the state service ---- */
+/* ---- the state store ---- */
 
 static void
 change_clear (gpointer data)
--- a/tests/sim/single_node.h
+++ b/tests/sim/single_node.h
@@ -1,4 +1,4 @@
-/* One controller core with a fake state service, without users, workers or other controllers: for
+/* One controller core with a fake state store, without users, workers or other controllers: for
  * tests that send requests to the core itself. */
 #pragma once
 #include "coordination/state.h"
@@ -8,7 +8,7 @@
   guint64 stamp;
 } FakeStoreChange;
 
-/* A state service that keeps every change of every record. */
+/* A state store that keeps every change of every record. */
 typedef struct {
   GArray *log;       /* FakeStoreChange */
   GHashTable *stamp; /* path -> guint64: the latest change */
@@ -30,7 +30,7 @@
   HrSettings *settings;
   double now;
   GPtrArray *inbox;
-  guint64 next;
+  guint64 next;        /* id of the latest request */
   GHashTable *answers; /* request id -> status */
   json_t *body;        /* of the last answer */
 } SingleNode;
--- a/tests/sim/store.c
+++ b/tests/sim/store.c
@@ -1,4 +1,4 @@
-/* The simulated state service. */
+/* The simulated state store. */
 #include "bookkeeping/tables.h"
 #include "coordination/command.h"
 #include "coordination/core.h"
@@ -42,7 +42,7 @@
   g_free (k);
 }
 
-/* Notes the time for machines that are gone and were named by the record that now changes. */
+/* Records the time for each machine that has ended and that the record named before this change. */
 static void
 note_last_reference (SimCluster *cluster, const char *path)
 {
@@ -147,9 +147,9 @@
   sim_schedule (cluster, cluster->now + 0.05, leases_tick, NULL);
 }
 
-/* Checks that no task is placed on a machine that has been gone for more than 45 s, whatever late
- * copies of its reports say: longer than the machine may appear alive, than an outage, and than a
- * write may take. */
+/* Checks that no task is placed on a machine that ended more than 45 s ago, whatever late copies of
+ * its heartbeats say. That is longer than the machine may appear alive, than an outage lasts and
+ * than a write takes. */
 static void
 check_placement (SimCluster *cluster, const char *task, const char *machine)
 {
@@ -227,7 +227,7 @@
                           "%s is written without a condition on the leader record", path);
 }
 
-/* Notes the incarnation and token of a separate process that has written the leader record. */
+/* Records the incarnation and token of a separate process that has written the leader record. */
 static void
 note_process (SimCluster *cluster, int node, json_t *map)
 {
@@ -238,7 +238,7 @@
                        GINT_TO_POINTER (node));
 }
 
-/* Notes the writes that a leader must read soon: changes of the leader record, and cancellations
+/* Records the writes that a leader must read soon: changes of the leader record, and cancellations
  * (checked by node_check_kills in node_checks.c). */
 static void
 note_decision (SimCluster *cluster, const SimRequest *request, json_t *put)
@@ -327,7 +327,7 @@
   return FALSE;
 }
 
-/* Returns the status with which the service refuses a transaction before it compares revisions, and
+/* Returns the status with which the store refuses a transaction before it compares revisions, and
  * sets the error; 0: it is not refused. */
 static int
 refuse_commit (SimCluster *cluster, SimRequest *request, json_t *when, json_t *writes,
@@ -545,7 +545,7 @@
                   *after = query (request->path, "after");
   g_autoptr (GPtrArray) keys = g_ptr_array_new ();
   if (!after)
-    cluster->nodes[request->node].compacted_epoch = 0; /* it reads a new snapshot */
+    cluster->nodes[request->node].compacted_epoch = 0; /* it begins a new snapshot read */
   GHashTableIter iter;
   gpointer k;
   g_hash_table_iter_init (&iter, cluster->keys);
--- a/tests/sim/store.h
+++ b/tests/sim/store.h
@@ -1,10 +1,10 @@
-/* The simulated state service: keys with revisions, leases, transactions, watches, announced limits
+/* The simulated state store: keys with revisions, leases, transactions, watches, announced limits
  * and outages. It checks what controllers write: fencing, record formats, sizes. */
 #pragma once
 #include "sim/request.h"
 #include "sim/cluster.h"
 
-/* Limits that the settings of all days announce for the state service. */
+/* Limits that the settings of all days announce for the state store. */
 #define NEXT_VALUE_KB 2.0
 #define NEXT_TXN_OPS 4
 #define NEXT_WRITE_RPS 40.0
--- a/tests/sim/trouble_hooks.h
+++ b/tests/sim/trouble_hooks.h
@@ -20,7 +20,7 @@
 /* Returns the additional delay of the answer to this request, in seconds. */
 double faults_answer_delay (SimCluster *cluster, const SimRequest *request);
 /* Returns whether a fault of any kind still affects something. */
-gboolean world_has_active_fault (const SimCluster *cluster);
+gboolean faults_any_active (const SimCluster *cluster);
 /* Returns when a machine rented now is up. at: the time that the cloud has drawn. */
 double faults_boot_time (SimCluster *cluster, double at);
 /* The leader record was written; map holds the leader and its token. */
--- a/tests/sim/trouble_messages.c
+++ b/tests/sim/trouble_messages.c
@@ -28,7 +28,7 @@
 static gboolean
 intercept_write (SimCluster *cluster, SimRequest *request, double arrives_at)
 {
-  HrFaultState *faults = &cluster->troubles;
+  HrFaultState *faults = &cluster->faults;
   if (fault_window_hits (cluster, &faults->lost_answers)) {
     request->answer_lost = TRUE;
     faults->effects[FAULT_LATE_WRITES]++;
@@ -45,18 +45,18 @@
 static gboolean
 intercept_command (SimCluster *cluster, SimRequest *request, double arrives_at)
 {
-  if (!fault_window_hits (cluster, &cluster->troubles.late_commands))
+  if (!fault_window_hits (cluster, &cluster->faults.late_commands))
     return FALSE;
   deliver_late (cluster, request,
                 arrives_at + fault_rand (cluster, LATE_COMMAND_MIN_S, LATE_COMMAND_MAX_S));
-  cluster->troubles.effects[FAULT_LATE_COMMANDS]++;
+  cluster->faults.effects[FAULT_LATE_COMMANDS]++;
   return TRUE;
 }
 
 static void
 copy_report (SimCluster *cluster, const SimRequest *request)
 {
-  HrFaultState *faults = &cluster->troubles;
+  HrFaultState *faults = &cluster->faults;
   if (fault_window_hits (cluster, &faults->late_reports)) {
     double late =
         fault_rand (cluster, LATE_REPORT_MIN_S, LATE_REPORT_MAX_LEASES * cluster->lease_s);
@@ -93,7 +93,7 @@
 double
 faults_answer_delay (SimCluster *cluster, const SimRequest *request)
 {
-  const HrFaultState *faults = &cluster->troubles;
+  const HrFaultState *faults = &cluster->faults;
   if (request->node < 0 || request->target != HR_TO_STORE ||
       faults->state_slow_until <= cluster->now)
     return 0;
@@ -103,7 +103,7 @@
 double
 faults_link_delay (SimCluster *cluster)
 {
-  const HrFaultState *faults = &cluster->troubles;
+  const HrFaultState *faults = &cluster->faults;
   return faults->links_slow_until > cluster->now
              ? faults->links_slow_s * fault_rand (cluster, 0.5, 1.5)
              : 0;
@@ -112,7 +112,7 @@
 double
 faults_zone_cut_until (SimCluster *cluster, const SimRequest *request, const SimMachine *machine)
 {
-  const HrFaultState *faults = &cluster->troubles;
+  const HrFaultState *faults = &cluster->faults;
   int node = request->node >= 0 ? request->node : request->to;
   if (faults->zone_cut_until <= cluster->now)
     return 0;
@@ -127,25 +127,25 @@
 double
 faults_boot_time (SimCluster *cluster, double at)
 {
-  if (cluster->troubles.fast_boot_until <= cluster->now)
+  if (cluster->faults.fast_boot_until <= cluster->now)
     return at;
-  cluster->troubles.effects[FAULT_FAST_BOOT]++;
+  cluster->faults.effects[FAULT_FAST_BOOT]++;
   return cluster->now + fault_rand (cluster, 0.3, FAST_BOOT_S);
 }
 
-/* ---- copies of reports for a new leader ---- */
+/* ---- copies of heartbeats for a new leader ---- */
 
 static void
 release_copy (SimCluster *cluster, SimRequest *copy, int node, double within)
 {
   req_arrive_late (cluster, req_copy (copy, node), cluster->now + fault_rand (cluster, 0, within));
-  cluster->troubles.effects[FAULT_LATE_REPORTS]++;
+  cluster->faults.effects[FAULT_LATE_REPORTS]++;
 }
 
 void
 faults_on_leader_record (SimCluster *cluster, json_t *map)
 {
-  HrFaultState *faults = &cluster->troubles;
+  HrFaultState *faults = &cluster->faults;
   const char *process = json_string_value (json_object_get (map, "i"));
   if (g_strcmp0 (process, faults->leader_process) == 0)
     return;
@@ -163,7 +163,7 @@
 void
 faults_on_report_answer (SimCluster *cluster, int node, const char *answer)
 {
-  HrFaultState *faults = &cluster->troubles;
+  HrFaultState *faults = &cluster->faults;
   faults_trigger (cluster, ON_REPORT_ANSWERED);
   if (faults->leaders == faults->leaders_released || !faults->kept_for_next->len)
     return;
--- a/tests/sim/trouble_text.c
+++ b/tests/sim/trouble_text.c
@@ -4,11 +4,29 @@
 #include <string.h>
 
 static const char *const kind_names[FAULT_KINDS] = {
-    "late_writes",  "late_reports", "late_commands", "machine_deaf", "machine_mute",
-    "machine_hang", "machine_cut",  "machine_crash", "cancel_now",   "cancel_at_end",
-    "close_looks",  "node_cut",     "node_crash",    "node_freeze",  "state_refuses",
-    "state_outage", "state_slow",   "fast_boot",     "zone_cut",     "slow_links",
-    "cloud_outage", "odd_requests"};
+    [FAULT_LATE_WRITES] = "late_writes",
+    [FAULT_LATE_REPORTS] = "late_reports",
+    [FAULT_LATE_COMMANDS] = "late_commands",
+    [FAULT_MACHINE_INBOUND_CUT] = "machine_deaf",
+    [FAULT_MACHINE_OUTBOUND_CUT] = "machine_mute",
+    [FAULT_MACHINE_HANG] = "machine_hang",
+    [FAULT_MACHINE_CUT] = "machine_cut",
+    [FAULT_MACHINE_CRASH] = "machine_crash",
+    [FAULT_CANCEL_NOW] = "cancel_now",
+    [FAULT_CANCEL_AT_END] = "cancel_at_end",
+    [FAULT_CLOSE_POLLS] = "close_looks",
+    [FAULT_NODE_CUT] = "node_cut",
+    [FAULT_NODE_CRASH] = "node_crash",
+    [FAULT_NODE_FREEZE] = "node_freeze",
+    [FAULT_STATE_REFUSES] = "state_refuses",
+    [FAULT_STATE_OUTAGE] = "state_outage",
+    [FAULT_STATE_SLOW] = "state_slow",
+    [FAULT_FAST_BOOT] = "fast_boot",
+    [FAULT_ZONE_CUT] = "zone_cut",
+    [FAULT_SLOW_LINKS] = "slow_links",
+    [FAULT_CLOUD_OUTAGE] = "cloud_outage",
+    [FAULT_MALFORMED_REQUESTS] = "odd_requests",
+};
 static const char *const target_names[] = {"leader", "other", "others", "all"};
 static const char *const trigger_names[FAULT_TRIGGERS] = {
     "time", "write_sent", "write_done", "write_answered", "report_answered", "hand_over"};
--- a/tests/sim/trouble_users.c
+++ b/tests/sim/trouble_users.c
@@ -51,14 +51,14 @@
   }
   request_after (cluster, job, REQUEST_SUBMIT, fault_random_node (cluster),
                  fault_rand (cluster, 0, CLOSE_POLL_SPAN_S));
-  cluster->troubles.effects[FAULT_CLOSE_LOOKS]++;
+  cluster->faults.effects[FAULT_CLOSE_POLLS]++;
 }
 
 void
 faults_on_job_state_reported (SimCluster *cluster, SimJob *job, gboolean accepted)
 {
-  const HrFaultWindow *close_polls = &cluster->troubles.close_looks;
-  if (accepted && cluster->troubles.malformed_until > cluster->now)
+  const HrFaultWindow *close_polls = &cluster->faults.close_polls;
+  if (accepted && cluster->faults.malformed_until > cluster->now)
     malformed_requests_repeat (cluster, job);
   if (!fault_window_active (cluster, close_polls))
     return;
@@ -71,13 +71,13 @@
 void
 faults_on_job_ended (SimCluster *cluster, SimJob *job)
 {
-  if (fault_window_active (cluster, &cluster->troubles.close_looks))
+  if (fault_window_active (cluster, &cluster->faults.close_polls))
     poll_closely (cluster, job);
-  if (job->cancel_requested || !fault_window_hits (cluster, &cluster->troubles.cancel_at_end))
+  if (job->cancel_requested || !fault_window_hits (cluster, &cluster->faults.cancel_at_end))
     return;
   double after = fault_rand (cluster, -CANCEL_AT_END_SPAN_S, CANCEL_AT_END_SPAN_S);
   request_after (cluster, job, REQUEST_CANCEL, fault_random_node (cluster), MAX (0, after));
-  cluster->troubles.effects[FAULT_CANCEL_AT_END]++;
+  cluster->faults.effects[FAULT_CANCEL_AT_END]++;
 }
 
 /* Returns whether the task is running, does not end soon and its job is not cancelled. */
@@ -109,7 +109,7 @@
   for (guint i = 0; i < jobs->len; i++)
     request_after (cluster, jobs->pdata[i], REQUEST_CANCEL, fault_random_node (cluster),
                    fault_rand (cluster, 0, CANCEL_NOW_SPAN_S));
-  cluster->troubles.effects[FAULT_CANCEL_NOW] += jobs->len;
+  cluster->faults.effects[FAULT_CANCEL_NOW] += jobs->len;
   if (fault->hang_s <= 0)
     return;
   for (guint i = 0; i < cluster->machines->len; i++) {
--- a/tests/sim/troubles.c
+++ b/tests/sim/troubles.c
@@ -12,14 +12,14 @@
 
 #define STREAM_SEED_XOR                                                                            \
   0x7f4a7c15u /* makes the random stream of faults differ from that of the day */
-#define CLOSE_LOOKS_CANCEL_SHARE 0.1
+#define CLOSE_POLLS_CANCEL_SHARE 0.1
 #define RESTART_MIN_S 3.0
 #define RESTART_MAX_S 7.0
 
 double
 fault_rand (SimCluster *cluster, double lo, double hi)
 {
-  return g_rand_double_range (cluster->troubles.rand, lo, hi);
+  return g_rand_double_range (cluster->faults.rand, lo, hi);
 }
 
 gboolean
@@ -37,20 +37,20 @@
 gboolean
 fault_in_cut_zone (const SimCluster *cluster, int node)
 {
-  return cluster->troubles.zone_nodes >> node & 1;
+  return cluster->faults.zone_nodes >> node & 1;
 }
 
 int
 fault_random_node (SimCluster *cluster)
 {
-  return g_rand_int_range (cluster->troubles.rand, 0, cluster->n);
+  return g_rand_int_range (cluster->faults.rand, 0, cluster->n);
 }
 
 void
 fault_shuffle (SimCluster *cluster, GPtrArray *list)
 {
   for (guint i = list->len; i > 1; i--) {
-    guint k = g_rand_int_range (cluster->troubles.rand, 0, i);
+    guint k = g_rand_int_range (cluster->faults.rand, 0, i);
     gpointer swapped = list->pdata[k];
     list->pdata[k] = list->pdata[i - 1];
     list->pdata[i - 1] = swapped;
@@ -80,7 +80,7 @@
       if ((machine->tasks->len > 0) == busy)
         g_ptr_array_add (picked, machine);
     }
-  cluster->troubles.effects[fault->kind] += picked->len;
+  cluster->faults.effects[fault->kind] += picked->len;
   return picked;
 }
 
@@ -108,7 +108,7 @@
 {
   SimNode *n = &cluster->nodes[i];
   double until = cluster->now + fault->for_s;
-  cluster->troubles.effects[fault->kind]++;
+  cluster->faults.effects[fault->kind]++;
   if (fault->kind == FAULT_NODE_CRASH) {
     double back = first && fault->first_back_s > 0 ? fault->first_back_s
                   : fault->back_s > 0              ? fault->back_s
@@ -155,9 +155,9 @@
   double until = cluster->now + fault->for_s;
   for (guint i = 0; i < list->len; i++) {
     SimMachine *machine = list->pdata[i];
-    if (fault->kind == FAULT_MACHINE_DEAF)
+    if (fault->kind == FAULT_MACHINE_INBOUND_CUT)
       machine->inbound_cut_until = until;
-    else if (fault->kind == FAULT_MACHINE_MUTE)
+    else if (fault->kind == FAULT_MACHINE_OUTBOUND_CUT)
       machine->outbound_cut_until = until;
     else if (fault->kind == FAULT_MACHINE_HANG)
       machine->hang_until = until;
@@ -173,7 +173,7 @@
 static void
 cut_zone (SimCluster *cluster, const HrFault *fault)
 {
-  HrFaultState *faults = &cluster->troubles;
+  HrFaultState *faults = &cluster->faults;
   faults->zone_cut = fault->zone ? fault->zone - 1 : 0;
   faults->zone_cut_until = cluster->now + fault->for_s;
   faults->zone_hold = fault->hold;
@@ -200,7 +200,7 @@
 static void
 begin_late_reports (SimCluster *cluster, const HrFault *fault)
 {
-  HrFaultState *faults = &cluster->troubles;
+  HrFaultState *faults = &cluster->faults;
   if (fault->for_next) {
     faults->leaders_released = faults->leaders;
     open_window (cluster, &faults->reports_for_next, fault);
@@ -212,7 +212,7 @@
 static void
 begin_environment_fault (SimCluster *cluster, const HrFault *fault)
 {
-  HrFaultState *faults = &cluster->troubles;
+  HrFaultState *faults = &cluster->faults;
   switch (fault->kind) {
   case FAULT_STATE_OUTAGE:
     cluster->store_outage_until = MAX (cluster->store_outage_until, cluster->now + fault->for_s);
@@ -238,7 +238,7 @@
     cluster->cloud_outage_until = MAX (cluster->cloud_outage_until, cluster->now + fault->for_s);
     faults->effects[FAULT_CLOUD_OUTAGE]++;
     break;
-  case FAULT_ODD_REQUESTS:
+  case FAULT_MALFORMED_REQUESTS:
     faults->malformed_until = cluster->now + fault->for_s;
     malformed_requests_begin (cluster);
     break;
@@ -251,7 +251,7 @@
 begin (SimCluster *cluster, gpointer data)
 {
   g_autofree HrFault *fault = data;
-  HrFaultState *faults = &cluster->troubles;
+  HrFaultState *faults = &cluster->faults;
   sim_log_time = cluster->now;
   g_debug ("planned fault %d for %.1f s", fault->kind, fault->for_s);
   switch (fault->kind) {
@@ -264,8 +264,8 @@
   case FAULT_LATE_COMMANDS:
     open_window (cluster, &faults->late_commands, fault);
     break;
-  case FAULT_MACHINE_DEAF:
-  case FAULT_MACHINE_MUTE:
+  case FAULT_MACHINE_INBOUND_CUT:
+  case FAULT_MACHINE_OUTBOUND_CUT:
   case FAULT_MACHINE_HANG:
   case FAULT_MACHINE_CUT:
   case FAULT_MACHINE_CRASH:
@@ -277,10 +277,10 @@
   case FAULT_CANCEL_AT_END:
     open_window (cluster, &faults->cancel_at_end, fault);
     break;
-  case FAULT_CLOSE_LOOKS:
-    open_window (cluster, &faults->close_looks, fault);
+  case FAULT_CLOSE_POLLS:
+    open_window (cluster, &faults->close_polls, fault);
     if (fault->share <= 0)
-      faults->close_looks.share = CLOSE_LOOKS_CANCEL_SHARE;
+      faults->close_polls.share = CLOSE_POLLS_CANCEL_SHARE;
     break;
   case FAULT_NODE_CUT:
   case FAULT_NODE_CRASH:
@@ -315,36 +315,36 @@
 static void
 arm (SimCluster *cluster, gpointer fault)
 {
-  g_ptr_array_add (cluster->troubles.armed, fault);
+  g_ptr_array_add (cluster->faults.armed, fault);
 }
 
 void
 faults_trigger (SimCluster *cluster, HrFaultTrigger event)
 {
-  GPtrArray *armed = cluster->troubles.armed;
+  GPtrArray *armed = cluster->faults.armed;
   for (guint i = armed->len; i > 0 && !cluster->faults_ended; i--) {
     HrFault *fault = armed->pdata[i - 1];
     if (fault->on != event)
       continue;
     g_ptr_array_steal_index_fast (armed, i - 1);
-    cluster->troubles.ends_at = MAX (cluster->troubles.ends_at,
-                                     cluster->now + fault->for_s + after_effect (cluster, fault));
+    cluster->faults.ends_at =
+        MAX (cluster->faults.ends_at, cluster->now + fault->for_s + after_effect (cluster, fault));
     sim_schedule (cluster, cluster->now, begin, fault);
-    sim_schedule (cluster, cluster->troubles.ends_at, world_end_faults, NULL);
+    sim_schedule (cluster, cluster->faults.ends_at, faults_mark_ended, NULL);
   }
 }
 
 void
 faults_plan (SimCluster *cluster, const HrFault *day, guint n)
 {
-  HrFaultState *faults = &cluster->troubles;
+  HrFaultState *faults = &cluster->faults;
   for (guint i = 0; i < n; i++)
     for (guint k = 0; k < MAX (day[i].times, 1); k++) {
       double at = day[i].at_s + k * day[i].every_s;
       sim_schedule (cluster, at, day[i].on ? arm : begin, g_memdup2 (&day[i], sizeof day[i]));
       faults->ends_at = MAX (faults->ends_at, at + day[i].for_s + after_effect (cluster, &day[i]));
     }
-  sim_schedule (cluster, faults->ends_at, world_end_faults, NULL);
+  sim_schedule (cluster, faults->ends_at, faults_mark_ended, NULL);
 }
 
 static gboolean
@@ -356,11 +356,11 @@
 }
 
 gboolean
-world_has_active_fault (const SimCluster *cluster)
+faults_any_active (const SimCluster *cluster)
 {
   if (!cluster->faults_ended || cluster->late_messages_until > cluster->now ||
       cluster->store_outage_until > cluster->now || cluster->cloud_outage_until > cluster->now ||
-      cluster->troubles.zone_cut_until > cluster->now)
+      cluster->faults.zone_cut_until > cluster->now)
     return TRUE;
   for (int i = 0; i < cluster->n; i++) {
     const SimNode *n = &cluster->nodes[i];
@@ -378,18 +378,18 @@
 void
 fault_injection_init (SimCluster *cluster, guint32 seed)
 {
-  cluster->troubles.rand = g_rand_new_with_seed (seed ^ STREAM_SEED_XOR);
-  cluster->troubles.kept_for_next = g_ptr_array_new_with_free_func ((GDestroyNotify)req_unref);
-  cluster->troubles.armed = g_ptr_array_new_with_free_func (g_free);
-  cluster->troubles.kept_for_all = g_ptr_array_new_with_free_func ((GDestroyNotify)req_unref);
+  cluster->faults.rand = g_rand_new_with_seed (seed ^ STREAM_SEED_XOR);
+  cluster->faults.kept_for_next = g_ptr_array_new_with_free_func ((GDestroyNotify)req_unref);
+  cluster->faults.armed = g_ptr_array_new_with_free_func (g_free);
+  cluster->faults.kept_for_all = g_ptr_array_new_with_free_func ((GDestroyNotify)req_unref);
 }
 
 void
 fault_injection_free (SimCluster *cluster)
 {
-  g_rand_free (cluster->troubles.rand);
-  g_ptr_array_unref (cluster->troubles.kept_for_next);
-  g_ptr_array_unref (cluster->troubles.kept_for_all);
-  g_ptr_array_unref (cluster->troubles.armed);
-  g_free (cluster->troubles.leader_process);
+  g_rand_free (cluster->faults.rand);
+  g_ptr_array_unref (cluster->faults.kept_for_next);
+  g_ptr_array_unref (cluster->faults.kept_for_all);
+  g_ptr_array_unref (cluster->faults.armed);
+  g_free (cluster->faults.leader_process);
 }
--- a/tests/sim/troubles.h
+++ b/tests/sim/troubles.h
@@ -15,21 +15,21 @@
    * and only the answer is lost, while other controllers read what it wrote.
    * Fields: share, for_s, at_once. */
   FAULT_LATE_WRITES,
-  /* A share of the workers' reports is duplicated. The copy reaches the controller that received
-   * the report, 2 s to 2.5 leases later. With for_next all copies are kept and reach the next
-   * leader within half a second of its first answer to a report. With to_all all copies are kept
+  /* A share of the workers' heartbeats is duplicated. The copy reaches the controller that received
+   * the heartbeat, 2 s to 2.5 leases later. With for_next all copies are kept and reach the next
+   * leader within half a second of its first answer to a heartbeat. With to_all all copies are kept
    * and reach every controller within a tenth of a second after the leader record names a new
    * leader. Fields: share, for_s, for_next, to_all. */
   FAULT_LATE_REPORTS,
   /* A share of the direct orders is delayed, gets no answer, and is carried out once, 2 to 16 s
    * late, if token and incarnation still match. Fields: share, for_s. */
   FAULT_LATE_COMMANDS,
-  /* Reports of these machines arrive; answers and direct orders to them are lost.
+  /* Heartbeats of these machines arrive; answers and direct orders to them are lost.
    * Fields: count, share or zone, for_s. */
-  FAULT_MACHINE_DEAF,
+  FAULT_MACHINE_INBOUND_CUT,
   /* These machines reach no controller; direct orders reach them and are answered.
    * Fields: count, share or zone, for_s. */
-  FAULT_MACHINE_MUTE,
+  FAULT_MACHINE_OUTBOUND_CUT,
   /* These machines hang. Fields: count, share or zone, for_s. */
   FAULT_MACHINE_HANG,
   /* These machines are partitioned from all controllers. With hold, messages sent during the
@@ -48,7 +48,7 @@
    * ends, users query the job at all controllers, several times within 30 ms, and repeat the
    * submission. A share of the jobs just accepted is cancelled at once (0: a tenth).
    * Fields: for_s, share. */
-  FAULT_CLOSE_LOOKS,
+  FAULT_CLOSE_POLLS,
   /* Controllers lose the connections that the from_ fields name.
    * Fields: who, for_s, from_state, from_peers, from_workers, from_users, hold. */
   FAULT_NODE_CUT,
@@ -76,7 +76,7 @@
   /* Every 1.5 s users send one request of each kind that must be rejected or have no effect;
    * sim/malformed_requests.c lists them with the required answers. Submissions of jobs just
    * accepted are repeated with other content. Fields: for_s. */
-  FAULT_ODD_REQUESTS,
+  FAULT_MALFORMED_REQUESTS,
   FAULT_KINDS
 } HrFaultKind;
 
@@ -94,7 +94,7 @@
   ON_WRITE_SENT,      /* a controller sends a transaction */
   ON_WRITE_DONE,      /* a transaction was carried out */
   ON_WRITE_ANSWERED,  /* the answer to a transaction arrives */
-  ON_REPORT_ANSWERED, /* a worker's report is answered with 200 */
+  ON_REPORT_ANSWERED, /* a worker's heartbeat is answered with 200 */
   ON_HAND_OVER,       /* the leader record names another process */
   FAULT_TRIGGERS
 } HrFaultTrigger;
@@ -132,7 +132,7 @@
   HrFaultWindow late_writes, lost_answers; /* lost_answers: late_writes with at_once */
   HrFaultWindow late_reports, reports_for_next, reports_to_all;
   HrFaultWindow late_commands;
-  HrFaultWindow cancel_at_end, close_looks;
+  HrFaultWindow cancel_at_end, close_polls;
   double state_slow_until, state_slow_s;
   double links_slow_until, links_slow_s;
   double malformed_until;
@@ -142,7 +142,7 @@
   guint zone_cut;
   guint zone_nodes; /* bit set of the controllers inside that partition */
   gboolean zone_hold;
-  GPtrArray *kept_for_next, *kept_for_all; /* SimRequest, copies of reports */
+  GPtrArray *kept_for_next, *kept_for_all; /* SimRequest, copies of heartbeats */
   guint leaders;                           /* number of leaders named by the leader record so far */
   guint leaders_released; /* `leaders` when copies were last released, or their recording began */
   guint64 leader_token;   /* token with which the newest leader began */
--- a/tests/sim/user.h
+++ b/tests/sim/user.h
@@ -11,30 +11,31 @@
   guint image;
   gboolean one_zone, spread, spot, always_fails, submitted, accepted, refused;
   gboolean cancel, cancel_requested;
-  double cancel_requested_at; /* the first time */
+  double cancel_requested_at; /* when a user first requested the cancellation */
   double cancel_at, cancelled_reply_at, done_reply_at, started, first_run_at, done_at;
   double poll_at, answered_at;
-  /* When a user was first told this, in SimCluster.message_clock; 0: not yet. */
-  guint64 accepted_heard_at, done_heard_at, cancelled_heard_at;
+  /* When a user first got an answer with this state, in SimCluster.message_clock; 0: not yet. */
+  guint64 accepted_reply_clock, done_reply_clock, cancelled_reply_clock;
   double accepted_at;
   double cancelled_at; /* when its record was first written as cancelled; 0: it was not */
   gboolean large, reported_unanswered,
-      lost_place;       /* lost_place: set by faults_crash_gang_machines() */
-  const char *team;     /* NULL: the first one */
-  GPtrArray *awaits;    /* SimJob, or NULL */
-  gboolean no_deadline; /* also as an array */
-  guint zone;           /* index of the only allowed zone, plus one; 0: any zone */
-  double fits_since;    /* waits since then although machines have room for it; 0: it does not */
-  const char *rank;     /* priority; NULL: the default of its shape */
-  double due;           /* an array's deadline, s after its submission; 0: by its run time */
-  guint *done;          /* per task */
-  double *progress;     /* per task: seconds of work in its last checkpoint */
+      lost_gang_machine; /* lost_gang_machine: faults_crash_gang_machines() crashed the machine of
+                            one of its tasks */
+  const char *team;      /* NULL: the first one */
+  GPtrArray *awaits;     /* SimJob, or NULL */
+  gboolean no_deadline;  /* submitted without a deadline, even if it is an array */
+  guint zone;            /* index of the only allowed zone, plus one; 0: any zone */
+  double fits_since; /* has waited since then although machines have room for it; 0: it does not */
+  const char *rank;  /* priority; NULL: the default of its shape */
+  double due;        /* an array's deadline, s after its submission; 0: by its run time */
+  guint *done;       /* per task */
+  double *progress;  /* per task: seconds of work in its last checkpoint */
 } SimJob;
 
 /* Submits large arrays and services, some of which are cancelled. */
 void users_large_jobs (SimCluster *cluster, double from, double to);
 void users_init (SimCluster *cluster, guint jobs, double span);
-/* The job's user polls, submits or cancels now, at this node (-1: any). */
+/* Polls, submits or cancels the job now, as its user, at this node (-1: a random one). */
 void user_poll_at (SimCluster *cluster, SimJob *job, int node);
 void user_submit_at (SimCluster *cluster, SimJob *job, int node);
 void user_cancel_at (SimCluster *cluster, SimJob *job, int node);
@@ -46,13 +47,13 @@
 void job_submit (SimCluster *cluster, SimJob *job);
 /* Probes every controller each second, as a load balancer does. */
 void users_probe (SimCluster *cluster);
-/* The user of a running service cancels it, at this node. */
+/* Cancels a running service at this node, as its user. */
 void users_cancel_service_at (SimCluster *cluster, int node);
 /* Submits one array of equal tasks of `run` seconds each at `at`, and cancels it at `cancel_at` (0:
  * never). */
 void users_array (SimCluster *cluster, guint tasks, double run, double at, double cancel_at);
-/* The first team fills the fleet with long jobs; at `later` the second one requests what it is
- * guaranteed: first an array, then a gang. */
+/* Fills the fleet with long jobs of the first team. At `later` the second team submits jobs within
+ * its guarantee: an array, and a minute later a gang. */
 void users_two_teams (SimCluster *cluster, double later);
 /* Submits a job whose record has its tasks in pages. */
 void users_paged_array (SimCluster *cluster, double at);
--- a/tests/sim/worker.c
+++ b/tests/sim/worker.c
@@ -1,4 +1,4 @@
-/* The simulated workers: reports, tokens, leases, tasks and gangs. */
+/* The simulated workers: heartbeats, tokens, leases, tasks and gangs. */
 #include "coordination/command.h"
 #include "protocol/json_util.h"
 #include "sim/invariant_checks.h"
@@ -12,8 +12,8 @@
 /* gang_wait_s and gang_peer_s of the simulated settings. */
 #define GANG_WAIT_S 30.0
 #define GANG_PEER_S 4.0
-/* A regular report is skipped if another one was sent within this share of report_s. The share is
- * less than the shortest interval of regular reports (0.75), or those would stop. */
+/* A regular heartbeat is skipped if another one was sent within this share of report_s. The share
+ * is less than the shortest interval of regular heartbeats (0.75), or those would stop. */
 #define REPORT_SENT_SHARE 0.72
 
 static const char *const states[] = {"fetching", "gathering", "running", "flushing", "exited"};
@@ -280,7 +280,7 @@
     report_due (cluster, machine);
 }
 
-/* ---- reports ---- */
+/* ---- heartbeats ---- */
 
 typedef struct {
   SimMachine *machine;
@@ -321,7 +321,7 @@
     /* A hanging worker reads no answers before it resumes. */
     if (fencing_token >= machine->token && out->tenure == machine->incarnation &&
         machine->hang_until <= cluster->now) {
-      /* Reports again at once when the token is higher, at most once in half a lease. */
+      /* Sends another heartbeat at once when the token is higher, at most once in half a lease. */
       if (fencing_token > machine->token &&
           cluster->now - machine->token_reported_at > cluster->lease_s / 2) {
         machine->token_reported_at = cluster->now;
--- a/tests/sim/workloads_large.c
+++ b/tests/sim/workloads_large.c
@@ -1,4 +1,4 @@
-/* Workloads for days with two troubles at the same time. */
+/* Workloads for days with two faults at the same time. */
 #include "sim/user.h"
 #include "sim/workloads_large.h"
 #include "sim/cluster.h"
--- a/tests/soak.c
+++ b/tests/soak.c
@@ -53,13 +53,13 @@
 } Weighted;
 
 static const Weighted kinds[] = {
-    {FAULT_NODE_CRASH, 8},    {FAULT_NODE_FREEZE, 4},   {FAULT_NODE_CUT, 6},
-    {FAULT_STATE_REFUSES, 3}, {FAULT_STATE_OUTAGE, 2},  {FAULT_STATE_SLOW, 2},
-    {FAULT_MACHINE_CUT, 6},   {FAULT_MACHINE_HANG, 4},  {FAULT_MACHINE_DEAF, 3},
-    {FAULT_MACHINE_MUTE, 3},  {FAULT_MACHINE_CRASH, 2}, {FAULT_CANCEL_NOW, 10},
-    {FAULT_LATE_WRITES, 3},   {FAULT_LATE_REPORTS, 4},  {FAULT_LATE_COMMANDS, 4},
-    {FAULT_CANCEL_AT_END, 2}, {FAULT_CLOSE_LOOKS, 2},   {FAULT_SLOW_LINKS, 1},
-    {FAULT_CLOUD_OUTAGE, 2},  {FAULT_ODD_REQUESTS, 1}};
+    {FAULT_NODE_CRASH, 8},           {FAULT_NODE_FREEZE, 4},       {FAULT_NODE_CUT, 6},
+    {FAULT_STATE_REFUSES, 3},        {FAULT_STATE_OUTAGE, 2},      {FAULT_STATE_SLOW, 2},
+    {FAULT_MACHINE_CUT, 6},          {FAULT_MACHINE_HANG, 4},      {FAULT_MACHINE_INBOUND_CUT, 3},
+    {FAULT_MACHINE_OUTBOUND_CUT, 3}, {FAULT_MACHINE_CRASH, 2},     {FAULT_CANCEL_NOW, 10},
+    {FAULT_LATE_WRITES, 3},          {FAULT_LATE_REPORTS, 4},      {FAULT_LATE_COMMANDS, 4},
+    {FAULT_CANCEL_AT_END, 2},        {FAULT_CLOSE_POLLS, 2},       {FAULT_SLOW_LINKS, 1},
+    {FAULT_CLOUD_OUTAGE, 2},         {FAULT_MALFORMED_REQUESTS, 1}};
 
 static HrFaultKind
 draw_kind (GRand *rand)
@@ -151,7 +151,7 @@
   printf ("seed %u: %d controllers, %.0f s, %u jobs, %u withdrawn, %u starts, %u after a "
           "confirmed cancellation, %u terms, %u kills, %u pauses, %u requests: %s\n",
           seed, cluster->n, cluster->now, cluster->jobs->len, cancelled, cluster->task_starts,
-          cluster->started_cancelled, cluster->troubles.leaders, live->kills, live->freezes,
+          cluster->started_cancelled, cluster->faults.leaders, live->kills, live->freezes,
           live->requests,
           is_void (live)             ? "VOID"
           : cluster->violations->len ? "BROKEN"
--- a/tests/test_exhaustive.c
+++ b/tests/test_exhaustive.c
@@ -179,7 +179,7 @@
   cluster->choose_outcome_data = &play;
   users_init (cluster, 0, 0);
   users_probe (cluster);
-  cluster->troubles.close_looks = (HrFaultWindow){END_S, 0};
+  cluster->faults.close_polls = (HrFaultWindow){END_S, 0};
   users_array (cluster, 1, 8, 1, 0);
   users_array (cluster, scenario->tasks, scenario->run, scenario->at, scenario->cancel_at);
   sim_cluster_run (cluster, END_S);
--- a/tests/test_fault_scenarios.c
+++ b/tests/test_fault_scenarios.c
@@ -11,7 +11,7 @@
 {
   static const HrFault day[] = {
       {.at_s = 40, .kind = FAULT_LATE_WRITES, .for_s = 60, .share = 0.3},
-      {.at_s = 40, .kind = FAULT_CLOSE_LOOKS, .for_s = 200},
+      {.at_s = 40, .kind = FAULT_CLOSE_POLLS, .for_s = 200},
       {.at_s = 150, .kind = FAULT_LATE_WRITES, .for_s = 40, .share = 0.6},
       {.at_s = 160, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER, .back_s = 0.4}};
   PLAY (2000, 2004, day);
@@ -23,7 +23,7 @@
 cancels_at_once_and_looks (void **state G_GNUC_UNUSED)
 {
   static const HrFault day[] = {
-      {.at_s = 2, .kind = FAULT_CLOSE_LOOKS, .for_s = 300, .share = 0.6},
+      {.at_s = 2, .kind = FAULT_CLOSE_POLLS, .for_s = 300, .share = 0.6},
       {.at_s = 100, .kind = FAULT_STATE_SLOW, .for_s = 60, .delay_s = 0.3}};
   PLAY_SET (2200, 2204, day, .started_cancelled = 2);
 }
@@ -35,7 +35,7 @@
 {
   static const HrFault day[] = {
       {.at_s = 40, .kind = FAULT_LATE_WRITES, .for_s = 60, .share = 0.5, .at_once = TRUE},
-      {.at_s = 30, .kind = FAULT_CLOSE_LOOKS, .for_s = 220},
+      {.at_s = 30, .kind = FAULT_CLOSE_POLLS, .for_s = 220},
       {.at_s = 60, .kind = FAULT_CANCEL_NOW, .count = 10},
       {.at_s = 150, .kind = FAULT_LATE_WRITES, .for_s = 60, .share = 0.5, .at_once = TRUE},
       {.at_s = 150, .kind = FAULT_CANCEL_AT_END, .for_s = 60, .share = 0.6}};
@@ -76,7 +76,7 @@
 {
   static const HrFault day[] = {
       {.at_s = 40, .kind = FAULT_LATE_COMMANDS, .for_s = 150, .share = 0.4},
-      {.at_s = 60, .kind = FAULT_MACHINE_DEAF, .for_s = 18, .share = 0.3},
+      {.at_s = 60, .kind = FAULT_MACHINE_INBOUND_CUT, .for_s = 18, .share = 0.3},
       {.at_s = 70, .kind = FAULT_CANCEL_NOW, .count = 10, .hang_s = 9},
       {.at_s = 120, .kind = FAULT_CANCEL_NOW, .count = 10, .hang_s = 20}};
   PLAY (2040, 2044, day);
@@ -87,11 +87,12 @@
 static void
 mute_machines_and_cancels (void **state G_GNUC_UNUSED)
 {
-  static const HrFault day[] = {{.at_s = 80, .kind = FAULT_MACHINE_MUTE, .for_s = 25, .share = 0.4},
-                                {.at_s = 84, .kind = FAULT_CANCEL_NOW, .count = 10},
-                                {.at_s = 88, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER},
-                                {.at_s = 170, .kind = FAULT_MACHINE_MUTE, .for_s = 12, .share = 1},
-                                {.at_s = 172, .kind = FAULT_CANCEL_NOW, .count = 10, .hang_s = 13}};
+  static const HrFault day[] = {
+      {.at_s = 80, .kind = FAULT_MACHINE_OUTBOUND_CUT, .for_s = 25, .share = 0.4},
+      {.at_s = 84, .kind = FAULT_CANCEL_NOW, .count = 10},
+      {.at_s = 88, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER},
+      {.at_s = 170, .kind = FAULT_MACHINE_OUTBOUND_CUT, .for_s = 12, .share = 1},
+      {.at_s = 172, .kind = FAULT_CANCEL_NOW, .count = 10, .hang_s = 13}};
   PLAY (2050, 2054, day);
 }
 
@@ -100,7 +101,7 @@
 static void
 cut_leaders_and_cancels (void **state G_GNUC_UNUSED)
 {
-  static const HrFault day[] = {{.at_s = 60, .kind = FAULT_CLOSE_LOOKS, .for_s = 160},
+  static const HrFault day[] = {{.at_s = 60, .kind = FAULT_CLOSE_POLLS, .for_s = 160},
                                 {.at_s = 80,
                                  .kind = FAULT_NODE_CUT,
                                  .who = WHO_LEADER,
@@ -141,7 +142,7 @@
 {
   static const HrFault day[] = {
       {.at_s = 40, .kind = FAULT_STATE_SLOW, .for_s = 120, .delay_s = 0.8},
-      {.at_s = 40, .kind = FAULT_CLOSE_LOOKS, .for_s = 200},
+      {.at_s = 40, .kind = FAULT_CLOSE_POLLS, .for_s = 200},
       {.at_s = 80, .kind = FAULT_CANCEL_NOW, .count = 8},
       {.at_s = 60, .kind = FAULT_CANCEL_AT_END, .for_s = 140, .share = 0.8},
       {.at_s = 130, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER}};
@@ -154,7 +155,7 @@
 odd_requests_and_new_leaders (void **state G_GNUC_UNUSED)
 {
   static const HrFault day[] = {
-      {.at_s = 10, .kind = FAULT_ODD_REQUESTS, .for_s = 250},
+      {.at_s = 10, .kind = FAULT_MALFORMED_REQUESTS, .for_s = 250},
       {.at_s = 60, .kind = FAULT_LATE_WRITES, .for_s = 40, .share = 0.3, .at_once = TRUE},
       {.at_s = 120, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER},
       {.at_s = 160, .kind = FAULT_STATE_SLOW, .for_s = 60, .delay_s = 0.5},
@@ -180,7 +181,7 @@
 {
   static const HrFault day[] = {
       {.at_s = 60, .kind = FAULT_LATE_REPORTS, .for_s = 45, .share = 0.5, .for_next = TRUE},
-      {.at_s = 95, .kind = FAULT_MACHINE_DEAF, .share = 0.4, .for_s = 25},
+      {.at_s = 95, .kind = FAULT_MACHINE_INBOUND_CUT, .share = 0.4, .for_s = 25},
       {.at_s = 96, .kind = FAULT_MACHINE_CUT, .share = 0.3, .for_s = 25, .hold = TRUE},
       {.at_s = 97, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER},
       {.at_s = 99, .kind = FAULT_CANCEL_NOW, .count = 8, .hang_s = 11},
--- a/tests/test_fault_scenarios_fleet.c
+++ b/tests/test_fault_scenarios_fleet.c
@@ -33,7 +33,7 @@
 {
   static const HrFault day[] = {
       {.at_s = 30, .kind = FAULT_CANCEL_AT_END, .for_s = 150, .share = 0.2},
-      {.at_s = 40, .kind = FAULT_CLOSE_LOOKS, .for_s = 30},
+      {.at_s = 40, .kind = FAULT_CLOSE_POLLS, .for_s = 30},
       {.at_s = 60, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER},
       {.at_s = 100, .kind = FAULT_LATE_WRITES, .for_s = 30, .share = 0.2, .at_once = TRUE},
       {.at_s = 140, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER, .back_s = 0.4}};
@@ -82,7 +82,7 @@
       {.at_s = 90, .kind = FAULT_MACHINE_CUT, .zone = ZONE (1), .for_s = 20, .hold = TRUE},
       {.at_s = 109, .kind = FAULT_CANCEL_NOW, .count = 6},
       {.at_s = 170, .kind = FAULT_NODE_CRASH, .who = WHO_ALL, .back_s = 25, .first_back_s = 0.5},
-      {.at_s = 171, .kind = FAULT_CLOSE_LOOKS, .for_s = 30}};
+      {.at_s = 171, .kind = FAULT_CLOSE_POLLS, .for_s = 30}};
   PLAY (2150, 2154, day);
 }
 
@@ -145,7 +145,7 @@
 ends_far_apart_and_new_leaders (void **state G_GNUC_UNUSED)
 {
   static const HrFault day[] = {
-      {.at_s = 40, .kind = FAULT_CLOSE_LOOKS, .for_s = 200},
+      {.at_s = 40, .kind = FAULT_CLOSE_POLLS, .for_s = 200},
       {.at_s = 50, .kind = FAULT_CANCEL_AT_END, .for_s = 150, .share = 0.5},
       {.at_s = 60, .kind = FAULT_LATE_WRITES, .for_s = 120, .share = 0.3, .at_once = TRUE},
       {.at_s = 70, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER, .times = 5, .every_s = 25},
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -17,7 +17,7 @@
 #define DAY_S 900.0
 
 static SimCluster *
-world_with_limit (guint32 seed, double gpus)
+cluster_with_limit (guint32 seed, double gpus)
 {
   SimCluster *cluster = sim_cluster_new (seed, 3);
   cluster->quota_gpus = gpus;
@@ -72,7 +72,7 @@
   const guint needed = LIMIT_GPUS / MACHINE_GPUS;
   guint broken = 0;
   for (guint32 seed = 1200; seed < 1204; seed++) {
-    SimCluster *cluster = world_with_limit (seed, LIMIT_GPUS);
+    SimCluster *cluster = cluster_with_limit (seed, LIMIT_GPUS);
     limits_submit (cluster, work, G_N_ELEMENTS (work));
     sim_cluster_run (cluster, DAY_S);
     check_jobs_done (cluster);
@@ -95,7 +95,7 @@
   for (guint i = 0; i < G_N_ELEMENTS (work); i++)
     work[i] = (HrLimitJob){5 + 4 * i, HR_SERVICE, 4, 0, NULL, 0, FALSE, NULL};
   for (guint32 seed = 1260; seed < 1264; seed++) {
-    SimCluster *cluster = world_with_limit (seed, LIMIT_GPUS);
+    SimCluster *cluster = cluster_with_limit (seed, LIMIT_GPUS);
     limits_submit (cluster, work, G_N_ELEMENTS (work));
     sim_cluster_run (cluster, 200);
     guint up = 0;
@@ -117,7 +117,7 @@
   static const HrLimitJob gang[] = {{60, HR_GANG, 6, 25, NULL, 0, TRUE, NULL}};
   guint broken = 0;
   for (guint32 seed = 1210; seed < 1214; seed++) {
-    SimCluster *cluster = world_with_limit (seed, LIMIT_GPUS / 2);
+    SimCluster *cluster = cluster_with_limit (seed, LIMIT_GPUS / 2);
     limits_stream (cluster, 5, 500, 4.5, 20);
     limits_submit (cluster, gang, G_N_ELEMENTS (gang));
     sim_cluster_run (cluster, DAY_S);
@@ -147,7 +147,7 @@
   };
   guint broken = 0;
   for (guint32 seed = 1220; seed < 1224; seed++) {
-    SimCluster *cluster = world_with_limit (seed, LIMIT_GPUS);
+    SimCluster *cluster = cluster_with_limit (seed, LIMIT_GPUS);
     limits_submit (cluster, work, G_N_ELEMENTS (work));
     sim_cluster_run (cluster, 1500);
     check_jobs_done (cluster);
@@ -192,7 +192,7 @@
   const guint short_tasks = 60;
   guint broken = 0;
   for (guint32 seed = 1270; seed < 1276; seed++) {
-    SimCluster *cluster = world_with_limit (seed, LIMIT_GPUS / 2);
+    SimCluster *cluster = cluster_with_limit (seed, LIMIT_GPUS / 2);
     limits_submit (cluster, work, G_N_ELEMENTS (work));
     sim_cluster_run (cluster, 1500);
     check_jobs_done (cluster);
@@ -217,7 +217,7 @@
   };
   guint broken = 0;
   for (guint32 seed = 1230; seed < 1234; seed++) {
-    SimCluster *cluster = world_with_limit (seed, LIMIT_GPUS);
+    SimCluster *cluster = cluster_with_limit (seed, LIMIT_GPUS);
     cluster->capacity = 6;
     limits_submit (cluster, work, G_N_ELEMENTS (work));
     sim_cluster_run (cluster, DAY_S);
@@ -290,7 +290,7 @@
   };
   guint broken = 0;
   for (guint32 seed = 1240; seed < 1248; seed++) {
-    SimCluster *cluster = world_with_limit (seed, LIMIT_GPUS);
+    SimCluster *cluster = cluster_with_limit (seed, LIMIT_GPUS);
     users_probe (cluster);
     limits_submit (cluster, work, G_N_ELEMENTS (work));
     faults_plan (cluster, day, G_N_ELEMENTS (day));
--- a/tests/test_pairs.c
+++ b/tests/test_pairs.c
@@ -169,7 +169,7 @@
 {
   for (guint i = 0; i + 1 < day->n; i += 2) {
     HrFaultKind first = day->troubles[i].kind, second = day->troubles[i + 1].kind;
-    if (cluster->troubles.effects[first] && cluster->troubles.effects[second]) {
+    if (cluster->faults.effects[first] && cluster->faults.effects[second]) {
       met[first][second]++;
       if (first != second)
         met[second][first]++;
--- a/tests/test_sim.c
+++ b/tests/test_sim.c
@@ -280,7 +280,7 @@
     for (guint i = 0; i < cluster->jobs->len; i++) {
       SimJob *job = cluster->jobs->pdata[i];
       g_autofree char *again = g_strdup_printf ("%s/0/2", job->id);
-      lost += job->lost_place;
+      lost += job->lost_gang_machine;
       if (!job->done_reply_at)
         sim_report_violation (cluster, "liveness", "%s is not done", job->id);
       anew += g_hash_table_contains (cluster->assignment_recorders, again);
--- a/tests/test_users_days.c
+++ b/tests/test_users_days.c
@@ -44,7 +44,7 @@
     sim_cluster_run (cluster, DAY_S);
     check_end (cluster);
     for (guint i = 0; i < n; i++)
-      if (!cluster->troubles.effects[day[i].kind])
+      if (!cluster->faults.effects[day[i].kind])
         sim_report_violation (cluster, "played", "trouble %u took no effect", i);
     for (guint i = 0; i < MIN (cluster->violations->len, 12); i++)
       fprintf (stderr, "seed %u: %s\n", seed, (char *)cluster->violations->pdata[i]);
@@ -60,7 +60,7 @@
 lost_answers_over_hand_overs (void **state G_GNUC_UNUSED)
 {
   static const HrFault day[] = {
-      {.at_s = 30, .kind = FAULT_CLOSE_LOOKS, .for_s = 250, .share = 0.3},
+      {.at_s = 30, .kind = FAULT_CLOSE_POLLS, .for_s = 250, .share = 0.3},
       {.at_s = 50, .kind = FAULT_LATE_WRITES, .for_s = 200, .share = 0.4, .at_once = TRUE},
       {.at_s = 80, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER, .back_s = 0.5},
       {.at_s = 81, .kind = FAULT_CANCEL_NOW, .count = 6},
@@ -80,7 +80,7 @@
       {.at_s = 40, .kind = FAULT_LATE_WRITES, .for_s = 80, .share = 0.4},
       {.at_s = 90, .kind = FAULT_NODE_CRASH, .who = WHO_LEADER, .back_s = 0.5},
       {.at_s = 150, .kind = FAULT_LATE_WRITES, .for_s = 80, .share = 0.6},
-      {.at_s = 160, .kind = FAULT_CLOSE_LOOKS, .for_s = 100},
+      {.at_s = 160, .kind = FAULT_CLOSE_POLLS, .for_s = 100},
       {.at_s = 180, .kind = FAULT_STATE_REFUSES, .who = WHO_LEADER, .for_s = 9}};
   PLAY (2210, 2214, day);
 }
@@ -91,7 +91,7 @@
 slow_refused_and_away (void **state G_GNUC_UNUSED)
 {
   static const HrFault day[] = {
-      {.at_s = 30, .kind = FAULT_CLOSE_LOOKS, .for_s = 250, .share = 0.3},
+      {.at_s = 30, .kind = FAULT_CLOSE_POLLS, .for_s = 250, .share = 0.3},
       {.at_s = 50, .kind = FAULT_STATE_SLOW, .for_s = 40, .delay_s = 0.5},
       {.at_s = 60, .kind = FAULT_CANCEL_NOW, .count = 6},
       {.at_s = 99.8, .kind = FAULT_CANCEL_NOW, .count = 6},
