--- a/tests/bench_core.c
+++ b/tests/bench_core.c
@@ -151,10 +151,10 @@
     double started_at = cpu_time_s ();
     hr_core_step (bench->core, bench->now, 1e9 + bench->now, commands, out);
     double elapsed_s = cpu_time_s () - started_at;
-    Figure *row = &figures[first ? figure : F_ANSWER];
-    row->sum_s += elapsed_s;
-    row->max_s = MAX (row->max_s, elapsed_s);
-    row->n += first ? 1 : commands->len;
+    Figure *measured = &figures[first ? figure : F_ANSWER];
+    measured->sum_s += elapsed_s;
+    measured->max_s = MAX (measured->max_s, elapsed_s);
+    measured->n += first ? 1 : commands->len;
     for (guint i = 0; i < out->len; i++) {
       HrEffect *effect = out->pdata[i];
       if (effect->kind == HR_EFFECT_CALL)
--- a/tests/scripted_controller.h
+++ b/tests/scripted_controller.h
@@ -1,5 +1,5 @@
 /* Drives one controller, c0, step by step. The test sets the statuses of the other members (c1 and
- * c2), the availability of the state service and the tasks of one worker. The state service and the
+ * c2), the availability of the state store and the tasks of one worker. The state store and the
  * cloud answer within the step. */
 #pragma once
 #include "coordination/core.h"
@@ -20,9 +20,9 @@
   HrNames names;
   HrPolicy policy;
   double now;                 /* monotonic time, in seconds */
-  gboolean store_available;   /* FALSE: the state service answers 503 */
+  gboolean store_available;   /* FALSE: the state store answers 503 */
   gboolean loses_answers;     /* writes are carried out, but their answers are lost */
-  gboolean outage_after_loss; /* the state service becomes unavailable with the first lost answer */
+  gboolean outage_after_loss; /* the state store becomes unavailable with the first lost answer */
   gboolean loses_orders;      /* direct orders are not carried out and get no answer */
   guint64 revision;           /* of the state store */
   GPtrArray *log;             /* JSON texts of the store's changes, the oldest first */
@@ -32,7 +32,7 @@
   HrPeerStatus latest_status; /* of c0 */
   double latest_status_at;
   GHashTable *tasks;           /* of the worker: "job/task" -> attempt */
-  guint sequence, incarnation; /* of the worker's reports */
+  guint sequence, incarnation; /* of the worker's heartbeats */
   guint64 fencing_token;       /* the highest that the worker has seen */
   guint lost_launches;         /* direct calls with a launch that were lost */
   const char *counted_key;     /* key of the state store whose writes are counted, or NULL */
@@ -54,9 +54,9 @@
                       const char *body);
 /* Submits a job of one task; aborts the test unless it is accepted. */
 void scripted_submit (ScriptedController *controller, const char *id);
-/* Sends the worker's report and applies the orders of the answer. Returns the answer's status. */
+/* Sends the worker's heartbeat and applies the answer's orders. Returns the answer's status. */
 int scripted_report (ScriptedController *controller);
-/* Sends a report every 2 s for so many seconds. Returns the status of the last answer. */
+/* Sends a heartbeat every 2 s for this many seconds. Returns the status of the last answer. */
 int scripted_report_for (ScriptedController *controller, double seconds);
 /* Delivers the status to c0 as it is. */
 void scripted_send_status (ScriptedController *controller, HrPeerStatus *status);
--- a/tests/test_allowance.c
+++ b/tests/test_allowance.c
@@ -1,5 +1,6 @@
-/* Answers to users, and how soon they come, while the state service allows few writes, is slow or
- * is out (scripted_cluster.h). docs/meetings.md names the guard without which each test fails. */
+/* The answers that users get, and after what time, while the state store allows few writes, is slow
+ * or is unavailable (scripted_cluster.h). docs/meetings.md names the guard without which each test
+ * fails. */
 #include "scripted_cluster.h"
 #include "protocol/json_util.h"
 #include <setjmp.h>
@@ -42,7 +43,7 @@
   cluster_free (cluster);
 }
 
-/* Twice as many submissions as the state service takes in a second arrive at once, spread over all
+/* Twice as many submissions as the state store takes in a second arrive at once, spread over all
  * nodes. Refused writes are retried at staggered times, and no user's request is refused. */
 static void
 a_burst_beyond_the_allowance_is_retried (void **state G_GNUC_UNUSED)
@@ -72,7 +73,7 @@
   int node;
   /* Times in seconds; 0: not yet. done_at: a user got the state "done". */
   double sent_at, accepted_at, ends_at, done_at, abort_sent_at, cancelled_at;
-  gboolean to_cancel, fell_in_place;
+  gboolean to_cancel;
   guint64 submission, abort, poll;
 } StreamJob;
 
@@ -89,7 +90,7 @@
   g_free (((StreamJob *)data)->id);
 }
 
-/* Plays the users: submits refused jobs again, cancels some jobs and polls the others. */
+/* Simulates the users: submits refused jobs again, cancels some jobs and polls the others. */
 static void
 stream_step_users (Stream *stream)
 {
@@ -144,7 +145,7 @@
   return NULL;
 }
 
-/* Ends tasks after run_s and sends the workers' reports. */
+/* Ends tasks after run_s and sends the workers' heartbeats. */
 static void
 stream_step_workers (Stream *stream, guint round)
 {
@@ -214,7 +215,7 @@
   cluster_free (cluster);
 }
 
-/* ---- a slow service, a refused leader, an outage ---- */
+/* ---- a slow store, a refused leader, an outage ---- */
 
 /* Checks that no node answers with a state of the job from before its cancellation. */
 static void
@@ -245,7 +246,7 @@
   cluster_run (cluster, 2.5);
   assert_in_range (cluster_status (cluster, next, id), 200, 201);
   id = cluster_submit (cluster, third, "job-c", 1);
-  cluster_run (cluster, 1); /* by now the node knows that the service is slow */
+  cluster_run (cluster, 1); /* by now the node knows that the store is slow */
   assert_int_equal (cluster_status (cluster, third, id), 201);
   guint64 polls[3];
   for (int i = 0; i < 3; i++)
@@ -264,7 +265,7 @@
 static void
 check_refused_leader (Cluster *cluster, int leader, int next)
 {
-  /* The state service refuses the leader alone, and another node confirms a cancellation. */
+  /* The state store refuses the leader alone, and another node confirms a cancellation. */
   cluster->nodes[leader].served = FALSE;
   cluster_run (cluster, 0.2);
   guint64 abort = cluster_abort (cluster, next, "job-b");
@@ -277,7 +278,7 @@
 static void
 check_outage (Cluster *cluster, int next)
 {
-  /* A second later the service is out for all nodes, for longer than cancel_s. */
+  /* A second later the state store is unavailable to all nodes, for longer than cancel_s. */
   cluster->outage = TRUE;
   double until = cluster->now + 42;
   while (cluster->now < until) {
--- a/tests/test_attestation.c
+++ b/tests/test_attestation.c
@@ -1,4 +1,4 @@
-/* How long a leader that the state service refuses goes on answering its workers, depending on the
+/* How long a leader that the state store refuses keeps answering its workers, depending on the
  * cancellations that the other members name to it in their statuses. Covers each case of
  * docs/design.md, "Cancellations that the leader cannot read". */
 #include "coordination/command.h"
@@ -12,7 +12,7 @@
 #define JOB "job-a"
 #define OTHER "job-b"
 
-/* c0 leads, its worker runs two jobs, and the state service refuses c0. Then another controller
+/* c0 leads, its worker runs two jobs, and the state store refuses c0. Then another controller
  * cancels JOB, which c0 cannot read. */
 typedef struct {
   ScriptedController *controller;
@@ -46,16 +46,16 @@
   status->cancellations.log_end = log_end;
 }
 
-/* Reports for longer than hold_s: without attestations, c0 stops answering by then. Returns the
- * status of the last answer. */
+/* Sends heartbeats for longer than hold_s: without attestations, c0 stops answering by then.
+ * Returns the status of the last answer. */
 static int
 report_beyond_hold (ScriptedController *controller)
 {
   return scripted_report_for (controller, controller->policy.hold_s + 4);
 }
 
-/* The tasks of a named cancellation are stopped with the next report. Other tasks go on for as long
- * as the state service refuses c0. Users get no answer that rests on a member's status alone. */
+/* The tasks of a named cancellation are stopped with the next heartbeat. Other tasks keep running
+ * while the state store refuses c0. Users get no answer that relies on a member's status alone. */
 static void
 a_named_cancellation_is_carried_out (void **state G_GNUC_UNUSED)
 {
@@ -235,7 +235,7 @@
   hr_named_cancellations_add (&leader.c1->cancellations, JOB);
   leader.c1->fencing_token = leader.controller->latest_status.fencing_token + 1;
   assert_int_equal (report_beyond_hold (leader.controller), 503);
-  /* A cancellation is final, whoever names it. */
+  /* A cancellation is final, whichever member names it. */
   assert_false (scripted_has_task (leader.controller, JOB));
   scripted_free (leader.controller);
 }
@@ -281,7 +281,7 @@
 }
 
 /* A launch whose answer was lost may arrive at any time during the worker's incarnation, and c0
- * cannot raise its fencing token without the state service. c0 does not answer the worker, so that
+ * cannot raise its fencing token without the state store. c0 does not answer the worker, so that
  * its incarnation ends. */
 static void
 a_possible_late_launch_of_a_cancelled_job_ends_the_lease (void **state G_GNUC_UNUSED)
--- a/tests/test_cancellations.c
+++ b/tests/test_cancellations.c
@@ -10,8 +10,8 @@
 
 #define JOB "job-a"
 
-/* Returns c0, which the state service serves and which has accepted JOB. c1 leads; the state
- * service refuses it. leader: the status that c1 sends. */
+/* Returns c0, which the state store serves and which has accepted JOB. c1 leads; the state store
+ * refuses it. leader: the status that c1 sends. */
 static ScriptedController *
 member_of_refused_leader (HrPeerStatus **leader)
 {
--- a/tests/test_pacing.c
+++ b/tests/test_pacing.c
@@ -1,4 +1,4 @@
-/* Planning passes leave most of the processor time to workers' reports and reads of the store. */
+/* Planning passes leave most of the processor time to heartbeats and to reads of the store. */
 #include "scripted_cluster.h"
 #include "coordination/state.h"
 #include <setjmp.h>
@@ -31,7 +31,7 @@
 }
 
 /* Passes of one second take at most about a fifth of the time, passes of a millisecond are not
- * delayed, and a process goes on planning after a pause of a minute within a pass. */
+ * delayed, and a process continues to plan after a pause of a minute within a pass. */
 static void
 long_passes_are_spaced (void **state G_GNUC_UNUSED)
 {
--- a/tests/test_readiness.c
+++ b/tests/test_readiness.c
@@ -383,8 +383,8 @@
   fake_store_free (store);
 }
 
-/* This service accepts no dependency cycle. Records written by others that form one are reported in
- * the log, never opened, and can be cancelled. */
+/* Controllers accept no submission that forms a dependency cycle. Jobs of records that form one
+ * nevertheless are reported in the log, never opened, and can be cancelled. */
 static void
 a_dependency_cycle_is_reported (void **state G_GNUC_UNUSED)
 {
--- a/tests/test_record_split.c
+++ b/tests/test_record_split.c
@@ -1,5 +1,5 @@
-/* Splitting a record over several transactions, on a fake state store: changes by others between
- * two transactions. */
+/* Splitting a record over several transactions, on a fake state store: changes by other controllers
+ * between two transactions. */
 #include "sim/single_node.h"
 #include <setjmp.h>
 #include <stdarg.h>
@@ -74,7 +74,7 @@
   fake_store_free (store);
 }
 
-/* Without changes by others the split completes. */
+/* Without changes by other controllers the split completes. */
 static void
 split_completes (void **state G_GNUC_UNUSED)
 {
@@ -91,8 +91,8 @@
   fake_store_free (store);
 }
 
-/* Guards against a former leader that goes on with its split after another controller has become
- * the leader between two transactions. */
+/* Guards against a former leader that continues its split after another controller has become the
+ * leader between two transactions. */
 static void
 new_leader_between_split_transactions (void **state G_GNUC_UNUSED)
 {
--- a/tests/test_renewals.c
+++ b/tests/test_renewals.c
@@ -1,5 +1,5 @@
 /* An answer that renews a worker's lease names a stop for each of its tasks that must not run.
- * Checked message by message (scripted_fleet.h) and with generated reports. */
+ * Checked message by message (scripted_fleet.h) and with generated heartbeats. */
 #include "scripted_fleet.h"
 #include "coordination/invariant.h"
 #include "coordination/agents/lease_renewal.h"
@@ -48,7 +48,8 @@
          fleet->cluster->nodes[leader].core;
 }
 
-/* Ends the leader and waits until another controller leads. The machine reaches none meanwhile. */
+/* Ends the leader and waits until another controller leads. The machine reaches no controller
+ * in the meantime. */
 static void
 change_leader (Fleet *fleet, FleetMachine *machine)
 {
@@ -59,7 +60,7 @@
   fleet_run (fleet, 0.5);
 }
 
-/* Returns the orders in the answer to the report; NULL if the answer does not renew the lease. */
+/* Returns the orders in the answer to the heartbeat; NULL if the answer renews no lease. */
 static json_t *
 orders_of_renewal (Fleet *fleet, int node, const char *report)
 {
@@ -84,7 +85,7 @@
   return FALSE;
 }
 
-/* ---- reports of a cancelled job's tasks ---- */
+/* ---- heartbeats of a cancelled job's tasks ---- */
 
 static gboolean
 answered_by_the_leader (Fleet *fleet, gpointer machine)
@@ -131,7 +132,7 @@
   json_t *orders = orders_of_renewal (fleet, cluster_leader (fleet->cluster), report);
   assert_non_null (orders);
   assert_true (names_stop (orders, "job-a/0", 1));
-  /* No other order, since the age of the report is unknown. */
+  /* No other order, since the age of the heartbeat is unknown. */
   assert_int_equal (json_array_size (orders), 1);
   fleet_end (fleet);
 }
@@ -152,7 +153,8 @@
   fleet_end (fleet);
 }
 
-/* The report was sent before the direct launch arrived and is answered after the cancellation. */
+/* The heartbeat was sent before the direct launch arrived and is answered after the
+ * cancellation. */
 static void
 a_task_that_the_report_lacks_gets_the_stop (void **state G_GNUC_UNUSED)
 {
@@ -172,7 +174,7 @@
 
 /* ---- a launch that is still in flight ---- */
 
-/* The launch of a cancelled job is in flight for longer than the leader may go on renewing the
+/* The launch of a cancelled job is in flight for longer than the leader may keep renewing the
  * lease, the write of a higher fencing token, which would invalidate the launch, gets no answer,
  * and the cloud deletes no machine. The worker's lease has to run out in time. */
 static void
@@ -202,12 +204,12 @@
   fleet_end (fleet);
 }
 
-/* ---- generated reports ---- */
+/* ---- generated heartbeats ---- */
 
 static const char *const task_states[] = {"fetching", "gathering", "running", "flushing", "exited"};
 
-/* Returns a report with tasks of known, unknown and cancelled jobs, and random attempts, sequence
- * numbers and fencing tokens. */
+/* Returns a heartbeat with tasks of known, unknown and cancelled jobs, and random attempts,
+ * sequence numbers and fencing tokens. */
 static json_t *
 generated_report (GRand *rand, guint64 newest_token)
 {
@@ -230,7 +232,7 @@
                     "pieces", pieces);
 }
 
-/* Checks that the orders stop every task in the report that has not exited and whose job is in
+/* Checks that the orders stop every task in the heartbeat that has not exited and whose job is in
  * ended_jobs. */
 static void
 check_answer (json_t *report, json_t *orders, const char *const *ended_jobs)
@@ -287,8 +289,8 @@
 /* ---- the check of the orders ---- */
 
 /* The check is independent of the code that compiles the orders. It finds a missing stop both for a
- * task in the report and for one that only the record places on the machine. A release build counts
- * the violation and does not abort. */
+ * task in the heartbeat and for one that only the record places on the machine. A release build
+ * counts the violation and does not abort. */
 static void
 the_check_finds_a_missing_stop (void **state G_GNUC_UNUSED)
 {
--- a/tests/test_replica.c
+++ b/tests/test_replica.c
@@ -239,7 +239,7 @@
 }
 
 /* A cancellation whose record exceeds the value limit of the store is not written. The user gets
- * 503 with a short Retry-After, and the other controllers are told at once, so that the leader
+ * 503 with a short Retry-After, and the other controllers are informed at once, so that the leader
  * splits the record. */
 static void
 oversized_cancellation_is_not_written (void **state G_GNUC_UNUSED)
--- a/tests/test_requests.c
+++ b/tests/test_requests.c
@@ -253,8 +253,8 @@
 }
 
 /* The id alone identifies a job: a submission with the id of an accepted job returns that job,
- * whatever else it says, also at a node that has not read the record yet and while the node reads
- * it again. */
+ * whatever its other fields are, also at a node that has not read the record yet and while the node
+ * reads it again. */
 static void
 a_resubmission_with_other_content_returns_the_job (void **state G_GNUC_UNUSED)
 {
--- a/tests/test_store_reads.c
+++ b/tests/test_store_reads.c
@@ -1,4 +1,4 @@
-/* Interleavings of users' requests with calls to and answers from the state service, message by
+/* Interleavings of users' requests with calls to and answers from the state store, message by
  * message (scripted_cluster.h). docs/meetings.md describes the interleaving of each test and the
  * guard without which it fails. */
 #include "scripted_cluster.h"
@@ -98,8 +98,8 @@
   cluster_free (cluster);
 }
 
-/* The state service refuses the read as one too many (429): the request waits for the next read,
- * and after a while is answered 503. No request is answered from memory. */
+/* The state store refuses the read as one too many (429): the request waits for the next read, and
+ * after a while is answered 503. No request is answered from memory. */
 static void
 a_refused_read_answers_no_request (void **state G_GNUC_UNUSED)
 {
@@ -141,9 +141,9 @@
   cluster_hold (cluster, leader, "/do", NULL); /* the stop does not reach its worker */
   cluster_submit (cluster, leader, "job-a", 1);
   cluster_run (cluster, 0.5);
-  guint64 gone = cluster_abort (cluster, other, "job-b");
+  guint64 abort = cluster_abort (cluster, other, "job-b");
   cluster_run (cluster, 0.5);
-  assert_string_equal (cluster_job_state (cluster, other, gone), "withdrawn");
+  assert_string_equal (cluster_job_state (cluster, other, abort), "withdrawn");
   assert_null (strstr (cluster_value (cluster, "h/j/job-b"), "\"n\":1")); /* no tombstone yet */
   cluster_hold (cluster, other, READ, NULL);
   cluster_hold (cluster, other, WATCH, NULL);
@@ -164,7 +164,7 @@
   assert_int_equal (cluster_status (cluster, other, id), 503);
   id = cluster_submit (cluster, other, "job-a", 1);
   assert_int_equal (cluster_status (cluster, other, id), 503);
-  id = cluster_poll (cluster, other, "job-b"); /* a final answer, once given, stays */
+  id = cluster_poll (cluster, other, "job-b"); /* a final state may still be answered */
   assert_string_equal (cluster_job_state (cluster, other, id), "withdrawn");
   cluster_release (cluster);
   cluster_run (cluster, 1);
@@ -258,8 +258,8 @@
   cluster_free (cluster);
 }
 
-/* The answer to a watch arrives after that to a newer read and is dropped. Otherwise the leader
- * lock would look free for good, and this node would stand for election again and again. */
+/* The answer to a watch arrives after that to a newer read and is dropped. Otherwise the node would
+ * take the leader lock for free permanently and stand for election repeatedly. */
 static void
 a_superseded_watch_is_dropped (void **state G_GNUC_UNUSED)
 {
--- a/tests/test_watching.c
+++ b/tests/test_watching.c
@@ -1,4 +1,4 @@
-/* What operators monitor of a controller: /metrics and the lines of its log. */
+/* The interfaces by which operators monitor a controller: /metrics and its log lines. */
 #include "scripted_cluster.h"
 #include "coordination/metrics/metrics.h"
 #include "transport/log_writer.h"
--- a/tests/test_workers.c
+++ b/tests/test_workers.c
@@ -58,7 +58,7 @@
   fleet_run (fleet, 3);
 }
 
-/* Cuts the controller off from the state service, and all controllers from one another. Workers and
+/* Cuts the controller off from the state store, and all controllers from one another. Workers and
  * users still reach them. */
 static void
 cut_off_controller (Fleet *fleet, int node)
@@ -86,8 +86,8 @@
 
 /* ---- the fencing token ---- */
 
-/* The leader has to read the whole state store again and goes on leading. It no longer knows which
- * orders are in flight, so it has to raise its fencing token. */
+/* The leader has to read the whole state store again and remains the leader. It no longer knows
+ * which orders are in flight, so it has to raise its fencing token. */
 static void
 a_leader_that_rereads_raises_its_token (void **state G_GNUC_UNUSED)
 {
@@ -106,7 +106,7 @@
   cluster_forget_changes (cluster);
   fleet_release (fleet);
   fleet_run (fleet, 1);
-  /* The machine's reports lack the task, and the machine is about to be preempted: the task is
+  /* The machine's heartbeats lack the task, and the machine is about to be preempted: the task is
    * placed on another machine. */
   fleet->cloud_deletes = FALSE;
   second->reports = first->reports = TRUE;
@@ -153,8 +153,8 @@
   assert_int_equal (status, 409);
 }
 
-/* A launch timed out and is still in flight when its job is cancelled. Reports that lack the task
- * prove nothing until the worker has seen a newer fencing token. */
+/* A launch timed out and is still in flight when its job is cancelled. Heartbeats that lack the
+ * task prove nothing until the worker has seen a newer fencing token. */
 static void
 a_late_launch_of_a_cancelled_job_is_rejected (void **state G_GNUC_UNUSED)
 {
@@ -179,7 +179,8 @@
 }
 
 /* A launch was carried out, and a copy of it arrives long after the task's end. Until the worker
- * has seen a newer fencing token, its reports keep the task, so that the copy changes nothing. */
+ * has seen a newer fencing token, its heartbeats keep the task, so that the copy changes
+ * nothing. */
 static void
 a_duplicate_launch_after_the_task_ended_is_ignored (void **state G_GNUC_UNUSED)
 {
@@ -204,9 +205,9 @@
 
 /* ---- leases ---- */
 
-/* The leader is cut off from the state service and from the other controller; its worker and users
+/* The leader is cut off from the state store and from the other controller; its worker and users
  * still reach it. It stops answering in time: the task of a job that is cancelled through the next
- * leader ends, and other tasks are placed again only when they are certainly gone. */
+ * leader ends, and other tasks are placed again only when they have certainly ended. */
 static void
 a_partitioned_leader_steps_down (void **state G_GNUC_UNUSED)
 {
@@ -234,7 +235,7 @@
   fleet_end (fleet);
 }
 
-/* Several machines with long tasks reach only a former leader, which goes on answering them for a
+/* Several machines with long tasks reach only a former leader, which keeps answering them for a
  * while. The new leader keeps their tasks bound until that time and a lease are certainly over. */
 static void
 a_new_leader_waits_for_leases_that_a_former_one_renewed (void **state G_GNUC_UNUSED)
@@ -263,9 +264,9 @@
   fleet_end (fleet);
 }
 
-/* A machine's reports reach the new leader, but the answers are lost. Its task is placed again only
- * when a report shows that the worker's incarnation is over, and then at once: long before a
- * machine that is being returned would be given up. */
+/* A machine's heartbeats reach the new leader, but the answers are lost. Its task is placed again
+ * only when a heartbeat shows that the worker's incarnation is over, and then at once: long before
+ * a machine that is being returned would be given up. */
 static void
 a_machine_with_inbound_loss_keeps_its_task_until_its_incarnation_ends (void **state G_GNUC_UNUSED)
 {
@@ -310,7 +311,7 @@
 }
 
 /* The cloud answers no deletion. The tasks of a machine that is being returned wait no longer than
- * its lease, since no controller has answered the machine after its last report. */
+ * its lease, since no controller has answered the machine after its last heartbeat. */
 static void
 a_deletion_without_answer_holds_tasks_no_longer_than_a_lease (void **state G_GNUC_UNUSED)
 {
@@ -329,7 +330,7 @@
 }
 
 /* A hung machine resumes within its lease, after its job was cancelled. The task is stopped then,
- * and the record names the task's machine until a report shows that. */
+ * and the record names the task's machine until a heartbeat shows that. */
 static void
 a_task_on_a_hung_machine_is_stopped_when_it_resumes (void **state G_GNUC_UNUSED)
 {
@@ -381,9 +382,9 @@
   fleet_end (fleet);
 }
 
-/* The state service refuses the leader alone, another controller confirms a cancellation, and right
- * after that the service is out for all controllers, for longer than cancel_s. named: the other
- * controller names the cancellation to the leader in its statuses. */
+/* The state store refuses the leader alone, another controller confirms a cancellation, and right
+ * after that the store is unavailable to all controllers, for longer than cancel_s. named: the
+ * other controller names the cancellation to the leader in its statuses. */
 static void
 check_unread_cancellation (gboolean named)
 {
@@ -409,9 +410,9 @@
   check_unread_cancellation (TRUE);
 }
 
-/* An assignment is recorded and its launch was lost. The state service refuses the leader alone,
- * and another controller confirms that the job is cancelled. The leader still answers its workers,
- * but launches nothing. */
+/* An assignment is recorded and its launch was lost. The state store refuses the leader alone, and
+ * another controller confirms that the job is cancelled. The leader still answers its workers, but
+ * launches nothing. */
 static void
 a_leader_refused_by_the_state_service_launches_nothing (void **state G_GNUC_UNUSED)
 {
@@ -449,7 +450,7 @@
   fleet_end (fleet);
 }
 
-/* The leader is paused, resumes, and first receives a report of a worker that knows no newer
+/* The leader is paused, resumes, and first receives a heartbeat of a worker that knows no newer
  * leader. The leader's latest read of the leader record is too old for an answer. */
 static void
 a_leader_that_was_paused_does_not_answer (void **state G_GNUC_UNUSED)
@@ -472,7 +473,7 @@
   fleet_end (fleet);
 }
 
-/* During an outage of the state service, copies of a status from before its sender ended keep
+/* During an outage of the state store, copies of a status from before its sender ended keep
  * arriving. They are as old as the clock that they echo, and the leader stops answering in time. */
 static void
 late_copies_of_statuses_attest_nothing_new (void **state G_GNUC_UNUSED)
@@ -496,9 +497,9 @@
   fleet_end (fleet);
 }
 
-/* ---- reports ---- */
+/* ---- heartbeats ---- */
 
-/* A report of a machine that is gone is delayed until the next leader has begun, and arrives there.
+/* A heartbeat of a deleted machine is delayed until the next leader has begun, and arrives there.
  * The leader places nothing on that machine. */
 static void
 a_delayed_report_of_a_deleted_machine_gets_no_task (void **state G_GNUC_UNUSED)
@@ -519,9 +520,9 @@
   fleet_end (fleet);
 }
 
-/* An old report that lacks a task arrives after newer reports that showed it. The cancelled job's
- * record names the task's machine until a report shows that the task is gone. earlier_incarnation:
- * the old report is from an earlier incarnation of the worker. */
+/* An old heartbeat that lacks a task arrives after newer heartbeats that showed it. The cancelled
+ * job's record names the task's machine until a heartbeat shows that the task has ended.
+ * earlier_incarnation: the old heartbeat is from an earlier incarnation of the worker. */
 static void
 check_old_report (gboolean earlier_incarnation)
 {
@@ -529,7 +530,7 @@
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
   g_autofree char *report = fleet_write (first);
-  if (earlier_incarnation) { /* the sequence number alone does not show that the report is old */
+  if (earlier_incarnation) { /* the sequence number alone does not show that the heartbeat is old */
     first->tally += 100;
     g_free (report);
     report = fleet_write (first);
@@ -601,7 +602,8 @@
   fleet_end (fleet);
 }
 
-/* Restarts the controllers with direct_launch = 0: orders go out only in the answers to reports. */
+/* Restarts the controllers with direct_launch = 0: orders go out only in the answers to
+ * heartbeats. */
 static void
 disable_direct_launch (Fleet *fleet)
 {
@@ -615,7 +617,7 @@
   assert_int_equal (cluster_leader (cluster), 0);
 }
 
-/* One task of two has ended, and the leader ends before that is recorded. The worker goes on
+/* One task of two has ended, and the leader ends before that is recorded. The worker keeps
  * reporting the end, so the task does not run again; the job is done once the other task ends. */
 static void
 the_end_of_a_task_is_reported_until_it_is_recorded (void **state G_GNUC_UNUSED)
@@ -661,7 +663,7 @@
 }
 
 /* A team is at its limit, its job is cancelled, the leader changes, and the machine is unreachable.
- * The limit has room again only when the task is proven to be gone. */
+ * The limit has room again only when the task has provably ended. */
 static void
 a_cancelled_task_counts_against_the_limit_until_it_is_gone (void **state G_GNUC_UNUSED)
 {
@@ -690,8 +692,8 @@
 }
 
 /* An array of two tasks, bound to one zone or spread over two, has a task on an unreachable
- * machine. The other task does not start in a zone that the first one rules out until the first is
- * proven to be gone. new_leader: the next leader knows the machine from the record alone, without
+ * machine. The other task does not start in a zone that the first one rules out until the first has
+ * provably ended. new_leader: the next leader knows the machine from the record alone, without
  * its zone. */
 static void
 check_bound_zone (gboolean new_leader, const char *rule, const char *other_zone)
@@ -822,7 +824,7 @@
 }
 
 /* All controllers are down for longer than a lease. One starts, ends and starts again within a
- * second, and a report from before the downtime arrives. */
+ * second, and a heartbeat from before the downtime arrives. */
 static void
 all_controllers_are_down_longer_than_a_lease (void **state G_GNUC_UNUSED)
 {
--- a/tests/test_writes.c
+++ b/tests/test_writes.c
@@ -573,8 +573,8 @@
 }
 
 /* The changes since the leader's last read are discarded. The leader reads the whole store again
- * and no longer knows which of its orders are in flight. The worker's report lacks the task, which
- * is placed again, so the old order has to be rejected when it arrives. */
+ * and no longer knows which of its orders are in flight. The worker's heartbeat lacks the task,
+ * which is placed again, so the old order has to be rejected when it arrives. */
 static void
 a_leader_that_rereads_the_store_invalidates_its_orders (void **state G_GNUC_UNUSED)
 {
