--- a/tests/test_pairs.c
+++ b/tests/test_pairs.c
@@ -169,7 +169,7 @@
 {
   for (guint i = 0; i + 1 < day->n; i += 2) {
     HrFaultKind first = day->faults[i].kind, second = day->faults[i + 1].kind;
-    if (cluster->troubles.effects[first] && cluster->troubles.effects[second]) {
+    if (cluster->faults.effects[first] && cluster->faults.effects[second]) {
       overlaps[first][second]++;
       if (first != second)
         overlaps[second][first]++;
