--- a/deploy/build-production.sh
+++ b/deploy/build-production.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
 # Builds the version that deploy/service.toml names as `production`, from the repository's history,
-# for trials of an upgrade. $1: an empty or absent folder; the programs are in $1/target. Fails where
-# the history lacks that commit. Needs the packages of deploy/install.sh.
+# for trials of an upgrade. $1: the folder to build in, which is deleted first; the program is in
+# $1/target. $2: another commit to build. Fails if the history lacks the commit. Needs the packages
+# that deploy/install.sh installs.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 folder="${1:?the folder to build in}"
--- a/deploy/demo.sh
+++ b/deploy/demo.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# The main job on this machine alone: three controllers under the emulator, an array of six tasks,
-# the leader killed while they run. Ends what it started. $1: an address; default 127.0.0.1:8080.
+# Demonstrates hoprock on this machine alone: three controllers under the emulator and a job of six
+# tasks; the leader crashes while they run. Stops the emulator at the end. $1: address for users;
+# default 127.0.0.1:8080.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 at="${1:-127.0.0.1:8080}"
--- a/deploy/install.sh
+++ b/deploy/install.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Installs what the build needs (Debian packages, as root) and builds everything below target/.
+# Installs the packages that the build needs (Debian, as root) and builds the programs in target/.
+# With --no-packages, only builds.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 export DEBIAN_FRONTEND=noninteractive
--- a/src/bookkeeping/class_stats.h
+++ b/src/bookkeeping/class_stats.h
@@ -25,7 +25,7 @@
   gboolean allows_spot, is_seen;
   guint64 types;
   guint64 teams;  /* bit set of the teams with jobs of the class, by index modulo 64 */
-  guint headroom; /* number of tasks for which this pass reserves capacity */
+  guint headroom; /* tasks for which this planning pass reserves capacity */
 } HrClassStats;
 
 /**
--- a/src/bookkeeping/job.h
+++ b/src/bookkeeping/job.h
@@ -42,10 +42,10 @@
   guint8 reported_state;  /* HrReportedState from its machine, or HR_NOT_REPORTED */
   guint8 stop_wanted;
   guint8 is_listed;         /* a machine's list (HrMachinePlan) holds the task */
-  guint8 from_earlier_term; /* placed by an earlier leader and in no heartbeat since */
+  guint8 from_earlier_term; /* placed by an earlier leader; no heartbeat has reported it since */
   float stop_grace_s;
   float expected_fetch_s; /* expected fetch time of its image, estimated at placement */
-  double stop_sent_at;    /* when the last stop order was sent; monotonic, s; 0: none */
+  double stop_sent_at;    /* when the attempt's first stop order was sent; monotonic, s; 0: never */
   double bound_since;     /* monotonic, s */
   double running_since;   /* first reported running; monotonic, s; 0: not yet */
 } HrTask;
@@ -77,8 +77,8 @@
   gboolean sized_page_keys;  /* page keys are under h/u and contain the page size; else h/t */
   GArray *staged_pages;      /* HrStagedPage; NULL: none */
   json_t *unknown_members;   /* of the main record; written back unchanged; NULL: none */
-  gboolean is_compacted;     /* its record is a tombstone */
-  gboolean tasks_unreadable; /* recorded tasks are invalid; they may be on any machine */
+  gboolean is_compacted;     /* the record is a tombstone */
+  gboolean tasks_unreadable; /* recorded tasks are invalid; the tasks may be on any machine */
   gboolean main_unreadable;  /* latest main record is invalid; the job may be in any state */
   gboolean split_wanted;     /* the job is in the queue of splits (record_split.h) */
   gboolean split_in_flight;
@@ -110,14 +110,15 @@
   guint32 n_live;          /* number of tasks assigning or bound */
   gboolean attempt_ending; /* the gang's attempt is ending; all of its tasks must exit first */
   double gang_ready_at;    /* when the assignments of all tasks of the gang were recorded */
-  /* Since when the gang has lacked a task that was lost before the start; 0: it is complete. */
+  /* Since when a task of the gang that was lost before the common start has to be replaced; 0: the
+   * gang is complete. */
   double gang_incomplete_since;
   double retry_at, retry_pause_s;
   guint failures; /* consecutive */
   HrExitCause last_failure;
   guint32 failed_machine; /* machine of the last failure; avoided for a while */
   double failed_machine_avoided_until;
-  gboolean arrival_counted; /* in the arrivals of its class (HrClassStats) */
+  gboolean arrival_counted; /* the job is in the arrivals of its class (HrClassStats) */
 } HrJobRun;
 
 /* The scheduler's plan for the job (coordination/scheduling/). Times are monotonic, in seconds,
@@ -129,8 +130,9 @@
   guint32 shard;       /* shard of the machines that may list its tasks; HR_NONE: any */
   gboolean shard_chosen;
   double gang_start;   /* planned common start of the gang's tasks */
-  double expected_end; /* expected end of its last task, as of the latest scheduling pass */
-  double next_scale_out_at, scale_out_pause_s; /* for a gang larger than any fleet so far */
+  double expected_end; /* expected end of its last task, as of the latest planning pass */
+  double next_scale_out_at,
+      scale_out_pause_s; /* for instances for a gang larger than any fleet so far */
 } HrJobPlan;
 
 /* The job's share of its team's guarantee and limit (coordination/scheduling/). Times are
@@ -139,7 +141,7 @@
   gboolean within_guarantee;   /* the job and the earlier jobs of its team fit the guarantee */
   gboolean reclaims_guarantee; /* other teams may not use the guarantee while the job waits */
   double reclaiming_since, next_reclaim_at, reclaim_pause_s;
-  guint granted;        /* number of tasks that may start in this scheduling pass */
+  guint granted;        /* number of tasks that may start in this planning pass */
   double granted_since; /* since when the grant has let it start a task; 0: it does not */
   gboolean grant_lent;  /* other jobs may use the part of the grant that the job cannot use now */
   double lent_until, lending_pause_s;
--- a/src/bookkeeping/machine.h
+++ b/src/bookkeeping/machine.h
@@ -9,10 +9,10 @@
 
 /* State of a machine, as this node knows it. */
 typedef enum {
-  HR_MACHINE_BOOTING,
-  HR_MACHINE_UP,
-  HR_MACHINE_DELETING,
-  HR_MACHINE_GONE
+  HR_MACHINE_BOOTING,  /* requested or listed by the cloud; no heartbeat received yet */
+  HR_MACHINE_UP,       /* a heartbeat was received, or a record places tasks on it */
+  HR_MACHINE_DELETING, /* its instance is being deleted */
+  HR_MACHINE_GONE      /* not in the fleet: deleted, or not seen in this term yet */
 } HrMachineState;
 
 /* A task: the index of its job, and its index in the job. */
@@ -50,8 +50,8 @@
   guint64 unanswered_launch_token; /* of the last direct launch whose response was lost; 0: none */
   GArray *direct_launches;         /* HrDirectLaunch: launches under this incarnation */
   gboolean has_urgent_orders;      /* orders have to be sent at once */
-  gboolean orders_postponed; /* until the direct call in flight, or the pause after one, ends */
-  double direct_paused_until;
+  gboolean orders_postponed;  /* until the direct call in flight, or the pause after one, ends */
+  double direct_paused_until; /* no direct calls until then */
 } HrMachineAgent;
 
 /* The machine as an instance of the cloud (coordination/scaling/). */
--- a/src/bookkeeping/record.h
+++ b/src/bookkeeping/record.h
@@ -40,7 +40,7 @@
   gboolean is_tombstone;
   guint32 n_tasks, n_done;
   HrJobSpec spec;
-  json_t *extra;              /* members that this version does not know; NULL: none */
+  json_t *unknown_members;    /* members that this version does not know; NULL: none */
   json_t *tasks;              /* borrowed from the value */
   GStrv awaits;               /* ids of the jobs that the job awaits, or NULL */
   const char *cancelled_with; /* member "c" of a tombstone; borrowed from the value; NULL: none */
--- a/src/bookkeeping/record_format.h
+++ b/src/bookkeeping/record_format.h
@@ -42,7 +42,7 @@
 /**
  * hr_record_format_report_oversized:
  * @store: the store
- * @job: a job whose record is too large to be cancelled
+ * @job: a job that cannot be cancelled because its record is too large
  *
  * Requests the split of the record: at this node if it leads, else at the leader, through this
  * node's statuses.
--- a/src/bookkeeping/record_read.c
+++ b/src/bookkeeping/record_read.c
@@ -105,7 +105,7 @@
   record->sized_page_keys = tasks_per_page && json_integer_value (sized_page_keys) == 1;
   record->n_tasks = record->spec.tasks;
   record->tasks = json_object_get (value, HR_RECORD_TASKS);
-  record->extra = unknown_members (value);
+  record->unknown_members = unknown_members (value);
   return read_awaits (value, &record->awaits, error);
 }
 
@@ -132,7 +132,7 @@
 hr_record_clear (HrRecord *record)
 {
   g_clear_pointer (&record->tag, g_free);
-  g_clear_pointer (&record->extra, json_decref);
+  g_clear_pointer (&record->unknown_members, json_decref);
   g_clear_pointer (&record->awaits, g_strfreev);
 }
 
--- a/src/bookkeeping/record_split.c
+++ b/src/bookkeeping/record_split.c
@@ -110,6 +110,6 @@
     if (hr_record_split_is_possible (store, job))
       hr_record_split_start (store, job);
     else
-      hr_record_writer_mark_all (store, job); /* writes that waited for the split */
+      hr_record_writer_mark_all (store, job); /* resumes the writes that waited for the split */
   }
 }
--- a/src/bookkeeping/record_writer.c
+++ b/src/bookkeeping/record_writer.c
@@ -171,7 +171,7 @@
   }
   if (!job->record.back_off_s)
     g_warning (
-        "%s: its record is too large, and cannot be split until every controller supports it",
+        "%s: its record is too large, and cannot be split until every controller supports that",
         job->id);
   hr_record_writer_back_off (store, job);
   job->run.retry_at = MAX (job->run.retry_at, job->record.next_write_at);
--- a/src/bookkeeping/replica_changes.c
+++ b/src/bookkeeping/replica_changes.c
@@ -67,7 +67,7 @@
     hr_staged_pages_adopt (store, job, record->tasks_per_page, revision);
   if (supports_formats) {
     json_decref (job->record.unknown_members);
-    job->record.unknown_members = g_steal_pointer (&record->extra);
+    job->record.unknown_members = g_steal_pointer (&record->unknown_members);
   }
 }
 
--- a/src/bookkeeping/store.h
+++ b/src/bookkeeping/store.h
@@ -169,8 +169,8 @@
  *   are conditional; 0: not read yet
  * @peers_support_format: returns whether every other controller has stated that it supports the
  *   format of records
- * @listing_begins: a listing of the whole state store begins; discards what was read of keys other
- *   than those of jobs
+ * @listing_begins: a listing of the whole state store begins, which reads every key again; the
+ *   handler discards state that depends on earlier reads
  * @leader_record_read: a change of the leader record was read; value NULL: it was deleted
  * @leader_lock_read: a change of the leader lock was read; value NULL: it was deleted
  * @machine_types_read: a change of the machine types was read; value NULL: they were deleted
--- a/src/emulator/balancer.c
+++ b/src/emulator/balancer.c
@@ -65,7 +65,7 @@
   Balancer *balancer;
   int node;
   SoupServerMessage *msg;
-  SimUserRequest *question; /* NULL: the request concerns no job known to the cluster */
+  SimUserRequest *user_request; /* NULL: the request concerns no job known to the cluster */
 } BalancedRequest;
 
 static void
@@ -79,20 +79,20 @@
 on_answered (SimCluster *cluster, int status, json_t *body, gpointer data)
 {
   g_autofree BalancedRequest *request = data;
-  g_autofree SimUserRequest *question = request->question;
+  g_autofree SimUserRequest *user_request = request->user_request;
   g_autoptr (SoupServerMessage) msg = request->msg;
   g_autofree char *text = body ? hr_json_take_text (json_incref (body)) : g_strdup ("{}");
   request->balancer->open[request->node]--;
-  if (question && (status == 200 || status == 201)) {
-    question->job->accepted = TRUE;
-    check_user_response (cluster, question, status, body);
+  if (user_request && (status == 200 || status == 201)) {
+    user_request->job->accepted = TRUE;
+    check_user_response (cluster, user_request, status, body);
   }
   reply (msg, status ? status : 504, status ? text : "{\"error\":\"the node does not answer\"}");
   soup_server_message_unpause (msg);
 }
 
 /* Returns the job that a request concerns, or NULL if the cluster does not know it. A job becomes
- * known with its first submission. */
+ * known with its first submission. Marks the job if the request cancels it. */
 static SimJob *
 requested_job (SimCluster *cluster, const char *path, const char *body)
 {
--- a/src/emulator/balancer.h
+++ b/src/emulator/balancer.h
@@ -1,7 +1,7 @@
 /* The load balancer: one address through which users reach all controllers. It forwards requests to
  * controllers that answer /ready, and records the submitted jobs in the simulated cluster. */
 #pragma once
-#include "emulator/live.h"
+#include "emulator/emulator.h"
 
 typedef struct Balancer Balancer;
 
--- a/src/emulator/control.h
+++ b/src/emulator/control.h
@@ -1,10 +1,10 @@
 /* The emulator's own HTTP interface, on the address of its load balancer:
- *   GET  /emulator            state of the controllers, machines and jobs, and violated rules
+ *   GET  /emulator            state of the controllers, machines and jobs, and rule violations
  *   POST /emulator/troubles   plans faults: one per line in the format of fault_parse(); the time
  *                             `at` is relative to the time of the request
  */
 #pragma once
-#include "emulator/live.h"
+#include "emulator/emulator.h"
 
 /**
  * control_request:
--- a/src/emulator/live.c
+++ b/src/emulator/emulator.c
@@ -1,4 +1,4 @@
-#include "emulator/live.h"
+#include "emulator/emulator.h"
 #include <errno.h>
 #include <glib/gstdio.h>
 
--- a/src/emulator/live.h
+++ b/src/emulator/emulator.h
@@ -14,7 +14,7 @@
 typedef struct {
   Emulator *emulator;
   SoupServer *server;
-  int node; /* the controller that uses this server; -1: a worker's server, used by all of them */
+  int node; /* controller that uses this server; -1: a worker's server, used by all controllers */
   HrTarget target;
   char *address; /* IP:PORT; a worker reports it in its heartbeats */
 } EmulatorListener;
@@ -39,17 +39,17 @@
   char *dir;              /* directory of settings and logs */
   gboolean remove_files;  /* emulator_end() deletes `dir` */
   EmulatorNode nodes[MAX_NODES];
-  GPtrArray *workers; /* EmulatorListener */
-  GPtrArray *relays;
+  GPtrArray *workers;  /* EmulatorListener */
+  GPtrArray *relays;   /* Relay of relay.c */
   GHashTable *pending; /* id of a call -> SoupServerMessage */
   guint64 last_call_id;
   gboolean stop;        /* makes emulator_run() return */
   double longest_gap;   /* longest time between two updates of the cluster, in seconds */
-  guint kills, freezes; /* of controllers */
-  guint requests;       /* that the simulated servers received */
+  guint kills, freezes; /* number of times that controllers were killed and frozen */
+  guint requests;       /* number of requests that the simulated servers received */
 };
 
-/* ---- live.c ---- */
+/* ---- emulator.c: life cycle and clock ---- */
 
 /**
  * emulator_prepare:
@@ -163,7 +163,9 @@
 /**
  * emulator_relay:
  *
- * Returns: (transfer full): IP:PORT where controller @from reaches controller @to
+ * Creates a relay, which forwards data between two controllers.
+ *
+ * Returns: (transfer full): IP:PORT at which controller @from reaches controller @to
  */
 char *emulator_relay (Emulator *emulator, int from, int to);
 
--- a/src/emulator/main.c
+++ b/src/emulator/main.c
@@ -57,18 +57,18 @@
   json_error_t error;
   json_t *root = json_load_file (file, 0, &error), *value;
   const char *key;
-  gboolean good = json_is_object (root);
-  if (!good)
+  gboolean is_valid = json_is_object (root);
+  if (!is_valid)
     fprintf (stderr, "hoprock-emulator: %s:%d: %s\n", file, error.line, error.text);
   json_object_foreach (root, key, value)
   {
-    if (!good || set_number (settings, key, value))
+    if (!is_valid || set_number (settings, key, value))
       continue;
     fprintf (stderr, "hoprock-emulator: %s: %s is not known, or out of range\n", file, key);
-    good = FALSE;
+    is_valid = FALSE;
   }
   json_decref (root);
-  return good;
+  return is_valid;
 }
 
 static gboolean
@@ -113,8 +113,7 @@
   cluster->report_s = settings->report_s;
   cluster->lease_s = settings->lease_s;
   cluster->cancel_s = settings->cancel_s;
-  cluster->loss_share = cluster->duplicate_share =
-      0; /* the only faults are those of the --troubles file */
+  cluster->loss_share = cluster->duplicate_share = 0; /* only planned faults occur */
 }
 
 static gboolean
--- a/src/emulator/processes.c
+++ b/src/emulator/processes.c
@@ -1,6 +1,6 @@
 /* Starts, kills, freezes (SIGSTOP) and resumes the controller processes. Signals go to process ids
  * only, and only to processes that this program started. */
-#include "emulator/live.h"
+#include "emulator/emulator.h"
 #include <errno.h>
 #include <fcntl.h>
 #include <signal.h>
@@ -157,7 +157,7 @@
 /* A frozen process. It is resumed unless the controller has been restarted since. */
 typedef struct {
   int node;
-  guint gen; /* number of starts of the controller when the process was frozen */
+  guint generation; /* number of starts of the controller when the process was frozen */
 } FrozenProcess;
 
 static void
@@ -165,7 +165,8 @@
 {
   g_autofree FrozenProcess *frozen = data;
   Emulator *emulator = cluster->controllers_data;
-  if (cluster->nodes[frozen->node].up && cluster->nodes[frozen->node].generation == frozen->gen)
+  if (cluster->nodes[frozen->node].up &&
+      cluster->nodes[frozen->node].generation == frozen->generation)
     g_subprocess_send_signal (emulator->nodes[frozen->node].process, SIGCONT);
 }
 
--- a/src/emulator/relay.c
+++ b/src/emulator/relay.c
@@ -1,6 +1,6 @@
 /* A relay forwards the data that one controller sends to another, unless a network partition
  * separates them. */
-#include "emulator/live.h"
+#include "emulator/emulator.h"
 
 /* Size of the buffer for one read and write. */
 #define CHUNK_BYTES 4096
@@ -170,7 +170,7 @@
   return emulator_address (G_INET_SOCKET_ADDRESS (bound));
 }
 
-/* Open connections still refer to the relay, so only its listener is closed. */
+/* Open connections still refer to the relay, so only its listener is closed and freed. */
 void
 emulator_relay_free (gpointer relay)
 {
--- a/src/emulator/wire.c
+++ b/src/emulator/wire.c
@@ -1,7 +1,7 @@
 /* HTTP between the controllers and the simulated services and workers. A request of either side
  * becomes a message of the simulated cluster, which delays, drops or duplicates it according to the
  * planned faults. Messages that the cluster delivers are sent over real HTTP. */
-#include "emulator/live.h"
+#include "emulator/emulator.h"
 #include "sim/request.h"
 #include <string.h>
 
@@ -15,7 +15,7 @@
 /* Limit of connections to one controller. */
 #define MAX_CONNECTIONS 200
 /* Data key set on a message whose client has closed the connection. */
-#define DISCONNECTED_KEY "gone"
+#define DISCONNECTED_KEY "disconnected"
 
 char *
 emulator_address (GInetSocketAddress *address)
@@ -79,7 +79,7 @@
   g_free (effect.call.path);
 }
 
-/* Sends the cluster's answer to a call. Status 0 stands for no answer and closes the connection. */
+/* Sends the cluster's answer to a call. Status 0 means no answer: the connection is closed. */
 static void
 answer_call (Emulator *emulator, const HrCommand *command)
 {
@@ -154,7 +154,7 @@
 
 /* Fails the request at once, without an answer: the controller does not listen or has exited. */
 static void
-no_answer (Emulator *emulator, int node, guint64 id)
+fail_request (Emulator *emulator, int node, guint64 id)
 {
   SimNode *n = &emulator->cluster->nodes[node];
   SimRequest *request = n->up ? g_hash_table_lookup (n->open, &id) : NULL;
@@ -177,7 +177,7 @@
     return;
   emulator_catch_up (emulator);
   if (!bytes) {
-    no_answer (emulator, forwarded->node, forwarded->id);
+    fail_request (emulator, forwarded->node, forwarded->id);
     return;
   }
   HrEffect effect = {
--- a/src/policy/policy.h
+++ b/src/policy/policy.h
@@ -11,13 +11,13 @@
   X (hold_s, 0.5, 3600,                                                                            \
      "seconds that the leader answers workers after its last snapshot read or attestation")        \
   X (alone_s, 0.5, 3600,                                                                           \
-     "the same unless a member confirms that the state service answers none, in seconds")          \
+     "the same while no member confirms a store outage for all controllers, in seconds")           \
   X (lease_margin_s, 0.1, 60, "seconds added to each worker's lease before it counts as expired")  \
   X (silent_s, 1, 3600,                                                                            \
-     "seconds without a report after which a machine is returned, its tasks moved")                \
-  X (overdue_s, 1, 3600, "seconds without a report after which a machine counts as overdue")       \
+     "seconds without a heartbeat after which a machine is returned and its tasks are moved")      \
+  X (overdue_s, 1, 3600, "seconds without a heartbeat after which a machine counts as overdue")    \
   X (silent_share, 0, 1,                                                                           \
-     "share of overdue machines above which the network is blamed, none deleted")                  \
+     "share of overdue machines above which a network fault is assumed and none is returned")      \
   X (boot_limit, 1, 100, "multiple of the machine type's startup_s after which a boot has failed") \
   X (machines_per_part, 1, 1e6, "machines in one shard of the plan")                               \
   X (tabu_rounds, 0, 100000, "rounds of tabu search in one planning pass")                         \
@@ -29,9 +29,12 @@
   X (plan_gap_s, 0.01, 60, "least time between planning passes, in seconds; grows with the fleet") \
   X (headroom_base, 0, 1000,                                                                       \
      "tasks of each service class for which spare capacity is always kept")                        \
-  X (headroom_boots, 0, 100, "boot times of service arrivals for which spare capacity is kept")    \
-  X (headroom_waits, 0, 100, "the same for other classes with a wait objective")                   \
-  X (headroom_deadlines, 0, 100, "the same for other classes with a deadline objective")           \
+  X (headroom_boots, 0, 100,                                                                       \
+     "period of service arrivals for which spare capacity is kept, in boot times")                 \
+  X (headroom_waits, 0, 100,                                                                       \
+     "the same period for other classes with a wait objective, in boot times")                     \
+  X (headroom_deadlines, 0, 100,                                                                   \
+     "the same period for other classes with a deadline objective, in boot times")                 \
   X (rent_slack, 0, 100, "wait tolerated before an instance is requested, in boot times")          \
   X (idle_s, 0, 86400, "seconds after which an idle machine is returned to the cloud")             \
   X (spot_use, 0, 1, "1: request spot instances for jobs that allow them; 0: never")               \
@@ -45,7 +48,7 @@
   X (correction_most, 1, 100,                                                                      \
      "greatest factor by which a class's run time estimates are corrected")                        \
   X (direct_launch, 0, 1,                                                                          \
-     "1: send orders to workers at once; 0: in the answer to their next report")
+     "1: send orders to workers at once; 0: in the answer to their next heartbeat")
 
 /**
  * HrPolicyError:
--- a/src/protocol/cloud.h
+++ b/src/protocol/cloud.h
@@ -15,6 +15,7 @@
 
 typedef struct {
   guint32 type; /* index in names.types */
+  /* boot_s: from the request to the first heartbeat; fetch_rate: of images, in GB per second */
   double cpus, gpus, memory_gb, cache_gb, fetch_rate, price, spot_price, boot_s;
   GArray *zones; /* guint32 */
 } HrMachineType;
--- a/src/protocol/settings.h
+++ b/src/protocol/settings.h
@@ -56,7 +56,7 @@
   /* The smaller of the limits in force and the announced limits, which may come into force at any
    * moment. */
   HrStateLimits planned_limits;
-  guint sockets;                /* of this process; a common limit if the file has none */
+  guint sockets;                /* maximum for this process; 1024 if the file sets none */
   double cloud_rps, list_lag_s; /* list_lag_s: maximum age of the cloud's list of instances */
 } HrSettings;
 
--- a/src/transport/http_server.h
+++ b/src/transport/http_server.h
@@ -11,8 +11,8 @@
  * @command: (transfer full): a request, a result or a peer's status that was received
  * @data: the argument that was given together with the sink
  *
- * Receives a command from the transport. A function of the transport may call it before it
- * returns.
+ * Receives a command from the transport. A function of the transport may call the sink before the
+ * function returns.
  */
 typedef void (*HrCommandSink) (HrCommand *command, gpointer data);
 
--- a/src/transport/log_writer.c
+++ b/src/transport/log_writer.c
@@ -9,7 +9,7 @@
 static char *node_label;
 
 /* Returns whether debug messages of the log domain are written. Those of libraries are off by
- * default, since they would bury the program's own: GLib's sockets write six per connection. */
+ * default, because there are too many: GLib's sockets write six per connection. */
 static gboolean
 is_debug_enabled (const char *domain)
 {
--- a/src/transport/peer.h
+++ b/src/transport/peer.h
@@ -1,8 +1,8 @@
 /* Exchange of statuses between controllers. A status is a protobuf message with its length as
  * prefix, sent over TCP. This controller connects to every other controller and sends its own
- * statuses on these connections; it receives statuses on the connections that the others make.
- * Statuses are neither queued nor retransmitted, since the next one supersedes them a second later.
- * All functions and callbacks run on the default main context. */
+ * statuses on these connections; it receives statuses on the connections that other controllers
+ * make. Statuses are neither queued nor retransmitted, since the next one supersedes them a second
+ * later. All functions and callbacks run on the default main context. */
 #pragma once
 #include "protocol/settings.h"
 #include "transport/http_server.h"
--- a/tests/soak.c
+++ b/tests/soak.c
@@ -6,7 +6,7 @@
  * --old-format 0 says that this program knows neither formats of records nor pipelines.
  * Exit 0: no rule was broken, and each seed was played. */
 #include "coordination/core.h"
-#include "emulator/live.h"
+#include "emulator/emulator.h"
 #include "sim/log.h"
 #include "sim/pipeline.h"
 #include "sim/store.h"
--- a/tests/test_fixtures.c
+++ b/tests/test_fixtures.c
@@ -77,7 +77,7 @@
   stored->job->record.sized_page_keys = stored->record.sized_page_keys;
   if (stored->record.cancelled_with)
     stored->job->cancellation.root = job_with_id (stored->record.cancelled_with);
-  stored->job->record.unknown_members = g_steal_pointer (&stored->record.extra);
+  stored->job->record.unknown_members = g_steal_pointer (&stored->record.unknown_members);
   json_decref (value);
 }
 
