--- a/src/bookkeeping/class_stats.h
+++ b/src/bookkeeping/class_stats.h
@@ -22,8 +22,8 @@
   guint n_images;
   HrShape shape;
   HrPriority priority;
-  gboolean allows_spot, is_seen;
-  guint64 types;
+  gboolean allows_spot, is_seen; /* is_seen: a job of the class has been counted */
+  guint64 types;                 /* machine types that its latest job allows, as in HrJobSpec */
   guint64 teams;  /* bit set of the teams with jobs of the class, by index modulo 64 */
   guint headroom; /* tasks for which this planning pass reserves capacity */
 } HrClassStats;
--- a/src/bookkeeping/job.h
+++ b/src/bookkeeping/job.h
@@ -130,9 +130,10 @@
   guint32 shard;       /* shard of the machines that may list its tasks; HR_NONE: any */
   gboolean shard_chosen;
   double gang_start;   /* planned common start of the gang's tasks */
-  double expected_end; /* expected end of its last task, as of the latest planning pass */
-  double next_scale_out_at,
-      scale_out_pause_s; /* for instances for a gang larger than any fleet so far */
+  double expected_end; /* expected end of its last task; infinite if no job awaits it */
+  /* For a gang that needs more machines than the cloud grants: when instances are requested again,
+   * and the pause before that. */
+  double next_scale_out_at, scale_out_pause_s;
 } HrJobPlan;
 
 /* The job's share of its team's guarantee and limit (coordination/scheduling/). Times are
@@ -142,7 +143,7 @@
   gboolean reclaims_guarantee; /* other teams may not use the guarantee while the job waits */
   double reclaiming_since, next_reclaim_at, reclaim_pause_s;
   guint granted;        /* number of tasks that may start in this planning pass */
-  double granted_since; /* since when the grant has let it start a task; 0: it does not */
+  double granted_since; /* since when the job has not used its grant; 0: it has none */
   gboolean grant_lent;  /* other jobs may use the part of the grant that the job cannot use now */
   double lent_until, lending_pause_s;
   double starving_since; /* since when a task has waited despite free capacity; 0: none does */
--- a/src/bookkeeping/machine.h
+++ b/src/bookkeeping/machine.h
@@ -39,7 +39,8 @@
   double sequence_at;       /* when the newest message arrived */
   double last_heartbeat_at; /* 0: no heartbeat has reached this leader yet */
   double lease_renewed_at;  /* when a heartbeat was last answered with 200; 0: never */
-  /* When a heartbeat first showed that the agent had missed a response; 0: none did. */
+  /* When a heartbeat showed that the agent had missed a response, without those that follow within
+   * half a lease; 0: the latest heartbeat showed none. */
   double response_missed_at;
   /* When a heartbeat showed that responses do not reach the agent; 0: none did. */
   double unreachable_at;
@@ -85,7 +86,7 @@
   HrMachineState state;
   guint32 type, zone; /* type: index into the machine types; HR_NONE: not known yet */
   gboolean is_spot;
-  gboolean is_draining;
+  gboolean is_draining;     /* receives no new tasks */
   double idle_since;        /* since when it has had no tasks; 0: busy */
   GArray *tasks;            /* HrTaskRef: tasks assigning or bound */
   HrResources free;         /* capacity less that of the tasks assigning or bound */
--- a/src/bookkeeping/record_split_steps.h
+++ b/src/bookkeeping/record_split_steps.h
@@ -15,7 +15,8 @@
  * @store: the store; this node leads
  * @job: a job whose record can be split, and has no write in flight
  *
- * Splits the job's record into smaller pages. While `split_in_flight` of the record is set, the
- * record is not written otherwise. When the split ends, all pages of the record are marked.
+ * Splits the job's record into smaller pages. While `split_in_flight` of the record is set,
+ * record_writer.c does not write the record. When the split ends, all pages of the record are
+ * marked.
  */
 void hr_record_split_start (HrStore *store, HrJob *job);
--- a/src/client/options.h
+++ b/src/client/options.h
@@ -2,6 +2,7 @@
 #pragma once
 #include "protocol/messages.h"
 
+/* The parsed command line. `job` holds the options of the command submit. */
 typedef struct {
   char *server;
   gboolean json, quiet, watch;
--- a/src/client/requests.h
+++ b/src/client/requests.h
@@ -4,7 +4,7 @@
 #include <gio/gio.h>
 #include <libsoup/soup.h>
 
-/* Not thread-safe. */
+/* A client with the servers that it tries in turn. Not thread-safe. */
 typedef struct {
   SoupSession *session;
   GStrv servers; /* each IP:PORT or HOST:PORT */
@@ -12,6 +12,7 @@
   gboolean quiet;
 } HrClient;
 
+/* The answer to a request. */
 typedef struct {
   guint status; /* HTTP status; 0: no answer within the timeout */
   GBytes *body; /* NULL: no body */
--- a/src/protocol/intern.h
+++ b/src/protocol/intern.h
@@ -4,7 +4,7 @@
 #pragma once
 #include <glib.h>
 
-/* Stands for the absence of an index. */
+/* The value of an index that means "none". */
 #define HR_NONE G_MAXUINT32
 
 typedef struct {
--- a/src/protocol/store_api.h
+++ b/src/protocol/store_api.h
@@ -1,6 +1,6 @@
 /* Requests to the replicated state store and its answers. The store is a key-value service with
  * revisions, transactions and leases. This module translates between the store's field names and
- * the terms that bookkeeping and leadership use; they do not contain the field names.
+ * the terms that the rest of the controller uses; no other module contains the field names.
  *
  * The caller frees the paths and bodies that are returned. Values read from an answer belong to the
  * answer and are valid as long as it is. */
--- a/src/protocol/worker.h
+++ b/src/protocol/worker.h
@@ -42,7 +42,7 @@
   gboolean progress_saved; /* was stopped and has saved its progress */
 } HrReportedTask;
 
-/* The strings belong to `root` or `job_ids`. */
+/* A parsed heartbeat. The strings belong to `root` or `job_ids`. */
 typedef struct {
   json_t *root;
   const char *machine, *address, *type, *zone;
