--- a/src/bookkeeping/machine.h
+++ b/src/bookkeeping/machine.h
@@ -9,10 +9,10 @@
 
 /* State of a machine, as this node knows it. */
 typedef enum {
-  HR_MACHINE_BOOTING,
-  HR_MACHINE_UP,
-  HR_MACHINE_DELETING,
-  HR_MACHINE_GONE
+  HR_MACHINE_BOOTING,  /* requested or listed by the cloud; no heartbeat received yet */
+  HR_MACHINE_UP,       /* a heartbeat was received, or a record places tasks on it */
+  HR_MACHINE_DELETING, /* its instance is being deleted */
+  HR_MACHINE_GONE      /* not in the fleet: deleted, or not seen in this term yet */
 } HrMachineState;
 
 /* A task: the index of its job, and its index in the job. */
@@ -39,7 +39,8 @@
   double sequence_at;       /* when the newest message arrived */
   double last_heartbeat_at; /* 0: no heartbeat has reached this leader yet */
   double lease_renewed_at;  /* when a heartbeat was last answered with 200; 0: never */
-  /* When a heartbeat first showed that the agent had missed a response; 0: none did. */
+  /* When a heartbeat showed that the agent had missed a response, without those that follow within
+   * half a lease; 0: the latest heartbeat showed none. */
   double response_missed_at;
   /* When a heartbeat showed that responses do not reach the agent; 0: none did. */
   double unreachable_at;
@@ -50,8 +51,8 @@
   guint64 unanswered_launch_token; /* of the last direct launch whose response was lost; 0: none */
   GArray *direct_launches;         /* HrDirectLaunch: launches under this incarnation */
   gboolean has_urgent_orders;      /* orders have to be sent at once */
-  gboolean orders_postponed; /* until the direct call in flight, or the pause after one, ends */
-  double direct_paused_until;
+  gboolean orders_postponed;  /* until the direct call in flight, or the pause after one, ends */
+  double direct_paused_until; /* no direct calls until then */
 } HrMachineAgent;
 
 /* The machine as an instance of the cloud (coordination/scaling/). */
@@ -85,7 +86,7 @@
   HrMachineState state;
   guint32 type, zone; /* type: index into the machine types; HR_NONE: not known yet */
   gboolean is_spot;
-  gboolean is_draining;
+  gboolean is_draining;     /* receives no new tasks */
   double idle_since;        /* since when it has had no tasks; 0: busy */
   GArray *tasks;            /* HrTaskRef: tasks assigning or bound */
   HrResources free;         /* capacity less that of the tasks assigning or bound */
--- a/tests/soak.c
+++ b/tests/soak.c
@@ -6,7 +6,7 @@
  * means that the old program supports neither record formats nor pipelines.
  * Exit status 0: no rule was broken, and every seed was played to the end. */
 #include "coordination/core.h"
-#include "emulator/live.h"
+#include "emulator/emulator.h"
 #include "sim/log.h"
 #include "sim/pipeline.h"
 #include "sim/store.h"
