--- a/tests/drawn_days.sh
+++ b/tests/drawn_days.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# drawn_days.sh BUILD FOLDER: plays a few hundred random simulated days in addition to those of CI and writes
-# their digests to FOLDER, for check_digests.sh and tests/digests-drawn.txt. Takes about a minute on 6 processors.
+# drawn_days.sh BUILD FOLDER: plays a few hundred random simulated days (runs of the simulated cluster) in
+# addition to those of CI and writes their digests to FOLDER, for check_digests.sh and tests/digests-drawn.txt. Takes about a minute on 6 processors.
 set -euo pipefail
 build=$1
 folder=$2
--- a/tests/emulator.sh
+++ b/tests/emulator.sh
@@ -21,7 +21,8 @@
 emulator_id=$!
 sleep 3
 expect 0 '"controllers_up":\[true,true,true\]' curl -s http://127.0.0.1:18312/emulator
-# A pipeline: every node states which job a job waits for, and with which cancelled job it was withdrawn.
+# A pipeline: every controller states which job a job waits for, and with which cancelled job it was
+# withdrawn.
 hoprock=("$1/hoprock" -q --server 127.0.0.1:18312)
 job=(--class pages --team crew --cpus 2 --memory 10 --image render-1 --image-size 1 --estimate 30)
 expect 0 'job-scan queued' "${hoprock[@]}" submit --id job-scan "${job[@]}"
@@ -37,7 +38,7 @@
 wait "$emulator_id"
 emulator_id=
 expect 0 'ended after .* 0 rules broken' cat "$tmp/log"
-# Six tasks. Killing the leader ends none of them, so only a few may start twice.
+# The demo has six tasks. Killing the leader ends none of them, so only a few may start twice.
 demo=$(deploy/demo.sh 127.0.0.1:18313 2>&1)
 expect 0 'job-demo done, 6 tasks done' echo "$demo"
 expect 0 ': \([6-9]\|1[0-2]\) starts, 0 rules broken' echo "$demo"
--- a/tests/expect.sh
+++ b/tests/expect.sh
@@ -1,5 +1,5 @@
 # shellcheck shell=sh
-# To be sourced by shell tests: expect counts in $fails the commands with unexpected results.
+# To be sourced by shell tests: expect runs a command and counts unexpected results in $fails.
 fails=0
 expect() { # expected status, text in the output, command...
   want=$1 text=$2
