--- a/tests/fault_scenarios.h
+++ b/tests/fault_scenarios.h
@@ -1,5 +1,5 @@
-/* Shared by the fault scenario tests: playing a day with a range of seeds, and the selection of one
- * test from the command line. */
+/* Shared by the fault scenario tests: playing a simulated day with a range of seeds, and the
+ * selection of one test from the command line. */
 #pragma once
 #include "sim/fault_scenario.h"
 #include "sim/log.h"
@@ -10,7 +10,8 @@
 #include <stdlib.h>
 #include <cmocka.h>
 
-/* Overrides the tests' range of seeds: PROGRAM PART FROM TO. */
+/* Replaces the tests' range of seeds if given on the command line: PROGRAM TEST FROM TO plays the
+ * seeds FROM to TO - 1. */
 static guint override_from, override_to;
 
 static void
--- a/tests/scripted_cluster.c
+++ b/tests/scripted_cluster.c
@@ -23,10 +23,10 @@
 static void
 hold_free (gpointer data)
 {
-  ClusterHold *held = data;
-  g_free (held->path);
-  g_free (held->text);
-  g_free (held);
+  ClusterHold *hold = data;
+  g_free (hold->path);
+  g_free (hold->text);
+  g_free (hold);
 }
 
 static gboolean
@@ -71,8 +71,8 @@
     call->sent = cluster->now;
     call->timeout = effect->call.timeout_s;
     for (guint i = 0; i < cluster->holds->len; i++) {
-      ClusterHold *held = cluster->holds->pdata[i];
-      call->held |= matches (call, held->node, held->path, held->text);
+      ClusterHold *hold = cluster->holds->pdata[i];
+      call->held |= matches (call, hold->node, hold->path, hold->text);
     }
     g_ptr_array_add (cluster->calls, call);
   }
@@ -92,7 +92,8 @@
     handle_effect (cluster, node, out->pdata[i]);
 }
 
-/* Returns the present answer of the call's target; NULL: a watch without changes so far. */
+/* Carries the call out at its target and returns the answer; NULL: a watch that has no changes
+ * yet. */
 static char *
 serve_call (Cluster *cluster, const ClusterCall *call, int *status)
 {
@@ -105,7 +106,7 @@
     if (strcmp (worker->name, call->addr) != 0)
       continue;
     *status = cluster_deliver_direct_call (worker, call);
-    return cluster_worker_report_text (worker);
+    return cluster_worker_heartbeat_text (worker);
   }
   *status = 0;
   return g_strdup ("");
@@ -187,11 +188,11 @@
 void
 cluster_hold (Cluster *cluster, int node, const char *path, const char *text)
 {
-  ClusterHold *held = g_new0 (ClusterHold, 1);
-  held->node = node;
-  held->path = g_strdup (path);
-  held->text = g_strdup (text);
-  g_ptr_array_add (cluster->holds, held);
+  ClusterHold *hold = g_new0 (ClusterHold, 1);
+  hold->node = node;
+  hold->path = g_strdup (path);
+  hold->text = g_strdup (text);
+  g_ptr_array_add (cluster->holds, hold);
   for (guint i = 0; i < cluster->calls->len; i++) {
     ClusterCall *call = cluster->calls->pdata[i];
     call->held |= matches (call, node, path, text);
@@ -270,7 +271,7 @@
   send_statuses (cluster);
 }
 
-/* Times out the calls whose callers no longer wait. They are carried out all the same. */
+/* Carries out the calls whose timeouts have passed; their callers get no answer. */
 static void
 time_out_calls (Cluster *cluster)
 {
@@ -369,7 +370,7 @@
   hr_names_clear (&n->names);
   hr_settings_free (n->settings);
   n->core = NULL;
-  n->process++; /* answers that are still in flight are dropped */
+  n->process++; /* answers to the calls of the old process are dropped */
 }
 
 Cluster *
--- a/tests/scripted_cluster.h
+++ b/tests/scripted_cluster.h
@@ -1,6 +1,6 @@
 /* Controllers driven by hand: every message of a scenario is sent, carried out, answered, lost or
  * held at the step that the test names. There is no seed and no real time: the test advances the
- * only clock. The controllers are the real ones (hr_core_step); the simulated state service
+ * only clock. The controllers run the real code (hr_core_step); the simulated state store
  * (scripted_cluster_store.c) carries a call out when the test says so, possibly long after the
  * caller's timeout.
  *
@@ -27,8 +27,8 @@
   HrMethod method;
   char *addr, *path, *body;
   double sent, timeout; /* time at which it was made; timeout of its caller, in seconds */
-  gboolean held;        /* waits for the test */
-  gboolean done;        /* carried out, with this status and answer: */
+  gboolean held;        /* waits until the test serves it */
+  gboolean done;        /* carried out, with the following result */
   int status;
   char *answer;
 } ClusterCall;
@@ -40,8 +40,8 @@
   double at;
 } ClusterReply;
 
-/* Selects calls that wait for the test: path and text are substrings of the call's path and body;
- * NULL: any. */
+/* Selects calls that wait until the test serves them: path and text are substrings of the call's
+ * path and body; NULL: any. */
 typedef struct {
   int node;
   char *path, *text;
@@ -52,17 +52,17 @@
   HrNames names;
   HrSettings *settings;
   guint process;            /* number of the process; changes with every start and stop */
-  gboolean store_available; /* FALSE: the state service answers 503 to this node alone */
-  HrPeerStatus status;      /* the latest one that it sent */
+  gboolean store_available; /* FALSE: the state store answers 503 to this node alone */
+  HrPeerStatus status;      /* the latest status that it sent to its peers */
   gboolean status_sent;
   GHashTable *replies; /* request id -> ClusterReply */
 } ClusterNode;
 
 typedef struct {
   char *name;
-  guint incarnation, sequence; /* sequence: number of the latest report */
+  guint incarnation, sequence; /* sequence: number of the latest heartbeat */
   guint64 token;               /* highest fencing token received */
-  GPtrArray *tasks;            /* json_t, in the form that reports have */
+  GPtrArray *tasks;            /* json_t, in the form that heartbeats have */
 } ClusterWorker;
 
 typedef struct {
@@ -75,12 +75,12 @@
   GPtrArray *workers;
   guint64 next_request;
   gboolean exchange_statuses; /* the controllers receive each other's statuses; default TRUE */
-  /* The state service. */
+  /* The state store. */
   gboolean store_outage;
   GHashTable *keys, *leases;
   GArray *log;
   guint64 store_revision, last_lease_id;
-  guint64 compacted_revision;   /* changes up to this revision are no longer kept */
+  guint64 compacted_revision;   /* changes up to this revision are dropped */
   guint committed_transactions; /* transactions that changed something */
   double store_delay_s;         /* delay of its answers in cluster_run() */
   double write_rps;             /* allowance of changes per second; 0: unlimited */
@@ -88,7 +88,7 @@
   guint refused_writes; /* transactions refused for exceeding the allowance */
 } Cluster;
 
-/* Returns a cluster of started controllers c0, c1, ... that know of one another. */
+/* Returns a cluster of started controllers c0, c1, ... that are configured as peers. */
 Cluster *cluster_new (int nodes);
 /* Returns a cluster some seconds later, when one of the controllers leads and all follow. */
 Cluster *cluster_new_with_leader (int nodes);
@@ -104,8 +104,9 @@
 void cluster_tick (Cluster *cluster, double seconds);
 /* Carries out and answers all calls that are not held, and those that follow from them. */
 void cluster_serve (Cluster *cluster);
-/* Runs ticks of 50 ms and serves all calls that are at least store_delay_s old in each. A caller
- * whose timeout has passed gets no answer, whether its call was carried out or not. */
+/* Runs ticks of 50 ms and serves all calls after each, those to the store once they are
+ * store_delay_s old. A caller whose timeout has passed gets no answer, whether its call was carried
+ * out or not. */
 void cluster_run (Cluster *cluster, double seconds);
 
 /* Holds matching calls, open and future ones, until the test serves them. */
@@ -151,9 +152,9 @@
 
 /* Adds a machine with one worker; the cloud lists it. */
 ClusterWorker *cluster_worker (Cluster *cluster, const char *name);
-/* Sends a report to the node and carries out the answer unless its token is outdated. Returns the
- * status. */
-int cluster_report (Cluster *cluster, ClusterWorker *worker, int node);
+/* Sends a heartbeat to the node and carries out the answer unless its token is outdated. Returns
+ * the status. */
+int cluster_send_heartbeat (Cluster *cluster, ClusterWorker *worker, int node);
 /* Submits a job of one task at the node and waits until the worker runs it. */
 void cluster_submit_and_start (Cluster *cluster, ClusterWorker *worker, int node, const char *id);
 /* Delivers a direct call to the worker now. Returns 200, or 409 when the worker rejects its token
@@ -168,10 +169,10 @@
 /* Returns the text of the value that is stored under the key, or NULL. */
 const char *cluster_value (Cluster *cluster, const char *key);
 guint64 cluster_key_revision (Cluster *cluster, const char *key);
-/* Stores the value directly, without a transaction of a controller. */
+/* Writes the value directly, not through a transaction of a controller. */
 void cluster_set_value (Cluster *cluster, const char *key, const char *text);
-/* Drops the changes so far: reading changes from before this revision gets 410. */
-void cluster_forget_changes (Cluster *cluster);
+/* Drops the changes so far: reading changes from before the present revision gets 410. */
+void cluster_compact_changes (Cluster *cluster);
 
 /* Prints the controllers' log with HR_SIM_VERBOSE=1, and fatal messages always. */
 GLogWriterOutput cluster_log_writer (GLogLevelFlags level, const GLogField *fields, gsize n,
@@ -179,9 +180,9 @@
 
 /* Shared by the scripted_cluster*.c files; not for tests. */
 void cluster_worker_free (gpointer worker);
-char *cluster_worker_report_text (ClusterWorker *worker); /* its next report */
+char *cluster_worker_heartbeat_text (ClusterWorker *worker); /* its next heartbeat */
 void cluster_store_init (Cluster *cluster);
 void cluster_store_free (Cluster *cluster);
-/* Answers a request to the state service. Returns NULL for a watch that has no changes yet. */
+/* Answers a request to the state store. Returns NULL for a watch that has no changes yet. */
 char *cluster_store_request (Cluster *cluster, const ClusterCall *call, int *status);
 char *cluster_cloud_request (Cluster *cluster, const ClusterCall *call, int *status);
--- a/tests/scripted_cluster_store.c
+++ b/tests/scripted_cluster_store.c
@@ -1,5 +1,5 @@
-/* The simulated state service of tests/scripted_cluster.h, which carries out single requests, and a
- * simulated cloud without machines beyond those that the test added. */
+/* The simulated state store of tests/scripted_cluster.h, which carries out single requests, and a
+ * simulated cloud that lists the machines that the test added and refuses every rental. */
 #include "coordination/command.h"
 #include "protocol/json_util.h"
 #include "scripted_cluster.h"
@@ -17,7 +17,7 @@
 
 typedef struct {
   guint64 id;
-  double life_s, expires_at;
+  double ttl_s, expires_at;
 } Lease;
 
 static void
@@ -53,8 +53,10 @@
   g_array_unref (cluster->log);
 }
 
+/* Applies a change at the present revision. @text: (transfer full) (nullable): NULL deletes the
+ * key */
 static void
-change (Cluster *cluster, const char *path, char *text, guint64 lease_id)
+apply_change (Cluster *cluster, const char *path, char *text, guint64 lease_id)
 {
   Change entry = {g_strdup (path), g_strdup (text), cluster->store_revision};
   g_array_append_val (cluster->log, entry);
@@ -81,7 +83,7 @@
       g_ptr_array_add (paths, g_strdup (path));
   cluster->store_revision += paths->len > 0;
   for (guint i = 0; i < paths->len; i++)
-    change (cluster, paths->pdata[i], NULL, 0);
+    apply_change (cluster, paths->pdata[i], NULL, 0);
   g_hash_table_remove (cluster->leases, &lease->id);
 }
 
@@ -92,7 +94,7 @@
   for (GList *link = all; link; link = link->next) {
     Lease *lease = link->data;
     if (cluster->store_outage)
-      lease->expires_at = cluster->now + lease->life_s;
+      lease->expires_at = cluster->now + lease->ttl_s;
     else if (lease->expires_at < cluster->now)
       end_lease (cluster, lease);
   }
@@ -169,10 +171,11 @@
     {
       const char *path = hr_json_str (entry, "set");
       if (path)
-        change (cluster, path, hr_json_take_text (json_incref (json_object_get (entry, "value"))),
-                json_integer_value (json_object_get (entry, "claim")));
+        apply_change (cluster, path,
+                      hr_json_take_text (json_incref (json_object_get (entry, "value"))),
+                      json_integer_value (json_object_get (entry, "claim")));
       else
-        change (cluster, hr_json_str (entry, "delete"), NULL, 0);
+        apply_change (cluster, hr_json_str (entry, "delete"), NULL, 0);
     }
   }
   json_decref (object);
@@ -258,8 +261,8 @@
     json_t *object = json_loads (call->body, 0, NULL);
     Lease *lease = g_new0 (Lease, 1);
     lease->id = ++cluster->last_lease_id;
-    lease->life_s = json_integer_value (json_object_get (object, "life_ms")) / 1000.0;
-    lease->expires_at = cluster->now + lease->life_s;
+    lease->ttl_s = json_integer_value (json_object_get (object, "life_ms")) / 1000.0;
+    lease->expires_at = cluster->now + lease->ttl_s;
     g_hash_table_insert (cluster->leases, &lease->id, lease);
     json_decref (object);
     return g_strdup_printf ("{\"claim\":%" G_GUINT64_FORMAT "}", lease->id);
@@ -271,7 +274,7 @@
   else if (call->method == HR_DELETE)
     end_lease (cluster, lease);
   else
-    lease->expires_at = cluster->now + lease->life_s;
+    lease->expires_at = cluster->now + lease->ttl_s;
   return g_strdup ("{}");
 }
 
@@ -327,11 +330,11 @@
 cluster_set_value (Cluster *cluster, const char *key, const char *text)
 {
   cluster->store_revision++;
-  change (cluster, key, g_strdup (text), 0);
+  apply_change (cluster, key, g_strdup (text), 0);
 }
 
 void
-cluster_forget_changes (Cluster *cluster)
+cluster_compact_changes (Cluster *cluster)
 {
   cluster->compacted_revision = cluster->store_revision;
   g_array_set_size (cluster->log, 0);
--- a/tests/scripted_cluster_worker.c
+++ b/tests/scripted_cluster_worker.c
@@ -47,7 +47,7 @@
 }
 
 char *
-cluster_worker_report_text (ClusterWorker *worker)
+cluster_worker_heartbeat_text (ClusterWorker *worker)
 {
   json_t *tasks = json_array ();
   for (guint i = 0; i < worker->tasks->len; i++)
@@ -75,10 +75,10 @@
 }
 
 int
-cluster_report (Cluster *cluster, ClusterWorker *worker, int node)
+cluster_send_heartbeat (Cluster *cluster, ClusterWorker *worker, int node)
 {
   json_t *order;
-  g_autofree char *body = cluster_worker_report_text (worker);
+  g_autofree char *body = cluster_worker_heartbeat_text (worker);
   guint64 id = cluster_request (cluster, node, HR_POST, "/hello", body);
   const ClusterReply *reply = cluster_reply (cluster, node, id);
   if (!reply || reply->status != 200)
@@ -99,12 +99,13 @@
   cluster_submit (cluster, node, id, 1);
   for (int i = 0; i < 20 && !cluster_worker_runs (worker, id); i++) {
     cluster_run (cluster, 0.5);
-    cluster_report (cluster, worker, cluster_leader (cluster));
+    cluster_send_heartbeat (cluster, worker, cluster_leader (cluster));
   }
   if (!cluster_worker_runs (worker, id))
     g_error ("scripted cluster: %s was not placed on %s", id, worker->name);
   cluster_run (cluster, 0.5);
-  cluster_report (cluster, worker, cluster_leader (cluster)); /* shows the task as running */
+  cluster_send_heartbeat (cluster, worker,
+                          cluster_leader (cluster)); /* states that the task runs */
   cluster_run (cluster, 0.5);
 }
 
--- a/tests/scripted_fleet.c
+++ b/tests/scripted_fleet.c
@@ -10,6 +10,7 @@
 
 #define STEP_S 0.05
 
+/* The cores of suspended controllers; NULL: not suspended. */
 static HrCore *frozen[CLUSTER_NODES];
 
 static void G_GNUC_PRINTF (2, 3) report_violation (Fleet *fleet, const char *format, ...)
@@ -131,7 +132,7 @@
   Fleet *fleet = machine->fleet;
   if (find_task (machine, task_id, attempt, NULL))
     return;
-  if (fleet_machine_runs (machine, task_id)) { /* with another attempt: the launch is refused */
+  if (fleet_machine_runs (machine, task_id)) { /* another attempt runs: the launch is refused */
     FleetTask *task = g_new0 (FleetTask, 1);
     *task = (FleetTask){g_strdup (task_id), attempt, TRUE, "in_use"};
     g_ptr_array_add (machine->tasks, task);
@@ -175,10 +176,10 @@
   }
 }
 
-/* ---- reports ---- */
+/* ---- heartbeats ---- */
 
 static json_t *
-report_of (FleetMachine *machine)
+heartbeat_of (FleetMachine *machine)
 {
   json_t *tasks = json_array ();
   for (guint i = 0; i < machine->tasks->len; i++) {
@@ -198,13 +199,13 @@
 }
 
 char *
-fleet_report_text (FleetMachine *machine)
+fleet_heartbeat_text (FleetMachine *machine)
 {
-  return hr_json_take_text (report_of (machine));
+  return hr_json_take_text (heartbeat_of (machine));
 }
 
 int
-fleet_deliver_report (Fleet *fleet, int node, const char *text)
+fleet_deliver_heartbeat (Fleet *fleet, int node, const char *text)
 {
   guint64 id = cluster_request (fleet->cluster, node, HR_POST, "/hello", text);
   return cluster_reply_status (fleet->cluster, node, id);
@@ -217,16 +218,16 @@
   const char *leader = reply && reply->status == 421 ? hr_json_str (reply->body, "foreman") : NULL;
   int to = leader ? leader[1] - '0' : -1;
   machine->node = to >= 0 && to != machine->node ? to : (machine->node + 1) % cluster->n;
-  machine->next_report_at = cluster->now + (to >= 0 ? 0.2 : 1);
+  machine->next_heartbeat_at = cluster->now + (to >= 0 ? 0.2 : 1);
 }
 
 int
-fleet_report (FleetMachine *machine, int node)
+fleet_send_heartbeat (FleetMachine *machine, int node)
 {
   Cluster *cluster = machine->fleet->cluster;
   guint incarnation = machine->incarnation;
-  g_autofree char *text = fleet_report_text (machine);
-  machine->next_report_at = cluster->now + machine->fleet->report_s;
+  g_autofree char *text = fleet_heartbeat_text (machine);
+  machine->next_heartbeat_at = cluster->now + machine->fleet->report_s;
   if (machine->only_node >= 0 && machine->only_node != node) {
     switch_node (machine, NULL);
     return 0;
@@ -241,11 +242,11 @@
   guint64 fencing_token = json_integer_value (json_object_get (reply->body, "baton"));
   if (fencing_token < machine->token || incarnation != machine->incarnation)
     return status;
-  /* A higher token makes the worker report at once, at most once in half of a lease. */
+  /* A higher token triggers an immediate heartbeat, at most once in half of lease_s. */
   if (fencing_token > machine->token &&
-      cluster->now - machine->token_report_at > machine->fleet->lease_s / 2) {
-    machine->token_report_at = cluster->now;
-    machine->next_report_at = cluster->now + 0.5;
+      cluster->now - machine->token_heartbeat_at > machine->fleet->lease_s / 2) {
+    machine->token_heartbeat_at = cluster->now;
+    machine->next_heartbeat_at = cluster->now + 0.5;
   }
   machine->token = fencing_token;
   machine->lease_renewed_at = cluster->now;
@@ -318,7 +319,7 @@
     FleetMachine *machine = call->target == HR_TO_WORKER ? find_machine (fleet, call->addr) : NULL;
     if (machine && machine->receives_direct_calls && !machine->is_hung && !machine->deleted) {
       int status = fleet_apply_direct_call (machine, call->body);
-      g_autofree char *text = fleet_report_text (machine);
+      g_autofree char *text = fleet_heartbeat_text (machine);
       cluster_answer_with (fleet->cluster, call, status, text);
       i = 0;
     } else if (machine && fleet->cluster->now - call->sent > 3 && !frozen[call->node]) {
@@ -391,8 +392,8 @@
     machine->incarnation++;
     machine->lease_renewed_at = now;
   }
-  if (now >= machine->next_report_at && machine->sends_reports && !machine->is_hung)
-    fleet_report (machine, machine->node);
+  if (now >= machine->next_heartbeat_at && machine->sends_heartbeats && !machine->is_hung)
+    fleet_send_heartbeat (machine, machine->node);
 }
 
 void
@@ -450,8 +451,8 @@
 {
   Cluster *cluster = fleet->cluster;
   for (guint i = cluster->holds->len; i-- > 0;) {
-    const ClusterHold *held = cluster->holds->pdata[i];
-    if (!held->path || !always_held (held->path))
+    const ClusterHold *hold = cluster->holds->pdata[i];
+    if (!hold->path || !always_held (hold->path))
       g_ptr_array_remove_index (cluster->holds, i);
   }
   for (guint i = 0; i < cluster->calls->len; i++) {
@@ -565,14 +566,14 @@
   machine->zone = zone;
   machine->incarnation = 1;
   machine->lease_renewed_at = fleet->cluster->now;
-  machine->token_report_at = -fleet->lease_s;
-  machine->sends_reports = machine->receives_answers = machine->receives_direct_calls = TRUE;
+  machine->token_heartbeat_at = -fleet->lease_s;
+  machine->sends_heartbeats = machine->receives_answers = machine->receives_direct_calls = TRUE;
   machine->only_node = -1;
   machine->node = MAX (0, cluster_leader (fleet->cluster));
   machine->tasks = g_ptr_array_new_with_free_func (task_free);
   g_ptr_array_add (fleet->machines, machine);
   if (g_str_equal (zone, "z0"))
-    cluster_worker (fleet->cluster, name); /* the cloud's list contains this zone alone */
+    cluster_worker (fleet->cluster, name); /* the cloud lists machines of this zone only */
   return machine;
 }
 
@@ -599,7 +600,7 @@
   fleet->lease_s = settings->lease_s;
   fleet->cancel_s = settings->cancel_s;
   fleet->report_s = settings->report_s;
-  /* The leader must not return machines that are idle until the test uses them. */
+  /* The leader must not delete machines that are idle until the test uses them. */
   fleet->cluster->policy.idle_s = 1000;
   for (int i = 0; i < nodes; i++) {
     cluster_stop_node (fleet->cluster, i);
--- a/tests/soak.c
+++ b/tests/soak.c
@@ -2,9 +2,9 @@
  * hoprock-soak --daemon target/hoprockd --policy deploy/policy.hop
  * [--seed N] [--runs N] [--seconds S] [--controllers N] [--old-daemon FILE [--old-format N]].
  * With --old-daemon all controllers start with that program and are replaced in turn while users
- * submit pipelines and faults continue; then the state service's limits are lowered. --old-format 0
- * means that the old program supports neither record formats nor pipelines.
- * Exit status 0: no rule was broken, and every seed was played to the end. */
+ * submit pipelines and faults continue; then the limits of the state store are lowered.
+ * --old-format 0 means that the old program supports neither record formats nor pipelines. Exit
+ * status 0: no rule was broken, and every seed was played to the end. */
 #include "coordination/core.h"
 #include "emulator/emulator.h"
 #include "sim/log.h"
@@ -15,7 +15,7 @@
 #include <stdio.h>
 #include <glib/gstdio.h>
 
-/* Short leases, so that many of them expire in a short run. */
+/* Short leases, so that many leases expire in a short run. */
 #define REPORT_S 1.0
 #define LEASE_S 8.0
 #define CANCEL_S 18.0
@@ -23,18 +23,21 @@
 #define FAULTS_FROM_S 6.0
 #define FAULT_EVERY_S 2.2
 /* The simulated leases and the clock of the checks depend on this program's steps. A run in which
- * it paused for longer than this is void whatever its result: it is reported and repeated. */
+ * it paused for longer than this is void whatever its result: it is printed and repeated, up to
+ * MAX_TRIES times in all. */
 #define MAX_PAUSE_S 1.5
-#define TRIES 3
-/* Time after the last fault: that of a cancellation, and some seconds for all to reconnect. */
+#define MAX_TRIES 3
+/* Time without faults at the end: cancel_s, and some seconds until all processes have reconnected.
+ */
 #define RECOVERY_S (CANCEL_S + 8)
 /* The share of draw_cancels_across_terms() among the faults. */
 #define ACROSS_TERMS_SHARE 0.2
 #define ANSWERED_WITHIN_S 20.0
 #define LAST_LINES 25
 #define MAX_FAULTS 400
-/* An upgrade: the first and the last controller are replaced at these shares of the time before
- * recovery; each is down for REPLACEMENT_DOWN_S. Then the limits are lowered soon. */
+/* In an upgrade the first and the last controller are replaced at these shares of the time before
+ * recovery; each is down for REPLACEMENT_DOWN_S. The limits of the state store are lowered at most
+ * LOWER_LIMITS_WITHIN_S after the last one is back. */
 #define FIRST_REPLACEMENT_SHARE 0.2
 #define LAST_REPLACEMENT_SHARE 0.8
 #define REPLACEMENT_DOWN_S 2.0
@@ -75,7 +78,7 @@
   }
 }
 
-/* Users cancel while many machines are cut off and leaders crash one after the other, so that
+/* Users cancel jobs while many machines are cut off and leaders crash one after the other, so that
  * leaders renew leases of earlier terms right after their election. Returns the number of faults
  * added. */
 static guint
@@ -143,7 +146,7 @@
 }
 
 static void
-report (Emulator *emulator, guint32 seed, const HrFault *day, guint n)
+print_result (Emulator *emulator, guint32 seed, const HrFault *day, guint n)
 {
   SimCluster *cluster = emulator->cluster;
   guint cancelled = 0;
@@ -279,7 +282,7 @@
   check_end (cluster);
   if (options->old_daemon)
     check_upgrade (cluster);
-  report (emulator, seed, day, n);
+  print_result (emulator, seed, day, n);
   Verdict verdict = is_void (emulator) ? RUN_VOID : cluster->violations->len ? RUN_BROKEN : RUN_OK;
   emulator->remove_files = verdict != RUN_BROKEN;
   emulator_end (emulator);
@@ -297,7 +300,7 @@
       {"old-daemon", 0, 0, G_OPTION_ARG_FILENAME, &options.old_daemon,
        "the program that all controllers start with; they are upgraded in turn", "FILE"},
       {"old-format", 0, 0, G_OPTION_ARG_INT, &options.old_format,
-       "the record format that it supports (docs/upgrades.md); 0: none", "N"},
+       "the record format that the old program supports (docs/upgrades.md); 0: none", "N"},
       {"policy", 0, 0, G_OPTION_ARG_FILENAME, &options.policy, "the policy of the controllers",
        "FILE"},
       {"seed", 0, 0, G_OPTION_ARG_INT, &options.seed, "the seed of the first run", "N"},
@@ -306,7 +309,7 @@
       {"seconds", 0, 0, G_OPTION_ARG_INT, &options.seconds, "the duration of each run (45 to 3600)",
        "S"},
       {"controllers", 0, 0, G_OPTION_ARG_INT, &options.controllers,
-       "their number, 1 to 5; default: 3 or 5 by seed", "N"},
+       "the number of controllers, 1 to 5; default: 3 or 5 by seed", "N"},
       {NULL}};
   g_autoptr (GError) error = NULL;
   g_autoptr (GOptionContext) context =
@@ -323,7 +326,7 @@
   guint broken = 0, voids = 0;
   for (int i = 0; i < options.runs; i++) {
     Verdict verdict = RUN_VOID;
-    for (int k = 0; k < TRIES && verdict == RUN_VOID; k++)
+    for (int k = 0; k < MAX_TRIES && verdict == RUN_VOID; k++)
       verdict = run (&options, options.seed + i);
     broken += verdict == RUN_BROKEN;
     voids += verdict == RUN_VOID;
--- a/tests/test_allowance.c
+++ b/tests/test_allowance.c
@@ -30,7 +30,7 @@
   }
   for (int round = 0; round < 2; round++)
     for (guint i = 0; i < cluster->workers->len; i++)
-      cluster_report (cluster, cluster->workers->pdata[i], 0);
+      cluster_send_heartbeat (cluster, cluster->workers->pdata[i], 0);
   guint before = cluster->committed_transactions;
   cluster_run (cluster, 0.2);
   guint64 id = cluster_submit (cluster, 0, "job-late", 1);
@@ -169,7 +169,7 @@
       }
     }
     if (change || (round + i * 5) % 50 == 0)
-      cluster_report (cluster, worker, cluster_leader (cluster));
+      cluster_send_heartbeat (cluster, worker, cluster_leader (cluster));
   }
 }
 
@@ -304,8 +304,8 @@
   Cluster *cluster = cluster_new_with_leader (3);
   int leader = cluster_leader (cluster), next = (leader + 1) % 3, third = (leader + 2) % 3;
   ClusterWorker *worker = cluster_worker (cluster, "m-000001");
-  cluster_report (cluster, worker, leader);
-  cluster_report (cluster, worker, leader);
+  cluster_send_heartbeat (cluster, worker, leader);
+  cluster_send_heartbeat (cluster, worker, leader);
   cluster_submit_and_start (cluster, worker, next, "job-a");
   cluster_submit_and_start (cluster, worker, next, "job-b");
   check_slow_service (cluster, next, third);
--- a/tests/test_exhaustive.c
+++ b/tests/test_exhaustive.c
@@ -1,12 +1,13 @@
 /* Bounded exhaustive search over the outcomes of single requests on a small cluster: two
  * controllers, one machine, one job at a time. The default schedule delivers everything. A schedule
- * of depth d gives d requests of the window another outcome (lost, answer lost, late, duplicated, a
- * controller crashes), or at that moment lets the user cancel the job at one controller, or poll
- * and resubmit it at all of them. All schedules up to the depth are played through the real
- * hr_core_step, and every rule of the protocol is checked at every event.
+ * of depth d deviates from it at d requests within the scenario's time window: the request gets
+ * another outcome (lost, answer lost, late, duplicated, a controller crashes), or at that moment
+ * the user cancels the job at one controller, or polls and resubmits it at all of them. All
+ * schedules up to the depth are played through the real hr_core_step, and every rule of the
+ * protocol is checked at every event.
  *
  *   test_exhaustive SCENARIO DEPTH [STRIDE]   plays every STRIDE-th schedule of the last depth
- *   test_exhaustive SCENARIO replay P:C ...   one schedule: choice C at the request number P
+ *   test_exhaustive SCENARIO replay P:C ...   plays one schedule: choice C at request number P
  */
 #include "coordination/command.h"
 #include "sim/log.h"
@@ -39,12 +40,13 @@
 
 typedef struct {
   const char *name;
-  double from, to; /* the window, s */
+  double from, to; /* the time window in which requests are varied, s */
   guint tasks;
-  double run, at, cancel_at; /* duration; time of submission; time of cancellation, 0: none (s) */
+  double run_s;                /* run time of a task */
+  double submit_at, cancel_at; /* times of submission and cancellation (0: none), s */
 } Scenario;
 
-/* An earlier array ensures that a machine is up at 40 s. */
+/* An array that is submitted earlier ensures that a machine is up at 40 s. */
 static const Scenario scenarios[] = {
     {"accept", 39.9, 42.0, 1, 4, 40, 0},
     {"end", 43.0, 47.0, 1, 4, 40, 0},
@@ -55,7 +57,7 @@
 typedef struct {
   const Scenario *scenario;
   const Schedule *schedule;
-  guint points;
+  guint points; /* number of varied requests so far */
   /* Digests of the state outside the controllers at the requests of the window. */
   GHashTable *states;
 } Play;
@@ -67,7 +69,7 @@
 
 /* Returns whether the search varies the request's outcome. Lease renewals, list requests, short
  * reads of the store and users' polls are always delivered: a lost short read is only repeated,
- * while a lost watch leaves a follower behind. */
+ * while a lost watch leaves a follower with outdated records. */
 static gboolean
 is_choice_point (const SimRequest *request)
 {
@@ -103,8 +105,8 @@
   }
   for (guint i = 0; i < cluster->jobs->len; i++) {
     const SimJob *job = cluster->jobs->pdata[i];
-    guint32 told[] = {job->accepted, job->done_reply_at > 0, job->cancelled_reply_at > 0};
-    g_checksum_update (sum, (const guchar *)told, sizeof told);
+    guint32 replies[] = {job->accepted, job->done_reply_at > 0, job->cancelled_reply_at > 0};
+    g_checksum_update (sum, (const guchar *)replies, sizeof replies);
   }
   return g_strdup (g_checksum_get_string (sum));
 }
@@ -168,7 +170,7 @@
   }
 }
 
-/* Plays one schedule. Returns the number of requests in the window. */
+/* Plays one schedule. Returns the number of requests that may deviate. */
 static guint
 play_schedule (const Scenario *scenario, const Schedule *schedule, Totals *totals)
 {
@@ -182,7 +184,7 @@
   users_probe (cluster);
   cluster->faults.close_polls = (HrFaultWindow){END_S, 0};
   users_array (cluster, 1, 8, 1, 0);
-  users_array (cluster, scenario->tasks, scenario->run, scenario->at, scenario->cancel_at);
+  users_array (cluster, scenario->tasks, scenario->run_s, scenario->submit_at, scenario->cancel_at);
   sim_cluster_run (cluster, END_S);
   check_ends (cluster);
   if (cluster->violations->len)
@@ -193,7 +195,8 @@
   return play.points;
 }
 
-/* Plays all schedules with this prefix up to `depth`; of the deepest, every stride-th. */
+/* Plays this schedule and all that extend it up to `depth`; of those of that depth, every
+ * stride-th. */
 static void
 search (const Scenario *scenario, const Schedule *schedule, guint depth, guint stride,
         Totals *totals, guint64 *number)
--- a/tests/test_fault_scenarios.c
+++ b/tests/test_fault_scenarios.c
@@ -1,7 +1,7 @@
-/* Fault scenarios: days of the simulated cluster on which two kinds of faults overlap. Each test
- * has a table of its faults and is played with several seeds. Every rule of the protocol is checked
- * at every event, and all work must be done once the faults are over. Scenarios of machines and
- * load are in test_fault_scenarios_fleet.c. */
+/* Fault scenarios: days (runs) of the simulated cluster on which several kinds of faults overlap.
+ * Each test has a table of its faults and is played with several seeds. Every rule of the protocol
+ * is checked at every event, and all work must be done once the faults are over. Scenarios of
+ * machines and load are in test_fault_scenarios_fleet.c. */
 #include "fault_scenarios.h"
 
 /* A transaction is carried out late, after newer ones of the same controller, while users poll all
@@ -29,7 +29,7 @@
 }
 
 /* A transaction is carried out at once and only its answer is lost, while other controllers
- * read what it wrote, and users cancel. */
+ * read what it wrote, and users cancel jobs. */
 static void
 lost_answers_and_cancels (void **state G_GNUC_UNUSED)
 {
@@ -42,12 +42,12 @@
   PLAY (2010, 2014, day);
 }
 
-/* A report is delayed until a new leader has acted, and then arrives there. */
+/* A heartbeat is delayed until a new leader has acted, and then reaches that leader. */
 static void
 reports_for_the_next_leader (void **state G_GNUC_UNUSED)
 {
   static const HrFault day[] = {
-      /* Some are from machines that crash long before their delayed reports arrive. */
+      /* Some of these heartbeats are from machines that crash long before they arrive. */
       {.at_s = 35, .kind = FAULT_LATE_REPORTS, .for_s = 24, .share = 0.7, .for_next = TRUE},
       {.at_s = 59.5, .kind = FAULT_MACHINE_CRASH, .share = 0.5},
       {.at_s = 106, .kind = FAULT_CANCEL_NOW, .count = 8, .hang_s = 11},
@@ -55,7 +55,7 @@
   PLAY (2020, 2024, day);
 }
 
-/* An old report reaches every controller just as a new leader takes over. */
+/* An old heartbeat reaches every controller just as a new leader takes over. */
 static void
 reports_as_a_leader_begins (void **state G_GNUC_UNUSED)
 {
@@ -96,7 +96,7 @@
   PLAY (2050, 2054, day);
 }
 
-/* A leader is cut off from the state service and the other controllers, but not from workers and
+/* A leader is cut off from the state store and the other controllers, but not from workers and
  * users, and jobs are cancelled through the new leader. */
 static void
 cut_leaders_and_cancels (void **state G_GNUC_UNUSED)
@@ -121,8 +121,8 @@
   PLAY (2060, 2064, day);
 }
 
-/* Jobs are cancelled at the moment at which the state service begins to refuse the leader alone; a
- * second later the state service is down for longer than cancel_s. */
+/* Jobs are cancelled as or soon after the state store begins to refuse the leader alone; a second
+ * after the cancellations the store is down for longer than cancel_s. */
 static void
 refused_leaders_and_outages (void **state G_GNUC_UNUSED)
 {
@@ -136,7 +136,7 @@
   PLAY (2070, 2076, day);
 }
 
-/* The state service answers slowly while users cancel jobs and poll all nodes. */
+/* The state store answers slowly while users cancel jobs and poll all nodes. */
 static void
 slow_state_and_looks (void **state G_GNUC_UNUSED)
 {
@@ -163,7 +163,7 @@
   PLAY (2090, 2093, day);
 }
 
-/* The leader crashes ten times in two minutes, also during an outage of the state service. */
+/* The leader crashes ten times in two minutes, also during an outage of the state store. */
 static void
 ten_leaders_and_an_outage (void **state G_GNUC_UNUSED)
 {
@@ -174,8 +174,8 @@
   PLAY (2120, 2124, day);
 }
 
-/* The leader crashes while machines receive nothing or are cut off, and copies of their reports are
- * delayed until the next leader has taken over. */
+/* The leader crashes while machines receive nothing or are cut off, and copies of their heartbeats
+ * are delayed until the next leader has taken over. */
 static void
 deaf_machines_and_the_next_leader (void **state G_GNUC_UNUSED)
 {
@@ -190,8 +190,8 @@
   PLAY (2300, 2304, day);
 }
 
-/* A leader is suspended for seconds and continues with outdated state; the state service refuses
- * the leader alone, and is then down for all. */
+/* A leader is suspended for seconds and continues with outdated state; the state store refuses
+ * the leader alone, and is then down for all controllers. */
 static void
 standing_leaders_and_refusals (void **state G_GNUC_UNUSED)
 {
--- a/tests/test_fault_scenarios_fleet.c
+++ b/tests/test_fault_scenarios_fleet.c
@@ -1,7 +1,7 @@
-/* Fault scenarios: days of the simulated cluster on which two kinds of faults overlap. Each test
- * has a table of its faults and is played with several seeds. Every rule of the protocol is checked
- * at every event, and all work must be done once the faults are over. Scenarios of users, messages
- * and leaders are in test_fault_scenarios.c. */
+/* Fault scenarios: days (runs) of the simulated cluster on which several kinds of faults overlap.
+ * Each test has a table of its faults and is played with several seeds. Every rule of the protocol
+ * is checked at every event, and all work must be done once the faults are over. Scenarios of
+ * users, messages and leaders are in test_fault_scenarios.c. */
 #include "fault_scenarios.h"
 #include "sim/workloads_large.h"
 
@@ -40,8 +40,8 @@
   PLAY_SET (2110, 2112, day, .users = four_jobs_per_second, .until = 500);
 }
 
-/* A zone with workers and a controller is cut off for longer than lease_s; once the controller is
- * the leader, once it is not. */
+/* A zone with workers and a controller is cut off for longer than lease_s; the controller is the
+ * leader the first time and another one the second time. */
 static void
 cut_zones_and_cancels (void **state G_GNUC_UNUSED)
 {
@@ -58,7 +58,7 @@
   PLAY (2130, 2134, day);
 }
 
-/* Every team is at its limit while jobs are cancelled whose machines are cut off or hang, and the
+/* Every team is at its quota while jobs are cancelled whose machines are cut off or hang, and the
  * leader changes. */
 static void
 full_teams_and_cut_machines (void **state G_GNUC_UNUSED)
@@ -93,7 +93,7 @@
   users_zone_bound_jobs (cluster, 32, 200);
 }
 
-/* Jobs bound to one zone, also arrays, lose machines. */
+/* Jobs that are bound to one zone, arrays among them, lose machines. */
 static void
 bound_jobs_and_lost_machines (void **state G_GNUC_UNUSED)
 {
@@ -118,8 +118,8 @@
   users_at_limit (cluster, 5);
 }
 
-/* A team is near its limit, a gang needs more than the rest of the limit, and the leader changes:
- * arrays that fit into the rest run while the gang waits. */
+/* A team is near its quota, a gang needs more than is left of it, and the leader changes: arrays
+ * that fit into what is left run while the gang waits. */
 static void
 a_gang_beyond_the_limit_and_new_leaders (void **state G_GNUC_UNUSED)
 {
@@ -154,8 +154,8 @@
   PLAY (2320, 2324, day);
 }
 
-/* The cloud is down while machines crash, and the leader crashes: after the outage machines are
- * returned and others rented at once. */
+/* The cloud is down while machines crash, and the leader crashes: after the outage machines
+ * are deleted and new ones rented at once. */
 static void
 cloud_outages_and_lost_machines (void **state G_GNUC_UNUSED)
 {
--- a/tests/test_pairs.c
+++ b/tests/test_pairs.c
@@ -3,10 +3,11 @@
  *   test_pairs FROM TO        plays days FROM to TO - 1, prints which pairs overlapped
  *   test_pairs replay FILE    replays a day that a search has printed
  *
- * A day has PAIRS_A_DAY pairs, one after the other. The second fault of a pair is triggered by an
- * event after the beginning of the first: a write leaves its controller, is carried out or
- * answered, a worker is answered, or the leader record names a new leader. A day that breaks a rule
- * is shrunk: faults are removed and shortened while it still breaks a rule; the rest is printed. */
+ * A day is one run of the simulated cluster. It has PAIRS_PER_DAY pairs, one after the other. The
+ * second fault of a pair is triggered by an event after the beginning of the first: a write leaves
+ * its controller, is carried out or answered, a worker is answered, or the leader record names a
+ * new leader. A day that breaks a rule is shrunk: faults are removed and shortened while it still
+ * breaks a rule; the rest is printed. */
 #include "sim/fault_scenario.h"
 #include "sim/log.h"
 #include "sim/user.h"
@@ -15,13 +16,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define PAIRS_A_DAY 4
+#define PAIRS_PER_DAY 4
 #define PAIRS (FAULT_KINDS * (FAULT_KINDS + 1) / 2)
-#define MOMENTS (FAULT_TRIGGERS - 1)
-#define DAYS ((PAIRS * MOMENTS + PAIRS_A_DAY - 1) / PAIRS_A_DAY)
+#define TRIGGERS (FAULT_TRIGGERS - 1)
+#define DAYS ((PAIRS * TRIGGERS + PAIRS_PER_DAY - 1) / PAIRS_PER_DAY)
 #define FIRST_AT_S 50.0
 #define PAIR_EVERY_S 45.0
-/* The second fault waits for its trigger from up to this time after the first one's start. */
+/* The second fault waits for its trigger from a random moment on, at most this long after the first
+ * fault starts. */
 #define WITHIN_S 3.0
 #define SEED 71000
 #define DAY_S 800.0
@@ -36,7 +38,7 @@
 
 typedef struct {
   HrFaultKind first, second;
-  HrFaultTrigger moment;
+  HrFaultTrigger trigger;
 } Pair;
 
 /* Returns the pair with this number. Each pair of kinds is combined with every trigger in turn. */
@@ -44,7 +46,7 @@
 pair_of (guint number)
 {
   guint kinds = number % PAIRS;
-  Pair pair = {.moment = ON_TIME + 1 + (number / PAIRS + kinds) % MOMENTS};
+  Pair pair = {.trigger = ON_TIME + 1 + (number / PAIRS + kinds) % TRIGGERS};
   for (guint a = 0, at = 0; a < FAULT_KINDS; a++)
     for (guint b = a; b < FAULT_KINDS; b++, at++)
       if (at == kinds) {
@@ -60,18 +62,18 @@
 {
   Day day = {.seed = SEED + number};
   g_autoptr (GRand) rand = g_rand_new_with_seed (day.seed);
-  for (guint i = 0; i < PAIRS_A_DAY; i++) {
-    Pair pair = pair_of (number * PAIRS_A_DAY + i);
+  for (guint i = 0; i < PAIRS_PER_DAY; i++) {
+    Pair pair = pair_of (number * PAIRS_PER_DAY + i);
     double at = FIRST_AT_S + i * PAIR_EVERY_S;
     HrFault *first = &day.faults[day.n++], *second = &day.faults[day.n++];
     *first = fault_draw (rand, pair.first, at, 14);
     *second = fault_draw (rand, pair.second, at + g_rand_double_range (rand, 0, WITHIN_S), 14);
-    second->on = pair.moment;
+    second->on = pair.trigger;
   }
   return day;
 }
 
-/* Returns the simulation at the day's end: (transfer full). */
+/* Plays the day. Returns: (transfer full): the simulation at its end */
 static SimCluster *
 play (const Day *day)
 {
@@ -93,7 +95,7 @@
 }
 
 static gboolean
-breaks (const Day *day)
+breaks_rule (const Day *day)
 {
   SimCluster *cluster = play (day);
   gboolean broken = cluster->violations->len > 0;
@@ -104,7 +106,7 @@
 /* ---- shrinking ---- */
 
 static Day
-without (const Day *day, guint at)
+without_fault (const Day *day, guint at)
 {
   Day smaller = *day;
   memmove (smaller.faults + at, smaller.faults + at + 1,
@@ -123,8 +125,8 @@
   while (changed && plays < SHRINK_PLAYS) {
     changed = FALSE;
     for (guint i = 0; i < day.n && plays < SHRINK_PLAYS; i++, plays++) {
-      Day smaller = without (&day, i);
-      if (!breaks (&smaller))
+      Day smaller = without_fault (&day, i);
+      if (!breaks_rule (&smaller))
         continue;
       day = smaller;
       changed = TRUE;
@@ -135,7 +137,7 @@
     while (day.faults[i].for_s > 1 && plays++ < SHRINK_PLAYS) {
       Day smaller = day;
       smaller.faults[i].for_s /= 2;
-      if (!breaks (&smaller))
+      if (!breaks_rule (&smaller))
         break;
       day = smaller;
     }
@@ -153,7 +155,7 @@
 }
 
 static void
-print_broken (const SimCluster *cluster)
+print_violations (const SimCluster *cluster)
 {
   for (guint i = 0; i < MIN (cluster->violations->len, 8); i++)
     fprintf (stderr, "broken: %s\n", (char *)cluster->violations->pdata[i]);
@@ -202,7 +204,7 @@
   count_overlaps (cluster, &day);
   if (broken) {
     fprintf (stderr, "day %u breaks a rule:\n", number);
-    print_broken (cluster);
+    print_violations (cluster);
   }
   sim_cluster_free (cluster);
   if (broken) {
@@ -266,7 +268,7 @@
       return 2;
     SimCluster *cluster = play (&day);
     guint broken = cluster->violations->len;
-    print_broken (cluster);
+    print_violations (cluster);
     sim_cluster_free (cluster);
     printf ("%u rules broken\n", broken);
     return broken > 0;
--- a/tests/test_pipelines.c
+++ b/tests/test_pipelines.c
@@ -1,7 +1,7 @@
-/* Days of a simulated cluster whose users submit pipelines: jobs that await one another. Some jobs
- * are submitted late, some are cancelled, some submitted after that. The simulation checks the
- * rules `too_early` and `orphaned` at every start, at every answer and twice per second, besides
- * all other rules. */
+/* Days (runs) of a simulated cluster whose users submit pipelines: jobs that await one another.
+ * Some jobs are submitted late, some are cancelled, some submitted after that. The simulation
+ * checks the rules `too_early` and `orphaned` at every start, at every answer and twice per second,
+ * besides all other rules. */
 #include "sim/faults.h"
 #include "sim/log.h"
 #include "sim/pipeline.h"
@@ -46,7 +46,7 @@
     cancelled += job->cancelled_reply_at && !job->cancel_requested;
     done += job->done_reply_at && job->awaits->len;
   }
-  /* Without cancelled and completed dependents the day would test nothing. */
+  /* A day without cancelled and completed dependent jobs would test nothing. */
   if (cancelled < 4 || done < 20)
     sim_report_violation (cluster, "day", "%u dependent jobs were cancelled, %u are done",
                           cancelled, done);
@@ -91,8 +91,8 @@
   assert_int_equal (violations, 0);
 }
 
-/* All controllers crash right after a user was told of a cancellation, half of the time together
- * with an outage of the state service. */
+/* All controllers crash right after a reply has confirmed a cancellation, half of the time together
+ * with an outage of the state store. */
 static void
 days_with_crashes_after_cancellations (void **state G_GNUC_UNUSED)
 {
@@ -126,7 +126,7 @@
 
 /* Controllers that know record formats and pipelines (764e988 and later) are restarted in turn
  * while pipelines run, mostly before the format is recorded in the state store. The limits of the
- * state service are lowered before the last restart, right after it, or as a leader crashes.
+ * state store are lowered before the last restart, right after it, or as a leader crashes.
  * Whenever that happens, no write is repeated endlessly, and in the end no record is too large. */
 static guint
 play_upgrade (guint32 seed, int nodes)
--- a/tests/test_renewals.c
+++ b/tests/test_renewals.c
@@ -54,7 +54,7 @@
 change_leader (Fleet *fleet, FleetMachine *machine)
 {
   guint64 before = current_token (fleet);
-  machine->sends_reports = FALSE;
+  machine->sends_heartbeats = FALSE;
   cluster_stop_node (fleet->cluster, cluster_leader (fleet->cluster));
   fleet_run_until (fleet, another_leads, &before, 12);
   fleet_run (fleet, 0.5);
@@ -102,7 +102,7 @@
   Fleet *fleet = fleet_new (3);
   Cluster *cluster = fleet->cluster;
   FleetMachine *machine = machine_running (fleet, "job-a");
-  machine->receives_direct_calls = machine->sends_reports = FALSE;
+  machine->receives_direct_calls = machine->sends_heartbeats = FALSE;
   fleet_cancel (fleet, (cluster_leader (cluster) + 1) % 3, "job-a");
   double cancelled_at = cluster->now;
   while (cluster->now < cancelled_at + fleet->cancel_s + 2 && !fleet->violations->len) {
@@ -111,9 +111,9 @@
     cluster_stop_node (cluster, leader);
     fleet_run_until (fleet, another_leads, &before, 10);
     cluster_start_node (cluster, leader);
-    machine->sends_reports = TRUE;
+    machine->sends_heartbeats = TRUE;
     machine->node = cluster_leader (cluster);
-    machine->next_report_at = cluster->now;
+    machine->next_heartbeat_at = cluster->now;
     fleet_run_until (fleet, answered_by_the_leader, machine, 5);
   }
   assert_int_equal (machine->incarnation, 1); /* its lease never ran out */
@@ -125,10 +125,10 @@
 {
   Fleet *fleet = fleet_new (2);
   FleetMachine *machine = machine_running (fleet, "job-a");
-  machine->receives_direct_calls = machine->sends_reports = FALSE;
+  machine->receives_direct_calls = machine->sends_heartbeats = FALSE;
   fleet_cancel (fleet, 0, "job-a");
   change_leader (fleet, machine);
-  g_autofree char *report = fleet_report_text (machine);
+  g_autofree char *report = fleet_heartbeat_text (machine);
   json_t *orders = orders_of_renewal (fleet, cluster_leader (fleet->cluster), report);
   assert_non_null (orders);
   assert_true (names_stop (orders, "job-a/0", 1));
@@ -142,10 +142,10 @@
 {
   Fleet *fleet = fleet_new (2);
   FleetMachine *machine = machine_running (fleet, "job-a");
-  machine->receives_direct_calls = machine->sends_reports = FALSE;
+  machine->receives_direct_calls = machine->sends_heartbeats = FALSE;
   fleet_cancel (fleet, 0, "job-a");
   int leader = cluster_leader (fleet->cluster);
-  g_autofree char *older = fleet_report_text (machine), *newer = fleet_report_text (machine);
+  g_autofree char *older = fleet_heartbeat_text (machine), *newer = fleet_heartbeat_text (machine);
   assert_true (names_stop (orders_of_renewal (fleet, leader, newer), "job-a/0", 1));
   json_t *orders = orders_of_renewal (fleet, leader, older);
   assert_true (names_stop (orders, "job-a/0", 1));
@@ -161,8 +161,8 @@
   Fleet *fleet = fleet_new (2);
   FleetMachine *machine = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
-  machine->sends_reports = FALSE;
-  g_autofree char *before = fleet_report_text (machine);
+  machine->sends_heartbeats = FALSE;
+  g_autofree char *before = fleet_heartbeat_text (machine);
   fleet_submit (fleet, 0, "job-a", NULL);
   fleet_run_until (fleet, task_runs, "job-a/0", 8);
   machine->receives_direct_calls = FALSE;
@@ -185,12 +185,12 @@
   FleetMachine *machine = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
   int leader = cluster_leader (cluster);
-  machine->sends_reports = fleet->cloud_deletes = FALSE;
+  machine->sends_heartbeats = fleet->cloud_deletes = FALSE;
   ClusterCall *late = cluster_delay (cluster, fleet_launch_call (fleet, machine, leader, "job-a"));
   fleet_cancel (fleet, 1 - leader, "job-a");
   double cancelled_at = cluster->now;
   cluster_hold (cluster, leader, "/commit", "h/map");
-  machine->sends_reports = TRUE;
+  machine->sends_heartbeats = TRUE;
   while (cluster->now < cancelled_at + fleet->cancel_s - fleet->lease_s + 3) {
     fleet_run (fleet, 0.5);
     ClusterCall *token_write = cluster_find_call (cluster, leader, "/commit", "h/map");
@@ -199,7 +199,7 @@
   }
   fleet_apply_direct_call (machine, late->body);
   cluster_carry_out_delayed (cluster, late);
-  machine->sends_reports = FALSE;
+  machine->sends_heartbeats = FALSE;
   fleet_run (fleet, fleet->lease_s + 2);
   fleet_check_and_free (fleet);
 }
@@ -266,7 +266,7 @@
   fleet_run_until (fleet, task_runs, "job-c/0", 8);
   fleet_run (fleet, 6);
   assert_string_equal (fleet_job_state (fleet, 0, "job-b"), "done");
-  machine->sends_reports = machine->receives_direct_calls = FALSE;
+  machine->sends_heartbeats = machine->receives_direct_calls = FALSE;
   fleet_submit (fleet, 0, "job-d", NULL);
   fleet_cancel (fleet, 0, "job-c");
   change_leader (fleet, machine);
@@ -296,13 +296,13 @@
 {
   Fleet *fleet = fleet_new (2);
   FleetMachine *fleet_worker = machine_running (fleet, "job-a");
-  fleet_worker->receives_direct_calls = fleet_worker->sends_reports = FALSE;
+  fleet_worker->receives_direct_calls = fleet_worker->sends_heartbeats = FALSE;
   fleet_cancel (fleet, 0, "job-a");
   HrCore *core = fleet->cluster->nodes[cluster_leader (fleet->cluster)].core;
   HrMachine *machine = hr_machine_find (&core->store.tables, "m-1");
-  g_autofree char *shown = fleet_report_text (fleet_worker);
+  g_autofree char *shown = fleet_heartbeat_text (fleet_worker);
   g_ptr_array_set_size (fleet_worker->tasks, 0);
-  g_autofree char *empty = fleet_report_text (fleet_worker);
+  g_autofree char *empty = fleet_heartbeat_text (fleet_worker);
   g_autoptr (HrHeartbeat) with = hr_heartbeat_parse (shown, strlen (shown), NULL);
   g_autoptr (HrHeartbeat) without = hr_heartbeat_parse (empty, strlen (empty), NULL);
   g_autoptr (GArray) orders = hr_order_list_new ();
--- a/tests/test_requests.c
+++ b/tests/test_requests.c
@@ -316,11 +316,11 @@
   Cluster *cluster = cluster_new_with_leader (2);
   int leader = cluster_leader (cluster), other = 1 - leader;
   ClusterWorker *worker = cluster_worker (cluster, "m-000001");
-  cluster_report (cluster, worker, leader);
-  cluster_report (cluster, worker, leader);
+  cluster_send_heartbeat (cluster, worker, leader);
+  cluster_send_heartbeat (cluster, worker, leader);
   cluster_submit_and_start (cluster, worker, other, "job-done");
   cluster_worker_exit_tasks (worker, "done");
-  cluster_report (cluster, worker, leader);
+  cluster_send_heartbeat (cluster, worker, leader);
   cluster_run (cluster, 1);
   guint64 revision = cluster_key_revision (cluster, "h/j/job-done");
   for (int i = 0; i < 2; i++) {
--- a/tests/test_sim.c
+++ b/tests/test_sim.c
@@ -1,5 +1,5 @@
-/* Days of a simulated cluster with faults drawn from seeds. Each day checks every rule of the
- * protocol, and that all work is done once the faults are over. */
+/* Days (runs) of a simulated cluster with faults drawn from seeds. Each day checks every rule of
+ * the protocol, and that all work is done once the faults are over. */
 #include "sim/faults.h"
 #include "sim/log.h"
 #include "sim/store.h"
@@ -55,11 +55,12 @@
 }
 
 static guint
-play_on (SimCluster *cluster, guint32 seed, guint faults, double quota, double per_part)
+play_on (SimCluster *cluster, guint32 seed, guint faults, double quota_gpus,
+         double machines_per_part)
 {
-  cluster->quota_gpus = quota;
-  cluster->machines_per_part = per_part;
-  if (quota > 0 || per_part > 0)
+  cluster->quota_gpus = quota_gpus;
+  cluster->machines_per_part = machines_per_part;
+  if (quota_gpus > 0 || machines_per_part > 0)
     sim_cluster_restart_nodes (cluster);
   users_init (cluster, 40, 300);
   users_probe (cluster);
@@ -69,17 +70,17 @@
 }
 
 static guint
-play (guint32 seed, guint faults, double quota, double per_part)
+play (guint32 seed, guint faults, double quota_gpus, double machines_per_part)
 {
-  return play_on (sim_cluster_new (seed, 3), seed, faults, quota, per_part);
+  return play_on (sim_cluster_new (seed, 3), seed, faults, quota_gpus, machines_per_part);
 }
 
 static void
-play_seeds (guint from, guint to, guint faults, double quota, double per_part)
+play_seeds (guint from, guint to, guint faults, double quota_gpus, double machines_per_part)
 {
   guint violations = 0;
   for (guint seed = from; seed < to; seed++)
-    violations += play (seed, faults, quota, per_part);
+    violations += play (seed, faults, quota_gpus, machines_per_part);
   assert_int_equal (violations, 0);
 }
 
@@ -107,8 +108,9 @@
   play_seeds (300, 308, 5, 12, 0);
 }
 
+/* Planning passes divide the machines into several shards (machines_per_part). */
 static void
-days_with_several_parts (void **state G_GNUC_UNUSED)
+days_with_several_shards (void **state G_GNUC_UNUSED)
 {
   play_seeds (400, 408, 4, 0, 4);
 }
@@ -123,7 +125,8 @@
 }
 
 /* Messages to machines are lost for long, without other faults. With a single controller such a
- * machine never falls silent: it reports to the same node again and again. */
+ * machine never falls silent: it sends heartbeats to the same node again and
+ * again. */
 static void
 days_with_inbound_loss (void **state G_GNUC_UNUSED)
 {
@@ -149,8 +152,8 @@
   assert_int_equal (violations, 0);
 }
 
-/* The state service refuses all controllers for longer than a leader may renew leases by itself.
- * Its peers' attestation keeps tasks running, but not those of a job that a peer cancelled
+/* The state store refuses all controllers for longer than a leader may renew leases by itself. The
+ * attestation by its peers keeps tasks running, but not those of a job that a peer cancelled
  * meanwhile. */
 static void
 days_with_peer_attestation (void **state G_GNUC_UNUSED)
@@ -170,8 +173,8 @@
   assert_int_equal (violations, 0);
 }
 
-/* Peers name to the leader the cancellations that it cannot read, so that no lease has to expire.
- * The cancelled jobs' tasks still end in time, whatever orders arrive late. */
+/* Peers send the leader the cancellations that it cannot read from the state store, so that no
+ * lease has to expire. The cancelled jobs' tasks still end in time, even if orders arrive late. */
 static void
 days_with_unread_cancellations (void **state G_GNUC_UNUSED)
 {
@@ -193,7 +196,8 @@
 play_services (SimCluster *cluster, guint32 seed)
 {
   cluster->capacity = 100;
-  cluster->loss_share = cluster->duplicate_share = 0; /* single lost reports would lose machines */
+  cluster->loss_share = cluster->duplicate_share =
+      0; /* single lost heartbeats would lose machines */
   users_services (cluster, 16, 3, 2);
   sim_cluster_run (cluster, 320);
   for (guint i = 0; i < cluster->jobs->len; i++)
@@ -203,7 +207,7 @@
   return finish_day (cluster, seed);
 }
 
-/* A new leader takes over and the state service then refuses every node. By its peers' attestation
+/* A new leader takes over and the state store then refuses every node. By its peers' attestation
  * the earlier leader would keep tasks running that the new leader regards as terminated. */
 static void
 days_of_two_leaders (void **state G_GNUC_UNUSED)
@@ -267,7 +271,7 @@
 }
 
 /* A gang that loses a machine before its start gets a replacement for it and keeps its other
- * machines; it starts a new attempt only where the replacement must boot and is too late. */
+ * machines. It starts a new attempt only if the replacement has to boot and is too late. */
 static void
 days_with_lost_gang_machines (void **state G_GNUC_UNUSED)
 {
@@ -280,11 +284,11 @@
     sim_cluster_run (cluster, 450);
     for (guint i = 0; i < cluster->jobs->len; i++) {
       SimJob *job = cluster->jobs->pdata[i];
-      g_autofree char *again = g_strdup_printf ("%s/0/2", job->id);
+      g_autofree char *second_attempt = g_strdup_printf ("%s/0/2", job->id);
       lost += job->lost_gang_machine;
       if (!job->done_reply_at)
         sim_report_violation (cluster, "liveness", "%s is not done", job->id);
-      restarted += g_hash_table_contains (cluster->assignment_recorders, again);
+      restarted += g_hash_table_contains (cluster->assignment_recorders, second_attempt);
     }
     violations += finish_day (cluster, seed);
   }
@@ -293,7 +297,7 @@
   assert_true (restarted * 2 < lost);
 }
 
-/* Machines crash and leaders change while duplicates of reports are in flight. */
+/* Machines crash and leaders change while duplicates of heartbeats are in flight. */
 static void
 days_with_duplicates_and_new_leaders (void **state G_GNUC_UNUSED)
 {
@@ -370,7 +374,8 @@
 }
 
 /* Direct calls get no answer and are carried out half a minute or more later, for jobs that are
- * cancelled meanwhile. That the worker's report lacks a task does not prove that it won't start. */
+ * cancelled meanwhile. That a worker's heartbeat lacks a task does not prove that the task won't
+ * start. */
 static void
 days_with_late_direct_calls (void **state G_GNUC_UNUSED)
 {
@@ -385,7 +390,8 @@
 }
 
 /* The leader lags so far behind that it has to reread the whole state store while its direct calls
- * are in flight. It no longer knows of these calls, so it needs a higher token than they carry. */
+ * are in flight. It no longer knows of these calls, so it needs a higher fencing token than theirs.
+ */
 static void
 days_with_compacted_changes (void **state G_GNUC_UNUSED)
 {
@@ -411,9 +417,9 @@
   for (guint seed = 1000; seed < 1018; seed++) {
     SimCluster *cluster = sim_cluster_new (seed, seed % 3 == 2 ? 5 : 3);
     double for_s = lengths[seed % G_N_ELEMENTS (lengths)];
-    FreezeTarget who = seed / 6 % 3;
-    faults_freeze (cluster, 60, who, for_s);
-    faults_freeze (cluster, 60 + for_s + 0.6, who, for_s);
+    FreezeTarget target = seed / 6 % 3;
+    faults_freeze (cluster, 60, target, for_s);
+    faults_freeze (cluster, 60 + for_s + 0.6, target, for_s);
     faults_freeze (cluster, 190, FREEZE_LEADER, for_s);
     violations += play_on (cluster, seed, seed % 2 ? 3 : 0, 0, 0);
   }
@@ -421,8 +427,8 @@
 }
 
 /* The leader is cut off from the workers, which other controllers still reach. The workers' last
- * reports are spread over a report period: the leader must not delete machines a few at a time as
- * each falls silent. */
+ * heartbeats are spread over report_s: the leader must not delete machines a few at a time as each
+ * falls silent. */
 static void
 days_with_leaders_cut_from_workers (void **state G_GNUC_UNUSED)
 {
@@ -495,7 +501,7 @@
 play_large (guint32 seed, int nodes)
 {
   SimCluster *cluster = sim_cluster_new (seed, nodes);
-  guint most_up = 0;
+  guint machines_up = 0;
   cluster->capacity = 1500;
   cluster->report_s = 5;
   cluster->lease_s = 26.5;
@@ -512,11 +518,11 @@
   sim_cluster_run (cluster, 90);
   for (guint i = 0; i < cluster->machines->len; i++) {
     SimMachine *machine = cluster->machines->pdata[i];
-    most_up += machine->up && !machine->gone;
+    machines_up += machine->up && !machine->gone;
   }
   sim_cluster_run (cluster, 640);
-  if (most_up < 1300)
-    sim_report_violation (cluster, "small", "only %u machines are up", most_up);
+  if (machines_up < 1300)
+    sim_report_violation (cluster, "small", "only %u machines are up", machines_up);
   for (guint i = 0; i < cluster->jobs->len; i++) {
     SimJob *job = cluster->jobs->pdata[i];
     if (!job->accepted || (!job->cancel_requested &&
@@ -540,9 +546,9 @@
 }
 
 /* The version in production is upgraded node by node during faults. Then the limits of the state
- * service are lowered, on some days while the last node is still down. */
+ * store are lowered, on some days while the last node is still down (last_node_slow). */
 static guint
-play_upgrade (guint32 seed, int nodes, guint faults, gboolean late)
+play_upgrade (guint32 seed, int nodes, guint faults, gboolean last_node_slow)
 {
   SimCluster *cluster = sim_cluster_new (seed, nodes);
   cluster->capacity = 101; /* so that one page of the cloud's list holds all machines */
@@ -551,8 +557,9 @@
   users_init (cluster, 15, 250);
   users_large_jobs (cluster, 10, 150);
   users_probe (cluster);
-  double last = upgrade_roll (cluster, 75, seed % 2 ? 9 : 15, late ? 45 : 5);
-  upgrade_lower_limits (cluster, last + (late ? 3 : 5) + sim_rand_range (cluster, 0.2, 3));
+  double last = upgrade_roll (cluster, 75, seed % 2 ? 9 : 15, last_node_slow ? 45 : 5);
+  upgrade_lower_limits (cluster,
+                        last + (last_node_slow ? 3 : 5) + sim_rand_range (cluster, 0.2, 3));
   faults_init (cluster, faults, 30, 320);
   sim_cluster_run (cluster, 900);
   if (!store_has_key (cluster, "h/format"))
@@ -589,7 +596,7 @@
       cmocka_unit_test (days_with_one_fault),
       cmocka_unit_test (days_with_many_faults),
       cmocka_unit_test (days_with_a_team_limit),
-      cmocka_unit_test (days_with_several_parts),
+      cmocka_unit_test (days_with_several_shards),
       cmocka_unit_test (days_with_late_duplicates),
       cmocka_unit_test (days_with_one_or_five_controllers),
       cmocka_unit_test (days_with_a_gang_stream),
--- a/tests/test_store_reads.c
+++ b/tests/test_store_reads.c
@@ -15,18 +15,18 @@
   Cluster *cluster = cluster_new_with_leader (2);
   int leader = cluster_leader (cluster), other = 1 - leader;
   ClusterWorker *worker = cluster_worker (cluster, "m-000001");
-  cluster_report (cluster, worker, leader);
-  cluster_report (cluster, worker, leader);
+  cluster_send_heartbeat (cluster, worker, leader);
+  cluster_send_heartbeat (cluster, worker, leader);
   guint64 id = cluster_submit (cluster, other, "job-a", 1);
   cluster_run (cluster, 1);
   assert_int_equal (cluster_reply_status (cluster, other, id), 201);
   for (int i = 0; i < 4; i++) {
-    cluster_report (cluster, worker, leader);
+    cluster_send_heartbeat (cluster, worker, leader);
     cluster_run (cluster, 1);
   }
   assert_true (cluster_worker_runs (worker, "job-a"));
   cluster_worker_exit_tasks (worker, "done");
-  cluster_report (cluster, worker, leader);
+  cluster_send_heartbeat (cluster, worker, leader);
   cluster_run (cluster, 1);
   id = cluster_poll (cluster, other, "job-a");
   cluster_run (cluster, 0.2);
@@ -135,8 +135,8 @@
   Cluster *cluster = cluster_new_with_leader (2);
   int leader = cluster_leader (cluster), other = 1 - leader;
   ClusterWorker *worker = cluster_worker (cluster, "m-000001");
-  cluster_report (cluster, worker, leader);
-  cluster_report (cluster, worker, leader);
+  cluster_send_heartbeat (cluster, worker, leader);
+  cluster_send_heartbeat (cluster, worker, leader);
   cluster_submit_and_start (cluster, worker, leader, "job-b");
   cluster_hold (cluster, leader, "/do", NULL); /* the stop does not reach its worker */
   cluster_submit (cluster, leader, "job-a", 1);
@@ -150,7 +150,7 @@
   cluster_hold (cluster, other, "/kv?", NULL);
   cluster_cancel (cluster, leader, "job-a");
   cluster_serve (cluster);
-  cluster_forget_changes (cluster);
+  cluster_compact_changes (cluster);
   guint64 id = cluster_poll (cluster, other, "job-a");
   cluster_tick (cluster, 1.1);
   ClusterCall *read_call = cluster_find_call (cluster, other, READ, NULL);
@@ -363,8 +363,8 @@
   Cluster *cluster = cluster_new_with_leader (3);
   int leader = cluster_leader (cluster);
   ClusterWorker *worker = cluster_worker (cluster, "m-000001");
-  cluster_report (cluster, worker, leader);
-  cluster_report (cluster, worker, leader);
+  cluster_send_heartbeat (cluster, worker, leader);
+  cluster_send_heartbeat (cluster, worker, leader);
   cluster_submit_and_start (cluster, worker, leader, "job-a");
   static const char *const expected[] = {"running", "withdrawn", "done"};
   for (int step = 0; step < 3; step++) {
@@ -378,11 +378,11 @@
       assert_string_equal (cluster_job_state (cluster, (leader + 1) % 3, abort), "withdrawn");
     } else if (step == 2) {
       cluster_run (cluster, 1);
-      cluster_report (cluster, worker, leader);
-      cluster_report (cluster, worker, leader);
+      cluster_send_heartbeat (cluster, worker, leader);
+      cluster_send_heartbeat (cluster, worker, leader);
       cluster_submit_and_start (cluster, worker, leader, id);
       cluster_worker_exit_tasks (worker, "done");
-      cluster_report (cluster, worker, leader);
+      cluster_send_heartbeat (cluster, worker, leader);
       for (int i = 0;
            i < 60 && g_strcmp0 (cluster_poll_state (cluster, (leader + 2) % 3, id), "done"); i++)
         cluster_tick (cluster, 0.002);
--- a/tests/test_users_days.c
+++ b/tests/test_users_days.c
@@ -1,6 +1,6 @@
-/* Simulated days on which users send requests during two overlapping faults of the state store.
- * Every rule is checked at every event, and all work must be done once the faults are over. The
- * same cases are tested message by message in test_store_reads.c, test_writes.c and
+/* Days (runs) of a simulated cluster on which users send requests during two overlapping faults of
+ * the state store. Every rule is checked at every event, and all work must be done once the faults
+ * are over. The same cases are tested message by message in test_store_reads.c, test_writes.c and
  * test_allowance.c. */
 #include "sim/log.h"
 #include "sim/user.h"
@@ -56,7 +56,7 @@
 }
 
 /* Answers to writes are lost while users poll all nodes and the leader changes repeatedly; jobs are
- * cancelled during the changes. */
+ * cancelled as the leader changes. */
 static void
 lost_answers_over_hand_overs (void **state G_GNUC_UNUSED)
 {
@@ -86,7 +86,7 @@
   PLAY (2210, 2214, day);
 }
 
-/* The state service is slow, refuses the leader alone, and is then down for longer than cancel_s;
+/* The state store is slow, refuses the leader alone, and is then down for longer than cancel_s;
  * users cancel and poll jobs throughout. */
 static void
 slow_refused_and_away (void **state G_GNUC_UNUSED)
--- a/tests/test_watching.c
+++ b/tests/test_watching.c
@@ -54,7 +54,7 @@
   Cluster *cluster = cluster_new_with_leader (2);
   ClusterWorker *worker = cluster_worker (cluster, "m-1");
   int leader = cluster_leader (cluster);
-  cluster_report (cluster, worker, leader);
+  cluster_send_heartbeat (cluster, worker, leader);
   cluster_submit_and_start (cluster, worker, leader, "job-a");
   g_autofree char *while_running = hr_metrics_text (cluster->nodes[leader].core);
   check_format (while_running);
@@ -72,7 +72,7 @@
                renewals);
   cluster_cancel (cluster, 1 - leader, "job-a");
   cluster_run (cluster, 2);
-  cluster_report (cluster, worker, leader);
+  cluster_send_heartbeat (cluster, worker, leader);
   g_autofree char *after_stop = hr_metrics_text (cluster->nodes[leader].core);
   assert_true (sample_value (after_stop, "hoprock_stops_total") >= 1);
   assert_true (sample_value (after_stop, "hoprock_withdrawals_total") == 1);
--- a/tests/test_windows.c
+++ b/tests/test_windows.c
@@ -1,9 +1,9 @@
 /* Random interleavings of worker and leader messages on the machines of scripted_fleet.h, drawn
- * from seeds: every second a process or task ends, a machine or node is cut off or hangs, or a
- * message is delayed. Every rule is checked at every event; once the faults are over every job has
- * to finish.
+ * from seeds. Each seed gives one run, called a day: about twice a second a process or task ends, a
+ * machine or node is cut off or hangs, or a message is delayed. Every rule is checked at every
+ * event; once the faults are over every job has to finish.
  *
- *   test_windows [FROM TO]        another range of seeds */
+ *   test_windows [FROM TO]        plays the seeds FROM to TO - 1 instead of the default ones */
 #include "coordination/command.h"
 #include "protocol/json_util.h"
 #include "scripted_fleet.h"
@@ -20,12 +20,12 @@
 #define RECOVERY_S 90
 #define CPUS_MAX 30.0
 
-/* A delayed message: one of write, report and orders. */
+/* A delayed message: one of write, heartbeat and orders. */
 typedef struct {
   double at;          /* when it arrives */
   ClusterCall *write; /* a transaction */
   FleetMachine *machine;
-  char *report, *orders; /* a report from the machine; orders to it */
+  char *heartbeat, *orders; /* a heartbeat of the machine; orders to it */
   int node;
 } DelayedMessage;
 
@@ -66,7 +66,7 @@
 delayed_message_free (gpointer data)
 {
   DelayedMessage *message = data;
-  g_free (message->report);
+  g_free (message->heartbeat);
   g_free (message->orders);
   g_free (message);
 }
@@ -175,16 +175,16 @@
   day->machine_until[i] = day->fleet->cluster->now + draw (day, 2, 30);
   switch (pick (day, 5)) {
   case 0:
-    machine->sends_reports = FALSE; /* reaches no controller */
+    machine->sends_heartbeats = FALSE; /* reaches no controller */
     break;
   case 1:
-    machine->receives_answers = machine->receives_direct_calls = FALSE; /* hears no controller */
+    machine->receives_answers = machine->receives_direct_calls = FALSE; /* receives nothing */
     break;
   case 2:
     machine->is_hung = TRUE;
     break;
   case 3:
-    machine->sends_reports = machine->receives_direct_calls = FALSE; /* cut off */
+    machine->sends_heartbeats = machine->receives_direct_calls = FALSE; /* cut off */
     break;
   default:
     machine->only_node = pick (day, NODES);
@@ -213,7 +213,7 @@
              (call = cluster_find_call (cluster, leader, "/commit", NULL)) && call->held)
     message->write = cluster_delay (cluster, call);
   else if (!machine->deleted)
-    message->report = fleet_report_text (machine);
+    message->heartbeat = fleet_heartbeat_text (machine);
   g_ptr_array_add (day->delayed, message);
 }
 
@@ -231,10 +231,10 @@
       cluster_carry_out_delayed (cluster, message->write);
     if (message->orders)
       fleet_apply_direct_call (message->machine, message->orders);
-    if (message->report && cluster->nodes[message->node].core)
-      fleet_deliver_report (day->fleet,
-                            pick (day, 2) ? MAX (0, cluster_leader (cluster)) : message->node,
-                            message->report);
+    if (message->heartbeat && cluster->nodes[message->node].core)
+      fleet_deliver_heartbeat (day->fleet,
+                               pick (day, 2) ? MAX (0, cluster_leader (cluster)) : message->node,
+                               message->heartbeat);
     g_ptr_array_remove_index (day->delayed, i);
   }
 }
@@ -269,10 +269,10 @@
     FleetMachine *machine = day->machines[i];
     if (day->machine_until[i] > cluster->now && !all)
       continue;
-    machine->sends_reports = machine->receives_answers = machine->receives_direct_calls = TRUE;
+    machine->sends_heartbeats = machine->receives_answers = machine->receives_direct_calls = TRUE;
     machine->is_hung = FALSE;
     machine->only_node = -1;
-    if (machine->deleted) { /* its replacement is rented */
+    if (machine->deleted) { /* a new machine replaces it */
       g_autofree char *name = g_strdup_printf ("m-%u", 100 + day->fleet->machines->len);
       day->machines[i] = fleet_machine (day->fleet, name, i % 2 ? "z1" : "z0");
       day->machines[i]->node = pick (day, NODES);
@@ -403,13 +403,14 @@
   return violations;
 }
 
-static guint first = 1, last = 61;
+/* Plays the seeds from_seed to end_seed - 1. */
+static guint from_seed = 1, end_seed = 61;
 
 static void
 random_fault_days_break_no_rule (void **state G_GNUC_UNUSED)
 {
   guint violations = 0;
-  for (guint seed = first; seed < last; seed++)
+  for (guint seed = from_seed; seed < end_seed; seed++)
     violations += play (seed);
   assert_int_equal (violations, 0);
 }
@@ -419,8 +420,8 @@
 {
   const struct CMUnitTest tests[] = {cmocka_unit_test (random_fault_days_break_no_rule)};
   if (argc > 2) {
-    first = strtoul (argv[1], NULL, 10);
-    last = strtoul (argv[2], NULL, 10);
+    from_seed = strtoul (argv[1], NULL, 10);
+    end_seed = strtoul (argv[2], NULL, 10);
   }
   g_log_set_writer_func (cluster_log_writer, NULL, NULL);
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/test_workers.c
+++ b/tests/test_workers.c
@@ -95,21 +95,21 @@
   Cluster *cluster = fleet->cluster;
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0"),
                *second = fleet_machine (fleet, "m-2", "z0");
-  second->sends_reports = FALSE;
+  second->sends_heartbeats = FALSE;
   fleet_run (fleet, 4);
   cluster_hold (cluster, 0, "/changes", NULL);
-  first->sends_reports = FALSE;
+  first->sends_heartbeats = FALSE;
   guint64 before = current_token (fleet);
   ClusterCall *late = cluster_delay (cluster, fleet_launch_call (fleet, first, 0, "job-a"));
   /* The leader's next read of changes finds that those since its last read are discarded. */
   fleet_submit (fleet, 1, "job-b", NULL);
-  cluster_forget_changes (cluster);
+  cluster_compact_changes (cluster);
   fleet_release_calls (fleet);
   fleet_run (fleet, 1);
   /* The machine's heartbeats lack the task, and the machine is about to be preempted: the task is
    * placed on another machine. */
   fleet->cloud_deletes = FALSE;
-  second->sends_reports = first->sends_reports = TRUE;
+  second->sends_heartbeats = first->sends_heartbeats = TRUE;
   first->preemption_in_s = 60;
   fleet_run (fleet, 9);
   fleet_apply_direct_call (first, late->body);
@@ -131,9 +131,9 @@
   Cluster *cluster = fleet->cluster;
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0"),
                *second = fleet_machine (fleet, "m-2", "z0");
-  second->sends_reports = FALSE;
+  second->sends_heartbeats = FALSE;
   fleet_run (fleet, 4);
-  first->sends_reports = FALSE;
+  first->sends_heartbeats = FALSE;
   guint64 before = current_token (fleet);
   ClusterCall *late = cluster_delay (cluster, fleet_launch_call (fleet, first, 0, "job-a"));
   cluster_stop_node (cluster, 0);
@@ -141,7 +141,7 @@
   cluster_start_node (cluster, 0);
   fleet->cloud_deletes = FALSE;
   first->preemption_in_s = 60;
-  first->sends_reports = second->sends_reports = TRUE;
+  first->sends_heartbeats = second->sends_heartbeats = TRUE;
   fleet_run (fleet, 12);
   assert_int_equal (cluster_leader (cluster), 0);
   assert_true (fleet_machine_runs (second, "job-a/0"));
@@ -162,12 +162,12 @@
   Cluster *cluster = fleet->cluster;
   FleetMachine *machine = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
-  machine->sends_reports = FALSE;
+  machine->sends_heartbeats = FALSE;
   guint64 before = current_token (fleet);
   ClusterCall *late = cluster_delay (cluster, fleet_launch_call (fleet, machine, 0, "job-a"));
   fleet_cancel (fleet, 1, "job-a");
   fleet_run (fleet, 1);
-  machine->sends_reports = TRUE;
+  machine->sends_heartbeats = TRUE;
   machine->node = 0;
   fleet_run (fleet, 10);
   assert_true (current_token (fleet) > before);
@@ -300,7 +300,7 @@
   FleetMachine *second = fleet_machine (fleet, "m-2", "z0");
   fleet_run (fleet, 4);
   fleet->cloud_deletes = FALSE;
-  first->sends_reports = FALSE;
+  first->sends_heartbeats = FALSE;
   fleet_cancel (fleet, 1, "job-a");
   fleet_run_until (fleet, task_runs_nowhere, "job-a/0", 2);
   assert_int_equal (first->incarnation, 1);
@@ -322,7 +322,7 @@
   FleetMachine *second = fleet_machine (fleet, "m-2", "z0");
   fleet_run (fleet, 4);
   fleet->cloud_deletes = FALSE;
-  first->sends_reports = FALSE; /* the leader returns a silent machine */
+  first->sends_heartbeats = FALSE; /* the leader returns a silent machine */
   fleet_run (fleet, fleet->lease_s + 6);
   assert_true (first->incarnation > 1);
   assert_true (fleet_machine_runs (second, "job-a/0"));
@@ -339,7 +339,7 @@
   fleet_run (fleet, 4);
   submit_and_run (fleet, first, "job-a");
   fleet->cloud_deletes = FALSE;
-  fleet_report (first, 0);
+  fleet_send_heartbeat (first, 0);
   first->is_hung = TRUE;
   first->node = 0;
   fleet_cancel (fleet, 1, "job-a");
@@ -419,12 +419,12 @@
   Fleet *fleet = fleet_led_by_c0 (2);
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
-  first->sends_reports = FALSE;
+  first->sends_heartbeats = FALSE;
   fleet_launch_call (fleet, first, 0, "job-a");
   cut_off_controller (fleet, 0);
   fleet_cancel (fleet, 1, "job-a");
   fleet_run (fleet, 6);
-  assert_int_equal (fleet_report (first, 0), 200);
+  assert_int_equal (fleet_send_heartbeat (first, 0), 200);
   assert_int_equal (fleet->task_starts, 0);
   fleet_check_and_free (fleet);
 }
@@ -464,9 +464,9 @@
   fleet_run (fleet, fleet->cluster->policy.alone_s + 2);
   assert_int_equal (cluster_leader (fleet->cluster), 1);
   assert_true (first->token < current_token (fleet));
-  g_autofree char *report = fleet_report_text (first);
+  g_autofree char *report = fleet_heartbeat_text (first);
   fleet_thaw (fleet, 0);
-  assert_int_not_equal (fleet_deliver_report (fleet, 0, report), 200);
+  assert_int_not_equal (fleet_deliver_heartbeat (fleet, 0, report), 200);
   first->only_node = -1;
   fleet_run (fleet, 10);
   assert_int_equal (fleet_count_running (fleet, "job-a/0"), 1);
@@ -493,7 +493,7 @@
     cluster_step (cluster, 0, command);
     fleet_run (fleet, 1);
   }
-  assert_int_not_equal (fleet_report (first, 0), 200);
+  assert_int_not_equal (fleet_send_heartbeat (first, 0), 200);
   fleet_check_and_free (fleet);
 }
 
@@ -508,13 +508,13 @@
   FleetMachine *first = fleet_machine (fleet, "m-1", "z1");
   fleet_run (fleet, 6);
   assert_true (first->token > 0);
-  g_autofree char *report = fleet_report_text (first);
+  g_autofree char *report = fleet_heartbeat_text (first);
   first->deleted = TRUE;
   cluster_stop_node (fleet->cluster, 0);
   fleet_run_until (fleet, c1_leads, NULL, 12);
   fleet_run (fleet, 3);
   fleet_submit (fleet, 1, "job-a", NULL);
-  fleet_deliver_report (fleet, 1, report);
+  fleet_deliver_heartbeat (fleet, 1, report);
   fleet_run (fleet, 5);
   assert_false (fleet_job_record_contains (fleet, "job-a", "m-1"));
   fleet_check_and_free (fleet);
@@ -529,25 +529,25 @@
   Fleet *fleet = fleet_led_by_c0 (2);
   FleetMachine *first = fleet_machine (fleet, "m-1", "z0");
   fleet_run (fleet, 4);
-  g_autofree char *report = fleet_report_text (first);
+  g_autofree char *report = fleet_heartbeat_text (first);
   if (earlier_incarnation) { /* the sequence number alone does not show that the heartbeat is old */
     first->sequence += 100;
     g_free (report);
-    report = fleet_report_text (first);
+    report = fleet_heartbeat_text (first);
     first->sequence -= 101;
-    first->sends_reports = FALSE;
+    first->sends_heartbeats = FALSE;
     first->lease_renewed_at -= fleet->lease_s;
     fleet_run (fleet, 0.1);
-    first->sends_reports = TRUE;
+    first->sends_heartbeats = TRUE;
     fleet_run (fleet, 3);
     assert_int_equal (first->incarnation, 2);
   }
   submit_and_run (fleet, first, "job-a");
-  fleet_report (first, 0);
+  fleet_send_heartbeat (first, 0);
   first->is_hung = TRUE;
   fleet_cancel (fleet, 1, "job-a");
   fleet_run (fleet, 3.5); /* the direct stop has timed out by now */
-  fleet_deliver_report (fleet, 0, report);
+  fleet_deliver_heartbeat (fleet, 0, report);
   fleet_run (fleet, 1);
   assert_true (fleet_machine_runs (first, "job-a/0"));
   assert_true (fleet_job_record_contains (fleet, "job-a", "\"x\""));
@@ -678,8 +678,8 @@
   FleetMachine *second = fleet_machine (fleet, "m-2", "z0");
   fleet_run (fleet, 4);
   fleet->cloud_deletes = FALSE;
-  fleet_report (first, 0);
-  first->sends_reports = first->receives_direct_calls = FALSE;
+  fleet_send_heartbeat (first, 0);
+  first->sends_heartbeats = first->receives_direct_calls = FALSE;
   fleet_cancel (fleet, 1, "job-a");
   cluster_stop_node (fleet->cluster, 0);
   fleet_run_until (fleet, c1_leads, NULL, 12);
@@ -710,8 +710,8 @@
   fleet_run_until (fleet, task_runs, "job-a/0", 8);
   fleet_run (fleet, 3);
   fleet->cloud_deletes = FALSE;
-  first->sends_reports = first->receives_direct_calls = FALSE;
-  fleet_report (first, 0);
+  first->sends_heartbeats = first->receives_direct_calls = FALSE;
+  fleet_send_heartbeat (first, 0);
   if (new_leader) {
     cluster_stop_node (fleet->cluster, 0);
     fleet_run_until (fleet, c1_leads, NULL, 12);
@@ -794,7 +794,7 @@
   for (int i = 0; i < 10; i++) {
     int leader = cluster_leader (cluster);
     guint64 before = current_token (fleet);
-    g_autofree char *report = fleet_report_text (machines[i % 5]);
+    g_autofree char *report = fleet_heartbeat_text (machines[i % 5]);
     machines[(i + 1) % 5]->is_hung = i % 3 == 0;
     machines[(i + 2) % 5]->receives_answers = i % 4 != 1;
     cluster_stop_node (cluster, leader);
@@ -807,7 +807,7 @@
     cluster->store_outage = FALSE;
     for (int k = 0; k < 3; k++)
       if (cluster->nodes[k].core)
-        fleet_deliver_report (fleet, k, report);
+        fleet_deliver_heartbeat (fleet, k, report);
     fleet_run (fleet, 1);
     assert_true (i == 5 || current_token (fleet) > before);
   }
@@ -837,7 +837,7 @@
   fleet_run (fleet, 4);
   fleet_submit (fleet, 0, "job-a", cluster_job_body ("job-a", 4));
   fleet_run (fleet, 6);
-  g_autofree char *report = fleet_report_text (first);
+  g_autofree char *report = fleet_heartbeat_text (first);
   for (int i = 0; i < 3; i++)
     cluster_stop_node (cluster, i);
   fleet_run (fleet, fleet->lease_s + 3);
@@ -848,9 +848,9 @@
   fleet_run (fleet, 0.4);
   cluster_start_node (cluster, 1);
   fleet_run (fleet, 2);
-  fleet_deliver_report (fleet, 1, report);
+  fleet_deliver_heartbeat (fleet, 1, report);
   fleet_run (fleet, 1);
-  fleet_deliver_report (fleet, 1, report);
+  fleet_deliver_heartbeat (fleet, 1, report);
   fleet_run (fleet, 30);
   assert_int_equal (first->tasks->len + second->tasks->len, 4);
   assert_int_equal (fleet->task_starts, 8);
--- a/tests/test_writes.c
+++ b/tests/test_writes.c
@@ -27,8 +27,8 @@
   pair.leader = cluster_leader (pair.cluster);
   pair.other = 1 - pair.leader;
   pair.worker = cluster_worker (pair.cluster, "m-000001");
-  cluster_report (pair.cluster, pair.worker, pair.leader);
-  cluster_report (pair.cluster, pair.worker, pair.leader);
+  cluster_send_heartbeat (pair.cluster, pair.worker, pair.leader);
+  cluster_send_heartbeat (pair.cluster, pair.worker, pair.leader);
   return pair;
 }
 
@@ -161,7 +161,7 @@
     id = cluster_cancel (cluster, node, "job-a");
     cluster_run (cluster, 0.3);
     assert_string_equal (cluster_job_state (cluster, node, id), "withdrawn");
-    cluster_report (cluster, pair.worker, pair.leader);
+    cluster_send_heartbeat (cluster, pair.worker, pair.leader);
     assert_false (cluster_worker_runs (pair.worker, "job-a"));
     cluster_free (cluster);
   }
@@ -236,7 +236,7 @@
     }
     cluster_release (cluster);
     cluster_run (cluster, 1);
-    cluster_report (cluster, pair.worker, pair.leader);
+    cluster_send_heartbeat (cluster, pair.worker, pair.leader);
     assert_true (cluster_worker_runs (pair.worker, "job-a"));
     assert_int_equal (pair.worker->tasks->len, 1);
     assert_int_equal (cluster_key_revision (cluster, "h/j/job-a"), revision);
@@ -254,7 +254,7 @@
   cluster_submit_and_start (cluster, pair.worker, pair.leader, "job-a");
   cluster_hold (cluster, pair.leader, "/commit", "\"s\":1");
   cluster_worker_exit_tasks (pair.worker, "done");
-  cluster_report (cluster, pair.worker, pair.leader);
+  cluster_send_heartbeat (cluster, pair.worker, pair.leader);
   cluster_run (cluster, 0.5);
   ClusterCall *write = cluster_find_call (cluster, pair.leader, "/commit", "\"s\":1");
   assert_non_null (write);
@@ -290,8 +290,8 @@
   cluster_run (cluster, 3);
   assert_int_equal (cluster_leader (cluster), 0);
   ClusterWorker *worker = cluster_worker (cluster, "m-000001");
-  assert_int_equal (cluster_report (cluster, worker, 0), 200);
-  assert_int_equal (cluster_report (cluster, worker, 1), 421);
+  assert_int_equal (cluster_send_heartbeat (cluster, worker, 0), 200);
+  assert_int_equal (cluster_send_heartbeat (cluster, worker, 1), 421);
   cluster_free (cluster);
 }
 
@@ -312,7 +312,7 @@
   /* Recorded by the next attempt and by the repeated submission. */
   cluster_submit_and_start (cluster, pair.worker, pair.other, "job-a");
   cluster_worker_exit_tasks (pair.worker, "done");
-  cluster_report (cluster, pair.worker, pair.leader);
+  cluster_send_heartbeat (cluster, pair.worker, pair.leader);
   cluster_run (cluster, 1);
   assert_state_at_every_node (&pair, "job-a", "done");
   assert_int_equal (cluster_carry_out_delayed (cluster, late), 409);
@@ -337,7 +337,7 @@
   assert_int_equal (cluster_reply_status (cluster, pair.other, id), 503);
   cluster_release (cluster);
   cluster_worker_exit_tasks (pair.worker, "done");
-  cluster_report (cluster, pair.worker, pair.leader);
+  cluster_send_heartbeat (cluster, pair.worker, pair.leader);
   cluster_run (cluster, 1);
   assert_state_at_every_node (&pair, "job-a", "done");
   assert_int_equal (cluster_carry_out_delayed (cluster, late), 409);
@@ -375,7 +375,7 @@
   cluster_submit_and_start (cluster, pair.worker, pair.leader, "job-a");
   cluster_hold (cluster, pair.leader, "/commit", "\"s\":1");
   cluster_worker_exit_tasks (pair.worker, "done");
-  cluster_report (cluster, pair.worker, pair.leader);
+  cluster_send_heartbeat (cluster, pair.worker, pair.leader);
   cluster_run (cluster, 0.5);
   ClusterCall *write = cluster_find_call (cluster, pair.leader, "/commit", "\"s\":1");
   assert_non_null (write);
@@ -443,7 +443,7 @@
     cluster_hold (cluster, pair.leader, "/commit", "\"s\":1");
     cluster_hold (cluster, node, "/commit", "\"s\":2");
     cluster_worker_exit_tasks (pair.worker, "done");
-    cluster_report (cluster, pair.worker, pair.leader);
+    cluster_send_heartbeat (cluster, pair.worker, pair.leader);
     guint64 abort = cluster_cancel (cluster, node, "job-a");
     cluster_run (cluster, 0.5);
     ClusterCall *end = cluster_find_call (cluster, pair.leader, "/commit", "\"s\":1");
@@ -465,8 +465,8 @@
     cluster_run (cluster, 1);
     assert_string_equal (cluster_job_state (cluster, node, abort), job_state);
     assert_state_at_every_node (&pair, "job-a", job_state);
-    cluster_report (cluster, pair.worker, pair.leader);
-    cluster_report (cluster, pair.worker, pair.leader);
+    cluster_send_heartbeat (cluster, pair.worker, pair.leader);
+    cluster_send_heartbeat (cluster, pair.worker, pair.leader);
     cluster_run (cluster, 1);
     assert_state_at_every_node (&pair, "job-a", job_state);
     cluster_free (cluster);
@@ -486,8 +486,8 @@
     cluster_run (cluster, 0.5);
     assert_string_equal (cluster_job_state (cluster, node, abort), "withdrawn");
     assert_false (cluster_worker_runs (pair.worker, "job-a"));
-    cluster_report (cluster, pair.worker, pair.leader);
-    cluster_report (cluster, pair.worker, pair.leader);
+    cluster_send_heartbeat (cluster, pair.worker, pair.leader);
+    cluster_send_heartbeat (cluster, pair.worker, pair.leader);
     cluster_run (cluster, 1);
     assert_non_null (strstr (cluster_value (cluster, "h/j/job-a"), "\"n\":1")); /* the tombstone */
     cluster_free (cluster);
@@ -505,8 +505,8 @@
   Cluster *cluster = pair.cluster;
   cluster_submit_and_start (cluster, pair.worker, pair.leader, "job-a");
   depose_unnoticed (&pair);
-  assert_int_equal (cluster_report (cluster, pair.worker, pair.other), 200);
-  assert_int_equal (cluster_report (cluster, pair.worker, pair.other), 200);
+  assert_int_equal (cluster_send_heartbeat (cluster, pair.worker, pair.other), 200);
+  assert_int_equal (cluster_send_heartbeat (cluster, pair.worker, pair.other), 200);
   assert_true (cluster_worker_runs (pair.worker, "job-a"));
   guint64 abort = cluster_cancel (cluster, pair.leader, "job-a");
   /* The former leader's read does not return the new leader record. */
@@ -523,7 +523,7 @@
   }
   assert_string_equal (cluster_job_state (cluster, pair.leader, abort), "withdrawn");
   cluster_run (cluster, 0.5);
-  cluster_report (cluster, pair.worker, pair.other);
+  cluster_send_heartbeat (cluster, pair.worker, pair.other);
   assert_false (cluster_worker_runs (pair.worker, "job-a"));
   cluster->exchange_statuses = TRUE;
   cluster_release (cluster);
@@ -540,8 +540,8 @@
   Cluster *cluster = cluster_new_with_leader (3);
   int old = cluster_leader (cluster);
   ClusterWorker *worker = cluster_worker (cluster, "m-000001");
-  cluster_report (cluster, worker, old);
-  cluster_report (cluster, worker, old);
+  cluster_send_heartbeat (cluster, worker, old);
+  cluster_send_heartbeat (cluster, worker, old);
   cluster_submit_and_start (cluster, worker, old, "job-a");
   for (int i = 0; i < 3; i++)
     cluster_hold (cluster, i, "/commit", "h/leader");
@@ -566,7 +566,7 @@
   cluster_run (cluster, 1);
   assert_int_equal (cluster_leader (cluster), next);
   for (int i = 0; i < 3; i++)
-    cluster_report (cluster, worker, next);
+    cluster_send_heartbeat (cluster, worker, next);
   assert_false (cluster_worker_runs (worker, "job-a"));
   cluster_run (cluster, 1);
   assert_string_equal (cluster_poll_state (cluster, next, "job-a"), "withdrawn");
@@ -592,15 +592,15 @@
   cluster_tick (cluster, 1.1);
   cluster_submit (cluster, pair.other, "job-b", 1); /* a change that the leader misses */
   cluster_serve (cluster);
-  cluster_forget_changes (cluster);
+  cluster_compact_changes (cluster);
   cluster_answer (cluster, cluster_find_call (cluster, pair.leader, READ, NULL));
   cluster_release (cluster);
   order->held = TRUE;
   for (int i = 0; i < 40; i++) {
     cluster_run (cluster, 0.5);
     int leader = cluster_leader (cluster);
-    if (cluster_report (cluster, pair.worker, leader) == 200 && i > 2)
-      cluster_report (cluster, other, leader);
+    if (cluster_send_heartbeat (cluster, pair.worker, leader) == 200 && i > 2)
+      cluster_send_heartbeat (cluster, other, leader);
   }
   assert_true (cluster_worker_runs (pair.worker, "job-a") || cluster_worker_runs (other, "job-a"));
   assert_int_equal (cluster_deliver_direct_call (pair.worker, order), 409);
