--- a/tests/soak.c
+++ b/tests/soak.c
@@ -3,8 +3,9 @@
  * [--seed N] [--runs N] [--seconds S] [--controllers N] [--old-daemon FILE [--old-format N]].
  * With --old-daemon all controllers start with that program and are replaced in turn while users
  * submit pipelines and faults continue; then the limits of the state store are lowered.
- * --old-format 0 means that the old program supports neither record formats nor pipelines. Exit
- * status 0: no rule was broken, and every seed was played to the end. */
+ * --old-format 0 means that the old program supports neither record formats nor pipelines.
+ *
+ * Exit status 0: no rule was broken, and every seed was played to the end. */
 #include "coordination/core.h"
 #include "emulator/emulator.h"
 #include "sim/log.h"
@@ -27,8 +28,7 @@
  * MAX_TRIES times in all. */
 #define MAX_PAUSE_S 1.5
 #define MAX_TRIES 3
-/* Time without faults at the end: cancel_s, and some seconds until all processes have reconnected.
- */
+/* Time without faults at the end: cancel_s, and some seconds for all processes to reconnect. */
 #define RECOVERY_S (CANCEL_S + 8)
 /* The share of draw_cancels_across_terms() among the faults. */
 #define ACROSS_TERMS_SHARE 0.2
