--- a/tests/bench_core.c
+++ b/tests/bench_core.c
@@ -1,6 +1,7 @@
 /* Micro-benchmark: CPU time of the core of a leading controller, by kind of command, at the size of
  * a large deployment. Usage: bench_core [MACHINES [JOBS]]. It prints figures and checks nothing.
- * The fake services answer at once, so that only the core's own work is measured. */
+ * The fake services answer at once, so that only the core's own work is measured.
+ * src/protocol/wire_names.h explains the fields of messages. */
 #include "coordination/core.h"
 #include "protocol/json_util.h"
 #include <stdio.h>
@@ -12,9 +13,9 @@
   HrCore *core;
   double now;
   guint64 epoch;
-  guint machines, tally;
-  GPtrArray *responses;      /* HrCommand: responses to calls */
-  GHashTable *running_tasks; /* machine -> set of task members of its heartbeat */
+  guint machines, sequence;  /* sequence: number of the latest heartbeat */
+  GPtrArray *responses;      /* HrCommand: responses to the core's calls */
+  GHashTable *running_tasks; /* machine -> set of the "piece" and "try" members in its heartbeat */
   GString *log;              /* changes since the last read; watches stay open */
   guint writes;
 } Bench;
@@ -79,7 +80,7 @@
                    "{\"rockhand\":\"%s\",\"addr\":\"%s\",\"hull\":\"g2\",\"quarry\":"
                    "\"z0\",\"loaners\":false,\"tenure\":1,\"tally\":%u,\"baton\":1,\"warning_s\":"
                    "null,\"pieces\":[",
-                   machine, machine, ++bench->tally);
+                   machine, machine, ++bench->sequence);
   g_hash_table_iter_init (&iter, g_hash_table_lookup (bench->running_tasks, machine));
   while (g_hash_table_iter_next (&iter, &task, NULL)) {
     g_string_append_printf (text, "%s{%s,\"stance\":\"running\"}", separator, (char *)task);
--- a/tests/scripted_controller.c
+++ b/tests/scripted_controller.c
@@ -41,6 +41,7 @@
 {
   g_autofree char *key = g_strconcat ("h/j/", id, NULL);
   json_t *object = latest_change (controller, key), *value = json_object_get (object, "value");
+  /* HR_RECORD_STATE: HR_JOB_CANCELLED; HR_RECORD_TAG: another writer. */
   json_object_set_new (value, "s", json_integer (2));
   json_object_set_new (value, "w", json_string ("another"));
   g_autofree char *text = json_dumps (value, JSON_COMPACT);
@@ -374,6 +375,7 @@
   hr_names_init (&controller->names);
   load_settings_and_policy (controller);
   if (strcmp (leader, "c0") != 0) {
+    /* "b": fencing token, "o": label of the leader, "i": incarnation of its process. */
     g_autofree char *leader_lock =
         g_strdup_printf ("{\"b\":0,\"o\":\"%s\",\"i\":\"%s-1\"}", leader, leader);
     g_autofree char *leader_record =
--- a/tests/scripted_controller.h
+++ b/tests/scripted_controller.h
@@ -1,6 +1,6 @@
-/* Drives one controller, c0, step by step. The test sets the statuses of the other members (c1 and
- * c2), the availability of the state store and the tasks of one worker. The state store and the
- * cloud answer within the step. */
+/* Drives one controller, c0, step by step (a step handles one batch of commands). The test sets the
+ * statuses of the other members (c1 and c2), the availability of the state store and the tasks of
+ * one worker. The state store and the cloud answer within the step. */
 #pragma once
 #include "coordination/core.h"
 #include <jansson.h>
--- a/tests/sim/cloud.c
+++ b/tests/sim/cloud.c
@@ -1,4 +1,4 @@
-/* The simulated cloud. */
+/* The simulated cloud. src/protocol/wire_names.h explains the fields of its interface. */
 #include "sim/cloud.h"
 #include "sim/request.h"
 #include "sim/store.h"
@@ -126,7 +126,7 @@
       if (!request->answered && machine->gone &&
           cluster->now - MAX (machine->gone_at, machine->last_referenced_at) > 90 &&
           !store_references_machine (cluster, machine->name))
-        sim_report_violation (cluster, "stale", "%s is returned though it has been gone for %.0f s",
+        sim_report_violation (cluster, "stale", "%s is returned though it ended %.0f s ago",
                               machine->name, cluster->now - machine->gone_at);
       if (!machine->delete_requested_at)
         machine->delete_requested_at = cluster->now;
@@ -200,7 +200,8 @@
   else if (g_str_has_prefix (request->path, "/rentals?"))
     list_rentals (cluster, request);
   else
-    sim_report_violation (cluster, "protocol", "the cloud was asked for %s", request->path);
+    sim_report_violation (cluster, "protocol", "unexpected request to the cloud: %s",
+                          request->path);
 }
 
 static void
--- a/tests/sim/cluster.h
+++ b/tests/sim/cluster.h
@@ -87,10 +87,11 @@
   SimNode nodes[MAX_NODES];
   int n; /* number of nodes */
   HrPolicy policy;
-  double report_s, lease_s, cancel_s;   /* settings of the workers */
-  double guarantee_gpus;                /* guarantee of a second team; 0: there is none */
-  double quota_gpus, machines_per_part; /* 0: no limit; 0: the policy's value */
-  GHashTable *assignment_recorders;     /* "job/task/try" -> process that first recorded it */
+  double report_s, lease_s, cancel_s; /* settings of the workers */
+  double guarantee_gpus;              /* guarantee of a second team; 0: there is none */
+  double quota_gpus;                  /* GPU quota of the first team; 0: no limit */
+  double machines_per_part;           /* machines per shard; 0: the policy's value */
+  GHashTable *assignment_recorders;   /* "job/task/try" -> process that first recorded it */
   /* state store */
   GHashTable *keys; /* path -> StoreKey */
   GArray *log;      /* StoreChange */
@@ -108,7 +109,7 @@
   GPtrArray *machines; /* SimMachine */
   GHashTable *rentals; /* rental request -> its answer */
   double cloud_outage_until;
-  double cloud_calls, cloud_called_at; /* level of the rate limit's leaky bucket, as of then */
+  double cloud_calls, cloud_called_at; /* level of the rate limit's leaky bucket at that time */
   guint capacity;      /* machines that the cloud has, and a third as many spot machines */
   gboolean long_names; /* of machines */
   /* users */
--- a/tests/sim/external_jobs.c
+++ b/tests/sim/external_jobs.c
@@ -1,4 +1,5 @@
-/* Jobs that users outside this process submit, as the simulation knows them. */
+/* Creates simulated jobs for submissions from users outside this process.
+ * src/protocol/wire_names.h explains the fields of a submission. */
 #include "sim/external_jobs.h"
 #include "sim/user.h"
 #include "sim/cluster.h"
@@ -23,8 +24,8 @@
   return value;
 }
 
-/* Returns the jobs in the field awaits, for the rules of pipelines. Ids that were never submitted
- * are left out: a controller refuses such a submission. */
+/* Returns the jobs that the submission awaits, for the checks in sim/pipeline.c. Ids that were
+ * never submitted are left out: a controller refuses such a submission. */
 static GPtrArray *
 read_awaits (SimCluster *cluster, const json_t *object)
 {
@@ -34,10 +35,10 @@
   json_array_foreach (json_object_get (object, "awaits"), i, id)
   {
     guint32 index;
-    SimJob *before =
+    SimJob *awaited =
         json_is_string (id) ? job_by_id (cluster, json_string_value (id), &index) : NULL;
-    if (before)
-      g_ptr_array_add (awaits, before);
+    if (awaited)
+      g_ptr_array_add (awaits, awaited);
   }
   return awaits;
 }
@@ -61,6 +62,7 @@
   job->one_zone = json_is_true (json_object_get (object, "together"));
   job->spread = json_is_true (json_object_get (object, "apart"));
   job->spot = json_is_true (json_object_get (object, "loaners"));
+  /* Index of the zone plus one; 0: any zone. */
   job->zone = zone ? (g_str_equal (zone, "z0") ? 1 : 2) : 0;
   job->submitted = TRUE;
   job->awaits = read_awaits (cluster, object);
--- a/tests/sim/faults.c
+++ b/tests/sim/faults.c
@@ -79,7 +79,8 @@
   }
 }
 
-/* others: several machines are affected, so that the failure looks like one of the controller. */
+/* Cuts the fault's machine off from answers and direct orders. others: each other machine is cut
+ * off too with a probability of 0.3, so that the failure looks like one of the controller. */
 static void
 cut_inbound (SimCluster *cluster, const DrawnFault *fault, gboolean others)
 {
--- a/tests/sim/faults.h
+++ b/tests/sim/faults.h
@@ -52,8 +52,8 @@
 void faults_crash_leader (SimCluster *cluster, double at);
 /* Compacts the changes that the leader has not read yet, again and again. */
 void faults_compact_changes (SimCluster *cluster, double from, double to);
-/* Freezes controllers while their clocks keep running: the leader, the other ones, or all. */
-typedef enum { FREEZE_LEADER, FREEZE_OTHER, FREEZE_ALL } FreezeTarget;
+/* Freezes controllers while their clocks keep running: the leader, all others, or all. */
+typedef enum { FREEZE_LEADER, FREEZE_OTHERS, FREEZE_ALL } FreezeTarget;
 void faults_freeze (SimCluster *cluster, double at, FreezeTarget who, double for_s);
 /* The busiest machine receives neither answers nor direct orders for 200 s, and has to be deleted
  * within 60 s. */
--- a/tests/sim/faults_fleet.c
+++ b/tests/sim/faults_fleet.c
@@ -21,10 +21,10 @@
 static void
 check_deletion_requested (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
-  guint gone, kept = fault_count_marked (cluster, is_kept, &gone);
-  if (!gone || kept)
+  guint crashed, kept = fault_count_marked (cluster, is_kept, &crashed);
+  if (!crashed || kept)
     sim_report_violation (cluster, "proof", "no deletion requested for %u of %u crashed machines",
-                          kept, gone);
+                          kept, crashed);
 }
 
 static void
--- a/tests/sim/limits.c
+++ b/tests/sim/limits.c
@@ -1,4 +1,4 @@
-/* Workloads for days on which a team is at its limit. */
+/* Workloads for days on which a team is at its limit (limits.h). */
 #include "sim/limits.h"
 #include "sim/user.h"
 
--- a/tests/sim/limits.h
+++ b/tests/sim/limits.h
@@ -1,5 +1,6 @@
-/* Workloads for days on which a team is at its limit (cluster.h: quota_gpus). Each task of an array
- * and each replica takes one GPU; each task of a gang takes a machine with both of its GPUs. */
+/* Workloads for days on which a team is at its limit (its quota, quota_gpus in cluster.h). Each
+ * task of an array and each replica takes one GPU; each task of a gang takes a machine with both of
+ * its GPUs. */
 #pragma once
 #include "sim/user.h"
 #include "sim/cluster.h"
--- a/tests/sim/malformed_requests.c
+++ b/tests/sim/malformed_requests.c
@@ -3,7 +3,8 @@
  * retried until a controller decides. A repeated submission is recognized by its id alone, so a
  * controller also needs a snapshot read to reject a malformed request that names a job; it can
  * reject one that names no job at once. Nothing of these requests may be recorded: each carries a
- * mark that must not appear in any key or value of the simulated state store. */
+ * mark that must not appear in any key or value of the simulated state store.
+ * src/protocol/wire_names.h explains the fields of a submission. */
 #include "coordination/command.h"
 #include "protocol/json_util.h"
 #include "sim/answer_checks.h"
@@ -19,7 +20,7 @@
 #define RECORDED_AFTER_S 8.0 /* answers may be lost and writes may be late */
 #define REPEAT_SPAN_S 0.03
 #define RETRY_INTERVAL_S 1.0
-#define MAX_TRIES 60 /* longer than any period without a snapshot read on these days */
+#define MAX_TRIES 60 /* 60 s: longer than any period without a snapshot read on these days */
 
 typedef struct {
   char *mark; /* part of everything that could be recorded of the request; NULL: not checked */
@@ -116,7 +117,8 @@
 {
   MalformedRequest *request = data;
   request->tries++;
-  if (request->user_request) { /* states that users learned in the meantime bind this answer too */
+  /* The answer must not be older than states that users learned meanwhile. */
+  if (request->user_request) {
     g_free (request->user_request);
     request->user_request = sim_user_request_new (cluster, request->job);
   }
--- a/tests/sim/node_checks.c
+++ b/tests/sim/node_checks.c
@@ -33,7 +33,7 @@
   g_autofree char *id = g_strndup (piece, strcspn (piece, "/"));
   g_autofree char *key = g_strconcat ("h/j/", id, NULL);
   json_t *record = json_loads (store_text (cluster, key), 0, NULL);
-  gboolean final = json_integer_value (json_object_get (record, "s")) != 0;
+  gboolean final = json_integer_value (json_object_get (record, "s")) != 0; /* HrJobState */
   json_decref (record);
   return final;
 }
--- a/tests/sim/pipeline.c
+++ b/tests/sim/pipeline.c
@@ -1,3 +1,5 @@
+/* Users of pipelines, and the rules for jobs that await other jobs (pipeline.h).
+ * src/protocol/wire_names.h explains the fields and states in requests and answers. */
 #include "coordination/command.h"
 #include "protocol/json_util.h"
 #include "sim/pipeline.h"
@@ -17,15 +19,16 @@
 
 /* ---- the rules ---- */
 
-/* Returns when a user first learned that a job before this one is cancelled; 0: never. */
+/* Returns when a user first learned that a job that this one awaits, directly or indirectly, is
+ * cancelled; 0: never. */
 static double
 ancestor_cancelled_at (const SimJob *job)
 {
   double first = 0;
   for (guint i = 0; job->awaits && i < job->awaits->len; i++) {
-    const SimJob *before = job->awaits->pdata[i];
+    const SimJob *awaited = job->awaits->pdata[i];
     double cancelled_at =
-        before->cancelled_reply_at ? before->cancelled_reply_at : ancestor_cancelled_at (before);
+        awaited->cancelled_reply_at ? awaited->cancelled_reply_at : ancestor_cancelled_at (awaited);
     if (cancelled_at && (!first || cancelled_at < first))
       first = cancelled_at;
   }
@@ -63,11 +66,11 @@
 pipeline_on_task_start (SimCluster *cluster, const SimJob *job, guint32 task_index)
 {
   for (guint i = 0; job->awaits && i < job->awaits->len; i++) {
-    const SimJob *before = job->awaits->pdata[i];
-    for (guint k = 0; k < before->tasks; k++)
-      if (!before->done[k]) {
+    const SimJob *awaited = job->awaits->pdata[i];
+    for (guint k = 0; k < awaited->tasks; k++)
+      if (!awaited->done[k]) {
         sim_report_violation (cluster, "too_early", "%s/%u starts before %s/%u is done", job->id,
-                              task_index, before->id, k);
+                              task_index, awaited->id, k);
         break;
       }
   }
@@ -82,7 +85,8 @@
     sim_report_violation (cluster, "orphaned", "%s/%u is still on a machine", job->id, task_index);
 }
 
-/* Crashes all controllers; anything that is not in the state store yet is lost. */
+/* Crashes all controllers, half of the time along with an outage of the state store; anything that
+ * is not in the store yet is lost. */
 static void
 crash_all_nodes (SimCluster *cluster)
 {
--- a/tests/sim/request.h
+++ b/tests/sim/request.h
@@ -9,12 +9,12 @@
 typedef struct {
   int node;         /* controller that sends it; -1: a worker or user sends it */
   guint generation; /* of the sending controller's process */
-  guint64 call;
-  int to; /* controller that receives it, if node is -1 */
+  guint64 call;     /* the controller's id of the call */
+  int to;           /* controller that receives it, if node is -1 */
   HrTarget target;
   HrMethod method;
   char *addr, *path, *body;
-  double timeout;
+  double timeout; /* s */
   gboolean answered;
   gboolean answer_lost; /* its answer is dropped */
   int refs;
--- a/tests/sim/single_node.c
+++ b/tests/sim/single_node.c
@@ -1,3 +1,5 @@
+/* One controller core with a fake state store. src/protocol/wire_names.h explains the fields of
+ * requests and answers, src/bookkeeping/record_fields.h those of records. */
 #include "bookkeeping/tables.h"
 #include "coordination/command.h"
 #include "coordination/core.h"
@@ -78,8 +80,8 @@
   return NULL;
 }
 
-/* Returns the changes after an epoch, or (rows) the latest change of each record as rows of a
- * listing. */
+/* Returns the store's answer to a read: the changes after a revision or, if `rows` is set, a
+ * listing with the latest change of each record. */
 static char *
 changes_text (const FakeStore *store, guint64 after, gboolean rows)
 {
--- a/tests/sim/single_node.h
+++ b/tests/sim/single_node.h
@@ -5,20 +5,20 @@
 
 typedef struct {
   char *path, *text;
-  guint64 stamp;
+  guint64 stamp; /* revision of the change */
 } FakeStoreChange;
 
 /* A state store that keeps every change of every record. */
 typedef struct {
-  GArray *log;       /* FakeStoreChange */
-  GHashTable *stamp; /* path -> guint64: the latest change */
-  guint64 epoch;
+  GArray *log;                 /* FakeStoreChange */
+  GHashTable *stamp;           /* path -> guint64: revision of the latest change */
+  guint64 epoch;               /* revision of the latest change of any record */
   gboolean down, newest_first; /* newest_first: a full listing gives the newest record first */
 } FakeStore;
 
 FakeStore *fake_store_new (void);
 void fake_store_free (FakeStore *store);
-/* Appends a change at the current epoch. */
+/* Appends a change of the record with the store's current revision. */
 void fake_store_set (FakeStore *store, const char *path, const char *text);
 /* Returns the current text of the job's main record, or NULL. */
 const char *fake_store_job_record (const FakeStore *store, const char *id);
--- a/tests/sim/store.c
+++ b/tests/sim/store.c
@@ -1,4 +1,5 @@
-/* The simulated state store. */
+/* The simulated state store. src/bookkeeping/record_fields.h explains the members of records ("s",
+ * "w", "x" and others), src/bookkeeping/store_keys.h the keys. */
 #include "bookkeeping/tables.h"
 #include "coordination/command.h"
 #include "coordination/core.h"
@@ -156,8 +157,8 @@
   for (guint i = 0; machine && i < cluster->machines->len; i++) {
     SimMachine *host = cluster->machines->pdata[i];
     if (host->gone && cluster->now - host->gone_at > 45 && strcmp (host->name, machine) == 0)
-      sim_report_violation (cluster, "stale", "%s is placed on %s, which has been gone for %.0f s",
-                            task, machine, cluster->now - host->gone_at);
+      sim_report_violation (cluster, "stale", "%s is placed on %s, which ended %.0f s ago", task,
+                            machine, cluster->now - host->gone_at);
   }
 }
 
@@ -471,7 +472,7 @@
     g_autofree char *id = g_strndup (rest, strcspn (rest, "/"));
     g_autofree char *main = g_strconcat ("h/j/", id, NULL);
     StoreKey *k = g_hash_table_lookup (cluster->keys, main);
-    n += k && !strstr (k->text, "\"j\":"); /* a tombstone has no description */
+    n += k && !strstr (k->text, "\"j\":"); /* a tombstone has no specification */
   }
   return n;
 }
@@ -632,7 +633,8 @@
     g_ptr_array_add (cluster->watches, watch);
     answer_watches (cluster);
   } else
-    sim_report_violation (cluster, "protocol", "the state service was asked for %s", request->path);
+    sim_report_violation (cluster, "protocol", "unexpected request to the state store: %s",
+                          request->path);
 }
 
 static void
--- a/tests/sim/store.h
+++ b/tests/sim/store.h
@@ -4,10 +4,12 @@
 #include "sim/request.h"
 #include "sim/cluster.h"
 
-/* Limits that the settings of all days announce for the state store. */
+/* Limits that the settings of all days announce for the state store: KiB per value, changes per
+ * transaction, and changes per second. */
 #define NEXT_VALUE_KB 2.0
 #define NEXT_TXN_OPS 4
 #define NEXT_WRITE_RPS 40.0
+
 void store_request (SimCluster *cluster, SimRequest *request);
 void store_init (SimCluster *cluster);
 /* Writes the current record format as the cluster's; known FALSE: deletes the entry, as before the
--- a/tests/sim/troubles.h
+++ b/tests/sim/troubles.h
@@ -1,7 +1,8 @@
 /* Planned faults: which fault begins when, how long it lasts and what it affects. A simulated day
  * is a table of HrFault that is passed to faults_plan() before the cluster runs. In the text format
- * and in the names of files and options these faults are called troubles. Their random numbers come
- * from a separate stream, so that days without planned faults do not change.
+ * and in the names of files and options these faults are called troubles; in the names of kinds and
+ * triggers, workers' heartbeats are called reports and direct orders commands. Their random numbers
+ * come from a separate stream, so that days without planned faults do not change.
  *
  * All times are simulated seconds; for_s counts from at_s; shares are from 0 to 1. */
 #pragma once
@@ -44,10 +45,10 @@
    * task ends, half up to 0.6 s later, while the end is being reported and recorded.
    * Fields: share, for_s. */
   FAULT_CANCEL_AT_END,
-  /* Whenever a user learns that a job is accepted, done or cancelled, or the last task of a job
-   * ends, users query the job at all controllers, several times within 30 ms, and repeat the
-   * submission. A share of the jobs just accepted is cancelled at once (0: a tenth).
-   * Fields: for_s, share. */
+  /* Polls in quick succession: whenever a user learns that a job is accepted, done or cancelled, or
+   * the last task of a job ends, users repeat the submission and query the job at all controllers,
+   * several times within 30 ms. A share of the jobs just accepted is cancelled at once (0: a
+   * tenth). Fields: for_s, share. */
   FAULT_CLOSE_POLLS,
   /* Controllers lose the connections that the from_ fields name.
    * Fields: who, for_s, from_state, from_peers, from_workers, from_users, hold. */
@@ -83,12 +84,12 @@
 /* The controllers that a fault affects, determined when the fault begins. */
 typedef enum {
   WHO_LEADER, /* the controller that the leader record names */
-  WHO_OTHER,  /* the controller after the leader */
+  WHO_OTHER,  /* the controller with the index after the leader's */
   WHO_OTHERS, /* all but the leader */
   WHO_ALL
 } HrFaultTarget;
 
-/* When a fault begins: at its time, or at the first such event after that time. */
+/* When a fault begins: at its time, or at the first event of this kind after that time. */
 typedef enum {
   ON_TIME,
   ON_WRITE_SENT,      /* a controller sends a transaction */
@@ -118,7 +119,7 @@
   gboolean hold; /* a partition delays messages until its end instead of dropping them */
   gboolean at_once, for_next, to_all;
   gboolean from_state, from_peers, from_workers, from_users;
-  HrFaultTrigger on; /* with `times` 0 or 1 */
+  HrFaultTrigger on; /* cannot be combined with `times` above 1 */
 } HrFault;
 
 /* A fault that is active until a time. share: the share of messages or jobs that it affects. */
@@ -144,7 +145,8 @@
   gboolean zone_hold;
   GPtrArray *kept_for_next, *kept_for_all; /* SimRequest, copies of heartbeats */
   guint leaders;                           /* number of leaders named by the leader record so far */
-  guint leaders_released; /* `leaders` when copies were last released, or their recording began */
+  guint leaders_released; /* `leaders` when copies for the next leader were last released, or when
+                             their recording began */
   guint64 leader_token;   /* token with which the newest leader began */
   char *leader_process;
   GPtrArray *armed;           /* HrFault that wait for their trigger */
@@ -152,10 +154,10 @@
   double ends_at;             /* end of the last planned fault */
 } HrFaultState;
 
-/* Plans the faults of a day. No fault begins after the last planned one has ended. Called once a
- * day. */
+/* Plans the faults of a day; called once a day. Faults whose trigger has not occurred by the end of
+ * the last fault never begin. */
 void faults_plan (SimCluster *cluster, const HrFault *day, guint n);
-/* Begins the faults that wait for this event. */
+/* Begins the armed faults that wait for this event. */
 void faults_trigger (SimCluster *cluster, HrFaultTrigger event);
 
 /* ---- trouble_text.c ---- */
--- a/tests/sim/user.c
+++ b/tests/sim/user.c
@@ -310,7 +310,8 @@
   job_submit (cluster, job_new_array (cluster, 140, 40));
 }
 
-/* Arrays of both sizes: the release in production writes 60 tasks inline and 140 in pages. */
+/* Submits an array of 60 or 140 tasks: the release in production writes 60 tasks inline and 140 in
+ * pages. */
 static void
 large_array (SimCluster *cluster, gpointer data)
 {
@@ -322,7 +323,7 @@
   job_submit (cluster, job);
 }
 
-/* A service whose record is large as long as it runs. */
+/* Submits a service whose record is large as long as the service runs. */
 static void
 large_service (SimCluster *cluster, gpointer data)
 {
--- a/tests/sim/worker.c
+++ b/tests/sim/worker.c
@@ -1,4 +1,5 @@
-/* The simulated workers: heartbeats, tokens, leases, tasks and gangs. */
+/* The simulated workers: heartbeats, tokens, leases, tasks and gangs. src/protocol/wire_names.h
+ * explains the fields of heartbeats and orders. */
 #include "coordination/command.h"
 #include "protocol/json_util.h"
 #include "sim/invariant_checks.h"
--- a/tests/sim/worker.h
+++ b/tests/sim/worker.h
@@ -5,11 +5,11 @@
 #include "sim/cluster.h"
 
 typedef enum {
-  SIM_TASK_FETCH,
-  SIM_TASK_GATHER,
+  SIM_TASK_FETCH,  /* fetches its image */
+  SIM_TASK_GATHER, /* has its image and waits for the other tasks of its gang */
   SIM_TASK_RUN,
-  SIM_TASK_SAVE,
-  SIM_TASK_EXIT
+  SIM_TASK_SAVE, /* was stopped and saves a checkpoint */
+  SIM_TASK_EXIT  /* has ended; heartbeats list it until the controller clears it */
 } SimTaskState;
 typedef struct {
   guint32 job, task, try;
@@ -24,8 +24,9 @@
 } SimTask;
 
 typedef struct {
-  char *name, *addr, *ask;
-  int type_boot; /* ms */
+  char *name, *addr;
+  char *ask;     /* idempotency key of the request that rented it */
+  int type_boot; /* boot time of its machine type, in ms */
   guint zone;
   /* gone: it has ended and does not return. */
   gboolean spot, up, gone, failed, listed_gone;
--- a/tests/sim/workloads.c
+++ b/tests/sim/workloads.c
@@ -31,7 +31,7 @@
   job_submit (cluster, job);
 }
 
-/* A gang of two, for which two machines are enough. */
+/* Submits a gang of two tasks, for which two machines are enough. */
 static void
 small_gang (SimCluster *cluster, gpointer data G_GNUC_UNUSED)
 {
@@ -41,7 +41,7 @@
   job_submit (cluster, job);
 }
 
-/* All of these gangs use one image, whose fetch takes longer than gang_wait_s. */
+/* Submits a gang; all of these gangs use one image, whose fetch takes longer than gang_wait_s. */
 static void
 long_fetch (SimCluster *cluster, gpointer data)
 {
@@ -93,7 +93,7 @@
     sim_schedule (cluster, at + 0.05 * i, service, GUINT_TO_POINTER (tasks));
 }
 
-/* Jobs of all shapes, in about the proportions of a large deployment. */
+/* Submits a job; the shapes are in about the proportions of a large deployment. */
 static void
 mixed_job (SimCluster *cluster, gpointer data)
 {
