--- a/tests/test_allowance.c
+++ b/tests/test_allowance.c
@@ -1,6 +1,6 @@
 /* The answers that users get, and after what time, while the state store allows few writes, is slow
- * or is unavailable (scripted_cluster.h). docs/meetings.md names the guard without which each test
- * fails. */
+ * or is unavailable (scripted_cluster.h). docs/meetings.md names the check in the controller
+ * without which each test fails. */
 #include "scripted_cluster.h"
 #include "protocol/json_util.h"
 #include <setjmp.h>
@@ -73,9 +73,9 @@
   char *id;
   int node;
   /* Times in seconds; 0: not yet. done_at: a user got the state "done". */
-  double sent_at, accepted_at, ends_at, done_at, abort_sent_at, cancelled_at;
+  double sent_at, accepted_at, ends_at, done_at, cancel_sent_at, cancelled_at;
   gboolean to_cancel;
-  guint64 submission, abort, poll;
+  guint64 submission, cancel_request, poll; /* ids of the latest requests; 0: none */
 } StreamJob;
 
 typedef struct {
@@ -112,18 +112,20 @@
     }
     if (!job->accepted_at || job->cancelled_at || job->done_at)
       continue;
-    if (job->to_cancel && !job->abort && cluster->now - job->accepted_at > i % 8) {
-      job->abort = cluster_cancel (cluster, (job->node + 1) % cluster->n, job->id);
-      job->abort_sent_at = cluster->now;
+    if (job->to_cancel && !job->cancel_request && cluster->now - job->accepted_at > i % 8) {
+      job->cancel_request = cluster_cancel (cluster, (job->node + 1) % cluster->n, job->id);
+      job->cancel_sent_at = cluster->now;
     }
     const char *job_state =
-        job->abort ? cluster_job_state (cluster, (job->node + 1) % cluster->n, job->abort) : NULL;
+        job->cancel_request
+            ? cluster_job_state (cluster, (job->node + 1) % cluster->n, job->cancel_request)
+            : NULL;
     if (job_state) {
       job->cancelled_at = cluster->now;
-      stream->worst_cancel = MAX (stream->worst_cancel, cluster->now - job->abort_sent_at);
-    } else if (job->abort &&
-               cluster_reply_status (cluster, (job->node + 1) % cluster->n, job->abort))
-      job->abort = 0;
+      stream->worst_cancel = MAX (stream->worst_cancel, cluster->now - job->cancel_sent_at);
+    } else if (job->cancel_request &&
+               cluster_reply_status (cluster, (job->node + 1) % cluster->n, job->cancel_request))
+      job->cancel_request = 0;
     if (!job->to_cancel && job->ends_at && cluster->now > job->ends_at) {
       job_state =
           job->poll ? cluster_job_state (cluster, (job->node + 2) % cluster->n, job->poll) : NULL;
@@ -256,9 +258,9 @@
   cluster_run (cluster, 1.95); /* requests wait at most two seconds */
   for (int i = 0; i < 3; i++)
     assert_non_null (cluster_job_state (cluster, i, polls[i]));
-  guint64 abort = cluster_cancel (cluster, third, "job-a");
+  guint64 cancel_request = cluster_cancel (cluster, third, "job-a");
   cluster_run (cluster, 3);
-  assert_string_equal (cluster_job_state (cluster, third, abort), "withdrawn");
+  assert_string_equal (cluster_job_state (cluster, third, cancel_request), "withdrawn");
   assert_no_older_state (cluster, "job-a");
   cluster->store_delay_s = 0;
   cluster_run (cluster, 2);
@@ -270,9 +272,9 @@
   /* The state store refuses the leader alone, and another node confirms a cancellation. */
   cluster->nodes[leader].store_available = FALSE;
   cluster_run (cluster, 0.2);
-  guint64 abort = cluster_cancel (cluster, next, "job-b");
+  guint64 cancel_request = cluster_cancel (cluster, next, "job-b");
   cluster_run (cluster, 0.3);
-  assert_string_equal (cluster_job_state (cluster, next, abort), "withdrawn");
+  assert_string_equal (cluster_job_state (cluster, next, cancel_request), "withdrawn");
   assert_no_older_state (cluster, "job-b");
   cluster_run (cluster, 0.7);
 }
@@ -289,11 +291,11 @@
     cluster_run (cluster, 1);
   }
   guint64 id = cluster_submit (cluster, next, "job-d", 1);
-  guint64 abort = cluster_cancel (cluster, next, "job-c");
+  guint64 cancel_request = cluster_cancel (cluster, next, "job-c");
   cluster_run (cluster, 0.3);
   assert_int_equal (cluster_reply_status (cluster, next, id), 503);
   assert_int_equal (cluster_reply (cluster, next, id)->retry_after, 2);
-  assert_int_equal (cluster_reply_status (cluster, next, abort), 503);
+  assert_int_equal (cluster_reply_status (cluster, next, cancel_request), 503);
   /* A final state may be answered during the outage. */
   assert_string_equal (cluster_poll_state (cluster, next, "job-b"), "withdrawn");
 }
--- a/tests/test_awaits.c
+++ b/tests/test_awaits.c
@@ -1,6 +1,7 @@
 /* Jobs that depend on other jobs, at controllers with a fake state store: which submissions are
  * rejected and why, and that cancellations of dependents follow from the records alone, in
- * whichever order they are read. */
+ * whichever order they are read. src/bookkeeping/record_fields.h explains the members of records
+ * ("a": awaited jobs, "s": state, 2: cancelled, "j": specification, which a tombstone lacks). */
 #include "bookkeeping/tables.h"
 #include "coordination/core.h"
 #include "coordination/jobs/task_lifecycle.h"
@@ -177,7 +178,7 @@
   }
 }
 
-/* Returns the epoch of the change that cancelled the job, or 0. */
+/* Returns the revision of the change that cancelled the job, or 0. */
 static guint64
 cancellation_epoch (const FakeStore *store, const char *path)
 {
@@ -210,7 +211,8 @@
   assert_string_equal (hr_json_str (n->body, "stance"), "withdrawn");
   assert_int_equal (single_node_submit (n, "job-late", "[\"job-c599\"]", NULL), 201);
   assert_string_equal (hr_json_str (n->body, "stance"), "withdrawn");
-  /* Controllers that start later and do not lead derive the same, in either order of reading. */
+  /* Controllers that start later and do not lead derive the same cancellations from the records, in
+   * whichever order they read them. */
   for (guint k = 0; k < 2; k++) {
     FakeStore *partial = fake_store_new (); /* without the leader's later writes */
     for (guint i = 0; i < store->log->len; i++) {
--- a/tests/test_cancellations.c
+++ b/tests/test_cancellations.c
@@ -119,6 +119,7 @@
   guint64 first = 0;
   for (int i = 0; i < JOBS; i++) {
     g_autofree char *key = g_strdup_printf ("h/j/job-%06d", i);
+    /* A tombstone of a cancelled job (src/bookkeeping/record_fields.h). */
     scripted_write (controller, key, "{\"s\":2,\"w\":\"x\",\"n\":1,\"d\":0}");
     first = first ? first : controller->revision;
   }
--- a/tests/test_client.c
+++ b/tests/test_client.c
@@ -1,4 +1,5 @@
-/* The command-line client against a fake controller that gives the responses that a test lists. */
+/* The command-line client against a fake controller that gives the responses that a test lists.
+ * src/protocol/wire_names.h explains the fields and states. */
 #include <libsoup/soup.h>
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/test_fixtures.c
+++ b/tests/test_fixtures.c
@@ -1,5 +1,6 @@
 /* Compatibility with earlier versions: records and frames written by the commits ecb9b3c and
- * 764e988 (tests/fixtures) are read, and written back byte for byte. */
+ * 764e988 (tests/fixtures) are read, and written back byte for byte.
+ * src/bookkeeping/record_fields.h explains the members of records. */
 #include "bookkeeping/record.h"
 #include "bookkeeping/tables.h"
 #include "coordination/command.h"
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -1,5 +1,5 @@
-/* Simulated days on which a team is at its limit: which machines are rented, which tasks start
- * next, and that the limit holds under failures too. */
+/* Simulated days (runs from one seed each) on which a team is at its limit, its quota: which
+ * machines are rented, which tasks start next, and that the limit holds under failures too. */
 #include "sim/limits.h"
 #include "sim/log.h"
 #include "sim/troubles.h"
--- a/tests/test_protocol.c
+++ b/tests/test_protocol.c
@@ -1,4 +1,5 @@
-/* Parsing of submissions, heartbeats, orders, machine types and settings. */
+/* Parsing of submissions, heartbeats, orders, machine types and settings.
+ * src/protocol/wire_names.h explains the fields. */
 #include "protocol/cloud.h"
 #include "protocol/json_util.h"
 #include "protocol/settings.h"
--- a/tests/test_readiness.c
+++ b/tests/test_readiness.c
@@ -1,6 +1,6 @@
-/* Jobs that depend on other jobs, at one controller with a fake state store: when they open, that
- * none of their tasks is bound or launched before, and which deadline and priority the jobs they
- * depend on inherit from them. */
+/* Jobs that depend on other jobs, at one controller with a fake state store: when they open (their
+ * tasks may be placed), that none of their tasks is assigned or launched before, and which deadline
+ * and priority the jobs they depend on inherit from them. */
 #include "bookkeeping/record_writer.h"
 #include "bookkeeping/replica.h"
 #include "bookkeeping/store.h"
@@ -142,7 +142,7 @@
   return &job->tasks[0];
 }
 
-/* Guards against a record that binds a task to a machine while the job still waits for its
+/* Guards against a record that assigns a task to a machine while the job still waits for its
  * dependencies, even if a faulty plan has assigned the task. */
 static void
 waiting_job_records_no_assignment (void **state G_GNUC_UNUSED)
--- a/tests/test_record.c
+++ b/tests/test_record.c
@@ -1,4 +1,5 @@
-/* Records of the state store: a record that is written reads back the same, for random jobs. */
+/* Records of the state store: a record that is written reads back the same, for random jobs.
+ * src/bookkeeping/record_fields.h explains the members of records. */
 #include "bookkeeping/record.h"
 #include "bookkeeping/tables.h"
 #include "protocol/json_util.h"
--- a/tests/test_record_split.c
+++ b/tests/test_record_split.c
@@ -1,5 +1,5 @@
 /* Splitting a record over several transactions, on a fake state store: changes by other controllers
- * between two transactions. */
+ * between two transactions. src/bookkeeping/record_fields.h explains the members of records. */
 #include "sim/single_node.h"
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/test_renewals.c
+++ b/tests/test_renewals.c
@@ -1,5 +1,6 @@
 /* An answer that renews a worker's lease names a stop for each of its tasks that must not run.
- * Checked message by message (scripted_fleet.h) and with generated heartbeats. */
+ * Checked message by message (scripted_fleet.h) and with generated heartbeats.
+ * src/protocol/wire_names.h explains the fields of heartbeats and orders. */
 #include "scripted_fleet.h"
 #include "coordination/invariant.h"
 #include "coordination/agents/lease_renewal.h"
@@ -31,6 +32,7 @@
   return machine;
 }
 
+/* Returns the fencing token ("b") in the leader record (h/map). */
 static guint64
 current_token (Fleet *fleet)
 {
--- a/tests/test_replica.c
+++ b/tests/test_replica.c
@@ -1,5 +1,6 @@
 /* A record that is split while a controller reads the whole state store: the state that the
- * controller then reports to the user. Each test supplies the store's responses one by one. */
+ * controller then reports to the user. Each test supplies the store's responses one by one.
+ * src/bookkeeping/record_fields.h explains the members of records. */
 #include "coordination/core.h"
 #include "protocol/json_util.h"
 #include <setjmp.h>
--- a/tests/test_requests.c
+++ b/tests/test_requests.c
@@ -1,5 +1,6 @@
 /* Malformed and invalid requests of users: checks the status and the body of the answer, and that
- * nothing is recorded. The table "Bad input" of docs/meetings.md has a line for each group. */
+ * nothing is recorded. The table "Bad input" of docs/meetings.md has a line for each group.
+ * src/protocol/wire_names.h explains the fields of a submission. */
 #include "coordination/command.h"
 #include "protocol/json_util.h"
 #include "scripted_cluster.h"
@@ -291,8 +292,8 @@
   cluster_free (cluster);
 }
 
-/* An invalid submission is neither refused for good nor accepted while the node cannot read whether
- * a job with its id exists. */
+/* An invalid submission is neither refused permanently (4xx) nor accepted while the node cannot
+ * read whether a job with its id exists. */
 static void
 an_invalid_submission_waits_for_the_state_service (void **state G_GNUC_UNUSED)
 {
@@ -311,7 +312,7 @@
 }
 
 static void
-cancellations_of_done_and_unknown_jobs (void **state G_GNUC_UNUSED)
+cancelling_done_and_unknown_jobs_changes_nothing (void **state G_GNUC_UNUSED)
 {
   Cluster *cluster = cluster_new_with_leader (2);
   int leader = cluster_leader (cluster), other = 1 - leader;
@@ -383,7 +384,8 @@
   cluster_free (cluster);
 }
 
-/* A malformed record: its job was accepted, so the answer is neither 404 nor an earlier state. */
+/* Checks requests about a job whose record is malformed: the job was accepted, so the answer is
+ * neither 404 nor an earlier state. */
 static void
 a_job_with_a_malformed_record_is_answered_503 (void **state G_GNUC_UNUSED)
 {
@@ -401,6 +403,7 @@
     cluster_run (cluster, 0.5);
     assert_int_equal (cluster_reply_status (cluster, i, id), 503);
   }
+  /* A tombstone of a cancelled job: state ("s") 2, one task ("n"), none of them done ("d"). */
   cluster_set_value (cluster, "h/j/job-b", "{\"w\":\"x\",\"s\":2,\"n\":1,\"d\":0}");
   cluster_run (cluster, 1);
   assert_string_equal (cluster_poll_state (cluster, 0, "job-b"), "withdrawn");
@@ -418,7 +421,7 @@
       cmocka_unit_test (a_gang_without_a_second_zone_is_refused),
       cmocka_unit_test (a_resubmission_with_other_content_returns_the_job),
       cmocka_unit_test (an_invalid_submission_waits_for_the_state_service),
-      cmocka_unit_test (cancellations_of_done_and_unknown_jobs),
+      cmocka_unit_test (cancelling_done_and_unknown_jobs_changes_nothing),
       cmocka_unit_test (unknown_paths_and_methods_are_refused),
       cmocka_unit_test (a_job_with_a_malformed_record_is_answered_503),
   };
--- a/tests/test_store_reads.c
+++ b/tests/test_store_reads.c
@@ -1,6 +1,6 @@
 /* Interleavings of users' requests with calls to and answers from the state store, message by
  * message (scripted_cluster.h). docs/meetings.md describes the interleaving of each test and the
- * guard without which it fails. */
+ * check in the controller without which it fails. */
 #include "scripted_cluster.h"
 #include "protocol/json_util.h"
 #include <setjmp.h>
@@ -141,10 +141,11 @@
   cluster_hold (cluster, leader, "/do", NULL); /* the stop does not reach its worker */
   cluster_submit (cluster, leader, "job-a", 1);
   cluster_run (cluster, 0.5);
-  guint64 abort = cluster_cancel (cluster, other, "job-b");
+  guint64 cancel_request = cluster_cancel (cluster, other, "job-b");
   cluster_run (cluster, 0.5);
-  assert_string_equal (cluster_job_state (cluster, other, abort), "withdrawn");
-  assert_null (strstr (cluster_value (cluster, "h/j/job-b"), "\"n\":1")); /* no tombstone yet */
+  assert_string_equal (cluster_job_state (cluster, other, cancel_request), "withdrawn");
+  /* No tombstone yet: only a tombstone has the number of tasks (HR_RECORD_N_TASKS). */
+  assert_null (strstr (cluster_value (cluster, "h/j/job-b"), "\"n\":1"));
   cluster_hold (cluster, other, READ, NULL);
   cluster_hold (cluster, other, WATCH, NULL);
   cluster_hold (cluster, other, "/kv?", NULL);
@@ -186,11 +187,11 @@
   cluster_tick (cluster, 0.05);
   guint64 poll = cluster_poll (cluster, other, "job-a"),
           again = cluster_submit (cluster, other, "job-a", 1),
-          abort = cluster_cancel (cluster, other, "job-a");
+          cancel_request = cluster_cancel (cluster, other, "job-a");
   cluster_run (cluster, 1);
   assert_int_equal (cluster_reply_status (cluster, other, poll), 503);
   assert_int_equal (cluster_reply_status (cluster, other, again), 503);
-  assert_int_equal (cluster_reply_status (cluster, other, abort), 503);
+  assert_int_equal (cluster_reply_status (cluster, other, cancel_request), 503);
   /* The listed keys alone are not enough: the first read of changes is still in flight. */
   cluster_hold (cluster, other, READ, NULL);
   cluster_answer (cluster, cluster_find_call (cluster, other, "/kv?", NULL));
@@ -243,9 +244,9 @@
     i = 0;
   }
   assert_true (reads > 0);
-  guint64 abort = cluster_cancel (cluster, next, "job-a");
+  guint64 cancel_request = cluster_cancel (cluster, next, "job-a");
   cluster_run (cluster, 0.3);
-  assert_string_equal (cluster_job_state (cluster, next, abort), "withdrawn");
+  assert_string_equal (cluster_job_state (cluster, next, cancel_request), "withdrawn");
   guint64 late = cluster_poll (cluster, old, "job-a");
   cluster_tick (cluster, 0.05);
   /* The read for the new request, and the old one. */
@@ -277,7 +278,8 @@
   assert_non_null (watch);
   cluster_carry_out (cluster, watch);
   for (int i = 0; i < 100 && !cluster_value (cluster, "h/leader"); i++) {
-    cluster_run (cluster, 0.05); /* with its expired lease (claim) first, then with a new one */
+    /* The leader writes the lock with its expired lease first, then with a new one. */
+    cluster_run (cluster, 0.05);
     if (cluster_find_call (cluster, leader, "/commit", "h/leader"))
       cluster_answer (cluster, cluster_find_call (cluster, leader, "/commit", "h/leader"));
   }
@@ -346,9 +348,9 @@
   guint64 again = cluster_submit (cluster, leader, "job-a", 1);
   cluster_run (cluster, 0.3);
   assert_int_equal (cluster_reply_status (cluster, leader, again), 200);
-  guint64 abort = cluster_cancel (cluster, leader, "job-a");
+  guint64 cancel_request = cluster_cancel (cluster, leader, "job-a");
   cluster_run (cluster, 0.3);
-  assert_string_equal (cluster_job_state (cluster, leader, abort), "withdrawn");
+  assert_string_equal (cluster_job_state (cluster, leader, cancel_request), "withdrawn");
   cluster_answer (cluster, write);
   assert_string_equal (cluster_job_state (cluster, other, first), "withdrawn");
   assert_string_equal (cluster_poll_state (cluster, other, "job-a"), "withdrawn");
@@ -370,12 +372,14 @@
   for (int step = 0; step < 3; step++) {
     const char *id = step == 2 ? "job-b" : "job-a";
     if (step == 1) {
-      guint64 abort = cluster_cancel (cluster, (leader + 1) % 3, id);
-      for (int i = 0; i < 40 && !cluster_reply_status (cluster, (leader + 1) % 3, abort); i++) {
+      guint64 cancel_request = cluster_cancel (cluster, (leader + 1) % 3, id);
+      for (int i = 0; i < 40 && !cluster_reply_status (cluster, (leader + 1) % 3, cancel_request);
+           i++) {
         cluster_tick (cluster, 0.002);
         cluster_serve (cluster);
       }
-      assert_string_equal (cluster_job_state (cluster, (leader + 1) % 3, abort), "withdrawn");
+      assert_string_equal (cluster_job_state (cluster, (leader + 1) % 3, cancel_request),
+                           "withdrawn");
     } else if (step == 2) {
       cluster_run (cluster, 1);
       cluster_report (cluster, worker, leader);
--- a/tests/test_workers.c
+++ b/tests/test_workers.c
@@ -1,5 +1,6 @@
-/* Interleavings of workers, leases and changes of leader, message by message (scripted_fleet.h).
- * docs/meetings.md describes the interleaving of each test and the guard without which it fails. */
+/* Interleavings (orders of messages) of heartbeats, leases and changes of leader, message by
+ * message (scripted_fleet.h). docs/meetings.md describes the interleaving of each test and the
+ * check in the controller without which it fails. */
 #include "coordination/command.h"
 #include "coordination/core.h"
 #include "protocol/json_util.h"
@@ -10,6 +11,9 @@
 #include <string.h>
 #include <cmocka.h>
 
+/* In the text of a record: the list of tasks with their machines (HR_RECORD_TASKS). */
+#define RECORD_TASKS "\"x\""
+
 /* ---- conditions for fleet_run_until ---- */
 
 static gboolean
@@ -75,6 +79,7 @@
   return body;
 }
 
+/* Returns the fencing token ("b") in the leader record (h/map). */
 static guint64
 current_token (Fleet *fleet)
 {
@@ -226,7 +231,8 @@
   assert_true (fleet_machine_runs (first, "job-a/0"));
   fleet_cancel (fleet, 1, "job-a");
   fleet_run (fleet, fleet->cluster->policy.alone_s + fleet->lease_s);
-  /* No member reports an outage, so c0 stops answering early, after alone_s. */
+  /* c0 knows of no outage of the state store that affects all members, so it stops answering after
+   * alone_s and not only after hold_s. */
   assert_true (first->incarnation > 1);
   fleet_run (fleet, fleet->cancel_s);
   assert_false (fleet_machine_runs (first, "job-a/0"));
@@ -236,7 +242,8 @@
 }
 
 /* Several machines with long tasks reach only a former leader, which keeps answering them for a
- * while. The new leader keeps their tasks bound until that time and a lease are certainly over. */
+ * while. The new leader leaves their tasks assigned until the former leader has certainly stopped
+ * answering and a lease has passed since. */
 static void
 a_new_leader_waits_for_leases_that_a_former_one_renewed (void **state G_GNUC_UNUSED)
 {
@@ -266,7 +273,7 @@
 
 /* A machine's heartbeats reach the new leader, but the answers are lost. Its task is placed again
  * only when a heartbeat shows that the worker's incarnation is over, and then at once: long before
- * a machine that is being returned would be given up. */
+ * a machine that is being returned would count as ended without such a heartbeat. */
 static void
 a_machine_with_inbound_loss_keeps_its_task_until_its_incarnation_ends (void **state G_GNUC_UNUSED)
 {
@@ -345,12 +352,12 @@
   fleet_cancel (fleet, 1, "job-a");
   fleet_run (fleet, 5);
   assert_true (fleet_machine_runs (first, "job-a/0"));
-  assert_true (fleet_job_record_contains (fleet, "job-a", "\"x\""));
+  assert_true (fleet_job_record_contains (fleet, "job-a", RECORD_TASKS));
   first->is_hung = FALSE;
   fleet_run (fleet, 3);
   assert_false (fleet_machine_runs (first, "job-a/0"));
   assert_int_equal (first->incarnation, 1); /* stopped by an order, not by the end of the lease */
-  assert_false (fleet_job_record_contains (fleet, "job-a", "\"x\""));
+  assert_false (fleet_job_record_contains (fleet, "job-a", RECORD_TASKS));
   fleet_check_and_free (fleet);
 }
 
@@ -473,8 +480,9 @@
   fleet_check_and_free (fleet);
 }
 
-/* During an outage of the state store, copies of a status from before its sender ended keep
- * arriving. They are as old as the clock that they echo, and the leader stops answering in time. */
+/* During an outage of the state store, copies of a status keep arriving after the process that sent
+ * it has ended. A status attests nothing newer than the leader's clock that it echoes, so the
+ * leader stops answering in time. */
 static void
 late_copies_of_statuses_attest_nothing_new (void **state G_GNUC_UNUSED)
 {
@@ -550,11 +558,11 @@
   fleet_deliver_report (fleet, 0, report);
   fleet_run (fleet, 1);
   assert_true (fleet_machine_runs (first, "job-a/0"));
-  assert_true (fleet_job_record_contains (fleet, "job-a", "\"x\""));
+  assert_true (fleet_job_record_contains (fleet, "job-a", RECORD_TASKS));
   first->is_hung = FALSE;
   fleet_run (fleet, 6);
   assert_false (fleet_machine_runs (first, "job-a/0"));
-  assert_false (fleet_job_record_contains (fleet, "job-a", "\"x\""));
+  assert_false (fleet_job_record_contains (fleet, "job-a", RECORD_TASKS));
   fleet_check_and_free (fleet);
 }
 
@@ -664,7 +672,7 @@
 }
 
 /* A team is at its limit, its job is cancelled, the leader changes, and the machine is unreachable.
- * The limit has room again only when the task has provably ended. */
+ * The task counts against the limit until it has provably ended. */
 static void
 a_cancelled_task_counts_against_the_limit_until_it_is_gone (void **state G_GNUC_UNUSED)
 {
@@ -693,10 +701,11 @@
   fleet_check_and_free (fleet);
 }
 
-/* An array of two tasks, bound to one zone or spread over two, has a task on an unreachable
- * machine. The other task does not start in a zone that the first one rules out until the first has
- * provably ended. new_leader: the next leader knows the machine from the record alone, without
- * its zone. */
+/* The first task of an array of two is on an unreachable machine in zone z1. The job's rule
+ * (`together`: all tasks in one zone, `apart`: at most half of them in one zone) then allows no
+ * task in other_zone, where the only other machine is. No task starts there until the first one has
+ * provably ended. new_leader: the next leader knows the unreachable machine from the record alone,
+ * without its zone. */
 static void
 check_bound_zone (gboolean new_leader, const char *rule, const char *other_zone)
 {
--- a/tests/test_writes.c
+++ b/tests/test_writes.c
@@ -1,6 +1,7 @@
 /* Interleavings of transactions whose answer is lost, late or a refusal with users' requests, the
  * end of a job and changes of leader, message by message (scripted_cluster.h).
- * docs/meetings.md describes the interleaving of each test and the guard without which it fails. */
+ * docs/meetings.md describes the interleaving of each test and the check in the controller
+ * without which it fails. */
 #include "scripted_cluster.h"
 #include "protocol/json_util.h"
 #include <setjmp.h>
@@ -13,6 +14,12 @@
 #define READ "hold_ms=0"
 #define WATCH "hold_ms=10000"
 
+/* Parts of the text of a job's record (src/bookkeeping/record_fields.h): the states done and
+ * cancelled, and the number of tasks, which only a tombstone has. */
+#define STATE_DONE "\"s\":1"
+#define STATE_CANCELLED "\"s\":2"
+#define ONE_TASK_TOMBSTONE "\"n\":1"
+
 typedef struct {
   Cluster *cluster;
   int leader, other;
@@ -40,8 +47,9 @@
     assert_string_equal (cluster_poll_state (pair->cluster, i, id), state);
 }
 
-/* The leader lock expires and the other controller becomes the leader. The calls of the former
- * leader are held, so that it does not learn of this; the test releases them. */
+/* Lets the leader lock expire, so that the other controller becomes the leader. The former leader's
+ * reads, watches and lease renewals ("/touch") are held, so that it does not learn of this, until
+ * the test releases them. */
 static void
 depose_unnoticed (ControllerPair *pair)
 {
@@ -55,8 +63,9 @@
   cluster_run (pair->cluster, 0.5);
 }
 
-/* Loses every attempt of the user's write until the user is answered. Held reads are refused, so
- * that the node cannot learn of the write from them. */
+/* Lets every attempt of the write that contains `text` time out until the user's request is
+ * answered. Held reads are answered with 503, so that the node cannot learn of the write from them.
+ */
 static void
 lose_every_write (Cluster *cluster, int node, const char *text, guint64 request)
 {
@@ -118,9 +127,9 @@
   guint64 revision = cluster_key_revision (cluster, "h/j/job-a");
   lose_every_write (cluster, pair.other, "job-a", id);
   assert_int_equal (cluster_reply_status (cluster, pair.other, id), 503);
-  guint64 abort = cluster_cancel (cluster, pair.leader, "job-a");
+  guint64 cancel_request = cluster_cancel (cluster, pair.leader, "job-a");
   cluster_run (cluster, 0.3);
-  assert_string_equal (cluster_job_state (cluster, pair.leader, abort), "withdrawn");
+  assert_string_equal (cluster_job_state (cluster, pair.leader, cancel_request), "withdrawn");
   id = cluster_submit (cluster, pair.other, "job-a", 2);
   cluster_tick (cluster, 0.05);
   write = cluster_find_call (cluster, pair.other, "/commit", "job-a");
@@ -143,10 +152,10 @@
     Cluster *cluster = pair.cluster;
     int node = at_leader ? pair.leader : pair.other;
     cluster_submit_and_start (cluster, pair.worker, pair.leader, "job-a");
-    cluster_hold (cluster, node, "/commit", "\"s\":2");
+    cluster_hold (cluster, node, "/commit", STATE_CANCELLED);
     guint64 id = cluster_cancel (cluster, node, "job-a");
     cluster_run (cluster, 0.3);
-    ClusterCall *write = cluster_find_call (cluster, node, "/commit", "\"s\":2");
+    ClusterCall *write = cluster_find_call (cluster, node, "/commit", STATE_CANCELLED);
     assert_non_null (write);
     cluster_carry_out (cluster, write);
     cluster_release (cluster);
@@ -154,7 +163,7 @@
     assert_state_at_every_node (&pair, "job-a", "withdrawn");
     cluster_hold (cluster, node, READ, NULL);
     cluster_lose (cluster, write);
-    lose_every_write (cluster, node, "\"s\":2", id);
+    lose_every_write (cluster, node, STATE_CANCELLED, id);
     assert_int_equal (cluster_reply_status (cluster, node, id), 503);
     cluster_release (cluster);
     cluster_run (cluster, 1.5);
@@ -186,8 +195,10 @@
       if (carried_out)
         cluster_carry_out (cluster, write);
       guint64 revision = cluster_key_revision (cluster, "h/j/job-a");
+      /* After a write that was carried out, further writes stay held: only a read shows the record.
+       */
       if (!carried_out)
-        cluster_release (cluster); /* else a read of the record has to be enough */
+        cluster_release (cluster);
       ClusterCall *late = cluster_delay (cluster, write);
       cluster_run (cluster, 0.15);
       assert_string_equal (cluster_job_state (cluster, node, id), wanted[cancels]);
@@ -252,11 +263,11 @@
   ControllerPair pair = controller_pair ();
   Cluster *cluster = pair.cluster;
   cluster_submit_and_start (cluster, pair.worker, pair.leader, "job-a");
-  cluster_hold (cluster, pair.leader, "/commit", "\"s\":1");
+  cluster_hold (cluster, pair.leader, "/commit", STATE_DONE);
   cluster_worker_exit_tasks (pair.worker, "done");
   cluster_report (cluster, pair.worker, pair.leader);
   cluster_run (cluster, 0.5);
-  ClusterCall *write = cluster_find_call (cluster, pair.leader, "/commit", "\"s\":1");
+  ClusterCall *write = cluster_find_call (cluster, pair.leader, "/commit", STATE_DONE);
   assert_non_null (write);
   for (int i = 0; i < 2; i++) /* the job is done in the leader's memory only */
     assert_string_not_equal (cluster_poll_state (cluster, i, "job-a"), "done");
@@ -373,16 +384,16 @@
   ControllerPair pair = controller_pair ();
   Cluster *cluster = pair.cluster;
   cluster_submit_and_start (cluster, pair.worker, pair.leader, "job-a");
-  cluster_hold (cluster, pair.leader, "/commit", "\"s\":1");
+  cluster_hold (cluster, pair.leader, "/commit", STATE_DONE);
   cluster_worker_exit_tasks (pair.worker, "done");
   cluster_report (cluster, pair.worker, pair.leader);
   cluster_run (cluster, 0.5);
-  ClusterCall *write = cluster_find_call (cluster, pair.leader, "/commit", "\"s\":1");
+  ClusterCall *write = cluster_find_call (cluster, pair.leader, "/commit", STATE_DONE);
   assert_non_null (write);
   depose_unnoticed (&pair);
-  guint64 abort = cluster_cancel (cluster, pair.other, "job-a");
+  guint64 cancel_request = cluster_cancel (cluster, pair.other, "job-a");
   cluster_run (cluster, 0.3);
-  assert_string_equal (cluster_job_state (cluster, pair.other, abort), "withdrawn");
+  assert_string_equal (cluster_job_state (cluster, pair.other, cancel_request), "withdrawn");
   cluster_carry_out (cluster, write);
   assert_int_equal (write->status, 409);
   cluster_release (cluster);
@@ -393,7 +404,8 @@
 }
 
 /* A candidate's write of the leader lock and the leader record arrives late: after a newer write
- * made it the leader, and after its lease (claim) has expired, when no controller leads. */
+ * has made the candidate the leader, and after the lease of the leader lock has expired, when no
+ * controller leads. */
 static void
 a_late_election_changes_nothing (void **state G_GNUC_UNUSED)
 {
@@ -423,6 +435,7 @@
   cluster_hold (cluster, pair.leader, "/commit", "h/leader");
   cluster_run (cluster, 10);
   assert_null (cluster_value (cluster, "h/leader"));
+  /* 400: the lease that the write names no longer exists. */
   assert_int_equal (cluster_carry_out_delayed (cluster, later), 400);
   assert_null (cluster_value (cluster, "h/leader"));
   cluster_free (cluster);
@@ -440,14 +453,14 @@
     Cluster *cluster = pair.cluster;
     int node = at_leader ? pair.leader : pair.other;
     cluster_submit_and_start (cluster, pair.worker, pair.leader, "job-a");
-    cluster_hold (cluster, pair.leader, "/commit", "\"s\":1");
-    cluster_hold (cluster, node, "/commit", "\"s\":2");
+    cluster_hold (cluster, pair.leader, "/commit", STATE_DONE);
+    cluster_hold (cluster, node, "/commit", STATE_CANCELLED);
     cluster_worker_exit_tasks (pair.worker, "done");
     cluster_report (cluster, pair.worker, pair.leader);
-    guint64 abort = cluster_cancel (cluster, node, "job-a");
+    guint64 cancel_request = cluster_cancel (cluster, node, "job-a");
     cluster_run (cluster, 0.5);
-    ClusterCall *end = cluster_find_call (cluster, pair.leader, "/commit", "\"s\":1");
-    ClusterCall *cancellation = cluster_find_call (cluster, node, "/commit", "\"s\":2");
+    ClusterCall *end = cluster_find_call (cluster, pair.leader, "/commit", STATE_DONE);
+    ClusterCall *cancellation = cluster_find_call (cluster, node, "/commit", STATE_CANCELLED);
     assert_non_null (end);
     assert_non_null (cancellation);
     cluster_carry_out (cluster, end_first ? end : cancellation);
@@ -463,7 +476,7 @@
     cluster_answer (cluster, cancellation);
     cluster_release (cluster);
     cluster_run (cluster, 1);
-    assert_string_equal (cluster_job_state (cluster, node, abort), job_state);
+    assert_string_equal (cluster_job_state (cluster, node, cancel_request), job_state);
     assert_state_at_every_node (&pair, "job-a", job_state);
     cluster_report (cluster, pair.worker, pair.leader);
     cluster_report (cluster, pair.worker, pair.leader);
@@ -482,14 +495,14 @@
     Cluster *cluster = pair.cluster;
     int node = at_leader ? pair.leader : pair.other;
     cluster_submit_and_start (cluster, pair.worker, pair.leader, "job-a");
-    guint64 abort = cluster_cancel (cluster, node, "job-a");
+    guint64 cancel_request = cluster_cancel (cluster, node, "job-a");
     cluster_run (cluster, 0.5);
-    assert_string_equal (cluster_job_state (cluster, node, abort), "withdrawn");
+    assert_string_equal (cluster_job_state (cluster, node, cancel_request), "withdrawn");
     assert_false (cluster_worker_runs (pair.worker, "job-a"));
     cluster_report (cluster, pair.worker, pair.leader);
     cluster_report (cluster, pair.worker, pair.leader);
     cluster_run (cluster, 1);
-    assert_non_null (strstr (cluster_value (cluster, "h/j/job-a"), "\"n\":1")); /* the tombstone */
+    assert_non_null (strstr (cluster_value (cluster, "h/j/job-a"), ONE_TASK_TOMBSTONE));
     cluster_free (cluster);
   }
 }
@@ -508,20 +521,20 @@
   assert_int_equal (cluster_report (cluster, pair.worker, pair.other), 200);
   assert_int_equal (cluster_report (cluster, pair.worker, pair.other), 200);
   assert_true (cluster_worker_runs (pair.worker, "job-a"));
-  guint64 abort = cluster_cancel (cluster, pair.leader, "job-a");
+  guint64 cancel_request = cluster_cancel (cluster, pair.leader, "job-a");
   /* The former leader's read does not return the new leader record. */
   cluster_tick (cluster, 0.05);
   ClusterCall *read_call = cluster_find_call (cluster, pair.leader, READ, NULL);
   g_autofree char *nothing = g_strdup_printf ("{\"epoch\":0,\"log\":[]}");
   cluster_answer_with (cluster, read_call, 200, nothing);
   cluster_run (cluster, 0.3);
-  if (!cluster_reply_status (cluster, pair.leader, abort)) {
+  if (!cluster_reply_status (cluster, pair.leader, cancel_request)) {
     cluster_tick (cluster, 0.05);
     cluster_answer_with (cluster, cluster_find_call (cluster, pair.leader, READ, NULL), 200,
                          nothing);
     cluster_run (cluster, 0.3);
   }
-  assert_string_equal (cluster_job_state (cluster, pair.leader, abort), "withdrawn");
+  assert_string_equal (cluster_job_state (cluster, pair.leader, cancel_request), "withdrawn");
   cluster_run (cluster, 0.5);
   cluster_report (cluster, pair.worker, pair.other);
   assert_false (cluster_worker_runs (pair.worker, "job-a"));
@@ -558,9 +571,9 @@
   cluster_hold (cluster, next, WATCH, NULL);
   ClusterCall *write = cluster_find_call (cluster, next, "/commit", "h/leader");
   cluster_carry_out (cluster, write);
-  guint64 abort = cluster_cancel (cluster, third, "job-a");
+  guint64 cancel_request = cluster_cancel (cluster, third, "job-a");
   cluster_run (cluster, 0.3);
-  assert_string_equal (cluster_job_state (cluster, third, abort), "withdrawn");
+  assert_string_equal (cluster_job_state (cluster, third, cancel_request), "withdrawn");
   cluster_answer (cluster, write);
   cluster_release (cluster);
   cluster_run (cluster, 1);
