--- a/src/bookkeeping/job.h
+++ b/src/bookkeeping/job.h
@@ -21,13 +21,13 @@
   HR_TASK_IDLE,      /* proved to be on no machine */
   HR_TASK_ASSIGNING, /* its assignment is being recorded; no order was sent */
   HR_TASK_BOUND,     /* its assignment is recorded; it may be on the machine */
-  HR_TASK_DONE, /* its agent reported its end; `done_recorded` tells whether that is recorded */
+  HR_TASK_DONE, /* its worker reported its end; `done_recorded` tells whether that is recorded */
 } HrTaskState;
 
 /* Value of HrTask.reported_state while no heartbeat has reported the task. */
 #define HR_NOT_REPORTED 0xff
 
-/* An attempt to run a task on a machine, under one incarnation of the machine's agent. */
+/* An attempt to run a task on a machine, under one incarnation of the machine's worker. */
 typedef struct {
   guint32 machine, incarnation, attempt;
 } HrPlacement;
@@ -113,8 +113,9 @@
   /* Since when a task of the gang that was lost before the common start has to be replaced; 0: the
    * gang is complete. */
   double gang_incomplete_since;
-  double retry_at, retry_pause_s;
-  guint failures; /* consecutive */
+  double retry_at;      /* no task of the job starts before then */
+  double retry_pause_s; /* duration of the latest pause after a failure */
+  guint failures;       /* consecutive */
   HrExitCause last_failure;
   guint32 failed_machine; /* machine of the last failure; avoided for a while */
   double failed_machine_avoided_until;
@@ -141,11 +142,13 @@
 typedef struct {
   gboolean within_guarantee;   /* the job and the earlier jobs of its team fit the guarantee */
   gboolean reclaims_guarantee; /* other teams may not use the guarantee while the job waits */
+  /* Since when the job reclaims the guarantee (0: it does not), when it may do so again after it
+   * gave up, and the pause before that. */
   double reclaiming_since, next_reclaim_at, reclaim_pause_s;
   guint granted;        /* number of tasks that may start in this planning pass */
   double granted_since; /* since when the job has not used its grant; 0: it has none */
   gboolean grant_lent;  /* other jobs may use the part of the grant that the job cannot use now */
-  double lent_until, lending_pause_s;
+  double lent_until, lending_s; /* end and duration of the latest lending */
   double starving_since; /* since when a task has waited despite free capacity; 0: none does */
   /* Since when only another job's reservation has delayed it; 0: not delayed. */
   double blocked_by_reservation_since;
--- a/src/bookkeeping/machine.h
+++ b/src/bookkeeping/machine.h
@@ -1,4 +1,4 @@
-/* Machines: their types, the tasks placed on them, and the state of their agents and instances.
+/* Machines: their types, the tasks placed on them, and the state of their workers and instances.
  *
  * HrTables owns the machines (tables.h). Only the module that is named in the comment above a
  * structure updates it; other modules read it. Times are monotonic, in seconds. */
@@ -31,18 +31,19 @@
   double cpus, gpus, memory_gb;
 } HrResources;
 
-/* The machine's agent, as the leader knows it (coordination/agents/). */
+/* The machine's worker, as the leader knows it (coordination/agents/). */
 typedef struct {
   guint32 incarnation;
   guint64 sequence;         /* sequence number of the newest message */
-  guint64 fencing_token;    /* newest token that the agent has reported */
+  guint64 fencing_token;    /* newest token that the worker has reported */
   double sequence_at;       /* when the newest message arrived */
   double last_heartbeat_at; /* 0: no heartbeat has reached this leader yet */
   double lease_renewed_at;  /* when a heartbeat was last answered with 200; 0: never */
-  /* When a heartbeat showed that the agent had missed a response, without those that follow within
-   * half a lease; 0: the latest heartbeat showed none. */
+  /* When a heartbeat showed that the worker had missed a response. Heartbeats that show it again
+   * within half a lease do not change the time. 0: none, or since then an incarnation has ended
+   * with its lease. */
   double response_missed_at;
-  /* When a heartbeat showed that responses do not reach the agent; 0: none did. */
+  /* When a heartbeat showed that responses do not reach the worker; 0: none did. */
   double unreachable_at;
   /* Orders that may still take effect: */
   /* Sequence number of the heartbeat whose response held a launch; 0: none pending. */
@@ -50,7 +51,7 @@
   guint direct_calls_in_flight;
   guint64 unanswered_launch_token; /* of the last direct launch whose response was lost; 0: none */
   GArray *direct_launches;         /* HrDirectLaunch: launches under this incarnation */
-  gboolean has_urgent_orders;      /* orders have to be sent at once */
+  gboolean has_urgent_orders;      /* orders are to be sent by a direct call, before a heartbeat */
   gboolean orders_postponed;  /* until the direct call in flight, or the pause after one, ends */
   double direct_paused_until; /* no direct calls until then */
 } HrMachineAgent;
--- a/src/bookkeeping/record_layout.c
+++ b/src/bookkeeping/record_layout.c
@@ -6,7 +6,7 @@
 
 #define BYTES_PER_KIB 1024.0
 /* Share of the maximum value size that layouts use. The margin allows for the way in which the
- * state service counts bytes, which is not known exactly. */
+ * state store counts bytes, which is not known exactly. */
 #define USABLE_VALUE_SHARE (63.0 / 64)
 /* Size of ["NAME",INCARNATION,ATTEMPT] without the name: three digits for the incarnation and four
  * for the attempt. */
--- a/src/bookkeeping/record_writer.c
+++ b/src/bookkeeping/record_writer.c
@@ -8,13 +8,16 @@
 #include "bookkeeping/transactions.h"
 #include <string.h>
 
-/* Back-off after the state store refused a record; it doubles with each further refusal. */
+/* Back-off after the state store refused a record, or a record was too large to be sent. It doubles
+ * until a write of the record succeeds. */
 #define MIN_BACK_OFF_S 0.5
 #define MAX_BACK_OFF_S 8.0
 /* Interval between retries of transactions while the state store does not answer. */
 #define OUTAGE_RETRY_S 0.5
 
-/* Content of the next write of a page. */
+/* Content of the next write of a page. A job's tasks are in its main record, which then counts as
+ * its only page, or, if that would be too large, in pages of a fixed number of tasks each
+ * (record_layout.h). */
 typedef enum {
   CONTENT_NONE,     /* no write is needed: the record is up to date */
   CONTENT_TASKS,    /* assignments and ends of tasks */
@@ -72,7 +75,9 @@
   job->record.next_write_at = store->now + job->record.back_off_s;
 }
 
-/* Checks whether the record must wait after a failed write. Tombstones are small and never wait. */
+/* Checks whether the record must wait after a failed write. A record whose next write is the
+ * tombstone does not wait, since tombstones are small: that is an open job whose tasks are all
+ * done, or a final job without tasks on machines. */
 static gboolean
 is_backing_off (const HrStore *store, const HrJob *job)
 {
@@ -147,14 +152,16 @@
     if (!task->write_in_flight)
       continue;
     task->write_in_flight = 0;
+    /* The next write of an open job holds the assignment again; that of a final job does not. */
     if (task->state == HR_TASK_ASSIGNING && job->state != HR_JOB_QUEUED)
       store->events->assignment_dropped (store->core, job, i);
   }
   mark_page (store, job, page);
 }
 
-/* Handles a value that exceeds the maximum size: it is not sent. Ends of tasks wait for the split
- * of the record. Assignments wait, too, or are dropped if no split is possible yet. */
+/* Handles a value that exceeds the maximum size: it is not sent. If the record can be split, its
+ * changes wait for the split. Otherwise assignments are dropped, and ends of tasks wait for the end
+ * of the back-off. */
 static void
 handle_oversized (HrStore *store, HrJob *job, HrRecordPage *page)
 {
@@ -171,7 +178,8 @@
   }
   if (!job->record.back_off_s)
     g_warning (
-        "%s: its record is too large, and cannot be split until every controller supports that",
+        "%s: its record exceeds the maximum size and cannot be split now: not every controller "
+        "supports split records, or no smaller pages are possible",
         job->id);
   hr_record_writer_back_off (store, job);
   job->run.retry_at = MAX (job->run.retry_at, job->record.next_write_at);
@@ -180,7 +188,8 @@
 
 /* ---- content of writes ---- */
 
-/* Includes every unrecorded assignment and end of a task of the page in its next write. */
+/* Marks the page's unrecorded assignments and ends of tasks as part of its next write. Returns
+ * which kinds of changes there are. */
 static TaskChanges
 take_task_changes (HrJob *job, const HrRecordPage *page)
 {
@@ -296,7 +305,7 @@
   if (store->replica.is_unavailable) {
     if (store->now - transactions->paused_until <= OUTAGE_RETRY_S)
       return;
-    transactions->paused_until = store->now;
+    transactions->paused_until = store->now; /* during an outage: the time of the latest retry */
   }
   hr_transactions_send (store);
 }
--- a/src/bookkeeping/replica.c
+++ b/src/bookkeeping/replica.c
@@ -7,20 +7,20 @@
 #include "protocol/store_api.h"
 
 #define READ_TIMEOUT_S 2.0
-/* The state service delays the response to a watch until there is a change, at most this long. */
+/* The state store delays the response to a watch until there is a change, at most this long. */
 #define WATCH_HOLD_MS 10000
 #define WATCH_TIMEOUT_S 14.0
 /* Delay of the next watch after a failed one. */
 #define MIN_WATCH_RETRY_S 0.3
 #define MAX_WATCH_RETRY_S 0.7
-/* All controllers together use half of the state service's request rate for reads, and a quarter
+/* All controllers together use half of the state store's request rate for reads, and a quarter
  * for watches. */
 #define READ_RATE_DIVISOR 2.0
 #define WATCH_RATE_DIVISOR 4.0
-/* Intervals of reads without waiters: while the state service answers, and while it does not. */
+/* Intervals of reads without waiters: while the state store answers, and while it does not. */
 #define IDLE_READ_INTERVAL_S 1.0
 #define OUTAGE_READ_INTERVAL_S 0.5
-/* Waiters keep waiting for this long while the state service answers reads with 429. */
+/* Waiters keep waiting for this long while the state store answers reads with 429. */
 #define MAX_BUSY_WAIT_S 1.2
 /* Factor by which the latency estimate decays with each read. */
 #define LATENCY_DECAY 0.7
@@ -82,7 +82,7 @@
 }
 
 /* Returns the interval of one controller's requests, in seconds, at which all controllers together
- * use 1 / rate_divisor of the state service's request rate. */
+ * use 1 / rate_divisor of the state store's request rate. */
 static double
 request_interval (const HrStore *store, double rate_divisor)
 {
@@ -180,7 +180,7 @@
     return;
   store->replica.watch_in_flight = FALSE;
   /* Each change ends the watches of all controllers. If all of them reopened theirs at once,
-   * watches alone would use up the state service's request rate. */
+   * watches alone would use up the state store's request rate. */
   store->replica.next_watch_at = store->now + request_interval (store, WATCH_RATE_DIVISOR);
   if (status == 200)
     apply_changes (store, body);
--- a/src/bookkeeping/store.h
+++ b/src/bookkeeping/store.h
@@ -94,9 +94,9 @@
 
 /* Kinds of transactions, in descending priority. */
 typedef enum {
-  HR_TRANSACTION_USER,
-  HR_TRANSACTION_LAUNCH,
-  HR_TRANSACTION_BOOKKEEPING,
+  HR_TRANSACTION_USER,        /* writes for which a user's request waits */
+  HR_TRANSACTION_LAUNCH,      /* writes for which the launch of a task waits */
+  HR_TRANSACTION_BOOKKEEPING, /* all other writes */
   HR_TRANSACTION_KINDS
 } HrTransactionKind;
 
@@ -105,6 +105,9 @@
   GQueue queues[HR_TRANSACTION_KINDS]; /* HrPendingTransaction */
   HrTokenBucket allowance;             /* one token per write */
   guint in_flight;
+  /* No transaction is sent before paused_until, and none but those of users before
+   * background_paused_until. While the state store does not answer, paused_until is the time of the
+   * latest retry (record_writer.c). */
   double paused_until, background_paused_until;
 } HrTransactions;
 
--- a/src/bookkeeping/store_reads.h
+++ b/src/bookkeeping/store_reads.h
@@ -33,7 +33,7 @@
  * @store: the store
  * @is_answered: FALSE if a request had no response, or an unusable one
  *
- * Marks the state service as unavailable to this node after consecutive failures, and as available
+ * Marks the state store as unavailable to this node after consecutive failures, and as available
  * after one response. Only bookkeeping may call it.
  */
 void hr_replica_update_availability (HrStore *store, gboolean is_answered);
--- a/src/bookkeeping/transactions.h
+++ b/src/bookkeeping/transactions.h
@@ -3,9 +3,10 @@
  * A transaction is built, then submitted. Submitted transactions are queued by kind and sent within
  * this node's share of the state store's write allowance, a few at a time. The callback receives
  * the HTTP status: 200: committed; 409: a condition does not hold; 400: refused for its size or
- * shape; 0 and any other status: the outcome is unknown, so the transaction may have been
- * committed. In that case the same transaction may be submitted again: its conditions prevent it
- * from taking effect twice. */
+ * shape, or because a lease that it names has ended; 0 and any other status, such as 429 (too many
+ * writes): the outcome is treated as unknown, so the transaction may have been committed. In that
+ * case the same transaction may be submitted again: its conditions prevent it from taking effect
+ * twice. */
 #pragma once
 #include "bookkeeping/store.h"
 #include <glib.h>
@@ -22,7 +23,7 @@
  * hr_transaction_unref:
  * @transaction: (transfer full): a transaction
  *
- * Releases a reference. The last release frees the transaction.
+ * Releases a reference to the transaction, and frees it with the last one.
  */
 void hr_transaction_unref (HrTransaction *transaction);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (HrTransaction, hr_transaction_unref)
@@ -71,7 +72,7 @@
 /**
  * hr_transaction_submit:
  * @store: the store
- * @kind: the priority of the transaction
+ * @kind: the queue of the transaction; the queues are sent in the order of HrTransactionKind
  * @transaction: (transfer none): the transaction; a reference is kept until the response
  * @timeout_s: timeout of the request, in seconds
  * @callback: called once, with the response
@@ -87,7 +88,7 @@
  * hr_transactions_send:
  * @store: the store
  *
- * Sends queued transactions within the write allowance. Called at every step.
+ * Sends queued transactions within the write allowance. Called once in each hr_core_step().
  */
 void hr_transactions_send (HrStore *store);
 
--- a/src/coordination/agents/order_verdicts.h
+++ b/src/coordination/agents/order_verdicts.h
@@ -10,18 +10,18 @@
   HR_LAUNCH_REPORTED_ALREADY,     /* the worker already reports it */
   HR_LAUNCH_JOB_FINAL,            /* its job is cancelled or done */
   HR_LAUNCH_DEPENDENCIES_PENDING, /* jobs that its job awaits are not done */
-  HR_LAUNCH_STOP_WANTED,
-  HR_LAUNCH_FROM_EARLIER_TERM, /* an earlier leader placed it, and it may have exited since */
-  HR_LAUNCH_GANG_ENDING,
-  HR_LAUNCH_GANG_INCOMPLETE, /* not all tasks of the gang are recorded */
-  HR_LAUNCH_GANG_TOO_EARLY   /* other tasks of the gang still fetch their image */
+  HR_LAUNCH_STOP_WANTED,          /* a stop of the task is requested */
+  HR_LAUNCH_FROM_EARLIER_TERM,    /* an earlier leader placed it, and it may have exited since */
+  HR_LAUNCH_GANG_ENDING,          /* the attempt of its gang is ending */
+  HR_LAUNCH_GANG_INCOMPLETE,      /* not all tasks of the gang are recorded */
+  HR_LAUNCH_GANG_TOO_EARLY        /* other tasks of the gang still fetch their image */
 } HrLaunchVerdict;
 
 /* Whether a stop is sent for a recorded task. */
 typedef enum {
   HR_STOP_NOW,
-  HR_STOP_WITHOUT_GRACE, /* its checkpoint takes far longer than the grace period */
-  HR_STOP_NOT_WANTED,
+  HR_STOP_WITHOUT_GRACE,         /* its checkpoint takes far longer than the grace period */
+  HR_STOP_NOT_WANTED,            /* no stop of the task is requested */
   HR_STOP_SENT_ALREADY,          /* a stop was sent a moment ago */
   HR_STOP_CHECKPOINT_IN_PROGRESS /* it is writing its checkpoint within the grace period */
 } HrStopVerdict;
@@ -30,7 +30,7 @@
 typedef enum {
   HR_STOP_REASON_CANCELLED,    /* its job is cancelled */
   HR_STOP_REASON_GANG_ENDING,  /* the attempt of its gang is ending */
-  HR_STOP_REASON_WANTED,       /* it has to leave the machine */
+  HR_STOP_REASON_WANTED,       /* its stop was requested otherwise, for example by a preemption */
   HR_STOP_REASON_NOT_RECORDED, /* no record has it on the machine */
   HR_STOP_REASON_JOB_FINAL     /* its job is cancelled or done; sent with a lease renewal */
 } HrStopReason;
--- a/src/coordination/agents/renewal_checks.h
+++ b/src/coordination/agents/renewal_checks.h
@@ -10,12 +10,14 @@
 typedef enum {
   HR_RENEWAL_ALLOWED,
   HR_RENEWAL_NOT_LEADER,
-  HR_RENEWAL_READ_TOO_OLD, /* other controllers may have confirmed later changes */
-  HR_RENEWAL_NEWER_TOKEN,  /* the worker has heard from a later leader */
-  HR_RENEWAL_MACHINE_RETURNED,
-  HR_RENEWAL_EARLIER_INCARNATION,
-  HR_RENEWAL_TYPE_UNKNOWN,       /* the cloud's list of machine types has not been read yet */
-  HR_RENEWAL_LAUNCH_OUTSTANDING, /* a launch of a task of a cancelled job may still take effect */
+  HR_RENEWAL_READ_TOO_OLD,        /* other controllers may have confirmed later changes */
+  HR_RENEWAL_NEWER_TOKEN,         /* the worker has heard from a later leader */
+  HR_RENEWAL_MACHINE_RETURNED,    /* the machine is being deleted at the cloud, or is deleted */
+  HR_RENEWAL_EARLIER_INCARNATION, /* a later incarnation of the worker is known */
+  HR_RENEWAL_TYPE_UNKNOWN,       /* the machine's type is not in the list of types, or that list has
+                                    not been read yet */
+  HR_RENEWAL_LAUNCH_OUTSTANDING, /* a launch of a cancelled job's task may still take effect on this
+                                    machine */
   HR_RENEWAL_STOP_MISSING        /* a bug in this program: the orders lack a required stop */
 } HrRenewalVerdict;
 
@@ -29,25 +31,29 @@
 /**
  * hr_renewal_check_node:
  *
- * The first check, made before the heartbeat is parsed.
+ * Checks whether this controller may renew any lease now. Called before the heartbeat is parsed.
  *
- * Returns: whether this controller may renew any lease now.
+ * Returns: %HR_RENEWAL_ALLOWED, or why no lease may be renewed.
  */
 HrRenewalVerdict hr_renewal_check_node (const HrCore *core);
 
 /**
  * hr_renewal_check_token:
  *
- * Returns: whether the worker has not heard from a later leader, as its fencing token shows.
+ * Checks the heartbeat's fencing token, which shows whether the worker has heard from a later
+ * leader.
+ *
+ * Returns: %HR_RENEWAL_ALLOWED or %HR_RENEWAL_NEWER_TOKEN.
  */
 HrRenewalVerdict hr_renewal_check_token (const HrCore *core, const HrHeartbeat *heartbeat);
 
 /**
  * hr_renewal_check_machine:
  *
- * Made before anything in the heartbeat is applied.
+ * Checks whether the machine's worker may be answered. Called before anything in the heartbeat is
+ * applied.
  *
- * Returns: whether the machine's worker may be answered.
+ * Returns: %HR_RENEWAL_ALLOWED, or why the worker may not be answered.
  */
 HrRenewalVerdict hr_renewal_check_machine (const HrCore *core, const HrMachine *machine,
                                            const HrHeartbeat *heartbeat);
@@ -55,9 +61,11 @@
 /**
  * hr_renewal_check_launches:
  *
- * Made after the heartbeat has been applied and before its orders are completed.
+ * Checks whether a launch of a cancelled job's task may still take effect on the machine. Called
+ * after the heartbeat has been applied and before its orders are completed.
  *
- * Returns: whether no launch of a task of a cancelled job may still take effect.
+ * Returns: %HR_RENEWAL_ALLOWED if there is no such launch, otherwise
+ * %HR_RENEWAL_LAUNCH_OUTSTANDING.
  */
 HrRenewalVerdict hr_renewal_check_launches (const HrCore *core, const HrMachine *machine);
 
@@ -79,7 +87,9 @@
  * @missing: (out) (transfer full) (nullable): "job/task" of the first stop that is missing; %NULL
  * if none is
  *
- * Returns: whether the orders contain every required stop.
+ * Checks whether the orders contain every required stop (hr_renewal_required_stops()).
+ *
+ * Returns: %HR_RENEWAL_ALLOWED or %HR_RENEWAL_STOP_MISSING.
  */
 HrRenewalVerdict hr_renewal_check_orders (const HrCore *core, const HrMachine *machine,
                                           const HrHeartbeat *heartbeat, const GArray *orders,
--- a/src/coordination/agents/reported_tasks.h
+++ b/src/coordination/agents/reported_tasks.h
@@ -1,5 +1,6 @@
 /* Processes the list of tasks in a worker's message: updates the state of recorded tasks, records
- * or clears ended ones, and stops tasks that are not recorded on the machine. Leader only. */
+ * the ends of tasks, and stops tasks that are not recorded on the machine. A worker reports an
+ * ended attempt until it is ordered to clear it, which means to forget it. Leader only. */
 #pragma once
 #include "coordination/state.h"
 
@@ -16,10 +17,10 @@
 /**
  * hr_reported_task_verdict:
  * @job: (nullable): the job with the reported id; %NULL if it is unknown
- * @task: (nullable): the task; %NULL unless it is placed on @machine in this attempt and
- * incarnation
+ * @task: (nullable): the task; %NULL unless it is placed on @machine in the reported attempt and in
+ * the worker's current incarnation
  *
- * Changes nothing.
+ * Decides whether to update, clear or stop the reported task, or to wait. Changes nothing.
  *
  * Returns: what to do about the reported task.
  */
@@ -30,8 +31,8 @@
 /**
  * hr_reported_tasks_apply:
  * @message: the newest message of the machine's worker, in its current incarnation
- * @is_heartbeat: %TRUE for a current heartbeat, where a task's absence counts; %FALSE for the
- * answer to a direct call
+ * @is_heartbeat: %TRUE for a current heartbeat, in which a missing task may prove that the worker
+ * does not have it; %FALSE for the answer to a direct call, in which it proves nothing
  * @orders: HrOrder; the resulting stops and clears are appended. They borrow texts of @message.
  *
  * Processes the tasks in the message.
--- a/src/coordination/agents/silent_machines.c
+++ b/src/coordination/agents/silent_machines.c
@@ -86,7 +86,7 @@
   if (is_silent && hr_lease_has_expired (core, machine) && machine->tasks->len)
     hr_termination_end_incarnations (core, machine, G_MAXUINT32, HR_PROOF_LEASE_EXPIRED);
   if (return_reasons[verdict])
-    hr_fleet_delete (core, machine, return_reasons[verdict]);
+    hr_fleet_request_deletion (core, machine, return_reasons[verdict]);
 }
 
 /* Numbers of machines that are up, and of the overdue and unreachable ones among them. */
--- a/src/coordination/agents/silent_machines.h
+++ b/src/coordination/agents/silent_machines.h
@@ -14,7 +14,8 @@
   HR_SILENCE_LONG         /* return it: silent for too long */
 } HrSilenceVerdict;
 
-/* State of the fleet that the verdict on a single machine depends on. */
+/* State of the fleet that the verdict on a single machine depends on. A machine is overdue if its
+ * worker has sent no heartbeat for longer than `overdue_s` of the policy. */
 typedef struct {
   gboolean is_node_isolated; /* so many machines are overdue that this node is probably at fault */
   gboolean is_grace_period;  /* workers may still be searching for this leader */
@@ -24,7 +25,7 @@
  * hr_silence_verdict:
  * @fleet: the state of the whole fleet
  *
- * Changes nothing.
+ * Decides whether to return the machine. Changes nothing.
  *
  * Returns: what to do about @machine.
  */
--- a/src/coordination/agents/termination_proof.h
+++ b/src/coordination/agents/termination_proof.h
@@ -15,10 +15,10 @@
  * it is represented by its HrExitCause. */
 typedef enum {
   HR_PROOF_ABSENT_FROM_HEARTBEAT,
-  HR_PROOF_LATER_INCARNATION,
-  HR_PROOF_MACHINE_DELETED,
-  HR_PROOF_LEASE_EXPIRED,
-  HR_PROOF_LEASE_EXPIRED_IN_DELETION
+  HR_PROOF_LATER_INCARNATION,        /* its worker started a later incarnation */
+  HR_PROOF_MACHINE_DELETED,          /* the cloud confirmed the deletion of the machine */
+  HR_PROOF_LEASE_EXPIRED,            /* the lease of a silent worker expired */
+  HR_PROOF_LEASE_EXPIRED_IN_DELETION /* the lease expired while the machine was being deleted */
 } HrTerminationProof;
 
 /* Conclusion from a current heartbeat that does not list a task. */
--- a/src/coordination/jobs/failover.h
+++ b/src/coordination/jobs/failover.h
@@ -9,8 +9,8 @@
  * hr_failover_take_over:
  * @core: the controller, which has just become the leader and whose replica is up to date
  *
- * Begins a term: resets the machines and the fleet, then takes over the recorded tasks of each open
- * job, which adds the machines that they name to the fleet again. Must be called before any
- * heartbeat of the term is answered.
+ * Begins a term: empties the fleet and resets all machines, then takes over the recorded tasks of
+ * each open job, which adds the machines that the records name to the fleet. Must be called before
+ * any heartbeat of the term is answered.
  */
 void hr_failover_take_over (HrCore *core);
--- a/src/coordination/jobs/priority_inheritance.c
+++ b/src/coordination/jobs/priority_inheritance.c
@@ -1,4 +1,4 @@
-/* Priority inheritance: the urgency of one job, the traversal order, and propagation. */
+/* Priority inheritance: priority and deadline of one job, the traversal order, and propagation. */
 #include "coordination/jobs/priority_inheritance.h"
 #include "coordination/scheduling/projection.h"
 #include "coordination/scheduling/task_lists.h"
@@ -10,11 +10,12 @@
 
 /* ---- one job ---- */
 
-/* Priority and deadline, which determine the job's order in the plan. */
+/* Priority and deadline, the job's own or inherited from its dependents. They determine the job's
+ * order in the plan. */
 typedef struct {
   HrPriority priority;
   double deadline; /* real time, in seconds; INFINITY: not known yet */
-} Urgency;
+} InheritedPriority;
 
 /* Checks whether the job takes part in inheritance: it is queued and its specification is known. */
 static gboolean
@@ -55,24 +56,24 @@
 
 /* Returns the highest priority and the earliest deadline of `current` and those that the dependent
  * requires of the job. */
-static Urgency
-inherit (Urgency current, const HrJob *dependent)
+static InheritedPriority
+inherit (InheritedPriority current, const HrJob *dependent)
 {
   double latest_end = dependent->plan.deadline - dependent->spec.estimate_s;
-  return (Urgency){.priority = MIN (current.priority, dependent->plan.priority),
-                   .deadline = MIN (current.deadline, latest_end)};
+  return (InheritedPriority){.priority = MIN (current.priority, dependent->plan.priority),
+                             .deadline = MIN (current.deadline, latest_end)};
 }
 
 /* Sets the job's priority and deadline. Returns whether either changed. */
 static gboolean
-set_urgency (HrCore *core, HrJob *job, Urgency urgency)
+set_inherited (HrCore *core, HrJob *job, InheritedPriority inherited)
 {
-  if (urgency.priority == job->plan.priority && urgency.deadline == job->plan.deadline)
+  if (inherited.priority == job->plan.priority && inherited.deadline == job->plan.deadline)
     return FALSE;
-  if (job->plan.deadline != urgency.deadline)
+  if (job->plan.deadline != inherited.deadline)
     hr_job_unlist_tasks (core, job); /* the task lists are ordered by deadline */
-  job->plan.priority = urgency.priority;
-  job->plan.deadline = urgency.deadline;
+  job->plan.priority = inherited.priority;
+  job->plan.deadline = inherited.deadline;
   core->scheduling.plan_is_stale = TRUE;
   return TRUE;
 }
@@ -81,21 +82,21 @@
 static gboolean
 inherit_from (HrCore *core, HrJob *job, const HrJob *dependent)
 {
-  Urgency current = {job->plan.priority, job->plan.deadline};
-  return set_urgency (core, job, inherit (current, dependent));
+  InheritedPriority current = {job->plan.priority, job->plan.deadline};
+  return set_inherited (core, job, inherit (current, dependent));
 }
 
 /* Recomputes priority and deadline from the job's own specification and all its dependents. Returns
  * whether anything changed. */
 static gboolean
-recompute_urgency (HrCore *core, HrJob *job)
+recompute_inherited (HrCore *core, HrJob *job)
 {
   const GPtrArray *dependents = job->dependencies.dependents;
-  Urgency urgency = {job->spec.priority, own_deadline (core, job)};
+  InheritedPriority inherited = {job->spec.priority, own_deadline (core, job)};
   for (guint i = 0; dependents && i < dependents->len; i++)
     if (is_active (dependents->pdata[i]))
-      urgency = inherit (urgency, dependents->pdata[i]);
-  return set_urgency (core, job, urgency);
+      inherited = inherit (inherited, dependents->pdata[i]);
+  return set_inherited (core, job, inherited);
 }
 
 /* ---- traversal order ---- */
@@ -225,7 +226,7 @@
 {
   if (!is_active (job))
     return;
-  recompute_urgency (core, job);
+  recompute_inherited (core, job);
   if (!propagate (core, job, NULL))
     return; /* the usual case: no other job is affected */
   g_autoptr (GPtrArray) starts = g_ptr_array_new ();
@@ -247,7 +248,7 @@
   g_autoptr (GPtrArray) order = topological_order (starts);
   for (guint i = 0; i < order->len; i++) {
     HrJob *job = order->pdata[i];
-    if (g_hash_table_contains (affected, job) && recompute_urgency (core, job))
+    if (g_hash_table_contains (affected, job) && recompute_inherited (core, job))
       add_awaited (job, affected, NULL);
   }
 }
--- a/src/coordination/leadership/leadership_decisions.h
+++ b/src/coordination/leadership/leadership_decisions.h
@@ -14,7 +14,8 @@
   HR_ANSWER_ALLOWED,
   HR_ANSWER_NOT_LEADER,        /* the leader record does not name this process */
   HR_ANSWER_LAST_READ_TOO_OLD, /* no read and no attestation by all members within hold_s */
-  HR_ANSWER_ISOLATED /* neither within alone_s, and no known store outage for all members */
+  HR_ANSWER_ISOLATED /* no read and no attestation within alone_s, and no store outage for all
+                        members is known */
 } HrAnswerVerdict;
 
 /* Whether this node's term begins or ends, now that the store's changes are applied. */
--- a/src/coordination/scaling/fleet.c
+++ b/src/coordination/scaling/fleet.c
@@ -30,7 +30,7 @@
 }
 
 void
-hr_fleet_delete (HrCore *core, HrMachine *machine, const char *why)
+hr_fleet_request_deletion (HrCore *core, HrMachine *machine, const char *why)
 {
   if (machine->state == HR_MACHINE_DELETING || machine->state == HR_MACHINE_GONE)
     return;
--- a/src/coordination/scaling/fleet.h
+++ b/src/coordination/scaling/fleet.h
@@ -1,8 +1,9 @@
 /* The fleet: all machines whose deletion is not confirmed.
  *
  * A machine joins the fleet when the cloud grants it, when the cloud's list of instances shows it,
- * or when its worker sends a heartbeat. It leaves only when the cloud confirms its deletion. Only
- * the leader changes the fleet.
+ * when its worker sends a heartbeat, or when a new leader takes over task records that name it
+ * (jobs/failover.c). It leaves only when the cloud confirms its deletion, or when a new leader
+ * empties the fleet. Only the leader changes the fleet.
  */
 #pragma once
 #include "coordination/state.h"
@@ -16,13 +17,14 @@
 void hr_fleet_add (HrCore *core, HrMachine *machine);
 
 /**
- * hr_fleet_delete:
+ * hr_fleet_request_deletion:
  * @why: the reason, for the log
  *
- * Marks the machine for deletion at the cloud: it is assigned no more tasks, and the call is sent
- * on the next tick. Does nothing if the machine is being deleted or has been.
+ * Marks the machine for deletion at the cloud: it is assigned no more tasks, and the deletion
+ * request is sent at the next tick (instance_deletions.h). The machine stays in the fleet until the
+ * cloud confirms the deletion. Does nothing if the machine is being deleted or has been.
  */
-void hr_fleet_delete (HrCore *core, HrMachine *machine, const char *why);
+void hr_fleet_request_deletion (HrCore *core, HrMachine *machine, const char *why);
 
 /**
  * hr_fleet_remove:
--- a/src/coordination/scaling/instance_list.c
+++ b/src/coordination/scaling/instance_list.c
@@ -34,7 +34,7 @@
   if (machine->state == HR_MACHINE_GONE)
     hr_fleet_add (core, machine);
   machine->state = HR_MACHINE_UP;
-  hr_fleet_delete (core, machine, "the cloud lists it as failed");
+  hr_fleet_request_deletion (core, machine, "the cloud lists it as failed");
 }
 
 /* Adds a listed machine that was not in the fleet. It counts as booting until its worker sends a
--- a/src/coordination/scaling/next_steps.h
+++ b/src/coordination/scaling/next_steps.h
@@ -1,7 +1,8 @@
-/* Scales out ahead of the next steps of pipelines.
+/* Scales out ahead of the next steps of pipelines, which are the jobs whose awaited jobs are all
+ * about to end.
  *
  * A job can start when all jobs that it awaits are done, and a new machine first has to boot. If
- * its deadline leaves no time for a boot then, instances are demanded one boot time ahead.
+ * the job's deadline leaves no time for a boot then, instances are demanded one boot time ahead.
  */
 #pragma once
 #include "coordination/scaling/demand.h"
--- a/src/coordination/scaling/scale_in.c
+++ b/src/coordination/scaling/scale_in.c
@@ -27,7 +27,7 @@
     const HrFreeCapacity *capacity = &fleet->machines[i];
     ScaleInVerdict verdict = scale_in_verdict (core, capacity);
     if (verdict != KEEP)
-      hr_fleet_delete (core, capacity->machine,
-                       verdict == RETURN_DRAINED ? "it is drained" : "it is idle");
+      hr_fleet_request_deletion (core, capacity->machine,
+                                 verdict == RETURN_DRAINED ? "it is drained" : "it is idle");
   }
 }
--- a/src/coordination/scaling/scaling.c
+++ b/src/coordination/scaling/scaling.c
@@ -29,7 +29,7 @@
   for (guint i = 0; i < core->scaling.fleet->len; i++) {
     HrMachine *machine = core->scaling.fleet->pdata[i];
     if (boot_has_failed (core, machine))
-      hr_fleet_delete (core, machine, "it did not boot in time");
+      hr_fleet_request_deletion (core, machine, "it did not boot in time");
   }
 }
 
--- a/src/coordination/scheduling/dispatch.c
+++ b/src/coordination/scheduling/dispatch.c
@@ -1,4 +1,5 @@
-/* The dispatch pass: turns the plan into starts. */
+/* The dispatch pass: starts the tasks that the plan lists for each machine (task_lists.h). A listed
+ * task that waits for capacity of its machine is called blocked. */
 #include "coordination/scheduling/dispatch.h"
 #include "bookkeeping/replica.h"
 #include "coordination/jobs/gang_scheduling.h"
@@ -188,7 +189,7 @@
   return services;
 }
 
-/* Replaces the tasks that gangs lost before their start. */
+/* Starts the tasks again that gangs lost before the common start of their tasks. */
 static void
 replace_lost_gang_tasks (HrCore *core)
 {
@@ -199,7 +200,9 @@
   }
 }
 
-/* Preempts other work, or requests instances, for the service's replicas that still wait. */
+/* Preempts other tasks, or requests instances, for the service's replicas that still wait. All
+ * replicas have the same needs, so once no preemption is possible for one of them, instances are
+ * requested for the rest. */
 static void
 find_capacity_for_service (HrCore *core, HrFleetCapacity *fleet, HrDemandPlan *demand, HrJob *job)
 {
@@ -216,8 +219,9 @@
   }
 }
 
-/* Preempts other work, or requests instances, for the tasks that could not start, and returns idle
- * machines to the cloud. */
+/* Preempts other tasks, or requests instances, for the tasks that could not start, and returns idle
+ * machines to the cloud. Instances are also requested for headroom, and for jobs whose awaited jobs
+ * are about to end (the next steps of pipelines). */
 static void
 find_capacity (HrCore *core, const GPtrArray *services)
 {
@@ -236,8 +240,8 @@
   hr_scale_in_idle (core, &fleet);
 }
 
-/* Returns whether the leader can record assignments. While it cannot, no task can start: then
- * nothing is preempted, and an idle machine does not mean a lack of work. */
+/* Returns whether the leader can record assignments. Otherwise no task can start, so nothing may be
+ * preempted, and no idle machine may be returned: it is idle only because no task can start. */
 static gboolean
 may_dispatch (HrCore *core)
 {
--- a/src/coordination/scheduling/dispatch.h
+++ b/src/coordination/scheduling/dispatch.h
@@ -1,6 +1,6 @@
-/* The dispatch pass: turns the plan into starts.
+/* The dispatch pass: starts the tasks that the plan lists for each machine (task_lists.h).
  *
- * Starts every task that can start now. For tasks that cannot, it preempts other work or requests
+ * Starts every task that can start now. For tasks that cannot, it preempts other tasks or requests
  * instances, or leaves them waiting. Idle machines are returned to the cloud.
  */
 #pragma once
--- a/src/coordination/scheduling/quota_preemption.c
+++ b/src/coordination/scheduling/quota_preemption.c
@@ -109,7 +109,7 @@
   hr_quota_subtract (&usage->reclaimed, hr_quota_of (&job->spec, job->quota.granted));
   for (guint n = n_ungranted; n >= unit && !usage->is_exhausted; n -= unit) {
     /* After this no task is stopped for later jobs either: the freed quota would go to this job, or
-     * to shorter work that would be preempted again. */
+     * to shorter tasks that would be preempted again. */
     if (!hr_quota_covers (usage->reclaimed, need) &&
         (starts_soon || !preempt_until_covered (core, job, &usage->reclaimed, need)))
       usage->is_exhausted = TRUE;
@@ -137,7 +137,7 @@
   for (guint i = 0; i < core->scheduling.waiting_jobs->len; i++) {
     const HrJob *job = core->scheduling.waiting_jobs->pdata[i];
     HrTeamUsage *usage = hr_team_usage (core, job->spec.team);
-    /* A job whose grant is lent lacks a machine, not quota; other jobs use its share meanwhile. */
+    /* A job whose grant is lent lacks a machine, not quota; other jobs use its quota meanwhile. */
     if (!usage->is_exhausted && !job->quota.grant_lent)
       preempt_for_job (core, usage, job);
   }
--- a/src/coordination/scheduling/quotas.c
+++ b/src/coordination/scheduling/quotas.c
@@ -14,15 +14,17 @@
 #include "coordination/scheduling/quota_reservation.h"
 #include "coordination/scheduling/start_check.h"
 
-/* How long a job keeps its grant without a start, s: with tasks in lists (these mostly wait for a
- * machine to boot), and without. */
+/* How long a job may leave its grant unused before the grant is lent to other jobs, s: a service or
+ * a job with tasks in machines' lists (these mostly wait for a machine to boot), and any other job.
+ */
 #define GRANT_HOLD_S 75.0
 #define GRANT_HOLD_UNPLANNED_S 30.0
-/* How long the share of a lapsed grant is lent, s; doubled each time, up to the maximum. Long
- * enough for a boot. Meanwhile no quota is reserved and no task is stopped for the job. */
-#define LENDING_PAUSE_S 90.0
-#define MAX_LENDING_PAUSE_S 360.0
-/* A job that only a reservation has delayed for this long gets one start, s. */
+/* How long a grant is lent, s; doubled each time, up to the maximum. Long enough for a boot.
+ * Meanwhile no quota is reserved and no task is stopped for the job. */
+#define MIN_LENDING_S 90.0
+#define MAX_LENDING_S 360.0
+/* A job that only a reservation has delayed for this long gets one start unit (all tasks of a
+ * gang), s. */
 #define MAX_RESERVATION_WAIT_S 60.0
 /* Bits of the set of teams of a class (HrClassStats.teams). */
 #define TEAM_BITS 64
@@ -55,20 +57,22 @@
   return hr_compare_by_deadline (left, right);
 }
 
-/* Returns whether the job's grant has lapsed, because the job did not use it for too long. */
+/* Starts lending the job's grant to other jobs if the job has not used it for too long, and doubles
+ * the lending time. Returns whether the grant is lent now. */
 static gboolean
-grant_has_lapsed (HrCore *core, HrJob *job)
+update_lending (HrCore *core, HrJob *job)
 {
   HrJobQuota *quota = &job->quota;
-  /* Services are never listed. */
-  gboolean is_placed = job->plan.n_listed || job->spec.shape == HR_SERVICE;
-  double hold = is_placed ? GRANT_HOLD_S : GRANT_HOLD_UNPLANNED_S;
+  /* Services are never in lists, and count as planned. */
+  gboolean is_planned = job->plan.n_listed || job->spec.shape == HR_SERVICE;
+  double hold = is_planned ? GRANT_HOLD_S : GRANT_HOLD_UNPLANNED_S;
+  /* A gang that waits until it requests instances again cannot use its grant before then. */
   if (core->now < MAX (quota->lent_until, job->plan.next_scale_out_at))
     return TRUE;
   if (!quota->granted_since || core->now - quota->granted_since <= hold)
     return FALSE;
-  quota->lending_pause_s = CLAMP (2 * quota->lending_pause_s, LENDING_PAUSE_S, MAX_LENDING_PAUSE_S);
-  quota->lent_until = core->now + quota->lending_pause_s;
+  quota->lending_s = CLAMP (2 * quota->lending_s, MIN_LENDING_S, MAX_LENDING_S);
+  quota->lent_until = core->now + quota->lending_s;
   return TRUE;
 }
 
@@ -105,7 +109,7 @@
 set_grant (HrCore *core, HrJob *job, guint granted)
 {
   job->quota.granted = granted;
-  job->quota.grant_lent = grant_has_lapsed (core, job);
+  job->quota.grant_lent = update_lending (core, job);
   if (!granted || job->quota.grant_lent)
     job->quota.granted_since = 0;
   else if (!job->quota.granted_since)
@@ -121,7 +125,7 @@
   guint n = startable_units (core, usage, job, is_restricted, max_units);
   set_grant (core, job, n * unit);
   if (job->quota.grant_lent)
-    return; /* its share stays available to other jobs */
+    return; /* its quota stays available to other jobs */
   if (n) {
     HrQuota granted = hr_quota_of (&job->spec, job->quota.granted);
     hr_quota_subtract (&usage->available, granted);
@@ -141,6 +145,8 @@
   for (guint team = 0; team < core->scheduling.team_usage->len && n < wanted; team++) {
     HrTeamUsage *usage = &g_array_index (core->scheduling.team_usage, HrTeamUsage, team);
     HrQuota one = {stats->cpus, stats->gpus};
+    /* Teams with the same index modulo TEAM_BITS share a bit, so a team without jobs of the class
+     * may be included. */
     if (!(stats->teams >> team % TEAM_BITS & 1))
       continue;
     guint more = wanted - n;
@@ -208,7 +214,7 @@
   hr_quota_add (&usage->used, hr_quota_of (&job->spec, 1));
   quota->granted -= quota->granted > 0;
   quota->granted_since = quota->blocked_by_reservation_since = 0;
-  quota->lent_until = quota->lending_pause_s = 0;
+  quota->lent_until = quota->lending_s = 0;
   quota->reclaiming_since = quota->reclaim_pause_s = 0;
 }
 
--- a/src/coordination/scheduling/quotas.h
+++ b/src/coordination/scheduling/quotas.h
@@ -5,7 +5,7 @@
  * so no capacity is reserved or requested for tasks that the limit does not let start. The quota
  * that is left at the first job that does not fit is reserved for it (quota_reservation.h).
  *
- * A grant that is not used for some time is lent: other jobs may use its share for a limited time,
+ * A grant that is not used for some time is lent: other jobs may use its quota for a limited time,
  * while the job itself may still start.
  */
 #pragma once
--- a/src/emulator/emulator.c
+++ b/src/emulator/emulator.c
@@ -2,7 +2,7 @@
 #include <errno.h>
 #include <glib/gstdio.h>
 
-/* Interval between two updates of the cluster. */
+/* Interval at which the simulated cluster's clock is advanced to the time of this process. */
 #define STEP_INTERVAL_MS 4
 
 void
@@ -19,7 +19,7 @@
   g_autoptr (GError) error = NULL;
   emulator->dir = g_dir_make_tmp ("hoprock-live-XXXXXX", &error);
   if (!emulator->dir)
-    g_error ("emulator: %s", error->message);
+    g_error ("emulator: cannot create a temporary directory: %s", error->message);
   emulator->cluster = sim_cluster_new_stopped (seed, nodes);
   emulator->cluster->controllers = &emulator_controllers;
   emulator->cluster->controllers_data = emulator;
--- a/src/emulator/processes.c
+++ b/src/emulator/processes.c
@@ -135,7 +135,7 @@
       g_subprocess_launcher_spawn (launcher, &error, program_of (emulator, i), "--policy",
                                    emulator->policy, "--config", settings, NULL);
   if (!node->process)
-    g_error ("emulator: %s", error->message);
+    g_error ("emulator: cannot start a controller: %s", error->message);
   WatchedProcess *watched = g_new (WatchedProcess, 1);
   *watched = (WatchedProcess){emulator, i};
   g_subprocess_wait_async (node->process, NULL, on_exited, watched);
--- a/src/protocol/wire_names.h
+++ b/src/protocol/wire_names.h
@@ -56,7 +56,7 @@
 
 /* ---- heartbeats of workers, and their answers ---- */
 #define HR_WIRE_MACHINE "rockhand"              /* name of the worker's machine */
-#define HR_WIRE_INCARNATION "tenure"            /* incarnation of the worker's agent */
+#define HR_WIRE_INCARNATION "tenure"            /* incarnation of the worker */
 #define HR_WIRE_SEQUENCE "tally"                /* sequence number of a heartbeat */
 #define HR_WIRE_FENCING_TOKEN "baton"           /* fencing token of the leader */
 #define HR_WIRE_PREEMPTION_NOTICE_S "warning_s" /* time until a spot instance is preempted */
--- a/src/protocol/worker.h
+++ b/src/protocol/worker.h
@@ -1,6 +1,6 @@
-/* Messages between workers and controllers: heartbeats, their answers, and orders. A worker's agent
- * sends a heartbeat every few seconds, which lists all tasks of the worker; the answer renews the
- * worker's lease and contains orders. Orders are also sent to the worker directly, which answers
+/* Messages between workers and controllers: heartbeats, their answers, and orders. A worker sends a
+ * heartbeat every few seconds, which lists all its tasks; the answer renews the worker's lease and
+ * contains orders. Orders are also sent to the worker directly, which answers
  * with a heartbeat. */
 #pragma once
 #include "protocol/protocol_error.h"
@@ -47,7 +47,7 @@
   json_t *root;
   const char *machine, *address, *type, *zone;
   gboolean is_spot;
-  guint64 incarnation;        /* of the agent; increases whenever its lease expires */
+  guint64 incarnation;        /* of the worker; increases whenever its lease expires */
   guint64 sequence;           /* sequence number of this heartbeat within the incarnation */
   guint64 fencing_token;      /* the newest token that the worker has received */
   double preemption_notice_s; /* time until the cloud preempts the spot instance; < 0: no notice */
@@ -136,7 +136,7 @@
 /**
  * hr_orders_text:
  * @fencing_token: the leader's fencing token
- * @incarnation: incarnation of the worker's agent; another incarnation ignores the orders. 0: the
+ * @incarnation: incarnation of the worker; another incarnation ignores the orders. 0: the
  *   message names no incarnation
  * @orders: a list of orders
  *
