--- a/src/bookkeeping/record_format.h
+++ b/src/bookkeeping/record_format.h
@@ -1,9 +1,10 @@
-/* The format of records: the newest one that every controller supports, and which may be written.
+/* Agreement on the record format: the newest format that every controller supports. Controllers
+ * write records in the agreed format only.
  *
- * Each controller states in its statuses which format it supports. Once all other controllers have
- * stated the newest format, the leader records that in the state store: from then on no controller
- * can misread a record of that format (docs/upgrades.md). Until then records have the earlier
- * format. */
+ * Each controller states in its statuses the newest format that it supports. Once all other
+ * controllers have stated the newest format that the leader supports, the leader writes it to the
+ * state store as the agreed format: from then on no controller can misread a record of that format
+ * (docs/upgrades.md). Until then records have the earlier format. */
 #pragma once
 #include "bookkeeping/store.h"
 #include <glib.h>
@@ -15,8 +16,10 @@
  * @format: the newest format that this node supports; 0: it behaves like a node that predates
  * record formats
  *
- * Sets the format, the limits of the state store that this node plans for, and its write allowance.
- * Called before the first step.
+ * Sets the supported format and, with it, the limits of the state store that this node observes
+ * (format 0: the present limits, else the planned ones; values up to the present limit are still
+ * sent until a format is agreed or the store refuses one). Resets the write allowance of this node
+ * to the limit of write requests per second. Called before the first step.
  */
 void hr_record_format_set_supported (HrStore *store, guint format);
 
--- a/src/coordination/agents/order_verdicts.c
+++ b/src/coordination/agents/order_verdicts.c
@@ -17,9 +17,9 @@
 };
 
 /* While the store refuses only this leader, other controllers confirm cancellations that it cannot
- * read, so it launches nothing: a recorded task may wait long for its launch, for example a gang's
- * task while the other tasks fetch their images. During an outage for all controllers, none of them
- * confirms a cancellation. */
+ * read, so it launches nothing. A cancellation can be confirmed between the recording of a task and
+ * its launch, and this time can be long, for example while other tasks of a gang fetch their
+ * images. During an outage for all controllers, none of them confirms a cancellation. */
 gboolean
 hr_launch_allowed_here (const HrCore *core)
 {
--- a/src/coordination/leadership/leadership_state.h
+++ b/src/coordination/leadership/leadership_state.h
@@ -2,8 +2,9 @@
  *
  * leadership.c writes the leader record and lock as they are read, and the fields of the term;
  * election.c writes the lease of the lock and the fields of writes in flight. Both write
- * resigned_token, next_election_at and the flags of a token raise. Other modules only read. Times
- * are monotonic, in seconds; revisions are the store's. */
+ * resigned_token, next_election_at and the flags of a token raise. In a token raise, the leader
+ * rewrites the leader record with a higher fencing token, so that workers reject its earlier
+ * orders. Other modules only read. Times are monotonic, in seconds; revisions are the store's. */
 #pragma once
 #include <glib.h>
 
@@ -20,6 +21,7 @@
 
   /* This node's lease for the lock. */
   guint64 lock_lease_id; /* 0: none */
+  /* lock_lease_renewed_at: when the latest request that granted or renewed the lease was sent */
   double lock_lease_renewed_at, lock_lease_renewal_sent_at;
   double lock_lease_requested_at; /* 0: no request in flight */
   gboolean lock_lease_renewal_in_flight;
--- a/src/coordination/metrics/counters.h
+++ b/src/coordination/metrics/counters.h
@@ -1,7 +1,9 @@
 /* Counters of a controller since its process started: answers to workers by reason, orders, direct
- * calls, cancellations, violated invariants and terms. They appear in /metrics (metrics.h) and,
- * after a change, in a log line at level `info`. Each module of the core increments its own
- * counters; they are never reset. */
+ * calls, cancellations, violated invariants and terms. A clear order tells a worker to forget an
+ * attempt that has exited. The counters appear in /metrics (metrics.h) and, after a change, in a
+ * log line at level `info`. Each module of the core increments its own counters; they are never
+ * reset.
+ */
 #pragma once
 #include "coordination/core.h"
 
--- a/src/coordination/scaling/headroom.h
+++ b/src/coordination/scaling/headroom.h
@@ -1,7 +1,9 @@
 /* Headroom: spare capacity for expected tasks that cannot wait for a machine to boot.
  *
- * It is set per class of jobs: the number of tasks expected to arrive during a boot, scaled by the
- * kind of the class's objectives and bounded by the limits of its teams (scheduling/quotas.c).
+ * It is set per class of jobs: the number of tasks expected to arrive within a period, bounded by
+ * the limits of the class's teams (scheduling/quotas.c). The policy sets the period in boot times,
+ * for services (headroom_boots) and for each kind of objective (headroom_waits,
+ * headroom_deadlines). Services have headroom_base tasks in addition.
  */
 #pragma once
 #include "coordination/scaling/demand.h"
@@ -26,7 +28,7 @@
 /**
  * hr_scale_out_headroom:
  *
- * Reserves free capacity for the headroom of all classes, and demands instances for the part that
- * finds none.
+ * Reserves free capacity for the headroom of all classes, and adds demand for instances for the
+ * tasks without free capacity.
  */
 void hr_scale_out_headroom (HrCore *core, HrFleetCapacity *fleet, HrDemandPlan *demand);
--- a/tests/sim/cloud.c
+++ b/tests/sim/cloud.c
@@ -26,7 +26,7 @@
 }
 
 static void
-reclaim_noticed (SimCluster *cluster, gpointer data)
+reclaim_after_notice (SimCluster *cluster, gpointer data)
 {
   machine_terminate (cluster, data);
 }
@@ -41,7 +41,7 @@
     return;
   }
   machine->reclaim_at = cluster->now + sim_rand_range (cluster, 6, 18);
-  sim_schedule (cluster, machine->reclaim_at, reclaim_noticed, machine);
+  sim_schedule (cluster, machine->reclaim_at, reclaim_after_notice, machine);
 }
 
 static void
@@ -95,6 +95,8 @@
     machine->faulty = sim_rand_range (cluster, 0, 1) < 0.03;
     machine->tasks = g_array_new (FALSE, TRUE, sizeof (SimTask));
     machine->images = g_hash_table_new (g_direct_hash, g_direct_equal);
+    /* 4% of the machines never boot (up_at is 1e9); 5% of the others boot in 1 s. A fault of fast
+     * boots overrides both. */
     double boot_s = sim_rand_range (cluster, 0, 1) < 0.05 ? 1 : sim_rand_range (cluster, 12, 30);
     machine->up_at = faults_boot_time (
         cluster, sim_rand_range (cluster, 0, 1) < 0.04 ? 1e9 : cluster->now + boot_s);
@@ -121,8 +123,8 @@
       SimMachine *machine = cluster->machines->pdata[k];
       if (strcmp (machine->name, json_string_value (entry)) != 0)
         continue;
-      /* The machine ended, and the last record that named it changed, longer ago than any outage
-       * lasts: the leader acts on its knowledge from an earlier term. */
+      /* Violation: the machine has been gone for more than 90 s, longer than any outage, and no
+       * record has named it for as long. The leader acts on its knowledge from an earlier term. */
       if (!request->answered && machine->gone &&
           cluster->now - MAX (machine->gone_at, machine->last_referenced_at) > 90 &&
           !store_references_machine (cluster, machine->name))
@@ -140,6 +142,7 @@
 static void
 list_rentals (SimCluster *cluster, SimRequest *request)
 {
+  /* The list is 1.5 to 6 s old, although the setting states 3 s. */
   double at = cluster->now - sim_rand_range (cluster, 0.5, 2) * LIST_LAG_S;
   const char *after = strstr (request->path, "after=");
   g_autofree char *from = after ? g_strndup (after + 6, strcspn (after + 6, "&")) : g_strdup ("");
@@ -164,8 +167,9 @@
   sim_send_response (cluster, request, 200, hr_json_take_text (array));
 }
 
-/* Checks the rate of calls. Calls beyond the cloud's allowance, also during an outage, take the
- * allowance from calls that matter after it. Late copies do not count: the network made them. */
+/* Checks the rate of calls of all controllers together, also during an outage of the cloud: calls
+ * beyond the cloud's allowance then leave none for the necessary calls after the outage. Late
+ * copies of a call do not count, since the network makes them. */
 static void
 check_rate (SimCluster *cluster, const SimRequest *request)
 {
--- a/tests/test_cancellations.c
+++ b/tests/test_cancellations.c
@@ -1,4 +1,6 @@
-/* How a member logs cancellations and names them to a leader that cannot read the state store. */
+/* Cancellations and a leader that cannot read the state store: a member keeps a log of the
+ * cancellations that it read or confirmed (membership/cancellation_log.h) and lists ("names") their
+ * job ids in its statuses. */
 #include "coordination/command.h"
 #include "scripted_controller.h"
 #include <setjmp.h>
@@ -39,9 +41,9 @@
 
 /* Sets the position up to which the leader acknowledges c0's log in its next statuses. */
 static void
-acknowledge (HrPeerStatus *leader, guint64 taken)
+acknowledge (HrPeerStatus *leader, guint64 position)
 {
-  leader->echoes[0].cancellations_applied = taken;
+  leader->echoes[0].cancellations_applied = position;
 }
 
 static void
@@ -56,7 +58,7 @@
   while (!names_job (controller, JOB) && controller->now < confirmed_at + 2)
     scripted_run (controller, 0.1);
   assert_true (names_job (controller, JOB));
-  assert_true (controller->now < confirmed_at + 0.45);
+  assert_true (controller->now < confirmed_at + 0.45); /* regular statuses: every 1 s */
   assert_int_equal (controller->latest_status.cancellations.log_end -
                         controller->latest_status.cancellations.log_begin,
                     1);
@@ -109,7 +111,8 @@
   scripted_free (controller);
 }
 
-/* A log that grows too long drops its oldest entries and states up to which revision. */
+/* A log that grows too long drops its oldest entries and states the revision up to which entries
+ * may be missing. */
 static void
 a_log_that_grows_too_long_drops_its_oldest_entries (void **state G_GNUC_UNUSED)
 {
@@ -125,7 +128,7 @@
   }
   scripted_run (controller, 3);
   const HrNamedCancellations *named = &controller->latest_status.cancellations;
-  assert_true (named->log_end - named->log_begin <= 1024);
+  assert_true (named->log_end - named->log_begin <= 1024); /* the capacity of the log */
   assert_int_equal (controller->latest_status.latest_cancellation, controller->revision);
   assert_int_equal (controller->revision - named->dropped_revision,
                     named->log_end - named->log_begin);
--- a/tests/test_replica.c
+++ b/tests/test_replica.c
@@ -10,6 +10,9 @@
 #include <cmocka.h>
 
 #define JOB "job-000001"
+/* Records as JSON text. SPEC: the specification of a job of three tasks. MAIN: a main record with q
+ * tasks per page (0: it holds the tasks itself) and the text `more` of further members. PAGE: a
+ * page with the array x of tasks. In arrays of tasks, 1 is done and 0 was never placed. */
 #define SPEC                                                                                       \
   "[\"k\",\"crew\",\"i\",0,2,3,4.0,1.0,30.0,1.0,null,39.0,0.0,0.0,null,false,false,true,88.0]"
 #define MAIN(q, more) "{\"w\":\"a.1\",\"s\":0,\"t\":1.0,\"q\":" q ",\"j\":" SPEC more "}"
@@ -96,7 +99,8 @@
   command->request.path = g_strdup ("/v1/jobs/" JOB);
   fixture->now += 2; /* no read is under way by then */
   run_step (fixture, command);
-  for (guint i = 0; i < fixture->effects->len; i++) { /* the watch stays open */
+  /* Removes the open watch, so that answer_call() finds the read. */
+  for (guint i = 0; i < fixture->effects->len; i++) {
     HrEffect *effect = fixture->effects->pdata[i];
     if (effect->kind == HR_EFFECT_CALL && strstr (effect->call.path, "hold_ms=10000"))
       g_ptr_array_remove_index (fixture->effects, i--);
@@ -116,6 +120,11 @@
   return -2;
 }
 
+/* Responses of the state store: ROWS answers a read of all keys (/kv), LOG a read of changes
+ * (/changes). stamp: the revision at which the key was written; epoch: the revision of the store.
+ * Main records have the key h/j/ID. Pages have the key h/t/ID/PAGE or, after a split,
+ * h/u/ID/TASKS_PER_PAGE/PAGE. A split writes the new pages (staged pages) before or together with
+ * the main record, which refers to them by q, the page size, and u = 1, the form of their keys. */
 #define ROW(path, value, stamp) "{\"path\":\"" path "\",\"value\":" value ",\"stamp\":" stamp "}"
 #define SET(path, value, stamp) "{\"set\":\"" path "\",\"value\":" value ",\"stamp\":" stamp "}"
 #define ROWS(rows, more, epoch) "{\"rows\":[" rows "],\"more\":" more ",\"epoch\":" epoch "}"
@@ -153,8 +162,8 @@
   fixture_clear (&fixture);
 }
 
-/* Guards against an older version of a page: the read has returned the page as it is after the
- * split, and the changes that follow begin with its version before. */
+/* Guards against an outdated page: the page changes after the split. The read returns its new
+ * version, and the changes that follow begin with the version before that. */
 static void
 page_changed_after_the_split (void **state G_GNUC_UNUSED)
 {
@@ -260,7 +269,8 @@
   command->request.path = g_strdup ("/v1/jobs/" JOB "/abort");
   fixture.now += 2;
   run_step (&fixture, command);
-  for (guint i = 0; i < fixture.effects->len; i++) { /* the watch stays open */
+  /* Removes the open watch, so that answer_call() finds the read. */
+  for (guint i = 0; i < fixture.effects->len; i++) {
     HrEffect *effect = fixture.effects->pdata[i];
     if (effect->kind == HR_EFFECT_CALL && strstr (effect->call.path, "hold_ms=10000"))
       g_ptr_array_remove_index (fixture.effects, i--);
--- a/tests/test_workers.c
+++ b/tests/test_workers.c
@@ -17,15 +17,15 @@
 /* ---- conditions for fleet_run_until ---- */
 
 static gboolean
-task_runs (Fleet *fleet, gpointer piece)
+task_runs (Fleet *fleet, gpointer task_id)
 {
-  return fleet_count_running (fleet, piece) > 0;
+  return fleet_count_running (fleet, task_id) > 0;
 }
 
 static gboolean
-task_runs_nowhere (Fleet *fleet, gpointer piece)
+task_runs_nowhere (Fleet *fleet, gpointer task_id)
 {
-  return fleet_count_running (fleet, piece) == 0;
+  return fleet_count_running (fleet, task_id) == 0;
 }
 
 static gboolean
@@ -55,10 +55,10 @@
 static void
 submit_and_run (Fleet *fleet, FleetMachine *machine, const char *id)
 {
-  g_autofree char *piece = g_strconcat (id, "/0", NULL);
+  g_autofree char *task_id = g_strconcat (id, "/0", NULL);
   fleet_submit (fleet, 0, id, NULL);
-  fleet_run_until (fleet, task_runs, piece, 8);
-  assert_true (fleet_machine_runs (machine, piece));
+  fleet_run_until (fleet, task_runs, task_id, 8);
+  assert_true (fleet_machine_runs (machine, task_id));
   fleet_run (fleet, 3);
 }
 
@@ -580,8 +580,9 @@
 
 /* ---- records ---- */
 
-/* New machines are up at once while writes lag, and the leader ends. Nothing was launched without a
- * record, so the next leader may place every task without a recorded assignment. */
+/* The write that assigns a task to a new machine is delayed, and the leader stops. The leader has
+ * not launched the task, since its assignment is not recorded; so the next leader may place it on
+ * any machine, and the store rejects the delayed write. */
 static void
 nothing_is_launched_before_its_record (void **state G_GNUC_UNUSED)
 {
@@ -755,9 +756,10 @@
 
 /* ---- the deployed policy ---- */
 
-/* Checks the deployed policy for many values of lease_s and cancel_s. The leases that a leader
- * which cannot read a cancellation still renews end before cancel_s, with clocks that drift apart
- * by 0.05%, and the next leader waits at least as long. */
+/* Checks the deployed policy for many values of lease_s and cancel_s, with clocks that drift apart
+ * by 0.05%. A leader that cannot read a cancellation renews leases for up to hold_s; the last of
+ * them ends before cancel_s has passed, and the next leader waits until after that. The
+ * factor 1.002 is the drift allowance of the next leader (HR_LEASE_DRIFT_FACTOR). */
 static void
 the_deployed_policy_ends_leases_in_time (void **state G_GNUC_UNUSED)
 {
@@ -827,15 +829,16 @@
   fleet_run (fleet, 60);
   guint runs = 0;
   for (int i = 0; i < 6; i++) {
-    g_autofree char *piece = g_strdup_printf ("job-a/%d", i);
-    runs += fleet_count_running (fleet, piece);
+    g_autofree char *task_id = g_strdup_printf ("job-a/%d", i);
+    runs += fleet_count_running (fleet, task_id);
   }
   assert_int_equal (runs, 6);
   fleet_check_and_free (fleet);
 }
 
-/* All controllers are down for longer than a lease. One starts, ends and starts again within a
- * second, and a heartbeat from before the downtime arrives. */
+/* All controllers are down for longer than a lease, so all tasks end. One controller then starts,
+ * stops after 2 s and starts again 0.4 s later. A heartbeat from before the downtime arrives, and
+ * each task is launched exactly once more. */
 static void
 all_controllers_are_down_longer_than_a_lease (void **state G_GNUC_UNUSED)
 {
